--- a/tests/known_red.rs
+++ b/gateway/tests/known_red.rs
@@ -37,7 +37,7 @@
         fs::write(&file, names).expect("a file");
         fs::write(&asked, "").expect("a file");
         let path = std::env::var("PATH").expect("a path");
-        Command::new(Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red"))
+        Command::new(Path::new(env!("CARGO_MANIFEST_DIR")).join("../.ci/known-red"))
             .args(["--workspace", "--locked"])
             .env("PATH", format!("{}:{path}", self.0.display()))
             .env("KNOWN_RED", file)
@@ -65,7 +65,7 @@
         assert_eq!(gate.asked(), ["test --workspace --locked"]);
         assert!(!gate.run(names, "red", &[]).status.success());
     }
-    let readme = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("README.md")).expect("a file");
+    let readme = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../README.md")).expect("a file");
     assert!(readme.contains("cargo test --workspace --locked"));
 }
 
