--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -276,7 +276,7 @@
     let mut files = Vec::new();
     let crates = std::fs::read_dir(root.join("crates")).expect("a folder");
     let crates = crates.map(|entry| entry.expect("an entry").path().join("src"));
-    let program = ["gateway/src", "wirehost/src"].map(|folder| root.join(folder));
+    let program = ["gateway/src", "simulator-adapter/src"].map(|folder| root.join(folder));
     program.into_iter().chain(crates).for_each(|folder| sources(&folder, &mut files));
     assert!(files.len() > 80, "{} files", files.len());
     let mut read = 0;
