--- a/gateway/src/core/replay.rs
+++ b/gateway/src/core/replay.rs
@@ -335,7 +335,7 @@
 /// Guards the driver: what the explorer found right in the machines must be right in what runs.
 #[test]
 fn kept_traces_are_the_same_in_the_real_core() {
-    let folder: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("../explore/traces");
+    let folder: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("../model-checker/traces");
     let mut played = 0;
     for file in std::fs::read_dir(folder).expect("the traces") {
         let path = file.expect("a file").path();
