--- a/crates/cache-warming/benches/sketch.rs
+++ b/crates/cache-warming/benches/sketch.rs
@@ -1,11 +1,11 @@
 //! The sketch beside a plain exact map: an ask, and the hottest 64, over 100,000 beginnings of which few are hot.
-//! `cargo bench -p glenrail-warming`
+//! `cargo bench -p glenrail-cache-warming`
 
 use std::collections::HashMap;
 
 use divan::{black_box, Bencher};
-use glenrail_warming::sketch::Sketch;
-use glenrail_warming::{Beginning, Model, Node, Team};
+use glenrail_cache_warming::sketch::Sketch;
+use glenrail_cache_warming::{Beginning, Model, Node, Team};
 
 const ASKS: usize = 200_000;
 const BEGINNINGS: f64 = 100_000.0;
--- a/crates/cache-warming/examples/figures.rs
+++ b/crates/cache-warming/examples/figures.rs
@@ -1,15 +1,15 @@
 //! What warming gains: three of ten readers are replaced in a small simulated fleet of three gateways, with warming and without.
-//! `cargo run --release -p glenrail-warming --example figures`
+//! `cargo run --release -p glenrail-cache-warming --example figures`
 
 use std::collections::HashMap;
 
-use glenrail_warming::cutover::{Cutover, Input, Side, State, Terms};
-use glenrail_warming::plan::{plan, Facts, Plan, Target};
-use glenrail_warming::readers::HandOver;
-use glenrail_warming::rendezvous::mix;
-use glenrail_warming::sketch::Sketch;
-use glenrail_warming::word::{from_bytes, to_bytes};
-use glenrail_warming::{Beginning, Member, Model, Node, Team};
+use glenrail_cache_warming::cutover::{Cutover, Input, Side, State, Terms};
+use glenrail_cache_warming::plan::{plan, Facts, Plan, Target};
+use glenrail_cache_warming::readers::HandOver;
+use glenrail_cache_warming::rendezvous::mix;
+use glenrail_cache_warming::sketch::Sketch;
+use glenrail_cache_warming::word::{from_bytes, to_bytes};
+use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 
 const BEGINNINGS: u64 = 3000;
 const REQUESTS_A_SECOND: u64 = 120;
--- a/crates/cache-warming/tests/cutover.rs
+++ b/crates/cache-warming/tests/cutover.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use glenrail_warming::cutover::{Cutover, Input, OrderError, Replacements, State, Step, Terms, Why};
-use glenrail_warming::plan::{Plan, Reading};
-use glenrail_warming::readers::HandOver;
-use glenrail_warming::{Beginning, Member, Model, Node, Team};
+use glenrail_cache_warming::cutover::{Cutover, Input, OrderError, Replacements, State, Step, Terms, Why};
+use glenrail_cache_warming::plan::{Plan, Reading};
+use glenrail_cache_warming::readers::HandOver;
+use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
 const TERMS: Terms =
@@ -146,7 +146,7 @@
     assert_eq!(cutover.figures().to_string().split(" expected").next(), Some("planned=32 read=32 moved=2/4"));
     // The new node fails: back in the same step, and nothing moves after.
     assert_eq!(cutover.step(Input::Lost(Node(2)), 5001), [Step::Back { why: Why::NewLost }]);
-    assert!((0..4).all(|s| cutover.side_of(s) == Some(glenrail_warming::cutover::Side::Old)));
+    assert!((0..4).all(|s| cutover.side_of(s) == Some(glenrail_cache_warming::cutover::Side::Old)));
     assert!(cutover.step(Input::Tick, 99_999).is_empty());
 }
 
--- a/crates/cache-warming/tests/pace.rs
+++ b/crates/cache-warming/tests/pace.rs
@@ -1,7 +1,7 @@
 //! When readings go out.
 
-use glenrail_warming::pace::{Held, Limits, Pace, Sight, Standing};
-use glenrail_warming::{Beginning, Model, Node, Team};
+use glenrail_cache_warming::pace::{Held, Limits, Pace, Sight, Standing};
+use glenrail_cache_warming::{Beginning, Model, Node, Team};
 use proptest::prelude::*;
 
 const LIMITS: Limits =
--- a/crates/cache-warming/tests/plan.rs
+++ b/crates/cache-warming/tests/plan.rs
@@ -1,8 +1,8 @@
 //! The plan against an exact solver, and what is in none.
 
-use glenrail_warming::plan::{choose, plan, Budget, Facts, Item, Target};
-use glenrail_warming::sketch::Sketch;
-use glenrail_warming::{Beginning, Member, Model, Node, Team};
+use glenrail_cache_warming::plan::{choose, plan, Budget, Facts, Item, Target};
+use glenrail_cache_warming::sketch::Sketch;
+use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
 /// All subsets.
--- a/crates/cache-warming/tests/sketch.rs
+++ b/crates/cache-warming/tests/sketch.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use glenrail_warming::sketch::Sketch;
-use glenrail_warming::word::{from_bytes, to_bytes, WordError, FORMAT};
-use glenrail_warming::{Beginning, Member, Model, Node, Team};
+use glenrail_cache_warming::sketch::Sketch;
+use glenrail_cache_warming::word::{from_bytes, to_bytes, WordError, FORMAT};
+use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
 const HALF: u64 = 10_000;
--- a/crates/cache-warming/tests/texts.rs
+++ b/crates/cache-warming/tests/texts.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use glenrail_warming::hot::Hot;
-use glenrail_warming::texts::{Limits, Texts, OVERHEAD};
-use glenrail_warming::{Beginning, Member, Model, Node, Team};
+use glenrail_cache_warming::hot::Hot;
+use glenrail_cache_warming::texts::{Limits, Texts, OVERHEAD};
+use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
 fn beginning(name: u64) -> Beginning {
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -7,7 +7,7 @@
 //! come in a state is an [`Impossible`], never a panic, and changes nothing.
 //!
 //! ```
-//! use glenrail_lifecycle::request::*;
+//! use glenrail_request_lifecycle::request::*;
 //!
 //! let mut out = Vec::new();
 //! let mut request = Request::new(Terms { repeat: Repeat::Never, most: 5, cancel: true }, &mut out);
@@ -15,7 +15,7 @@
 //! request.step(Input::Replied { attempt: 0, reply: Reply::Begins }, &mut out)?;
 //! request.step(Input::StreamEnded { attempt: 0, end: StreamEnd::Whole }, &mut out)?;
 //! assert!(request.over());
-//! # Ok::<(), glenrail_lifecycle::Impossible>(())
+//! # Ok::<(), glenrail_request_lifecycle::Impossible>(())
 //! ```
 
 pub mod client;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -4,7 +4,7 @@
 //! events and carries out the actions it gives back.
 //!
 //! ```
-//! use deckhub::*;
+//! use glenrail_router::*;
 //!
 //! let settings = Settings {
 //!     me: 0, routers: 1, zone: 0, tick: 1.0,
--- a/crates/router/tests/cold/play.rs
+++ b/crates/router/tests/cold/play.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use deckhub::*;
+use glenrail_router::*;
 
 use crate::common::*;
 use crate::day::*;
--- a/crates/router/tests/cold/play/starts.rs
+++ b/crates/router/tests/cold/play/starts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use deckhub::*;
+use glenrail_router::*;
 
 use super::*;
 
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A short script's view of a router: settings, servers and events with sensible defaults.
 #![allow(dead_code)]
 
-use deckhub::*;
+use glenrail_router::*;
 
 pub const READERS: [u64; 3] = [11, 12, 13];
 pub const WRITERS: [u64; 3] = [21, 22, 23];
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 const ROUTERS: u64 = 60;
 const SERVERS: u64 = 20;
--- a/crates/router/tests/in_vain.rs
+++ b/crates/router/tests/in_vain.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 const ROUTERS: u32 = 32;
 /// A read takes longer (ms) than a cold writer's word counts.
--- a/crates/router/tests/path.rs
+++ b/crates/router/tests/path.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 #[test]
 fn a_shared_beginning_is_read_where_it_was_read_before() {
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 /// A small fixed random source for the test's own draws.
 struct Draw(u64);
--- a/crates/router/tests/silence.rs
+++ b/crates/router/tests/silence.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 /// The class that does not mind to wait behind a long prompt.
 const PATIENT: u32 = 1;
--- a/crates/router/tests/turned_away.rs
+++ b/crates/router/tests/turned_away.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 /// A router may not turn away so many requests over so long (ms) with no attempt between.
 const MOST: usize = 15;
--- a/crates/router/tests/unseen.rs
+++ b/crates/router/tests/unseen.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 /// Reads go on, and cost their server, when they have been called back.
 /// A mixed server takes so long (ms) for a thousand tokens that it reads, one prompt after the other, and then streams.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub use checked::{checked, Fault};
 
-use deckhub::*;
+use glenrail_router::*;
 use serde_json::Value;
 
 /// Attempts of a request where the settings do not say how many.
--- a/fault-tests/src/main.rs
+++ b/fault-tests/src/main.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use glenrail_trials::deployment::Fault;
-use glenrail_trials::{engine, soak};
+use glenrail_fault_tests::deployment::Fault;
+use glenrail_fault_tests::{engine, soak};
 
 #[derive(Parser)]
 #[command(about)]
@@ -63,7 +63,7 @@
     match run(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("glenrail-trials: {fault}");
+            eprintln!("glenrail-fault-tests: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/fault-tests/tests/silent_writers.rs
+++ b/fault-tests/tests/silent_writers.rs
@@ -4,12 +4,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use glenrail_trials::client::Ask;
-use glenrail_trials::clock;
-use glenrail_trials::deployment::{Deployment, Spec};
-use glenrail_trials::judge::{judge, taken, Invariant};
-use glenrail_trials::network::Condition;
-use glenrail_trials::record::Stage;
+use glenrail_fault_tests::client::Ask;
+use glenrail_fault_tests::clock;
+use glenrail_fault_tests::deployment::{Deployment, Spec};
+use glenrail_fault_tests::judge::{judge, taken, Invariant};
+use glenrail_fault_tests::network::Condition;
+use glenrail_fault_tests::record::Stage;
 use rustix::process::Signal;
 use tokio::time::sleep;
 
@@ -186,7 +186,7 @@
 fn the_judge_finds_a_state_that_is_left() {
     run(async {
         let deployment = warm(Spec::new(1, 1, 2)).await;
-        let kept = glenrail_trials::record::Event::Held { request: "left".into() };
+        let kept = glenrail_fault_tests::record::Event::Held { request: "left".into() };
         deployment.records.add(&deployment.engines[READER].spec.name, kept);
         sleep(JUDGED_AFTER).await;
         let violations = judge(&deployment.records.all(), deployment.spec.pin_limit, clock::now());
--- a/fault-tests/tests/soak.rs
+++ b/fault-tests/tests/soak.rs
@@ -1,9 +1,9 @@
 //! A short soak run in the test suite: random, overlapping faults over two dozen processes, judged by the invariants. The
-//! command `glenrail-trials soak` plays longer ones on more seeds.
+//! command `glenrail-fault-tests soak` plays longer ones on more seeds.
 
 use std::path::Path;
 
-use glenrail_trials::soak::{run, Options};
+use glenrail_fault_tests::soak::{run, Options};
 
 const SEED: u64 = 20;
 
--- a/gateway/src/config/front.rs
+++ b/gateway/src/config/front.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use deckhub::*;
+use glenrail_router::*;
 use serde::{Deserialize, Serialize};
 
 use super::{error, read, Error};
@@ -192,7 +192,7 @@
         },
         discovery: Discovery::Push,
         over_share_worth: 0.1,
-        prices: deckhub::Prices::default(),
+        prices: glenrail_router::Prices::default(),
         resume: false,
         writers_read: false,
     }
--- a/gateway/src/core/clock.rs
+++ b/gateway/src/core/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use deckhub::Ms;
+use glenrail_router::Ms;
 use tokio::time::Instant;
 
 /// Milliseconds since this process began, beside the machine's clock at that time.
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -154,7 +154,7 @@
                         spawn_local(self.clone().follow_up(read));
                     }
                     let story = job.told.end(&job.machine, inner.clock.now());
-                    log!("{}{story}", glenrail_story::WORD);
+                    log!("{}{story}", glenrail_access_log::WORD);
                 }
             }
         }
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The core: drives one [`Router`] and a [`lifecycle`](glenrail_lifecycle) machine for each request, and knows no
+//! The core: drives one [`Router`] and a [`lifecycle`](glenrail_request_lifecycle) machine for each request, and knows no
 //! wire.
 //!
 //! Events go through a queue, so that carrying out an action never re-enters the router. What a request may do at
@@ -21,9 +21,9 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use deckhub::*;
+use glenrail_router::*;
 use futures_util::stream::StreamExt;
-use glenrail_lifecycle::request::{self, Effect, Final, Input, Repeat, Stage, Step, Terms};
+use glenrail_request_lifecycle::request::{self, Effect, Final, Input, Repeat, Stage, Step, Terms};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout_at, Instant};
@@ -275,9 +275,9 @@
         {
             let mut inner = self.inner.borrow_mut();
             let class = inner.settings.classes.get(ask.class as usize);
-            let effect = class.map_or(deckhub::Effect::Unsafe, |c| c.effect);
-            let repeat = if effect == deckhub::Effect::Unsafe { Repeat::Never } else { Repeat::Freely };
-            let window = class.filter(|_| effect == deckhub::Effect::Keyed).map(|c| duration(c.window));
+            let effect = class.map_or(glenrail_router::Effect::Unsafe, |c| c.effect);
+            let repeat = if effect == glenrail_router::Effect::Unsafe { Repeat::Never } else { Repeat::Freely };
+            let window = class.filter(|_| effect == glenrail_router::Effect::Keyed).map(|c| duration(c.window));
             let came = inner.clock.at(arrived);
             let told = Told::new(&ask, &payload.name, &inner.settings, came, inner.clock.unix(came));
             let job = Job {
@@ -291,7 +291,7 @@
                 place: None,
                 retry_after: Duration::ZERO,
                 window,
-                safe: effect == deckhub::Effect::Safe,
+                safe: effect == glenrail_router::Effect::Safe,
                 timers: Vec::new(),
                 told,
             };
--- a/gateway/src/core/passing.rs
+++ b/gateway/src/core/passing.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use futures_util::stream::{LocalBoxStream, StreamExt};
-use glenrail_lifecycle::request::StreamEnd;
+use glenrail_request_lifecycle::request::StreamEnd;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use deckhub::Report;
+use glenrail_router::Report;
 
 use crate::exchange::{self, ClientSide, Piece};
 use crate::log;
--- a/gateway/src/core/replay.rs
+++ b/gateway/src/core/replay.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use futures_util::stream;
-use glenrail_lifecycle::request::{Reply as Said, StreamEnd, Timer};
+use glenrail_request_lifecycle::request::{Reply as Said, StreamEnd, Timer};
 use serde::Deserialize;
 use tokio::task::yield_now;
 
@@ -272,7 +272,7 @@
         began,
     };
     core.members(Scope::Full, (0..head.readers + head.writers).map(|s| play.member(s)).collect());
-    let ask = deckhub::Request { class, patience: PATIENCE, ..deckhub::Request::default() };
+    let ask = glenrail_router::Request { class, patience: PATIENCE, ..glenrail_router::Request::default() };
     let payload = Payload { name: "ffffffffffffffff".into(), ..Payload::default() };
     play.client = Some(core.submit(exchange::Request { ask, arrived: began, payload: Rc::new(payload) }));
     settle().await;
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -157,13 +157,13 @@
 }
 
 fn request(class: u32, patience: Ms) -> Request {
-    let ask = deckhub::Request {
+    let ask = glenrail_router::Request {
         class,
         session: 5,
         prompt_tokens: 1_000.0,
         max_tokens: 100.0,
         patience,
-        ..deckhub::Request::default()
+        ..glenrail_router::Request::default()
     };
     let payload = Payload { name: "ffffffffffffffff".into(), ..Payload::default() };
     Request { ask, arrived: Instant::now(), payload: Rc::new(payload) }
--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -5,7 +5,7 @@
 
 use std::task::{Context, Poll};
 
-use glenrail_lifecycle::request;
+use glenrail_request_lifecycle::request;
 use tokio::time::Instant;
 use tokio_util::time::delay_queue::{DelayQueue, Key};
 
--- a/gateway/src/core/trace.rs
+++ b/gateway/src/core/trace.rs
@@ -1,9 +1,9 @@
 //! The one line that the log gets on a request once nothing of it is left: every attempt, its outcome and what its
 //! server said of itself, so that a request can be followed through every gateway that it met.
 
-use deckhub::{Effect, Ms, Reason, Report, Request, Settings, Status};
-use glenrail_lifecycle::request::{Answer, Final, Request as Machine, Stage as Asked, Status as How, Step};
-use glenrail_story::{End, Release, Stage, Story, Try};
+use glenrail_router::{Effect, Ms, Reason, Report, Request, Settings, Status};
+use glenrail_request_lifecycle::request::{Answer, Final, Request as Machine, Stage as Asked, Status as How, Step};
+use glenrail_access_log::{End, Release, Stage, Story, Try};
 
 /// What is kept of a request for its line, beside its machine.
 pub(super) struct Told {
@@ -109,7 +109,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use deckhub::RequestId;
+    use glenrail_router::RequestId;
 
     /// Guards against an account that cannot tell whom a fleet starves, or which states leave their cell.
     #[test]
@@ -120,7 +120,7 @@
         let mut told = Told::new(&ask, "a", &settings, 10.0, 5e6);
         told.sent(7, Asked::Read, Some((1, 4)), true, 12.0);
         let line = told.story.to_string();
-        let story = Story::of_line(&format!("{}{line}", glenrail_story::WORD)).expect("a story");
+        let story = Story::of_line(&format!("{}{line}", glenrail_access_log::WORD)).expect("a story");
         assert_eq!((story.class, story.once, story.tenant), (0, true, 2));
         assert_eq!((story.tries[0].place, story.tries[0].cold), (Some((1, 4)), true));
     }
--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use deckhub::{Member, Scope, ServerState};
+use glenrail_router::{Member, Scope, ServerState};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
--- a/gateway/src/engine/confirm.rs
+++ b/gateway/src/engine/confirm.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Limited};
 use tokio::time::{timeout, Instant};
 
-use deckhub::ServerId;
+use glenrail_router::ServerId;
 
 use super::connection::{Connection, Verdict};
 use super::requests::{lease_request, load_request};
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use glenrail_lifecycle::server::{self, Effect, Input, Stage};
+use glenrail_request_lifecycle::server::{self, Effect, Input, Stage};
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -1,10 +1,10 @@
 //! Letting go of what servers hold for a request. Whom to ask and when is decided by
-//! [`reach`](glenrail_lifecycle::reach).
+//! [`reach`](glenrail_request_lifecycle::reach).
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenrail_lifecycle::reach::Release;
+use glenrail_request_lifecycle::reach::Release;
 use http::Method;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
--- a/gateway/src/engine/reply.rs
+++ b/gateway/src/engine/reply.rs
@@ -1,7 +1,7 @@
 //! The few fields of an engine's answer that decisions need.
 
 use bytes::Bytes;
-use deckhub::Report;
+use glenrail_router::Report;
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::HeaderMap;
 
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct Request {
     /// Its `id` is given by the core.
-    pub ask: deckhub::Request,
+    pub ask: glenrail_router::Request,
     pub arrived: Instant,
     pub payload: Rc<Payload>,
 }
--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -6,7 +6,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use glenrail_lifecycle::client::{Connection, Effect, Input, Patience};
+use glenrail_request_lifecycle::client::{Connection, Effect, Input, Patience};
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -16,7 +16,7 @@
 use crate::log;
 use crate::wire::{ended, holds_unread, Wire};
 
-pub use glenrail_lifecycle::client::Stage;
+pub use glenrail_request_lifecycle::client::Stage;
 
 /// A new connection must have begun its first head by then ...
 const FIRST_HEAD: Duration = Duration::from_millis(2_500);
--- a/gateway/src/front/crowd.rs
+++ b/gateway/src/front/crowd.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use glenrail_lifecycle::client::{Effect, Input};
+use glenrail_request_lifecycle::client::{Effect, Input};
 use tokio::task::yield_now;
 
 use super::connection::Watch;
--- a/gateway/src/front/gate.rs
+++ b/gateway/src/front/gate.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 
-use glenrail_lifecycle::client::{Framing, Input};
+use glenrail_request_lifecycle::client::{Framing, Input};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 use super::connection::{Stage, Watch};
--- a/gateway/src/front/inference.rs
+++ b/gateway/src/front/inference.rs
@@ -157,7 +157,7 @@
                 }
             }
         }
-        let ask = deckhub::Request {
+        let ask = glenrail_router::Request {
             class: target.class.0,
             session,
             prefix: asked.prefix,
@@ -165,7 +165,7 @@
             prefix_tokens: asked.prefix_tokens,
             max_tokens: asked.max_tokens,
             patience: patience.as_secs_f64() * 1000.0,
-            ..deckhub::Request::default()
+            ..glenrail_router::Request::default()
         };
         let payload =
             Payload { name, method: parts.method, uri: parts.uri, headers, body, whole: !asked.stream };
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -4,7 +4,7 @@
 use std::str::Utf8Error;
 use std::time::Duration;
 
-use deckhub::{Limits, Ms};
+use glenrail_router::{Limits, Ms};
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -164,7 +164,7 @@
 }
 
 /// Reads what decisions need from the headers, or says which one is at fault.
-fn fields(headers: &HeaderMap, names: &Names) -> Result<(String, deckhub::Request), String> {
+fn fields(headers: &HeaderMap, names: &Names) -> Result<(String, glenrail_router::Request), String> {
     let get = |name: &str| {
         let mut values = headers.get_all(name).iter().map(text);
         match (values.next(), values.next()) {
@@ -194,7 +194,7 @@
         Some(text) => Some(seconds(text).ok_or("Req-Cost: seconds above 0 wanted")?),
         None => None,
     };
-    let mut ask = deckhub::Request {
+    let mut ask = glenrail_router::Request {
         class: class as u32,
         tenant: tenant as u32,
         session: get("Req-Key")?.map_or(0, key),
@@ -202,7 +202,7 @@
         patience,
         repeat: get("Req-Retry")?.is_some(),
         resumed: get("Req-Retry")? == Some("again"),
-        ..deckhub::Request::default()
+        ..glenrail_router::Request::default()
     };
     for pair in get("Req-Extra")?.unwrap_or("").split(',').filter(|p| !p.trim().is_empty()) {
         let (name, value) = pair.split_once('=').ok_or("Req-Extra: name=value wanted")?;
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -7,7 +7,7 @@
     Names { classes, tenants: vec![], come_back: Duration::ZERO }
 }
 
-fn read(pairs: &[(&'static str, &'static str)]) -> Result<(String, deckhub::Request), String> {
+fn read(pairs: &[(&'static str, &'static str)]) -> Result<(String, glenrail_router::Request), String> {
     let pairs = pairs.iter().map(|(n, v)| {
         (http::HeaderName::from_bytes(n.as_bytes()).expect("a name"), HeaderValue::from_static(v))
     });
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use glenrail_lifecycle::request::{Answer, Repeat, Request, Stage};
+use glenrail_request_lifecycle::request::{Answer, Repeat, Request, Stage};
 
 /// What is held may wait so much longer than the settings say, by the platform's word.
 const HELD_SLACK: Duration = Duration::from_millis(350);
--- a/gateway/src/invariants/tests.rs
+++ b/gateway/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-use glenrail_lifecycle::request::{Input, Reply, Terms};
+use glenrail_request_lifecycle::request::{Input, Reply, Terms};
 
 use super::*;
 
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! glenrail: a gateway for LLM serving split into prompt readers and answer writers.
 //!
 //! ```text
-//! front (platform, inference) -> plugin -> core (deckhub::Router) -> engine
+//! front (platform, inference) -> plugin -> core (glenrail_router::Router) -> engine
 //!        client side      exchange object      server side
 //! ```
 
--- a/gateway/src/pools.rs
+++ b/gateway/src/pools.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use deckhub::{Class, Effect, Member, Ms, Scope, ServerState, Settings};
+use glenrail_router::{Class, Effect, Member, Ms, Scope, ServerState, Settings};
 use glenrail_settings::server_id;
 use tokio::sync::Semaphore;
 
--- a/gateway/src/rotation.rs
+++ b/gateway/src/rotation.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use deckhub::Scope;
+use glenrail_router::Scope;
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use tokio::time::sleep;
 
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use deckhub::{Report, ServerId};
+use glenrail_router::{Report, ServerId};
 use futures_util::stream::LocalBoxStream;
 use tokio::time::Instant;
 
--- a/gateway/tests/common/attempts.rs
+++ b/gateway/tests/common/attempts.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use deckhub::ServerId;
+use glenrail_router::ServerId;
 use futures_util::StreamExt;
 use glenrail::budget::Budget;
 use glenrail::engine::{Address, Engine, Limits};
--- a/gateway/tests/common/instant.rs
+++ b/gateway/tests/common/instant.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use deckhub::{Member, Ms, Scope, ServerId};
+use glenrail_router::{Member, Ms, Scope, ServerId};
 use futures_util::stream::{self, StreamExt};
 use glenrail::core::{Clock, Core, Upstream};
 use glenrail::exchange::{Head, Payload, Request};
@@ -44,12 +44,12 @@
 }
 
 pub fn request(name: String, session: u64, patience: Ms) -> Request {
-    let ask = deckhub::Request {
+    let ask = glenrail_router::Request {
         session,
         prompt_tokens: 1_000.0,
         max_tokens: 100.0,
         patience,
-        ..deckhub::Request::default()
+        ..glenrail_router::Request::default()
     };
     let payload = Payload { name, ..Payload::default() };
     Request { ask, arrived: Instant::now(), payload: Rc::new(payload) }
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -8,7 +8,7 @@
 
 use common::gateway::*;
 use common::*;
-use deckhub::Scope;
+use glenrail_router::Scope;
 use glenrail::discovery;
 use serde_json::{json, Value};
 use tokio::sync::watch;
@@ -21,7 +21,7 @@
 const SOON: Duration = Duration::from_millis(1_500);
 
 /// The calls of a gateway alone.
-fn calls(mode: &str) -> glenrail_lifecycle::watch::Watch {
+fn calls(mode: &str) -> glenrail_request_lifecycle::watch::Watch {
     let settings = json!({"balancers": 1, "discovery": mode, "rules": {"ask-within": 10_000.0}});
     discovery::calls(&glenrail_settings::settings(&settings), 1)
 }
--- a/gateway/tests/drains.rs
+++ b/gateway/tests/drains.rs
@@ -7,7 +7,7 @@
 
 use common::gateway::*;
 use common::*;
-use deckhub::Scope;
+use glenrail_router::Scope;
 
 /// A reader whose answers wait until this says so.
 async fn held_back(go: &Rc<Cell<bool>>) -> StandIn {
--- a/gateway/tests/drive/mod.rs
+++ b/gateway/tests/drive/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-use deckhub::*;
+use glenrail_router::*;
 use glenrail::config::{platform, Platform};
 use proptest::prelude::*;
 use serde_json::{json, Value};
--- a/gateway/tests/engine.rs
+++ b/gateway/tests/engine.rs
@@ -7,7 +7,7 @@
 
 use common::attempts::*;
 use common::*;
-use deckhub::ServerId;
+use glenrail_router::ServerId;
 use futures_util::StreamExt;
 use glenrail::engine::Address;
 use glenrail::exchange::{Payload, Wanted};
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use common::*;
-use deckhub::{Member, Scope, ServerId};
+use glenrail_router::{Member, Scope, ServerId};
 use glenrail::budget::Budget;
 use glenrail::config::{front_from, Front};
 use glenrail::counters::Counters;
--- a/gateway/tests/kept.rs
+++ b/gateway/tests/kept.rs
@@ -9,7 +9,7 @@
 
 use cap::Cap;
 use common::*;
-use deckhub::ServerId;
+use glenrail_router::ServerId;
 use glenrail::budget::Budget;
 use glenrail::engine::{Address, Engine, Limits};
 use glenrail::exchange::{Payload, Wanted};
--- a/gateway/tests/leases.rs
+++ b/gateway/tests/leases.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::*;
-use deckhub::ServerId;
+use glenrail_router::ServerId;
 use glenrail::budget::Budget;
 use glenrail::engine::{Address, Engine, Limits};
 use glenrail::exchange::{Payload, Wanted};
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use deckhub::*;
+use glenrail_router::*;
 use glenrail::config::{platform, Platform};
 use proptest::prelude::*;
 use serde_json::{json, Value};
--- a/gateway/tests/ops.rs
+++ b/gateway/tests/ops.rs
@@ -9,7 +9,7 @@
 
 use common::gateway::*;
 use common::*;
-use deckhub::Scope;
+use glenrail_router::Scope;
 use glenrail::discovery::List;
 use glenrail::engine::Engine;
 use glenrail::front::server;
--- a/gateway/tests/settings.rs
+++ b/gateway/tests/settings.rs
@@ -186,7 +186,7 @@
         let names: Vec<String> = names.into_iter().collect();
         let (other, places) = renamed(&names, &[classes, tenants, kinds]);
         let own = day(&whole(), [vec![0, 1, 2], vec![0, 1], vec![0, 1, 2]]);
-        let sends = own.iter().filter(|(_, a)| matches!(a, deckhub::Action::Send { .. })).count();
+        let sends = own.iter().filter(|(_, a)| matches!(a, glenrail_router::Action::Send { .. })).count();
         prop_assert!(sends > 0, "the day is empty");
         prop_assert_eq!(own, day(&other, places));
     }
--- a/log-report/src/main.rs
+++ b/log-report/src/main.rs
@@ -1,13 +1,13 @@
-//! `glenrail-lab account LOGS`: what of the worth asked for was lost, and by what cause.
+//! `glenrail-log-report account LOGS`: what of the worth asked for was lost, and by what cause.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
-use glenrail_story::account::Account;
-use glenrail_story::counts::Counts;
-use glenrail_story::Story;
+use glenrail_access_log::account::Account;
+use glenrail_access_log::counts::Counts;
+use glenrail_access_log::Story;
 
 #[derive(Parser)]
 #[command(version, about)]
--- a/model-checker/src/check.rs
+++ b/model-checker/src/check.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use glenrail_lifecycle::request::{Fault, Repeat};
-use glenrail_lifecycle::{client as client_machine, server as server_machine};
+use glenrail_request_lifecycle::request::{Fault, Repeat};
+use glenrail_request_lifecycle::{client as client_machine, server as server_machine};
 use glenrail_overload::budget as budget_machine;
 use stateright::{Checker, HasDiscoveries, Model};
 
--- a/model-checker/src/client.rs
+++ b/model-checker/src/client.rs
@@ -1,7 +1,7 @@
 //! The world round one client's connection: its real machine, a client that may send, stall and take nothing at
 //! any time, and a second process that may ask for the connection at any time.
 
-use glenrail_lifecycle::client::{Connection, Effect, Fault, Framing, Input, Patience, Stage};
+use glenrail_request_lifecycle::client::{Connection, Effect, Fault, Framing, Input, Patience, Stage};
 use serde::{Deserialize, Serialize};
 
 use crate::cover;
--- a/model-checker/src/corners.rs
+++ b/model-checker/src/corners.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 
 use anyhow::Result;
-use glenrail_lifecycle::client::Framing;
-use glenrail_lifecycle::request::{Repeat, StreamEnd, Timer};
+use glenrail_request_lifecycle::client::Framing;
+use glenrail_request_lifecycle::request::{Repeat, StreamEnd, Timer};
 
 use crate::request::{Act, Setup};
 use crate::{client, trace};
--- a/model-checker/src/cover.rs
+++ b/model-checker/src/cover.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use glenrail_lifecycle::request::{Input, Request, Step};
-use glenrail_lifecycle::{client, server};
+use glenrail_request_lifecycle::request::{Input, Request, Step};
+use glenrail_request_lifecycle::{client, server};
 
 /// A row: where the machine stood, and what came.
 type Row = (u8, u8);
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -1,4 +1,4 @@
-//! Explores the machines of `glenrail-lifecycle`, and that of the fleet's leased budgets, exhaustively in small worlds: every order of events, with every
+//! Explores the machines of `glenrail-request-lifecycle`, and that of the fleet's leased budgets, exhaustively in small worlds: every order of events, with every
 //! set of so many troubles among them. What is explored is what the gateway runs; `docs/lifecycle.md` has the
 //! properties and the measured sizes, and `docs/one-fleet.md` those of budgets.
 
--- a/model-checker/src/main.rs
+++ b/model-checker/src/main.rs
@@ -5,13 +5,13 @@
 
 use anyhow::Result;
 use clap::{Parser, Subcommand};
-use glenrail_explore::check::{self, Case, Explore, Mutant, Reach};
-use glenrail_explore::world::Setting;
-use glenrail_explore::{client, corners, cover, server, trace};
+use glenrail_model_checker::check::{self, Case, Explore, Mutant, Reach};
+use glenrail_model_checker::world::Setting;
+use glenrail_model_checker::{client, corners, cover, server, trace};
 
 /// Explores the machines of requests and connections.
 #[derive(Parser)]
-#[command(name = "glenrail-explore", version)]
+#[command(name = "glenrail-model-checker", version)]
 struct Options {
     #[command(subcommand)]
     command: Command,
@@ -130,7 +130,7 @@
 }
 
 fn planted<S: Setting>(
-    name: String, rule: glenrail_explore::rules::Rule, setup: &S, traces: &Option<PathBuf>,
+    name: String, rule: glenrail_model_checker::rules::Rule, setup: &S, traces: &Option<PathBuf>,
 ) -> Result<bool> {
     let found = check::explore(setup, 1);
     let Some((broke, acts)) = found.broken else {
--- a/model-checker/src/request.rs
+++ b/model-checker/src/request.rs
@@ -5,11 +5,11 @@
 //! property that holds here holds for every length of the waits. Troubles are counted, so that all sets of so many
 //! are explored in all orders; what is no trouble is free, so that every path comes to rest.
 
-use glenrail_lifecycle::request::{
+use glenrail_request_lifecycle::request::{
     Answer, Effect, Fault, Final, Input, Repeat, Reply, Request, Stage, Step, StreamEnd, Terms, Timer,
 };
-use glenrail_lifecycle::server::{self, Connection};
-use glenrail_lifecycle::Impossible;
+use glenrail_request_lifecycle::server::{self, Connection};
+use glenrail_request_lifecycle::Impossible;
 use serde::{Deserialize, Serialize};
 
 use crate::cover;
--- a/model-checker/src/server.rs
+++ b/model-checker/src/server.rs
@@ -1,7 +1,7 @@
 //! The world round one connection to a server, from its opening through several requests to its end, at rest in
 //! the pool too: it may break, drain or be dropped at any moment.
 
-use glenrail_lifecycle::server::{Connection, Effect, Fault, Input, Stage};
+use glenrail_request_lifecycle::server::{Connection, Effect, Fault, Input, Stage};
 use serde::{Deserialize, Serialize};
 
 use crate::cover;
--- a/model-checker/src/trace.rs
+++ b/model-checker/src/trace.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use anyhow::{bail, Context, Result};
-use glenrail_lifecycle::request::{Effect, Input, Request, Terms};
+use glenrail_request_lifecycle::request::{Effect, Input, Request, Terms};
 use serde::{Deserialize, Serialize};
 
 use crate::request::Log;
--- a/model-checker/tests/explore.rs
+++ b/model-checker/tests/explore.rs
@@ -2,9 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use glenrail_explore::check::{self, explore};
-use glenrail_explore::rules::Rule;
-use glenrail_explore::{budget, client, corners, request, server, trace};
+use glenrail_model_checker::check::{self, explore};
+use glenrail_model_checker::rules::Rule;
+use glenrail_model_checker::{budget, client, corners, request, server, trace};
 use glenrail_overload::budget as budget_machine;
 
 fn traces() -> PathBuf {
@@ -50,7 +50,7 @@
     let mut named: Vec<String> = corners::all().iter().map(|c| format!("{}.jsonl", c.name)).collect();
     named.extend(corners::of_client().iter().map(|c| format!("{}.jsonl", c.0)));
     named.sort();
-    assert_eq!(kept, named, "`glenrail-explore corners model-checker/traces` writes them");
+    assert_eq!(kept, named, "`glenrail-model-checker corners model-checker/traces` writes them");
     for name in kept {
         let replayed = trace::replay(&traces().join(&name)).unwrap_or_else(|e| panic!("{name}: {e:#}"));
         assert_eq!((replayed.broke, replayed.steps > 3), (None, true), "{name}");
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -27,7 +27,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("deckhub-wirehost: {}", message.replace('\n', " "));
+            eprintln!("glenrail-simulator-adapter: {}", message.replace('\n', " "));
             ExitCode::FAILURE
         }
     }
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use deckhub::*;
+use glenrail_router::*;
 use glenrail_settings::{flag, integer, list, number, report, server_id, settings, text};
 use serde_json::{json, Map, Value};
 
--- a/simulator-adapter/tests/lines.rs
+++ b/simulator-adapter/tests/lines.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn feed(lines: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_deckhub-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_glenrail-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
