--- a/crates/overload/examples/figures/lone.rs
+++ b/crates/overload/examples/figures/lone.rs
@@ -1,4 +1,4 @@
-//! Each gateway for itself, by the rules of `crates/router/src/policy/shedding.rs` and `crates/router/src/policy/retries.rs`: refused by chance where a
+//! Each gateway for itself, by the rules of `crates/router/src/policy/load_shedding.rs` and `crates/router/src/policy/retries.rs`: refused by chance where a
 //! first token is expected late, and a retry is paid from a tenth of a retry that each request earns.
 
 use glenrail_overload::Ms;
--- a/crates/router/src/crowd.rs
+++ b/crates/router/src/fleet_load.rs
@@ -2,8 +2,8 @@
 //! counts show how hot it is, and whom to look at before a request is sent. No clock, no state, no I/O.
 
 use crate::api::{Ms, ServerId};
+use crate::slow_start_budget;
 use crate::state::{median, Server, SEEN};
-use crate::warm;
 
 /// Own counts stand for the whole while the escape's floor, divided among the routers, is a request or more.
 const FEW_ROUTERS: f64 = 4.0;
@@ -95,14 +95,14 @@
     ) -> Asked {
         // The request itself is counted already and tells nothing of how often its like come.
         let asked = (asked - 1.0).max(0.0);
-        let units = share(asked, all) * readers.map(|s| warm::units(s, 1.0)).sum::<f64>();
+        let units = share(asked, all) * readers.map(|s| slow_start_budget::units(s, 1.0)).sum::<f64>();
         Asked { units, home: home.copied() }
     }
 
     /// What may come to a server: to a home its part, as there are homes for each reader's part; to any other
     /// the whole, since all routers send what overflows to the first that is not crowded.
     pub fn at(&self, s: &Server) -> f64 {
-        let part = if self.home == Some(s.info.server) { warm::units(s, 1.0) } else { f64::MAX };
+        let part = if self.home == Some(s.info.server) { slow_start_budget::units(s, 1.0) } else { f64::MAX };
         self.units.min(part)
     }
 }
@@ -142,7 +142,7 @@
 
 /// What a request knows of a server of this warmth, on whose behalf it was last looked at then.
 pub fn sight(s: &Server, looked: Option<Ms>, now: Ms, usual: f64, warmth: f64) -> Sight {
-    match (s.load(now, SEEN).map(|load| warm::as_warm(load, warmth)), looked) {
+    match (s.load(now, SEEN).map(|load| slow_start_budget::as_warm(load, warmth)), looked) {
         (Some(load), _) => Sight::Seen(load, crowded(load, usual)),
         (None, None) => Sight::Unseen,
         (None, Some(at)) if now < at + LOOK_WAIT => Sight::Asked,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -43,18 +43,18 @@
 //! ```
 
 mod api;
-mod crowd;
-mod estimate;
-mod list;
-mod log;
-mod memory;
-mod newest;
-mod order;
+mod fleet_load;
+mod log_limit;
 mod policy;
-mod shares;
+mod recent_entries;
+mod rendezvous;
+mod server_list;
+mod shedding_trials;
+mod slow_start_budget;
+mod snapshot;
 mod state;
-mod trials;
-mod warm;
+mod tenant_quota;
+mod wait_estimate;
 
 pub use api::*;
 pub use policy::Router;
--- a/crates/router/src/policy/homes.rs
+++ b/crates/router/src/policy/affinity.rs
@@ -1,7 +1,7 @@
 //! Homes: which reader a request is read at, and at how many a beginning is that many ask for.
 
 use super::Router;
-use crate::{api::*, crowd, order, state::*};
+use crate::{api::*, fleet_load, rendezvous, state::*};
 
 /// Hot beginnings have several homes: above this many reader's parts of the requests in this memory (ms).
 const HOT_PARTS: f64 = 1.0;
@@ -36,7 +36,7 @@
     /// Harm: each further home reads the beginning once.
     fn homes(&self, job: &Job, usable: &[ServerId]) -> usize {
         let [all, asked] = job.asked;
-        crowd::homes(asked, all, usable.len(), self.routers(), HOT_PARTS)
+        fleet_load::homes(asked, all, usable.len(), self.routers(), HOT_PARTS)
     }
 
     /// A mixed server weighs as much as makes its share of all requests its share of all servers: a reader
@@ -49,6 +49,6 @@
         // Among many routers a cold reader is home to what it can be trusted with, at all of them alike.
         let warmth = |id| self.servers.get(id).filter(|_| self.looks()).map_or(1.0, |s| self.warmth(s));
         let weighed = usable.iter().map(|id| (*id, warmth(id) * if is_mixed(id) { mixed } else { 1.0 }));
-        order::order(weighed.collect(), job.ask.beginning(), job.ask.session, homes)
+        rendezvous::order(weighed.collect(), job.ask.beginning(), job.ask.session, homes)
     }
 }
--- a/crates/router/src/policy/writers.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -1,7 +1,7 @@
 //! Writer choice: the lowest projected memory, and near the reader where that costs little.
 
 use super::Router;
-use crate::{api::*, state::*, warm};
+use crate::{api::*, slow_start_budget, state::*};
 
 /// Share of memory by which a near writer may lie above the lowest: where its memory is known, and where
 /// it is guessed.
@@ -70,7 +70,7 @@
             let seen = s.memory.unwrap_or(0.0) * (1.0 - unsure) + unsure * (sum / weight);
             let sent: f64 = s.recent.values().map(|r| r.1).sum();
             let warmth = if self.looks() { self.warmth(s) } else { 1.0 };
-            (s.info.server, warm::as_warm(seen + sent * times, warmth) + unsure * UNSURE * draw)
+            (s.info.server, slow_start_budget::as_warm(seen + sent * times, warmth) + unsure * UNSURE * draw)
         };
         servers.iter().zip(draws).map(|(s, draw)| project(s, draw)).collect()
     }
--- a/crates/router/src/policy/shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: what can hardly be in time is refused at once, over-share tenants first.
 
-use super::{held::PIN_USED, Router};
-use crate::{api::*, estimate, state::*};
+use super::{state_leases::PIN_USED, Router};
+use crate::{api::*, state::*, wait_estimate};
 
 /// Share of the aim after which a first token must be expected; for a tenant over its share.
 const LATEST: f64 = 0.7;
@@ -10,7 +10,7 @@
 impl Job {
     /// Work of taking in the prompt where so much of it is kept.
     pub fn work(&self, kept: f64) -> f64 {
-        (self.ask.prompt_tokens - kept).max(0.0) + estimate::FIXED_WORK
+        (self.ask.prompt_tokens - kept).max(0.0) + wait_estimate::FIXED_WORK
     }
 }
 
@@ -37,6 +37,6 @@
     /// server, if sent now.
     pub(super) fn expected(&self, id: ServerId, work: f64) -> Ms {
         let s = self.servers.get(&id);
-        s.map_or(0.0, |s| estimate::until(s, &self.learned, self.routers(), self.now, work))
+        s.map_or(0.0, |s| wait_estimate::until(s, &self.learned, self.routers(), self.now, work))
     }
 }
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -4,23 +4,23 @@
 //! Ordinary path: session, else shared beginning, else consistent hash gives the reader; twice the median in
 //! flight sends a request elsewhere; the read state goes to the writer with the lowest projected memory.
 
-mod escape;
-mod health;
-mod held;
-mod homes;
-mod looks;
-mod requests;
+mod affinity;
+mod decode_placement;
+mod diversion;
+mod load_shedding;
+mod outlier_detection;
+mod prefix_table;
+mod probes;
+mod request_steps;
 mod retries;
-mod shedding;
-mod silence;
 mod slow_start;
-mod table;
-mod writers;
+mod state_leases;
+mod timeout_detection;
 
 use std::collections::BTreeMap;
 
-use crate::newest::{newest, Newest};
-use crate::{api::*, list, log::Log, shares::Shares, state::*, trials::Trials};
+use crate::recent_entries::{newest, Newest};
+use crate::{api::*, log_limit::Log, server_list, shedding_trials::Trials, state::*, tenant_quota::Shares};
 
 /// Housekeeping period (ms).
 const TICK: Ms = 100.0;
@@ -34,7 +34,7 @@
     pub(crate) now: Ms,
     random: Random,
     pub(crate) started: Option<Ms>,
-    servers: list::Servers,
+    servers: server_list::Servers,
     jobs: BTreeMap<RequestId, Job>,
     pub(crate) table: Newest<Key, ServerId>,
     /// How often each beginning is asked for, and all requests together (`None`).
@@ -59,8 +59,8 @@
             started: None,
             servers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            table: newest(table::CAP),
-            asked: newest(table::CAP),
+            table: newest(prefix_table::CAP),
+            asked: newest(prefix_table::CAP),
             learned: Learned::default(),
             retries: retries::RETRY_SAVED,
             probes: 0.0,
@@ -124,7 +124,14 @@
             self.ask_list_at = Some(self.now + (self.settings.rules.ask_within / 4.0).clamp(TICK, 5_000.0));
             return;
         }
-        list::take(&mut self.servers, scope, members, &self.settings.kinds, &mut self.random, self.now);
+        server_list::take(
+            &mut self.servers,
+            scope,
+            members,
+            &self.settings.kinds,
+            &mut self.random,
+            self.now,
+        );
     }
 
     fn on_tick(&mut self, out: &mut Vec<Action>) {
--- a/crates/router/src/policy/looks.rs
+++ b/crates/router/src/policy/probes.rs
@@ -1,7 +1,7 @@
 //! Looks: probes, on behalf of a request or to hear from a server that has been silent.
 
-use super::{health::EJECT, writers::REPORT_FADES, Router};
-use crate::{api::*, crowd, crowd::Next, crowd::Sight, state::*, warm};
+use super::{decode_placement::REPORT_FADES, outlier_detection::EJECT, Router};
+use crate::{api::*, fleet_load, fleet_load::Next, fleet_load::Sight, slow_start_budget, state::*};
 
 /// Servers not heard from for this long are probed (ms), from so many probes earned by a request.
 pub const PROBE_AFTER: Ms = 1_000.0;
@@ -12,7 +12,7 @@
 impl Router {
     /// Whether requests go by what servers say when they are asked: routers are too many for own counts.
     pub(super) fn looks(&self) -> bool {
-        crowd::thin(self.routers()) && self.settings.limits.probes
+        fleet_load::thin(self.routers()) && self.settings.limits.probes
     }
 
     /// The escape among many routers: the first in order that is not crowded by its own word, asked for it.
@@ -24,27 +24,27 @@
         let mut candidates: Vec<ServerId> = matched.into_iter().chain(rest).collect();
         let server = |id: &ServerId| self.servers.get(id);
         let readers = order.iter().filter_map(server);
-        let asked = crowd::Asked::of(job.asked, readers, candidates.first());
+        let asked = fleet_load::Asked::of(job.asked, readers, candidates.first());
         let may_get =
             |id: &ServerId| server(id).is_some_and(|s| self.trust(s, asked.at(s), now).may_get(s, now));
         let heard = candidates.iter().filter_map(|id| server(id)?.load(now, REPORT_FADES)).collect();
-        let usual = crowd::usual(heard);
+        let usual = fleet_load::usual(heard);
         // Of the others, one that was looked at or has the fewest in flight as far as is known stands last.
-        let mut others = candidates.split_off(candidates.len().min(crowd::HOMES_SEEN));
+        let mut others = candidates.split_off(candidates.len().min(fleet_load::HOMES_SEEN));
         others.retain(may_get);
         let seen = others.iter().find(|id| job.looks.iter().any(|l| l.0 == **id)).copied();
-        let reckon = |s: &Server| crowd::reckon(s, now, usual, self.warmth(s) < 1.0);
+        let reckon = |s: &Server| fleet_load::reckon(s, now, usual, self.warmth(s) < 1.0);
         let reckoned: Vec<_> = others.iter().filter_map(|id| Some((reckon(server(id)?), *id))).collect();
-        candidates.extend(seen.or(crowd::least(&reckoned, draw)));
+        candidates.extend(seen.or(fleet_load::least(&reckoned, draw)));
         let look = |id: &ServerId| job.looks.iter().find(|l| l.0 == *id).map(|l| l.1);
-        let sight = |s: &Server, look| crowd::sight(s, look, now, usual, self.warmth(s));
+        let sight = |s: &Server, look| fleet_load::sight(s, look, now, usual, self.warmth(s));
         let told = |s: &&Server| self.trust(s, asked.at(s), now).may_tell();
         let sights = |id: &ServerId| server(id).filter(told).map_or(Sight::Deaf, |s| sight(s, look(id)));
         // A cold one that says nothing gets nothing.
         let may_look = self.probes >= 1.0;
         candidates.retain(|id| may_get(id) || sights(id).may_tell(may_look));
         let sights: Vec<Sight> = candidates.iter().map(sights).collect();
-        match crowd::next(&sights, may_look) {
+        match fleet_load::next(&sights, may_look) {
             Next::Send(n) => return candidates.get(n).copied(),
             Next::Wait => {}
             Next::Look(which) => {
@@ -69,15 +69,17 @@
     pub(super) fn look_ahead(&mut self, place: (u32, u32), out: &mut Vec<Action>) {
         let (now, Prices { probe, moved }) = (self.now, self.settings.prices);
         let near = |s: &Server| s.info.place() == place && now > s.memory_seen.max(s.probed) + SEEN;
-        self.look_at_writers(near, crowd::writers_seen(probe, moved), out);
+        self.look_at_writers(near, fleet_load::writers_seen(probe, moved), out);
     }
 
     /// A state that no writer may take has some asked anew: a cold one gets nothing without its fresh word,
     /// and what it said as the read began is old at its end.
     pub(super) fn look_again(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let old = |s: &Server| s.load(now, warm::FRESH).is_none() && now > s.probed + crowd::LOOK_WAIT;
-        self.look_at_writers(old, crowd::WRITERS_SEEN, out);
+        let old = |s: &Server| {
+            s.load(now, slow_start_budget::FRESH).is_none() && now > s.probed + fleet_load::LOOK_WAIT
+        };
+        self.look_at_writers(old, fleet_load::WRITERS_SEEN, out);
     }
 
     fn look_at_writers(&mut self, which: impl Fn(&Server) -> bool, most: usize, out: &mut Vec<Action>) {
@@ -102,7 +104,7 @@
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| !j.closed && !j.any_out()) {
             let Some(look) = job.looks.iter_mut().find(|l| l.0 == server) else { continue };
             if status != Status::Served {
-                look.1 = now - crowd::LOOK_WAIT;
+                look.1 = now - fleet_load::LOOK_WAIT;
             }
             waiting.push(*id);
         }
@@ -112,7 +114,7 @@
     /// Spends the probes earned where an answer would change most: where work waits, then longest unheard of.
     pub(super) fn probe(&mut self, out: &mut Vec<Action>) {
         // Among many routers, probes are kept for the servers that a request is to go to.
-        let kept = if crowd::thin(self.routers()) { LOOKS_KEPT } else { 0.0 };
+        let kept = if fleet_load::thin(self.routers()) { LOOKS_KEPT } else { 0.0 };
         while self.settings.limits.probes && self.probes >= 1.0 + kept {
             let due = self.servers.values_mut().filter(|s| self.now >= s.heard.max(s.probed) + PROBE_AFTER);
             let urgency = |s: &Server| s.heard.max(s.probed) - if s.waiting.is_empty() { 0.0 } else { 1e12 };
@@ -130,8 +132,8 @@
 
     /// Looks and probes earned by a new request.
     pub(super) fn earn_probes(&mut self) {
-        let (earn, most) = match crowd::thin(self.routers()) {
-            true => (crowd::looks_earned(self.settings.prices.probe), LOOKS_KEPT + 1.0),
+        let (earn, most) = match fleet_load::thin(self.routers()) {
+            true => (fleet_load::looks_earned(self.settings.prices.probe), LOOKS_KEPT + 1.0),
             false => (PROBE_EARN, 2.0),
         };
         self.probes = (self.probes + earn).min(most);
--- a/crates/router/src/policy/requests.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -1,7 +1,7 @@
 //! The steps of a request, from its arrival to its first token.
 
-use super::{health::EJECT, retries::RETRY_EARN, retries::RETRY_SAVED, Router, ASKED_MEMORY};
-use crate::{api::*, estimate, state::*};
+use super::{outlier_detection::EJECT, retries::RETRY_EARN, retries::RETRY_SAVED, Router, ASKED_MEMORY};
+use crate::{api::*, state::*, wait_estimate};
 
 /// The pause before a request that found no server looks again (ms).
 pub const LOOK_AGAIN: Ms = 20.0;
@@ -81,7 +81,7 @@
     fn send(&mut self, id: RequestId, (to, stage, kept): Pick, out: &mut Vec<Action>) {
         let now = self.now;
         let credit = self.servers.get(&to).map_or(0.0, |s| self.credit(s, now));
-        let usual = estimate::usual_work(&self.learned);
+        let usual = wait_estimate::usual_work(&self.learned);
         let (Some(job), Some(s)) = (self.jobs.get_mut(&id), self.servers.get_mut(&to)) else { return };
         let own = job.work(kept);
         // What fills a reader's memory is what it has not kept yet, so tokens count, not requests.
--- a/crates/router/src/policy/held.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -1,6 +1,6 @@
 //! What is held for a request: until when, and letting go of it at the end.
 
-use super::{requests::LOOK_AGAIN, Router};
+use super::{request_steps::LOOK_AGAIN, Router};
 use crate::{api::*, state::*};
 
 /// Share of the pin limit after which a held state is let go.
--- a/crates/router/src/policy/silence.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -1,7 +1,7 @@
 //! Silence: servers that give no sign of life, and attempts that are lost at one that does.
 
-use super::{looks::PROBE_AFTER, Router};
-use crate::{api::*, crowd, estimate, state::*};
+use super::{probes::PROBE_AFTER, Router};
+use crate::{api::*, fleet_load, state::*, wait_estimate};
 
 /// An attempt's server must show a sign of life in so many aims, or quarters of a deadline if those are less.
 const OF_AIM: f64 = 3.0;
@@ -22,13 +22,14 @@
         let late = |s: &Server, since: Ms| {
             let alive = if self.now < s.heard + 2.0 * PROBE_AFTER { HEARD_PATIENCE } else { 1.0 };
             let quiet_for = |time: Ms| self.now > since.max(s.answered) + time;
-            quiet_for(alive * least) && quiet_for(estimate::busy(s, &self.learned, self.routers(), since))
+            quiet_for(alive * least)
+                && quiet_for(wait_estimate::busy(s, &self.learned, self.routers(), since))
         };
         let quiet = |s: &&Server| s.waiting.values().any(|w| late(s, w.since));
         let silent: Vec<ServerId> = self.servers.values().filter(quiet).map(|s| s.info.server).collect();
         silent.into_iter().for_each(|id| self.symptom(id, Symptom::Silence, out));
         let now = self.now;
-        let few = !crowd::thin(self.routers());
+        let few = !fleet_load::thin(self.routers());
         let answers: Vec<_> = self.servers.iter().map(|(id, s)| (*id, s.role, s.answered)).collect();
         let lost = |s: &Server, j: &Job, a: &Attempt| {
             let others = |o: &(ServerId, Role, Ms)| o.0 != a.server && o.1 == s.role && o.2 > a.sent;
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,13 +1,13 @@
 //! What the router keeps in mind: plain data and look-ups, no decisions.
 
-mod job;
 mod learned;
-mod numbers;
+mod math;
+mod request_state;
 mod server;
 
-pub use job::*;
 pub use learned::*;
-pub use numbers::*;
+pub use math::*;
+pub use request_state::*;
 pub use server::*;
 
 use crate::api::*;
--- a/crates/router/src/estimate.rs
+++ b/crates/router/src/wait_estimate.rs
@@ -1,7 +1,7 @@
 //! When a server would come to a request sent now, by what this router has seen of it. No clock, no state, no I/O.
 
 use crate::api::{Ms, Role};
-use crate::crowd;
+use crate::fleet_load;
 use crate::state::{Learned, Server, Stage, Waiting};
 
 /// Of this router's own work that waits at a server, what a new one waits for: a server takes in several at once.
@@ -37,17 +37,17 @@
         return wait;
     }
     let pace = pace(s, learned, routers);
-    let told = crowd::told_wait(s, routers, now, pace, usual_work(learned));
+    let told = fleet_load::told_wait(s, routers, now, pace, usual_work(learned));
     // Outcomes come too late to tell of what this router has sent there just now.
     let own: f64 = s.waiting.values().filter(counts).map(|w| w.work).sum();
     // One of many routers has few samples for long, and refuses nothing for what it only guesses.
-    let pace = if pace > 0.0 || crowd::thin(routers) { pace } else { UNKNOWN_PACE };
+    let pace = if pace > 0.0 || fleet_load::thin(routers) { pace } else { UNKNOWN_PACE };
     wait.max(told).max(own * OWN_COUNTS * pace) + work * pace
 }
 
 /// The time that a token takes a server to read, as far as known.
 fn pace(s: &Server, learned: &Learned, routers: f64) -> Ms {
-    s.pace(learned.pace[Stage::Read as usize], crowd::enough(routers))
+    s.pace(learned.pace[Stage::Read as usize], fleet_load::enough(routers))
 }
 
 /// How long (ms) a server may be busy with what this router has sent it up to a moment, and give no sign meanwhile: reads
--- a/fault-tests/tests/silent_writers.rs
+++ b/fault-tests/tests/silent_writers.rs
@@ -23,7 +23,7 @@
 const CLASSES: [(&str, bool); 2] = [("item-query", true), ("order-chat", false)];
 
 fn trials() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_glenrail-trials"))
+    Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"))
 }
 
 /// The gateway lies beside this crate's program; a test of the whole workspace builds both.
--- a/fault-tests/tests/soak.rs
+++ b/fault-tests/tests/soak.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_short_soak_breaks_no_invariant() {
-    let trials = Path::new(env!("CARGO_BIN_EXE_glenrail-trials"));
+    let trials = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let options = Options {
         seed: SEED,
         seeds: 1,
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use glenrail_router::Settings;
 use glenrail_access_log::counts::Prices;
+use glenrail_router::Settings;
 use serde_json::Value;
 
 use super::{error, read, Error};
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -21,9 +21,9 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use glenrail_router::*;
 use futures_util::stream::StreamExt;
 use glenrail_request_lifecycle::request::{self, Effect, Final, Input, Repeat, Stage, Step, Terms};
+use glenrail_router::*;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout_at, Instant};
@@ -276,8 +276,10 @@
             let mut inner = self.inner.borrow_mut();
             let class = inner.settings.classes.get(ask.class as usize);
             let effect = class.map_or(glenrail_router::Effect::Unsafe, |c| c.effect);
-            let repeat = if effect == glenrail_router::Effect::Unsafe { Repeat::Never } else { Repeat::Freely };
-            let window = class.filter(|_| effect == glenrail_router::Effect::Keyed).map(|c| duration(c.window));
+            let repeat =
+                if effect == glenrail_router::Effect::Unsafe { Repeat::Never } else { Repeat::Freely };
+            let window =
+                class.filter(|_| effect == glenrail_router::Effect::Keyed).map(|c| duration(c.window));
             let came = inner.clock.at(arrived);
             let told = Told::new(&ask, &payload.name, &inner.settings, came, inner.clock.unix(came));
             let job = Job {
--- a/gateway/src/core/trace.rs
+++ b/gateway/src/core/trace.rs
@@ -1,9 +1,11 @@
 //! The one line that the log gets on a request once nothing of it is left: every attempt, its outcome and what its
 //! server said of itself, so that a request can be followed through every gateway that it met.
 
-use glenrail_router::{Effect, Ms, Reason, Report, Request, Settings, Status};
-use glenrail_request_lifecycle::request::{Answer, Final, Request as Machine, Stage as Asked, Status as How, Step};
 use glenrail_access_log::{End, Release, Stage, Story, Try};
+use glenrail_request_lifecycle::request::{
+    Answer, Final, Request as Machine, Stage as Asked, Status as How, Step,
+};
+use glenrail_router::{Effect, Ms, Reason, Report, Request, Settings, Status};
 
 /// What is kept of a request for its line, beside its machine.
 pub(super) struct Told {
--- a/gateway/src/daemon.rs
+++ b/gateway/src/daemon.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use glenrail_router::Scope;
-use glenrail_fleet::Keyring;
 use glenrail_access_log::counts::{self, Counts, Prices};
+use glenrail_fleet::Keyring;
+use glenrail_router::Scope;
 use serde::Deserialize;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_router::{Discovery, Scope, Settings};
 use glenrail_request_lifecycle::watch::{self as calls, Ask, Limits, Pauses, Watch as Calls};
+use glenrail_router::{Discovery, Scope, Settings};
 use http::{header, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{handshake, SendRequest};
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -22,10 +22,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_router::ServerId;
 use futures_util::future::LocalBoxFuture;
 use futures_util::stream::{iter, once, try_unfold, LocalBoxStream, StreamExt};
 use glenrail_access_log::counts::Counts;
+use glenrail_router::ServerId;
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
--- a/gateway/src/engine/places.rs
+++ b/gateway/src/engine/places.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use glenrail_router::ServerId;
 use glenrail_request_lifecycle::reach::{order, Candidate, Ms, Reach};
+use glenrail_router::ServerId;
 use tokio::time::Instant;
 
 use super::connection::{Connection, Peer};
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_router::{Report, ServerId};
 use futures_util::stream::LocalBoxStream;
+use glenrail_router::{Report, ServerId};
 use tokio::time::Instant;
 
 use crate::exchange::{Head, Payload, Rest, Wanted};
--- a/gateway/tests/common/attempts.rs
+++ b/gateway/tests/common/attempts.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use glenrail_router::ServerId;
 use futures_util::StreamExt;
 use glenrail::budget::Budget;
 use glenrail::engine::{Address, Engine, Limits};
 use glenrail::exchange::{Payload, Wanted};
 use glenrail::upstream::{Call, Failed, Frame, Reply};
+use glenrail_router::ServerId;
 use http::{HeaderMap, HeaderValue, Method};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/gateway/tests/common/instant.rs
+++ b/gateway/tests/common/instant.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_router::{Member, Ms, Scope, ServerId};
 use futures_util::stream::{self, StreamExt};
 use glenrail::core::{Clock, Core, Upstream};
 use glenrail::exchange::{Head, Payload, Request};
 use glenrail::upstream::{Call, Failed, Frame, Reply};
+use glenrail_router::{Member, Ms, Scope, ServerId};
 use serde_json::json;
 use tokio::time::Instant;
 
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -8,8 +8,8 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail_router::Scope;
 use glenrail::discovery;
+use glenrail_router::Scope;
 use serde_json::{json, Value};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
--- a/gateway/tests/drive/mod.rs
+++ b/gateway/tests/drive/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-use glenrail_router::*;
 use glenrail::config::{platform, Platform};
+use glenrail_router::*;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
--- a/gateway/tests/engine.rs
+++ b/gateway/tests/engine.rs
@@ -7,11 +7,11 @@
 
 use common::attempts::*;
 use common::*;
-use glenrail_router::ServerId;
 use futures_util::StreamExt;
 use glenrail::engine::Address;
 use glenrail::exchange::{Payload, Wanted};
 use glenrail::upstream::{Call, Failed, Frame, Reply};
+use glenrail_router::ServerId;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -9,7 +9,6 @@
 use std::time::Duration;
 
 use common::*;
-use glenrail_router::{Member, Scope, ServerId};
 use glenrail::budget::Budget;
 use glenrail::config::{front_from, Front};
 use glenrail::counters::Counters;
@@ -17,6 +16,7 @@
 use glenrail::front::server;
 use glenrail::pools::{PlatformChat, Pool, Second};
 use glenrail::shutdown::Shutdown;
+use glenrail_router::{Member, Scope, ServerId};
 use http::HeaderValue;
 use serde_json::json;
 use tokio::net::TcpListener;
--- a/gateway/tests/kept.rs
+++ b/gateway/tests/kept.rs
@@ -9,11 +9,11 @@
 
 use cap::Cap;
 use common::*;
-use glenrail_router::ServerId;
 use glenrail::budget::Budget;
 use glenrail::engine::{Address, Engine, Limits};
 use glenrail::exchange::{Payload, Wanted};
 use glenrail::upstream::{Call, Reply};
+use glenrail_router::ServerId;
 use tokio::sync::Semaphore;
 use tokio::task::yield_now;
 use tokio::time::Instant;
--- a/gateway/tests/known_red.rs
+++ b/gateway/tests/known_red.rs
@@ -65,7 +65,8 @@
         assert_eq!(gate.asked(), ["test --workspace --locked"]);
         assert!(!gate.run(names, "red", &[]).status.success());
     }
-    let readme = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../README.md")).expect("a file");
+    let readme =
+        fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../README.md")).expect("a file");
     assert!(readme.contains("cargo test --workspace --locked"));
 }
 
--- a/gateway/tests/leases.rs
+++ b/gateway/tests/leases.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use common::*;
-use glenrail_router::ServerId;
 use glenrail::budget::Budget;
 use glenrail::engine::{Address, Engine, Limits};
 use glenrail::exchange::{Payload, Wanted};
 use glenrail::upstream::{Call, Failed, Reply};
+use glenrail_router::ServerId;
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
 use tower::ServiceExt;
--- a/gateway/tests/ops.rs
+++ b/gateway/tests/ops.rs
@@ -9,13 +9,13 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail_router::Scope;
 use glenrail::discovery::List;
 use glenrail::engine::Engine;
 use glenrail::front::server;
 use glenrail::ops::{Desk, Ops, CONNECTIONS};
 use glenrail::rotation::{Orders, Rotation};
 use glenrail::shutdown::Shutdown;
+use glenrail_router::Scope;
 use http::{Request, Response};
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/model-checker/src/check.rs
+++ b/model-checker/src/check.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
+use glenrail_overload::budget as budget_machine;
 use glenrail_request_lifecycle::request::{Fault, Repeat};
 use glenrail_request_lifecycle::{client as client_machine, server as server_machine};
-use glenrail_overload::budget as budget_machine;
 use stateright::{Checker, HasDiscoveries, Model};
 
 use crate::rules::Rule;
