--- a/crates/access-log/src/account/mod.rs
+++ b/crates/access-log/src/account/mod.rs
@@ -9,7 +9,7 @@
 
 use fate::{Turn, FATES};
 
-use crate::{End, Stage, Story};
+use crate::{RequestOutcome, RequestRecord, Stage};
 
 pub use fate::Fate;
 pub use moves::Moves;
@@ -45,15 +45,15 @@
 impl Account {
     /// The account of these stories, which stand in order of arrival, as far as their turns began so many seconds
     /// after the first arrival: what a run warms up and cools down with is left out.
-    pub fn of(stories: &[Story], from: f64, to: f64) -> Account {
-        let zero = stories.first().map_or(0.0, |s| s.came);
+    pub fn of(stories: &[RequestRecord], from: f64, to: f64) -> Account {
+        let zero = stories.first().map_or(0.0, |s| s.arrived_unix_ms);
         let mut turns: BTreeMap<(u32, u64, u64), Turn> = BTreeMap::new();
         for s in stories {
-            let key = (s.class, s.session, s.prompt.to_bits());
+            let key = (s.class, s.session, s.prompt_tokens.to_bits());
             turns.entry(key).or_insert(Turn { tries: Vec::new() }).tries.push(s);
         }
         let within = |t: &&Turn| {
-            let began = t.tries.first().map_or(0.0, |s| (s.came - zero) / 1000.0);
+            let began = t.tries.first().map_or(0.0, |s| (s.arrived_unix_ms - zero) / 1000.0);
             from <= began && began < to
         };
         let mut account = Account::default();
@@ -61,26 +61,26 @@
             (account.turns, account.requests) = (account.turns + 1, account.requests + turn.tries.len());
             let (fate, worth) = (turn.fate(), turn.worth());
             account.asked += worth;
-            account.classes.note(turn, |s| (s.class, s.once));
+            account.classes.note(turn, |s| (s.class, s.at_most_once));
             account.tenants.note(turn, |s| (s.tenant, false));
             account.moves.note(turn);
             let part = account.fates.entry(fate).or_default();
             *part = (part.0 + 1, part.1 + worth);
             let told = turn.tries.iter().map(|s| format!("    {s}\n")).collect();
             account.told.entry(fate).or_default().push((worth, told));
-            for s in turn.tries.iter().filter(|s| s.end == End::Refused) {
-                let after = s.tries.last().map_or("unsent", |t| &t.how);
+            for s in turn.tries.iter().filter(|s| s.outcome == RequestOutcome::Refused) {
+                let after = s.attempts.last().map_or("unsent", |t| &t.outcome);
                 *account.refused.entry(after.into()).or_default() += 1;
             }
             for (_, t) in turn.attempts() {
                 let reads = t.stage == Stage::Read;
-                let alike = account.attempts.entry((reads, t.how.clone())).or_default();
-                *alike = (alike.0 + 1, alike.1 + usize::from(t.cold));
-                let server = account.servers.entry((reads, t.to.clone())).or_default();
-                let lost = t.first.is_none() && t.how != "Read";
+                let alike = account.attempts.entry((reads, t.outcome.clone())).or_default();
+                *alike = (alike.0 + 1, alike.1 + usize::from(t.slow_start));
+                let server = account.servers.entry((reads, t.server.clone())).or_default();
+                let lost = t.first_token_ms.is_none() && t.outcome != "Read";
                 server.0 += 1;
                 server.1 += usize::from(lost);
-                server.2 += t.first.unwrap_or(t.ended) - t.sent;
+                server.2 += t.first_token_ms.unwrap_or(t.ended_ms) - t.sent_ms;
             }
         }
         account
--- a/crates/access-log/src/account/moves.rs
+++ b/crates/access-log/src/account/moves.rs
@@ -3,7 +3,7 @@
 
 use super::fate::Turn;
 use crate::counts::Prices;
-use crate::{Stage, Story};
+use crate::{RequestRecord, Stage};
 
 /// Prompt tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -21,24 +21,24 @@
 
 impl Moves {
     pub(super) fn note(&mut self, turn: &Turn) {
-        self.asked += turn.tries.first().map_or(0.0, |s| s.prompt);
+        self.asked += turn.tries.first().map_or(0.0, |s| s.prompt_tokens);
         turn.tries.iter().for_each(|s| self.follow(s));
     }
 
-    fn follow(&mut self, story: &Story) {
+    fn follow(&mut self, story: &RequestRecord) {
         // The place of the state that waits, and what it took to read.
         let mut waits = None;
-        for t in &story.tries {
-            if t.stage == Stage::Read && t.how == "Read" {
-                let read = (story.prompt - t.kept).max(0.0);
+        for t in &story.attempts {
+            if t.stage == Stage::Read && t.outcome == "Read" {
+                let read = (story.prompt_tokens - t.cached_tokens).max(0.0);
                 self.read += read;
-                self.untaken += waits.replace((t.place, read)).map_or(0.0, |w| w.1);
-            } else if let (Stage::Run, Some(_), Some((from, _))) = (t.stage, t.first, waits) {
+                self.untaken += waits.replace((t.location, read)).map_or(0.0, |w| w.1);
+            } else if let (Stage::Run, Some(_), Some((from, _))) = (t.stage, t.first_token_ms, waits) {
                 waits = None;
-                self.fetched += story.prompt;
-                if let (Some(from), Some(to)) = (from, t.place) {
-                    self.out_of_cell += if from == to { 0.0 } else { story.prompt };
-                    self.out_of_zone += if from.0 == to.0 { 0.0 } else { story.prompt };
+                self.fetched += story.prompt_tokens;
+                if let (Some(from), Some(to)) = (from, t.location) {
+                    self.out_of_cell += if from == to { 0.0 } else { story.prompt_tokens };
+                    self.out_of_zone += if from.0 == to.0 { 0.0 } else { story.prompt_tokens };
                 }
             }
         }
@@ -77,18 +77,28 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Try;
+    use crate::AttemptRecord;
 
-    fn read(place: (u32, u32), kept: f64) -> Try {
-        Try { place: Some(place), how: "Read".into(), kept, ..Try::default() }
+    fn read(place: (u32, u32), kept: f64) -> AttemptRecord {
+        AttemptRecord {
+            location: Some(place),
+            outcome: "Read".into(),
+            cached_tokens: kept,
+            ..AttemptRecord::default()
+        }
     }
 
-    fn run(place: (u32, u32), begun: bool) -> Try {
-        Try { stage: Stage::Run, place: Some(place), first: begun.then_some(1.0), ..Try::default() }
+    fn run(place: (u32, u32), begun: bool) -> AttemptRecord {
+        AttemptRecord {
+            stage: Stage::Run,
+            location: Some(place),
+            first_token_ms: begun.then_some(1.0),
+            ..AttemptRecord::default()
+        }
     }
 
-    fn moves(tries: Vec<Try>) -> Moves {
-        let story = Story { prompt: 1_000.0, tries, ..Story::default() };
+    fn moves(tries: Vec<AttemptRecord>) -> Moves {
+        let story = RequestRecord { prompt_tokens: 1_000.0, attempts: tries, ..RequestRecord::default() };
         let mut moves = Moves::default();
         moves.note(&Turn { tries: vec![&story] });
         moves
--- a/crates/access-log/src/account/shares.rs
+++ b/crates/access-log/src/account/shares.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use super::fate::{Fate, Turn};
-use crate::Story;
+use crate::RequestRecord;
 
 /// Less than this part of what the fleet serves on the mean is too little: of a class, and of a tenant.
 pub const HALF: f64 = 0.5;
@@ -45,7 +45,7 @@
 
 impl Shares {
     /// `of`: whom the turn belongs to, and whether that is a class that may not be repeated.
-    pub(super) fn note(&mut self, turn: &Turn, of: fn(&Story) -> (u32, bool)) {
+    pub(super) fn note(&mut self, turn: &Turn, of: fn(&RequestRecord) -> (u32, bool)) {
         let Some(first) = turn.tries.first() else { return };
         let (whose, once) = of(first);
         let (share, worth) = (self.0.entry(whose).or_default(), turn.worth());
@@ -107,17 +107,27 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{End, Try};
-
-    fn story(class: u32, session: u64, served: bool) -> Story {
-        let run = Try { first: Some(100.0), ..Try::default() };
-        let (end, tries) = if served { (End::Served, vec![run]) } else { (End::Refused, vec![]) };
-        Story { class, session, end, tries, once: class == 2, aim: 500.0, worth: 1.0, ..Story::default() }
+    use crate::{AttemptRecord, RequestOutcome};
+
+    fn story(class: u32, session: u64, served: bool) -> RequestRecord {
+        let run = AttemptRecord { first_token_ms: Some(100.0), ..AttemptRecord::default() };
+        let (end, tries) =
+            if served { (RequestOutcome::Served, vec![run]) } else { (RequestOutcome::Refused, vec![]) };
+        RequestRecord {
+            class,
+            session,
+            outcome: end,
+            attempts: tries,
+            at_most_once: class == 2,
+            latency_objective_ms: 500.0,
+            priority_weight: 1.0,
+            ..RequestRecord::default()
+        }
     }
 
-    fn shares(stories: &[Story]) -> Shares {
+    fn shares(stories: &[RequestRecord]) -> Shares {
         let mut shares = Shares::default();
-        stories.iter().for_each(|s| shares.note(&Turn { tries: vec![s] }, |s| (s.class, s.once)));
+        stories.iter().for_each(|s| shares.note(&Turn { tries: vec![s] }, |s| (s.class, s.at_most_once)));
         shares
     }
 
@@ -134,7 +144,7 @@
         // A tenant is not judged for one request of such a class.
         let mut tenants = Shares::default();
         let few = [story(2, 0, false)].into_iter().chain((1..60).map(|n| story(0, n, true)));
-        let few: Vec<Story> = few.collect();
+        let few: Vec<RequestRecord> = few.collect();
         few.iter().for_each(|s| tenants.note(&Turn { tries: vec![s] }, |s| (s.class, false)));
         assert_eq!(tenants.short(THIRD).0, []);
         assert!(shares.table("class", HALF).contains("SHORT: class 2, not to be repeated: 0.00% in time"));
--- a/crates/request-lifecycle/src/client.rs
+++ b/crates/request-lifecycle/src/client.rs
@@ -6,19 +6,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Impossible;
+use crate::InvalidTransition;
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Nothing has come yet.
-    Gate,
+    New,
     /// A part of a head has come.
     Head,
     /// A request's head is in, its body is not.
     Body,
     /// The request is in, its answer is not out.
-    Answer,
+    Response,
     /// Kept, with no open request.
     Idle,
     /// Nothing more is served on it.
@@ -31,45 +31,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Framing {
     /// All of it is here already.
-    Here,
+    #[serde(rename = "Here")]
+    Complete,
     /// Its length is told, and some of it is still to come.
-    Told,
+    #[serde(rename = "Told")]
+    KnownLength,
     /// Its end is found only by reading it; so the connection ends after it.
-    Unknown,
+    #[serde(rename = "Unknown")]
+    UnknownLength,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Input {
     /// Some bytes of a head have come.
-    Begun,
+    #[serde(rename = "Begun")]
+    HeadStarted,
     /// A head has come whole.
-    Head(Framing),
+    #[serde(rename = "Head")]
+    HeadComplete(Framing),
     /// What came is no head.
-    Unreadable,
+    #[serde(rename = "Unreadable")]
+    MalformedHead,
     /// The last byte of a body whose length was told.
-    BodyRead,
+    #[serde(rename = "BodyRead")]
+    BodyComplete,
     /// The answer is out, or will never be.
-    Answered,
+    #[serde(rename = "Answered")]
+    ResponseFinished,
     /// Another process began the answer that is to go on here.
-    Resumed,
+    #[serde(rename = "Resumed")]
+    StreamResumed,
     /// The open answer goes no further here.
-    Leaves,
+    #[serde(rename = "Leaves")]
+    StreamDetached,
     /// Another process serves in this one's place, and asks for what it can go on with.
-    Asked,
+    #[serde(rename = "Asked")]
+    HandOverRequested,
     /// It has stood where it is for too long.
-    Due,
+    #[serde(rename = "Due")]
+    TimedOut,
     /// It has to give way to another client.
     Evicted,
     /// The client takes nothing of what is written, or takes it again.
-    Blocked(bool),
+    #[serde(rename = "Blocked")]
+    WriteBlocked(bool),
     /// Bytes were read that were not passed on, or none are left.
-    Ahead(bool),
+    #[serde(rename = "Ahead")]
+    PipelinedBytes(bool),
 }
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
-    Nothing,
+    #[serde(rename = "Nothing")]
+    None,
     Close,
     /// Goes to the other process; `stream`: with its open answer.
     HandOver {
@@ -79,15 +94,15 @@
 
 /// How long a connection may stand where it stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Patience {
+pub enum TimeoutKind {
     /// For its first byte.
-    First,
+    FirstByte,
     /// For the rest of a head.
-    HalfHead,
+    PartialHead,
     /// Between two requests.
     Idle,
     /// For the rest of an answer to be taken.
-    Untaken,
+    WriteStall,
     /// For what still comes after the end.
     Linger,
     /// As long as its request and answer take, which have timers of their own.
@@ -110,11 +125,11 @@
     /// The client does not take what is written.
     blocked: bool,
     /// Bytes of a request have been read that the stage does not show yet.
-    ahead: bool,
+    pipelined_bytes: bool,
     /// The open request is the last on this connection.
-    last: bool,
+    last_request: bool,
     /// The open answer can go on in another process.
-    leaving: bool,
+    stream_detached: bool,
     #[cfg(feature = "mutants")]
     fault: Option<Fault>,
 }
@@ -122,11 +137,11 @@
 impl Default for Connection {
     fn default() -> Self {
         Connection {
-            stage: Stage::Gate,
+            stage: Stage::New,
             blocked: false,
-            ahead: false,
-            last: false,
-            leaving: false,
+            pipelined_bytes: false,
+            last_request: false,
+            stream_detached: false,
             #[cfg(feature = "mutants")]
             fault: None,
         }
@@ -150,13 +165,13 @@
     }
 
     /// Whether the connection must end after the open request; so it is when its body was not read to the end.
-    pub fn ends(&self) -> bool {
-        self.last || self.stage != Stage::Answer
+    pub fn closes_after_response(&self) -> bool {
+        self.last_request || self.stage != Stage::Response
     }
 
     /// Whether nothing is lost by closing it now.
-    pub fn gives_way(&self) -> bool {
-        let open = matches!(self.stage, Stage::Body | Stage::Answer);
+    pub fn is_evictable(&self) -> bool {
+        let open = matches!(self.stage, Stage::Body | Stage::Response);
         #[cfg(feature = "mutants")]
         let open = open && self.fault != Some(Fault::EvictsOpenRequest);
         !self.blocked && !open
@@ -164,74 +179,74 @@
 
     /// Whether bytes that come now are a request's, which will be read.
     pub fn awaits_request(&self) -> bool {
-        !self.blocked && matches!(self.stage, Stage::Gate | Stage::Head | Stage::Idle)
+        !self.blocked && matches!(self.stage, Stage::New | Stage::Head | Stage::Idle)
     }
 
     /// Whether nothing at all is under way on it, in either direction.
-    pub fn rests(&self) -> bool {
-        !self.blocked && !self.ahead && matches!(self.stage, Stage::Gate | Stage::Idle)
+    pub fn is_idle(&self) -> bool {
+        !self.blocked && !self.pipelined_bytes && matches!(self.stage, Stage::New | Stage::Idle)
     }
 
     /// Whether bytes have been read that belong to a further request.
-    pub fn has_ahead(&self) -> bool {
-        self.ahead
+    pub fn has_pipelined_bytes(&self) -> bool {
+        self.pipelined_bytes
     }
 
     /// Whether another process can take it as it is: nothing at all is under way on it, in either direction, or
     /// what went before of its answer is out.
-    pub fn can_go(&self) -> bool {
+    pub fn can_hand_over(&self) -> bool {
         let (quiet, at_rest) =
-            (!self.blocked && !self.ahead, matches!(self.stage, Stage::Gate | Stage::Idle));
+            (!self.blocked && !self.pipelined_bytes, matches!(self.stage, Stage::New | Stage::Idle));
         #[cfg(feature = "mutants")]
         let quiet = match self.fault {
             Some(Fault::HandsOverHalfHead) => !self.blocked,
-            Some(Fault::HandsOverUnwritten) => !self.ahead,
+            Some(Fault::HandsOverUnwritten) => !self.pipelined_bytes,
             _ => quiet,
         };
-        quiet && (at_rest || self.leaving)
+        quiet && (at_rest || self.stream_detached)
     }
 
-    pub fn patience(&self) -> Patience {
+    pub fn timeout_kind(&self) -> TimeoutKind {
         match self.stage {
-            Stage::Body | Stage::Answer | Stage::HandedOver => Patience::Request,
-            _ if self.blocked => Patience::Untaken,
-            Stage::Gate => Patience::First,
-            Stage::Head => Patience::HalfHead,
-            Stage::Idle => Patience::Idle,
-            Stage::Closing => Patience::Linger,
+            Stage::Body | Stage::Response | Stage::HandedOver => TimeoutKind::Request,
+            _ if self.blocked => TimeoutKind::WriteStall,
+            Stage::New => TimeoutKind::FirstByte,
+            Stage::Head => TimeoutKind::PartialHead,
+            Stage::Idle => TimeoutKind::Idle,
+            Stage::Closing => TimeoutKind::Linger,
         }
     }
 
     /// The transition table.
-    pub fn step(&mut self, input: Input) -> Result<Effect, Impossible> {
+    pub fn step(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
         use Stage::*;
         let next = match (self.stage, input) {
             (HandedOver, _) => return Err(self.impossible(&input)),
-            (_, Input::Blocked(blocked)) => {
+            (_, Input::WriteBlocked(blocked)) => {
                 self.blocked = blocked;
-                return Ok(Effect::Nothing);
+                return Ok(Effect::None);
             }
-            (_, Input::Ahead(ahead)) => {
-                self.ahead = ahead;
-                return Ok(Effect::Nothing);
+            (_, Input::PipelinedBytes(ahead)) => {
+                self.pipelined_bytes = ahead;
+                return Ok(Effect::None);
             }
-            (Gate | Head | Idle, Input::Begun) => Head,
-            (Head | Idle, Input::Head(framing)) => {
-                self.last = framing == Framing::Unknown;
-                if framing == Framing::Here {
-                    Answer
+            (New | Head | Idle, Input::HeadStarted) => Head,
+            (Head | Idle, Input::HeadComplete(framing)) => {
+                self.last_request = framing == Framing::UnknownLength;
+                if framing == Framing::Complete {
+                    Response
                 } else {
                     Body
                 }
             }
-            (Head | Idle, Input::Unreadable) => Closing,
-            (Body, Input::BodyRead) => Answer,
+            (Head | Idle, Input::MalformedHead) => Closing,
+            (Body, Input::BodyComplete) => Response,
             // Answered before its end: what still comes is read and dropped.
-            (Closing, Input::BodyRead) => Closing,
+            (Closing, Input::BodyComplete) => Closing,
             // Of a request that was answered before its body's end, none knows where the next one begins.
-            (Body | Answer, Input::Answered) => {
-                self.leaving = false;
-                let ends = self.ends();
+            (Body | Response, Input::ResponseFinished) => {
+                self.stream_detached = false;
+                let ends = self.closes_after_response();
                 #[cfg(feature = "mutants")]
                 let ends = ends && self.fault != Some(Fault::KeepsAfterUnread);
                 if ends {
@@ -240,38 +255,43 @@
                     Idle
                 }
             }
-            (Gate, Input::Resumed) => Answer,
-            (Answer, Input::Leaves) => {
-                self.leaving = true;
-                Answer
+            (New, Input::StreamResumed) => Response,
+            (Response, Input::StreamDetached) => {
+                self.stream_detached = true;
+                Response
             }
-            (_, Input::Asked) => {
-                if !self.can_go() {
-                    return Ok(Effect::Nothing);
+            (_, Input::HandOverRequested) => {
+                if !self.can_hand_over() {
+                    return Ok(Effect::None);
                 }
-                let stream = self.stage == Answer;
+                let stream = self.stage == Response;
                 self.stage = HandedOver;
                 return Ok(Effect::HandOver { stream });
             }
-            (Body | Answer, Input::Due) => return Err(self.impossible(&input)),
-            (_, Input::Due) => return Ok(Effect::Close),
+            (Body | Response, Input::TimedOut) => return Err(self.impossible(&input)),
+            (_, Input::TimedOut) => return Ok(Effect::Close),
             (_, Input::Evicted) => {
-                return Ok(if self.gives_way() { Effect::Close } else { Effect::Nothing });
+                return Ok(if self.is_evictable() { Effect::Close } else { Effect::None });
+            }
+            (New | Head | Idle, Input::BodyComplete | Input::StreamDetached | Input::ResponseFinished)
+            | (New, Input::HeadComplete(_) | Input::MalformedHead)
+            | (Closing, Input::ResponseFinished)
+            | (
+                Body | Response | Closing,
+                Input::HeadStarted | Input::HeadComplete(_) | Input::MalformedHead,
+            )
+            | (Response, Input::BodyComplete)
+            | (Body | Closing, Input::StreamDetached)
+            | (Head | Body | Response | Idle | Closing, Input::StreamResumed) => {
+                return Err(self.impossible(&input))
             }
-            (Gate | Head | Idle, Input::BodyRead | Input::Leaves | Input::Answered)
-            | (Gate, Input::Head(_) | Input::Unreadable)
-            | (Closing, Input::Answered)
-            | (Body | Answer | Closing, Input::Begun | Input::Head(_) | Input::Unreadable)
-            | (Answer, Input::BodyRead)
-            | (Body | Closing, Input::Leaves)
-            | (Head | Body | Answer | Idle | Closing, Input::Resumed) => return Err(self.impossible(&input)),
         };
         self.stage = next;
-        Ok(Effect::Nothing)
+        Ok(Effect::None)
     }
 
-    fn impossible(&self, input: &Input) -> Impossible {
-        Impossible::new("client connection", input, self)
+    fn impossible(&self, input: &Input) -> InvalidTransition {
+        InvalidTransition::new("client connection", input, self)
     }
 }
 
--- a/crates/request-lifecycle/src/client/tests.rs
+++ b/crates/request-lifecycle/src/client/tests.rs
@@ -8,9 +8,26 @@
 fn input() -> impl Strategy<Value = Input> {
     use Framing::*;
     use Input::*;
-    let plain =
-        [Begun, Head(Here), Head(Told), Head(Unknown), Unreadable, BodyRead, Answered, Resumed, Leaves];
-    let others = [Asked, Due, Evicted, Blocked(true), Blocked(false), Ahead(true), Ahead(false)];
+    let plain = [
+        HeadStarted,
+        HeadComplete(Complete),
+        HeadComplete(KnownLength),
+        HeadComplete(UnknownLength),
+        MalformedHead,
+        BodyComplete,
+        ResponseFinished,
+        StreamResumed,
+        StreamDetached,
+    ];
+    let others = [
+        HandOverRequested,
+        TimedOut,
+        Evicted,
+        WriteBlocked(true),
+        WriteBlocked(false),
+        PipelinedBytes(true),
+        PipelinedBytes(false),
+    ];
     prop::sample::select([&plain[..], &others].concat())
 }
 
@@ -29,17 +46,17 @@
                 continue;
             }
             match step {
-                Input::Head(_) | Input::Resumed => open = true,
-                Input::Answered => open = false,
-                Input::Blocked(now) => blocked = now,
-                Input::Ahead(now) => ahead = now,
+                Input::HeadComplete(_) | Input::StreamResumed => open = true,
+                Input::ResponseFinished => open = false,
+                Input::WriteBlocked(now) => blocked = now,
+                Input::PipelinedBytes(now) => ahead = now,
                 _ => {}
             }
-            prop_assert!(!it.rests() || !open && !blocked && !ahead, "{step:?}: {it:?}");
+            prop_assert!(!it.is_idle() || !open && !blocked && !ahead, "{step:?}: {it:?}");
             prop_assert!(!it.awaits_request() || !open && !blocked, "{step:?}: {it:?}");
             // Whatever rests may give way, and may be another process's.
-            prop_assert!(!it.rests() || it.gives_way() && it.can_go(), "{step:?}: {it:?}");
-            prop_assert_eq!(it.has_ahead(), ahead);
+            prop_assert!(!it.is_idle() || it.is_evictable() && it.can_hand_over(), "{step:?}: {it:?}");
+            prop_assert_eq!(it.has_pipelined_bytes(), ahead);
         }
     }
 }
@@ -48,10 +65,15 @@
 #[test]
 fn a_request_read_ahead_keeps_its_connection_from_rest() {
     let mut it = Connection::default();
-    for step in [Input::Begun, Input::Head(Framing::Here), Input::Ahead(true), Input::Answered] {
+    for step in [
+        Input::HeadStarted,
+        Input::HeadComplete(Framing::Complete),
+        Input::PipelinedBytes(true),
+        Input::ResponseFinished,
+    ] {
         it.step(step).expect("possible");
     }
-    assert!(it.stage() == Stage::Idle && it.has_ahead() && !it.rests());
-    it.step(Input::Ahead(false)).expect("possible");
-    assert!(it.rests());
+    assert!(it.stage() == Stage::Idle && it.has_pipelined_bytes() && !it.is_idle());
+    it.step(Input::PipelinedBytes(false)).expect("possible");
+    assert!(it.is_idle());
 }
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -27,14 +27,14 @@
 /// An input that cannot come where the machine stands. The machine is as it was before.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{machine}: {input} cannot come while {state}")]
-pub struct Impossible {
+pub struct InvalidTransition {
     pub machine: &'static str,
     pub input: String,
     pub state: String,
 }
 
-impl Impossible {
+impl InvalidTransition {
     fn new(machine: &'static str, input: &impl std::fmt::Debug, state: &impl std::fmt::Debug) -> Self {
-        Impossible { machine, input: format!("{input:?}"), state: format!("{state:?}") }
+        InvalidTransition { machine, input: format!("{input:?}"), state: format!("{state:?}") }
     }
 }
--- a/crates/request-lifecycle/src/reach.rs
+++ b/crates/request-lifecycle/src/reach.rs
@@ -7,46 +7,46 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Milliseconds on one clock of the caller's.
-pub type Ms = u64;
+pub type Millis = u64;
 
 /// While nobody has answered, further servers are asked after each such pause: an idle server answers within it.
-pub const PAUSE: Ms = 50;
+pub const PAUSE: Millis = 50;
 /// So many servers are asked after a pause. The first is asked alone: mostly it answers.
 const BESIDE: usize = 2;
 /// A call that has stood unanswered for so long speaks against its server.
-const UNANSWERED: Ms = 100;
+const UNANSWERED: Millis = 100;
 
 /// What calls have shown of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct Reachability {
     /// When it last answered anything.
-    heard: Option<Ms>,
+    answered: Option<Millis>,
     /// When a call to it was last lost: no connection came up, or a short call went unanswered.
-    lost: Option<Ms>,
+    query_lost: Option<Millis>,
     /// Since when short calls have been out with no word from it.
-    waiting: Option<Ms>,
+    waiting: Option<Millis>,
 }
 
-impl Reach {
+impl Reachability {
     /// A short call goes out, of which an answer is due at once.
-    pub fn asked(&mut self, now: Ms) {
+    pub fn query_sent(&mut self, now: Millis) {
         self.waiting.get_or_insert(now);
     }
 
     /// It answered.
-    pub fn heard(&mut self, now: Ms) {
-        (self.heard, self.waiting) = (Some(now), None);
+    pub fn answered(&mut self, now: Millis) {
+        (self.answered, self.waiting) = (Some(now), None);
     }
 
     /// A call to it came to nothing.
-    pub fn lost(&mut self, now: Ms) {
-        (self.lost, self.waiting) = (Some(now), None);
+    pub fn query_lost(&mut self, now: Millis) {
+        (self.query_lost, self.waiting) = (Some(now), None);
     }
 
     /// When it last failed to answer in time, if it has not answered since.
-    fn doubted(&self, now: Ms) -> Option<Ms> {
+    fn suspected_since(&self, now: Millis) -> Option<Millis> {
         let waiting = self.waiting.filter(|since| now >= since + UNANSWERED);
-        self.lost.max(waiting).filter(|at| self.heard.is_none_or(|heard| heard < *at))
+        self.query_lost.max(waiting).filter(|at| self.answered.is_none_or(|heard| heard < *at))
     }
 }
 
@@ -56,24 +56,30 @@
     pub server: S,
     pub zone: u32,
     /// A connection to it stands ready.
-    pub standing: bool,
-    pub reach: Reach,
+    pub has_idle_connection: bool,
+    pub reachability: Reachability,
 }
 
 /// The servers in the order in which they are to be asked: of each zone the surest first, the zones in turn.
-pub fn order<S: Copy + Ord>(candidates: &[Candidate<S>], now: Ms) -> Vec<S> {
+pub fn order<S: Copy + Ord>(candidates: &[Candidate<S>], now: Millis) -> Vec<S> {
     // A zone is doubted while the last word from any of its servers is older than the last call lost there.
-    let mut zones: BTreeMap<u32, (Option<Ms>, Option<Ms>)> = BTreeMap::new();
+    let mut zones: BTreeMap<u32, (Option<Millis>, Option<Millis>)> = BTreeMap::new();
     for c in candidates {
         let (heard, doubted) = zones.entry(c.zone).or_default();
-        *heard = (*heard).max(c.reach.heard);
-        *doubted = (*doubted).max(c.reach.doubted(now));
+        *heard = (*heard).max(c.reachability.answered);
+        *doubted = (*doubted).max(c.reachability.suspected_since(now));
     }
     let doubted = |zone: u32| zones.get(&zone).is_some_and(|(heard, doubted)| doubted > heard);
     let mut sure: Vec<&Candidate<S>> = candidates.iter().collect();
     sure.sort_by_key(|c| {
-        let known = std::cmp::Reverse(c.reach.heard);
-        (c.reach.doubted(now).is_some(), doubted(c.zone), !c.standing, known, c.server)
+        let known = std::cmp::Reverse(c.reachability.answered);
+        (
+            c.reachability.suspected_since(now).is_some(),
+            doubted(c.zone),
+            !c.has_idle_connection,
+            known,
+            c.server,
+        )
     });
     let mut by_zone: Vec<(u32, VecDeque<S>)> = Vec::new();
     for c in sure {
@@ -94,19 +100,19 @@
 pub struct Release<S> {
     left: VecDeque<S>,
     out: usize,
-    due: Ms,
-    until: Ms,
+    due: Millis,
+    until: Millis,
     begun: bool,
 }
 
 impl<S: Copy> Release<S> {
     /// These are asked in turn, until one answers or this time has come.
-    pub fn new(order: Vec<S>, now: Ms, until: Ms) -> Self {
+    pub fn new(order: Vec<S>, now: Millis, until: Millis) -> Self {
         Release { left: order.into(), out: 0, due: now, until, begun: false }
     }
 
     /// Whom to ask now.
-    pub fn ask(&mut self, now: Ms) -> Vec<S> {
+    pub fn ask(&mut self, now: Millis) -> Vec<S> {
         if now < self.due || now >= self.until {
             return Vec::new();
         }
@@ -118,13 +124,13 @@
     }
 
     /// One of those asked could not be reached, or did not take it: the next need not wait for the pause.
-    pub fn failed(&mut self, now: Ms) {
+    pub fn failed(&mut self, now: Millis) {
         self.out = self.out.saturating_sub(1);
         self.due = self.due.min(now);
     }
 
     /// When to come back if nobody answers before; `None` once nothing more can come of it.
-    pub fn wake(&self, now: Ms) -> Option<Ms> {
+    pub fn wake(&self, now: Millis) -> Option<Millis> {
         match (self.left.is_empty(), self.out) {
             _ if now >= self.until => None,
             (true, 0) => None,
@@ -141,12 +147,14 @@
     use super::*;
 
     fn candidate(server: u32, zone: u32) -> Candidate<u32> {
-        Candidate { server, zone, standing: false, reach: Reach::default() }
+        Candidate { server, zone, has_idle_connection: false, reachability: Reachability::default() }
     }
 
     /// Plays one release against servers of which some answer after so long, the others never, and gives the time at
     /// which it first came to one that answers.
-    fn play(order: Vec<u32>, answers: impl Fn(u32) -> Option<Ms>, limit: Ms) -> (Option<Ms>, usize) {
+    fn play(
+        order: Vec<u32>, answers: impl Fn(u32) -> Option<Millis>, limit: Millis,
+    ) -> (Option<Millis>, usize) {
         let (mut release, mut now, mut asked, mut due) = (Release::new(order, 0, limit), 0, 0, Vec::new());
         loop {
             for server in release.ask(now) {
@@ -171,8 +179,8 @@
             let all = (0..30).map(|n| {
                 let (server, zone) = (n * 40 + round, n % 3);
                 let mut c = candidate(server, zone);
-                c.reach.heard(if zone == 1 { 900 + u64::from(n) } else { 500 });
-                c.standing = zone == 1;
+                c.reachability.answered(if zone == 1 { 900 + u64::from(n) } else { 500 });
+                c.has_idle_connection = zone == 1;
                 c
             });
             let all: Vec<Candidate<u32>> = all.collect();
@@ -187,14 +195,14 @@
     #[test]
     fn a_zone_known_to_be_cut_off_is_asked_last() {
         let mut all: Vec<Candidate<u32>> = (0..9).map(|n| candidate(n, n % 3)).collect();
-        all.iter_mut().for_each(|c| c.reach.heard(100));
-        all[1].reach.lost(200);
+        all.iter_mut().for_each(|c| c.reachability.answered(100));
+        all[1].reachability.query_lost(200);
         assert_ne!(order(&all, 300)[0] % 3, 1);
         assert_eq!(order(&all, 300).last(), Some(&1));
-        all[4].reach.heard(250);
+        all[4].reachability.answered(250);
         assert_eq!(order(&all, 300)[0], 4);
         // A short call that stands unanswered speaks against a server before it is lost.
-        all[4].reach.asked(260);
+        all[4].reachability.query_sent(260);
         assert_eq!(order(&all, 300)[0], 4);
         assert_ne!(order(&all, 400)[0] % 3, 1);
     }
--- a/crates/request-lifecycle/src/request/mod.rs
+++ b/crates/request-lifecycle/src/request/mod.rs
@@ -11,23 +11,23 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::words::*;
-use crate::Impossible;
+use crate::InvalidTransition;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
-    terms: Terms,
+    policy: RequestPolicy,
     attempts: Vec<Attempt>,
-    answer: Answer,
-    held: Held,
+    response: ResponseState,
+    reservation: Reservation,
     release: Release,
-    place: PlaceCall,
+    slot_request: SlotRequest,
     /// Rule 2: an attempt that has ended may have had the effect.
-    ran: bool,
+    may_have_executed: bool,
     /// A call was cut since the last release, and its server may not know yet.
-    cut: bool,
+    cut_since_release: bool,
     deadline_armed: bool,
-    pin_armed: bool,
-    over: bool,
+    lease_armed: bool,
+    is_finished: bool,
     #[cfg(feature = "mutants")]
     fault: Option<Fault>,
 }
@@ -36,20 +36,20 @@
 
 impl Request {
     /// A request that has come in whole.
-    pub fn new(terms: Terms, out: &mut Effects) -> Self {
-        out.push(Effect::Arm(Timer::Deadline));
+    pub fn new(terms: RequestPolicy, out: &mut Effects) -> Self {
+        out.push(Effect::ArmTimer(Timer::Deadline));
         Request {
-            terms,
+            policy: terms,
             attempts: Vec::new(),
-            answer: Answer::Owed,
-            held: Held::Nothing,
+            response: ResponseState::Pending,
+            reservation: Reservation::None,
             release: Release::None,
-            place: PlaceCall::None,
-            ran: false,
-            cut: false,
+            slot_request: SlotRequest::None,
+            may_have_executed: false,
+            cut_since_release: false,
             deadline_armed: true,
-            pin_armed: false,
-            over: false,
+            lease_armed: false,
+            is_finished: false,
             #[cfg(feature = "mutants")]
             fault: None,
         }
@@ -65,134 +65,138 @@
         self.fault == Some(fault)
     }
 
-    pub fn terms(&self) -> Terms {
-        self.terms
+    pub fn policy(&self) -> RequestPolicy {
+        self.policy
     }
     pub fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
-    pub fn answer(&self) -> Answer {
-        self.answer
+    pub fn response(&self) -> ResponseState {
+        self.response
     }
 
     /// Whether the client is owed nothing more.
-    pub fn closed(&self) -> bool {
-        !matches!(self.answer, Answer::Owed | Answer::Streaming)
+    pub fn is_closed(&self) -> bool {
+        !matches!(self.response, ResponseState::Pending | ResponseState::Streaming)
     }
 
     /// Whether an attempt's outcome is still to come.
-    pub fn out(&self) -> bool {
-        self.attempts.iter().any(Attempt::open)
+    pub fn in_flight(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_open)
     }
 
     /// Whether an attempt is at a server, or may be.
     fn at_server(&self) -> bool {
-        self.attempts.iter().any(|a| matches!(a.step, Step::Out | Step::CalledBack | Step::Begun))
+        self.attempts.iter().any(|a| {
+            matches!(a.state, AttemptState::InFlight | AttemptState::Cancelling | AttemptState::Streaming)
+        })
     }
 
     /// Rule 2: whether an attempt may have had its effect. Of one that is out, a read too, nobody knows yet.
     pub fn may_have_run(&self) -> bool {
-        self.ran || self.at_server()
+        self.may_have_executed || self.at_server()
     }
 
     /// Whether servers hold something under its name, or may.
-    pub fn holds(&self) -> bool {
-        self.held != Held::Nothing
+    pub fn has_reservation(&self) -> bool {
+        self.reservation != Reservation::None
     }
 
     /// Whether nothing of it is left.
-    pub fn over(&self) -> bool {
-        self.over
+    pub fn is_finished(&self) -> bool {
+        self.is_finished
     }
 
-    pub fn armed(&self, timer: Timer) -> bool {
+    pub fn is_armed(&self, timer: Timer) -> bool {
         match timer {
             Timer::Deadline => self.deadline_armed,
-            Timer::Pin => self.pin_armed,
+            Timer::LeaseLimit => self.lease_armed,
         }
     }
 
     /// Takes in one input and appends what is to be done, in order.
-    pub fn step(&mut self, input: Input, out: &mut Effects) -> Result<(), Impossible> {
-        if self.over {
+    pub fn step(&mut self, input: Input, out: &mut Effects) -> Result<(), InvalidTransition> {
+        if self.is_finished {
             return Err(self.impossible(&input));
         }
         // The transition table. What follows from the state reached, whichever way, is in `settle`.
         match input {
-            Input::Send { server, stage, may } => self.send(server, stage, may, out),
+            Input::Send { server, stage, permitted: may } => self.send(server, stage, may, out),
             Input::Cancel { attempt } => self.call_back(attempt, out),
             Input::Release => {
                 // Only what is held is let go of: a needless call costs a server work, and could hit another's. What has come
                 // to be held since a release began has said so itself.
-                if self.held != Held::Nothing && !matches!(self.release, Release::UnderWay { .. }) {
+                if self.reservation != Reservation::None
+                    && !matches!(self.release, Release::InProgress { .. })
+                {
                     self.release_due();
                 }
             }
-            Input::Answer(last) => self.give(last, out),
-            Input::Hold { server } => {
+            Input::Respond(last) => self.give(last, out),
+            Input::ReserveSlot { server } => {
                 // Beside an attempt only: a place that no attempt is to take pins the writer's memory.
-                if self.place == PlaceCall::None && !self.closed() && self.at_server() {
-                    self.place = PlaceCall::Out(server);
-                    out.push(Effect::AskPlace { server });
+                if self.slot_request == SlotRequest::None && !self.is_closed() && self.at_server() {
+                    self.slot_request = SlotRequest::InFlight(server);
+                    out.push(Effect::RequestSlot { server });
                 }
             }
-            Input::ClientGone => {
-                if !self.closed() {
-                    self.answer = Answer::Abandoned;
-                    out.push(Effect::TellGone);
+            Input::ClientDisconnected => {
+                if !self.is_closed() {
+                    self.response = ResponseState::Abandoned;
+                    out.push(Effect::NotifyClientDisconnected);
                     self.call_back_all(out);
                 }
             }
             Input::Replied { attempt, reply } => match self.step_of(attempt) {
-                Some(Step::Out) => self.replied(attempt, reply, out),
+                Some(AttemptState::InFlight) => self.replied(attempt, reply, out),
                 // A first token just as it was called back: it is about to be dropped, and ends then.
-                Some(Step::CalledBack) if reply == Reply::Begins => {}
+                Some(AttemptState::Cancelling) if reply == Reply::FirstEvent => {}
                 // Nothing of it was out: it has had no effect, and what is held has waited all the time.
-                Some(Step::CalledBack) if reply == Reply::NotSent => {
+                Some(AttemptState::Cancelling) if reply == Reply::NotSent => {
                     self.ended(attempt, Status::NotSent, out)
                 }
                 // Its call has ended by itself.
-                Some(Step::CalledBack) => self.ended(attempt, self.called_back(attempt), out),
+                Some(AttemptState::Cancelling) => self.ended(attempt, self.called_back(attempt), out),
                 _ => return Err(self.impossible(&input)),
             },
-            Input::Arrived { attempt } => match self.step_of(attempt) {
-                Some(Step::Out) => self.attempts[attempt].arrived = true,
+            Input::Delivered { attempt } => match self.step_of(attempt) {
+                Some(AttemptState::InFlight) => self.attempts[attempt].delivered = true,
                 // The sign crossed its end.
-                Some(Step::CalledBack | Step::Begun | Step::Ended(_)) => {}
+                Some(AttemptState::Cancelling | AttemptState::Streaming | AttemptState::Ended(_)) => {}
                 _ => return Err(self.impossible(&input)),
             },
             Input::StreamEnded { attempt, end } => match self.step_of(attempt) {
-                Some(Step::Begun) => {
-                    if !self.closed() {
-                        self.answer = Answer::Streamed;
+                Some(AttemptState::Streaming) => {
+                    if !self.is_closed() {
+                        self.response = ResponseState::StreamEnded;
                     }
                     self.ended(attempt, end.status(), out);
                 }
                 _ => return Err(self.impossible(&input)),
             },
             Input::TimedOut { attempt } => match self.step_of(attempt) {
-                Some(Step::Out) => self.ended(attempt, Status::Timeout, out),
+                Some(AttemptState::InFlight) => self.ended(attempt, Status::Timeout, out),
                 _ => return Err(self.impossible(&input)),
             },
-            Input::Dropped { attempt } => match self.step_of(attempt) {
-                Some(Step::CalledBack) => self.ended(attempt, self.called_back(attempt), out),
+            Input::CancelCompleted { attempt } => match self.step_of(attempt) {
+                Some(AttemptState::Cancelling) => self.ended(attempt, self.called_back(attempt), out),
                 _ => return Err(self.impossible(&input)),
             },
-            Input::Placed { held } => match self.place {
-                PlaceCall::Out(server) => self.placed(server, held, out),
-                PlaceCall::None => return Err(self.impossible(&input)),
+            Input::SlotAnswered { reserved: held } => match self.slot_request {
+                SlotRequest::InFlight(server) => self.placed(server, held, out),
+                SlotRequest::None => return Err(self.impossible(&input)),
             },
             Input::Released => match self.release {
-                Release::UnderWay { again } => {
+                Release::InProgress { repeat: again } => {
                     self.release = if again { Release::Due } else { Release::None };
                     if !again {
-                        self.held = Held::Nothing;
+                        self.reservation = Reservation::None;
                     }
                 }
                 _ => return Err(self.impossible(&input)),
             },
-            Input::Due(timer) => {
-                if !self.armed(timer) {
+            Input::TimerExpired(timer) => {
+                if !self.is_armed(timer) {
                     return Err(self.impossible(&input));
                 }
                 self.due(timer, out);
@@ -202,27 +206,29 @@
         Ok(())
     }
 
-    fn impossible(&self, input: &Input) -> Impossible {
-        Impossible::new("request", input, self)
+    fn impossible(&self, input: &Input) -> InvalidTransition {
+        InvalidTransition::new("request", input, self)
     }
 
-    fn step_of(&self, attempt: usize) -> Option<Step> {
-        self.attempts.get(attempt).map(|a| a.step)
+    fn step_of(&self, attempt: usize) -> Option<AttemptState> {
+        self.attempts.get(attempt).map(|a| a.state)
     }
 
     fn send(&mut self, server: Server, stage: Stage, may: bool, out: &mut Effects) {
         let attempt = self.attempts.len();
         // Rules: one attempt at a time, none beyond the cap, none for what has ended, no second run.
-        let second = self.out();
-        let ended = self.closed();
-        let runs_again = self.terms.repeat == Repeat::Never && stage == Stage::Run && self.ran;
+        let second = self.in_flight();
+        let ended = self.is_closed();
+        let runs_again = self.policy.retry_safety == RetrySafety::AtMostOnce
+            && stage == Stage::Execute
+            && self.may_have_executed;
         #[cfg(feature = "mutants")]
         let (second, ended, runs_again) = (
             second && !self.faulty(Fault::SecondAttempt),
             ended && !self.faulty(Fault::SendsAfterEnd),
             runs_again && !self.faulty(Fault::RunsOrderTwice),
         );
-        let go = may && !second && !ended && !runs_again && attempt < self.terms.most;
+        let go = may && !second && !ended && !runs_again && attempt < self.policy.max_attempts;
         self.attempts.push(Attempt::new(server, stage));
         if !go {
             self.ended(attempt, Status::NotSent, out);
@@ -232,10 +238,10 @@
     fn call_back(&mut self, attempt: usize, out: &mut Effects) {
         match self.step_of(attempt) {
             // Nothing of it is out.
-            Some(Step::Waiting) => self.ended(attempt, Status::NotSent, out),
-            Some(Step::Out) => {
-                self.attempts[attempt].step = Step::CalledBack;
-                out.push(Effect::CallBack { attempt });
+            Some(AttemptState::Queued) => self.ended(attempt, Status::NotSent, out),
+            Some(AttemptState::InFlight) => {
+                self.attempts[attempt].state = AttemptState::Cancelling;
+                out.push(Effect::CancelAttempt { attempt });
             }
             // Too late, or twice: what has begun is the client's.
             _ => {}
@@ -257,8 +263,8 @@
             return;
         }
         for attempt in 0..self.attempts.len() {
-            let Attempt { step, arrived, .. } = self.attempts[attempt];
-            if step == Step::Out && !arrived {
+            let Attempt { state: step, delivered: arrived, .. } = self.attempts[attempt];
+            if step == AttemptState::InFlight && !arrived {
                 self.attempts[attempt].undelivered = true;
                 self.call_back(attempt, out);
             }
@@ -273,48 +279,48 @@
         }
         for attempt in 0..self.attempts.len() {
             // What only waits is not out, whatever the deployment says of calling back.
-            if self.terms.cancel || self.attempts[attempt].step == Step::Waiting {
+            if self.policy.cancellation || self.attempts[attempt].state == AttemptState::Queued {
                 self.call_back(attempt, out);
             }
         }
     }
 
     /// The final answer, unless one was given or has begun; then what is out is of no use to anybody.
-    fn give(&mut self, last: Final, out: &mut Effects) {
-        let free = self.answer == Answer::Owed;
+    fn give(&mut self, last: FinalResponse, out: &mut Effects) {
+        let free = self.response == ResponseState::Pending;
         #[cfg(feature = "mutants")]
         let free = free
-            || self.faulty(Fault::AnswersTwice) && matches!(self.answer, Answer::Given(_))
-            || self.faulty(Fault::AnswersAfterStream) && self.answer == Answer::Streaming;
+            || self.faulty(Fault::AnswersTwice) && matches!(self.response, ResponseState::Final(_))
+            || self.faulty(Fault::AnswersAfterStream) && self.response == ResponseState::Streaming;
         // Rule 2: a refusal says that trying again is harmless.
-        let once = self.terms.repeat == Repeat::Never;
-        let harmful = last == Final::Refused && once && self.may_have_run();
+        let once = self.policy.retry_safety == RetrySafety::AtMostOnce;
+        let harmful = last == FinalResponse::Rejected && once && self.may_have_run();
         #[cfg(feature = "mutants")]
         let harmful = harmful && !self.faulty(Fault::RefusesWhatMayHaveRun);
-        let last = if harmful { Final::Failed } else { last };
+        let last = if harmful { FinalResponse::Failed } else { last };
         if free {
-            self.answer = Answer::Given(last);
-            out.push(Effect::Answer(last));
+            self.response = ResponseState::Final(last);
+            out.push(Effect::Respond(last));
             self.call_back_all(out);
         }
     }
 
     fn replied(&mut self, attempt: usize, reply: Reply, out: &mut Effects) {
         let status = match reply {
-            Reply::Begins => return self.begins(attempt, out),
+            Reply::FirstEvent => return self.begins(attempt, out),
             // Final. It never ran, so nothing came to be held by it.
-            Reply::Unfit if self.answer == Answer::Owed => {
-                self.answer = Answer::Given(Final::Unfit);
-                out.push(Effect::Answer(Final::Unfit));
+            Reply::Unprocessable if self.response == ResponseState::Pending => {
+                self.response = ResponseState::Final(FinalResponse::Unprocessable);
+                out.push(Effect::Respond(FinalResponse::Unprocessable));
                 Status::NotSent
             }
-            Reply::Unfit => Status::NotSent,
-            Reply::Read => Status::Read,
-            Reply::Declined => Status::Declined,
+            Reply::Unprocessable => Status::NotSent,
+            Reply::Prefilled => Status::Prefilled,
+            Reply::Rejected => Status::Rejected,
             Reply::Error => Status::Error,
-            Reply::Connect => Status::Connect,
+            Reply::ConnectFailed => Status::ConnectFailed,
             Reply::Reset => Status::Reset,
-            Reply::Spoilt => Status::Spoilt,
+            Reply::MalformedResponse => Status::MalformedResponse,
             Reply::NotSent => Status::NotSent,
         };
         self.ended(attempt, status, out);
@@ -322,92 +328,96 @@
 
     /// The attempt's first event is here: it is the client's from now on.
     fn begins(&mut self, attempt: usize, out: &mut Effects) {
-        if self.answer != Answer::Owed {
+        if self.response != ResponseState::Pending {
             // Nobody wants it: it ends once it is dropped, so that nothing is let go beside it.
-            self.attempts[attempt].step = Step::CalledBack;
-            return out.push(Effect::CallBack { attempt });
+            self.attempts[attempt].state = AttemptState::Cancelling;
+            return out.push(Effect::CancelAttempt { attempt });
         }
-        self.attempts[attempt].step = Step::Begun;
-        self.attempts[attempt].arrived = true;
-        self.answer = Answer::Streaming;
-        self.ran = true;
+        self.attempts[attempt].state = AttemptState::Streaming;
+        self.attempts[attempt].delivered = true;
+        self.response = ResponseState::Streaming;
+        self.may_have_executed = true;
         // The writer has fetched the state, and its own place is the stream's; one elsewhere is still to be let go.
-        if !matches!(self.held, Held::Place(server) if server != self.attempts[attempt].server) {
-            self.held = Held::Nothing;
+        if !matches!(self.reservation, Reservation::Slot(server) if server != self.attempts[attempt].server) {
+            self.reservation = Reservation::None;
         }
-        out.push(Effect::TellFirst { attempt });
-        out.push(Effect::PassOn { attempt });
+        out.push(Effect::NotifyFirstToken { attempt });
+        out.push(Effect::ForwardStream { attempt });
     }
 
     /// The one outcome of an attempt.
     fn ended(&mut self, attempt: usize, status: Status, out: &mut Effects) {
-        let Attempt { stage, step, .. } = self.attempts[attempt];
-        self.attempts[attempt].step = Step::Ended(status);
-        self.attempts[attempt].arrived = match status {
-            Status::Connect | Status::NotSent => false,
-            _ => self.attempts[attempt].arrived || status.shows_arrival(),
+        let Attempt { stage, state: step, .. } = self.attempts[attempt];
+        self.attempts[attempt].state = AttemptState::Ended(status);
+        self.attempts[attempt].delivered = match status {
+            Status::ConnectFailed | Status::NotSent => false,
+            _ => self.attempts[attempt].delivered || status.shows_arrival(),
         };
-        if step != Step::Waiting {
+        if step != AttemptState::Queued {
             let lost = matches!(
                 status,
-                Status::Cancelled | Status::Undelivered | Status::Reset | Status::Spoilt | Status::Timeout
+                Status::Cancelled
+                    | Status::Undelivered
+                    | Status::Reset
+                    | Status::MalformedResponse
+                    | Status::Timeout
             );
-            let cut = lost && step != Step::Begun;
+            let cut = lost && step != AttemptState::Streaming;
             // Kept until a release has waited for it: a call for a place may have been cut before.
-            self.cut |= cut;
+            self.cut_since_release |= cut;
             // A read may have ended well just as its connection was cut: what it left is let go, and before
             // the request is sent again, whose state it would be.
-            let left = cut && stage == Stage::Read;
+            let left = cut && stage == Stage::Prefill;
             #[cfg(feature = "mutants")]
             let left = left && !self.faulty(Fault::ForgetsCutRead);
             if left {
-                self.hold(Held::State);
+                self.hold(Reservation::KvState);
                 self.release_due();
             }
-            if status == Status::Read {
-                self.hold(Held::State);
+            if status == Status::Prefilled {
+                self.hold(Reservation::KvState);
             }
-            self.ran |= stage == Stage::Run && status.may_have_run();
+            self.may_have_executed |= stage == Stage::Execute && status.may_have_run();
         }
         #[cfg(feature = "mutants")]
         if self.faulty(Fault::LosesOutcome) && status == Status::Cancelled {
             return;
         }
-        out.push(Effect::TellOutcome { attempt, status, closed: self.closed() });
+        out.push(Effect::NotifyOutcome { attempt, status, closed: self.is_closed() });
         #[cfg(feature = "mutants")]
         if self.faulty(Fault::TwoOutcomes) && status == Status::Timeout {
-            out.push(Effect::TellOutcome { attempt, status, closed: self.closed() });
+            out.push(Effect::NotifyOutcome { attempt, status, closed: self.is_closed() });
         }
     }
 
     fn placed(&mut self, server: Server, held: Option<bool>, out: &mut Effects) {
-        self.place = PlaceCall::None;
+        self.slot_request = SlotRequest::None;
         // Where the writer does not know, a place may be held all the same, and beside a stream that has begun
         // without it.
         let left = held != Some(false);
         #[cfg(feature = "mutants")]
         let left = left && !self.faulty(Fault::ForgetsPlace);
         if left {
-            self.hold(Held::Place(server));
+            self.hold(Reservation::Slot(server));
         }
         if let Some(held) = held {
-            out.push(Effect::TellPlace { server, held });
+            out.push(Effect::NotifySlot { server, reserved: held });
         }
     }
 
     /// Something may be held from now on.
-    fn hold(&mut self, what: Held) {
-        if !matches!(self.held, Held::Place(_)) {
-            self.held = what;
+    fn hold(&mut self, what: Reservation) {
+        if !matches!(self.reservation, Reservation::Slot(_)) {
+            self.reservation = what;
         }
-        if let Release::UnderWay { again } = &mut self.release {
+        if let Release::InProgress { repeat: again } = &mut self.release {
             *again = true;
         }
     }
 
     fn release_due(&mut self) {
         match &mut self.release {
-            Release::UnderWay { again } => *again = true,
+            Release::InProgress { repeat: again } => *again = true,
             release => *release = Release::Due,
         }
     }
@@ -416,14 +426,14 @@
         match timer {
             Timer::Deadline => {
                 self.deadline_armed = false;
-                if self.answer == Answer::Owed {
+                if self.response == ResponseState::Pending {
                     // The router is told as if the client had gone, which it is about to.
-                    self.give(Final::Deadline, out);
-                    out.push(Effect::TellGone);
+                    self.give(FinalResponse::DeadlineExceeded, out);
+                    out.push(Effect::NotifyClientDisconnected);
                 }
             }
-            Timer::Pin => {
-                self.pin_armed = false;
+            Timer::LeaseLimit => {
+                self.lease_armed = false;
                 self.drop_place(out);
                 self.give_up_undelivered(out);
                 self.release_due();
@@ -433,20 +443,20 @@
 
     /// Nobody will take a place: its call is given up, and what it may have left is let go.
     fn drop_place(&mut self, out: &mut Effects) {
-        if let PlaceCall::Out(server) = self.place {
-            self.place = PlaceCall::None;
-            self.cut = true;
-            self.hold(Held::Place(server));
-            out.push(Effect::DropPlace);
+        if let SlotRequest::InFlight(server) = self.slot_request {
+            self.slot_request = SlotRequest::None;
+            self.cut_since_release = true;
+            self.hold(Reservation::Slot(server));
+            out.push(Effect::CancelSlotRequest);
         }
     }
 
     /// What follows from where the request stands.
     fn settle(&mut self, out: &mut Effects) {
-        let closed = self.closed();
+        let closed = self.is_closed();
         if closed {
             self.drop_place(out);
-            let lets_go = self.held != Held::Nothing && self.release == Release::None;
+            let lets_go = self.reservation != Reservation::None && self.release == Release::None;
             #[cfg(feature = "mutants")]
             let lets_go = lets_go && !self.faulty(Fault::ForgetsHeldAtEnd);
             if lets_go {
@@ -457,28 +467,29 @@
         #[cfg(feature = "mutants")]
         let free = free || self.faulty(Fault::ReleasesWhileOut);
         if self.release == Release::Due && free {
-            self.release = Release::UnderWay { again: false };
-            out.push(Effect::Release { after_cut: std::mem::take(&mut self.cut) });
+            self.release = Release::InProgress { repeat: false };
+            out.push(Effect::Release { after_cut: std::mem::take(&mut self.cut_since_release) });
         }
         let clear = self.release == Release::None;
         #[cfg(feature = "mutants")]
         let clear = clear || self.faulty(Fault::SendsBeforeRelease);
         if clear {
-            if let Some(attempt) = self.attempts.iter().position(|a| a.step == Step::Waiting) {
-                self.attempts[attempt].step = Step::Out;
-                out.push(Effect::Start { attempt });
+            if let Some(attempt) = self.attempts.iter().position(|a| a.state == AttemptState::Queued) {
+                self.attempts[attempt].state = AttemptState::InFlight;
+                out.push(Effect::StartAttempt { attempt });
             }
         }
         self.timers(out);
-        let left = self.out() || self.release != Release::None || self.place != PlaceCall::None;
+        let left =
+            self.in_flight() || self.release != Release::None || self.slot_request != SlotRequest::None;
         #[cfg(feature = "mutants")]
         let (closed, left) = (
             closed && !self.faulty(Fault::NeverOver),
             left && !(self.faulty(Fault::OverTooEarly) && self.release != Release::None),
         );
         if closed && !left {
-            self.over = true;
-            out.push(Effect::Over);
+            self.is_finished = true;
+            out.push(Effect::Finished);
         }
     }
 
@@ -486,21 +497,21 @@
     fn arrived(&self) -> bool {
         #[cfg(feature = "mutants")]
         if self.faulty(Fault::CountsWrittenAsArrived) {
-            return self.out();
+            return self.in_flight();
         }
-        self.attempts.iter().any(|a| a.open() && a.arrived)
+        self.attempts.iter().any(|a| a.is_open() && a.delivered)
     }
 
     /// Arms what must be armed where the request stands, and nothing else.
     fn timers(&mut self, out: &mut Effects) {
-        let deadline = self.deadline_armed && self.answer == Answer::Owed;
+        let deadline = self.deadline_armed && self.response == ResponseState::Pending;
         // A call for a place may have succeeded already.
-        let held = self.held != Held::Nothing || self.place != PlaceCall::None;
+        let held = self.reservation != Reservation::None || self.slot_request != SlotRequest::None;
         // What is only written stops no clock, and holds up no release.
         let runs = match self.release {
-            Release::None => !self.closed(),
-            Release::Due => self.attempts.iter().any(|a| a.step == Step::Out && !a.arrived),
-            Release::UnderWay { .. } => false,
+            Release::None => !self.is_closed(),
+            Release::Due => self.attempts.iter().any(|a| a.state == AttemptState::InFlight && !a.delivered),
+            Release::InProgress { .. } => false,
         };
         let pin = held && !self.arrived() && runs;
         #[cfg(feature = "mutants")]
@@ -509,14 +520,14 @@
                 && !self.faulty(Fault::NoDeadline),
             pin && !self.faulty(Fault::NoPinLimit),
         );
-        for (timer, wanted) in [(Timer::Deadline, deadline), (Timer::Pin, pin)] {
+        for (timer, wanted) in [(Timer::Deadline, deadline), (Timer::LeaseLimit, pin)] {
             let armed = match timer {
                 Timer::Deadline => &mut self.deadline_armed,
-                Timer::Pin => &mut self.pin_armed,
+                Timer::LeaseLimit => &mut self.lease_armed,
             };
             if *armed != wanted {
                 *armed = wanted;
-                out.push(if wanted { Effect::Arm(timer) } else { Effect::Disarm(timer) });
+                out.push(if wanted { Effect::ArmTimer(timer) } else { Effect::DisarmTimer(timer) });
             }
         }
     }
--- a/crates/request-lifecycle/src/request/words.rs
+++ b/crates/request-lifecycle/src/request/words.rs
@@ -7,20 +7,24 @@
 
 /// How often a request may run at servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// It changes nothing, or its repeats are dropped where the router sends them.
-    Freely,
+    #[serde(rename = "Freely")]
+    Idempotent,
     /// At most once.
-    Never,
+    #[serde(rename = "Never")]
+    AtMostOnce,
 }
 
 /// What an attempt asks of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// To read the prompt and hold its state. It has no effect.
-    Read,
+    #[serde(rename = "Read")]
+    Prefill,
     /// To answer. It may have the request's effect.
-    Run,
+    #[serde(rename = "Run")]
+    Execute,
 }
 
 /// How an attempt ended.
@@ -28,17 +32,21 @@
 pub enum Status {
     Served,
     /// The prompt is read; its state waits at the server.
-    Read,
+    #[serde(rename = "Read")]
+    Prefilled,
     Error,
     /// Turned away: it never ran.
-    Declined,
+    #[serde(rename = "Declined")]
+    Rejected,
     Timeout,
     /// Nothing of it can have run: its last byte was never written.
-    Connect,
+    #[serde(rename = "Connect")]
+    ConnectFailed,
     /// It may have run.
     Reset,
     /// What came back could not be read. It may have run.
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    MalformedResponse,
     /// Called back, or its client left. It may have run.
     Cancelled,
     /// Written, and no sign came in time that it had arrived; called back, since what is held for it may not wait longer.
@@ -51,26 +59,29 @@
 impl Status {
     /// Whether this could only come back from a server that had taken the attempt.
     pub fn shows_arrival(self) -> bool {
-        matches!(self, Status::Served | Status::Read | Status::Error | Status::Declined | Status::Spoilt)
+        matches!(
+            self,
+            Status::Served | Status::Prefilled | Status::Error | Status::Rejected | Status::MalformedResponse
+        )
     }
 
     /// Rule 2: whether the server may have begun what was asked, by what came back.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Status::Declined | Status::Connect | Status::NotSent | Status::Read)
+        !matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Prefilled)
     }
 }
 
 /// Where one attempt stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Step {
+pub enum AttemptState {
     /// Ordered; it waits until what may be held by this name has been let go.
-    Waiting,
+    Queued,
     /// On its way to its server, or there: [`Attempt::arrived`] says what is known.
-    Out,
+    InFlight,
     /// Called back. Its call is not dropped yet.
-    CalledBack,
+    Cancelling,
     /// The client's: its answer passes on.
-    Begun,
+    Streaming,
     Ended(Status),
 }
 
@@ -78,10 +89,10 @@
 pub struct Attempt {
     pub server: Server,
     pub stage: Stage,
-    pub step: Step,
+    pub state: AttemptState,
     /// A sign has shown that its last byte came to a server that runs. What is only written may never arrive: it stops no
     /// clock.
-    pub arrived: bool,
+    pub delivered: bool,
     /// Called back since no such sign came in time.
     pub undelivered: bool,
 }
@@ -89,17 +100,18 @@
 impl Attempt {
     /// One that has been ordered.
     pub fn new(server: Server, stage: Stage) -> Attempt {
-        Attempt { server, stage, step: Step::Waiting, arrived: false, undelivered: false }
+        Attempt { server, stage, state: AttemptState::Queued, delivered: false, undelivered: false }
     }
 
     /// Rule 2: whether it has ended and may have had the request's effect.
     pub fn may_have_run(&self) -> bool {
-        self.stage == Stage::Run && matches!(self.step, Step::Ended(status) if status.may_have_run())
+        self.stage == Stage::Execute
+            && matches!(self.state, AttemptState::Ended(status) if status.may_have_run())
     }
 
     /// Whether its outcome is still to come.
-    pub fn open(&self) -> bool {
-        !matches!(self.step, Step::Ended(_))
+    pub fn is_open(&self) -> bool {
+        !matches!(self.state, AttemptState::Ended(_))
     }
 }
 
@@ -107,16 +119,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
     /// The prompt is read.
-    Read,
+    #[serde(rename = "Read")]
+    Prefilled,
     /// The first whole event is here.
-    Begins,
-    Declined,
+    #[serde(rename = "Begins")]
+    FirstEvent,
+    #[serde(rename = "Declined")]
+    Rejected,
     /// The fault is the request's own; every server would find it.
-    Unfit,
+    #[serde(rename = "Unfit")]
+    Unprocessable,
     Error,
-    Connect,
+    #[serde(rename = "Connect")]
+    ConnectFailed,
     Reset,
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    MalformedResponse,
     /// Kept back on the way: the server is to get nothing new.
     NotSent,
 }
@@ -124,49 +142,57 @@
 /// How an answer that had begun ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StreamEnd {
-    Whole,
+    #[serde(rename = "Whole")]
+    Complete,
     /// Another process goes on with it.
-    Moved,
+    #[serde(rename = "Moved")]
+    HandedOver,
     Reset,
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    MalformedResponse,
     /// No event came for too long.
-    Silent,
+    #[serde(rename = "Silent")]
+    IdleTimeout,
     /// The client takes nothing any more.
-    Untaken,
+    #[serde(rename = "Untaken")]
+    ClientStalled,
 }
 
 /// What the client was told at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Final {
-    Refused,
+pub enum FinalResponse {
+    #[serde(rename = "Refused")]
+    Rejected,
     /// The servers tried did not answer it.
     Failed,
-    Deadline,
-    Unfit,
+    #[serde(rename = "Deadline")]
+    DeadlineExceeded,
+    #[serde(rename = "Unfit")]
+    Unprocessable,
 }
 
 /// How far the client's answer is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ResponseState {
     /// Nothing of it is out.
-    Owed,
+    Pending,
     /// An attempt's stream passes on.
     Streaming,
-    Given(Final),
+    Final(FinalResponse),
     /// The stream has ended, whole or broken.
-    Streamed,
+    StreamEnded,
     /// The client went first: nobody is owed anything.
     Abandoned,
 }
 
 /// What servers may hold under this request's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Held {
-    Nothing,
+pub enum Reservation {
+    None,
     /// A reader holds the prompt's state, or may.
-    State,
+    KvState,
     /// This writer holds a place, or may; a state may be held too.
-    Place(Server),
+    Slot(Server),
 }
 
 /// The letting go of what is held.
@@ -176,16 +202,16 @@
     /// To begin as soon as nothing is out.
     Due,
     /// Under way; `again` if something came to be held since it began.
-    UnderWay {
-        again: bool,
+    InProgress {
+        repeat: bool,
     },
 }
 
 /// A call for a place that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum PlaceCall {
+pub enum SlotRequest {
     None,
-    Out(Server),
+    InFlight(Server),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -193,7 +219,8 @@
     /// The request's deadline, a little later than the router's own.
     Deadline,
     /// Something is held and nothing that is out has arrived: the router has so long to make use of it.
-    Pin,
+    #[serde(rename = "Pin")]
+    LeaseLimit,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -202,7 +229,8 @@
     Send {
         server: Server,
         stage: Stage,
-        may: bool,
+        #[serde(rename = "may")]
+        permitted: bool,
     },
     /// Order: call an attempt back.
     Cancel {
@@ -211,14 +239,18 @@
     /// Order: let go of all that is held.
     Release,
     /// Order: the final answer.
-    Answer(Final),
+    #[serde(rename = "Answer")]
+    Respond(FinalResponse),
     /// Order: ask this writer to hold a place.
-    Hold {
+    #[serde(rename = "Hold")]
+    ReserveSlot {
         server: Server,
     },
-    ClientGone,
+    #[serde(rename = "ClientGone")]
+    ClientDisconnected,
     /// A sign shows that an attempt has arrived at its server.
-    Arrived {
+    #[serde(rename = "Arrived")]
+    Delivered {
         attempt: usize,
     },
     Replied {
@@ -234,63 +266,65 @@
         attempt: usize,
     },
     /// The call of an attempt that was called back is dropped, its connection closed.
-    Dropped {
+    #[serde(rename = "Dropped")]
+    CancelCompleted {
         attempt: usize,
     },
     /// A writer's answer to the call for a place: held, not held, or not known.
-    Placed {
-        held: Option<bool>,
+    #[serde(rename = "Placed")]
+    SlotAnswered {
+        #[serde(rename = "held")]
+        reserved: Option<bool>,
     },
     /// A release has come to its end, well or not.
     Released,
-    Due(Timer),
+    #[serde(rename = "Due")]
+    TimerExpired(Timer),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
     /// Sends the attempt now, once.
-    Start {
-        attempt: usize,
-    },
+    #[serde(rename = "Start")]
+    StartAttempt { attempt: usize },
     /// Drops the attempt's call; [`Input::Dropped`] tells when that is done.
-    CallBack {
-        attempt: usize,
-    },
+    #[serde(rename = "CallBack")]
+    CancelAttempt { attempt: usize },
     /// Lets go at the servers; `after_cut`: a server may not have seen the cut of the last attempt yet.
-    Release {
-        after_cut: bool,
-    },
-    AskPlace {
-        server: Server,
-    },
+    Release { after_cut: bool },
+    #[serde(rename = "AskPlace")]
+    RequestSlot { server: Server },
     /// Gives up the call for a place.
-    DropPlace,
+    #[serde(rename = "DropPlace")]
+    CancelSlotRequest,
     /// The client's final answer, at once.
-    Answer(Final),
+    #[serde(rename = "Answer")]
+    Respond(FinalResponse),
     /// The client's answer begins with what this attempt brought.
-    PassOn {
-        attempt: usize,
-    },
+    #[serde(rename = "PassOn")]
+    ForwardStream { attempt: usize },
     /// To the router: the attempt's first event.
-    TellFirst {
-        attempt: usize,
-    },
+    #[serde(rename = "TellFirst")]
+    NotifyFirstToken { attempt: usize },
     /// To the router: the one outcome of an attempt.
-    TellOutcome {
-        attempt: usize,
-        status: Status,
-        closed: bool,
-    },
+    #[serde(rename = "TellOutcome")]
+    NotifyOutcome { attempt: usize, status: Status, closed: bool },
     /// To the router: nobody waits for the request any more.
-    TellGone,
-    TellPlace {
+    #[serde(rename = "TellGone")]
+    NotifyClientDisconnected,
+    #[serde(rename = "TellPlace")]
+    NotifySlot {
         server: Server,
-        held: bool,
+        #[serde(rename = "held")]
+        reserved: bool,
     },
-    Arm(Timer),
-    Disarm(Timer),
+    #[serde(rename = "Arm")]
+    ArmTimer(Timer),
+    #[serde(rename = "Disarm")]
+    DisarmTimer(Timer),
     /// Nothing is left: forget the request, its name is free.
-    Over,
+    #[serde(rename = "Over")]
+    Finished,
 }
 
 /// A fault planted in the machine, for the explorer to show that it finds each. The gateway's build has none.
@@ -324,22 +358,22 @@
 
 /// What a request is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Terms {
-    pub repeat: Repeat,
+pub struct RequestPolicy {
+    pub retry_safety: RetrySafety,
     /// Most attempts.
-    pub most: usize,
+    pub max_attempts: usize,
     /// Whether the deployment lets an attempt be called back of which nobody wants the answer any more.
-    pub cancel: bool,
+    pub cancellation: bool,
 }
 
 impl StreamEnd {
     pub fn status(self) -> Status {
         match self {
-            StreamEnd::Whole | StreamEnd::Moved => Status::Served,
+            StreamEnd::Complete | StreamEnd::HandedOver => Status::Served,
             StreamEnd::Reset => Status::Reset,
-            StreamEnd::Spoilt => Status::Spoilt,
-            StreamEnd::Silent => Status::Timeout,
-            StreamEnd::Untaken => Status::Cancelled,
+            StreamEnd::MalformedResponse => Status::MalformedResponse,
+            StreamEnd::IdleTimeout => Status::Timeout,
+            StreamEnd::ClientStalled => Status::Cancelled,
         }
     }
 }
--- a/crates/request-lifecycle/src/server.rs
+++ b/crates/request-lifecycle/src/server.rs
@@ -5,19 +5,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Impossible;
+use crate::InvalidTransition;
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Being opened.
-    Dialling,
+    Connecting,
     /// Up, with no request on it.
     Idle,
     /// A request is being written; not all of it is out.
     Writing,
     /// Its last byte is out; the head of its answer is not here.
-    Awaiting,
+    AwaitingHead,
     /// The answer's body comes in.
     Streaming,
     /// The server has closed it, or said what nobody asked for, while it stood idle.
@@ -30,25 +30,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Input {
     /// It is up.
-    Up,
+    #[serde(rename = "Up")]
+    Connected,
     /// It did not come up.
-    Refused,
+    #[serde(rename = "Refused")]
+    ConnectFailed,
     /// A request is to be written. `serving`: its server may get something new at this moment.
     Send { serving: bool },
     /// Some bytes of the request were handed to the machine.
-    Wrote,
+    #[serde(rename = "Wrote")]
+    BytesWritten,
     /// So was its last one.
-    WroteAll,
+    #[serde(rename = "WroteAll")]
+    LastByteWritten,
     /// The head of the answer has come whole.
-    Head,
+    #[serde(rename = "Head")]
+    HeadReceived,
     /// The answer has come to its end.
-    End,
+    #[serde(rename = "End")]
+    ResponseComplete,
     /// Reading has stopped between two chunks, for another process to go on.
-    Stands,
+    #[serde(rename = "Stands")]
+    ReadPaused,
     /// The server closed it, reset it or said what cannot be read.
-    Broke,
+    #[serde(rename = "Broke")]
+    Broken,
     /// Whoever waited for it gave up, or it has stood idle for too long.
-    Dropped,
+    #[serde(rename = "Dropped")]
+    Abandoned,
     /// The server is to get nothing new.
     Drained,
 }
@@ -56,7 +65,8 @@
 /// What is to be done, or what is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
-    Nothing,
+    #[serde(rename = "Nothing")]
+    None,
     /// Write the request.
     Write,
     /// Not a byte went out, and this connection was an old one: the same request on another is no second attempt.
@@ -66,9 +76,11 @@
     /// The request may have run.
     MayHaveRun,
     /// The server must get nothing: nothing was written, and the connection is closed.
-    KeptBack,
+    #[serde(rename = "KeptBack")]
+    Withheld,
     /// Take it for the next request.
-    Keep,
+    #[serde(rename = "Keep")]
+    Reuse,
     Close,
     /// The open answer goes on elsewhere.
     HandOver,
@@ -90,7 +102,7 @@
     /// It has carried a request before this one.
     used: bool,
     /// A byte of the open request is out.
-    wrote: bool,
+    has_written: bool,
     /// Its server is to get nothing new.
     drained: bool,
     #[cfg(feature = "mutants")]
@@ -100,9 +112,9 @@
 impl Default for Connection {
     fn default() -> Self {
         Connection {
-            stage: Stage::Dialling,
+            stage: Stage::Connecting,
             used: false,
-            wrote: false,
+            has_written: false,
             drained: false,
             #[cfg(feature = "mutants")]
             fault: None,
@@ -127,73 +139,73 @@
     }
 
     /// Whether a byte of the open request is out.
-    pub fn wrote(&self) -> bool {
-        self.wrote
+    pub fn has_written(&self) -> bool {
+        self.has_written
     }
 
     /// The transition table.
-    pub fn step(&mut self, input: Input) -> Result<Effect, Impossible> {
+    pub fn step(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
         use Stage::*;
         #[cfg(feature = "mutants")]
         let planted = self.fault;
         let (next, effect) = match (self.stage, input) {
             (Stale | Closing | HandedOver, _) => return self.ended(input),
-            (Dialling, Input::Up) => (Idle, Effect::Nothing),
-            (Dialling, Input::Refused | Input::Broke) => (Closing, Effect::NeverRan),
+            (Connecting, Input::Connected) => (Idle, Effect::None),
+            (Connecting, Input::ConnectFailed | Input::Broken) => (Closing, Effect::NeverRan),
             // Connecting takes time: what was told meanwhile counts at the first byte.
             (Idle, Input::Send { serving }) => {
                 let may = serving && !self.drained;
                 #[cfg(feature = "mutants")]
                 let may = may || planted == Some(Fault::WritesToDrained);
                 if may {
-                    self.wrote = false;
+                    self.has_written = false;
                     (Writing, Effect::Write)
                 } else {
-                    (Closing, Effect::KeptBack)
+                    (Closing, Effect::Withheld)
                 }
             }
-            (Idle, Input::Broke) => (Stale, Effect::Close),
-            (Writing, Input::Wrote) => {
-                self.wrote = true;
-                (Writing, Effect::Nothing)
+            (Idle, Input::Broken) => (Stale, Effect::Close),
+            (Writing, Input::BytesWritten) => {
+                self.has_written = true;
+                (Writing, Effect::None)
             }
-            (Writing, Input::WroteAll) => {
-                self.wrote = true;
-                (Awaiting, Effect::Nothing)
+            (Writing, Input::LastByteWritten) => {
+                self.has_written = true;
+                (AwaitingHead, Effect::None)
             }
-            (Writing, Input::Broke) => {
-                let replace = self.used && !self.wrote;
+            (Writing, Input::Broken) => {
+                let replace = self.used && !self.has_written;
                 #[cfg(feature = "mutants")]
                 let replace = replace || self.used && planted == Some(Fault::ReplacesAfterByte);
                 (Closing, if replace { Effect::Replace } else { Effect::NeverRan })
             }
             // Answered before its end was written: the server has made up its mind.
-            (Writing | Awaiting, Input::Head) => (Streaming, Effect::Nothing),
-            (Awaiting | Streaming, Input::Broke) => {
+            (Writing | AwaitingHead, Input::HeadReceived) => (Streaming, Effect::None),
+            (AwaitingHead | Streaming, Input::Broken) => {
                 let ran = Effect::MayHaveRun;
                 #[cfg(feature = "mutants")]
                 let ran = if planted == Some(Fault::CallsSentNeverRan) { Effect::NeverRan } else { ran };
                 (Closing, ran)
             }
-            (Streaming, Input::End) => {
+            (Streaming, Input::ResponseComplete) => {
                 let keep = !self.drained;
                 #[cfg(feature = "mutants")]
                 let keep = keep || planted == Some(Fault::KeepsDrained);
-                (self.used, self.wrote) = (true, false);
+                (self.used, self.has_written) = (true, false);
                 if keep {
-                    (Idle, Effect::Keep)
+                    (Idle, Effect::Reuse)
                 } else {
                     (Closing, Effect::Close)
                 }
             }
-            (Streaming, Input::Stands) => (HandedOver, Effect::HandOver),
-            (_, Input::Dropped) => (Closing, Effect::Close),
+            (Streaming, Input::ReadPaused) => (HandedOver, Effect::HandOver),
+            (_, Input::Abandoned) => (Closing, Effect::Close),
             // What stands idle is closed; a request under way may end.
             (stage, Input::Drained) => {
                 self.drained = true;
                 match stage {
                     Idle => (Closing, Effect::Close),
-                    _ => (stage, Effect::Nothing),
+                    _ => (stage, Effect::None),
                 }
             }
             _ => return Err(self.impossible(&input)),
@@ -203,15 +215,15 @@
     }
 
     /// After its end, what was on its way may still come, and changes nothing.
-    fn ended(&self, input: Input) -> Result<Effect, Impossible> {
+    fn ended(&self, input: Input) -> Result<Effect, InvalidTransition> {
         match (self.stage, input) {
             (Stage::Stale, Input::Send { .. }) => Ok(Effect::Replace),
-            (_, Input::Dropped | Input::Drained | Input::Broke) => Ok(Effect::Nothing),
+            (_, Input::Abandoned | Input::Drained | Input::Broken) => Ok(Effect::None),
             _ => Err(self.impossible(&input)),
         }
     }
 
-    fn impossible(&self, input: &Input) -> Impossible {
-        Impossible::new("server connection", input, self)
+    fn impossible(&self, input: &Input) -> InvalidTransition {
+        InvalidTransition::new("server connection", input, self)
     }
 }
--- a/crates/request-lifecycle/src/watch/mod.rs
+++ b/crates/request-lifecycle/src/watch/mod.rs
@@ -18,13 +18,13 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use pauses::Pauses;
+pub use pauses::BackoffPolicy;
 
 /// What the next call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Poll {
     /// The whole list; its answer must have begun within this time.
-    Whole { within: Duration },
+    FullList { within: Duration },
     /// Changes to the version known, for which the call may be held; its answer must have begun within this time.
     Changes { hold: Duration, within: Duration },
 }
@@ -33,98 +33,106 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Its answer must have begun, the time to connect included.
-    pub begins: Duration,
+    pub first_byte: Duration,
     /// Each part of its answer must come so soon after the one before.
-    pub part: Duration,
+    pub between_parts: Duration,
     /// It must have ended, whatever has come.
-    pub ends: Duration,
+    pub total: Duration,
 }
 
 /// Why a call brought no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Failed {
+pub enum PollFailure {
     /// It broke, was not answered in time, or could not be read.
     Lost,
     /// Discovery has too much to do; it may say how long it wants to be left alone.
-    TurnedAway(Option<Duration>),
+    Throttled(Option<Duration>),
 }
 
 /// A watch of discovery, as far as its calls are concerned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Watch {
-    pauses: Pauses,
+pub struct PollSchedule {
+    pauses: BackoffPolicy,
     /// Calls that failed since the last one that was answered.
-    failed: u32,
+    poll_failed: u32,
     /// Of these, calls that were turned away.
     turned_away: u32,
     /// The last call was answered, by the place that is asked now.
     current: bool,
     /// The place that is asked now is a new one, and has answered no call yet.
-    moved: bool,
+    address_changed: bool,
     random: u64,
 }
 
-impl Watch {
+impl PollSchedule {
     /// The calls of one gateway; no two may have the same seed.
-    pub fn new(pauses: Pauses, seed: u64) -> Self {
+    pub fn new(pauses: BackoffPolicy, seed: u64) -> Self {
         let random = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-        Watch { pauses, failed: 0, turned_away: 0, current: false, moved: false, random }
+        PollSchedule {
+            pauses,
+            poll_failed: 0,
+            turned_away: 0,
+            current: false,
+            address_changed: false,
+            random,
+        }
     }
 
     /// Calls that failed since the last one that was answered.
     pub fn failures(&self) -> u32 {
-        self.failed
+        self.poll_failed
     }
 
     /// The pause before the first call of a gateway that can serve by an older list.
-    pub fn begin(&mut self) -> Duration {
+    pub fn initial_delay(&mut self) -> Duration {
         self.pauses.round.mul_f64(self.unit())
     }
 
     /// What the next call asks for; `known`: there is a version that changes can be told from.
-    pub fn ask(&self, known: bool) -> Ask {
-        let Pauses { hold, late, at_once, .. } = self.pauses;
+    pub fn next_poll(&self, known: bool) -> Poll {
+        let BackoffPolicy { hold, answer_grace: late, full_list_timeout: at_once, .. } = self.pauses;
         match at_once {
-            Some(within) if !self.current => Ask::Whole { within },
-            _ if known => Ask::Changes { hold, within: hold + late },
-            _ => Ask::Whole { within: (hold + late).min(self.pauses.longest_call(self.moved)) },
+            Some(within) if !self.current => Poll::FullList { within },
+            _ if known => Poll::Changes { hold, within: hold + late },
+            _ => Poll::FullList { within: (hold + late).min(self.pauses.longest_call(self.address_changed)) },
         }
     }
 
     /// How long the call for this may take.
-    pub fn limits(&self, ask: Ask) -> Limits {
-        let Pauses { late, at_once, .. } = self.pauses;
-        let (Ask::Whole { within } | Ask::Changes { within, .. }) = ask;
+    pub fn limits(&self, ask: Poll) -> Limits {
+        let BackoffPolicy { answer_grace: late, full_list_timeout: at_once, .. } = self.pauses;
+        let (Poll::FullList { within } | Poll::Changes { within, .. }) = ask;
         match at_once {
             // An agent that stops in the middle of an answer has fallen silent; a long list may still come in parts.
-            Some(part) => Limits { begins: within, part, ends: within + late },
-            None => Limits { begins: within, part: late, ends: within },
+            Some(part) => Limits { first_byte: within, between_parts: part, total: within + late },
+            None => Limits { first_byte: within, between_parts: late, total: within },
         }
     }
 
     /// A call was answered: the next one follows at once, and nothing is held against discovery.
-    pub fn answered(&mut self) {
-        (self.failed, self.turned_away, self.current, self.moved) = (0, 0, true, false);
+    pub fn poll_succeeded(&mut self) {
+        (self.poll_failed, self.turned_away, self.current, self.address_changed) = (0, 0, true, false);
     }
 
     /// Discovery has another address: nothing is held against that one.
-    pub fn moved(&mut self) {
-        (self.failed, self.turned_away, self.current, self.moved) = (0, 0, false, true);
+    pub fn address_changed(&mut self) {
+        (self.poll_failed, self.turned_away, self.current, self.address_changed) = (0, 0, false, true);
     }
 
     /// A call failed that took so long: the pause before the next one, from half the mean to one and a half times it. All
     /// that passes until the next call has its answer comes out of one time, so that what discovery has when it can be
     /// reached again is here before it counts as told. Only where so many gateways ask that discovery cannot answer all of
     /// them in that time do those that are turned away again wait longer.
-    pub fn failed(&mut self, why: Failed, took: Duration) -> Duration {
-        let (lost, away) = (self.failed - self.turned_away, self.turned_away);
-        (self.failed, self.current) = (self.failed.saturating_add(1), false);
-        let Pauses { first, most, round, longest_round, .. } = self.pauses;
-        let room = self.pauses.room(self.moved, took);
-        let all_in_time = longest_round <= self.pauses.room(false, Duration::ZERO);
+    pub fn poll_failed(&mut self, why: PollFailure, took: Duration) -> Duration {
+        let (lost, away) = (self.poll_failed - self.turned_away, self.turned_away);
+        (self.poll_failed, self.current) = (self.poll_failed.saturating_add(1), false);
+        let BackoffPolicy { initial_backoff: first, max_backoff: most, round, longest_round, .. } =
+            self.pauses;
+        let room = self.pauses.max_mean_backoff(self.address_changed, took);
+        let all_in_time = longest_round <= self.pauses.max_mean_backoff(false, Duration::ZERO);
         let (least, doublings, most) = match why {
-            Failed::Lost => (first, lost, most.min(room)),
-            Failed::TurnedAway(_) => {
+            PollFailure::Lost => (first, lost, most.min(room)),
+            PollFailure::Throttled(_) => {
                 self.turned_away = self.turned_away.saturating_add(1);
                 let most = if away == 0 || all_in_time { room } else { longest_round.max(room) };
                 (round, away, most)
@@ -135,7 +143,9 @@
             least.max(first).saturating_mul(1 << doublings.min(16)).min(most).mul_f64(0.5 + self.unit());
         match why {
             // Whoever is told the same time must not come back in the same moment.
-            Failed::TurnedAway(Some(wanted)) => pause.max(wanted.min(most).mul_f64(1.0 + self.unit() / 2.0)),
+            PollFailure::Throttled(Some(wanted)) => {
+                pause.max(wanted.min(most).mul_f64(1.0 + self.unit() / 2.0))
+            }
             _ => pause,
         }
     }
--- a/crates/request-lifecycle/src/watch/pauses.rs
+++ b/crates/request-lifecycle/src/watch/pauses.rs
@@ -22,11 +22,11 @@
 
 /// How pauses are drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pauses {
+pub struct BackoffPolicy {
     /// The mean pause after a call was lost once: a watch whose next call comes soon enough goes on as the same one.
-    pub first: Duration,
+    pub initial_backoff: Duration,
     /// The longest mean pause after lost calls.
-    pub most: Duration,
+    pub max_backoff: Duration,
     /// The time in which all gateways together call once; none where a call costs discovery nothing.
     pub round: Duration,
     /// The longest mean pause of one that is turned away again and again.
@@ -34,62 +34,64 @@
     /// For so long discovery may keep a watch waiting.
     pub hold: Duration,
     /// A call must be answered so soon after its hold has passed, or it is taken for lost.
-    pub late: Duration,
+    pub answer_grace: Duration,
     /// How soon a call for the whole list is answered, where an agent on the same machine does so at once.
-    pub at_once: Option<Duration>,
+    pub full_list_timeout: Option<Duration>,
     /// A call that failed, the pause after it and the answer to the next one take no longer than this together; nor than
     /// the second of the two at a place that discovery has just moved to.
-    pub told: (Duration, Duration),
+    pub freshness_limit: (Duration, Duration),
 }
 
-impl Pauses {
+impl BackoffPolicy {
     /// Where lists are pushed: calls go to an agent on the same machine, at no cost. What it has counts as told whether or
     /// not a watch is open, and a drain may have to be kept within 250 ms: no call and pause take longer.
-    pub const PUSHED: Pauses = Pauses {
-        first: Duration::from_millis(30),
-        most: Duration::from_millis(30),
+    pub const PUSHED: BackoffPolicy = BackoffPolicy {
+        initial_backoff: Duration::from_millis(30),
+        max_backoff: Duration::from_millis(30),
         round: Duration::ZERO,
         longest_round: Duration::from_millis(30),
         hold: Duration::from_millis(1_000),
-        late: Duration::from_millis(500),
-        at_once: Some(Duration::from_millis(150)),
-        told: (Duration::ZERO, Duration::ZERO),
+        answer_grace: Duration::from_millis(500),
+        full_list_timeout: Some(Duration::from_millis(150)),
+        freshness_limit: (Duration::ZERO, Duration::ZERO),
     };
 
     /// Where so many gateways have to ask. Whoever has not asked for `ask_within` counts as told all the same; zero: there
     /// is no such rule.
-    pub fn asked(routers: u32, ask_within: Duration) -> Pauses {
+    pub fn polled(routers: u32, ask_within: Duration) -> BackoffPolicy {
         let told = if ask_within.is_zero() { TOLD } else { TOLD.min(ask_within) };
-        let pauses = Pauses {
+        let pauses = BackoffPolicy {
             // Short enough for the watch to go on as the same one.
-            first: Duration::from_millis(100),
-            most: Duration::from_millis(2_500),
+            initial_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_millis(2_500),
             round: (TURN * routers).min(told.saturating_sub(ANSWER)),
             longest_round: (TURN * ROUNDS * routers).min(LONGEST_ROUND),
             // So that a lost watch is noticed soon.
             hold: Duration::from_millis(2_000),
-            late: Duration::from_millis(1_000),
-            at_once: None,
-            told: (told, told.min(TOLD_AFTER_MOVE)),
+            answer_grace: Duration::from_millis(1_000),
+            full_list_timeout: None,
+            freshness_limit: (told, told.min(TOLD_AFTER_MOVE)),
         };
-        Pauses { first: pauses.first.min(told / 4), ..pauses }
+        BackoffPolicy { initial_backoff: pauses.initial_backoff.min(told / 4), ..pauses }
     }
 
     /// The longest mean pause after a call that took so long, if what the next one tells is to be here in time.
-    pub(super) fn room(&self, moved: bool, took: Duration) -> Duration {
-        self.told(moved).saturating_sub(ANSWER + took).div_f64(DRAWN)
+    pub(super) fn max_mean_backoff(&self, moved: bool, took: Duration) -> Duration {
+        self.freshness_limit(moved).saturating_sub(ANSWER + took).div_f64(DRAWN)
     }
 
     /// How long a call may take that leaves room for the shortest pause.
     pub(super) fn longest_call(&self, moved: bool) -> Duration {
-        self.told(moved).saturating_sub(ANSWER + self.first.mul_f64(DRAWN)).max(self.late)
+        self.freshness_limit(moved)
+            .saturating_sub(ANSWER + self.initial_backoff.mul_f64(DRAWN))
+            .max(self.answer_grace)
     }
 
-    fn told(&self, moved: bool) -> Duration {
+    fn freshness_limit(&self, moved: bool) -> Duration {
         if moved {
-            self.told.1
+            self.freshness_limit.1
         } else {
-            self.told.0
+            self.freshness_limit.0
         }
     }
 }
--- a/crates/request-lifecycle/src/watch/tests.rs
+++ b/crates/request-lifecycle/src/watch/tests.rs
@@ -5,12 +5,12 @@
 use std::collections::VecDeque;
 
 /// What a hundred gateways draw, and a few.
-fn many() -> Pauses {
-    Pauses::asked(100, Duration::from_secs(10))
+fn many() -> BackoffPolicy {
+    BackoffPolicy::polled(100, Duration::from_secs(10))
 }
 
-fn few() -> Pauses {
-    Pauses::asked(2, Duration::from_secs(10))
+fn few() -> BackoffPolicy {
+    BackoffPolicy::polled(2, Duration::from_secs(10))
 }
 
 const NO_TIME: Duration = Duration::ZERO;
@@ -21,18 +21,18 @@
         let ms = pause.as_millis() as u64;
         assert!((mean / 2..=mean * 3 / 2).contains(&ms), "{ms} ms, mean {mean}");
     };
-    let mut watch = Watch::new(many(), 7);
+    let mut watch = PollSchedule::new(many(), 7);
     for mean in [100, 200, 400, 800, 1_600, 2_500, 2_500] {
-        within(watch.failed(Failed::Lost, NO_TIME), mean);
+        within(watch.poll_failed(PollFailure::Lost, NO_TIME), mean);
     }
-    (0..100).for_each(|_| within(watch.failed(Failed::Lost, NO_TIME), 2_500));
-    watch.answered();
-    within(watch.failed(Failed::Lost, NO_TIME), 100);
-    watch.answered();
+    (0..100).for_each(|_| within(watch.poll_failed(PollFailure::Lost, NO_TIME), 2_500));
+    watch.poll_succeeded();
+    within(watch.poll_failed(PollFailure::Lost, NO_TIME), 100);
+    watch.poll_succeeded();
     [3_333, 10_000, 20_000, 20_000]
         .into_iter()
-        .for_each(|m| within(watch.failed(Failed::TurnedAway(None), NO_TIME), m));
-    let begins = (0..100).map(|_| watch.begin());
+        .for_each(|m| within(watch.poll_failed(PollFailure::Throttled(None), NO_TIME), m));
+    let begins = (0..100).map(|_| watch.initial_delay());
     assert!(begins.into_iter().all(|b| b < many().round));
 }
 
@@ -40,16 +40,16 @@
 /// of gateways so few that it has time for all of them.
 #[test]
 fn what_discovery_asks_for_is_given_up_to_the_most() {
-    let asks = |seconds| Failed::TurnedAway(Some(Duration::from_secs(seconds)));
+    let asks = |seconds| PollFailure::Throttled(Some(Duration::from_secs(seconds)));
     let (least, told) = (Duration::from_secs(3), Duration::from_secs(5));
-    let mut watch = Watch::new(many(), 7);
-    assert!((least..=told).contains(&watch.failed(asks(3), NO_TIME)));
-    assert!(watch.failed(asks(9), NO_TIME) >= Duration::from_secs(9));
-    assert!(watch.failed(asks(900), NO_TIME) <= many().longest_round * 2);
-    watch.answered();
-    assert!(watch.failed(asks(900), NO_TIME) <= told);
-    let mut watch = Watch::new(few(), 7);
-    (0..20).for_each(|_| assert!(watch.failed(asks(900), NO_TIME) <= told));
+    let mut watch = PollSchedule::new(many(), 7);
+    assert!((least..=told).contains(&watch.poll_failed(asks(3), NO_TIME)));
+    assert!(watch.poll_failed(asks(9), NO_TIME) >= Duration::from_secs(9));
+    assert!(watch.poll_failed(asks(900), NO_TIME) <= many().longest_round * 2);
+    watch.poll_succeeded();
+    assert!(watch.poll_failed(asks(900), NO_TIME) <= told);
+    let mut watch = PollSchedule::new(few(), 7);
+    (0..20).for_each(|_| assert!(watch.poll_failed(asks(900), NO_TIME) <= told));
 }
 
 /// A service that takes calls in turn, so many a second, works through those whose callers have given up after 2 s
@@ -62,11 +62,12 @@
 
 /// When each of `gateways` that start within 100 ms has been answered, and how many calls that took; none if it takes
 /// longer than two minutes.
-fn all_told(gateways: usize, mut service: Service, pauses: Pauses) -> Option<(u64, usize)> {
-    let mut watches: Vec<Watch> = (0..gateways).map(|n| Watch::new(pauses, n as u64 + 1)).collect();
+fn all_told(gateways: usize, mut service: Service, pauses: BackoffPolicy) -> Option<(u64, usize)> {
+    let mut watches: Vec<PollSchedule> =
+        (0..gateways).map(|n| PollSchedule::new(pauses, n as u64 + 1)).collect();
     let mut due: VecDeque<(u64, usize)> = VecDeque::new();
     for (n, watch) in watches.iter_mut().enumerate() {
-        due.push_back(((n % 100) as u64 + watch.begin().as_millis() as u64, n));
+        due.push_back(((n % 100) as u64 + watch.initial_delay().as_millis() as u64, n));
     }
     let (mut calls, mut last) = (0, 0);
     while let Some(next) = due.iter().min().copied() {
@@ -84,7 +85,7 @@
         }
         if full || waits > 2_000 {
             let took = if full { 0 } else { 2_000 };
-            let pause = watches[n].failed(Failed::TurnedAway(None), Duration::from_millis(took));
+            let pause = watches[n].poll_failed(PollFailure::Throttled(None), Duration::from_millis(took));
             due.push_back((now + took + pause.as_millis() as u64, n));
         } else {
             last = last.max(now + waits);
@@ -100,8 +101,12 @@
     let service = || Service { every: 60, down: 0, free: 0 };
     let (took, calls) = all_told(100, service(), many()).expect("all told");
     assert!(took < 30_000 && calls < 200, "{took} ms, {calls} calls");
-    let eager =
-        Pauses { round: Duration::ZERO, longest_round: many().first, told: (NO_TIME, NO_TIME), ..many() };
+    let eager = BackoffPolicy {
+        round: Duration::ZERO,
+        longest_round: many().initial_backoff,
+        freshness_limit: (NO_TIME, NO_TIME),
+        ..many()
+    };
     assert_eq!(all_told(100, service(), eager), None);
 }
 
@@ -128,31 +133,31 @@
 }
 
 /// Where lists are pushed and where they are asked for.
-fn modes() -> impl Strategy<Value = Pauses> {
-    prop_oneof![Just(Pauses::PUSHED), Just(Pauses { round: NO_TIME, ..few() })]
+fn modes() -> impl Strategy<Value = BackoffPolicy> {
+    prop_oneof![Just(BackoffPolicy::PUSHED), Just(BackoffPolicy { round: NO_TIME, ..few() })]
 }
 
 /// When a change of this moment is heard of, by calls that begin at 0 and are answered at once, but for a time in which
 /// discovery says nothing, and for a moment at which the watch then open falls silent for good.
-fn heard(change: u64, (down, up): (u64, u64), breaks: u64, pauses: Pauses, seed: u64) -> u64 {
+fn heard(change: u64, (down, up): (u64, u64), breaks: u64, pauses: BackoffPolicy, seed: u64) -> u64 {
     let ms = |d: Duration| d.as_millis() as u64;
-    let mut watch = Watch::new(pauses, seed);
-    let (mut now, mut known) = (ms(watch.begin()), false);
+    let mut watch = PollSchedule::new(pauses, seed);
+    let (mut now, mut known) = (ms(watch.initial_delay()), false);
     loop {
-        let ask = watch.ask(known);
+        let ask = watch.next_poll(known);
         let answer = match ask {
-            Ask::Changes { hold, .. } if now < change => change.min(now + ms(hold)),
+            Poll::Changes { hold, .. } if now < change => change.min(now + ms(hold)),
             _ => now,
         };
         let silent = now < up && answer >= down || (now..answer).contains(&breaks);
-        let took = watch.limits(ask).begins;
+        let took = watch.limits(ask).first_byte;
         now = if silent { now + ms(took) } else { answer };
         if silent {
-            now += ms(watch.failed(Failed::Lost, took));
+            now += ms(watch.poll_failed(PollFailure::Lost, took));
         } else if now >= change {
             return now;
         } else {
-            watch.answered();
+            watch.poll_succeeded();
             known = true;
         }
     }
@@ -167,7 +172,7 @@
         change in 0u64..20_000, down in 0u64..20_000, long in 1u64..10_000, outage: bool,
         pauses in modes(), seed: u64,
     ) {
-        let pushed = pauses.at_once.is_some();
+        let pushed = pauses.full_list_timeout.is_some();
         // A watch that falls silent is opened anew well before the 6 s are over.
         let lost = down + if pushed { 2_000 } else { 3_500 };
         let (heard, by) = match outage {
@@ -188,16 +193,16 @@
 /// Guards a new process, and one whose discovery has moved: the whole list is asked for at once, and again soon.
 #[test]
 fn an_agent_that_has_not_answered_is_asked_for_the_whole_list() {
-    let mut watch = Watch::new(Pauses::PUSHED, 7);
-    let whole = Ask::Whole { within: Duration::from_millis(150) };
-    assert_eq!((watch.begin(), watch.ask(true)), (Duration::ZERO, whole));
-    watch.answered();
-    assert!(matches!(watch.ask(true), Ask::Changes { .. }));
-    watch.moved();
-    assert_eq!(watch.ask(true), whole);
-    (0..50).for_each(|_| assert!(watch.failed(Failed::Lost, NO_TIME) < Duration::from_millis(100)));
-    assert_eq!(watch.ask(true), whole);
-    watch.moved();
+    let mut watch = PollSchedule::new(BackoffPolicy::PUSHED, 7);
+    let whole = Poll::FullList { within: Duration::from_millis(150) };
+    assert_eq!((watch.initial_delay(), watch.next_poll(true)), (Duration::ZERO, whole));
+    watch.poll_succeeded();
+    assert!(matches!(watch.next_poll(true), Poll::Changes { .. }));
+    watch.address_changed();
+    assert_eq!(watch.next_poll(true), whole);
+    (0..50).for_each(|_| assert!(watch.poll_failed(PollFailure::Lost, NO_TIME) < Duration::from_millis(100)));
+    assert_eq!(watch.next_poll(true), whole);
+    watch.address_changed();
     assert_eq!(watch.failures(), 0);
 }
 
@@ -224,24 +229,26 @@
 }
 
 /// How long such a call takes, and how it is judged.
-fn spoilt(fault: Fault, limits: Limits) -> (Duration, Failed) {
+fn spoilt(fault: Fault, limits: Limits) -> (Duration, PollFailure) {
     let ms = Duration::from_millis;
     match fault {
-        Fault::Refused => (NO_TIME, Failed::Lost),
-        Fault::TurnedAway(after) => (NO_TIME, Failed::TurnedAway(after.map(ms))),
-        Fault::Silent => (limits.begins, Failed::Lost),
-        Fault::Half(begins) => ((ms(begins).min(limits.begins) + limits.part).min(limits.ends), Failed::Lost),
-        Fault::Reset(at) => (ms(at).min(limits.ends), Failed::Lost),
+        Fault::Refused => (NO_TIME, PollFailure::Lost),
+        Fault::TurnedAway(after) => (NO_TIME, PollFailure::Throttled(after.map(ms))),
+        Fault::Silent => (limits.first_byte, PollFailure::Lost),
+        Fault::Half(begins) => {
+            ((ms(begins).min(limits.first_byte) + limits.between_parts).min(limits.total), PollFailure::Lost)
+        }
+        Fault::Reset(at) => (ms(at).min(limits.total), PollFailure::Lost),
     }
 }
 
 /// The longest time from a moment at which discovery can be reached to its list: a call that has begun by then is spoilt
 /// all the same, in whatever way, and the next one is answered 1 s after it began.
-fn latest(watch: &mut Watch, known: bool, faults: &[Fault]) -> Duration {
-    let mut latest = if known { watch.begin() } else { NO_TIME };
+fn latest(watch: &mut PollSchedule, known: bool, faults: &[Fault]) -> Duration {
+    let mut latest = if known { watch.initial_delay() } else { NO_TIME };
     for fault in faults {
-        let (took, why) = spoilt(*fault, watch.limits(watch.ask(known)));
-        latest = latest.max(took + watch.failed(why, took));
+        let (took, why) = spoilt(*fault, watch.limits(watch.next_poll(known)));
+        latest = latest.max(took + watch.poll_failed(why, took));
     }
     latest + Duration::from_secs(1)
 }
@@ -255,9 +262,9 @@
     fn one_bound_holds_over_all_calls_and_pauses(
         routers in 1u32..=16, known: bool, moved: bool, faults in faults(), seed: u64,
     ) {
-        let mut watch = Watch::new(Pauses::asked(routers, Duration::from_secs(10)), seed);
+        let mut watch = PollSchedule::new(BackoffPolicy::polled(routers, Duration::from_secs(10)), seed);
         if moved {
-            watch.moved();
+            watch.address_changed();
         }
         let latest = latest(&mut watch, known && !moved, &faults);
         prop_assert!(latest <= Duration::from_secs(if moved { 4 } else { 6 }), "{latest:?}");
@@ -272,7 +279,7 @@
         let mut faults: Vec<Fault> =
             faults.into_iter().filter(|fault| !matches!(fault, Fault::TurnedAway(_))).collect();
         faults.insert(at.index(faults.len() + 1), Fault::TurnedAway(wanted));
-        let mut watch = Watch::new(Pauses::asked(routers, Duration::from_secs(10)), seed);
+        let mut watch = PollSchedule::new(BackoffPolicy::polled(routers, Duration::from_secs(10)), seed);
         let latest = latest(&mut watch, known, &faults);
         prop_assert!(latest <= Duration::from_secs(6), "{latest:?}");
     }
@@ -287,9 +294,9 @@
             other => other,
         };
         let faults: Vec<Fault> = faults.into_iter().map(at_once).collect();
-        let mut watch = Watch::new(Pauses::PUSHED, seed);
+        let mut watch = PollSchedule::new(BackoffPolicy::PUSHED, seed);
         if moved {
-            watch.moved();
+            watch.address_changed();
         }
         let latest = latest(&mut watch, known && !moved, &faults) - Duration::from_secs(1);
         prop_assert!(latest <= Duration::from_millis(210), "{latest:?}");
@@ -299,7 +306,7 @@
 /// Three hundred are more than discovery can tell in time; they must not keep each other out all the same.
 #[test]
 fn three_hundred_gateways_are_all_told_in_the_end() {
-    let pauses = Pauses::asked(300, Duration::from_secs(10));
+    let pauses = BackoffPolicy::polled(300, Duration::from_secs(10));
     for down in [0, 10_000] {
         let (took, calls) = all_told(300, Service { every: 60, down, free: 0 }, pauses).expect("all told");
         assert!(took < 90_000 && calls < 2_000, "{took} ms, {calls} calls");
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -4,7 +4,7 @@
 //! handed over once; then each [`Event`] is answered by a list of [`Action`]s.
 
 /// A point in time or a duration, in milliseconds.
-pub type Ms = f64;
+pub type Millis = f64;
 
 /// A request, named by the caller; never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -18,23 +18,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     #[default]
-    Reader,
-    Writer,
+    Prefill,
+    Decode,
     Mixed,
 }
 
 /// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     #[default]
-    Safe,
-    Keyed,
-    Unsafe,
+    Idempotent,
+    IdempotencyKey,
+    NonIdempotent,
 }
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     #[default]
     All,
     Zone,
@@ -48,22 +48,22 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct ServerKind {
     pub role: Role,
     pub memory_tokens: f64,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Class {
-    pub aim: Ms,
-    pub aim_per_1000_tokens: Ms,
-    pub deadline: Ms,
-    pub token_aim: Ms,
-    pub worth: f64,
-    pub late_worth: f64,
-    pub effect: Effect,
-    pub group: Group,
-    pub window: Ms,
+pub struct RequestClass {
+    pub latency_objective: Millis,
+    pub latency_objective_per_1000_tokens: Millis,
+    pub deadline: Millis,
+    pub inter_token_objective: Millis,
+    pub priority_weight: f64,
+    pub late_priority_weight: f64,
+    pub idempotency: Idempotency,
+    pub deduplication_scope: DeduplicationScope,
+    pub idempotency_window: Millis,
 }
 
 #[derive(Clone, Debug)]
@@ -76,27 +76,27 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     pub max_attempts: u32,
-    pub max_retry_after: Ms,
-    pub connect_timeout: Ms,
+    pub max_retry_after: Millis,
+    pub connect_timeout: Millis,
     pub probes: bool,
-    pub cancel: bool,
-    pub second_copies: bool,
+    pub cancellation: bool,
+    pub hedging: bool,
     pub retry_after: bool,
-    pub peers: bool,
-    pub places_ahead: bool,
+    pub gossip: bool,
+    pub slot_reservation: bool,
 }
 
 /// The figures of the five rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    pub answer_grace: Ms,
-    pub drain_grace: Ms,
-    pub pin_limit: Ms,
-    pub cold: Ms,
-    pub cold_from: f64,
-    pub fall: Ms,
-    pub fall_multiple: f64,
-    pub ask_within: Ms,
+    pub answer_grace: Millis,
+    pub drain_grace: Millis,
+    pub lease_limit: Millis,
+    pub slow_start_window: Millis,
+    pub slow_start_initial_share: f64,
+    pub overload_window: Millis,
+    pub overload_multiple: f64,
+    pub discovery_poll_limit: Millis,
 }
 
 /// What a deployment takes off its result, in shares of the worth asked for; 0 where it takes nothing.
@@ -105,28 +105,28 @@
     /// For one probe a request.
     pub probe: f64,
     /// For all prompt tokens moved out of their cell, less in proportion.
-    pub moved: f64,
+    pub cell_transfer: f64,
 }
 
 /// What a router is told at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub me: u32,
-    pub routers: u32,
+    pub router_index: u32,
+    pub router_count: u32,
     pub zone: u32,
-    pub tick: Ms,
-    pub kinds: Vec<Kind>,
-    pub classes: Vec<Class>,
+    pub tick_interval: Millis,
+    pub kinds: Vec<ServerKind>,
+    pub classes: Vec<RequestClass>,
     pub tenants: Vec<Tenant>,
     pub limits: Limits,
     pub rules: Rules,
     pub discovery: Discovery,
-    pub over_share_worth: f64,
+    pub over_quota_priority_weight: f64,
     pub prices: Prices,
     /// A stream that broke can go on elsewhere, and a running one may be moved.
-    pub resume: bool,
+    pub stream_resumption: bool,
     /// A writer reads a prompt itself when there is no state to fetch.
-    pub writers_read: bool,
+    pub decode_servers_prefill: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -134,12 +134,12 @@
     #[default]
     Ready,
     Draining,
-    Gone,
+    Terminated,
 }
 
 /// One line of the server list.
 #[derive(Clone, Debug, Default)]
-pub struct Member {
+pub struct ServerEntry {
     pub server: ServerId,
     pub zone: u32,
     pub cell: u32,
@@ -147,11 +147,11 @@
     pub state: ServerState,
     pub weight: f64,
     /// When it last started; `None`: long ago.
-    pub started: Option<Ms>,
+    pub started: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum ListUpdate {
     Delta,
     Full,
     Cached,
@@ -160,14 +160,14 @@
 
 /// A load report; only what the deployment reports is set.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     pub in_flight: Option<f64>,
     pub queue: Option<f64>,
     pub utilization: Option<f64>,
     /// Share of the server's memory that is held.
-    pub memory: Option<f64>,
+    pub memory_share: Option<f64>,
     /// Thousands of prompt tokens waiting to be read or fetched.
-    pub backlog_k: Option<f64>,
+    pub backlog_kilotokens: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -182,24 +182,24 @@
     pub prefix_tokens: f64,
     pub max_tokens: f64,
     /// A guess at the answer's length, as time at the class's token aim.
-    pub hint: Option<Ms>,
-    pub patience: Ms,
-    pub repeat: bool,
+    pub expected_duration: Option<Millis>,
+    pub client_timeout: Millis,
+    pub client_retry: bool,
     pub resumed: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     Served,
     /// The prompt has been read and its state waits at the reader.
-    Read,
+    Prefilled,
     Error,
-    Full,
+    Rejected,
     Timeout,
     ConnectFailed,
     Reset,
     /// What came back could not be read; it may have run.
-    Spoilt,
+    MalformedResponse,
     Cancelled,
     /// Written, and no sign came in time that it had arrived: it was called back, and what was held has been let go. It may
     /// have run.
@@ -207,59 +207,59 @@
     NotSent,
 }
 
-impl Status {
+impl AttemptStatus {
     /// Whether an attempt that ended so can have come to its server.
     pub fn may_have_arrived(self) -> bool {
-        !matches!(self, Status::ConnectFailed | Status::NotSent)
+        !matches!(self, AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     pub id: RequestId,
     pub attempt: u32,
     pub server: ServerId,
-    pub status: Status,
-    pub elapsed: Ms,
+    pub status: AttemptStatus,
+    pub elapsed: Millis,
     /// `Read`, `Served`: prompt tokens found kept. `Full`: 1 when there was no state to fetch.
     pub note: f64,
     /// The request has been closed, by this outcome or earlier.
     pub closed: bool,
     /// It is known to have come to its server, so that the time of what is held did not run meanwhile.
-    pub arrived: bool,
-    pub report: Option<Report>,
+    pub delivered: bool,
+    pub report: Option<LoadReport>,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Members { scope: Scope, members: Vec<Member> },
+    ServerList { update: ListUpdate, servers: Vec<ServerEntry> },
     Request(Request),
     Timer { key: u64 },
-    ClientGone { id: RequestId },
-    FirstToken { id: RequestId, attempt: u32, server: ServerId, elapsed: Ms },
-    Outcome(Outcome),
-    Place { id: RequestId, attempt: u32, server: ServerId, held: bool },
-    Probed { server: ServerId, status: Status, elapsed: Ms, report: Option<Report> },
-    Peer { from: u32, bytes: Vec<u8> },
+    ClientDisconnected { id: RequestId },
+    FirstToken { id: RequestId, attempt: u32, server: ServerId, elapsed: Millis },
+    Outcome(AttemptOutcome),
+    SlotReservation { id: RequestId, attempt: u32, server: ServerId, reserved: bool },
+    ProbeResult { server: ServerId, status: AttemptStatus, elapsed: Millis, report: Option<LoadReport> },
+    Gossip { from: u32, bytes: Vec<u8> },
 }
 
 /// Why a request is refused or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectReason {
     /// The settings name no such class.
     UnknownClass,
     /// Load shedding: it would be late, or no writer would take its state.
-    Shed,
+    LoadShed,
     /// No server may take it at present.
-    NoServer,
+    NoServerAvailable,
     /// All attempts that the settings allow have been made.
-    AttemptsSpent,
+    AttemptsExhausted,
     /// The budget of retries is used up.
-    RetryBudget,
+    RetryBudgetExhausted,
     /// It may have had its effect, and its class must not be repeated.
     MayHaveRun,
     /// Its deadline is reached.
-    OutOfTime,
+    DeadlineExceeded,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -268,7 +268,7 @@
     Send {
         id: RequestId,
         server: ServerId,
-        timeout: Ms,
+        timeout: Millis,
     },
     Cancel {
         id: RequestId,
@@ -279,21 +279,21 @@
         id: RequestId,
     },
     /// Final: trying again is harmless.
-    Refuse {
+    Reject {
         id: RequestId,
-        retry_after: Ms,
-        reason: Reason,
+        retry_after: Millis,
+        reason: RejectReason,
     },
     /// Final, promising nothing.
     Fail {
         id: RequestId,
-        reason: Reason,
+        reason: RejectReason,
     },
     /// Ends a running stream so that its client comes back and goes on elsewhere.
-    Move {
+    Migrate {
         id: RequestId,
     },
-    HoldPlace {
+    ReserveSlot {
         id: RequestId,
         server: ServerId,
     },
@@ -303,7 +303,7 @@
     CloseIdle {
         server: ServerId,
     },
-    Tell {
+    SendGossip {
         to: Option<u32>,
         bytes: Vec<u8>,
     },
@@ -313,9 +313,45 @@
     FetchList,
     /// Wake the module at this time with this key. `of`: only for as long as this request is open.
     Timer {
-        at: Ms,
+        at: Millis,
         key: u64,
-        of: Option<RequestId>,
+        request: Option<RequestId>,
     },
     Log(String),
 }
+
+impl AttemptStatus {
+    /// The word for this status in a line of the access log. Kept as earlier versions wrote it, so that their logs and these
+    /// are read alike.
+    pub fn log_label(self) -> &'static str {
+        match self {
+            AttemptStatus::Served => "Served",
+            AttemptStatus::Prefilled => "Read",
+            AttemptStatus::Error => "Error",
+            AttemptStatus::Rejected => "Full",
+            AttemptStatus::Timeout => "Timeout",
+            AttemptStatus::ConnectFailed => "ConnectFailed",
+            AttemptStatus::Reset => "Reset",
+            AttemptStatus::MalformedResponse => "Spoilt",
+            AttemptStatus::Cancelled => "Cancelled",
+            AttemptStatus::Undelivered => "Undelivered",
+            AttemptStatus::NotSent => "NotSent",
+        }
+    }
+}
+
+impl RejectReason {
+    /// The word for this reason in a line of the access log. Kept as earlier versions wrote it, so that their logs and these
+    /// are read alike.
+    pub fn log_label(self) -> &'static str {
+        match self {
+            RejectReason::UnknownClass => "UnknownClass",
+            RejectReason::LoadShed => "Shed",
+            RejectReason::NoServerAvailable => "NoServer",
+            RejectReason::AttemptsExhausted => "AttemptsSpent",
+            RejectReason::RetryBudgetExhausted => "RetryBudget",
+            RejectReason::MayHaveRun => "MayHaveRun",
+            RejectReason::DeadlineExceeded => "OutOfTime",
+        }
+    }
+}
--- a/crates/router/src/fleet_load.rs
+++ b/crates/router/src/fleet_load.rs
@@ -1,7 +1,7 @@
 //! What is decided about many routers that cannot see each other: how many homes a beginning has when nobody's own
 //! counts show how hot it is, and whom to look at before a request is sent. No clock, no state, no I/O.
 
-use crate::api::{Ms, ServerId};
+use crate::api::{Millis, ServerId};
 use crate::slow_start_budget;
 use crate::state::{median, Server, SEEN};
 
@@ -20,7 +20,7 @@
 /// Candidates in order that a request looks at before one elsewhere; an answer is waited for so long (ms). Who is
 /// slower than that is taken for busy.
 pub const HOMES_SEEN: usize = 3;
-pub const LOOK_WAIT: Ms = 120.0;
+pub const LOOK_WAIT: Millis = 120.0;
 const ENOUGH: u32 = 5;
 /// Looks that a request can use; those for its reader may cost so much of its worth. Measured: without any, a day with a hot
 /// beginning loses 0.3 of its result, a day without one some 0.01.
@@ -34,7 +34,7 @@
 /// Loads that lie so near to each other are alike.
 const ALIKE_LOAD: f64 = 0.5;
 /// What a server said of its load fades in this time (ms).
-const SEEN_FADES: Ms = 3_000.0;
+const SEEN_FADES: Millis = 3_000.0;
 
 /// Whether each router's own counts are too few to tell what all together do.
 pub fn thin(routers: f64) -> bool {
@@ -121,7 +121,7 @@
 /// The load to be reckoned with at a server that is not looked at: what it said fades into the usual. A cold one that
 /// may get something now is taken for empty: each router may send it little, and few requests would find their way
 /// there on their own.
-pub fn reckon(s: &Server, now: Ms, usual: f64, cold: bool) -> f64 {
+pub fn reckon(s: &Server, now: Millis, usual: f64, cold: bool) -> f64 {
     let Some((load, at)) = s.seen else { return if cold { 0.0 } else { usual.max(USUAL) } };
     let trust = ((at - now) / SEEN_FADES).exp();
     (load + s.sent_since) * trust + usual.max(USUAL) * (1.0 - trust)
@@ -136,12 +136,12 @@
 
 /// How long what a reader has in hand by its own fresh word will take it, at this pace and with so much work each.
 /// Fewer routers know it from what their own requests waited.
-pub fn told_wait(s: &Server, routers: f64, now: Ms, pace: f64, work: f64) -> Ms {
+pub fn told_wait(s: &Server, routers: f64, now: Millis, pace: f64, work: f64) -> Millis {
     s.load(now, SEEN).filter(|_| thin(routers)).map_or(0.0, |load| load * work * pace)
 }
 
 /// What a request knows of a server of this warmth, on whose behalf it was last looked at then.
-pub fn sight(s: &Server, looked: Option<Ms>, now: Ms, usual: f64, warmth: f64) -> Sight {
+pub fn sight(s: &Server, looked: Option<Millis>, now: Millis, usual: f64, warmth: f64) -> Sight {
     match (s.load(now, SEEN).map(|load| slow_start_budget::as_warm(load, warmth)), looked) {
         (Some(load), _) => Sight::Seen(load, crowded(load, usual)),
         (None, None) => Sight::Unseen,
--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -1,7 +1,7 @@
 //! Decisions about many routers keep their order and bounds whatever is seen.
 
 use super::*;
-use crate::api::Member;
+use crate::api::ServerEntry;
 use proptest::prelude::*;
 
 fn sight() -> impl Strategy<Value = Sight> {
@@ -80,7 +80,7 @@
     fn a_beginning_asks_for_its_share(asked in 0.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
                                       weights in prop::collection::vec(0.1..4.0f64, 1..60)) {
         let of = |(weight, n)| {
-            let info = Member { weight, server: ServerId(n), ..Member::default() };
+            let info = ServerEntry { weight, server: ServerId(n), ..ServerEntry::default() };
             Server { info, ..Server::default() }
         };
         let readers: Vec<Server> = weights.iter().copied().zip(0..).map(of).collect();
--- a/crates/router/src/log_limit.rs
+++ b/crates/router/src/log_limit.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeMap;
 
-use crate::api::{Action, Ms};
+use crate::api::{Action, Millis};
 
 /// At most one line of each kind in this time (ms).
-const EVERY: Ms = 5_000.0;
+const EVERY: Millis = 5_000.0;
 
 /// When a line of each kind was last written.
 #[derive(Default)]
-pub struct Log(BTreeMap<&'static str, Ms>);
+pub struct Log(BTreeMap<&'static str, Millis>);
 
 impl Log {
     /// Appends a line, unless one of its kind was written a short time ago.
-    pub fn say(&mut self, kind: &'static str, words: String, now: Ms, out: &mut Vec<Action>) {
+    pub fn say(&mut self, kind: &'static str, words: String, now: Millis, out: &mut Vec<Action>) {
         if self.0.get(kind).is_none_or(|at| now >= at + EVERY) {
             self.0.insert(kind, now);
             out.push(Action::Log(format!("{kind}: {words}")));
--- a/crates/router/src/policy/affinity.rs
+++ b/crates/router/src/policy/affinity.rs
@@ -9,7 +9,7 @@
 impl Router {
     /// Session, else shared beginning, else consistent hash; then the twice-the-median escape.
     pub(super) fn choose_reader(&mut self, job: &mut Job, out: &mut Vec<Action>) -> Option<Pick> {
-        let usable = self.usable(&[Role::Reader, Role::Mixed], job, Stage::Read, out);
+        let usable = self.usable(&[Role::Prefill, Role::Mixed], job, Stage::Read, out);
         let homes = self.homes(job, &usable);
         let by_prefix = job.ask.prefix.filter(|_| homes == 1);
         let keys = [Some(Key::Session(job.ask.session)), by_prefix.map(Key::Prefix)];
@@ -43,7 +43,7 @@
     /// reads for the writers too, a mixed one only for itself.
     fn hashed(&self, usable: &[ServerId], job: &Job, homes: usize) -> Vec<ServerId> {
         let count = |role| self.servers.values().filter(|s| s.role == role).count() as f64;
-        let (readers, writers) = (count(Role::Reader), count(Role::Writer));
+        let (readers, writers) = (count(Role::Prefill), count(Role::Decode));
         let mixed = if readers > 0.0 { readers / (readers + writers) } else { 1.0 };
         let is_mixed = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.role == Role::Mixed);
         // Among many routers a cold reader is home to what it can be trusted with, at all of them alike.
--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -8,7 +8,7 @@
 const NEAR_MARGIN: f64 = 0.05;
 const NEAR_UNSURE: f64 = 0.4;
 /// A report fades in this time (ms), and what is not known may lie this far above the average.
-pub const REPORT_FADES: Ms = 10_000.0;
+pub const REPORT_FADES: Millis = 10_000.0;
 const UNSURE: f64 = 0.2;
 /// From this projection of the lowest writer on, mixed servers take states too.
 const FULL: f64 = 0.85;
@@ -16,7 +16,7 @@
 
 impl Router {
     pub(super) fn choose_writer(&mut self, job: &Job, out: &mut Vec<Action>) -> Option<ServerId> {
-        let usable = self.usable(&[Role::Writer], job, Stage::Write, out);
+        let usable = self.usable(&[Role::Decode], job, Stage::Write, out);
         let mut known = self.projections(&usable);
         // Where none can be asked, what was waited there speaks: an aim of it is as bad as a memory that
         // is full.
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -17,15 +17,15 @@
 impl Router {
     /// Whether a request that would be read there, where so much of it is kept, is refused at once.
     pub(super) fn shed(&mut self, job: &Job, reader: ServerId, kept: f64) -> bool {
-        let writers = self.servers.values().filter(|s| s.role == Role::Writer && !s.health.suspect(self.now));
+        let writers = self.servers.values().filter(|s| s.role == Role::Decode && !s.health.suspect(self.now));
         let write = writers.map(|s| self.expected(s.info.server, 0.0)).fold(f64::MAX, f64::min);
-        let whole = self.servers.get(&reader).is_some_and(|s| s.role != Role::Reader) || write == f64::MAX;
+        let whole = self.servers.get(&reader).is_some_and(|s| s.role != Role::Prefill) || write == f64::MAX;
         let first = self.expected(reader, job.work(kept)) + if whole { 0.0 } else { write };
         let part = first / (job.aim() * if job.over_share { LATEST_OVER_SHARE } else { LATEST }).max(1.0);
         // In vain: what no writer may take before it is let go of, beside those that are read already.
-        let end = self.now + first + PIN_USED * self.settings.rules.pin_limit;
+        let end = self.now + first + PIN_USED * self.settings.rules.lease_limit;
         let takes = |s: &Server, at| self.trust(s, 0.0, at).sends();
-        let writers = self.servers.values().filter(|s| s.role != Role::Reader && s.reachable(self.now));
+        let writers = self.servers.values().filter(|s| s.role != Role::Prefill && s.reachable(self.now));
         let sends = || writers.map(|s| Some(takes(s, self.now)?.max(takes(s, end)?))).sum::<Option<usize>>();
         let before = || self.jobs.values().filter(|j| j.will_write()).count();
         let in_vain = self.looks() && sends().is_some_and(|sends| sends <= before());
@@ -35,7 +35,7 @@
 
     /// When a read of this much work would end at a reader, or a stream begin at a writer or a mixed
     /// server, if sent now.
-    pub(super) fn expected(&self, id: ServerId, work: f64) -> Ms {
+    pub(super) fn expected(&self, id: ServerId, work: f64) -> Millis {
         let s = self.servers.get(&id);
         s.map_or(0.0, |s| wait_estimate::until(s, &self.learned, self.routers(), self.now, work))
     }
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -23,17 +23,17 @@
 use crate::{api::*, log_limit::Log, server_list, shedding_trials::Trials, state::*, tenant_quota::Shares};
 
 /// Housekeeping period (ms).
-const TICK: Ms = 100.0;
+const TICK: Millis = 100.0;
 const TICK_KEY: u64 = 1 << 52;
 /// How often each beginning is asked for, and each reader sent to, is remembered for so long (ms).
-const ASKED_MEMORY: Ms = 40_000.0;
+const ASKED_MEMORY: Millis = 40_000.0;
 
 /// The decisions of one dispatcher.
 pub struct Router {
     settings: Settings,
-    pub(crate) now: Ms,
+    pub(crate) now: Millis,
     random: Random,
-    pub(crate) started: Option<Ms>,
+    pub(crate) started: Option<Millis>,
     servers: server_list::Servers,
     jobs: BTreeMap<RequestId, Job>,
     pub(crate) table: Newest<Key, ServerId>,
@@ -46,8 +46,8 @@
     shares: Shares,
     trials: Trials,
     log: Log,
-    ask_list_at: Option<Ms>,
-    tick_due: Option<Ms>,
+    ask_list_at: Option<Millis>,
+    tick_due: Option<Millis>,
 }
 
 impl Router {
@@ -73,24 +73,24 @@
     }
 
     /// Takes in one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = if now.is_finite() { now.max(self.now) } else { self.now };
         self.start(out);
         match event {
-            Event::Members { scope, members } => self.on_members(scope, members),
+            Event::ServerList { update: scope, servers: members } => self.on_members(scope, members),
             Event::Request(ask) => self.on_request(ask, out),
             Event::Timer { key: TICK_KEY } => self.on_tick(out),
             Event::Timer { key } => self.on_timer(key, out),
-            Event::ClientGone { id } => self.settle(id, out),
+            Event::ClientDisconnected { id } => self.settle(id, out),
             Event::FirstToken { id, attempt, elapsed, .. } => self.on_first(id, attempt, elapsed),
             Event::Outcome(outcome) => self.on_outcome(outcome, out),
-            Event::Probed { server, status, report, .. } => self.on_probed(server, status, report, out),
-            Event::Place { .. } | Event::Peer { .. } => {}
+            Event::ProbeResult { server, status, report, .. } => self.on_probed(server, status, report, out),
+            Event::SlotReservation { .. } | Event::Gossip { .. } => {}
         }
     }
 
     /// Whether this server is known and yet gets nothing new at present.
-    pub fn avoids(&self, id: ServerId) -> bool {
+    pub fn is_avoided(&self, id: ServerId) -> bool {
         self.servers.get(&id).is_some_and(|s| !s.well(self.now))
     }
 
@@ -110,18 +110,19 @@
     }
 
     fn routers(&self) -> f64 {
-        f64::from(self.settings.routers.max(1))
+        f64::from(self.settings.router_count.max(1))
     }
 
     fn set_tick(&mut self, out: &mut Vec<Action>) {
         self.tick_due = Some(self.now + TICK);
-        out.push(Action::Timer { at: self.now + TICK, key: TICK_KEY, of: None });
+        out.push(Action::Timer { at: self.now + TICK, key: TICK_KEY, request: None });
     }
 
-    fn on_members(&mut self, scope: Scope, members: Vec<Member>) {
-        if scope == Scope::Failed {
+    fn on_members(&mut self, scope: ListUpdate, members: Vec<ServerEntry>) {
+        if scope == ListUpdate::Failed {
             // Ask again after a pause; the old list still holds.
-            self.ask_list_at = Some(self.now + (self.settings.rules.ask_within / 4.0).clamp(TICK, 5_000.0));
+            self.ask_list_at =
+                Some(self.now + (self.settings.rules.discovery_poll_limit / 4.0).clamp(TICK, 5_000.0));
             return;
         }
         server_list::take(
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -4,7 +4,7 @@
 use crate::{api::*, state::*};
 
 /// A first ejection lasts this long (ms), each further one twice as long, up to so many doublings.
-pub const EJECT: Ms = 500.0;
+pub const EJECT: Millis = 500.0;
 const DOUBLINGS: u32 = 4;
 /// Weights of a broken connection and a spoilt answer (the others eject alone); what success leaves.
 const RESET_WEIGHT: f64 = 0.6;
@@ -44,19 +44,21 @@
     }
 
     /// Feeds the health judgement and the paces from one outcome; `work`: of an attempt to read.
-    pub(super) fn judge(&mut self, o: &Outcome, stage: Stage, sent: Ms, work: f64, out: &mut Vec<Action>) {
+    pub(super) fn judge(
+        &mut self, o: &AttemptOutcome, stage: Stage, sent: Millis, work: f64, out: &mut Vec<Action>,
+    ) {
         if let Some(what) = Symptom::of(o.status) {
             return self.symptom(o.server, what, out);
         }
         match o.status {
-            Status::Served | Status::Read => {
+            AttemptStatus::Served | AttemptStatus::Prefilled => {
                 self.success(o.server, sent);
                 let server = self.servers.get_mut(&o.server).filter(|_| stage == Stage::Read);
                 if let Some(s) = server {
                     s.has_read(&mut self.learned, work, sane(o.elapsed), sent, self.now);
                 }
             }
-            Status::Full if o.note < 1.0 => {
+            AttemptStatus::Rejected if o.note < 1.0 => {
                 // Turned away: full, whatever the last report said, until a fresh one.
                 if let Some(s) = self.servers.get_mut(&o.server) {
                     s.memory = Some(s.memory.unwrap_or(0.0).max(1.0));
@@ -96,7 +98,7 @@
         }
     }
 
-    pub(super) fn success(&mut self, id: ServerId, sent: Ms) {
+    pub(super) fn success(&mut self, id: ServerId, sent: Millis) {
         let now = self.now;
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.answered = now;
--- a/crates/router/src/policy/prefix_table.rs
+++ b/crates/router/src/policy/prefix_table.rs
@@ -6,7 +6,7 @@
 /// Most entries kept; a session and a beginning take one each.
 pub const CAP: usize = 50_000;
 /// An entry older than this is not believed (ms; the design's figure).
-const EXPIRY: Ms = 30_000.0;
+const EXPIRY: Millis = 30_000.0;
 /// Share of a session's prompt that its last reader is taken to have kept.
 const SESSION_KEPT: f64 = 0.8;
 
@@ -34,7 +34,7 @@
         let Some(Request { session, prefix, .. }) = self.jobs.get(&id).map(|j| &j.ask) else { return };
         self.table.put(Key::Session(*session), (server, self.now));
         if let Some(key) = prefix.map(Key::Prefix) {
-            let holds = |e: &(ServerId, Ms)| self.now < e.1 + EXPIRY && self.servers.contains_key(&e.0);
+            let holds = |e: &(ServerId, Millis)| self.now < e.1 + EXPIRY && self.servers.contains_key(&e.0);
             if self.table.peek(&key).is_none_or(|e| e.0 == server || !holds(e)) {
                 self.table.put(key, (server, self.now));
             }
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -4,7 +4,7 @@
 use crate::{api::*, fleet_load, fleet_load::Next, fleet_load::Sight, slow_start_budget, state::*};
 
 /// Servers not heard from for this long are probed (ms), from so many probes earned by a request.
-pub const PROBE_AFTER: Ms = 1_000.0;
+pub const PROBE_AFTER: Millis = 1_000.0;
 const PROBE_EARN: f64 = 1.0;
 /// Among many routers: how many looks are saved up for requests.
 const LOOKS_KEPT: f64 = 12.0;
@@ -67,7 +67,7 @@
     /// While the prompt is read, some writers near it are asked for their memory: a state need not leave
     /// its cell for a writer of which no more is known.
     pub(super) fn look_ahead(&mut self, place: (u32, u32), out: &mut Vec<Action>) {
-        let (now, Prices { probe, moved }) = (self.now, self.settings.prices);
+        let (now, Prices { probe, cell_transfer: moved }) = (self.now, self.settings.prices);
         let near = |s: &Server| s.info.place() == place && now > s.memory_seen.max(s.probed) + SEEN;
         self.look_at_writers(near, fleet_load::writers_seen(probe, moved), out);
     }
@@ -83,7 +83,7 @@
     }
 
     fn look_at_writers(&mut self, which: impl Fn(&Server) -> bool, most: usize, out: &mut Vec<Action>) {
-        let asked = |s: &&Server| s.role == Role::Writer && s.well(self.now) && which(s);
+        let asked = |s: &&Server| s.role == Role::Decode && s.well(self.now) && which(s);
         let mut some: Vec<_> = self.servers.values().filter(asked).map(|s| s.info.server).collect();
         for _ in 0..most.min(some.len()).min(self.probes as usize) {
             let n = (self.random.unit() * some.len() as f64) as usize;
@@ -92,18 +92,18 @@
     }
 
     pub(super) fn on_probed(
-        &mut self, server: ServerId, status: Status, report: Option<Report>, out: &mut Vec<Action>,
+        &mut self, server: ServerId, status: AttemptStatus, report: Option<LoadReport>, out: &mut Vec<Action>,
     ) {
         self.learn_report(server, report);
         let now = self.now;
-        let unreachable = |s: &&mut Server| status != Status::Served && s.health.unreachable();
+        let unreachable = |s: &&mut Server| status != AttemptStatus::Served && s.health.unreachable();
         if let Some(s) = self.servers.get_mut(&server).filter(unreachable) {
             s.health.until = s.health.until.max(now + EJECT);
         }
         let mut waiting = Vec::new();
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| !j.closed && !j.any_out()) {
             let Some(look) = job.looks.iter_mut().find(|l| l.0 == server) else { continue };
-            if status != Status::Served {
+            if status != AttemptStatus::Served {
                 look.1 = now - fleet_load::LOOK_WAIT;
             }
             waiting.push(*id);
@@ -124,7 +124,7 @@
         }
     }
 
-    pub(super) fn learn_report(&mut self, id: ServerId, report: Option<Report>) {
+    pub(super) fn learn_report(&mut self, id: ServerId, report: Option<LoadReport>) {
         if let (Some(s), Some(report)) = (self.servers.get_mut(&id), report) {
             s.hear(report, self.learned.prompt, self.now);
         }
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -4,12 +4,12 @@
 use crate::{api::*, state::*, wait_estimate};
 
 /// The pause before a request that found no server looks again (ms).
-pub const LOOK_AGAIN: Ms = 20.0;
+pub const LOOK_AGAIN: Millis = 20.0;
 
 impl Router {
     pub(super) fn on_request(&mut self, mut ask: Request, out: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(ask.class as usize).cloned() else {
-            out.push(Action::Refuse { id: ask.id, retry_after: 0.0, reason: Reason::UnknownClass });
+            out.push(Action::Reject { id: ask.id, retry_after: 0.0, reason: RejectReason::UnknownClass });
             return;
         };
         if self.jobs.contains_key(&ask.id) {
@@ -18,7 +18,7 @@
         ask.sanitise();
         self.learned.note_prompt(ask.prompt_tokens);
         let (id, now) = (ask.id, self.now);
-        let deadline = now + ask.patience;
+        let deadline = now + ask.client_timeout;
         self.retries = (self.retries + RETRY_EARN).min((RETRY_SAVED / self.routers()).max(1.0));
         self.earn_probes();
         let asked = [None, Some(ask.beginning())].map(|key| {
@@ -30,8 +30,8 @@
         let job =
             Job { ask, class, arrived: now, deadline, idle_since: now, over_share, asked, ..Job::default() };
         self.jobs.insert(id, job);
-        let answer_by = (deadline - 2.0 * self.settings.tick).max(self.now);
-        out.push(Action::Timer { at: answer_by, key: id.0 << 1, of: Some(id) });
+        let answer_by = (deadline - 2.0 * self.settings.tick_interval).max(self.now);
+        out.push(Action::Timer { at: answer_by, key: id.0 << 1, request: Some(id) });
         self.advance(id, out);
     }
 
@@ -66,15 +66,15 @@
             _ if done => {}
             _ if shed => {
                 self.log.say("load shedding", "late, or for no writer".into(), self.now, out);
-                self.give_up(id, Reason::Shed, out);
+                self.give_up(id, RejectReason::LoadShed, out);
             }
             Some(pick) => self.send(id, pick, out),
             None if may_wait && waits => {}
             None if may_wait => {
-                out.push(Action::Timer { at: self.now + LOOK_AGAIN, key: id.0 << 1 | 1, of: Some(id) })
+                out.push(Action::Timer { at: self.now + LOOK_AGAIN, key: id.0 << 1 | 1, request: Some(id) })
             }
-            None if spent => self.give_up(id, Reason::AttemptsSpent, out),
-            None => self.give_up(id, Reason::NoServer, out),
+            None if spent => self.give_up(id, RejectReason::AttemptsExhausted, out),
+            None => self.give_up(id, RejectReason::NoServerAvailable, out),
         }
     }
 
@@ -85,7 +85,7 @@
         let (Some(job), Some(s)) = (self.jobs.get_mut(&id), self.servers.get_mut(&to)) else { return };
         let own = job.work(kept);
         // What fills a reader's memory is what it has not kept yet, so tokens count, not requests.
-        let weight = if s.role == Role::Writer { 1.0 } else { own / usual };
+        let weight = if s.role == Role::Decode { 1.0 } else { own / usual };
         s.take_on(id, now, credit - 1.0, (own, weight, ASKED_MEMORY));
         if s.health.on_trial {
             // One trial at a time.
@@ -96,7 +96,7 @@
             job.ran.get_or_insert((s.info.zone, s.info.cell, now));
         }
         // Slow work that moves is left alone: a copy would be read from the start. Silence tells the rest.
-        let timeout = (job.deadline - now - 2.0 * self.settings.tick).max(1.0);
+        let timeout = (job.deadline - now - 2.0 * self.settings.tick_interval).max(1.0);
         job.attempts.push(Attempt {
             server: to,
             stage,
@@ -118,11 +118,11 @@
         match self.jobs.get(&id).filter(|j| j.open()) {
             None => {}
             Some(_) if key & 1 == 1 => self.advance(id, out),
-            Some(_) => self.give_up(id, Reason::OutOfTime, out),
+            Some(_) => self.give_up(id, RejectReason::DeadlineExceeded, out),
         }
     }
 
-    pub(super) fn on_first(&mut self, id: RequestId, attempt: u32, elapsed: Ms) {
+    pub(super) fn on_first(&mut self, id: RequestId, attempt: u32, elapsed: Millis) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(Attempt { server, sent, work, .. }) = job.begin(attempt, self.now) else { return };
         let per_work = sane(elapsed) / work;
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -12,26 +12,33 @@
     /// Rule 2: a refusal says that trying again is harmless.
     pub fn may_refuse(&self) -> bool {
         let never_ran = self.ran.is_none() && !self.any_out();
-        match self.class.effect {
-            Effect::Safe => true,
-            Effect::Keyed => self.class.group == Group::All || never_ran,
-            Effect::Unsafe => never_ran,
+        match self.class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey => {
+                self.class.deduplication_scope == DeduplicationScope::All || never_ran
+            }
+            Idempotency::NonIdempotent => never_ran,
         }
     }
     /// Rule 2: whether another attempt may go anywhere.
-    pub fn may_repeat(&self, now: Ms) -> bool {
-        let within = |(_, _, sent)| self.class.effect == Effect::Keyed && now < sent + self.class.window;
-        self.class.effect == Effect::Safe || self.ran.is_none_or(within)
+    pub fn may_repeat(&self, now: Millis) -> bool {
+        let within = |(_, _, sent)| {
+            self.class.idempotency == Idempotency::IdempotencyKey
+                && now < sent + self.class.idempotency_window
+        };
+        self.class.idempotency == Idempotency::Idempotent || self.ran.is_none_or(within)
     }
     /// Rule 2: whether another attempt may go to this server.
-    pub fn may_send(&self, to: &Member, now: Ms) -> bool {
-        let in_group = |(zone, cell, _)| self.class.group.holds((zone, cell), (to.zone, to.cell));
-        self.may_repeat(now) && (self.class.effect == Effect::Safe || self.ran.is_none_or(in_group))
+    pub fn may_send(&self, to: &ServerEntry, now: Millis) -> bool {
+        let in_group =
+            |(zone, cell, _)| self.class.deduplication_scope.holds((zone, cell), (to.zone, to.cell));
+        self.may_repeat(now)
+            && (self.class.idempotency == Idempotency::Idempotent || self.ran.is_none_or(in_group))
     }
 }
 
 impl Router {
-    pub(super) fn on_outcome(&mut self, o: Outcome, out: &mut Vec<Action>) {
+    pub(super) fn on_outcome(&mut self, o: AttemptOutcome, out: &mut Vec<Action>) {
         self.learn_report(o.server, o.report);
         let Some(job) = self.jobs.get_mut(&o.id) else { return };
         let Some(Attempt { server, stage, sent, .. }) = job.end(&o, self.now) else { return };
@@ -40,20 +47,21 @@
             s.let_go(o.id);
         }
         self.judge(&o, stage, sent, work, out);
-        if o.status == Status::Read {
+        if o.status == AttemptStatus::Prefilled {
             self.note_success(server);
             self.learn(o.id, server);
         }
         // The writer found no state, or has spent it; its reader may only be cut off: let go in any case.
-        let no_state = o.status == Status::Full && o.note >= 1.0;
-        let gone = no_state || matches!(o.status, Status::Spoilt | Status::Undelivered);
+        let no_state = o.status == AttemptStatus::Rejected && o.note >= 1.0;
+        let gone =
+            no_state || matches!(o.status, AttemptStatus::MalformedResponse | AttemptStatus::Undelivered);
         if gone && self.jobs.get_mut(&o.id).is_some_and(|j| j.state_at.take().is_some()) {
             out.push(Action::Release { id: o.id });
         }
         self.after_outcome(o.id, o.status, out);
     }
 
-    fn after_outcome(&mut self, id: RequestId, status: Status, out: &mut Vec<Action>) {
+    fn after_outcome(&mut self, id: RequestId, status: AttemptStatus, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
         if job.closed {
             return self.settle(id, out);
@@ -61,22 +69,22 @@
         if job.any_out() {
             return;
         }
-        if status == Status::Read {
+        if status == AttemptStatus::Prefilled {
             return self.advance(id, out);
         }
         let late = self.now > job.arrived + job.aim();
         // A retry costs what the lost attempt took: quick errors may not use up what few requests earn.
         let took = job.attempts.last().map_or(0.0, |a| self.now - a.sent);
         let cost = match status {
-            Status::ConnectFailed | Status::NotSent => 0.0,
-            Status::Cancelled if !late => 0.0,
+            AttemptStatus::ConnectFailed | AttemptStatus::NotSent => 0.0,
+            AttemptStatus::Cancelled if !late => 0.0,
             _ => (took / job.aim().max(1.0)).clamp(RETRY_LEAST, 1.0),
         };
-        let too_late = job.deadline - self.now <= 3.0 * self.settings.tick;
+        let too_late = job.deadline - self.now <= 3.0 * self.settings.tick_interval;
         let hindrance = match () {
-            _ if !job.may_repeat(self.now) => Some(Reason::MayHaveRun),
-            _ if too_late => Some(Reason::OutOfTime),
-            _ if self.retries < cost => Some(Reason::RetryBudget),
+            _ if !job.may_repeat(self.now) => Some(RejectReason::MayHaveRun),
+            _ if too_late => Some(RejectReason::DeadlineExceeded),
+            _ if self.retries < cost => Some(RejectReason::RetryBudgetExhausted),
             _ => None,
         };
         if let Some(reason) = hindrance {
--- a/crates/router/src/policy/slow_start.rs
+++ b/crates/router/src/policy/slow_start.rs
@@ -10,14 +10,14 @@
     }
 
     /// Slow start: sends that a cold server has left from this router at a moment, if none goes there before.
-    pub(super) fn credit(&self, s: &Server, at: Ms) -> f64 {
+    pub(super) fn credit(&self, s: &Server, at: Millis) -> f64 {
         let units = slow_start_budget::units(s, self.warmth(s));
         let (carried, rules) = (&self.learned.carried[s.role as usize], &self.settings.rules);
         slow_start_budget::credit(s, units, carried, rules, self.routers(), at)
     }
 
     /// Slow start: what this server is trusted with then, for a beginning that keeps so many units busy.
-    pub(super) fn trust(&self, s: &Server, asked: f64, at: Ms) -> slow_start_budget::Trust {
+    pub(super) fn trust(&self, s: &Server, asked: f64, at: Millis) -> slow_start_budget::Trust {
         let warmth = self.warmth(s);
         let ahead =
             || slow_start_budget::ahead(&self.settings.rules, slow_start_budget::units(s, warmth), asked);
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -7,12 +7,12 @@
 pub const PIN_USED: f64 = 0.8;
 
 impl Router {
-    pub(super) fn give_up(&mut self, id: RequestId, reason: Reason, out: &mut Vec<Action>) {
+    pub(super) fn give_up(&mut self, id: RequestId, reason: RejectReason, out: &mut Vec<Action>) {
         let retry = if self.settings.limits.retry_after { self.settings.limits.max_retry_after } else { 0.0 };
         let Some(job) = self.jobs.get(&id).filter(|j| j.open()) else { return };
         out.push(if job.may_refuse() {
             let retry_after = retry.min((job.deadline - self.now).max(0.0) / 4.0);
-            Action::Refuse { id, retry_after, reason }
+            Action::Reject { id, retry_after, reason }
         } else {
             Action::Fail { id, reason }
         });
@@ -21,7 +21,7 @@
 
     /// After the end: call back what is out, let go of what is held, forget the request when all is in.
     pub(super) fn settle(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let cancel = self.settings.limits.cancel;
+        let cancel = self.settings.limits.cancellation;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.closed = true;
         if cancel {
@@ -47,7 +47,7 @@
 
     /// Whether the state that is held for it, if any, may still be held when it looks again.
     pub(super) fn may_hold(&self, job: &Job) -> bool {
-        let until = job.held_since + PIN_USED * self.settings.rules.pin_limit;
+        let until = job.held_since + PIN_USED * self.settings.rules.lease_limit;
         job.state_at.is_none() || self.now + LOOK_AGAIN <= until
     }
 }
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -17,11 +17,11 @@
     /// Silence: work waits at a server that gave no sign for far longer than such work takes: it is dead, cut
     /// off or stuck. Should also cover hung processes. Harm: a pause as long as that counts too.
     pub(super) fn check_silence(&mut self, out: &mut Vec<Action>) {
-        let aims = self.settings.classes.iter().map(|c| c.aim.min(c.deadline / 4.0));
+        let aims = self.settings.classes.iter().map(|c| c.latency_objective.min(c.deadline / 4.0));
         let least = OF_AIM * aims.fold(f64::MAX, f64::min).min(1e6);
-        let late = |s: &Server, since: Ms| {
+        let late = |s: &Server, since: Millis| {
             let alive = if self.now < s.heard + 2.0 * PROBE_AFTER { HEARD_PATIENCE } else { 1.0 };
-            let quiet_for = |time: Ms| self.now > since.max(s.answered) + time;
+            let quiet_for = |time: Millis| self.now > since.max(s.answered) + time;
             quiet_for(alive * least)
                 && quiet_for(wait_estimate::busy(s, &self.learned, self.routers(), since))
         };
@@ -32,7 +32,7 @@
         let few = !fleet_load::thin(self.routers());
         let answers: Vec<_> = self.servers.iter().map(|(id, s)| (*id, s.role, s.answered)).collect();
         let lost = |s: &Server, j: &Job, a: &Attempt| {
-            let others = |o: &(ServerId, Role, Ms)| o.0 != a.server && o.1 == s.role && o.2 > a.sent;
+            let others = |o: &(ServerId, Role, Millis)| o.0 != a.server && o.1 == s.role && o.2 > a.sent;
             let alone = few && s.waiting.len() == 1 && a.stage == Stage::Read && answers.iter().any(others);
             let overtaken = s.waiting.get(&j.ask.id).is_none_or(|w| !w.counts());
             let part = LOST_OF_AIM * if overtaken { 1.0 } else { ALONE };
@@ -45,9 +45,9 @@
     /// read has no effect.
     pub(super) fn recall(&mut self, lost: impl Fn(&Server, &Job, &Attempt) -> bool, out: &mut Vec<Action>) {
         let Router { jobs, servers, settings, .. } = self;
-        for job in jobs.values_mut().filter(|j| settings.limits.cancel && j.open()) {
+        for job in jobs.values_mut().filter(|j| settings.limits.cancellation && j.open()) {
             let Some(a) = job.attempts.last().filter(|a| a.out) else { continue };
-            let may = a.stage == Stage::Read || job.class.effect == Effect::Safe;
+            let may = a.stage == Stage::Read || job.class.idempotency == Idempotency::Idempotent;
             if may && servers.get(&a.server).is_some_and(|s| lost(s, job, a)) {
                 job.call_back(out);
             }
--- a/crates/router/src/recent_entries.rs
+++ b/crates/router/src/recent_entries.rs
@@ -6,10 +6,10 @@
 
 use lru::LruCache;
 
-use crate::api::Ms;
+use crate::api::Millis;
 
 /// Values and when each was last put in; looking one up by `get` makes it the newest.
-pub type Newest<K, V> = LruCache<K, (V, Ms), BuildHasherDefault<DefaultHasher>>;
+pub type Newest<K, V> = LruCache<K, (V, Millis), BuildHasherDefault<DefaultHasher>>;
 
 /// An empty one that holds so many, one at least.
 pub fn newest<K: Hash + Eq, V>(cap: usize) -> Newest<K, V> {
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -13,14 +13,15 @@
 /// Takes in a list, or a change to it. A server that is new or runs anew begins with a part of a send earned that is
 /// drawn by chance, as all routers learn of it at once.
 pub fn take(
-    servers: &mut Servers, scope: Scope, members: Vec<Member>, kinds: &[Kind], random: &mut Random, now: Ms,
+    servers: &mut Servers, scope: ListUpdate, members: Vec<ServerEntry>, kinds: &[ServerKind],
+    random: &mut Random, now: Millis,
 ) {
-    if scope != Scope::Delta {
+    if scope != ListUpdate::Delta {
         let listed: Vec<ServerId> = members.iter().map(|m| m.server).collect();
         servers.retain(|id, _| listed.contains(id));
     }
     for info in members {
-        if info.state == ServerState::Gone {
+        if info.state == ServerState::Terminated {
             servers.remove(&info.server);
         } else if let Some(old) = servers.get_mut(&info.server) {
             if info.started.is_some() && info.started != old.info.started {
@@ -33,7 +34,7 @@
     }
 }
 
-fn server(info: Member, kinds: &[Kind], credit: f64, now: Ms) -> Server {
+fn server(info: ServerEntry, kinds: &[ServerKind], credit: f64, now: Millis) -> Server {
     let kind = kinds.get(info.kind as usize);
     let (role, memory) = kind.map_or((Role::Mixed, 0.0), |k| (k.role, k.memory_tokens));
     Server {
--- a/crates/router/src/slow_start_budget.rs
+++ b/crates/router/src/slow_start_budget.rs
@@ -5,12 +5,12 @@
 //! may get. Of a hundred routers each holds a whole send only once in a minute, mostly for servers that its few requests
 //! do not need, while those that are warm drown. There a server's own fresh word stands for the sum of all routers.
 
-use crate::api::{Ms, Rules};
+use crate::api::{Millis, Rules};
 use crate::state::{Carried, Server};
 
 /// Memory of the rate carried, and of the highest (ms).
-const RATE_MEMORY: Ms = 10_000.0;
-const PEAK_MEMORY: Ms = 60_000.0;
+const RATE_MEMORY: Millis = 10_000.0;
+const PEAK_MEMORY: Millis = 60_000.0;
 /// Credit grows at this part of what makes a server fall over; the rest of it is left to those who go by its
 /// word.
 const GROWS: f64 = 0.5;
@@ -20,7 +20,7 @@
 /// A cold server gets at least this many sends a second from all routers together.
 const TRICKLE: f64 = 0.5;
 /// A cold server's word stands for what all routers send it for so long (ms). Reports are old already when they are told.
-pub const FRESH: Ms = 250.0;
+pub const FRESH: Millis = 250.0;
 /// A word that is old at all routers alike sends on those whose credit is above this part of a send: the others go elsewhere.
 const AHEAD: f64 = 0.4;
 /// The least share of its capacity that a server is taken to start with, whatever the settings say.
@@ -32,11 +32,11 @@
 const LEAST_WEIGHT: f64 = 0.01;
 
 /// The share of its capacity that a server can be trusted with which runs since then (`None`: long ago).
-pub fn warmth(rules: &Rules, since: Option<Ms>, now: Ms) -> f64 {
+pub fn warmth(rules: &Rules, since: Option<Millis>, now: Millis) -> f64 {
     match since {
-        Some(at) if now < at + rules.cold => {
-            let from = rules.cold_from.clamp(LEAST, 1.0);
-            from + (1.0 - from) * ((now - at) / rules.cold.max(1.0)).clamp(0.0, 1.0)
+        Some(at) if now < at + rules.slow_start_window => {
+            let from = rules.slow_start_initial_share.clamp(LEAST, 1.0);
+            from + (1.0 - from) * ((now - at) / rules.slow_start_window.max(1.0)).clamp(0.0, 1.0)
         }
         _ => 1.0,
     }
@@ -50,10 +50,10 @@
 /// Sends that a cold server of so many units has left from this router, growing at half of what makes it fall over, by what
 /// a unit has carried for this router. Guards rule 4 without knowing capacities; each router uses its own share and
 /// starts anywhere below one send, so the sum fits. What has grown is reckoned at the warmth of the time in which it grew.
-pub fn credit(s: &Server, units: f64, carried: &Carried, rules: &Rules, routers: f64, now: Ms) -> f64 {
+pub fn credit(s: &Server, units: f64, carried: &Carried, rules: &Rules, routers: f64, now: Millis) -> f64 {
     let warm = |at| warmth(rules, s.cold_since, at);
     let mean = units * (warm(s.credit_at) / warm(now)).min(1.0).midpoint(1.0);
-    let falls = |units: f64| rules.fall_multiple * units * carried.peak;
+    let falls = |units: f64| rules.overload_multiple * units * carried.peak;
     let rate = (falls(mean) * GROWS).max(TRICKLE / routers);
     let grown = s.credit + rate * (now - s.credit_at) / 1000.0;
     if grown < 1.0 || routers <= FEW {
@@ -61,13 +61,13 @@
     }
     // Whole sends that many routers have saved would all come in one burst. So one lapses once it has stood for longer than
     // leaves no more of them, at all routers together, than the part of the rule's slack that may be saved.
-    let fall = falls(units) * routers * rules.fall / 1000.0;
+    let fall = falls(units) * routers * rules.overload_window / 1000.0;
     let stands = (SLACK * (fall.sqrt() + 1.0) / routers).min(1.0);
     grown.fract() + f64::from(u8::from(grown.fract() <= stands))
 }
 
 /// Takes in that servers of so many units have brought a request to its end, for a router of this age.
-pub fn note_success(carried: &mut Carried, units: f64, age: Ms, now: Ms) {
+pub fn note_success(carried: &mut Carried, units: f64, age: Millis, now: Millis) {
     let (gap, age) = (now - carried.at, age.max(RATE_MEMORY / 2.0));
     carried.count = 1.0 + carried.count * (-gap / RATE_MEMORY).exp();
     // Units that have just left the list still count: they carried part of what is counted.
@@ -91,7 +91,7 @@
 /// larger share of the routers goes by the word than takes, of all that they are asked, a half of what the
 /// credit leaves of what makes the server fall: the other half is for those that come there by the other way.
 pub fn ahead(rules: &Rules, units: f64, asked: f64) -> f64 {
-    let left = (1.0 - GROWS) / WAYS * rules.fall_multiple * units;
+    let left = (1.0 - GROWS) / WAYS * rules.overload_multiple * units;
     (1.0 - left / asked.max(LEAST_WEIGHT)).max(AHEAD)
 }
 
@@ -107,7 +107,7 @@
     /// Whether a server may be sent something: a warm one always, a cold one from credit, or where its word
     /// is fresh and stands for what all routers send it. How much it then gets is for whoever compares its
     /// word with the others'.
-    pub fn may_get(&self, s: &Server, now: Ms) -> bool {
+    pub fn may_get(&self, s: &Server, now: Millis) -> bool {
         let whole = self.warmth >= 1.0 || self.credit >= 1.0;
         whole || (self.may_tell() && s.load(now, FRESH).is_some())
     }
--- a/crates/router/src/slow_start_budget/tests.rs
+++ b/crates/router/src/slow_start_budget/tests.rs
@@ -7,21 +7,23 @@
     Rules {
         answer_grace: 8.0,
         drain_grace: 500.0,
-        pin_limit: 500.0,
-        cold: 13_000.0,
-        cold_from: 0.31,
-        fall: 3_000.0,
-        fall_multiple: 4.0,
-        ask_within: 10_000.0,
+        lease_limit: 500.0,
+        slow_start_window: 13_000.0,
+        slow_start_initial_share: 0.31,
+        overload_window: 3_000.0,
+        overload_multiple: 4.0,
+        discovery_poll_limit: 10_000.0,
     }
 }
 
 /// In every window that could make it fall over, a server that started at 0 and can do so many a second when it is warm was sent
 /// no more than the rule leaves.
-fn stays_up(sent: &[Ms], rules: &Rules, a_second: f64) -> Result<(), TestCaseError> {
+fn stays_up(sent: &[Millis], rules: &Rules, a_second: f64) -> Result<(), TestCaseError> {
     for from in sent {
-        let within = sent.iter().filter(|at| (*from..from + rules.fall).contains(*at)).count() as f64;
-        let n = rules.fall_multiple * a_second * warmth(rules, Some(0.0), *from) * rules.fall / 1000.0;
+        let within =
+            sent.iter().filter(|at| (*from..from + rules.overload_window).contains(*at)).count() as f64;
+        let n = rules.overload_multiple * a_second * warmth(rules, Some(0.0), *from) * rules.overload_window
+            / 1000.0;
         prop_assert!(within <= n + 2.0 * n.sqrt() + 2.0, "{within} of {n} from {from}");
     }
     Ok(())
@@ -48,7 +50,7 @@
         prop::sample::select(vec![(4.0, 3_000.0, 0.31), (4.0, 2_000.0, 0.26), (2.5, 1_500.0, 0.27)]),
         (every, again) in prop::sample::select(vec![(usize::MAX, 1e9), (3, 1e9), (1, 1e9), (1, 1_500.0)]),
     ) {
-        let rules = Rules { fall_multiple: multiple, fall, cold_from: from, ..rules() };
+        let rules = Rules { overload_multiple: multiple, overload_window: fall, slow_start_initial_share: from, ..rules() };
         let carried = Carried { peak: over * a_second / routers as f64, ..Carried::default() };
         let mut random = crate::state::Random::new(seed);
         let begins = |random: &mut crate::state::Random, at| {
@@ -85,7 +87,7 @@
         (multiple, fall, from) in
         prop::sample::select(vec![(4.0, 3_000.0, 0.31), (4.0, 2_000.0, 0.26), (2.5, 1_500.0, 0.27)]),
     ) {
-        let rules = Rules { fall_multiple: multiple, fall, cold_from: from, ..rules() };
+        let rules = Rules { overload_multiple: multiple, overload_window: fall, slow_start_initial_share: from, ..rules() };
         let carried = Carried { peak: busy * a_second / routers as f64, ..Carried::default() };
         let mut random = crate::state::Random::new(seed);
         let begins = |random: &mut crate::state::Random| {
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -29,7 +29,7 @@
 }
 
 impl Router {
-    pub fn recollect(&self) -> Vec<u8> {
+    pub fn export_state(&self) -> Vec<u8> {
         let mut all = Words::default();
         all.put(FORM);
         all.number(self.now - self.started.unwrap_or(self.now));
@@ -53,7 +53,7 @@
     }
 
     /// Takes such bytes in, as far as they can be read. What this router has learned itself by now gives way.
-    pub fn inherit(&mut self, bytes: &[u8]) {
+    pub fn import_state(&mut self, bytes: &[u8]) {
         let mut words = words(bytes);
         if words.next() != Some(FORM) {
             return;
--- a/crates/router/src/state/learned.rs
+++ b/crates/router/src/state/learned.rs
@@ -1,6 +1,6 @@
 //! What all requests together have taught.
 
-use crate::api::Ms;
+use crate::api::Millis;
 
 /// What all requests have taught: the mean tokens of a prompt; by stage, the pace of all servers; by role, what was
 /// waited of late and when, and what its servers have carried.
@@ -8,7 +8,7 @@
 pub struct Learned {
     pub prompt: f64,
     pub pace: [Pace; 2],
-    pub waits: [(f64, Ms); 3],
+    pub waits: [(f64, Millis); 3],
     pub carried: [Carried; 3],
 }
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Default)]
 pub struct Carried {
     pub count: f64,
-    pub at: Ms,
+    pub at: Millis,
     pub units: f64,
     pub peak: f64,
 }
--- a/crates/router/src/state/math.rs
+++ b/crates/router/src/state/math.rs
@@ -1,6 +1,6 @@
 //! Small sums, and chance.
 
-use crate::api::Ms;
+use crate::api::Millis;
 
 pub fn sane(x: f64) -> f64 {
     if x.is_finite() {
@@ -11,7 +11,7 @@
 }
 
 /// What is left of a count, last touched at the second value, that fades in that time.
-pub fn decayed((count, at): (f64, Ms), now: Ms, fades: Ms) -> f64 {
+pub fn decayed((count, at): (f64, Millis), now: Millis, fades: Millis) -> f64 {
     count * ((at - now) / fades).exp()
 }
 
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -13,7 +13,7 @@
 use crate::api::*;
 
 /// A load seen so long ago needs no second look (ms): a report is refreshed about as seldom.
-pub const SEEN: Ms = 500.0;
+pub const SEEN: Millis = 500.0;
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub enum Key {
@@ -32,8 +32,8 @@
     /// The stage at which a request comes to a server of this role first.
     pub fn first(role: Role) -> Self {
         match role {
-            Role::Reader => Stage::Read,
-            Role::Writer | Role::Mixed => Stage::Write,
+            Role::Prefill => Stage::Read,
+            Role::Decode | Role::Mixed => Stage::Write,
         }
     }
 }
@@ -53,13 +53,13 @@
 
 impl Symptom {
     /// What the end of an attempt speaks of.
-    pub fn of(status: Status) -> Option<Self> {
+    pub fn of(status: AttemptStatus) -> Option<Self> {
         match status {
-            Status::ConnectFailed => Some(Symptom::NoConnection),
-            Status::Undelivered => Some(Symptom::Silence),
-            Status::Error => Some(Symptom::Error),
-            Status::Reset => Some(Symptom::Reset),
-            Status::Spoilt => Some(Symptom::Spoilt),
+            AttemptStatus::ConnectFailed => Some(Symptom::NoConnection),
+            AttemptStatus::Undelivered => Some(Symptom::Silence),
+            AttemptStatus::Error => Some(Symptom::Error),
+            AttemptStatus::Reset => Some(Symptom::Reset),
+            AttemptStatus::MalformedResponse => Some(Symptom::Spoilt),
             _ => None,
         }
     }
@@ -68,7 +68,8 @@
 impl Request {
     /// Puts right what cannot be meant.
     pub(crate) fn sanitise(&mut self) {
-        for x in [&mut self.prompt_tokens, &mut self.prefix_tokens, &mut self.max_tokens, &mut self.patience]
+        for x in
+            [&mut self.prompt_tokens, &mut self.prefix_tokens, &mut self.max_tokens, &mut self.client_timeout]
         {
             *x = sane(*x);
         }
@@ -79,27 +80,33 @@
     }
 }
 
-impl Status {
+impl AttemptStatus {
     /// Whether it proves that a write did not run.
     pub(crate) fn never_ran(self) -> bool {
-        matches!(self, Status::Full | Status::ConnectFailed | Status::NotSent | Status::Read)
+        matches!(
+            self,
+            AttemptStatus::Rejected
+                | AttemptStatus::ConnectFailed
+                | AttemptStatus::NotSent
+                | AttemptStatus::Prefilled
+        )
     }
 }
 
-impl Member {
+impl ServerEntry {
     /// Its zone, and its cell in it.
     pub(crate) fn place(&self) -> (u32, u32) {
         (self.zone, self.cell)
     }
 }
 
-impl Group {
+impl DeduplicationScope {
     /// Whether two places, each a zone and a cell in it, share the group.
     pub fn holds(self, a: (u32, u32), b: (u32, u32)) -> bool {
         match self {
-            Group::All => true,
-            Group::Zone => a.0 == b.0,
-            Group::Cell => a == b,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => a.0 == b.0,
+            DeduplicationScope::Cell => a == b,
         }
     }
 }
--- a/crates/router/src/tenant_quota.rs
+++ b/crates/router/src/tenant_quota.rs
@@ -4,14 +4,14 @@
 //! unevenly, or another router is down, all tenants ask more of it than their allowance divided by the routers. What the
 //! middle tenant asks for, against its allowance, is that part; one tenant's burst does not move it.
 
-use crate::api::Ms;
+use crate::api::Millis;
 use crate::state::{decayed, median};
 
 /// What was asked for is counted in this memory (ms).
-const MEMORY: Ms = 10_000.0;
+const MEMORY: Millis = 10_000.0;
 /// A tenant may save up so much time's worth of its allowance (ms), and at least so many requests at a router: one of
 /// hundreds of routers is granted less than one a second.
-const SAVED: Ms = 3_000.0;
+const SAVED: Millis = 3_000.0;
 const SAVED_LEAST: f64 = 5.0;
 /// A few requests show nothing: one of hundreds of routers sees no more of anybody.
 const CHANCE: f64 = 2.0;
@@ -24,8 +24,8 @@
     /// Requests a second granted to this router alone.
     rate: f64,
     credit: f64,
-    at: Ms,
-    asked: (f64, Ms),
+    at: Millis,
+    asked: (f64, Millis),
 }
 
 /// All tenants at one router.
@@ -34,12 +34,12 @@
 
 impl Shares {
     /// `rates`: what each tenant is granted at this router, in requests a second.
-    pub fn new(rates: impl Iterator<Item = f64>, now: Ms) -> Self {
+    pub fn new(rates: impl Iterator<Item = f64>, now: Millis) -> Self {
         Shares(rates.map(|rate| Share { rate, credit: SAVED_LEAST, at: now, asked: (0.0, now) }).collect())
     }
 
     /// This router's part of the traffic against an even one, never less than that.
-    pub fn part(&self, now: Ms) -> f64 {
+    pub fn part(&self, now: Millis) -> f64 {
         let granted = self.0.iter().filter(|s| s.rate > 0.0);
         let sure = |count: f64| (count - CHANCE).max(0.0);
         let used = granted.map(|s| sure(decayed(s.asked, now, MEMORY)) * 1000.0 / MEMORY / s.rate);
@@ -47,7 +47,7 @@
     }
 
     /// Takes in a tenant's request and tells whether it lies beyond its share.
-    pub fn over(&mut self, tenant: usize, now: Ms) -> bool {
+    pub fn over(&mut self, tenant: usize, now: Millis) -> bool {
         let part = self.part(now);
         let Some(s) = self.0.get_mut(tenant) else { return false };
         s.asked = (1.0 + decayed(s.asked, now, MEMORY), now);
@@ -69,7 +69,7 @@
     fn told(times: [f64; 3], of: usize) -> f64 {
         let rates = [3.0, 2.5, 1.5];
         let mut shares = Shares::new(rates.into_iter(), 0.0);
-        let mut asks: Vec<(Ms, usize)> = Vec::new();
+        let mut asks: Vec<(Millis, usize)> = Vec::new();
         for (tenant, rate) in rates.iter().enumerate() {
             let gap = 1000.0 / (rate * times[tenant]);
             asks.extend(
--- a/crates/router/src/wait_estimate.rs
+++ b/crates/router/src/wait_estimate.rs
@@ -1,21 +1,21 @@
 //! When a server would come to a request sent now, by what this router has seen of it. No clock, no state, no I/O.
 
-use crate::api::{Ms, Role};
+use crate::api::{Millis, Role};
 use crate::fleet_load;
 use crate::state::{Learned, Server, Stage, Waiting};
 
 /// Of this router's own work that waits at a server, what a new one waits for: a server takes in several at once.
 const OWN_COUNTS: f64 = 0.5;
 /// Time that a token's reading takes while nothing has been read yet (ms).
-const UNKNOWN_PACE: Ms = 0.06;
+const UNKNOWN_PACE: Millis = 0.06;
 /// Tokens of work that every read costs beside its own (keeps short reads comparable).
 pub const FIXED_WORK: f64 = 500.0;
 /// A token of a long prompt takes up to half as long again as one of a usual one, each looks at all before it, and as much may
 /// be in the queue from elsewhere.
 const WORK_SLACK: f64 = 3.0;
 /// The times in which a server's wait and its role's fade (ms).
-const WAIT_FADES: Ms = 1_000.0;
-const ROLE_WAIT_FADES: Ms = 4_000.0;
+const WAIT_FADES: Millis = 1_000.0;
+const ROLE_WAIT_FADES: Millis = 4_000.0;
 
 /// The work of a usual read, in tokens.
 pub fn usual_work(learned: &Learned) -> f64 {
@@ -24,13 +24,13 @@
 
 /// How long it takes (ms) until a read of this much work has ended at a reader, or a stream begins at a writer or a mixed
 /// server, if sent now. A server of which nothing is known is taken for idle.
-pub fn until(s: &Server, learned: &Learned, routers: f64, now: Ms, work: f64) -> Ms {
+pub fn until(s: &Server, learned: &Learned, routers: f64, now: Millis, work: f64) -> Millis {
     let counts = |w: &&Waiting| w.counts();
     let oldest = s.waiting.values().filter(counts).map(|w| w.since).fold(now, f64::min);
     let trust = if s.waiting.is_empty() { ((s.answered - now) / WAIT_FADES).exp() } else { 1.0 };
     let (like, at) = learned.waits[s.role as usize];
     // A writer's wait fades into its role's: one of many routers meets it too seldom to have its own.
-    let writer = s.role == Role::Writer;
+    let writer = s.role == Role::Decode;
     let like = if writer { like * ((at - now) / ROLE_WAIT_FADES).exp() } else { 0.0 };
     let wait = (s.wait * trust + like * (1.0 - trust)).max(now - oldest);
     if writer {
@@ -46,15 +46,15 @@
 }
 
 /// The time that a token takes a server to read, as far as known.
-fn pace(s: &Server, learned: &Learned, routers: f64) -> Ms {
+fn pace(s: &Server, learned: &Learned, routers: f64) -> Millis {
     s.pace(learned.pace[Stage::Read as usize], fleet_load::enough(routers))
 }
 
 /// How long (ms) a server may be busy with what this router has sent it up to a moment, and give no sign meanwhile: reads
 /// run one after the other. A long prompt takes longer than the patience with a server that says nothing, and is read in
 /// vain, again and again, where it is not reckoned with. A stream's begin has no such work.
-pub fn busy(s: &Server, learned: &Learned, routers: f64, until: Ms) -> Ms {
-    if s.role == Role::Writer {
+pub fn busy(s: &Server, learned: &Learned, routers: f64, until: Millis) -> Millis {
+    if s.role == Role::Decode {
         return 0.0;
     }
     let pace = pace(s, learned, routers);
--- a/crates/router/src/wait_estimate/tests.rs
+++ b/crates/router/src/wait_estimate/tests.rs
@@ -39,7 +39,7 @@
         prop_assert!(allowed.is_finite() && allowed >= before * pace.unwrap_or(0.0));
         prop_assert!(busy(&server, &learned, 3.0, until + 1_000.0) >= allowed);
         prop_assert!(before == 0.0 || allowed > 0.0, "nothing learned yet is no reason to be impatient");
-        let writer = Server { role: Role::Writer, ..server };
+        let writer = Server { role: Role::Decode, ..server };
         prop_assert_eq!(busy(&writer, &learned, 3.0, until), 0.0);
     }
 }
--- a/crates/router/tests/cold/play.rs
+++ b/crates/router/tests/cold/play.rs
@@ -24,7 +24,7 @@
     Arrives,
     Start,
     Timer(u64),
-    Told { server: u64, report: Report },
+    Told { server: u64, report: LoadReport },
     Done { id: u64, attempt: u32, server: u64, first: bool },
     Refuses { id: u64, attempt: u32, server: u64, reset: bool },
     NotTold { server: u64 },
@@ -66,9 +66,15 @@
 impl Play {
     pub fn of(day: Day) -> Play {
         let (fall_multiple, fall, cold_from) = day.rules;
-        let mut settings = Settings { routers: day.routers as u32, ..settings() };
+        let mut settings = Settings { router_count: day.routers as u32, ..settings() };
         settings.limits.probes = day.probes;
-        settings.rules = Rules { fall_multiple, fall, cold_from, cold: 13_000.0, ..settings.rules };
+        settings.rules = Rules {
+            overload_multiple: fall_multiple,
+            overload_window: fall,
+            slow_start_initial_share: cold_from,
+            slow_start_window: 13_000.0,
+            ..settings.rules
+        };
         let ids = (0..day.servers as u64).flat_map(|n| [100 + n, 1_100 + n]);
         let mut play = Play {
             day,
@@ -88,7 +94,7 @@
         play.hot = play.cold_home();
         for router in 0..day.routers {
             play.routers.push(Router::new(router as u64 + 1, play.settings.clone()));
-            play.give(router, Event::Members { scope: Scope::Full, members: play.list() });
+            play.give(router, Event::ServerList { update: ListUpdate::Full, servers: play.list() });
         }
         play
     }
@@ -102,7 +108,9 @@
 
     fn warmth(&self, from: f64) -> f64 {
         let rules = &self.settings.rules;
-        (rules.cold_from + (1.0 - rules.cold_from) * (from - STARTED) / rules.cold).min(1.0)
+        (rules.slow_start_initial_share
+            + (1.0 - rules.slow_start_initial_share) * (from - STARTED) / rules.slow_start_window)
+            .min(1.0)
     }
 
     fn at(&mut self, when: f64, router: usize, what: What) {
@@ -135,13 +143,13 @@
             What::Away => self.leave(),
             What::Start => self.start(),
             What::NotTold { server } => {
-                let (server, status) = (ServerId(server), Status::ConnectFailed);
-                self.give(router, Event::Probed { server, status, elapsed: DIAL, report: None });
+                let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
+                self.give(router, Event::ProbeResult { server, status, elapsed: DIAL, report: None });
             }
             What::Refuses { id, attempt, server, reset } => {
-                let status = if reset { Status::Reset } else { Status::ConnectFailed };
+                let status = if reset { AttemptStatus::Reset } else { AttemptStatus::ConnectFailed };
                 let (id, server, elapsed) = (RequestId(id), ServerId(server), 1.0);
-                let outcome = Outcome {
+                let outcome = AttemptOutcome {
                     id,
                     attempt,
                     server,
@@ -149,7 +157,7 @@
                     elapsed,
                     note: 0.0,
                     closed: false,
-                    arrived: status.may_have_arrived(),
+                    delivered: status.may_have_arrived(),
                     report: None,
                 };
                 self.give(router, Event::Outcome(outcome));
@@ -157,7 +165,10 @@
             What::Timer(key) => self.give(router, Event::Timer { key }),
             What::Told { server, report } => {
                 let (server, report) = (ServerId(server), Some(report));
-                self.give(router, Event::Probed { server, status: Status::Served, elapsed: 10.0, report });
+                self.give(
+                    router,
+                    Event::ProbeResult { server, status: AttemptStatus::Served, elapsed: 10.0, report },
+                );
             }
             What::Done { id, attempt, server, first } => {
                 let report = Some(self.report(server));
@@ -165,9 +176,10 @@
                 if first {
                     return self.give(router, Event::FirstToken { id, attempt, server, elapsed: 20.0 });
                 }
-                let status = if is_reader(server.0) { Status::Read } else { Status::Served };
-                let closed = status == Status::Served;
-                let outcome = Outcome {
+                let status =
+                    if is_reader(server.0) { AttemptStatus::Prefilled } else { AttemptStatus::Served };
+                let closed = status == AttemptStatus::Served;
+                let outcome = AttemptOutcome {
                     id,
                     attempt,
                     server,
@@ -175,7 +187,7 @@
                     elapsed: 50.0,
                     note: 0.0,
                     closed,
-                    arrived: true,
+                    delivered: true,
                     report,
                 };
                 self.give(router, Event::Outcome(outcome));
@@ -183,7 +195,7 @@
             What::Restart => {
                 let seed = (self.unit() * 1e9) as u64 + 1;
                 self.routers[router] = Router::new(seed, self.settings.clone());
-                self.give(router, Event::Members { scope: Scope::Cached, members: self.list() });
+                self.give(router, Event::ServerList { update: ListUpdate::Cached, servers: self.list() });
             }
         }
     }
@@ -203,15 +215,15 @@
         self.at(self.now + gap, 0, What::Arrives);
     }
 
-    fn report(&mut self, server: u64) -> Report {
+    fn report(&mut self, server: u64) -> LoadReport {
         let (now, slots) = (self.now, self.day.a_second * STREAM / 1_000.0);
-        let Some(s) = self.servers.get_mut(&server) else { return Report::default() };
+        let Some(s) = self.servers.get_mut(&server) else { return LoadReport::default() };
         s.ends.retain(|end| *end > now);
         if now >= s.told.1 + self.day.refresh {
             s.told = (s.ends.len() as f64, now);
         }
         let memory = if is_reader(server) { 0.1 } else { (s.told.0 / slots).min(1.0) };
-        Report { in_flight: Some(s.told.0), memory: Some(memory), ..Report::default() }
+        LoadReport { in_flight: Some(s.told.0), memory_share: Some(memory), ..LoadReport::default() }
     }
 
     fn give(&mut self, router: usize, event: Event) {
@@ -273,8 +285,10 @@
         let rules = &self.settings.rules;
         let cold = self.servers.iter().filter(|(id, s)| is_reader(**id) == readers && s.cold);
         let window = |sent: &[f64], from: f64| {
-            let within = sent.iter().filter(|at| (from..from + rules.fall).contains(*at)).count() as f64;
-            let n = rules.fall_multiple * self.warmth(from) * self.day.a_second * rules.fall / 1_000.0;
+            let within =
+                sent.iter().filter(|at| (from..from + rules.overload_window).contains(*at)).count() as f64;
+            let n = rules.overload_multiple * self.warmth(from) * self.day.a_second * rules.overload_window
+                / 1_000.0;
             within / (n + 2.0 * n.sqrt() + 2.0)
         };
         let all = cold.flat_map(|(_, s)| s.sent.iter().map(move |at| (s, *at)));
--- a/crates/router/tests/cold/play/starts.rs
+++ b/crates/router/tests/cold/play/starts.rs
@@ -10,15 +10,16 @@
     /// A beginning whose first home, in the order that all routers share, will be one of the servers that start.
     pub(super) fn cold_home(&self) -> u64 {
         let starts = self.starting();
-        let mut settings = Settings { routers: 300, ..self.settings.clone() };
+        let mut settings = Settings { router_count: 300, ..self.settings.clone() };
         settings.limits.probes = true;
-        let cold = |m: Member| Member { started: starts.contains(&m.server.0).then_some(STARTED), ..m };
-        let members: Vec<Member> = self.list().into_iter().map(cold).collect();
+        let cold =
+            |m: ServerEntry| ServerEntry { started: starts.contains(&m.server.0).then_some(STARTED), ..m };
+        let members: Vec<ServerEntry> = self.list().into_iter().map(cold).collect();
         let looked_at = |prefix: u64| {
             let (mut router, mut actions) = (Router::new(1, settings.clone()), Vec::new());
             router.handle(
                 STARTED,
-                Event::Members { scope: Scope::Full, members: members.clone() },
+                Event::ServerList { update: ListUpdate::Full, servers: members.clone() },
                 &mut actions,
             );
             let ask = Request { prefix: Some(prefix), ..ask(prefix) };
@@ -30,11 +31,11 @@
     }
 
     /// Cells of four readers and four writers, as a list tells of them now.
-    pub(super) fn list(&self) -> Vec<Member> {
+    pub(super) fn list(&self) -> Vec<ServerEntry> {
         let line = |(id, s): (&u64, &Server)| {
             let kind = u32::from(!is_reader(*id));
             let started = s.cold.then_some(STARTED);
-            Member { cell: (*id as u32 % 100) / 4, started, ..member(*id, kind, 0) }
+            ServerEntry { cell: (*id as u32 % 100) / 4, started, ..member(*id, kind, 0) }
         };
         self.servers.iter().map(line).collect()
     }
@@ -51,7 +52,7 @@
         }
         for router in 0..self.day.routers {
             let members = self.list().into_iter().filter(|m| m.started.is_some()).collect();
-            self.give(router, Event::Members { scope: Scope::Delta, members });
+            self.give(router, Event::ServerList { update: ListUpdate::Delta, servers: members });
         }
         let Anew { from, share, within, rounds } = self.day.anew;
         for round in 0..rounds {
