--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -7,31 +7,35 @@
 pub const WRITERS: [u64; 3] = [21, 22, 23];
 
 pub fn settings() -> Settings {
-    let class = Class {
-        aim: 1_000.0,
-        aim_per_1000_tokens: 60.0,
+    let class = RequestClass {
+        latency_objective: 1_000.0,
+        latency_objective_per_1000_tokens: 60.0,
         deadline: 4_000.0,
-        token_aim: 50.0,
-        worth: 1.0,
-        late_worth: 0.1,
-        effect: Effect::Safe,
-        group: Group::All,
-        window: 2_000.0,
+        inter_token_objective: 50.0,
+        priority_weight: 1.0,
+        late_priority_weight: 0.1,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        idempotency_window: 2_000.0,
     };
     Settings {
-        me: 0,
-        routers: 2,
+        router_index: 0,
+        router_count: 2,
         zone: 0,
-        tick: 1.0,
+        tick_interval: 1.0,
         kinds: vec![
-            Kind { role: Role::Reader, memory_tokens: 200_000.0 },
-            Kind { role: Role::Writer, memory_tokens: 100_000.0 },
-            Kind { role: Role::Mixed, memory_tokens: 200_000.0 },
+            ServerKind { role: Role::Prefill, memory_tokens: 200_000.0 },
+            ServerKind { role: Role::Decode, memory_tokens: 100_000.0 },
+            ServerKind { role: Role::Mixed, memory_tokens: 200_000.0 },
         ],
         classes: vec![
             class.clone(),
-            Class { effect: Effect::Keyed, group: Group::Zone, ..class.clone() },
-            Class { effect: Effect::Unsafe, ..class },
+            RequestClass {
+                idempotency: Idempotency::IdempotencyKey,
+                deduplication_scope: DeduplicationScope::Zone,
+                ..class.clone()
+            },
+            RequestClass { idempotency: Idempotency::NonIdempotent, ..class },
         ],
         tenants: vec![],
         limits: Limits {
@@ -39,36 +43,36 @@
             max_retry_after: 1_000.0,
             connect_timeout: 250.0,
             probes: true,
-            cancel: true,
-            second_copies: true,
+            cancellation: true,
+            hedging: true,
             retry_after: true,
-            peers: false,
-            places_ahead: false,
+            gossip: false,
+            slot_reservation: false,
         },
         rules: Rules {
             answer_grace: 8.0,
             drain_grace: 500.0,
-            pin_limit: 500.0,
-            cold: 10_000.0,
-            cold_from: 0.3,
-            fall: 2_000.0,
-            fall_multiple: 3.0,
-            ask_within: 10_000.0,
+            lease_limit: 500.0,
+            slow_start_window: 10_000.0,
+            slow_start_initial_share: 0.3,
+            overload_window: 2_000.0,
+            overload_multiple: 3.0,
+            discovery_poll_limit: 10_000.0,
         },
         discovery: Discovery::Push,
-        over_share_worth: 0.1,
-        prices: Prices { probe: 0.003, moved: 0.03 },
-        resume: false,
-        writers_read: false,
+        over_quota_priority_weight: 0.1,
+        prices: Prices { probe: 0.003, cell_transfer: 0.03 },
+        stream_resumption: false,
+        decode_servers_prefill: false,
     }
 }
 
-pub fn member(id: u64, kind: u32, zone: u32) -> Member {
-    Member { server: ServerId(id), zone, cell: zone, kind, weight: 1.0, ..Member::default() }
+pub fn member(id: u64, kind: u32, zone: u32) -> ServerEntry {
+    ServerEntry { server: ServerId(id), zone, cell: zone, kind, weight: 1.0, ..ServerEntry::default() }
 }
 
 /// Three readers and three writers, one of each in a zone and cell of its own.
-pub fn fleet() -> Vec<Member> {
+pub fn fleet() -> Vec<ServerEntry> {
     let readers = READERS.iter().zip(0..).map(|(id, zone)| member(*id, 0, zone));
     readers.chain(WRITERS.iter().zip(0..).map(|(id, zone)| member(*id, 1, zone))).collect()
 }
@@ -81,24 +85,24 @@
         prompt_tokens: 2_000.0,
         prefix_tokens: 1_500.0,
         max_tokens: 200.0,
-        patience: 4_000.0,
+        client_timeout: 4_000.0,
         ..Request::default()
     }
 }
 
 pub struct Rig {
     pub router: Router,
-    pub now: Ms,
+    pub now: Millis,
 }
 
 impl Rig {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Self {
+    pub fn new(settings: Settings, members: Vec<ServerEntry>) -> Self {
         Rig::seeded(3, settings, members)
     }
     /// One whose router draws its chances from this seed.
-    pub fn seeded(seed: u64, settings: Settings, members: Vec<Member>) -> Self {
+    pub fn seeded(seed: u64, settings: Settings, members: Vec<ServerEntry>) -> Self {
         let mut rig = Rig { router: Router::new(seed, settings), now: 0.0 };
-        rig.give(Event::Members { scope: Scope::Full, members });
+        rig.give(Event::ServerList { update: ListUpdate::Full, servers: members });
         rig
     }
     pub fn plain() -> Self {
@@ -109,29 +113,29 @@
         self.router.handle(self.now, event, &mut out);
         out
     }
-    pub fn at(&mut self, now: Ms) -> &mut Self {
+    pub fn at(&mut self, now: Millis) -> &mut Self {
         self.now = now;
         self
     }
     pub fn request(&mut self, ask: Request) -> Vec<Action> {
         self.give(Event::Request(ask))
     }
-    pub fn outcome(&mut self, id: u64, attempt: u32, server: u64, status: Status) -> Vec<Action> {
+    pub fn outcome(&mut self, id: u64, attempt: u32, server: u64, status: AttemptStatus) -> Vec<Action> {
         self.outcome_with(id, attempt, server, status, 0.0, None)
     }
     pub fn outcome_with(
-        &mut self, id: u64, attempt: u32, server: u64, status: Status, note: f64, memory: Option<f64>,
+        &mut self, id: u64, attempt: u32, server: u64, status: AttemptStatus, note: f64, memory: Option<f64>,
     ) -> Vec<Action> {
-        self.give(Event::Outcome(Outcome {
+        self.give(Event::Outcome(AttemptOutcome {
             id: RequestId(id),
             attempt,
             server: ServerId(server),
             status,
             elapsed: 50.0,
             note,
-            closed: status == Status::Served,
-            arrived: status.may_have_arrived(),
-            report: memory.map(|m| Report { memory: Some(m), ..Report::default() }),
+            closed: status == AttemptStatus::Served,
+            delivered: status.may_have_arrived(),
+            report: memory.map(|m| LoadReport { memory_share: Some(m), ..LoadReport::default() }),
         }))
     }
     pub fn timer(&mut self, key: u64) -> Vec<Action> {
@@ -139,8 +143,13 @@
     }
     /// Reports a share of memory for a server, as a probe's answer.
     pub fn memory(&mut self, server: u64, memory: f64) {
-        let report = Some(Report { memory: Some(memory), ..Report::default() });
-        self.give(Event::Probed { server: ServerId(server), status: Status::Served, elapsed: 1.0, report });
+        let report = Some(LoadReport { memory_share: Some(memory), ..LoadReport::default() });
+        self.give(Event::ProbeResult {
+            server: ServerId(server),
+            status: AttemptStatus::Served,
+            elapsed: 1.0,
+            report,
+        });
     }
     /// A request in a fleet where every server that is looked at says at once that it has nothing in flight.
     pub fn request_seen(&mut self, ask: Request) -> Vec<Action> {
@@ -158,8 +167,13 @@
     }
     /// A server's word on what it has in flight, as a probe's answer.
     pub fn load(&mut self, server: u64, in_flight: f64) -> Vec<Action> {
-        let report = Some(Report { in_flight: Some(in_flight), ..Report::default() });
-        self.give(Event::Probed { server: ServerId(server), status: Status::Served, elapsed: 1.0, report })
+        let report = Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() });
+        self.give(Event::ProbeResult {
+            server: ServerId(server),
+            status: AttemptStatus::Served,
+            elapsed: 1.0,
+            report,
+        })
     }
     /// Sends a request and returns the reader that it went to.
     pub fn read_at(&mut self, ask: Request) -> u64 {
@@ -185,7 +199,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -197,7 +211,7 @@
 }
 
 /// The keys of the timers set, in order.
-pub fn timers(actions: &[Action]) -> Vec<(Ms, u64)> {
+pub fn timers(actions: &[Action]) -> Vec<(Millis, u64)> {
     let timer = |a: &Action| match a {
         Action::Timer { at, key, .. } => Some((*at, *key)),
         _ => None,
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -70,7 +70,10 @@
 /// The share of its capacity that a server has which started then.
 fn warmth(cold: Option<u64>, now: u64) -> f64 {
     let rules = settings().rules;
-    let warmed = |at| rules.cold_from + (1.0 - rules.cold_from) * (now - at) as f64 / rules.cold;
+    let warmed = |at| {
+        rules.slow_start_initial_share
+            + (1.0 - rules.slow_start_initial_share) * (now - at) as f64 / rules.slow_start_window
+    };
     cold.map_or(1.0, warmed).min(1.0)
 }
 
@@ -79,9 +82,11 @@
 fn pressed(sent: &[u64], started: u64, a_second: f64) -> f64 {
     let rules = settings().rules;
     let window = |from: u64| {
-        let until = from + rules.fall as u64;
+        let until = from + rules.overload_window as u64;
         let within = sent.iter().filter(|at| (from..until).contains(*at)).count() as f64;
-        within / (rules.fall_multiple * warmth(Some(started), from) * a_second * rules.fall / 1_000.0)
+        within
+            / (rules.overload_multiple * warmth(Some(started), from) * a_second * rules.overload_window
+                / 1_000.0)
     };
     sent.iter().filter(|at| **at >= started).map(|at| window(*at)).fold(0.0, f64::max)
 }
@@ -109,9 +114,9 @@
 }
 
 /// Five cells of four readers and four writers.
-fn listed() -> Vec<Member> {
+fn listed() -> Vec<ServerEntry> {
     let servers = (0..SERVERS).flat_map(|n| {
-        let at = |id, kind| Member { cell: (n / 4) as u32, ..member(id, kind, 0) };
+        let at = |id, kind| ServerEntry { cell: (n / 4) as u32, ..member(id, kind, 0) };
         [at(100 + n, 0), at(200 + n, 1)]
     });
     servers.collect()
@@ -125,7 +130,7 @@
     }
 
     fn with(settings: Settings, beginning: fn(u64) -> u64) -> Fleet {
-        let settings = Settings { routers: ROUTERS as u32, ..settings };
+        let settings = Settings { router_count: ROUTERS as u32, ..settings };
         let routers = (0..ROUTERS).map(|n| Router::new(n + 1, settings.clone())).collect();
         let reader = |n| (100 + n, Reader { slow: 1, ..Reader::default() });
         let mut fleet = Fleet {
@@ -148,16 +153,16 @@
             beginning,
         };
         for router in 0..ROUTERS {
-            fleet.give(router, Event::Members { scope: Scope::Full, members: listed() });
+            fleet.give(router, Event::ServerList { update: ListUpdate::Full, servers: listed() });
         }
         fleet
     }
 
     /// The router begins anew with nothing but its list.
     fn restart(&mut self, router: u64) {
-        let settings = Settings { routers: ROUTERS as u32, ..settings() };
+        let settings = Settings { router_count: ROUTERS as u32, ..settings() };
         self.routers[router as usize] = Router::new(router + 1_000, settings);
-        self.give(router, Event::Members { scope: Scope::Full, members: listed() });
+        self.give(router, Event::ServerList { update: ListUpdate::Full, servers: listed() });
     }
 
     fn at(&mut self, when: u64, router: u64, what: What) {
@@ -198,7 +203,7 @@
             }
             What::Timer { key } => self.give(router, Event::Timer { key }),
             What::ReadDone { id, attempt, server } => {
-                self.outcome(router, id, attempt, server, Status::Read);
+                self.outcome(router, id, attempt, server, AttemptStatus::Prefilled);
             }
             What::Begun { id, attempt, server } => {
                 if let Some(came) = self.came.get(&id) {
@@ -206,34 +211,39 @@
                 }
                 let (id, server) = (RequestId(id), ServerId(server));
                 self.give(router, Event::FirstToken { id, attempt, server, elapsed: 20.0 });
-                self.outcome(router, id.0, attempt, server.0, Status::Served);
+                self.outcome(router, id.0, attempt, server.0, AttemptStatus::Served);
             }
             What::TimedOut { id, attempt, server } => {
-                self.outcome(router, id, attempt, server, Status::Timeout);
+                self.outcome(router, id, attempt, server, AttemptStatus::Timeout);
+            }
+            What::Fails { id, attempt, server } => {
+                self.outcome(router, id, attempt, server, AttemptStatus::Error)
             }
-            What::Fails { id, attempt, server } => self.outcome(router, id, attempt, server, Status::Error),
             What::Refuses { id, attempt, server } => {
-                self.outcome(router, id, attempt, server, Status::ConnectFailed);
+                self.outcome(router, id, attempt, server, AttemptStatus::ConnectFailed);
             }
             What::NotProbed { server } => {
-                let (server, status) = (ServerId(server), Status::ConnectFailed);
-                self.give(router, Event::Probed { server, status, elapsed: 1.0, report: None });
+                let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
+                self.give(router, Event::ProbeResult { server, status, elapsed: 1.0, report: None });
             }
             What::Probed { server } => {
                 let report = self.report(server);
                 let server = ServerId(server);
-                self.give(router, Event::Probed { server, status: Status::Served, elapsed: 10.0, report });
+                self.give(
+                    router,
+                    Event::ProbeResult { server, status: AttemptStatus::Served, elapsed: 10.0, report },
+                );
             }
         }
     }
 
-    fn outcome(&mut self, router: u64, id: u64, attempt: u32, server: u64, status: Status) {
+    fn outcome(&mut self, router: u64, id: u64, attempt: u32, server: u64, status: AttemptStatus) {
         if !self.ended.insert((id, attempt)) {
             return;
         }
         let report = self.report(server);
-        let (id, server, closed) = (RequestId(id), ServerId(server), status == Status::Served);
-        let outcome = Outcome {
+        let (id, server, closed) = (RequestId(id), ServerId(server), status == AttemptStatus::Served);
+        let outcome = AttemptOutcome {
             id,
             attempt,
             server,
@@ -241,14 +251,14 @@
             elapsed: 50.0,
             note: 0.0,
             closed,
-            arrived: status.may_have_arrived(),
+            delivered: status.may_have_arrived(),
             report,
         };
         self.give(router, Event::Outcome(outcome));
     }
 
     /// What a server says of itself: as it was when its report was last refreshed.
-    fn report(&mut self, server: u64) -> Option<Report> {
+    fn report(&mut self, server: u64) -> Option<LoadReport> {
         let now = self.now;
         if let Some(writer) = self.writers.get_mut(&server) {
             writer.ends.retain(|end| *end > now);
@@ -257,14 +267,18 @@
                 writer.told = (streams, (streams / STREAMS as f64).min(1.0), now);
             }
             let (streams, held, _) = writer.told;
-            return Some(Report { in_flight: Some(streams), memory: Some(held), ..Report::default() });
+            return Some(LoadReport {
+                in_flight: Some(streams),
+                memory_share: Some(held),
+                ..LoadReport::default()
+            });
         }
         let reader = self.readers.get_mut(&server)?;
         reader.ends.retain(|end| *end > now);
         if now >= reader.told.1 + REFRESH {
             reader.told = (reader.ends.len() as f64, now);
         }
-        Some(Report { in_flight: Some(reader.told.0), memory: Some(0.1), ..Report::default() })
+        Some(LoadReport { in_flight: Some(reader.told.0), memory_share: Some(0.1), ..LoadReport::default() })
     }
 
     fn give(&mut self, router: u64, event: Event) {
@@ -274,9 +288,9 @@
             match action {
                 Action::Send { id, server, timeout } => self.send(router, id.0, server.0, timeout),
                 Action::Cancel { id, attempt } => {
-                    self.outcome(router, id.0, attempt, 0, Status::Cancelled);
+                    self.outcome(router, id.0, attempt, 0, AttemptStatus::Cancelled);
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => self.refused += 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.refused += 1,
                 Action::Probe { server } => {
                     self.probes += 1;
                     if self.stale.remove(&(router, server.0)) || !self.connects(router, server.0) {
@@ -292,7 +306,7 @@
         }
     }
 
-    fn send(&mut self, router: u64, id: u64, server: u64, timeout: Ms) {
+    fn send(&mut self, router: u64, id: u64, server: u64, timeout: Millis) {
         let next = self.tries.entry(id).or_default();
         let attempt = std::mem::replace(next, *next + 1);
         self.at(self.now + timeout.ceil() as u64, router, What::TimedOut { id, attempt, server });
@@ -345,7 +359,7 @@
 
     /// Share of all requests whose first token came within the time wanted.
     fn in_time(&self) -> f64 {
-        let aim = settings().classes[0].aim as u64 + PROMPT * 60 / 1_000;
+        let aim = settings().classes[0].latency_objective as u64 + PROMPT * 60 / 1_000;
         self.firsts.iter().filter(|f| **f <= aim).count() as f64 / self.came.len() as f64
     }
 
@@ -458,18 +472,18 @@
                 }
                 _ => _ = fleet.writers.insert(new, Writer { cold: Some(when), ..Writer::default() }),
             }
-            members.push(Member { state: ServerState::Gone, ..m.clone() });
-            members.push(Member { server: ServerId(new), started: Some(when as f64), ..m });
+            members.push(ServerEntry { state: ServerState::Terminated, ..m.clone() });
+            members.push(ServerEntry { server: ServerId(new), started: Some(when as f64), ..m });
         }
         for router in (0..ROUTERS).filter(|n| n % 3 > 0) {
-            fleet.give(router, Event::Members { scope: Scope::Delta, members: members.clone() });
+            fleet.give(router, Event::ServerList { update: ListUpdate::Delta, servers: members.clone() });
         }
         late.push(members);
     }
     fleet.run(16_000);
     for members in late {
         for router in (0..ROUTERS).filter(|n| n % 3 == 0) {
-            fleet.give(router, Event::Members { scope: Scope::Delta, members: members.clone() });
+            fleet.give(router, Event::ServerList { update: ListUpdate::Delta, servers: members.clone() });
         }
     }
     fleet.run(40_000);
@@ -498,12 +512,12 @@
     let mut fleet = Fleet::new(true, |request| request % 40);
     fleet.arrive(0..2_500, 10);
     fleet.run(5_000);
-    let zone: Vec<Member> = listed().into_iter().filter(|m| m.server.0 % 100 < 7).collect();
+    let zone: Vec<ServerEntry> = listed().into_iter().filter(|m| m.server.0 % 100 < 7).collect();
     fleet.dead.extend(zone.iter().map(|m| m.server.0));
     fleet.run(10_000);
     fleet.dead.clear();
-    let back = zone.iter().map(|m| Member { started: Some(10_000.0), ..m.clone() });
-    let back: Vec<Member> = back.collect();
+    let back = zone.iter().map(|m| ServerEntry { started: Some(10_000.0), ..m.clone() });
+    let back: Vec<ServerEntry> = back.collect();
     for m in &zone {
         let id = m.server.0;
         fleet.stale.extend((0..ROUTERS).map(|router| (router, id)));
@@ -516,7 +530,7 @@
         }
     }
     for router in 0..ROUTERS {
-        fleet.give(router, Event::Members { scope: Scope::Delta, members: back.clone() });
+        fleet.give(router, Event::ServerList { update: ListUpdate::Delta, servers: back.clone() });
     }
     fleet.count_anew();
     fleet.refused = 0;
@@ -540,9 +554,9 @@
         fleet.writers.get_mut(&id).into_iter().for_each(|w| w.cold = Some(0));
     }
     let now = listed().into_iter().filter(|m| (from..from + count).contains(&m.server.0));
-    let members: Vec<Member> = now.map(|m| Member { started: Some(0.0), ..m }).collect();
+    let members: Vec<ServerEntry> = now.map(|m| ServerEntry { started: Some(0.0), ..m }).collect();
     for router in 0..ROUTERS {
-        fleet.give(router, Event::Members { scope: Scope::Delta, members: members.clone() });
+        fleet.give(router, Event::ServerList { update: ListUpdate::Delta, servers: members.clone() });
     }
 }
 
--- a/crates/router/tests/in_vain.rs
+++ b/crates/router/tests/in_vain.rs
@@ -8,7 +8,7 @@
 
 const ROUTERS: u32 = 32;
 /// A read takes longer (ms) than a cold writer's word counts.
-const READ: Ms = 400.0;
+const READ: Millis = 400.0;
 
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 enum End {
@@ -20,11 +20,15 @@
 
 /// A router of many that has just been told that all writers are new.
 fn cold(seed: u64) -> Rig {
-    let started = |m: Member| match WRITERS.contains(&m.server.0) {
-        true => Member { started: Some(0.0), ..m },
+    let started = |m: ServerEntry| match WRITERS.contains(&m.server.0) {
+        true => ServerEntry { started: Some(0.0), ..m },
         false => m,
     };
-    Rig::seeded(seed, Settings { routers: ROUTERS, ..settings() }, fleet().into_iter().map(started).collect())
+    Rig::seeded(
+        seed,
+        Settings { router_count: ROUTERS, ..settings() },
+        fleet().into_iter().map(started).collect(),
+    )
 }
 
 /// Plays one request to its end, alone.
@@ -36,7 +40,7 @@
     };
     assert!(READERS.contains(&reader));
     rig.now += READ;
-    let mut actions = rig.outcome(id, 0, reader, Status::Read);
+    let mut actions = rig.outcome(id, 0, reader, AttemptStatus::Prefilled);
     loop {
         actions = rig.answered(actions);
         if let Some(writer) = sent(&actions) {
@@ -44,7 +48,7 @@
             let first =
                 Event::FirstToken { id: RequestId(id), attempt: 1, server: ServerId(writer), elapsed: 20.0 };
             rig.give(first);
-            rig.outcome(id, 1, writer, Status::Served);
+            rig.outcome(id, 1, writer, AttemptStatus::Served);
             return End::Served;
         }
         if refused(&actions) {
@@ -82,9 +86,11 @@
 #[test]
 fn with_no_writer_at_all_trials_alone_are_read() {
     let mut rig = cold(1);
-    let gone =
-        WRITERS.iter().zip(0..).map(|(id, zone)| Member { state: ServerState::Gone, ..member(*id, 1, zone) });
-    rig.give(Event::Members { scope: Scope::Delta, members: gone.collect() });
+    let gone = WRITERS
+        .iter()
+        .zip(0..)
+        .map(|(id, zone)| ServerEntry { state: ServerState::Terminated, ..member(*id, 1, zone) });
+    rig.give(Event::ServerList { update: ListUpdate::Delta, servers: gone.collect() });
     let (mut read, mut unsent) = (0, 0);
     for id in 1..=200 {
         rig.now += 50.0;
@@ -98,18 +104,18 @@
 /// Guards the panic threshold: where most writers look bad by resets alone, the cause is not theirs, and reading goes on.
 #[test]
 fn writers_that_only_look_bad_are_read_for() {
-    let mut rig = Rig::seeded(1, Settings { routers: ROUTERS, ..settings() }, fleet());
-    let bad = |rig: &Rig| WRITERS.iter().all(|w| rig.router.avoids(ServerId(*w)));
+    let mut rig = Rig::seeded(1, Settings { router_count: ROUTERS, ..settings() }, fleet());
+    let bad = |rig: &Rig| WRITERS.iter().all(|w| rig.router.is_avoided(ServerId(*w)));
     let mut id = 0;
     while !bad(&rig) {
         id += 1;
         assert!(id < 100, "writers are not ejected by resets");
         rig.now += 1.0;
         let reader = sent(&rig.request_seen(ask(id))).expect("a read");
-        let read = rig.outcome(id, 0, reader, Status::Read);
+        let read = rig.outcome(id, 0, reader, AttemptStatus::Prefilled);
         let writer = sent(&rig.answered(read)).expect("a writer");
-        rig.outcome(id, 1, writer, Status::Reset);
-        rig.give(Event::ClientGone { id: RequestId(id) });
+        rig.outcome(id, 1, writer, AttemptStatus::Reset);
+        rig.give(Event::ClientDisconnected { id: RequestId(id) });
     }
     assert!(sent(&rig.request_seen(ask(1_000))).is_some_and(|to| READERS.contains(&to)));
 }
@@ -120,14 +126,14 @@
 fn what_there_will_be_credit_for_in_time_is_read() {
     let mut seen = [0; 3];
     for seed in 1..=20 {
-        let mut rig = Rig::seeded(seed, Settings { routers: 6, ..settings() }, fleet());
+        let mut rig = Rig::seeded(seed, Settings { router_count: 6, ..settings() }, fleet());
         for id in 1..=60 {
             rig.now += 20.0;
             play(&mut rig, id);
         }
-        let cold = |id: &u64| Member { started: Some(rig.now), ..member(*id, 1, 0) };
+        let cold = |id: &u64| ServerEntry { started: Some(rig.now), ..member(*id, 1, 0) };
         let writers = WRITERS.iter().map(cold).collect();
-        rig.give(Event::Members { scope: Scope::Delta, members: writers });
+        rig.give(Event::ServerList { update: ListUpdate::Delta, servers: writers });
         for id in 61..=90 {
             rig.now += 20.0;
             seen[play(&mut rig, id) as usize] += 1;
--- a/crates/router/tests/path.rs
+++ b/crates/router/tests/path.rs
@@ -9,7 +9,7 @@
 fn a_shared_beginning_is_read_where_it_was_read_before() {
     let mut rig = Rig::plain();
     let home = rig.read_at(ask(1));
-    rig.outcome(1, 0, home, Status::Read);
+    rig.outcome(1, 0, home, AttemptStatus::Prefilled);
     assert_eq!(rig.at(10.0).read_at(ask(2)), home);
 }
 
@@ -17,7 +17,7 @@
 fn a_session_goes_before_the_shared_beginning() {
     let mut rig = Rig::plain();
     let home = rig.read_at(ask(1));
-    rig.outcome(1, 0, home, Status::Read);
+    rig.outcome(1, 0, home, AttemptStatus::Prefilled);
     // Another beginning whose hash lies elsewhere is tied to the session instead.
     let other = (8..100)
         .map(|p| Request { prefix: Some(p), ..ask(p) })
@@ -31,29 +31,29 @@
     // The first read of the beginning failed at its hashed home, so the table points elsewhere.
     let mut rig = Rig::plain();
     let home = rig.read_at(ask(1));
-    let second = sent(&rig.outcome(1, 0, home, Status::Full)).expect("a retry");
+    let second = sent(&rig.outcome(1, 0, home, AttemptStatus::Rejected)).expect("a retry");
     assert_ne!(second, home);
-    rig.outcome(1, 1, second, Status::Read);
+    rig.outcome(1, 1, second, AttemptStatus::Prefilled);
     assert_eq!(rig.at(29_000.0).read_at(ask(2)), second);
     assert_eq!(rig.at(31_000.0).read_at(ask(3)), home);
 }
 
 #[test]
 fn hashing_is_the_same_at_every_router_and_moves_only_the_lost_readers_keys() {
-    let homes = |members: Vec<Member>, seed: u32| -> Vec<u64> {
-        let mut rig = Rig::new(Settings { me: seed, ..settings() }, members);
+    let homes = |members: Vec<ServerEntry>, seed: u32| -> Vec<u64> {
+        let mut rig = Rig::new(Settings { router_index: seed, ..settings() }, members);
         (0..60)
             .map(|p| {
                 let home = rig.read_at(Request { prefix: Some(p), ..ask(p) });
-                rig.give(Event::ClientGone { id: RequestId(p) });
-                rig.outcome(p, 0, home, Status::Cancelled);
+                rig.give(Event::ClientDisconnected { id: RequestId(p) });
+                rig.outcome(p, 0, home, AttemptStatus::Cancelled);
                 home
             })
             .collect()
     };
     let all = homes(fleet(), 0);
     assert_eq!(all, homes(fleet(), 1));
-    let fewer: Vec<Member> = fleet().into_iter().filter(|m| m.server.0 != 12).collect();
+    let fewer: Vec<ServerEntry> = fleet().into_iter().filter(|m| m.server.0 != 12).collect();
     for (before, after) in all.iter().zip(homes(fewer, 0)) {
         assert!(*before == 12 || *before == after);
     }
@@ -78,7 +78,7 @@
         for w in WRITERS {
             rig.memory(w, if w == neighbour { near } else { far });
         }
-        let to = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a write");
+        let to = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
         assert_eq!(to == neighbour, expect_near, "near {near} far {far}");
     }
 }
@@ -91,7 +91,7 @@
     for id in 1..=9 {
         let big = Request { prompt_tokens: 20_000.0, ..ask(id) };
         let home = rig.read_at(big);
-        seen.push(sent(&rig.outcome(id, 0, home, Status::Read)).expect("a write"));
+        seen.push(sent(&rig.outcome(id, 0, home, AttemptStatus::Prefilled)).expect("a write"));
     }
     assert!(WRITERS.iter().all(|w| seen.contains(w)), "spread over all: {seen:?}");
 }
@@ -105,8 +105,8 @@
     for p in 0..300 {
         let to = rig.read_at(Request { prefix: Some(p), ..ask(p) });
         whole += u32::from(to == 31);
-        rig.give(Event::ClientGone { id: RequestId(p) });
-        rig.outcome(p, 0, to, Status::Cancelled);
+        rig.give(Event::ClientDisconnected { id: RequestId(p) });
+        rig.outcome(p, 0, to, AttemptStatus::Cancelled);
     }
     assert!((20..=70).contains(&whole), "a seventh of 300 is 43, got {whole}");
 }
@@ -123,7 +123,7 @@
             .map(|p| (rig.read_at(Request { prefix: Some(p), ..ask(p) }), p))
             .find(|(home, _)| *home != 31)
             .expect("a reader");
-        let to = sent(&rig.outcome(id, 0, home, Status::Read)).expect("a write");
+        let to = sent(&rig.outcome(id, 0, home, AttemptStatus::Prefilled)).expect("a write");
         assert_eq!(to == 31, expect_mixed);
     }
 }
@@ -132,21 +132,21 @@
 fn an_unreachable_reader_is_skipped_by_table_and_hash_and_tried_again_later() {
     let mut rig = Rig::plain();
     let home = rig.read_at(ask(1));
-    rig.outcome(1, 0, home, Status::Read);
+    rig.outcome(1, 0, home, AttemptStatus::Prefilled);
     rig.read_at(ask(2));
-    let second = sent(&rig.outcome(2, 0, home, Status::ConnectFailed)).expect("a retry");
+    let second = sent(&rig.outcome(2, 0, home, AttemptStatus::ConnectFailed)).expect("a retry");
     let third = rig.at(10.0).read_at(ask(3));
     assert!(second != home && third != home);
     for (id, attempt, server) in [(2, 1, second), (3, 0, third)] {
-        rig.give(Event::ClientGone { id: RequestId(id) });
-        rig.outcome(id, attempt, server, Status::Read);
+        rig.give(Event::ClientDisconnected { id: RequestId(id) });
+        rig.outcome(id, attempt, server, AttemptStatus::Prefilled);
     }
     let mut later = Vec::new();
     for id in 10..60 {
         let now = rig.now + 100.0;
         let to = rig.at(now).read_at(Request { prefix: Some(id), ..ask(id) });
-        rig.give(Event::ClientGone { id: RequestId(id) });
-        rig.outcome(id, 0, to, Status::Read);
+        rig.give(Event::ClientDisconnected { id: RequestId(id) });
+        rig.outcome(id, 0, to, AttemptStatus::Prefilled);
         later.push(to);
     }
     assert!(later.contains(&home), "trial traffic comes back");
@@ -154,7 +154,7 @@
 
 #[test]
 fn one_error_ejects_and_one_broken_connection_is_forgiven() {
-    for (status, leaves) in [(Status::Error, true), (Status::Reset, false)] {
+    for (status, leaves) in [(AttemptStatus::Error, true), (AttemptStatus::Reset, false)] {
         let mut rig = Rig::plain();
         mixed_traffic(&mut rig);
         let home = rig.read_at(ask(1));
@@ -171,8 +171,9 @@
         let mut ejected = None;
         for id in ids {
             let to = rig.read_at(Request { prefix: Some(id), ..ask(id) });
-            let status = if spoilt(id, to) { Status::Spoilt } else { Status::Read };
-            rig.give(Event::ClientGone { id: RequestId(id) });
+            let status =
+                if spoilt(id, to) { AttemptStatus::MalformedResponse } else { AttemptStatus::Prefilled };
+            rig.give(Event::ClientDisconnected { id: RequestId(id) });
             let actions = rig.outcome(id, 0, to, status);
             let told = |a: &Action| matches!(a, Action::Log(w) if w.starts_with("ejection"));
             ejected = ejected.or(actions.iter().any(told).then_some(id));
@@ -199,18 +200,18 @@
             assert!(!refused(&actions), "the lost read is no queue");
             let to = sent(&actions).expect("a send");
             rig.at(rig.now + 50.0);
-            let writer = sent(&rig.outcome(id, 0, to, Status::Read)).expect("a send");
-            rig.outcome(id, 1, writer, Status::Served);
+            let writer = sent(&rig.outcome(id, 0, to, AttemptStatus::Prefilled)).expect("a send");
+            rig.outcome(id, 1, writer, AttemptStatus::Served);
             if rig.timer(1 << 52).contains(&Action::Cancel { id: RequestId(1), attempt: 0 }) {
                 cancelled = cancelled.or(Some(rig.now));
-                let retry = sent(&rig.outcome(1, 0, home, Status::Cancelled)).expect("a retry");
+                let retry = sent(&rig.outcome(1, 0, home, AttemptStatus::Cancelled)).expect("a retry");
                 assert_ne!(retry, home);
                 break;
             }
         }
         let at = cancelled.expect("called back");
         assert!((300.0..1_000.0).contains(&at), "in time for another read: {at}");
-        assert!(!rig.router.avoids(ServerId(home)));
+        assert!(!rig.router.is_avoided(ServerId(home)));
     }
 }
 
@@ -220,12 +221,12 @@
 fn what_is_merely_slow_or_may_not_be_repeated_is_left_alone() {
     let mut rig = Rig::new(settings(), vec![member(11, 0, 0), member(21, 1, 0)]);
     rig.read_at(Request { class: 2, ..ask(1) });
-    assert_eq!(sent(&rig.outcome(1, 0, 11, Status::Read)), Some(21));
+    assert_eq!(sent(&rig.outcome(1, 0, 11, AttemptStatus::Prefilled)), Some(21));
     let cancels = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
     for id in 2..12 {
         rig.at(id as f64 * 100.0);
         rig.read_at(ask(id));
-        rig.outcome(id, 0, 11, Status::Read);
+        rig.outcome(id, 0, 11, AttemptStatus::Prefilled);
         let first = Event::FirstToken { id: RequestId(id), attempt: 1, server: ServerId(21), elapsed: 20.0 };
         rig.give(first);
         assert!(!cancels(&rig.timer(1 << 52)), "the order");
@@ -242,8 +243,8 @@
 fn a_request_whose_stream_was_spoilt_is_read_anew() {
     let mut rig = Rig::plain();
     let home = rig.read_at(ask(1));
-    let writer = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a send");
-    let actions = rig.outcome(1, 1, writer, Status::Spoilt);
+    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a send");
+    let actions = rig.outcome(1, 1, writer, AttemptStatus::MalformedResponse);
     assert!(released(&actions));
     assert!(READERS.contains(&sent(&actions).expect("another try")));
 }
@@ -258,8 +259,8 @@
         let actions = rig.request(Request { prefix: Some(id), ..ask(id) });
         panicked |= actions.iter().any(|a| matches!(a, Action::Log(w) if w.starts_with("panic threshold")));
         let to = sent(&actions).expect("traffic goes on whatever the readers do");
-        rig.give(Event::ClientGone { id: RequestId(id) });
-        rig.outcome(id, 0, to, Status::Error);
+        rig.give(Event::ClientDisconnected { id: RequestId(id) });
+        rig.outcome(id, 0, to, AttemptStatus::Error);
     }
     assert!(panicked);
 }
@@ -278,23 +279,23 @@
         }
     }
     assert!(cancelled && rig.now < 4_000.0, "in time for another try");
-    let retry = sent(&rig.outcome(1, 0, home, Status::Cancelled)).expect("a retry");
+    let retry = sent(&rig.outcome(1, 0, home, AttemptStatus::Cancelled)).expect("a retry");
     assert_ne!(retry, home);
 }
 
 #[test]
 fn a_cold_server_gets_a_trickle_not_a_burst() {
     let mut rig = Rig::plain();
-    let cold = Member { started: Some(900.0), ..member(14, 0, 0) };
-    rig.at(1_000.0).give(Event::Members { scope: Scope::Delta, members: vec![cold] });
+    let cold = ServerEntry { started: Some(900.0), ..member(14, 0, 0) };
+    rig.at(1_000.0).give(Event::ServerList { update: ListUpdate::Delta, servers: vec![cold] });
     let mut to_cold = 0;
     for id in 0..200 {
         rig.now = 1_000.0 + id as f64 * 10.0;
         if let Some(to) = sent(&rig.request(Request { prefix: Some(id), ..ask(id) })) {
             to_cold += u32::from(to == 14);
-            rig.outcome(id, 0, to, Status::Read);
+            rig.outcome(id, 0, to, AttemptStatus::Prefilled);
         }
-        rig.give(Event::ClientGone { id: RequestId(id) });
+        rig.give(Event::ClientDisconnected { id: RequestId(id) });
     }
     assert!((1..=20).contains(&to_cold), "got {to_cold} of 200");
 }
@@ -303,10 +304,10 @@
 fn a_held_state_is_tried_at_another_writer_and_read_anew_only_when_lost() {
     let mut rig = Rig::plain();
     let home = rig.read_at(ask(1));
-    let writer = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a write");
-    let second = sent(&rig.outcome(1, 1, writer, Status::Full)).expect("another writer");
+    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
+    let second = sent(&rig.outcome(1, 1, writer, AttemptStatus::Rejected)).expect("another writer");
     assert!(WRITERS.contains(&second) && second != writer);
-    let actions = rig.outcome_with(1, 2, second, Status::Full, 1.0, None);
+    let actions = rig.outcome_with(1, 2, second, AttemptStatus::Rejected, 1.0, None);
     assert!(released(&actions), "the reader may only be cut off from the writer");
     assert!(READERS.contains(&sent(&actions).expect("a new read")));
 }
@@ -347,9 +348,9 @@
 fn subscribe_discovery_asks_at_the_start_and_after_a_failure() {
     let mut rig =
         Rig { router: Router::new(1, Settings { discovery: Discovery::Subscribe, ..settings() }), now: 0.0 };
-    let first = rig.give(Event::Members { scope: Scope::Cached, members: fleet() });
+    let first = rig.give(Event::ServerList { update: ListUpdate::Cached, servers: fleet() });
     assert!(first.contains(&Action::Subscribe { on: true }));
-    rig.give(Event::Members { scope: Scope::Failed, members: vec![] });
+    rig.give(Event::ServerList { update: ListUpdate::Failed, servers: vec![] });
     let mut again = 0;
     for tick in 1..60 {
         rig.at(f64::from(tick) * 100.0);
@@ -386,7 +387,7 @@
         .find(|(to, _)| *to == 31)
         .expect("some beginning hashes to the mixed server");
     rig.give(Event::FirstToken { id: RequestId(p), attempt: 0, server: ServerId(31), elapsed: 9.0 });
-    rig.outcome(p, 0, 31, Status::Served);
+    rig.outcome(p, 0, 31, AttemptStatus::Served);
     // A beginning that the session never had before: only the session leads there.
     assert_eq!(rig.read_at(Request { session: 1_000 + p, prefix: Some(5_000), ..ask(900) }), 31);
 }
@@ -396,15 +397,15 @@
     let mut rig = Rig::plain();
     mixed_traffic(&mut rig);
     let hashed = rig.read_at(ask(1));
-    let second = sent(&rig.outcome(1, 0, hashed, Status::Full)).expect("a retry");
-    rig.outcome(1, 1, second, Status::Read);
+    let second = sent(&rig.outcome(1, 0, hashed, AttemptStatus::Rejected)).expect("a retry");
+    rig.outcome(1, 1, second, AttemptStatus::Prefilled);
     assert_eq!(rig.read_at(ask(2)), second);
-    rig.give(Event::ClientGone { id: RequestId(2) });
-    rig.outcome(2, 0, second, Status::Cancelled);
+    rig.give(Event::ClientDisconnected { id: RequestId(2) });
+    rig.outcome(2, 0, second, AttemptStatus::Cancelled);
     for id in 10..26_000 {
         let to = rig.read_at(Request { prefix: Some(id), ..ask(id) });
-        rig.give(Event::ClientGone { id: RequestId(id) });
-        rig.outcome_with(id, 0, to, Status::Read, 1.0, None);
+        rig.give(Event::ClientDisconnected { id: RequestId(id) });
+        rig.outcome_with(id, 0, to, AttemptStatus::Prefilled, 1.0, None);
     }
     assert_eq!(rig.read_at(ask(3)), hashed, "50,000 newer entries have pushed it out");
 }
@@ -413,14 +414,14 @@
 fn mixed_traffic(rig: &mut Rig) {
     for id in 100_000..100_030 {
         let to = rig.read_at(Request { prefix: Some(id), ..ask(id) });
-        rig.give(Event::ClientGone { id: RequestId(id) });
-        rig.outcome(id, 0, to, Status::Cancelled);
+        rig.give(Event::ClientDisconnected { id: RequestId(id) });
+        rig.outcome(id, 0, to, AttemptStatus::Cancelled);
     }
 }
 
 /// One router of two hundred, its own requests a second apart.
 fn one_of_many() -> Rig {
-    Rig::new(Settings { routers: 200, ..settings() }, fleet())
+    Rig::new(Settings { router_count: 200, ..settings() }, fleet())
 }
 
 /// Guards the price of probes over a whole fleet: however long servers are unheard of, they go with the requests.
@@ -430,7 +431,7 @@
         let mut probes = 0;
         for second in 1..=20 {
             probes += probed(&rig.at(second as f64 * 1_000.0).request_seen(ask(second))).len();
-            rig.give(Event::ClientGone { id: RequestId(second) });
+            rig.give(Event::ClientDisconnected { id: RequestId(second) });
             for tick in 0..10 {
                 let actions = rig.at(second as f64 * 1_000.0 + tick as f64 * 100.0).timer(1 << 52);
                 probes += probed(&actions).len();
@@ -451,8 +452,8 @@
     let next = probed(&second).first().copied().expect("looks at all others");
     assert_eq!(sent(&rig.load(next, 1.0)), Some(next));
     // All routers go on to the same next home.
-    let mut other = Rig { router: Router::new(77, Settings { routers: 200, ..settings() }), now: 0.0 };
-    other.give(Event::Members { scope: Scope::Full, members: fleet() });
+    let mut other = Rig { router: Router::new(77, Settings { router_count: 200, ..settings() }), now: 0.0 };
+    other.give(Event::ServerList { update: ListUpdate::Full, servers: fleet() });
     assert_eq!(probed(&other.request(ask(1))), [home]);
     assert_eq!(probed(&other.load(home, 50.0)).first(), Some(&next));
 }
@@ -462,11 +463,11 @@
 #[test]
 fn one_read_that_waited_is_no_reason_to_refuse_what_an_idle_server_can_read() {
     let mut rig = one_of_many();
-    let read = |rig: &mut Rig, id: u64, elapsed: Ms| {
-        let to = rig.read_at(Request { prefix: Some(id / 10), patience: 20_000.0, ..ask(id) });
+    let read = |rig: &mut Rig, id: u64, elapsed: Millis| {
+        let to = rig.read_at(Request { prefix: Some(id / 10), client_timeout: 20_000.0, ..ask(id) });
         let (server, id) = (ServerId(to), RequestId(id));
-        let (status, report) = (Status::Read, None);
-        let outcome = Outcome {
+        let (status, report) = (AttemptStatus::Prefilled, None);
+        let outcome = AttemptOutcome {
             id,
             attempt: 0,
             server,
@@ -474,19 +475,19 @@
             elapsed,
             note: 0.0,
             closed: false,
-            arrived: true,
+            delivered: true,
             report,
         };
         rig.now += elapsed;
         let writer = sent(&rig.give(Event::Outcome(outcome))).expect("a write");
-        rig.outcome(id.0, 1, writer, Status::Served);
+        rig.outcome(id.0, 1, writer, AttemptStatus::Served);
         rig.now += 5_000.0;
         to
     };
     let slow = read(&mut rig, 100, 6_000.0);
     for id in (0..20).map(|n| n * 10).filter(|id| *id != 100) {
         let home = probed(&rig.request(Request { prefix: Some(id / 10), ..ask(id + 1) })).first().copied();
-        rig.give(Event::ClientGone { id: RequestId(id + 1) });
+        rig.give(Event::ClientDisconnected { id: RequestId(id + 1) });
         if home.is_some_and(|home| home != slow) {
             read(&mut rig, id, 100.0);
         }
@@ -498,8 +499,8 @@
         assert!(!refused(&actions), "an idle server is refused: {actions:?}");
         let to = sent(&actions).expect("a read");
         again += usize::from(to == slow);
-        let writer = sent(&rig.outcome(id, 0, to, Status::Read)).expect("a write");
-        rig.outcome(id, 1, writer, Status::Served);
+        let writer = sent(&rig.outcome(id, 0, to, AttemptStatus::Prefilled)).expect("a write");
+        rig.outcome(id, 1, writer, AttemptStatus::Served);
     }
     assert!(again > 0, "no request went back to the server where one had waited");
 }
@@ -519,8 +520,8 @@
                 actions.extend(rig.load(server, if id < 10 { 0.0 } else { load }));
             }
             if let Some(reader) = sent(&actions) {
-                let writer = sent(&rig.outcome(id, 0, reader, Status::Read)).expect("a write");
-                rig.outcome(id, 1, writer, Status::Served);
+                let writer = sent(&rig.outcome(id, 0, reader, AttemptStatus::Prefilled)).expect("a write");
+                rig.outcome(id, 1, writer, AttemptStatus::Served);
             }
             refusals[n] += usize::from(refused(&actions));
             rig.now += 2_000.0;
@@ -541,8 +542,8 @@
         if let [next, last] = probed(&then)[..] {
             assert!(next != home && now <= 200.0, "after {now} ms to {next}");
             assert_eq!(sent(&rig.load(last, 0.0)), None, "the next in order is waited for");
-            let (server, status) = (ServerId(next), Status::ConnectFailed);
-            let third = rig.give(Event::Probed { server, status, elapsed: 1.0, report: None });
+            let (server, status) = (ServerId(next), AttemptStatus::ConnectFailed);
+            let third = rig.give(Event::ProbeResult { server, status, elapsed: 1.0, report: None });
             assert_eq!(sent(&third), Some(last), "one that cannot be reached is passed over at once");
             return;
         }
@@ -555,17 +556,17 @@
 fn the_trickle_to_a_cold_server_is_that_of_all_routers_together() {
     let mut to_cold = 0;
     let limits = Limits { probes: false, ..settings().limits };
-    let settings = Settings { routers: 200, limits, ..settings() };
+    let settings = Settings { router_count: 200, limits, ..settings() };
     for me in 0..200 {
         let mut rig = Rig { router: Router::new(me, settings.clone()), now: 0.0 };
-        rig.give(Event::Members { scope: Scope::Full, members: fleet() });
-        let cold = Member { started: Some(900.0), ..member(14, 0, 0) };
-        rig.at(1_000.0).give(Event::Members { scope: Scope::Delta, members: vec![cold] });
+        rig.give(Event::ServerList { update: ListUpdate::Full, servers: fleet() });
+        let cold = ServerEntry { started: Some(900.0), ..member(14, 0, 0) };
+        rig.at(1_000.0).give(Event::ServerList { update: ListUpdate::Delta, servers: vec![cold] });
         for id in 0..5 {
             rig.now = 1_000.0 + id as f64 * 1_000.0;
             let to = sent(&rig.request_seen(Request { prefix: Some(me * 5 + id), ..ask(id) }));
             to_cold += u32::from(to == Some(14));
-            rig.give(Event::ClientGone { id: RequestId(id) });
+            rig.give(Event::ClientDisconnected { id: RequestId(id) });
         }
     }
     assert!((1..=20).contains(&to_cold), "{to_cold} of 1000 requests in 5 s");
@@ -582,8 +583,9 @@
         let to = rig.read_at(Request { session, ..ask(id) });
         again += u32::from(id % 2 == 1 && !homes.insert(to));
         homes.insert(to);
-        let writer = sent(&rig.outcome_with(id, 0, to, Status::Read, 1.0, None)).expect("a write");
-        rig.outcome(id, 1, writer, Status::Served);
+        let writer =
+            sent(&rig.outcome_with(id, 0, to, AttemptStatus::Prefilled, 1.0, None)).expect("a write");
+        rig.outcome(id, 1, writer, AttemptStatus::Served);
     }
     assert!(homes.len() > 1 && again > 20, "{homes:?}, {again} sessions came back");
 }
@@ -593,10 +595,10 @@
     let mut rig = Rig::plain();
     mixed_traffic(&mut rig);
     let home = rig.read_at(ask(1));
-    rig.outcome_with(1, 0, home, Status::Read, 1.0, None);
+    rig.outcome_with(1, 0, home, AttemptStatus::Prefilled, 1.0, None);
     let away = sent(&rig.request(ask(2))).filter(|to| *to == home).expect("the entry holds");
-    let second = sent(&rig.outcome(2, 0, away, Status::Full)).expect("a retry");
-    rig.outcome_with(2, 1, second, Status::Read, 1.0, None);
+    let second = sent(&rig.outcome(2, 0, away, AttemptStatus::Rejected)).expect("a retry");
+    rig.outcome_with(2, 1, second, AttemptStatus::Prefilled, 1.0, None);
     assert_ne!(second, home);
     assert_eq!(rig.read_at(ask(3)), home);
 }
@@ -613,11 +615,11 @@
             refusals += 1;
             continue;
         };
-        let writer = sent(&rig.outcome(id, 0, reader, Status::Read)).expect("a write");
+        let writer = sent(&rig.outcome(id, 0, reader, AttemptStatus::Prefilled)).expect("a write");
         let first =
             Event::FirstToken { id: RequestId(id), attempt: 1, server: ServerId(writer), elapsed: 1_500.0 };
         rig.give(first);
-        rig.outcome(id, 1, writer, Status::Served);
+        rig.outcome(id, 1, writer, AttemptStatus::Served);
     }
     assert!(refusals >= 5, "{refusals} of 30 refused");
 }
@@ -627,9 +629,9 @@
     let mut far = 0;
     for seed in 1..=40 {
         let mut rig = Rig { router: Router::new(seed, settings()), now: 0.0 };
-        rig.give(Event::Members { scope: Scope::Full, members: fleet() });
+        rig.give(Event::ServerList { update: ListUpdate::Full, servers: fleet() });
         let home = rig.read_at(ask(1));
-        let writer = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a write");
+        let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
         far += u32::from(writer != home + 10);
     }
     assert!(far <= 20, "{far} of 40 left the reader's cell with no report at all");
@@ -642,9 +644,11 @@
     for (n, every) in [4_000.0, 400.0].into_iter().enumerate() {
         for seed in 1..=20 {
             let tenants = vec![Tenant { allowance_per_s: 60.0 }];
-            let mut rig =
-                Rig { router: Router::new(seed, Settings { routers: 200, tenants, ..settings() }), now: 0.0 };
-            rig.give(Event::Members { scope: Scope::Full, members: fleet() });
+            let mut rig = Rig {
+                router: Router::new(seed, Settings { router_count: 200, tenants, ..settings() }),
+                now: 0.0,
+            };
+            rig.give(Event::ServerList { update: ListUpdate::Full, servers: fleet() });
             for id in 0..40 {
                 rig.now = id as f64 * every;
                 let actions = rig.request_seen(Request { prefix: Some(id), ..ask(id) });
@@ -652,10 +656,10 @@
                     refusals[n] += 1;
                     continue;
                 };
-                let writer = sent(&rig.outcome(id, 0, reader, Status::Read)).expect("a write");
+                let writer = sent(&rig.outcome(id, 0, reader, AttemptStatus::Prefilled)).expect("a write");
                 let (server, elapsed) = (ServerId(writer), 560.0);
                 rig.give(Event::FirstToken { id: RequestId(id), attempt: 1, server, elapsed });
-                rig.outcome(id, 1, writer, Status::Served);
+                rig.outcome(id, 1, writer, AttemptStatus::Served);
             }
         }
     }
@@ -671,27 +675,32 @@
         let mut to_old = 0;
         for id in from..from + 30 {
             let reader = rig.read_at(ask(id));
-            let writer = sent(&rig.outcome(id, 0, reader, Status::Read)).expect("a write");
+            let writer = sent(&rig.outcome(id, 0, reader, AttemptStatus::Prefilled)).expect("a write");
             to_old += u32::from(writer == 21);
             let memory = if writer == 21 { 0.95 } else { 0.5 };
-            rig.outcome_with(id, 1, writer, Status::Served, 0.0, Some(memory));
+            rig.outcome_with(id, 1, writer, AttemptStatus::Served, 0.0, Some(memory));
         }
         to_old
     };
     picked(1, &mut rig);
     assert_eq!(picked(100, &mut rig), 0, "a full writer is left alone");
-    rig.give(Event::Probed { server: ServerId(21), status: Status::Served, elapsed: 1.0, report: None });
-    let anew = Member { started: Some(15_000.0), ..member(21, 1, 0) };
-    rig.give(Event::Members { scope: Scope::Delta, members: vec![anew] });
+    rig.give(Event::ProbeResult {
+        server: ServerId(21),
+        status: AttemptStatus::Served,
+        elapsed: 1.0,
+        report: None,
+    });
+    let anew = ServerEntry { started: Some(15_000.0), ..member(21, 1, 0) };
+    rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![anew] });
     assert!(picked(200, &mut rig) > 0);
-    rig.give(Event::Members {
-        scope: Scope::Delta,
-        members: vec![Member { state: ServerState::Draining, ..member(22, 1, 1) }],
+    rig.give(Event::ServerList {
+        update: ListUpdate::Delta,
+        servers: vec![ServerEntry { state: ServerState::Draining, ..member(22, 1, 1) }],
     });
     assert!(
-        rig.router.avoids(ServerId(22))
-            && !rig.router.avoids(ServerId(21))
-            && !rig.router.avoids(ServerId(99))
+        rig.router.is_avoided(ServerId(22))
+            && !rig.router.is_avoided(ServerId(21))
+            && !rig.router.is_avoided(ServerId(99))
     );
 }
 
@@ -699,15 +708,16 @@
 /// out, which is no word against it.
 #[test]
 fn a_silent_reader_is_left_before_a_short_deadline() {
-    let class = Class { aim: 1_500.0, deadline: 2_000.0, ..settings().classes[0].clone() };
+    let class =
+        RequestClass { latency_objective: 1_500.0, deadline: 2_000.0, ..settings().classes[0].clone() };
     let mut rig = Rig::new(Settings { classes: vec![class], ..settings() }, fleet());
     // Long after the list, which was a sign of life.
     rig.at(10_000.0);
-    let home = rig.read_at(Request { patience: 2_000.0, ..ask(1) });
+    let home = rig.read_at(Request { client_timeout: 2_000.0, ..ask(1) });
     let mut left = None;
     for tick in 1..20 {
         rig.at(10_000.0 + f64::from(tick) * 100.0).timer(1 << 52);
-        left = left.or(rig.router.avoids(ServerId(home)).then_some(rig.now));
+        left = left.or(rig.router.is_avoided(ServerId(home)).then_some(rig.now));
     }
     assert!(left.is_some_and(|at| at > 11_000.0), "{left:?}");
 }
@@ -720,19 +730,19 @@
     let home = rig.read_at(ask(1));
     let known = fleet().into_iter().find(|m| m.server.0 == home).expect("it is listed");
     rig.at(100.0);
-    let anew = Member { started: Some(90.0), ..known };
-    rig.give(Event::Members { scope: Scope::Delta, members: vec![anew] });
+    let anew = ServerEntry { started: Some(90.0), ..known };
+    rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![anew] });
     let mut called_back = None;
     for tick in 2..60 {
         rig.at(f64::from(tick) * 100.0);
         let actions = rig.timer(1 << 52);
-        assert!(!rig.router.avoids(ServerId(home)), "at {}", rig.now);
+        assert!(!rig.router.is_avoided(ServerId(home)), "at {}", rig.now);
         if called_back.is_none() && actions.contains(&Action::Cancel { id: RequestId(1), attempt: 0 }) {
             called_back = Some(rig.now);
-            let retry = sent(&rig.outcome(1, 0, home, Status::Cancelled)).expect("a retry");
+            let retry = sent(&rig.outcome(1, 0, home, AttemptStatus::Cancelled)).expect("a retry");
             assert_ne!(retry, home);
-            rig.give(Event::ClientGone { id: RequestId(1) });
-            rig.outcome(1, 1, retry, Status::Cancelled);
+            rig.give(Event::ClientDisconnected { id: RequestId(1) });
+            rig.outcome(1, 1, retry, AttemptStatus::Cancelled);
         }
     }
     assert!(called_back.is_some_and(|at| at < 1_000.0), "{called_back:?}");
@@ -747,34 +757,34 @@
     for id in 0..400 {
         old.at(id as f64 * 25.0);
         home = old.read_at(ask(id));
-        let writer = sent(&old.outcome(id, 0, home, Status::Read)).expect("a write");
-        old.outcome(id, 1, writer, Status::Served);
+        let writer = sent(&old.outcome(id, 0, home, AttemptStatus::Prefilled)).expect("a write");
+        old.outcome(id, 1, writer, AttemptStatus::Served);
     }
-    let learned = old.router.recollect();
+    let learned = old.router.export_state();
     let to_cold = |learned: &[u8]| {
         let mut rig = Rig::plain();
-        rig.router.inherit(learned);
-        let cold = Member { started: Some(0.0), ..member(14, 0, 0) };
-        rig.give(Event::Members { scope: Scope::Delta, members: vec![cold] });
+        rig.router.import_state(learned);
+        let cold = ServerEntry { started: Some(0.0), ..member(14, 0, 0) };
+        rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![cold] });
         let mut to_cold = 0;
         for id in 0..120 {
             rig.at(id as f64 * 25.0);
             if let Some(to) = sent(&rig.request(Request { prefix: Some(id), ..ask(1_000 + id) })) {
                 to_cold += u32::from(to == 14);
-                rig.outcome(1_000 + id, 0, to, Status::Cancelled);
+                rig.outcome(1_000 + id, 0, to, AttemptStatus::Cancelled);
             }
-            rig.give(Event::ClientGone { id: RequestId(1_000 + id) });
+            rig.give(Event::ClientDisconnected { id: RequestId(1_000 + id) });
         }
         to_cold
     };
     let (told, untold) = (to_cold(&learned), to_cold(&[]));
     assert!(told > 2 * untold && told < 80, "{told} with, {untold} without what was learned");
     let mut new = Rig::plain();
-    new.router.inherit(&learned);
+    new.router.import_state(&learned);
     assert_eq!(new.read_at(Request { session: 1_399, prefix: None, ..ask(5_000) }), home);
     for noise in [&learned[..20], &learned[1..], &[0xff; 4_000][..], &[1; 24][..]] {
         let mut rig = Rig::plain();
-        rig.router.inherit(noise);
+        rig.router.import_state(noise);
         rig.read_at(ask(1));
     }
 }
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -20,22 +20,22 @@
 /// What the world knows of one request.
 struct Known {
     class: u32,
-    deadline: Ms,
+    deadline: Millis,
     answers: u32,
     over: bool,
     streaming: bool,
     /// Server, still out, whether it may have run.
     attempts: Vec<(u64, bool, bool)>,
-    ran: Option<(u32, Ms)>,
+    ran: Option<(u32, Millis)>,
     held: bool,
-    idle_since: Ms,
+    idle_since: Millis,
 }
 
 struct World {
     rig: Rig,
     draw: Draw,
     known: BTreeMap<u64, Known>,
-    timers: Vec<(Ms, u64)>,
+    timers: Vec<(Millis, u64)>,
     off: BTreeMap<u64, bool>,
 }
 
@@ -49,7 +49,7 @@
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => self.sent(id.0, server.0),
-                Action::Refuse { id, .. } => self.answer(id.0, true),
+                Action::Reject { id, .. } => self.answer(id.0, true),
                 Action::Fail { id, .. } => self.answer(id.0, false),
                 Action::Release { id } => {
                     if let Some(k) = self.known.get_mut(&id.0) {
@@ -97,26 +97,29 @@
         k.over = true;
     }
 
-    fn settle(&mut self, id: u64, n: usize, status: Status) {
+    fn settle(&mut self, id: u64, n: usize, status: AttemptStatus) {
         let now = self.rig.now;
         let k = self.known.get_mut(&id).expect("known");
         let server = k.attempts[n].0;
-        let proves = matches!(status, Status::Full | Status::ConnectFailed | Status::Read);
+        let proves = matches!(
+            status,
+            AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::Prefilled
+        );
         k.attempts[n].1 = false;
         k.attempts[n].2 = server > 20 && !proves;
         if proves && !k.attempts.iter().any(|a| a.2) {
             k.ran = None;
         }
         k.idle_since = now;
-        k.held |= status == Status::Read;
-        if k.streaming || status == Status::Served {
+        k.held |= status == AttemptStatus::Prefilled;
+        if k.streaming || status == AttemptStatus::Served {
             k.answers += u32::from(!k.over);
             k.over = true;
             k.held = false;
         }
         let closed = k.over;
-        let note = if status == Status::Full { self.draw.below(2) as f64 } else { 700.0 };
-        let outcome = Outcome {
+        let note = if status == AttemptStatus::Rejected { self.draw.below(2) as f64 } else { 700.0 };
+        let outcome = AttemptOutcome {
             id: RequestId(id),
             attempt: n as u32,
             server: ServerId(server),
@@ -124,8 +127,11 @@
             elapsed: 30.0,
             note,
             closed,
-            arrived: status.may_have_arrived(),
-            report: Some(Report { memory: Some(self.draw.below(120) as f64 / 100.0), ..Report::default() }),
+            delivered: status.may_have_arrived(),
+            report: Some(LoadReport {
+                memory_share: Some(self.draw.below(120) as f64 / 100.0),
+                ..LoadReport::default()
+            }),
         };
         let actions = self.rig.give(Event::Outcome(outcome));
         self.act(actions);
@@ -136,23 +142,23 @@
         let Some(n) = k.attempts.iter().position(|a| a.1) else { return };
         let (server, over, streaming) = (k.attempts[n].0, k.over, k.streaming);
         if streaming {
-            let end = if self.draw.below(8) == 0 { Status::Reset } else { Status::Served };
+            let end = if self.draw.below(8) == 0 { AttemptStatus::Reset } else { AttemptStatus::Served };
             return self.settle(id, n, end);
         }
         let faults = [
-            Status::Error,
-            Status::Full,
-            Status::Reset,
-            Status::ConnectFailed,
-            Status::Timeout,
-            Status::Cancelled,
-            Status::Spoilt,
+            AttemptStatus::Error,
+            AttemptStatus::Rejected,
+            AttemptStatus::Reset,
+            AttemptStatus::ConnectFailed,
+            AttemptStatus::Timeout,
+            AttemptStatus::Cancelled,
+            AttemptStatus::MalformedResponse,
         ];
         if self.draw.below(3) == 0 {
             let status = faults[self.draw.below(7) as usize];
             self.settle(id, n, status);
         } else if server < 20 {
-            self.settle(id, n, Status::Read);
+            self.settle(id, n, AttemptStatus::Prefilled);
         } else if !over {
             let k = self.known.get_mut(&id).expect("known");
             (k.streaming, k.held) = (true, false);
@@ -166,10 +172,11 @@
     fn shuffle_list(&mut self) {
         let all = fleet();
         let mut m = all[self.draw.below(6) as usize].clone();
-        m.state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][self.draw.below(3) as usize];
+        m.state =
+            [ServerState::Ready, ServerState::Draining, ServerState::Terminated][self.draw.below(3) as usize];
         m.started = (self.draw.below(2) == 0).then_some(self.rig.now);
         self.off.insert(m.server.0, m.state != ServerState::Ready);
-        let actions = self.rig.give(Event::Members { scope: Scope::Delta, members: vec![m] });
+        let actions = self.rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![m] });
         self.act(actions);
     }
 
@@ -183,7 +190,7 @@
 
     fn run(seed: u64) -> u32 {
         let mut rig = Rig { router: Router::new(seed, settings()), now: 0.0 };
-        let first = rig.give(Event::Members { scope: Scope::Full, members: fleet() });
+        let first = rig.give(Event::ServerList { update: ListUpdate::Full, servers: fleet() });
         let mut w =
             World { rig, draw: Draw(seed), known: BTreeMap::new(), timers: vec![], off: BTreeMap::new() };
         w.act(first);
@@ -230,7 +237,7 @@
         };
         self.known.insert(id, known);
         let prefix = Some(self.draw.below(5));
-        let actions = self.rig.request(Request { class, patience, prefix, ..ask(id) });
+        let actions = self.rig.request(Request { class, client_timeout: patience, prefix, ..ask(id) });
         self.act(actions);
     }
 
@@ -238,7 +245,7 @@
         let Some((id, k)) = self.known.iter_mut().find(|(_, k)| !k.over && !k.streaming) else { return };
         k.over = true;
         let id = RequestId(*id);
-        let actions = self.rig.give(Event::ClientGone { id });
+        let actions = self.rig.give(Event::ClientDisconnected { id });
         self.act(actions);
     }
 }
@@ -261,10 +268,10 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_not_refused_or_repeated() {
-    for status in [Status::Error, Status::Reset, Status::Timeout] {
+    for status in [AttemptStatus::Error, AttemptStatus::Reset, AttemptStatus::Timeout] {
         let mut rig = Rig::plain();
         let home = rig.read_at(Request { class: 2, ..ask(1) });
-        let writer = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a write");
+        let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
         let actions = rig.outcome(1, 1, writer, status);
         assert_eq!(sent(&actions), None);
         assert!(!refused(&actions));
@@ -277,8 +284,8 @@
 fn an_unsafe_request_that_was_turned_away_goes_to_another_writer() {
     let mut rig = Rig::plain();
     let home = rig.read_at(Request { class: 2, ..ask(1) });
-    let writer = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a write");
-    let next = sent(&rig.outcome(1, 1, writer, Status::Full)).expect("another writer");
+    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
+    let next = sent(&rig.outcome(1, 1, writer, AttemptStatus::Rejected)).expect("another writer");
     assert_ne!(next, writer);
 }
 
@@ -287,16 +294,16 @@
 fn an_unsafe_request_that_two_writers_never_took_is_still_to_be_had() {
     let mut rig = Rig::plain();
     let home = rig.read_at(Request { class: 2, ..ask(1) });
-    let mut at = sent(&rig.outcome(1, 0, home, Status::Read));
+    let mut at = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled));
     for attempt in 1..3 {
         let writer = at.expect("a writer");
         rig.now += 30.0;
-        at = sent(&rig.outcome(1, attempt, writer, Status::ConnectFailed));
+        at = sent(&rig.outcome(1, attempt, writer, AttemptStatus::ConnectFailed));
     }
     // A third writer is tried, and when none is left the request is refused, not failed.
     let third = at.expect("a third writer");
     rig.now += 30.0;
-    let mut end = rig.outcome(1, 3, third, Status::ConnectFailed);
+    let mut end = rig.outcome(1, 3, third, AttemptStatus::ConnectFailed);
     end.extend(rig.at(3_999.0).timer(1 << 1));
     assert!(refused(&end) && !failed(&end), "{end:?}");
 }
@@ -305,8 +312,8 @@
 fn a_keyed_request_is_repeated_only_in_its_zone() {
     let mut rig = Rig::plain();
     let home = rig.read_at(Request { class: 1, ..ask(1) });
-    let writer = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a write");
-    let next = sent(&rig.outcome(1, 1, writer, Status::Error));
+    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
+    let next = sent(&rig.outcome(1, 1, writer, AttemptStatus::Error));
     assert!(next.is_none_or(|n| zone_of(n) == zone_of(writer)));
 }
 
@@ -315,9 +322,9 @@
 fn a_keyed_request_whose_window_has_passed_is_answered_at_once() {
     let mut rig = Rig::plain();
     let home = rig.read_at(Request { class: 1, ..ask(1) });
-    let writer = sent(&rig.outcome(1, 0, home, Status::Read)).expect("a write");
+    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
     rig.now += 2_001.0;
-    let end = rig.outcome(1, 1, writer, Status::Reset);
+    let end = rig.outcome(1, 1, writer, AttemptStatus::Reset);
     assert!(failed(&end) && released(&end), "{end:?}");
 }
 
@@ -326,7 +333,7 @@
 fn a_step_whose_timer_comes_a_rounding_early_is_not_lost() {
     let mut rig = Rig::new(settings(), vec![member(11, 0, 0)]);
     assert_eq!(rig.read_at(ask(1)), 11);
-    let waits = rig.outcome(1, 0, 11, Status::Read);
+    let waits = rig.outcome(1, 0, 11, AttemptStatus::Prefilled);
     let step = |actions: &[Action]| timers(actions).into_iter().find(|t| t.1 == 1 << 1 | 1);
     let (at, key) = step(&waits).expect("a timer for its next step");
     let next = rig.at(at - 1e-7).timer(key);
@@ -335,12 +342,12 @@
 
 #[test]
 fn draining_and_gone_servers_get_nothing() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Terminated] {
         let mut rig = Rig::plain();
         let home = rig.read_at(ask(1));
-        rig.outcome(1, 0, home, Status::Read);
-        let off = Member { state, ..member(home, 0, zone_of(home)) };
-        rig.give(Event::Members { scope: Scope::Delta, members: vec![off] });
+        rig.outcome(1, 0, home, AttemptStatus::Prefilled);
+        let off = ServerEntry { state, ..member(home, 0, zone_of(home)) };
+        rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![off] });
         assert_ne!(rig.read_at(ask(2)), home);
     }
 }
@@ -349,41 +356,45 @@
 fn a_state_left_by_a_request_that_ended_is_let_go() {
     let mut rig = Rig::plain();
     let home = rig.read_at(ask(1));
-    rig.give(Event::ClientGone { id: RequestId(1) });
-    assert!(released(&rig.outcome(1, 0, home, Status::Read)));
+    rig.give(Event::ClientDisconnected { id: RequestId(1) });
+    assert!(released(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)));
 }
 
 #[test]
 fn nonsense_is_survived() {
     let mut odd = settings();
-    odd.routers = 0;
-    odd.tick = f64::NAN;
-    odd.rules.pin_limit = -1.0;
-    odd.rules.cold = f64::INFINITY;
+    odd.router_count = 0;
+    odd.tick_interval = f64::NAN;
+    odd.rules.lease_limit = -1.0;
+    odd.rules.slow_start_window = f64::INFINITY;
     odd.kinds.truncate(1);
     odd.limits.max_attempts = 0;
     for settings in [odd, settings()] {
         let mut rig = Rig::new(settings, fleet());
         rig.give(Event::Timer { key: u64::MAX });
-        rig.give(Event::ClientGone { id: RequestId(99) });
-        rig.outcome(99, 7, 5, Status::Served);
+        rig.give(Event::ClientDisconnected { id: RequestId(99) });
+        rig.outcome(99, 7, 5, AttemptStatus::Served);
         rig.give(Event::FirstToken { id: RequestId(1), attempt: 9, server: ServerId(1), elapsed: f64::NAN });
-        rig.give(Event::Peer { from: 9, bytes: vec![1, 2] });
+        rig.give(Event::Gossip { from: 9, bytes: vec![1, 2] });
         rig.memory(77, f64::NAN);
-        let zero =
-            Request { prompt_tokens: f64::NAN, max_tokens: -5.0, patience: f64::NEG_INFINITY, ..ask(1) };
+        let zero = Request {
+            prompt_tokens: f64::NAN,
+            max_tokens: -5.0,
+            client_timeout: f64::NEG_INFINITY,
+            ..ask(1)
+        };
         rig.request(zero);
         rig.request(Request { class: 44, ..ask(2) });
         let repeated = rig.request(ask(3));
         rig.request(ask(3));
         if let Some(to) = sent(&repeated) {
-            rig.outcome(3, 0, to, Status::Read);
-            rig.outcome(3, 0, to, Status::Read);
+            rig.outcome(3, 0, to, AttemptStatus::Prefilled);
+            rig.outcome(3, 0, to, AttemptStatus::Prefilled);
         }
         rig.at(f64::NAN).request(ask(4));
-        let weightless = Member { weight: 0.0, kind: 9, started: Some(f64::NAN), ..member(50, 0, 0) };
-        rig.give(Event::Members { scope: Scope::Delta, members: vec![weightless] });
-        rig.give(Event::Members { scope: Scope::Full, members: vec![] });
+        let weightless = ServerEntry { weight: 0.0, kind: 9, started: Some(f64::NAN), ..member(50, 0, 0) };
+        rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![weightless] });
+        rig.give(Event::ServerList { update: ListUpdate::Full, servers: vec![] });
     }
 }
 
@@ -397,14 +408,14 @@
         let Some(to) = sent(&rig.request(Request { prefix: Some(id), ..ask(id) })) else { continue };
         if id == 150 {
             members.iter_mut().for_each(|m| m.state = ServerState::Draining);
-            rig.give(Event::Members { scope: Scope::Delta, members: members.clone() });
+            rig.give(Event::ServerList { update: ListUpdate::Delta, servers: members.clone() });
         }
         let server = ServerId(to);
         rig.give(Event::FirstToken { id: RequestId(id), attempt: 0, server, elapsed: 20.0 });
-        rig.outcome(id, 0, to, Status::Served);
+        rig.outcome(id, 0, to, AttemptStatus::Served);
     }
-    let cold = Member { started: Some(rig.now), ..member(33, 2, 0) };
-    rig.give(Event::Members { scope: Scope::Delta, members: vec![cold] });
+    let cold = ServerEntry { started: Some(rig.now), ..member(33, 2, 0) };
+    rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![cold] });
     let start = rig.now;
     let mut sends = 0;
     for id in 200..300 {
@@ -420,7 +431,7 @@
     let mut rig = Rig::new(settings(), vec![member(11, 0, 0), member(21, 1, 0)]);
     assert_eq!(rig.read_at(ask(1)), 11);
     let mut attempts = 1;
-    while sent(&rig.outcome(1, attempts - 1, 11, Status::ConnectFailed)).is_some() {
+    while sent(&rig.outcome(1, attempts - 1, 11, AttemptStatus::ConnectFailed)).is_some() {
         attempts += 1;
     }
     assert_eq!(attempts, 1);
@@ -430,21 +441,21 @@
 /// of its read. Seen on days on which engines are cut off: read, 250 ms and 250 ms without a connection, then a pause.
 #[test]
 fn the_time_of_a_held_state_runs_on_while_no_connection_comes_up() {
-    a_held_state_waits_through(Status::ConnectFailed);
+    a_held_state_waits_through(AttemptStatus::ConnectFailed);
 }
 
 /// The same of an attempt that was called back while it was dialled: it costs no retry and stops no clock.
 #[test]
 fn an_attempt_that_was_not_sent_costs_no_retry_and_stops_no_clock() {
-    a_held_state_waits_through(Status::NotSent);
+    a_held_state_waits_through(AttemptStatus::NotSent);
 }
 
 /// Two writes of a held state end so, 250 ms and 460 ms after its read.
-fn a_held_state_waits_through(end: Status) {
+fn a_held_state_waits_through(end: AttemptStatus) {
     let members = vec![member(11, 0, 0), member(21, 1, 0), member(22, 1, 0), member(23, 1, 0)];
     let mut rig = Rig::new(settings(), members);
     assert_eq!(rig.read_at(ask(1)), 11);
-    let first = sent(&rig.outcome(1, 0, 11, Status::Read)).expect("a writer");
+    let first = sent(&rig.outcome(1, 0, 11, AttemptStatus::Prefilled)).expect("a writer");
     let read = rig.now;
     rig.now = read + 250.0;
     let second = sent(&rig.outcome(1, 1, first, end)).expect("another writer");
--- a/crates/router/tests/turned_away.rs
+++ b/crates/router/tests/turned_away.rs
@@ -53,7 +53,7 @@
             refused: 0,
             worst: 0,
         };
-        let listed = Event::Members { scope: Scope::Full, members: fleet() };
+        let listed = Event::ServerList { update: ListUpdate::Full, servers: fleet() };
         world.router.handle(0.0, listed, &mut Vec::new());
         (0..END / gap).for_each(|n| world.push(n * gap, What::Arrives(n + 1)));
         while let Some(((now, _), what)) = world.agenda.pop_first() {
@@ -75,31 +75,40 @@
 
     fn event(&mut self, now: u64, what: What) -> Event {
         let outcome = |id, attempt, server, status, sent: u64| {
-            Event::Outcome(Outcome {
+            Event::Outcome(AttemptOutcome {
                 id: RequestId(id),
                 attempt,
                 server: ServerId(server),
                 status,
                 elapsed: (now - sent) as f64,
                 note: 0.0,
-                closed: status == Status::Served,
-                arrived: status.may_have_arrived(),
+                closed: status == AttemptStatus::Served,
+                delivered: status.may_have_arrived(),
                 report: None,
             })
         };
         match what {
             What::Arrives(id) => Event::Request(Request { prefix: Some(id % 11), ..ask(id) }),
             What::Timer(key) => Event::Timer { key },
-            What::Reads(id, attempt, server, sent) => outcome(id, attempt, server, Status::Read, sent),
+            What::Reads(id, attempt, server, sent) => {
+                outcome(id, attempt, server, AttemptStatus::Prefilled, sent)
+            }
             What::Begins(id, attempt, server, sent) => {
                 self.push(now + 400, What::Ends(id, attempt, server, sent));
                 let elapsed = (now - sent) as f64;
                 Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
             }
-            What::Ends(id, attempt, server, sent) => outcome(id, attempt, server, Status::Served, sent),
+            What::Ends(id, attempt, server, sent) => {
+                outcome(id, attempt, server, AttemptStatus::Served, sent)
+            }
             What::Probed(server) => {
-                let report = Some(Report { in_flight: Some(1.0), ..Report::default() });
-                Event::Probed { server: ServerId(server), status: Status::Served, elapsed: 1.0, report }
+                let report = Some(LoadReport { in_flight: Some(1.0), ..LoadReport::default() });
+                Event::ProbeResult {
+                    server: ServerId(server),
+                    status: AttemptStatus::Served,
+                    elapsed: 1.0,
+                    report,
+                }
             }
         }
     }
@@ -110,13 +119,13 @@
                 let attempt = self.attempts.entry(id.0).or_default();
                 let n = std::mem::replace(attempt, *attempt + 1);
                 let reads = READERS.contains(&server.0);
-                let role = if reads { Role::Reader } else { Role::Writer };
+                let role = if reads { Role::Prefill } else { Role::Decode };
                 let takes = if now < LATE_UNTIL && role == self.late { LATE } else { 60 };
                 let what = if reads { What::Reads } else { What::Begins };
                 self.push(now + takes, what(id.0, n, server.0, now));
                 (self.sent, self.refused) = (now, 0);
             }
-            Action::Refuse { .. } => {
+            Action::Reject { .. } => {
                 self.refused += 1;
                 if self.refused >= MOST {
                     self.worst = self.worst.max(now - self.sent);
@@ -133,10 +142,10 @@
 /// it better.
 #[test]
 fn a_router_that_saw_late_servers_goes_on_trying_them() {
-    for late in [Role::Reader, Role::Writer] {
+    for late in [Role::Prefill, Role::Decode] {
         for (routers, probes) in [(3, false), (3, true), (300, false), (300, true)] {
             let limits = Limits { probes, ..settings().limits };
-            let settings = Settings { routers, limits, ..settings() };
+            let settings = Settings { router_count: routers, limits, ..settings() };
             for seed in 1..=5 {
                 for gap in [50, 200] {
                     let world = World::run(seed, settings.clone(), late, gap);
--- a/crates/router/tests/unseen.rs
+++ b/crates/router/tests/unseen.rs
@@ -53,10 +53,10 @@
     }
 
     fn with(slow: Option<u64>, settings: Settings) -> World {
-        let settings = Settings { routers: ROUTERS as u32, ..settings };
+        let settings = Settings { router_count: ROUTERS as u32, ..settings };
         let mut routers: Vec<Router> = (0..ROUTERS).map(|n| Router::new(n + 1, settings.clone())).collect();
-        let members: Vec<Member> = (1..=ENGINES).map(|id| member(id, 2, 0)).collect();
-        let listed = Event::Members { scope: Scope::Full, members };
+        let members: Vec<ServerEntry> = (1..=ENGINES).map(|id| member(id, 2, 0)).collect();
+        let listed = Event::ServerList { update: ListUpdate::Full, servers: members };
         routers.iter_mut().for_each(|r| r.handle(0.0, listed.clone(), &mut Vec::new()));
         let times = |id| if slow == Some(id) { SLOW } else { 1 };
         World {
@@ -105,15 +105,15 @@
                     }
                     Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
                 }
-                What::Ends { id, attempt, server } => Event::Outcome(Outcome {
+                What::Ends { id, attempt, server } => Event::Outcome(AttemptOutcome {
                     id: RequestId(id),
                     attempt,
                     server: ServerId(server),
-                    status: Status::Served,
+                    status: AttemptStatus::Served,
                     elapsed: (at - self.at[&id]) as f64,
                     note: 0.0,
                     closed: true,
-                    arrived: true,
+                    delivered: true,
                     report: None,
                 }),
             };
@@ -135,7 +135,7 @@
                 self.busy.insert(server.0, (done, times));
                 self.push(done, router, What::Begins { id: id.0, attempt: n, server: server.0 });
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 self.tally.entry(self.asked[&id.0].class).or_default().refused += 1;
             }
             Action::Timer { at, key, .. } => self.push(at.ceil() as u64, router, What::Timer { key }),
@@ -200,11 +200,11 @@
             let Some(reader) = sent(&rig.request(ask(id))).filter(|to| READERS.contains(to)) else {
                 continue;
             };
-            let writer = sent(&rig.outcome(id, 0, reader, Status::Read)).expect("a writer");
+            let writer = sent(&rig.outcome(id, 0, reader, AttemptStatus::Prefilled)).expect("a writer");
             at_mixed += u32::from(writer == 31);
             let server = ServerId(writer);
             rig.give(Event::FirstToken { id: RequestId(id), attempt: 1, server, elapsed: first });
-            rig.outcome(id, 1, writer, Status::Served);
+            rig.outcome(id, 1, writer, AttemptStatus::Served);
         }
         assert_eq!(
             at_mixed > 0,
--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -145,7 +145,8 @@
         return fault(format!("services[{i}].deadline"), "milliseconds above 0 wanted");
     }
     // A reader's attempt counts, and a writer's follows it.
-    let whole = read.kinds.iter().any(|k| k.role == glenrail_router::Role::Mixed) || read.writers_read;
+    let whole =
+        read.kinds.iter().any(|k| k.role == glenrail_router::Role::Mixed) || read.decode_servers_prefill;
     if !whole && read.limits.max_attempts < 2 {
         return fault("policy-limits.max-attempts", "at least 2 wanted where readers and writers are apart");
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,11 +12,11 @@
 /// Attempts of a request where the settings do not say how many.
 const ATTEMPTS: u32 = 4;
 /// How long a connection may take to come up where they do not say (ms).
-const DIAL: Ms = 250.0;
+const DIAL: Millis = 250.0;
 /// How long a state may be held where they do not say (ms): the least of all deployments.
-const PIN: Ms = 300.0;
+const PIN: Millis = 300.0;
 /// How late a list may be asked for where they do not say (ms).
-const ASK_WITHIN: Ms = 10_000.0;
+const ASK_WITHIN: Millis = 10_000.0;
 
 pub fn number(v: &Value, key: &str) -> f64 {
     v.get(key).and_then(Value::as_f64).unwrap_or(0.0)
@@ -68,52 +68,52 @@
 }
 
 /// A load report from its named values, whichever of a field's names the carrier uses.
-pub fn report(get: impl Fn(&str) -> Option<f64>) -> Report {
-    Report {
+pub fn report(get: impl Fn(&str) -> Option<f64>) -> LoadReport {
+    LoadReport {
         in_flight: get("outstanding").or_else(|| get("inflight")),
         queue: get("backlog").or_else(|| get("queue")),
         utilization: get("utilization").or_else(|| get("util")),
-        memory: get("x0"),
-        backlog_k: get("x1"),
+        memory_share: get("x0"),
+        backlog_kilotokens: get("x1"),
     }
 }
 
-fn class(settings: &Value, index: usize, v: &Value) -> Class {
+fn class(settings: &Value, index: usize, v: &Value) -> RequestClass {
     let domain = &settings["domain"];
     let nth = |key: &str| list(domain, key).get(index).and_then(Value::as_f64).unwrap_or(0.0);
-    Class {
-        aim: number_or(v, "aim", number(v, "deadline")),
-        aim_per_1000_tokens: nth("aim-us-per-1000-prompt-tokens") / 1000.0,
+    RequestClass {
+        latency_objective: number_or(v, "aim", number(v, "deadline")),
+        latency_objective_per_1000_tokens: nth("aim-us-per-1000-prompt-tokens") / 1000.0,
         deadline: number(v, "deadline"),
-        token_aim: nth("token-aim"),
-        worth: number(v, "worth"),
-        late_worth: number(v, "late-worth"),
-        effect: match text(v, "semantics") {
-            "free" => Effect::Safe,
-            "guarded" => Effect::Keyed,
-            _ => Effect::Unsafe,
+        inter_token_objective: nth("token-aim"),
+        priority_weight: number(v, "worth"),
+        late_priority_weight: number(v, "late-worth"),
+        idempotency: match text(v, "semantics") {
+            "free" => Idempotency::Idempotent,
+            "guarded" => Idempotency::IdempotencyKey,
+            _ => Idempotency::NonIdempotent,
         },
-        group: match text(v, "group") {
-            "cell" => Group::Cell,
-            "zone" => Group::Zone,
-            _ => Group::All,
+        deduplication_scope: match text(v, "group") {
+            "cell" => DeduplicationScope::Cell,
+            "zone" => DeduplicationScope::Zone,
+            _ => DeduplicationScope::All,
         },
-        window: number(v, "window"),
+        idempotency_window: number(v, "window"),
     }
 }
 
-fn kinds(settings: &Value) -> Vec<Kind> {
+fn kinds(settings: &Value) -> Vec<ServerKind> {
     let domain = &settings["domain"];
     let memory = list(domain, "tokens-by-kind");
     let role = |v: &Value| match v.as_str() {
-        Some("read") => Role::Reader,
-        Some("write") => Role::Writer,
+        Some("read") => Role::Prefill,
+        Some("write") => Role::Decode,
         _ => Role::Mixed,
     };
     list(domain, "stage-of-kind")
         .iter()
         .enumerate()
-        .map(|(i, v)| Kind {
+        .map(|(i, v)| ServerKind {
             role: role(v),
             memory_tokens: memory.get(i).and_then(Value::as_f64).unwrap_or(0.0),
         })
@@ -123,10 +123,10 @@
 pub fn settings(v: &Value) -> Settings {
     let (domain, limits, rules) = (&v["domain"], &v["policy-limits"], &v["rules"]);
     Settings {
-        me: count(v, "me"),
-        routers: count(v, "balancers"),
+        router_index: count(v, "me"),
+        router_count: count(v, "balancers"),
         zone: count(v, "zone"),
-        tick: number(v, "quantum"),
+        tick_interval: number(v, "quantum"),
         kinds: kinds(v),
         classes: list(v, "services").iter().enumerate().map(|(i, c)| class(v, i, c)).collect(),
         tenants: list(v, "tenants")
@@ -142,30 +142,30 @@
             max_retry_after: number(limits, "max-retry-after"),
             connect_timeout: number_or(limits, "dial-timeout", DIAL),
             probes: flag(limits, "probes"),
-            cancel: flag(limits, "cancel"),
-            second_copies: flag(limits, "second-copies"),
+            cancellation: flag(limits, "cancel"),
+            hedging: flag(limits, "second-copies"),
             retry_after: flag(limits, "retry-after"),
-            peers: flag(limits, "may-tell"),
-            places_ahead: flag(domain, "may-reserve"),
+            gossip: flag(limits, "may-tell"),
+            slot_reservation: flag(domain, "may-reserve"),
         },
         rules: Rules {
             answer_grace: number(rules, "grace-to-answer"),
             drain_grace: number(rules, "drain-grace"),
-            pin_limit: number_or(domain, "pin-limit", PIN),
-            cold: number(rules, "cold"),
-            cold_from: number(rules, "cold-from"),
-            fall: number(rules, "fall"),
-            fall_multiple: number(rules, "fall-multiple"),
-            ask_within: number_or(rules, "ask-within", ASK_WITHIN),
+            lease_limit: number_or(domain, "pin-limit", PIN),
+            slow_start_window: number(rules, "cold"),
+            slow_start_initial_share: number(rules, "cold-from"),
+            overload_window: number(rules, "fall"),
+            overload_multiple: number(rules, "fall-multiple"),
+            discovery_poll_limit: number_or(rules, "ask-within", ASK_WITHIN),
         },
         discovery: match text(v, "discovery") {
             "subscribe" => Discovery::Subscribe,
             _ => Discovery::Push,
         },
-        over_share_worth: number(v, "over-share-worth"),
-        prices: Prices { probe: number(&v["prices"], "probe"), moved: number(domain, "move-fee") },
-        resume: flag(domain, "resume"),
-        writers_read: flag(domain, "local-read"),
+        over_quota_priority_weight: number(v, "over-share-worth"),
+        prices: Prices { probe: number(&v["prices"], "probe"), cell_transfer: number(domain, "move-fee") },
+        stream_resumption: flag(domain, "resume"),
+        decode_servers_prefill: flag(domain, "local-read"),
     }
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -9,10 +9,13 @@
         "policy-limits": {"max-attempts": 5},
         "prices": {"probe": 0.003},
     }));
-    assert_eq!((read.kinds[0].role, read.kinds[1].role), (Role::Reader, Role::Writer));
-    assert_eq!((read.classes[0].effect, read.classes[1].effect), (Effect::Safe, Effect::Unsafe));
-    assert_eq!((read.classes[0].aim_per_1000_tokens, read.limits.max_attempts), (40.0, 5));
-    assert_eq!((read.prices.probe, read.prices.moved), (0.003, 0.0));
+    assert_eq!((read.kinds[0].role, read.kinds[1].role), (Role::Prefill, Role::Decode));
+    assert_eq!(
+        (read.classes[0].idempotency, read.classes[1].idempotency),
+        (Idempotency::Idempotent, Idempotency::NonIdempotent)
+    );
+    assert_eq!((read.classes[0].latency_objective_per_1000_tokens, read.limits.max_attempts), (40.0, 5));
+    assert_eq!((read.prices.probe, read.prices.cell_transfer), (0.003, 0.0));
 }
 
 #[test]
--- a/gateway/src/config/front.rs
+++ b/gateway/src/config/front.rs
@@ -157,44 +157,54 @@
 
 /// The settings of a one-stage pool, in the module's terms: servers of one kind, which read and answer. The
 /// figures of the rules are those that the platform's deployments have.
-pub fn one_stage(pool: &Pool, deadline: Ms, repeatable: bool) -> Settings {
-    let effect = if pool.repeatable.unwrap_or(repeatable) { Effect::Safe } else { Effect::Unsafe };
-    let class =
-        Class { aim: pool.aim_ms as Ms, deadline, worth: 1.0, late_worth: 0.1, effect, ..Class::default() };
+pub fn one_stage(pool: &Pool, deadline: Millis, repeatable: bool) -> Settings {
+    let effect = if pool.repeatable.unwrap_or(repeatable) {
+        Idempotency::Idempotent
+    } else {
+        Idempotency::NonIdempotent
+    };
+    let class = RequestClass {
+        latency_objective: pool.aim_ms as Millis,
+        deadline,
+        priority_weight: 1.0,
+        late_priority_weight: 0.1,
+        idempotency: effect,
+        ..RequestClass::default()
+    };
     Settings {
-        me: 0,
-        routers: 1,
+        router_index: 0,
+        router_count: 1,
         zone: 0,
-        tick: 1.0,
-        kinds: vec![Kind { role: Role::Mixed, memory_tokens: 0.0 }],
+        tick_interval: 1.0,
+        kinds: vec![ServerKind { role: Role::Mixed, memory_tokens: 0.0 }],
         classes: vec![class],
         tenants: vec![],
         limits: Limits {
             max_attempts: pool.max_attempts,
             max_retry_after: 1_000.0,
-            connect_timeout: pool.connect_ms as Ms,
+            connect_timeout: pool.connect_ms as Millis,
             probes: false,
-            cancel: true,
-            second_copies: false,
+            cancellation: true,
+            hedging: false,
             retry_after: true,
-            peers: false,
-            places_ahead: false,
+            gossip: false,
+            slot_reservation: false,
         },
         rules: Rules {
             answer_grace: 50.0,
             drain_grace: 2_000.0,
-            pin_limit: 500.0,
-            cold: 13_000.0,
-            cold_from: 0.31,
-            fall: 3_000.0,
-            fall_multiple: 4.0,
-            ask_within: 10_000.0,
+            lease_limit: 500.0,
+            slow_start_window: 13_000.0,
+            slow_start_initial_share: 0.31,
+            overload_window: 3_000.0,
+            overload_multiple: 4.0,
+            discovery_poll_limit: 10_000.0,
         },
         discovery: Discovery::Push,
-        over_share_worth: 0.1,
+        over_quota_priority_weight: 0.1,
         prices: glenrail_router::Prices::default(),
-        resume: false,
-        writers_read: false,
+        stream_resumption: false,
+        decode_servers_prefill: false,
     }
 }
 
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -173,7 +173,7 @@
             probe: price("probe"),
             handshake: price("handshake"),
             discovery: price("discovery"),
-            moved: settings.prices.moved,
+            moved: settings.prices.cell_transfer,
             waste: price("waste"),
         },
         settings,
--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -29,7 +29,7 @@
             biased;
             // Called back while it was dialled, it never was out: the time of what is held for it has run on.
             _ = cancelled => return self.input(id, match wanted.out() {
-                true => Input::Dropped { attempt },
+                true => Input::CancelCompleted { attempt },
                 false => Input::Replied { attempt, reply: request::Reply::NotSent },
             }),
             reply = replied => reply,
@@ -40,27 +40,27 @@
                 let Some(Ok(Frame::Data(first))) = frames.next().await else {
                     return self.input(id, Input::Replied { attempt, reply: request::Reply::Reset });
                 };
-                self.input(id, Input::Replied { attempt, reply: request::Reply::Begins });
+                self.input(id, Input::Replied { attempt, reply: request::Reply::FirstEvent });
                 let Some(pieces) = self.passes(id, attempt) else {
                     drop(frames);
-                    return self.input(id, Input::Dropped { attempt });
+                    return self.input(id, Input::CancelCompleted { attempt });
                 };
                 let passed = match pass(&pieces, Piece::Begin(head, first)).await {
                     true => rest(&pieces, frames).await,
-                    false => request::StreamEnd::Untaken.into(),
+                    false => request::StreamEnd::ClientStalled.into(),
                 };
                 return self.passed(id, attempt, passed);
             }
-            Ok(Reply::Read { kept, report }) => (request::Reply::Read, kept, report),
+            Ok(Reply::Read { kept, report }) => (request::Reply::Prefilled, kept, report),
             Ok(Reply::Declined { no_state, report }) => {
-                (request::Reply::Declined, f64::from(u8::from(no_state)), report)
+                (request::Reply::Rejected, f64::from(u8::from(no_state)), report)
             }
-            Ok(Reply::Unfit { report }) => (request::Reply::Unfit, 0.0, report),
+            Ok(Reply::Unfit { report }) => (request::Reply::Unprocessable, 0.0, report),
             Ok(Reply::Error { report }) => (request::Reply::Error, 0.0, report),
             Ok(_) => (request::Reply::Error, 0.0, None),
-            Err(Failed::Connect) => (request::Reply::Connect, 0.0, None),
+            Err(Failed::Connect) => (request::Reply::ConnectFailed, 0.0, None),
             Err(Failed::Reset) => (request::Reply::Reset, 0.0, None),
-            Err(Failed::Spoilt) => (request::Reply::Spoilt, 0.0, None),
+            Err(Failed::Spoilt) => (request::Reply::MalformedResponse, 0.0, None),
             Err(Failed::NotSent) => (request::Reply::NotSent, 0.0, None),
         };
         self.keep(id, attempt, note, report);
@@ -101,12 +101,12 @@
                 job.told.shown_to_arrive(attempt, now);
             }
         }
-        self.input(id, Input::Arrived { attempt });
+        self.input(id, Input::Delivered { attempt });
     }
 
     /// Whether something is held whose time runs on until an attempt is known to have arrived.
     fn waits_for_arrival(&self, id: u64) -> bool {
-        self.inner.borrow().jobs.get(&id).is_some_and(|job| job.machine.armed(request::Timer::Pin))
+        self.inner.borrow().jobs.get(&id).is_some_and(|job| job.machine.is_armed(request::Timer::LeaseLimit))
     }
 
     fn ask_arrival_at(&self, id: u64, written: Instant) -> Option<Instant> {
@@ -118,7 +118,7 @@
     fn passes(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<Piece>> {
         let inner = self.inner.borrow();
         let job = inner.jobs.get(&id)?;
-        (job.machine.attempts()[attempt].step == Step::Begun).then(|| job.pieces.clone())?
+        (job.machine.attempts()[attempt].state == AttemptState::Streaming).then(|| job.pieces.clone())?
     }
 
     fn passed(&self, id: u64, attempt: usize, passed: Passed) {
@@ -128,7 +128,7 @@
     }
 
     /// What a server said beside its reply, for the attempt's outcome.
-    fn keep(&self, id: u64, attempt: usize, note: f64, report: Option<Report>) {
+    fn keep(&self, id: u64, attempt: usize, note: f64, report: Option<LoadReport>) {
         if let Some(job) = self.inner.borrow_mut().jobs.get_mut(&id) {
             (job.sent[attempt].note, job.sent[attempt].report) = (note, report);
         }
@@ -137,13 +137,13 @@
     pub(super) async fn probe(&self, server: ServerId) {
         let sent = Instant::now();
         let (status, report) = match self.upstream.clone().oneshot(Call::Probe { server }).await {
-            Ok(Reply::Probed { well: true, report }) => (Status::Served, report),
-            Ok(Reply::Probed { report, .. }) => (Status::Error, report),
-            Ok(_) | Err(Failed::NotSent | Failed::Connect) => (Status::ConnectFailed, None),
-            Err(Failed::Reset) => (Status::Reset, None),
-            Err(Failed::Spoilt) => (Status::Spoilt, None),
+            Ok(Reply::Probed { well: true, report }) => (AttemptStatus::Served, report),
+            Ok(Reply::Probed { report, .. }) => (AttemptStatus::Error, report),
+            Ok(_) | Err(Failed::NotSent | Failed::Connect) => (AttemptStatus::ConnectFailed, None),
+            Err(Failed::Reset) => (AttemptStatus::Reset, None),
+            Err(Failed::Spoilt) => (AttemptStatus::MalformedResponse, None),
         };
         let elapsed = sent.elapsed().as_secs_f64() * 1000.0;
-        self.feed(Event::Probed { server, status, elapsed, report });
+        self.feed(Event::ProbeResult { server, status, elapsed, report });
     }
 }
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -9,7 +9,7 @@
         let inner = &mut *inner;
         let Some(job) = inner.jobs.get_mut(&id) else { return };
         match effect {
-            Effect::Start { attempt } => {
+            Effect::StartAttempt { attempt } => {
                 let (cancel, cancelled) = oneshot::channel();
                 job.sent[attempt].cancel = Some(cancel);
                 invariants::check_start(&job.machine, attempt, &job.payload.name);
@@ -25,7 +25,7 @@
                 let call = Call::Attempt { server, payload, until, connect, confirm, wanted };
                 spawn_local(async move { core.attempt(id, attempt, call, until, cancelled).await });
             }
-            Effect::CallBack { attempt } => job.sent[attempt].cancel = None,
+            Effect::CancelAttempt { attempt } => job.sent[attempt].cancel = None,
             Effect::Release { after_cut } => {
                 let (core, call) = (self.clone(), Call::Release { payload: job.payload.clone() });
                 let held_since = job.unclaimed_since;
@@ -46,8 +46,8 @@
                     core.released(id, held_since);
                 });
             }
-            Effect::AskPlace { server } => {
-                if !job.machine.holds() {
+            Effect::RequestSlot { server } => {
+                if !job.machine.has_reservation() {
                     job.unclaimed_since = Instant::now();
                 }
                 let call = Call::Hold { server: ServerId(server), payload: job.payload.clone() };
@@ -59,21 +59,21 @@
                         Err(Failed::Connect | Failed::NotSent) => Some(false),
                         _ => None,
                     };
-                    core.input(id, Input::Placed { held });
+                    core.input(id, Input::SlotAnswered { reserved: held });
                 });
                 job.place = Some(task.abort_handle());
             }
-            Effect::DropPlace => {
+            Effect::CancelSlotRequest => {
                 if let Some(place) = job.place.take() {
                     place.abort();
                 }
             }
-            Effect::Answer(last) => {
+            Effect::Respond(last) => {
                 let piece = match last {
-                    Final::Refused => Piece::Refused(job.retry_after),
-                    Final::Failed => Piece::Failed(Failure::Upstream),
-                    Final::Deadline => Piece::Failed(Failure::Deadline),
-                    Final::Unfit => Piece::Failed(Failure::Unfit),
+                    FinalResponse::Rejected => Piece::Refused(job.retry_after),
+                    FinalResponse::Failed => Piece::Failed(Failure::Upstream),
+                    FinalResponse::DeadlineExceeded => Piece::Failed(Failure::Deadline),
+                    FinalResponse::Unprocessable => Piece::Failed(Failure::Unfit),
                 };
                 if let Some(pieces) = &job.pieces {
                     // Nothing was passed on before, so there is room.
@@ -81,15 +81,15 @@
                 }
             }
             // The task that brought it passes it on.
-            Effect::PassOn { .. } => {}
-            Effect::TellFirst { attempt } => {
+            Effect::ForwardStream { .. } => {}
+            Effect::NotifyFirstToken { attempt } => {
                 let (server, elapsed) =
                     (ServerId(job.machine.attempts()[attempt].server), job.elapsed(attempt));
                 job.told.first(attempt, inner.clock.now());
                 let (id, attempt) = (RequestId(id), attempt as u32);
                 inner.queue.push_back(Event::FirstToken { id, attempt, server, elapsed });
             }
-            Effect::TellOutcome { attempt, status, closed } => {
+            Effect::NotifyOutcome { attempt, status, closed } => {
                 if status == request::Status::Undelivered {
                     let server = job.machine.attempts()[attempt].server;
                     log!(
@@ -97,16 +97,16 @@
                         job.payload.name
                     );
                 }
-                let arrived = job.machine.attempts()[attempt].arrived;
+                let arrived = job.machine.attempts()[attempt].delivered;
                 // What a read that was cut may have left is held from now on.
-                let reads = job.machine.attempts()[attempt].stage == Stage::Read;
+                let reads = job.machine.attempts()[attempt].stage == Stage::Prefill;
                 if arrived || reads && job.sent[attempt].wanted.out() {
                     job.unclaimed_since = Instant::now();
                 }
                 if let Some(written) = job.sent[attempt].wanted.written() {
                     job.told.written(attempt, inner.clock.at(written));
                 }
-                let outcome = Outcome {
+                let outcome = AttemptOutcome {
                     id: RequestId(id),
                     attempt: attempt as u32,
                     server: ServerId(job.machine.attempts()[attempt].server),
@@ -114,36 +114,38 @@
                     elapsed: job.elapsed(attempt),
                     note: job.sent[attempt].note,
                     closed,
-                    arrived,
+                    delivered: arrived,
                     report: job.sent[attempt].report.take(),
                 };
-                let Outcome { status, note, report, .. } = outcome;
+                let AttemptOutcome { status, note, report, .. } = outcome;
                 job.told.ended(attempt, status, note, report, inner.clock.now());
                 inner.queue.push_back(Event::Outcome(outcome));
             }
-            Effect::TellGone => inner.queue.push_back(Event::ClientGone { id: RequestId(id) }),
-            Effect::TellPlace { server, held } => {
+            Effect::NotifyClientDisconnected => {
+                inner.queue.push_back(Event::ClientDisconnected { id: RequestId(id) })
+            }
+            Effect::NotifySlot { server, reserved: held } => {
                 let attempt = job.sent.len().saturating_sub(1) as u32;
                 let (id, server) = (RequestId(id), ServerId(server));
-                inner.queue.push_back(Event::Place { id, attempt, server, held });
+                inner.queue.push_back(Event::SlotReservation { id, attempt, server, reserved: held });
             }
-            Effect::Arm(timer) => {
+            Effect::ArmTimer(timer) => {
                 let at = match timer {
                     request::Timer::Deadline => job.deadline + GUARD,
                     // From when the holding began: what has not arrived since then was never out.
-                    request::Timer::Pin => job.unclaimed_since + inner.pin_limit.mul_f64(PIN_USED),
+                    request::Timer::LeaseLimit => job.unclaimed_since + inner.pin_limit.mul_f64(PIN_USED),
                 };
                 let key = inner.timers.arm(at, Due::Request(id, timer));
                 job.timers.push((Due::Request(id, timer), key));
                 self.wind(inner);
             }
-            Effect::Disarm(timer) => {
+            Effect::DisarmTimer(timer) => {
                 let due = Due::Request(id, timer);
                 if let Some(at) = job.timers.iter().position(|t| t.0 == due) {
                     inner.timers.disarm(&job.timers.swap_remove(at).1);
                 }
             }
-            Effect::Over => {
+            Effect::Finished => {
                 if let Some(job) = inner.jobs.remove(&id) {
                     job.watch.abort();
                     job.timers.iter().for_each(|(_, key)| inner.timers.disarm(key));
@@ -154,7 +156,7 @@
                         spawn_local(self.clone().follow_up(read));
                     }
                     let story = job.told.end(&job.machine, inner.clock.now());
-                    log!("{}{story}", glenrail_access_log::WORD);
+                    log!("{}{story}", glenrail_access_log::LINE_PREFIX);
                 }
             }
         }
@@ -178,18 +180,18 @@
 }
 
 /// An outcome in the router's terms.
-pub(super) fn told(status: request::Status) -> Status {
+pub(super) fn told(status: request::Status) -> AttemptStatus {
     match status {
-        request::Status::Served => Status::Served,
-        request::Status::Read => Status::Read,
-        request::Status::Error => Status::Error,
-        request::Status::Declined => Status::Full,
-        request::Status::Timeout => Status::Timeout,
-        request::Status::Connect => Status::ConnectFailed,
-        request::Status::Reset => Status::Reset,
-        request::Status::Spoilt => Status::Spoilt,
-        request::Status::Cancelled => Status::Cancelled,
-        request::Status::Undelivered => Status::Undelivered,
-        request::Status::NotSent => Status::NotSent,
+        request::Status::Served => AttemptStatus::Served,
+        request::Status::Prefilled => AttemptStatus::Prefilled,
+        request::Status::Error => AttemptStatus::Error,
+        request::Status::Rejected => AttemptStatus::Rejected,
+        request::Status::Timeout => AttemptStatus::Timeout,
+        request::Status::ConnectFailed => AttemptStatus::ConnectFailed,
+        request::Status::Reset => AttemptStatus::Reset,
+        request::Status::MalformedResponse => AttemptStatus::MalformedResponse,
+        request::Status::Cancelled => AttemptStatus::Cancelled,
+        request::Status::Undelivered => AttemptStatus::Undelivered,
+        request::Status::NotSent => AttemptStatus::NotSent,
     }
 }
--- a/gateway/src/core/follow_up.rs
+++ b/gateway/src/core/follow_up.rs
@@ -25,8 +25,8 @@
         };
         let attempts = self.machine.attempts().iter().zip(&self.sent);
         let given_up = attempts.filter(|(attempt, sent)| {
-            let closed_here = matches!(attempt.step, Step::Ended(status) if unseen(status));
-            attempt.stage == Stage::Read && closed_here && sent.wanted.out()
+            let closed_here = matches!(attempt.state, AttemptState::Ended(status) if unseen(status));
+            attempt.stage == Stage::Prefill && closed_here && sent.wanted.out()
         });
         let told = |(attempt, sent): (&request::Attempt, &Sent)| GivenUp {
             server: ServerId(attempt.server),
--- a/gateway/src/core/job.rs
+++ b/gateway/src/core/job.rs
@@ -11,7 +11,7 @@
     /// Dropping it calls the attempt back.
     pub cancel: Option<oneshot::Sender<()>>,
     pub note: f64,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What the core keeps of one request beside its machine.
@@ -56,10 +56,10 @@
 
     /// By when an attempt for which something is held must be written, so that there is time to hear whether it arrived.
     pub fn written_by(&self, pin_limit: Duration) -> Option<Instant> {
-        self.machine.holds().then(|| self.unclaimed_since + pin_limit.mul_f64(WRITTEN_BY))
+        self.machine.has_reservation().then(|| self.unclaimed_since + pin_limit.mul_f64(WRITTEN_BY))
     }
 
-    pub fn elapsed(&self, attempt: usize) -> Ms {
+    pub fn elapsed(&self, attempt: usize) -> Millis {
         self.sent[attempt].at.elapsed().as_secs_f64() * 1000.0
     }
 }
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -22,7 +22,9 @@
 use std::time::Duration;
 
 use futures_util::stream::StreamExt;
-use glenrail_request_lifecycle::request::{self, Effect, Final, Input, Repeat, Stage, Step, Terms};
+use glenrail_request_lifecycle::request::{
+    self, AttemptState, Effect, FinalResponse, Input, RequestPolicy, RetrySafety, Stage,
+};
 use glenrail_router::*;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{spawn_local, AbortHandle};
@@ -72,11 +74,11 @@
 
 /// Whoever decides for the core: the module's router, or what a test puts in its place.
 pub trait Decide: 'static {
-    fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>);
+    fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>);
 }
 
 impl Decide for Router {
-    fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         Router::handle(self, now, event, out);
     }
 }
@@ -88,14 +90,14 @@
     state: ServerState,
     /// Its zone, and its cell in that.
     place: (u32, u32),
-    started: Option<Ms>,
+    started: Option<Millis>,
 }
 
 struct Inner<R> {
     router: R,
     clock: Clock,
     settings: Settings,
-    terms: Terms,
+    terms: RequestPolicy,
     pin_limit: Duration,
     roles: Vec<Role>,
     members: BTreeMap<ServerId, Listed>,
@@ -146,17 +148,17 @@
 
     /// What the router has learned, for another process that takes over.
     pub fn recollect(&self) -> Vec<u8> {
-        self.inner.borrow().router.recollect()
+        self.inner.borrow().router.export_state()
     }
 
     pub fn inherit(&self, learned: &[u8]) {
-        self.inner.borrow_mut().router.inherit(learned);
+        self.inner.borrow_mut().router.import_state(learned);
     }
 
     /// Listed servers that get nothing new at present, by order or by the module's choice.
     pub fn avoided(&self) -> usize {
         let inner = self.inner.borrow();
-        inner.members.keys().filter(|id| inner.router.avoids(**id)).count()
+        inner.members.keys().filter(|id| inner.router.is_avoided(**id)).count()
     }
 }
 
@@ -166,8 +168,12 @@
         let most = settings.limits.max_attempts.max(1) as usize;
         let inner = Inner {
             clock,
-            terms: Terms { repeat: Repeat::Freely, most, cancel: settings.limits.cancel },
-            pin_limit: duration(settings.rules.pin_limit),
+            terms: RequestPolicy {
+                retry_safety: RetrySafety::Idempotent,
+                max_attempts: most,
+                cancellation: settings.limits.cancellation,
+            },
+            pin_limit: duration(settings.rules.lease_limit),
             roles: settings.kinds.iter().map(|k| k.role).collect(),
             router,
             settings,
@@ -185,16 +191,16 @@
     }
 
     /// A list of servers, or changes to it.
-    pub fn members(&self, scope: Scope, members: Vec<Member>) {
+    pub fn members(&self, scope: ListUpdate, members: Vec<ServerEntry>) {
         {
             let mut inner = self.inner.borrow_mut();
-            if matches!(scope, Scope::Full | Scope::Cached) {
+            if matches!(scope, ListUpdate::Full | ListUpdate::Cached) {
                 inner.members.clear();
             }
             for m in &members {
                 let role = inner.roles.get(m.kind as usize).copied().unwrap_or(Role::Mixed);
                 match m.state {
-                    ServerState::Gone => inner.members.remove(&m.server),
+                    ServerState::Terminated => inner.members.remove(&m.server),
                     state => {
                         let (place, started) = ((m.zone, m.cell), m.started);
                         inner.members.insert(m.server, Listed { role, state, place, started })
@@ -202,34 +208,37 @@
                 };
             }
         }
-        self.feed(Event::Members { scope, members });
+        self.feed(Event::ServerList { update: scope, servers: members });
     }
 
     /// Whether the list has what it takes to answer a request.
     pub fn can_serve(&self) -> bool {
         let inner = self.inner.borrow();
         let has = |role| inner.members.values().any(|m| m.role == role && m.state == ServerState::Ready);
-        has(Role::Mixed) || (has(Role::Reader) && has(Role::Writer))
+        has(Role::Mixed) || (has(Role::Prefill) && has(Role::Decode))
     }
 
     /// Requests that were taken and have not ended.
     pub fn open(&self) -> usize {
-        self.inner.borrow().jobs.values().filter(|j| !j.machine.closed()).count()
+        self.inner.borrow().jobs.values().filter(|j| !j.machine.is_closed()).count()
     }
 
     /// The process is about to end: whoever still waits for an answer to begin is refused now, or failed where its request
     /// may have run and trying again is not harmless.
     pub fn answer_all(&self) {
-        let owed = |j: &Job| j.machine.answer() == request::Answer::Owed;
+        let owed = |j: &Job| j.machine.response() == request::ResponseState::Pending;
         let mut waiting: Vec<(u64, bool)> = Vec::new();
         waiting.extend(
             self.inner.borrow().jobs.iter().filter(|(_, j)| owed(j)).map(|(id, j)| (*id, j.may_refuse())),
         );
         waiting.sort_unstable();
         for (id, may_refuse) in waiting {
-            self.input(id, Input::Answer(if may_refuse { Final::Refused } else { Final::Failed }));
+            self.input(
+                id,
+                Input::Respond(if may_refuse { FinalResponse::Rejected } else { FinalResponse::Failed }),
+            );
             // The router lets go as if the client had left.
-            self.feed(Event::ClientGone { id: RequestId(id) });
+            self.feed(Event::ClientDisconnected { id: RequestId(id) });
         }
     }
 
@@ -261,29 +270,36 @@
             inner.names.insert(payload.name.clone(), id);
             id
         };
-        let deadline = arrived + duration(ask.patience);
+        let deadline = arrived + duration(ask.client_timeout);
         ask.id = RequestId(id);
-        ask.patience = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
+        ask.client_timeout = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         let watch = spawn_local({
             let (core, pieces) = (self.clone(), server.pieces.clone());
             async move {
                 pieces.closed().await;
-                core.input(id, Input::ClientGone);
+                core.input(id, Input::ClientDisconnected);
             }
         });
         let mut effects = Vec::new();
         {
             let mut inner = self.inner.borrow_mut();
             let class = inner.settings.classes.get(ask.class as usize);
-            let effect = class.map_or(glenrail_router::Effect::Unsafe, |c| c.effect);
-            let repeat =
-                if effect == glenrail_router::Effect::Unsafe { Repeat::Never } else { Repeat::Freely };
-            let window =
-                class.filter(|_| effect == glenrail_router::Effect::Keyed).map(|c| duration(c.window));
+            let effect = class.map_or(glenrail_router::Idempotency::NonIdempotent, |c| c.idempotency);
+            let repeat = if effect == glenrail_router::Idempotency::NonIdempotent {
+                RetrySafety::AtMostOnce
+            } else {
+                RetrySafety::Idempotent
+            };
+            let window = class
+                .filter(|_| effect == glenrail_router::Idempotency::IdempotencyKey)
+                .map(|c| duration(c.idempotency_window));
             let came = inner.clock.at(arrived);
             let told = Told::new(&ask, &payload.name, &inner.settings, came, inner.clock.unix(came));
             let job = Job {
-                machine: request::Request::new(Terms { repeat, ..inner.terms }, &mut effects),
+                machine: request::Request::new(
+                    RequestPolicy { retry_safety: repeat, ..inner.terms },
+                    &mut effects,
+                ),
                 payload,
                 pieces: Some(server.pieces),
                 watch: watch.abort_handle(),
@@ -293,7 +309,7 @@
                 place: None,
                 retry_after: Duration::ZERO,
                 window,
-                safe: effect == glenrail_router::Effect::Safe,
+                safe: effect == glenrail_router::Idempotency::Idempotent,
                 timers: Vec::new(),
                 told,
             };
@@ -350,12 +366,12 @@
             Action::Send { id, server, timeout } => self.send(id.0, server, timeout),
             Action::Cancel { id, attempt } => self.input(id.0, Input::Cancel { attempt: attempt as usize }),
             Action::Release { id } => self.input(id.0, Input::Release),
-            Action::Refuse { id, retry_after, reason } => {
+            Action::Reject { id, retry_after, reason } => {
                 if let Some(job) = self.inner.borrow_mut().jobs.get_mut(&id.0) {
                     job.retry_after = duration(retry_after);
                     job.told.why(reason);
                 }
-                self.input(id.0, Input::Answer(Final::Refused));
+                self.input(id.0, Input::Respond(FinalResponse::Rejected));
             }
             Action::Fail { id, reason } => {
                 let late = |j: &Job| Instant::now() + duration(20.0) >= j.deadline;
@@ -363,9 +379,16 @@
                 if let Some(job) = self.inner.borrow_mut().jobs.get_mut(&id.0) {
                     job.told.why(reason);
                 }
-                self.input(id.0, Input::Answer(if late { Final::Deadline } else { Final::Failed }));
+                self.input(
+                    id.0,
+                    Input::Respond(if late {
+                        FinalResponse::DeadlineExceeded
+                    } else {
+                        FinalResponse::Failed
+                    }),
+                );
             }
-            Action::HoldPlace { id, server } => self.input(id.0, Input::Hold { server: server.0 }),
+            Action::ReserveSlot { id, server } => self.input(id.0, Input::ReserveSlot { server: server.0 }),
             Action::Probe { server } => {
                 let core = self.clone();
                 spawn_local(async move { core.probe(server).await });
@@ -373,7 +396,7 @@
             Action::CloseIdle { server } => {
                 spawn_local(self.upstream.clone().oneshot(Call::CloseIdle { server }));
             }
-            Action::Timer { at, key, of } => {
+            Action::Timer { at, key, request: of } => {
                 let of = of.map(|id| id.0);
                 let at = self.inner.borrow().clock.instant(at);
                 self.arm(at, Due::Router { key, of }, of);
@@ -381,11 +404,14 @@
             Action::Log(words) => log!("router: {words}"),
             // Discovery is watched all the time, peers are never told, and streams are never moved: no
             // deployment of this gateway allows it.
-            Action::Subscribe { .. } | Action::FetchList | Action::Tell { .. } | Action::Move { .. } => {}
+            Action::Subscribe { .. }
+            | Action::FetchList
+            | Action::SendGossip { .. }
+            | Action::Migrate { .. } => {}
         }
     }
 
-    fn send(&self, id: u64, server: ServerId, wait: Ms) {
+    fn send(&self, id: u64, server: ServerId, wait: Millis) {
         let input = {
             let mut inner = self.inner.borrow_mut();
             let inner = &mut *inner;
@@ -396,12 +422,15 @@
                 if wait > 0.0 { job.deadline.min(now + duration(wait) + SLACK) } else { job.deadline };
             let wanted = Wanted::default();
             job.sent.push(Sent { at: now, until, wanted, cancel: None, note: 0.0, report: None });
-            let stage = if listed.is_some_and(|l| l.role == Role::Reader) { Stage::Read } else { Stage::Run };
+            let stage =
+                if listed.is_some_and(|l| l.role == Role::Prefill) { Stage::Prefill } else { Stage::Execute };
             let sent = inner.clock.at(now);
-            let cold = listed.and_then(|l| l.started).is_some_and(|s| sent < s + inner.settings.rules.cold);
+            let cold = listed
+                .and_then(|l| l.started)
+                .is_some_and(|s| sent < s + inner.settings.rules.slow_start_window);
             job.told.sent(server.0, stage, listed.map(|l| l.place), cold, sent);
             let ready = listed.is_some_and(|l| l.state == ServerState::Ready);
-            Input::Send { server: server.0, stage, may: ready && until > now }
+            Input::Send { server: server.0, stage, permitted: ready && until > now }
         };
         self.input(id, input);
     }
@@ -421,7 +450,7 @@
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
         if let Some(job) = inner.jobs.get_mut(&id) {
-            if job.machine.closed() {
+            if job.machine.is_closed() {
                 job.told.closed(now);
                 // Nothing more is owed: the client sees its answer's end, and nobody waits for its going.
                 job.pieces = None;
@@ -474,7 +503,7 @@
         }
         match due {
             Due::Router { key, .. } => self.feed(Event::Timer { key }),
-            Due::Request(id, timer) => self.input(id, Input::Due(timer)),
+            Due::Request(id, timer) => self.input(id, Input::TimerExpired(timer)),
         }
     }
 }
@@ -486,11 +515,11 @@
         assert_eq!(self.names.len(), self.jobs.len(), "a name for each request that is left");
         for (id, job) in &self.jobs {
             let machine = &job.machine;
-            assert!(!machine.over(), "request {id} has ended and is kept");
+            assert!(!machine.is_finished(), "request {id} has ended and is kept");
             assert_eq!(job.sent.len(), machine.attempts().len(), "request {id}: an attempt without its call");
-            for timer in [request::Timer::Deadline, request::Timer::Pin] {
+            for timer in [request::Timer::Deadline, request::Timer::LeaseLimit] {
                 let armed = job.timers.iter().filter(|t| t.0 == Due::Request(*id, timer)).count();
-                assert_eq!(armed, usize::from(machine.armed(timer)), "request {id}: {timer:?}");
+                assert_eq!(armed, usize::from(machine.is_armed(timer)), "request {id}: {timer:?}");
             }
         }
     }
--- a/gateway/src/core/passing.rs
+++ b/gateway/src/core/passing.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use glenrail_router::Report;
+use glenrail_router::LoadReport;
 
 use crate::exchange::{self, ClientSide, Piece};
 use crate::log;
@@ -26,7 +26,7 @@
 pub struct Passed {
     pub end: StreamEnd,
     pub kept: f64,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl From<StreamEnd> for Passed {
@@ -41,27 +41,27 @@
         let frame = tokio::select! {
             biased;
             frame = timeout(SILENT, frames.next()) => frame,
-            () = pieces.closed() => return StreamEnd::Untaken.into(),
+            () = pieces.closed() => return StreamEnd::ClientStalled.into(),
         };
         match frame {
             Ok(Some(Ok(Frame::Data(bytes)))) => {
                 if !pass(pieces, Piece::Chunk(bytes)).await {
-                    return StreamEnd::Untaken.into();
+                    return StreamEnd::ClientStalled.into();
                 }
             }
             Ok(Some(Ok(Frame::Moved(rest)))) => {
                 pass(pieces, Piece::Moved(rest)).await;
-                return StreamEnd::Moved.into();
+                return StreamEnd::HandedOver.into();
             }
             Ok(Some(Ok(Frame::End { kept, report }))) => {
                 pass(pieces, Piece::End).await;
-                return Passed { end: StreamEnd::Whole, kept, report };
+                return Passed { end: StreamEnd::Complete, kept, report };
             }
-            Ok(Some(Err(Failed::Spoilt))) => return StreamEnd::Spoilt.into(),
+            Ok(Some(Err(Failed::Spoilt))) => return StreamEnd::MalformedResponse.into(),
             Ok(Some(Err(_)) | None) => return StreamEnd::Reset.into(),
             Err(_) => {
                 log!("a stream fell silent and is cut");
-                return StreamEnd::Silent.into();
+                return StreamEnd::IdleTimeout.into();
             }
         }
     }
--- a/gateway/src/core/replay.rs
+++ b/gateway/src/core/replay.rs
@@ -16,7 +16,7 @@
 struct Puppet(Rc<RefCell<Vec<Event>>>);
 
 impl Decide for Puppet {
-    fn handle(&mut self, _: Ms, event: Event, _: &mut Vec<Action>) {
+    fn handle(&mut self, _: Millis, event: Event, _: &mut Vec<Action>) {
         self.0.borrow_mut().push(event);
     }
 }
@@ -95,7 +95,7 @@
     readers: u64,
     #[serde(default)]
     writers: u64,
-    repeat: Option<Repeat>,
+    repeat: Option<RetrySafety>,
     #[serde(default)]
     cancel: bool,
 }
@@ -106,9 +106,9 @@
     fed: Vec<(Input, Vec<Effect>)>,
 }
 
-const PATIENCE: Ms = 10_000.0;
+const PATIENCE: Millis = 10_000.0;
 /// The time of an attempt that is to run out of it, before what is held runs out of its own.
-const SHORT: Ms = 300.0;
+const SHORT: Millis = 300.0;
 
 async fn settle() {
     for _ in 0..50 {
@@ -120,10 +120,10 @@
     async fn feed(&mut self, input: Input) {
         let id = RequestId(1);
         match input {
-            Input::Send { server, may, .. } => {
+            Input::Send { server, permitted: may, .. } => {
                 if !may {
-                    let gone = Member { state: ServerState::Draining, ..self.member(server) };
-                    self.core.members(Scope::Delta, vec![gone]);
+                    let gone = ServerEntry { state: ServerState::Draining, ..self.member(server) };
+                    self.core.members(ListUpdate::Delta, vec![gone]);
                 }
                 let timeout = if self.short.contains(&self.sends) { SHORT } else { 0.0 };
                 self.sends += 1;
@@ -132,13 +132,13 @@
             }
             Input::Cancel { attempt } => self.order(Action::Cancel { id, attempt: attempt as u32 }),
             Input::Release => self.order(Action::Release { id }),
-            Input::Answer(Final::Refused) => {
-                self.order(Action::Refuse { id, retry_after: 5.0, reason: Reason::NoServer })
+            Input::Respond(FinalResponse::Rejected) => {
+                self.order(Action::Reject { id, retry_after: 5.0, reason: RejectReason::NoServerAvailable })
             }
-            Input::Answer(_) => self.order(Action::Fail { id, reason: Reason::NoServer }),
-            Input::Hold { server } => self.order(Action::HoldPlace { id, server: ServerId(server) }),
-            Input::ClientGone => drop(self.client.take()),
-            Input::Arrived { .. } => {
+            Input::Respond(_) => self.order(Action::Fail { id, reason: RejectReason::NoServerAvailable }),
+            Input::ReserveSlot { server } => self.order(Action::ReserveSlot { id, server: ServerId(server) }),
+            Input::ClientDisconnected => drop(self.client.take()),
+            Input::Delivered { .. } => {
                 self.servers.0.borrow_mut().signs = true;
                 sleep(duration(500.0 * ARRIVAL_ASKED)).await;
                 self.servers.0.borrow_mut().signs = false;
@@ -146,12 +146,12 @@
             Input::Replied { attempt, reply } => self.reply(attempt, reply),
             Input::StreamEnded { attempt, end } => {
                 let frame = match end {
-                    StreamEnd::Whole => Some(Ok(Frame::End { kept: 0.0, report: None })),
-                    StreamEnd::Moved => Some(Ok(Frame::Moved(rest_of_a_stream()))),
+                    StreamEnd::Complete => Some(Ok(Frame::End { kept: 0.0, report: None })),
+                    StreamEnd::HandedOver => Some(Ok(Frame::Moved(rest_of_a_stream()))),
                     StreamEnd::Reset => Some(Err(Failed::Reset)),
-                    StreamEnd::Spoilt => Some(Err(Failed::Spoilt)),
-                    StreamEnd::Silent => None,
-                    StreamEnd::Untaken => {
+                    StreamEnd::MalformedResponse => Some(Err(Failed::Spoilt)),
+                    StreamEnd::IdleTimeout => None,
+                    StreamEnd::ClientStalled => {
                         drop(self.client.take());
                         None
                     }
@@ -162,8 +162,8 @@
                 }
             }
             Input::TimedOut { .. } => sleep(duration(SHORT + 5.0)).await,
-            Input::Dropped { .. } => {}
-            Input::Placed { held } => {
+            Input::CancelCompleted { .. } => {}
+            Input::SlotAnswered { reserved: held } => {
                 let place = self.servers.0.borrow_mut().place.take();
                 _ = place.map(|place| place.send(held));
             }
@@ -172,8 +172,8 @@
                 let release = self.servers.0.borrow_mut().release.take();
                 release.expect("a release is under way").send(()).expect("and waited for");
             }
-            Input::Due(Timer::Pin) => sleep(Duration::from_millis(470)).await,
-            Input::Due(Timer::Deadline) => {
+            Input::TimerExpired(Timer::LeaseLimit) => sleep(Duration::from_millis(470)).await,
+            Input::TimerExpired(Timer::Deadline) => {
                 tokio::time::sleep_until(self.began + duration(PATIENCE) + GUARD * 2).await;
             }
         }
@@ -185,27 +185,27 @@
         self.core.run();
     }
 
-    fn member(&self, server: u64) -> Member {
+    fn member(&self, server: u64) -> ServerEntry {
         let kind = u32::from(server >= self.readers);
-        Member { server: ServerId(server), kind, weight: 1.0, ..Member::default() }
+        ServerEntry { server: ServerId(server), kind, weight: 1.0, ..ServerEntry::default() }
     }
 
     fn reply(&mut self, attempt: usize, reply: Said) {
         let said = match reply {
-            Said::Read => Ok(Reply::Read { kept: 0.0, report: None }),
-            Said::Begins => {
+            Said::Prefilled => Ok(Reply::Read { kept: 0.0, report: None }),
+            Said::FirstEvent => {
                 let (tell, mut told) = mpsc::unbounded_channel();
                 self.streams.insert(attempt, tell);
                 let first = stream::iter([Ok(Frame::Data("data: x\n\n".into()))]);
                 let frames = first.chain(stream::poll_fn(move |cx| told.poll_recv(cx))).boxed_local();
                 Ok(Reply::Answer { head: exchange::Head::default(), frames })
             }
-            Said::Declined => Ok(Reply::Declined { no_state: false, report: None }),
-            Said::Unfit => Ok(Reply::Unfit { report: None }),
+            Said::Rejected => Ok(Reply::Declined { no_state: false, report: None }),
+            Said::Unprocessable => Ok(Reply::Unfit { report: None }),
             Said::Error => Ok(Reply::Error { report: None }),
-            Said::Connect => Err(Failed::Connect),
+            Said::ConnectFailed => Err(Failed::Connect),
             Said::Reset => Err(Failed::Reset),
-            Said::Spoilt => Err(Failed::Spoilt),
+            Said::MalformedResponse => Err(Failed::Spoilt),
             Said::NotSent => Err(Failed::NotSent),
         };
         // An attempt that was kept back never called.
@@ -253,9 +253,9 @@
         move |call| servers.clone().answer(call)
     });
     let mut settings = settings();
-    settings.limits.cancel = head.cancel;
+    settings.limits.cancellation = head.cancel;
     let core = Core::with(told.clone(), settings, Clock::new(Duration::from_secs(1_000_000)), service);
-    let class = u32::from(head.repeat == Some(Repeat::Never));
+    let class = u32::from(head.repeat == Some(RetrySafety::AtMostOnce));
     let began = Instant::now();
     let mut play = PlayOn {
         core: core.clone(),
@@ -271,16 +271,20 @@
         readers: head.readers,
         began,
     };
-    core.members(Scope::Full, (0..head.readers + head.writers).map(|s| play.member(s)).collect());
-    let ask = glenrail_router::Request { class, patience: PATIENCE, ..glenrail_router::Request::default() };
+    core.members(ListUpdate::Full, (0..head.readers + head.writers).map(|s| play.member(s)).collect());
+    let ask =
+        glenrail_router::Request { class, client_timeout: PATIENCE, ..glenrail_router::Request::default() };
     let payload = Payload { name: "ffffffffffffffff".into(), ..Payload::default() };
     play.client = Some(core.submit(exchange::Request { ask, arrived: began, payload: Rc::new(payload) }));
     settle().await;
     for (input, effects) in &fed {
-        let starts =
-            effects
-                .iter()
-                .filter_map(|e| if let Effect::Start { attempt } = e { Some(*attempt) } else { None });
+        let starts = effects.iter().filter_map(|e| {
+            if let Effect::StartAttempt { attempt } = e {
+                Some(*attempt)
+            } else {
+                None
+            }
+        });
         play.started.extend(starts);
         play.feed(*input).await;
     }
@@ -291,23 +295,23 @@
     let wanted: Vec<&str> = effects
         .iter()
         .filter_map(|e| match e {
-            Effect::Start { .. } => Some("attempt"),
+            Effect::StartAttempt { .. } => Some("attempt"),
             Effect::Release { .. } => Some("release"),
-            Effect::AskPlace { .. } => Some("place"),
+            Effect::RequestSlot { .. } => Some("place"),
             _ => None,
         })
         .collect();
     assert_eq!(servers.0.borrow().calls, wanted, "{name}: what went out");
-    let outcomes: Vec<(u32, Status, bool)> = effects
+    let outcomes: Vec<(u32, AttemptStatus, bool)> = effects
         .iter()
         .filter_map(|e| match e {
-            Effect::TellOutcome { attempt, status, closed } => {
+            Effect::NotifyOutcome { attempt, status, closed } => {
                 Some((*attempt as u32, super::effects::told(*status), *closed))
             }
             _ => None,
         })
         .collect();
-    let heard: Vec<(u32, Status, bool)> = told
+    let heard: Vec<(u32, AttemptStatus, bool)> = told
         .0
         .borrow()
         .iter()
@@ -318,12 +322,13 @@
         .collect();
     assert_eq!(heard, outcomes, "{name}: what the router was told");
     assert!(servers.0.borrow().most_out <= 1, "{name}: two attempts at once");
-    assert_eq!(core.idle(), effects.contains(&Effect::Over), "{name}: what is left");
+    assert_eq!(core.idle(), effects.contains(&Effect::Finished), "{name}: what is left");
     if let Some(mut client) = play.client.take() {
-        let said = effects.iter().find_map(|e| if let Effect::Answer(last) = e { Some(*last) } else { None });
+        let said =
+            effects.iter().find_map(|e| if let Effect::Respond(last) = e { Some(*last) } else { None });
         let first = client.piece().await;
         let same = match said {
-            Some(Final::Refused) => matches!(first, Some(Piece::Refused(_))),
+            Some(FinalResponse::Rejected) => matches!(first, Some(Piece::Refused(_))),
             Some(_) => matches!(first, Some(Piece::Failed(_))),
             None => matches!(first, Some(Piece::Begin(..))),
         };
--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -5,21 +5,21 @@
 /// A router that sends each request to one reader and then to one writer, calls the write back after so long, and then
 /// forgets the request.
 struct CallsBack {
-    after: Ms,
-    told: Rc<RefCell<Vec<Status>>>,
+    after: Millis,
+    told: Rc<RefCell<Vec<AttemptStatus>>>,
 }
 
 impl Decide for CallsBack {
-    fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Request(ask) => {
                 out.push(Action::Send { id: ask.id, server: ServerId(READERS[0]), timeout: 5_000.0 });
             }
             Event::Outcome(o) => {
                 self.told.borrow_mut().push(o.status);
-                if o.status == Status::Read {
+                if o.status == AttemptStatus::Prefilled {
                     out.push(Action::Send { id: o.id, server: ServerId(WRITERS[0]), timeout: 5_000.0 });
-                    out.push(Action::Timer { at: now + self.after, key: o.id.0, of: Some(o.id) });
+                    out.push(Action::Timer { at: now + self.after, key: o.id.0, request: Some(o.id) });
                 }
             }
             Event::Timer { key } => out.push(Action::Cancel { id: RequestId(key), attempt: 1 }),
@@ -30,7 +30,7 @@
 
 /// Plays a request whose write is called back after 250 ms, and gives what the router was told, and how long after the read
 /// its state was let go.
-fn called_back(write: Does) -> (Vec<Status>, Duration) {
+fn called_back(write: Does) -> (Vec<AttemptStatus>, Duration) {
     paused(async move {
         let servers = Servers::new(move |_, server| match READERS.contains(&server.0) {
             true => (20, Does::Read),
@@ -40,8 +40,9 @@
         let service = tower::service_fn(move |call| scripted.clone().answer(call));
         let router = CallsBack { after: 250.0, told: Rc::clone(&told) };
         let core = Core::with(router, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
-        let member = |id, kind| Member { server: ServerId(id), kind, weight: 1.0, ..Member::default() };
-        core.members(Scope::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
+        let member =
+            |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
+        core.members(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
         let _client = core.submit(request(0, 10_000.0));
         sleep(Duration::from_millis(20)).await;
         let read = Instant::now();
@@ -58,11 +59,11 @@
 #[test]
 fn a_write_called_back_while_it_is_dialled_stops_no_clock() {
     let (told, after) = called_back(Does::Dial);
-    assert_eq!(told, [Status::Read, Status::NotSent]);
+    assert_eq!(told, [AttemptStatus::Prefilled, AttemptStatus::NotSent]);
     assert!((455..=475).contains(&after.as_millis()), "{after:?}");
     // One that was written was out: from its end on there is the whole time, and 25 ms for the cut to be seen.
     let (told, after) = called_back(Does::Nothing);
-    assert_eq!(told, [Status::Read, Status::Cancelled]);
+    assert_eq!(told, [AttemptStatus::Prefilled, AttemptStatus::Cancelled]);
     assert!((705..=745).contains(&after.as_millis()), "{after:?}");
 }
 
@@ -128,12 +129,12 @@
 struct WritesAgain;
 
 impl Decide for WritesAgain {
-    fn handle(&mut self, _: Ms, event: Event, out: &mut Vec<Action>) {
+    fn handle(&mut self, _: Millis, event: Event, out: &mut Vec<Action>) {
         let send = |id, server| Action::Send { id, server: ServerId(server), timeout: 5_000.0 };
         match event {
             Event::Request(ask) => out.push(send(ask.id, READERS[0])),
-            Event::Outcome(o) if o.status == Status::Read => out.push(send(o.id, WRITERS[0])),
-            Event::Outcome(o) if o.status == Status::Reset => {
+            Event::Outcome(o) if o.status == AttemptStatus::Prefilled => out.push(send(o.id, WRITERS[0])),
+            Event::Outcome(o) if o.status == AttemptStatus::Reset => {
                 out.extend([Action::Release { id: o.id }, send(o.id, WRITERS[0])]);
             }
             _ => {}
@@ -156,8 +157,9 @@
         let scripted = servers.clone();
         let service = tower::service_fn(move |call| scripted.clone().answer(call));
         let core = Core::with(WritesAgain, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
-        let member = |id, kind| Member { server: ServerId(id), kind, weight: 1.0, ..Member::default() };
-        core.members(Scope::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
+        let member =
+            |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
+        core.members(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
         let _client = core.submit(request(2, 12_000.0));
         while servers.attempts(&WRITERS) < 2 {
             sleep(Duration::from_millis(1)).await;
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -150,19 +150,20 @@
     let servers = servers.clone();
     let service = tower::service_fn(move |call| servers.clone().answer(call));
     let core = Core::new(7, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
-    let member = |id: &u64, kind| Member { server: ServerId(*id), kind, weight: 1.0, ..Member::default() };
+    let member =
+        |id: &u64, kind| ServerEntry { server: ServerId(*id), kind, weight: 1.0, ..ServerEntry::default() };
     let readers = READERS.iter().map(|id| member(id, 0));
-    core.members(Scope::Full, readers.chain(WRITERS.iter().map(|id| member(id, 1))).collect());
+    core.members(ListUpdate::Full, readers.chain(WRITERS.iter().map(|id| member(id, 1))).collect());
     core
 }
 
-fn request(class: u32, patience: Ms) -> Request {
+fn request(class: u32, patience: Millis) -> Request {
     let ask = glenrail_router::Request {
         class,
         session: 5,
         prompt_tokens: 1_000.0,
         max_tokens: 100.0,
-        patience,
+        client_timeout: patience,
         ..glenrail_router::Request::default()
     };
     let payload = Payload { name: "ffffffffffffffff".into(), ..Payload::default() };
@@ -331,7 +332,7 @@
         sleep(Duration::from_millis(10)).await;
         let copy = Action::Send { id: RequestId(1), server: ServerId(21), timeout: 100.0 };
         core.act(copy.clone());
-        core.act(Action::Fail { id: RequestId(1), reason: Reason::OutOfTime });
+        core.act(Action::Fail { id: RequestId(1), reason: RejectReason::DeadlineExceeded });
         core.act(copy);
         sleep(Duration::from_millis(300)).await;
         assert_eq!((servers.attempts(&[11, 12, 21, 22]), servers.most_out.get()), (1, 1));
--- a/gateway/src/daemon.rs
+++ b/gateway/src/daemon.rs
@@ -10,7 +10,7 @@
 
 use glenrail_access_log::counts::{self, Counts, Prices};
 use glenrail_fleet::Keyring;
-use glenrail_router::Scope;
+use glenrail_router::ListUpdate;
 use serde::Deserialize;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -67,7 +67,7 @@
         None => std::env::var("EDGE_NAME").ok(),
     };
     let told =
-        |p: &config::Platform| fleet::Platform { peers: p.settings.limits.peers, state: p.state.clone() };
+        |p: &config::Platform| fleet::Platform { peers: p.settings.limits.gossip, state: p.state.clone() };
     Start::read(file, name, platform.map(told).as_ref())
 }
 
@@ -179,7 +179,7 @@
         }));
         let known = List::deserialize(&p.known).ok();
         if let Some(known) = &known {
-            rotation.take(known, Scope::Cached);
+            rotation.take(known, ListUpdate::Cached);
         }
         // A second process asks for the whole list, which is answered at once: what it was started with may be old.
         let from = known.map(|k| k.seq).filter(|_| after.is_none());
--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use glenrail_router::{Member, Scope, ServerState};
+use glenrail_router::{ListUpdate, ServerEntry, ServerState};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
@@ -115,13 +115,13 @@
     }
     /// Whether this line says that the server has left the list.
     pub fn gone(&self) -> bool {
-        self.state() == ServerState::Gone
+        self.state() == ServerState::Terminated
     }
     fn state(&self) -> ServerState {
         match self.health.as_str() {
             SERVING => ServerState::Ready,
             DRAINING => ServerState::Draining,
-            _ => ServerState::Gone,
+            _ => ServerState::Terminated,
         }
     }
     /// Says of a listed server that it drains.
@@ -131,12 +131,12 @@
         }
     }
     /// The same number at every gateway: it depends on the name, not on where this gateway dials it.
-    fn member(&self, names: &Names, clock: &Clock) -> Member {
+    fn member(&self, names: &Names, clock: &Clock) -> ServerEntry {
         let kind = index(&self.class, &names.kinds);
         if kind.is_none() {
             log!("discovery: {} is of no known kind: {}", self.host, self.class);
         }
-        Member {
+        ServerEntry {
             server: glenrail_settings::server_id(&self.host),
             zone: index(&self.site, &names.zones).unwrap_or(0),
             cell: index(&self.block, &[]).unwrap_or(0),
@@ -150,13 +150,13 @@
 
 /// Gives a list to the engine client and the core.
 pub fn apply<U: Upstream>(
-    list: &List, scope: Scope, names: &Names, clock: &Clock, engine: &Engine, core: &Core<U>,
+    list: &List, scope: ListUpdate, names: &Names, clock: &Clock, engine: &Engine, core: &Core<U>,
 ) {
-    let members: Vec<Member> = list.hosts.iter().map(|h| h.member(names, clock)).collect();
+    let members: Vec<ServerEntry> = list.hosts.iter().map(|h| h.member(names, clock)).collect();
     let (mut changed, mut gone) = (Vec::new(), Vec::new());
     for (host, m) in list.hosts.iter().zip(&members) {
         match m.state {
-            ServerState::Gone => gone.push(m.server),
+            ServerState::Terminated => gone.push(m.server),
             state => changed.push(Address {
                 server: m.server,
                 dial: host.dial.clone(),
@@ -166,7 +166,7 @@
             }),
         }
     }
-    engine.learn(scope != Scope::Delta, &changed, &gone);
+    engine.learn(scope != ListUpdate::Delta, &changed, &gone);
     core.members(scope, members);
 }
 
@@ -207,7 +207,7 @@
             assert_eq!((list.seq, list.whole), (7, true));
             assert_eq!(read, [("s-7", ""), ("s-1", "127.0.0.1:8"), ("s-10", "127.0.0.1:10")]);
             let states: Vec<ServerState> = list.hosts.iter().map(Host::state).collect();
-            assert_eq!(states, [ServerState::Gone, ServerState::Draining, ServerState::Ready]);
+            assert_eq!(states, [ServerState::Terminated, ServerState::Draining, ServerState::Ready]);
         }
     }
 
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_request_lifecycle::watch::{self as calls, Ask, Limits, Pauses, Watch as Calls};
-use glenrail_router::{Discovery, Scope, Settings};
+use glenrail_request_lifecycle::watch::{self as calls, BackoffPolicy, Limits, Poll, PollSchedule as Calls};
+use glenrail_router::{Discovery, ListUpdate, Settings};
 use http::{header, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{handshake, SendRequest};
@@ -60,20 +60,20 @@
 }
 
 /// Why a call brought no list, in words and as it is judged.
-struct Failed(String, calls::Failed);
+struct Failed(String, calls::PollFailure);
 
 impl<T: ToString> From<T> for Failed {
     fn from(words: T) -> Self {
-        Failed(words.to_string(), calls::Failed::Lost)
+        Failed(words.to_string(), calls::PollFailure::Lost)
     }
 }
 
-fn judged<B>(answer: &Response<B>) -> calls::Failed {
+fn judged<B>(answer: &Response<B>) -> calls::PollFailure {
     if !matches!(answer.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
-        return calls::Failed::Lost;
+        return calls::PollFailure::Lost;
     }
     let wanted = answer.headers().get(header::RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse().ok());
-    calls::Failed::TurnedAway(wanted.and_then(|seconds: f64| Duration::try_from_secs_f64(seconds).ok()))
+    calls::PollFailure::Throttled(wanted.and_then(|seconds: f64| Duration::try_from_secs_f64(seconds).ok()))
 }
 
 /// Whether discovery ends the connection with this answer.
@@ -84,10 +84,10 @@
 
 /// Asks on the connection that is open, or on a new one; leaves it open for the next call where it may.
 async fn call(
-    open: Option<Watch>, address: &str, ask: Ask, from: Option<u64>, limits: Limits,
+    open: Option<Watch>, address: &str, ask: Poll, from: Option<u64>, limits: Limits,
 ) -> Result<(Option<Watch>, List), Failed> {
     let target = match (ask, from) {
-        (Ask::Changes { hold, .. }, Some(seq)) => {
+        (Poll::Changes { hold, .. }, Some(seq)) => {
             format!("/v1/endpoints?from={seq}&hold_ms={}", hold.as_millis())
         }
         _ => "/v1/endpoints".to_string(),
@@ -103,25 +103,30 @@
         Ok::<_, Failed>((watch, response))
     };
     let whole = async {
-        let (watch, response) = timeout(limits.begins, begins).await.map_err(|_| "no answer in time")??;
+        let (watch, response) =
+            timeout(limits.first_byte, begins).await.map_err(|_| "no answer in time")??;
         if !response.status().is_success() {
             return Err(Failed(format!("status {}", response.status()), judged(&response)));
         }
         let ends = ends(&response);
         let (mut body, mut text) = (Limited::new(response.into_body(), LIST), Vec::new());
-        while let Some(part) = timeout(limits.part, body.frame()).await.map_err(|_| "half an answer")? {
+        while let Some(part) =
+            timeout(limits.between_parts, body.frame()).await.map_err(|_| "half an answer")?
+        {
             text.extend_from_slice(part?.data_ref().map_or(&[], |data| data));
         }
         Ok(((!ends).then_some(watch), List::read(&text)?))
     };
-    timeout(limits.ends, whole).await.map_err(|_| "an answer does not end in time")?
+    timeout(limits.total, whole).await.map_err(|_| "an answer does not end in time")?
 }
 
 /// The calls of a gateway with this seed, one of as many as the settings say.
 pub fn calls(settings: &Settings, seed: u64) -> Calls {
     let pauses = match settings.discovery {
-        Discovery::Push => Pauses::PUSHED,
-        Discovery::Subscribe => Pauses::asked(settings.routers, duration(settings.rules.ask_within)),
+        Discovery::Push => BackoffPolicy::PUSHED,
+        Discovery::Subscribe => {
+            BackoffPolicy::polled(settings.router_count, duration(settings.rules.discovery_poll_limit))
+        }
     };
     Calls::new(pauses, seed)
 }
@@ -139,12 +144,12 @@
 /// is gone.
 pub async fn watch(
     mut address: watch::Receiver<String>, mut from: Option<u64>, mut calls: Calls, tally: Rc<Tally>,
-    take: impl Fn(&List, Scope),
+    take: impl Fn(&List, ListUpdate),
 ) {
     let mut open: Option<Watch> = None;
     let mut at = address.borrow_and_update().clone();
     // Whoever has a list can wait for its turn, where it has to.
-    let begin = calls.begin();
+    let begin = calls.initial_delay();
     if from.is_some() && !begin.is_zero() {
         pause(&mut address, begin).await;
     }
@@ -153,9 +158,9 @@
         if told != at {
             log!("discovery: moved to {told}");
             (at, open, from) = (told, None, None);
-            calls.moved();
+            calls.address_changed();
         }
-        let (ask, began) = (calls.ask(from.is_some()), Instant::now());
+        let (ask, began) = (calls.next_poll(from.is_some()), Instant::now());
         let answer = call(open.take(), &at, ask, from, calls.limits(ask));
         tokio::pin!(answer);
         let answer = tokio::select! {
@@ -166,7 +171,7 @@
             },
             answer = &mut answer => answer,
         };
-        let whole = |list: &List| list.whole || matches!(ask, Ask::Whole { .. });
+        let whole = |list: &List| list.whole || matches!(ask, Poll::FullList { .. });
         let answer = answer.and_then(|(watch, list)| match whole(&list) && list.hosts.is_empty() {
             // An agent that has been sent nothing yet: the list known is better.
             true => Err("a whole list with no line that can be used".into()),
@@ -178,19 +183,19 @@
                 if calls.failures() > 0 {
                     log!("discovery: answers again, after {} calls that failed", calls.failures());
                 }
-                calls.answered();
+                calls.poll_succeeded();
                 tally.answered.set(tally.answered.get() + 1);
                 tally.lines.set(tally.lines.get() + list.hosts.len() as u64);
                 let whole = whole(&list);
                 if whole || !list.hosts.is_empty() {
                     let (kind, lines) = (if whole { "whole" } else { "changes" }, list.hosts.len());
                     log!("discovery: version {}, {kind}, {lines} lines", list.seq);
-                    take(&list, if whole { Scope::Full } else { Scope::Delta });
+                    take(&list, if whole { ListUpdate::Full } else { ListUpdate::Delta });
                 }
                 from = Some(list.seq);
             }
             Err(Failed(e, why)) => {
-                let time = calls.failed(why, began.elapsed());
+                let time = calls.poll_failed(why, began.elapsed());
                 tally.failed.set(tally.failed.get() + 1);
                 // Calls that come so soon after each other would fill the log.
                 if calls.failures().is_power_of_two() {
--- a/gateway/src/engine/confirm.rs
+++ b/gateway/src/engine/confirm.rs
@@ -62,14 +62,14 @@
             let began = Instant::now();
             match timeout(wait, &mut answer).await {
                 Ok(Ok(())) => {
-                    self.0.places.borrow_mut().note(server, |reach, now| reach.heard(now));
+                    self.0.places.borrow_mut().note(server, |reach, now| reach.answered(now));
                     return Ok(());
                 }
                 Ok(Err(unconfirmed)) => return Err(unconfirmed),
                 Err(_) if began.elapsed() > wait + HELD_UP && repeats > 0 => repeats -= 1,
                 Err(_) if wait < ANSWERS_WITHIN / 2 => return Err(Unconfirmed::NoTime),
                 Err(_) => {
-                    self.0.places.borrow_mut().note(server, |reach, now| reach.lost(now));
+                    self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
                     log!("a connection to server {:x} stands and is silent", server.0);
                     // Those that stood beside it are not tried one after the other.
                     if let Some(place) = self.0.places.borrow_mut().get_mut(server) {
@@ -116,7 +116,7 @@
         match timeout(ANSWERS_WITHIN, checked).await {
             Ok(checked) => checked.map(|()| Reply::Done),
             Err(_) => {
-                self.0.places.borrow_mut().note(server, |reach, now| reach.lost(now));
+                self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
                 Err(Failed::Connect)
             }
         }
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -74,7 +74,7 @@
             let _ = connection.await;
         });
         let mut machine = server::Connection::default();
-        step(&mut machine, Input::Up);
+        step(&mut machine, Input::Connected);
         let task = task.abort_handle();
         Ok(Connection { peer, machine, sender, wire, gate, awaited, tap, task, _slot: slot })
     }
@@ -95,16 +95,16 @@
         let answer = self.sender.send_request(request.map(Full::new)).await;
         let out = self.wire.written() - before;
         if out > 0 {
-            step(&mut self.machine, if out < length { Input::Wrote } else { Input::WroteAll });
+            step(&mut self.machine, if out < length { Input::BytesWritten } else { Input::LastByteWritten });
         }
         let e = match answer {
             Ok(response) => {
-                step(&mut self.machine, Input::Head);
+                step(&mut self.machine, Input::HeadReceived);
                 return Ok(response);
             }
             Err(e) => e,
         };
-        Err(match step(&mut self.machine, Input::Broke) {
+        Err(match step(&mut self.machine, Input::Broken) {
             _ if self.gate.kept_back() => Verdict::KeptBack,
             Effect::Replace => Verdict::Replace,
             Effect::NeverRan => Verdict::NeverRan,
@@ -117,7 +117,7 @@
         if !serving {
             step(&mut self.machine, Input::Drained);
         }
-        step(&mut self.machine, Input::End) == Effect::Keep
+        step(&mut self.machine, Input::ResponseComplete) == Effect::Reuse
     }
 
     /// Counts one when the request that is sent next has been handed to the machine whole.
@@ -128,7 +128,7 @@
     /// Gives the connection away as it stands; nothing is read of it here any more.
     pub fn release(mut self) -> io::Result<Rest> {
         let socket = self.wire.socket.as_fd().try_clone_to_owned()?;
-        step(&mut self.machine, Input::Stands);
+        step(&mut self.machine, Input::ReadPaused);
         Ok(Rest { socket: socket.into(), ahead: self.tap.ahead.take() })
     }
 
@@ -136,7 +136,7 @@
     pub fn lives(&mut self) -> bool {
         let lives = self.wire.quiet() && self.sender.is_ready();
         if !lives {
-            step(&mut self.machine, Input::Broke);
+            step(&mut self.machine, Input::Broken);
         }
         lives
     }
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -228,7 +228,7 @@
             // So short a time tells nothing of the server.
             Err(_) if time < usual / 2 => Err(Failed::NotSent),
             _ => {
-                self.0.places.borrow_mut().note(server, |reach, now| reach.lost(now));
+                self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
                 Err(Failed::Connect)
             }
         }
@@ -337,7 +337,7 @@
             }
             match connection.send(request, clear).await {
                 Ok(response) => {
-                    self.0.places.borrow_mut().note(server, |reach, now| reach.heard(now));
+                    self.0.places.borrow_mut().note(server, |reach, now| reach.answered(now));
                     return Ok((response, connection));
                 }
                 // The server closed the idle connection just now, and not a byte went out.
@@ -459,10 +459,10 @@
     async fn probe(&self, server: ServerId) -> Result<Reply, Failed> {
         let asked = Asked::aside(Ask::Probe, load_request()?);
         self.0.counts.borrow_mut().probes += 1;
-        self.0.places.borrow_mut().note(server, |reach, now| reach.asked(now));
+        self.0.places.borrow_mut().note(server, |reach, now| reach.query_sent(now));
         let answer = timeout(PROBE_WAIT, self.brief(server, &asked)).await;
         if answer.is_err() {
-            self.0.places.borrow_mut().note(server, |reach, now| reach.lost(now));
+            self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
         }
         let (head, body) = answer.map_err(|_| Failed::Reset)??;
         let report = reply::report_of(&head.headers);
--- a/gateway/src/engine/places.rs
+++ b/gateway/src/engine/places.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use glenrail_request_lifecycle::reach::{order, Candidate, Ms, Reach};
+use glenrail_request_lifecycle::reach::{order, Candidate, Millis, Reachability};
 use glenrail_router::ServerId;
 use tokio::time::Instant;
 
@@ -28,7 +28,7 @@
     zone: u32,
     /// Since when each stands idle, the oldest first.
     pub idle: Vec<(Instant, Connection)>,
-    reach: Reach,
+    reach: Reachability,
 }
 
 pub(super) struct Places {
@@ -53,7 +53,7 @@
             let place = self.all.entry(a.server).or_default();
             let peer = Peer { dial: a.dial.clone(), born: a.born };
             if place.peer.dial != peer.dial {
-                place.reach = Reach::default();
+                place.reach = Reachability::default();
             }
             // What leads to where it was, or to what ran there before it came back, serves no request.
             if place.peer != peer || !a.serving {
@@ -81,12 +81,12 @@
     }
 
     /// Milliseconds since the start.
-    pub fn now(&self) -> Ms {
-        self.began.elapsed().as_millis() as Ms
+    pub fn now(&self) -> Millis {
+        self.began.elapsed().as_millis() as Millis
     }
 
     /// Keeps what a call has shown of a server.
-    pub fn note(&mut self, server: ServerId, what: impl FnOnce(&mut Reach, Ms)) {
+    pub fn note(&mut self, server: ServerId, what: impl FnOnce(&mut Reachability, Millis)) {
         let now = self.now();
         if let Some(place) = self.all.get_mut(&server) {
             what(&mut place.reach, now);
@@ -99,8 +99,8 @@
         let candidate = |(id, p): (&ServerId, &Place)| Candidate {
             server: *id,
             zone: p.zone,
-            standing: !p.idle.is_empty(),
-            reach: p.reach,
+            has_idle_connection: !p.idle.is_empty(),
+            reachability: p.reach,
         };
         let those = |serving: bool| {
             let of = self.all.iter().filter(|(_, p)| p.serving == serving);
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -34,10 +34,10 @@
                 let (engine, asked, tell) = (self.clone(), asked.clone(), tell.clone());
                 // On its own, so that it is not cut off, and its connection lost, when another server was faster.
                 spawn_local(async move {
-                    engine.0.places.borrow_mut().note(server, |reach, now| reach.asked(now));
+                    engine.0.places.borrow_mut().note(server, |reach, now| reach.query_sent(now));
                     let answer = timeout(ANSWER_WAIT, engine.brief(server, &asked)).await;
                     if !matches!(answer, Ok(Ok(_))) {
-                        engine.0.places.borrow_mut().note(server, |reach, now| reach.lost(now));
+                        engine.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
                     }
                     let taken = matches!(answer, Ok(Ok((head, _))) if head.status.is_success());
                     // Nobody listens any more once the release has ended.
--- a/gateway/src/engine/reply.rs
+++ b/gateway/src/engine/reply.rs
@@ -1,7 +1,7 @@
 //! The few fields of an engine's answer that decisions need.
 
 use bytes::Bytes;
-use glenrail_router::Report;
+use glenrail_router::LoadReport;
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::HeaderMap;
 
@@ -31,7 +31,7 @@
 }
 
 /// A load report: a word that names the form, then values by name.
-pub fn report(text: &str) -> Option<Report> {
+pub fn report(text: &str) -> Option<LoadReport> {
     let pairs: Vec<(&str, f64)> = text
         .trim()
         .trim_start_matches("TEXT")
@@ -43,7 +43,7 @@
     (!pairs.is_empty()).then(|| glenrail_settings::report(get))
 }
 
-pub fn report_of(headers: &HeaderMap) -> Option<Report> {
+pub fn report_of(headers: &HeaderMap) -> Option<LoadReport> {
     report(headers.get(LOAD)?.to_str().ok()?)
 }
 
@@ -69,7 +69,7 @@
         kept(&self.0)
     }
     /// The report that a stream carries as its last comment line.
-    pub fn report(&self) -> Option<Report> {
+    pub fn report(&self) -> Option<LoadReport> {
         let text = String::from_utf8_lossy(&self.0);
         let line = text.lines().rev().find_map(|l| {
             let (name, value) = l.strip_prefix(':')?.trim_start().split_once(':')?;
@@ -86,7 +86,7 @@
     #[test]
     fn a_report_is_read_from_a_header_and_from_the_end_of_a_stream() {
         let read = report("TEXT inflight=7, queue=2, x0=0.61, odd=nan, bad").expect("a report");
-        assert_eq!((read.in_flight, read.queue, read.memory), (Some(7.0), Some(2.0), Some(0.61)));
+        assert_eq!((read.in_flight, read.queue, read.memory_share), (Some(7.0), Some(2.0), Some(0.61)));
         assert!(report("TEXT").is_none());
         let mut tail = Tail::default();
         tail.add(&Bytes::from(vec![b'x'; 3 * TAIL]));
--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -6,7 +6,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use glenrail_request_lifecycle::client::{Connection, Effect, Input, Patience};
+use glenrail_request_lifecycle::client::{Connection, Effect, Input, TimeoutKind};
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -78,7 +78,7 @@
         let before = machine.stage();
         let effect = machine.step(input).unwrap_or_else(|e| {
             log!("{e}");
-            Effect::Nothing
+            Effect::None
         });
         if machine.stage() != before {
             self.since.set(Instant::now());
@@ -93,7 +93,7 @@
 
     /// Whether the connection must end after the open request.
     pub fn ends(&self) -> bool {
-        self.machine.borrow().ends()
+        self.machine.borrow().closes_after_response()
     }
 
     /// The answer is out, or dropped.
@@ -101,26 +101,26 @@
         // Handed over, the answer goes on elsewhere.
         if self.stage() != Stage::HandedOver {
             self.unread.set(false);
-            self.feed(Input::Answered);
+            self.feed(Input::ResponseFinished);
         }
     }
 
     pub(super) fn gives_way(&self) -> bool {
-        self.machine.borrow().gives_way()
+        self.machine.borrow().is_evictable()
     }
 
     /// Whether another process takes it now; then nothing more is done with it here.
     pub fn goes(&self) -> bool {
-        matches!(self.feed(Input::Asked), Effect::HandOver { .. })
+        matches!(self.feed(Input::HandOverRequested), Effect::HandOver { .. })
     }
 
     /// The open answer goes no further here.
     pub fn leave(&self, moved: Moved) {
         if self.stage() == Stage::Body {
             // Its length was not told; the front has read it to its end all the same, before it asked for an answer.
-            self.feed(Input::BodyRead);
+            self.feed(Input::BodyComplete);
         }
-        self.feed(Input::Leaves);
+        self.feed(Input::StreamDetached);
         self.moved.replace(Some(moved));
     }
 
@@ -130,18 +130,18 @@
 
     /// An answer is under way, which another process began.
     pub fn resume(&self) {
-        self.feed(Input::Resumed);
+        self.feed(Input::StreamResumed);
     }
 
     /// When it has stood where it is for too long. Bodies and answers have timers where they are awaited.
     fn due(&self) -> Option<Instant> {
-        let wait = match self.machine.borrow().patience() {
-            Patience::Request => return None,
-            Patience::Untaken => UNTAKEN,
-            Patience::First => FIRST_HEAD,
-            Patience::HalfHead => HALF_HEAD,
-            Patience::Idle => IDLE,
-            Patience::Linger => LINGER,
+        let wait = match self.machine.borrow().timeout_kind() {
+            TimeoutKind::Request => return None,
+            TimeoutKind::WriteStall => UNTAKEN,
+            TimeoutKind::FirstByte => FIRST_HEAD,
+            TimeoutKind::PartialHead => HALF_HEAD,
+            TimeoutKind::Idle => IDLE,
+            TimeoutKind::Linger => LINGER,
         };
         Some(self.since.get() + wait)
     }
@@ -163,12 +163,12 @@
 
     /// Whether it can be closed with nothing owed on it.
     pub fn rests(&self) -> bool {
-        self.machine.borrow().rests() && !self.holds_unread()
+        self.machine.borrow().is_idle() && !self.holds_unread()
     }
 
     /// Whether a further request, or some of it, has come behind the open one.
     pub fn has_more(&self) -> bool {
-        self.machine.borrow().has_ahead() || self.holds_unread()
+        self.machine.borrow().has_pipelined_bytes() || self.holds_unread()
     }
 
     fn holds_unread(&self) -> bool {
@@ -182,7 +182,7 @@
 
     /// Whether a client that ends its sending now would not be seen in reading, while its request is open.
     pub fn reads_nothing(&self) -> bool {
-        self.unread.get() && matches!(self.stage(), Stage::Body | Stage::Answer)
+        self.unread.get() && matches!(self.stage(), Stage::Body | Stage::Response)
     }
 
     /// Until the connection has stood somewhere for too long, or is asked to give way to another.
@@ -198,7 +198,7 @@
             tokio::select! {
                 () = self.evicted.notified() => return Input::Evicted,
                 () = passed => match self.due() {
-                    Some(due) if due <= Instant::now() => return Input::Due,
+                    Some(due) if due <= Instant::now() => return Input::TimedOut,
                     _ => {}
                 },
                 () = self.changed.notified() => {}
--- a/gateway/src/front/gate.rs
+++ b/gateway/src/front/gate.rs
@@ -50,7 +50,7 @@
             // hyper has the words for it.
             _ => {
                 self.cleared = self.ahead.len();
-                self.watch.feed(Input::Unreadable);
+                self.watch.feed(Input::MalformedHead);
                 return true;
             }
         };
@@ -73,7 +73,11 @@
                 let here = length.min(body as u64);
                 self.cleared = size + here as usize;
                 self.rest = Rest::Length(length - here);
-                self.watch.feed(Input::Head(if length == here { Framing::Here } else { Framing::Told }));
+                self.watch.feed(Input::HeadComplete(if length == here {
+                    Framing::Complete
+                } else {
+                    Framing::KnownLength
+                }));
             }
             // Where a chunked body ends is hyper's to find, so nothing may follow it here.
             _ => {
@@ -81,7 +85,7 @@
                 self.rest = Rest::Unknown;
                 // hyper reads no further than bytes that lie behind the body.
                 self.watch.stops_reading();
-                self.watch.feed(Input::Head(Framing::Unknown));
+                self.watch.feed(Input::HeadComplete(Framing::UnknownLength));
             }
         }
         true
@@ -93,12 +97,12 @@
         let mut part = ReadBuf::uninit(&mut space);
         ready!(Pin::new(&mut self.wire).poll_read(cx, &mut part))?;
         self.ahead.extend_from_slice(part.filled());
-        self.watch.feed(Input::Ahead(!self.ahead.is_empty()));
+        self.watch.feed(Input::PipelinedBytes(!self.ahead.is_empty()));
         Poll::Ready(Ok(part.filled().len()))
     }
 
     fn note<T>(&self, written: Poll<T>) -> Poll<T> {
-        self.watch.feed(Input::Blocked(written.is_pending()));
+        self.watch.feed(Input::WriteBlocked(written.is_pending()));
         written
     }
 }
@@ -112,20 +116,20 @@
                 buf.put_slice(&me.ahead[..n]);
                 me.ahead.drain(..n);
                 me.cleared -= n;
-                me.watch.feed(Input::Ahead(!me.ahead.is_empty()));
+                me.watch.feed(Input::PipelinedBytes(!me.ahead.is_empty()));
                 return Poll::Ready(Ok(()));
             }
             match me.watch.stage() {
-                Stage::Gate | Stage::Head | Stage::Idle => {
+                Stage::New | Stage::Head | Stage::Idle => {
                     if !me.ahead.is_empty() && me.examine() {
                         continue;
                     }
                     if ready!(me.fill(cx))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    me.watch.feed(Input::Begun);
+                    me.watch.feed(Input::HeadStarted);
                 }
-                Stage::Answer => {
+                Stage::Response => {
                     // Read only to see the client go; what it sends ahead of its answer is kept, up to a bound.
                     if me.ahead.len() >= HEAD {
                         me.watch.stops_reading();
@@ -147,7 +151,7 @@
                     let n = part.filled().len();
                     *left -= n as u64;
                     if *left == 0 && me.watch.stage() == Stage::Body {
-                        me.watch.feed(Input::BodyRead);
+                        me.watch.feed(Input::BodyComplete);
                     }
                     buf.advance(n);
                     return Poll::Ready(Ok(()));
--- a/gateway/src/front/inference.rs
+++ b/gateway/src/front/inference.rs
@@ -164,7 +164,7 @@
             prompt_tokens,
             prefix_tokens: asked.prefix_tokens,
             max_tokens: asked.max_tokens,
-            patience: patience.as_secs_f64() * 1000.0,
+            client_timeout: patience.as_secs_f64() * 1000.0,
             ..glenrail_router::Request::default()
         };
         let payload =
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -4,7 +4,7 @@
 use std::str::Utf8Error;
 use std::time::Duration;
 
-use glenrail_router::{Limits, Ms};
+use glenrail_router::{Limits, Millis};
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -25,7 +25,7 @@
 /// would move the router's mean of all prompts for hundreds of requests.
 const MOST_TOKENS: f64 = (BODY / 4) as f64;
 /// No request waits longer for its first token (ms), whatever its client says.
-const MOST_PATIENCE: Ms = 60_000.0;
+const MOST_PATIENCE: Millis = 60_000.0;
 /// When nothing better is known, a refused client is told to come back after this time, and one that found the door full
 /// after that; neither later than the settings allow.
 const COME_BACK: Duration = Duration::from_millis(250);
@@ -34,7 +34,7 @@
 /// What the front needs to know of the deployment to read a request.
 pub struct Names {
     /// Each class and its deadline.
-    pub classes: Vec<(String, Ms)>,
+    pub classes: Vec<(String, Millis)>,
     pub tenants: Vec<String>,
     /// The longest time that a refused client is told to wait; zero where none is told.
     pub come_back: Duration,
@@ -198,9 +198,9 @@
         class: class as u32,
         tenant: tenant as u32,
         session: get("Req-Key")?.map_or(0, key),
-        hint,
-        patience,
-        repeat: get("Req-Retry")?.is_some(),
+        expected_duration: hint,
+        client_timeout: patience,
+        client_retry: get("Req-Retry")?.is_some(),
         resumed: get("Req-Retry")? == Some("again"),
         ..glenrail_router::Request::default()
     };
@@ -225,7 +225,7 @@
     Ok((id.to_string(), ask))
 }
 
-fn seconds(text: &str) -> Option<Ms> {
+fn seconds(text: &str) -> Option<Millis> {
     text.parse().ok().filter(|s: &f64| s.is_finite() && *s > 0.0).map(|s| s * 1000.0)
 }
 
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -24,7 +24,7 @@
         ("Req-Extra", "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800,new=x"),
     ])
     .expect("a request");
-    assert_eq!((name.as_str(), ask.class, ask.patience), ("9b1f03aa5c7e2d41", 1, 4800.0));
+    assert_eq!((name.as_str(), ask.class, ask.client_timeout), ("9b1f03aa5c7e2d41", 1, 4800.0));
     assert_eq!((ask.session, ask.prefix), (0x7f3a_9c21_e0b4_d655, Some(0x5c0f_6e1a_2b3d_4c59)));
     assert_eq!((ask.prompt_tokens, ask.prefix_tokens, ask.max_tokens), (5120.0, 2048.0, 800.0));
 }
@@ -52,12 +52,12 @@
         let told = read(&pairs).expect_err(fault);
         assert!(told.starts_with(fault), "{told}");
     }
-    assert_eq!(read(&[id, kind]).expect("a request").1.patience, 10_000.0);
+    assert_eq!(read(&[id, kind]).expect("a request").1.client_timeout, 10_000.0);
     let boast = ("Req-Extra", "prompt_len=1e300,prefix_len=65537,max_out=1e300");
     let boast = read(&[id, kind, boast]).expect("a request").1;
     assert_eq!([boast.prompt_tokens, boast.prefix_tokens, boast.max_tokens], [65_536.0; 3]);
     let patient = read(&[id, kind, ("Req-Deadline", "1e300")]).expect("a request").1;
-    assert_eq!(patient.patience, MOST_PATIENCE);
+    assert_eq!(patient.client_timeout, MOST_PATIENCE);
 }
 
 /// Guards classes and tenants whose names are not plain ASCII: a header carries their bytes.
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use glenrail_request_lifecycle::request::{Answer, Repeat, Request, Stage};
+use glenrail_request_lifecycle::request::{Request, ResponseState, RetrySafety, Stage};
 
 /// What is held may wait so much longer than the settings say, by the platform's word.
 const HELD_SLACK: Duration = Duration::from_millis(350);
@@ -69,12 +69,14 @@
 /// Checks an attempt that is about to start.
 pub fn check_start(machine: &Request, attempt: usize, request: &str) {
     let others = || machine.attempts().iter().enumerate().filter(move |(other, _)| *other != attempt);
-    let open = others().any(|(_, a)| a.open());
+    let open = others().any(|(_, a)| a.is_open());
     check(!open, Invariant::OneAttempt, request, || format!("attempt {attempt} starts beside another"));
-    let runs = machine.attempts()[attempt].stage == Stage::Run;
-    let again = machine.terms().repeat == Repeat::Never && runs && others().any(|(_, a)| a.may_have_run());
+    let runs = machine.attempts()[attempt].stage == Stage::Execute;
+    let again = machine.policy().retry_safety == RetrySafety::AtMostOnce
+        && runs
+        && others().any(|(_, a)| a.may_have_run());
     check(!again, Invariant::RunsOnce, request, || format!("attempt {attempt} repeats what may have run"));
-    let ended = machine.closed();
+    let ended = machine.is_closed();
     check(!ended, Invariant::NothingAfterEnd, request, || format!("attempt {attempt} starts after the end"));
 }
 
@@ -86,7 +88,7 @@
 
 /// Checks a request of which nothing is left.
 pub fn check_end(machine: &Request, request: &str) {
-    let owed = matches!(machine.answer(), Answer::Owed | Answer::Streaming);
+    let owed = matches!(machine.response(), ResponseState::Pending | ResponseState::Streaming);
     check(!owed, Invariant::Answered, request, || "it ends with no answer".into());
 }
 
--- a/gateway/src/invariants/tests.rs
+++ b/gateway/src/invariants/tests.rs
@@ -1,9 +1,9 @@
-use glenrail_request_lifecycle::request::{Input, Reply, Terms};
+use glenrail_request_lifecycle::request::{Input, Reply, RequestPolicy};
 
 use super::*;
 
-fn request(repeat: Repeat) -> Request {
-    Request::new(Terms { repeat, most: 5, cancel: true }, &mut Vec::new())
+fn request(repeat: RetrySafety) -> Request {
+    Request::new(RequestPolicy { retry_safety: repeat, max_attempts: 5, cancellation: true }, &mut Vec::new())
 }
 
 fn feed(machine: &mut Request, input: Input) {
@@ -19,8 +19,8 @@
 /// Guards the checks themselves: each finds what it is there for, and nothing else.
 #[test]
 fn each_break_is_counted_under_its_name() {
-    let send = |server| Input::Send { server, stage: Stage::Run, may: true };
-    let mut one = request(Repeat::Never);
+    let send = |server| Input::Send { server, stage: Stage::Execute, permitted: true };
+    let mut one = request(RetrySafety::AtMostOnce);
     feed(&mut one, send(1));
     assert_eq!(counts_after(|| check_start(&one, 0, "a")), [0, 0, 0, 0, 0]);
     feed(&mut one, send(2));
@@ -29,7 +29,7 @@
     feed(&mut one, Input::Replied { attempt: 0, reply: Reply::Reset });
     assert_eq!(counts_after(|| check_start(&one, 1, "a")), [0, 0, 1, 0, 0]);
     assert_eq!(counts_after(|| check_end(&one, "a")), [0, 0, 0, 0, 1]);
-    feed(&mut one, Input::ClientGone);
+    feed(&mut one, Input::ClientDisconnected);
     assert_eq!(counts_after(|| check_end(&one, "a")), [0, 0, 0, 0, 0]);
     assert_eq!(counts_after(|| check_start(&one, 0, "a")), [0, 0, 0, 1, 0]);
     let limit = Duration::from_millis(500);
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -108,7 +108,7 @@
         ("session".into(), text(&format!("{:016x}", ask.session))),
         ("prompt_tokens".into(), Dynamic::from(ask.prompt_tokens)),
         ("max_tokens".into(), Dynamic::from(ask.max_tokens)),
-        ("deadline_ms".into(), Dynamic::from(ask.patience)),
+        ("deadline_ms".into(), Dynamic::from(ask.client_timeout)),
         ("body_bytes".into(), Dynamic::from(payload.body.len() as i64)),
     ])
 }
--- a/gateway/src/pools.rs
+++ b/gateway/src/pools.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use glenrail_router::{Class, Effect, Member, Ms, Scope, ServerState, Settings};
+use glenrail_router::{Idempotency, ListUpdate, Millis, RequestClass, ServerEntry, ServerState, Settings};
 use glenrail_settings::server_id;
 use tokio::sync::Semaphore;
 
@@ -98,8 +98,8 @@
 /// The platform's own servers, for chat that comes over this front.
 pub struct PlatformChat {
     /// Each class and its deadline.
-    pub names: Vec<(String, Ms)>,
-    pub classes: Vec<Class>,
+    pub names: Vec<(String, Millis)>,
+    pub classes: Vec<RequestClass>,
     pub pool: Pool,
 }
 
@@ -116,7 +116,7 @@
         slots: Arc<Semaphore>, budget: Budget, counters: Counters,
     ) -> Result<Self, String> {
         let own = |pool: &config::Pool, repeatable: bool| {
-            let settings = config::one_stage(pool, file.max_deadline_ms as Ms, repeatable);
+            let settings = config::one_stage(pool, file.max_deadline_ms as Millis, repeatable);
             let limits = Limits {
                 connect_timeout: Duration::from_millis(pool.connect_ms),
                 probes: false,
@@ -159,12 +159,12 @@
 fn list(pool: &Pool, file: &config::Pool, before: Option<&config::Pool>) {
     let served = |name: &str, f: &config::Pool| f.servers.iter().any(|s| s.name == name && !s.drain);
     let fresh = |name: &str| before.is_some_and(|b| !served(name, b));
-    let member = |s: &config::Server| Member {
+    let member = |s: &config::Server| ServerEntry {
         server: server_id(&s.name),
         weight: s.weight,
         started: fresh(&s.name).then(|| pool.clock.now()),
         state: if s.drain { ServerState::Draining } else { ServerState::Ready },
-        ..Member::default()
+        ..ServerEntry::default()
     };
     let address = |s: &config::Server| Address {
         server: server_id(&s.name),
@@ -173,7 +173,7 @@
         ..Address::default()
     };
     pool.engine.learn(true, &file.servers.iter().map(address).collect::<Vec<_>>(), &[]);
-    pool.core.members(Scope::Full, file.servers.iter().map(member).collect());
+    pool.core.members(ListUpdate::Full, file.servers.iter().map(member).collect());
 }
 
 /// Chat over the platform's servers is of the class that the file names; else of one that is never repeated.
@@ -183,7 +183,7 @@
     let PlatformChat { names, classes, pool } = platform;
     let place = match class {
         Some(name) => names.iter().position(|n| n.0 == name),
-        None => classes.iter().position(|c| c.effect == Effect::Unsafe).or(Some(0)),
+        None => classes.iter().position(|c| c.idempotency == Idempotency::NonIdempotent).or(Some(0)),
     };
     let place = place.ok_or("configuration: chat_class: the platform has no such class")?;
     Ok(pool.target(plugin, (place as u32, Some(names[place].0.clone()))))
--- a/gateway/src/rotation.rs
+++ b/gateway/src/rotation.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use glenrail_router::Scope;
+use glenrail_router::ListUpdate;
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use tokio::time::sleep;
 
@@ -113,10 +113,10 @@
     }
 
     /// Takes a list, or changes to it, from discovery.
-    pub fn take(&self, list: &List, scope: Scope) {
+    pub fn take(&self, list: &List, scope: ListUpdate) {
         let passed_on = {
             let mut state = self.state.borrow_mut();
-            if scope != Scope::Delta {
+            if scope != ListUpdate::Delta {
                 state.listed.clear();
             }
             for host in &list.hosts {
@@ -133,7 +133,7 @@
         self.pass_on(passed_on, scope);
     }
 
-    fn pass_on(&self, hosts: Vec<Host>, scope: Scope) {
+    fn pass_on(&self, hosts: Vec<Host>, scope: ListUpdate) {
         let list = List { hosts, ..List::default() };
         discovery::apply(&list, scope, &self.names, &self.clock, &self.engine, &self.core);
     }
@@ -183,7 +183,7 @@
             state.listed.get(id).map(|h| state.overlaid(h))
         };
         log!("server {id} is {}", if out { "taken out by order" } else { "put back by order" });
-        self.pass_on(passed_on.into_iter().collect(), Scope::Delta);
+        self.pass_on(passed_on.into_iter().collect(), ListUpdate::Delta);
     }
 
     /// Takes over orders that were given to another process.
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use futures_util::stream::LocalBoxStream;
-use glenrail_router::{Report, ServerId};
+use glenrail_router::{LoadReport, ServerId};
 use tokio::time::Instant;
 
 use crate::exchange::{Head, Payload, Rest, Wanted};
@@ -53,7 +53,7 @@
     /// The prompt was read, with so many of its tokens found kept.
     Read {
         kept: f64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// The answer begins; the first frame is there already.
     Answer {
@@ -63,20 +63,20 @@
     /// Turned away, so it never ran.
     Declined {
         no_state: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     Error {
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Turned away for a fault of its own, which every server would find.
     Unfit {
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Held, not held, or not known.
     Held(Option<bool>),
     Probed {
         well: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     Done,
 }
@@ -88,7 +88,7 @@
     Moved(Rest),
     End {
         kept: f64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
 }
 
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -37,7 +37,7 @@
     Names { zones: vec!["dc".into()], kinds: vec!["prompt-side".into(), "answer-side".into()] }
 }
 
-pub fn apply(pool: &Pool, scope: glenrail_router::Scope, hosts: Vec<serde_json::Value>) {
+pub fn apply(pool: &Pool, scope: glenrail_router::ListUpdate, hosts: Vec<serde_json::Value>) {
     let list: List =
         serde_json::from_value(json!({"seq": 1, "whole": true, "hosts": hosts})).expect("a list");
     discovery::apply(&list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
@@ -64,7 +64,7 @@
     for (i, w) in writers.iter().enumerate() {
         hosts.push(host(&format!("w{i}"), "answer-side", w, "SERVING"));
     }
-    apply(&pool, glenrail_router::Scope::Full, hosts);
+    apply(&pool, glenrail_router::ListUpdate::Full, hosts);
     let plugin = plugin.map(|text| Rc::new(Plugin::compile(text).expect("a script")));
     let shutdown = Shutdown::default();
     let ready: Rc<dyn Fn() -> bool> = Rc::new({
--- a/gateway/tests/common/instant.rs
+++ b/gateway/tests/common/instant.rs
@@ -8,7 +8,7 @@
 use glenrail::core::{Clock, Core, Upstream};
 use glenrail::exchange::{Head, Payload, Request};
 use glenrail::upstream::{Call, Failed, Frame, Reply};
-use glenrail_router::{Member, Ms, Scope, ServerId};
+use glenrail_router::{ListUpdate, Millis, ServerEntry, ServerId};
 use serde_json::json;
 use tokio::time::Instant;
 
@@ -30,25 +30,25 @@
 }
 
 /// So many readers and as many writers, none of which is ever full or cold; the first token is wanted within `aim`.
-pub fn core(servers: u64, aim: Ms) -> Core<impl Upstream> {
+pub fn core(servers: u64, aim: Millis) -> Core<impl Upstream> {
     let settings = glenrail_settings::settings(&json!({"balancers": 1, "quantum": 4.0,
         "services": [{"aim": aim, "deadline": 1e9, "semantics": "free"}],
         "domain": {"stage-of-kind": ["read", "write"], "tokens-by-kind": [1e12, 1e12], "pin-limit": 500.0},
         "policy-limits": {"max-attempts": 5, "cancel": true},
         "rules": {"cold": 13000.0, "cold-from": 0.31, "fall": 3000.0, "fall-multiple": 4.0}}));
     let core = Core::new(7, settings, Clock::new(Duration::from_secs(1_000_000)), tower::service_fn(answer));
-    let member = |id, kind| Member { server: ServerId(id), kind, weight: 1.0, ..Member::default() };
+    let member = |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
     let members = (0..servers).flat_map(|n| [member(n, 0), member(WRITERS + n, 1)]);
-    core.members(Scope::Full, members.collect());
+    core.members(ListUpdate::Full, members.collect());
     core
 }
 
-pub fn request(name: String, session: u64, patience: Ms) -> Request {
+pub fn request(name: String, session: u64, patience: Millis) -> Request {
     let ask = glenrail_router::Request {
         session,
         prompt_tokens: 1_000.0,
         max_tokens: 100.0,
-        patience,
+        client_timeout: patience,
         ..glenrail_router::Request::default()
     };
     let payload = Payload { name, ..Payload::default() };
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -9,7 +9,7 @@
 use common::gateway::*;
 use common::*;
 use glenrail::discovery;
-use glenrail_router::Scope;
+use glenrail_router::ListUpdate;
 use serde_json::{json, Value};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -21,7 +21,7 @@
 const SOON: Duration = Duration::from_millis(1_500);
 
 /// The calls of a gateway alone.
-fn calls(mode: &str) -> glenrail_request_lifecycle::watch::Watch {
+fn calls(mode: &str) -> glenrail_request_lifecycle::watch::PollSchedule {
     let settings = json!({"balancers": 1, "discovery": mode, "rules": {"ask-within": 10_000.0}});
     discovery::calls(&glenrail_settings::settings(&settings), 1)
 }
@@ -99,7 +99,7 @@
             () = until(|| agent.seen.borrow().len() == 4) => {}
         }
         served.extend(scopes.borrow().iter().copied());
-        assert_eq!(served, [(Scope::Delta, true), (Scope::Full, false)]);
+        assert_eq!(served, [(ListUpdate::Delta, true), (ListUpdate::Full, false)]);
         let paths: Vec<String> = agent.seen.borrow().iter().map(|s| s.path.clone()).collect();
         let from = |seq: u32| format!("/v1/endpoints?from={seq}&hold_ms=2000");
         assert_eq!(paths, [from(4), from(5), from(6), from(6)]);
@@ -129,7 +129,7 @@
             calls(PUSHED),
             Rc::default(),
             move |list, scope| {
-                assert_eq!(scope, Scope::Full);
+                assert_eq!(scope, ListUpdate::Full);
                 discovery::apply(list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
             },
         );
--- a/gateway/tests/drains.rs
+++ b/gateway/tests/drains.rs
@@ -7,7 +7,7 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail_router::Scope;
+use glenrail_router::ListUpdate;
 
 /// A reader whose answers wait until this says so.
 async fn held_back(go: &Rc<Cell<bool>>) -> StandIn {
@@ -44,7 +44,7 @@
                 () = until(|| reader.count("POST") == 1) => {}
             }
             let health = if gone { "DELETED" } else { "DRAINING" };
-            apply(&g.pool, Scope::Delta, vec![host("w0", "answer-side", &old, health)]);
+            apply(&g.pool, ListUpdate::Delta, vec![host("w0", "answer-side", &old, health)]);
             go.set(true);
             // No other writer is there: turned away in time, and what was read is let go.
             assert_eq!(asked.await.status(), 503, "{gone} {moves}");
@@ -53,7 +53,7 @@
             let back = if moves { &other } else { &old };
             let mut line = host("w0", "answer-side", back, "SERVING");
             line["born_ms"] = 5.into();
-            apply(&g.pool, Scope::Delta, vec![line]);
+            apply(&g.pool, ListUpdate::Delta, vec![line]);
             assert_eq!(chat_as(&g, "a2").await.status(), 200, "{gone} {moves}");
             let [here, there] = if moves { [1, 0] } else { [0, 1] };
             assert_eq!((other.count("POST"), old.count("POST")), (here, there), "{gone} {moves}");
