--- a/gateway/tests/drive/mod.rs
+++ b/gateway/tests/drive/mod.rs
@@ -12,7 +12,7 @@
 const STEPS: usize = 20_000;
 const REQUESTS: u64 = 6;
 /// A day lasts so long beyond its last request's time (ms).
-const AFTER: Ms = 5_000.0;
+const AFTER: Millis = 5_000.0;
 
 /// A configuration that holds every key.
 pub fn whole() -> Value {
@@ -52,7 +52,7 @@
 }
 
 /// What becomes of one attempt, and after how long.
-pub fn fates() -> impl Strategy<Value = Vec<(u8, Ms)>> {
+pub fn fates() -> impl Strategy<Value = Vec<(u8, Millis)>> {
     prop::collection::vec((0u8..10, prop_oneof![Just(0.0), 0.1..900.0f64]), 1..24)
 }
 
@@ -81,8 +81,8 @@
 /// Feeds the requests and what comes of them, and gives what the router ordered. `held`: the settings were checked, so each
 /// request has one answer by its time.
 pub fn requests(
-    deployment: impl Into<Deployment>, seed: u64, fates: &[(u8, Ms)], held: bool,
-) -> Vec<(Ms, Action)> {
+    deployment: impl Into<Deployment>, seed: u64, fates: &[(u8, Millis)], held: bool,
+) -> Vec<(Millis, Action)> {
     let Deployment { settings, classes, tenants, kinds: order } = deployment.into();
     let mut ordered = Vec::new();
     let roles: Vec<Role> = settings.kinds.iter().map(|k| k.role).collect();
@@ -90,27 +90,27 @@
     let mut router = Router::new(seed, settings);
     let mut queue: BTreeMap<(u64, usize), Next> = BTreeMap::new();
     // Microseconds are order enough, and no time sorts before now.
-    let key = |at: Ms, n: usize| ((at.clamp(0.0, 1e9) * 1000.0) as u64, n);
+    let key = |at: Millis, n: usize| ((at.clamp(0.0, 1e9) * 1000.0) as u64, n);
     let mut steps = 0;
-    let members = (0..4 * kinds).map(|n| Member {
+    let members = (0..4 * kinds).map(|n| ServerEntry {
         server: ServerId(u64::from(n) + 1),
         zone: n % 3,
         cell: n % 2,
         kind: order[(n % kinds) as usize],
         weight: f64::from(n % 3),
         started: (n % 4 == 0).then_some(-100.0),
-        ..Member::default()
+        ..ServerEntry::default()
     });
-    let list = Event::Members { scope: Scope::Full, members: members.collect() };
+    let list = Event::ServerList { update: ListUpdate::Full, servers: members.collect() };
     queue.insert(key(0.0, 0), Next::Told(list));
     for id in 1..=REQUESTS {
-        queue.insert(key(40.0 * id as Ms, 1), Next::Ask(id));
+        queue.insert(key(40.0 * id as Millis, 1), Next::Ask(id));
     }
     let patience = 1_500.0;
-    let end = 40.0 * REQUESTS as Ms + patience + AFTER;
+    let end = 40.0 * REQUESTS as Millis + patience + AFTER;
     let (mut open, mut answered, mut sent) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::<u64, u32>::new());
     while let Some(((at, _), next)) = queue.pop_first() {
-        let now = at as Ms / 1000.0;
+        let now = at as Millis / 1000.0;
         if now > end {
             break;
         }
@@ -128,15 +128,15 @@
                     session: id % 4,
                     prompt_tokens: 400.0 * id as f64,
                     max_tokens: 100.0,
-                    hint: (id % 2 == 0).then_some(900.0),
-                    patience,
+                    expected_duration: (id % 2 == 0).then_some(900.0),
+                    client_timeout: patience,
                     ..Request::default()
                 })
             }
         };
         match &event {
             Event::FirstToken { id, .. } => drop(answered.insert(id.0)),
-            Event::Outcome(o) if o.status == Status::Served => drop(open.remove(&o.id.0)),
+            Event::Outcome(o) if o.status == AttemptStatus::Served => drop(open.remove(&o.id.0)),
             _ => {}
         }
         let mut actions = Vec::new();
@@ -151,8 +151,8 @@
                 Action::Send { id, server, timeout } => {
                     let attempt = sent.entry(id.0).or_default();
                     let (fate, after) = fates[(id.0 as usize + *attempt as usize) % fates.len()];
-                    let ended = |status, elapsed: Ms, closed| {
-                        Event::Outcome(Outcome {
+                    let ended = |status, elapsed: Millis, closed| {
+                        Event::Outcome(AttemptOutcome {
                             id,
                             attempt: *attempt,
                             server,
@@ -160,32 +160,32 @@
                             elapsed,
                             note: 0.0,
                             closed,
-                            arrived: status.may_have_arrived(),
+                            delivered: status.may_have_arrived(),
                             report: None,
                         })
                     };
                     let reads = {
                         let kind = order[(server.0 - 1) as usize % order.len()];
-                        roles.get(kind as usize) == Some(&Role::Reader)
+                        roles.get(kind as usize) == Some(&Role::Prefill)
                     };
                     let (status, closed) = match fate {
-                        0..5 if reads => (Status::Read, false),
-                        0..5 => (Status::Served, true),
-                        5 => (Status::Full, false),
-                        6 => (Status::ConnectFailed, false),
-                        7 => (Status::Error, false),
-                        8 => (Status::Reset, false),
-                        _ => (Status::Timeout, false),
+                        0..5 if reads => (AttemptStatus::Prefilled, false),
+                        0..5 => (AttemptStatus::Served, true),
+                        5 => (AttemptStatus::Rejected, false),
+                        6 => (AttemptStatus::ConnectFailed, false),
+                        7 => (AttemptStatus::Error, false),
+                        8 => (AttemptStatus::Reset, false),
+                        _ => (AttemptStatus::Timeout, false),
                     };
-                    let after = if status == Status::Timeout { timeout } else { after.min(timeout) };
-                    if status == Status::Served {
+                    let after = if status == AttemptStatus::Timeout { timeout } else { after.min(timeout) };
+                    if status == AttemptStatus::Served {
                         let first = Event::FirstToken { id, attempt: *attempt, server, elapsed: after };
                         queue.insert(key(now + after, n), Next::Told(first));
                     }
                     queue.insert(key(now + after + 0.001, n), Next::Told(ended(status, after, closed)));
                     *attempt += 1;
                 }
-                Action::Refuse { id, .. } | Action::Fail { id, .. } => {
+                Action::Reject { id, .. } | Action::Fail { id, .. } => {
                     let by = open.remove(&id.0);
                     if held {
                         assert!(by.is_some_and(|by| now <= by + 1.0), "{id:?} is answered twice or late");
@@ -193,7 +193,12 @@
                     }
                 }
                 Action::Probe { server } => {
-                    let told = Event::Probed { server, status: Status::Served, elapsed: 2.0, report: None };
+                    let told = Event::ProbeResult {
+                        server,
+                        status: AttemptStatus::Served,
+                        elapsed: 2.0,
+                        report: None,
+                    };
                     queue.insert(key(now + 2.0, n), Next::Told(told));
                 }
                 Action::Timer { at, key: of, .. } => drop(queue.insert(key(at.max(now), n), Next::Timer(of))),
--- a/gateway/tests/engine.rs
+++ b/gateway/tests/engine.rs
@@ -68,7 +68,7 @@
         }
         assert_eq!(bytes, STREAM.as_bytes());
         let Some(Frame::End { kept, report: Some(report) }) = last else { panic!("no report") };
-        assert_eq!((kept, report.in_flight, report.memory), (12.0, Some(2.0), Some(0.25)));
+        assert_eq!((kept, report.in_flight, report.memory_share), (12.0, Some(2.0), Some(0.25)));
         let seen = server.seen.borrow()[0].clone();
         assert_eq!((seen.path.as_str(), seen.id.as_str()), ("/v1/chat/completions?a=b", "9b1f"));
         assert_eq!(&seen.body[..], b"{\"a\": 1}");
--- a/gateway/tests/gone.rs
+++ b/gateway/tests/gone.rs
@@ -156,7 +156,7 @@
                 host("r", "prompt-side", &reader, "SERVING"),
                 host("w0", "answer-side", &writer, "SERVING"),
             ];
-            apply(&g.pool, glenrail_router::Scope::Full, hosts);
+            apply(&g.pool, glenrail_router::ListUpdate::Full, hosts);
             until(|| g.pool.core.idle()).await;
             assert_eq!(chat_as(&g, "a2").await.status(), 200);
             assert_eq!((reader.count("POST"), writer.count("POST")), (1, 1), "{going:?} {seen}");
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -16,7 +16,7 @@
 use glenrail::front::server;
 use glenrail::pools::{PlatformChat, Pool, Second};
 use glenrail::shutdown::Shutdown;
-use glenrail_router::{Member, Scope, ServerId};
+use glenrail_router::{ListUpdate, ServerEntry, ServerId};
 use http::HeaderValue;
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -306,7 +306,8 @@
         let classes = settings.classes.clone();
         let pool = Pool::new(1, settings, limits, slots.clone(), budget.clone());
         let (ids, kinds) = ([ServerId(1), ServerId(2)], [0, 1]);
-        let member = |i: usize| Member { server: ids[i], kind: kinds[i], weight: 1.0, ..Member::default() };
+        let member =
+            |i: usize| ServerEntry { server: ids[i], kind: kinds[i], weight: 1.0, ..ServerEntry::default() };
         let dial = |i: usize, at: &StandIn| Address {
             server: ids[i],
             dial: at.address.to_string(),
@@ -314,7 +315,7 @@
             ..Address::default()
         };
         pool.engine.learn(true, &[dial(0, &reader), dial(1, &writer)], &[]);
-        pool.core.members(Scope::Full, vec![member(0), member(1)]);
+        pool.core.members(ListUpdate::Full, vec![member(0), member(1)]);
         let names = vec![("item-query".to_string(), 10_000.0), ("order-chat".to_string(), 12_000.0)];
         let platform = PlatformChat { names, classes, pool };
         let file = file(&[("e", &embedder, false)], &[]);
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -80,18 +80,18 @@
     names.iter().position(|n| n == name).expect("a known name") as u32
 }
 
-fn member(p: &Platform, naming: &Naming, n: usize) -> Member {
+fn member(p: &Platform, naming: &Naming, n: usize) -> ServerEntry {
     let (kind, zone) =
         (place(&p.kinds, naming.kind(n % KINDS)), place(&p.zones, naming.zone(n / KINDS % ZONES)));
     let started = n.is_multiple_of(4).then_some(1.0);
-    Member {
+    ServerEntry {
         server: ServerId(n as u64 + 1),
         zone,
         cell: zone,
         kind,
         weight: 1.0,
         started,
-        ..Member::default()
+        ..ServerEntry::default()
     }
 }
 
@@ -112,7 +112,7 @@
     let mut router = Router::new(5, p.settings.clone());
     let members = (0..12).map(|n| member(&p, naming, n)).collect();
     let mut decided = Vec::new();
-    router.handle(1.0, Event::Members { scope: Scope::Full, members }, &mut decided);
+    router.handle(1.0, Event::ServerList { update: ListUpdate::Full, servers: members }, &mut decided);
     let (mut done, mut tries) = (0, BTreeMap::<RequestId, u32>::new());
     for (n, (class, tenant, session)) in asked.iter().enumerate() {
         let (now, id) = (10.0 + 25.0 * n as f64, RequestId(n as u64));
@@ -125,34 +125,48 @@
             prompt_tokens: 2_000.0,
             prefix_tokens: 1_000.0,
             max_tokens: 200.0,
-            patience: 4_000.0,
+            client_timeout: 4_000.0,
             ..Request::default()
         };
         router.handle(now, Event::Request(ask), &mut decided);
         // An answer to each send and probe, whatever it leads to; the end of a chain is that all servers were tried.
         while let Some(action) = decided.get(done).cloned() {
             done += 1;
-            let report = Some(Report { in_flight: Some(1.0), memory: Some(0.3), ..Report::default() });
+            let report =
+                Some(LoadReport { in_flight: Some(1.0), memory_share: Some(0.3), ..LoadReport::default() });
             match action {
                 Action::Probe { server } => {
-                    let status = Status::Served;
-                    router.handle(now, Event::Probed { server, status, elapsed: 5.0, report }, &mut decided);
+                    let status = AttemptStatus::Served;
+                    router.handle(
+                        now,
+                        Event::ProbeResult { server, status, elapsed: 5.0, report },
+                        &mut decided,
+                    );
                 }
                 Action::Send { id, server, .. } => {
                     let next = tries.entry(id).or_default();
                     let attempt = std::mem::replace(next, *next + 1);
                     let role = (server.0 as usize - 1) % KINDS;
                     let status = match (server.0 + id.0) % 7 {
-                        0 => Status::Error,
-                        1 => Status::Full,
-                        _ if role == 0 => Status::Read,
-                        _ => Status::Served,
+                        0 => AttemptStatus::Error,
+                        1 => AttemptStatus::Rejected,
+                        _ if role == 0 => AttemptStatus::Prefilled,
+                        _ => AttemptStatus::Served,
                     };
-                    let closed = status == Status::Served;
+                    let closed = status == AttemptStatus::Served;
                     let (elapsed, note) = (50.0, 0.0);
                     let arrived = status.may_have_arrived();
-                    let outcome =
-                        Outcome { id, attempt, server, status, elapsed, note, closed, arrived, report };
+                    let outcome = AttemptOutcome {
+                        id,
+                        attempt,
+                        server,
+                        status,
+                        elapsed,
+                        note,
+                        closed,
+                        delivered: arrived,
+                        report,
+                    };
                     router.handle(now + 5.0, Event::Outcome(outcome), &mut decided);
                 }
                 Action::Timer { at, key, .. } if at <= now + 25.0 => {
--- a/gateway/tests/ops.rs
+++ b/gateway/tests/ops.rs
@@ -15,7 +15,7 @@
 use glenrail::ops::{Desk, Ops, CONNECTIONS};
 use glenrail::rotation::{Orders, Rotation};
 use glenrail::shutdown::Shutdown;
-use glenrail_router::Scope;
+use glenrail_router::ListUpdate;
 use http::{Request, Response};
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -41,7 +41,7 @@
     let orders = Orders::open(state).expect("a directory");
     let pool = &g.pool;
     let it = Rotation::new(names(), pool.clock, pool.engine.clone(), pool.core.clone(), Some(orders));
-    it.take(&list(hosts), Scope::Full);
+    it.take(&list(hosts), ListUpdate::Full);
     Rc::new(it)
 }
 
@@ -166,7 +166,7 @@
             ]
         };
         let o = operated("bans", &[&reader, &writer], 50).await;
-        o.rotation.take(&list(all()), Scope::Full);
+        o.rotation.take(&list(all()), ListUpdate::Full);
         assert_eq!(o.order("/control/engines/nobody/offline").await, 404);
         assert_eq!(o.order("/control/engines/nobody/online").await, 404);
         assert_eq!(o.order("/control/engines/w1/online").await, 200, "it is in already");
@@ -174,11 +174,11 @@
             assert_eq!(o.order("/control/engines/w0%2Fx/offline").await, 200);
         }
         assert_eq!(o.figures().await["out_of_rotation"], 1);
-        let relisted: [(Vec<Value>, Scope); 4] = [
-            (all(), Scope::Full),
-            (vec![host("w0/x", "answer-side", &writer, "DELETED")], Scope::Delta),
-            (vec![host("w0/x", "answer-side", &writer, "SERVING")], Scope::Delta),
-            (all(), Scope::Cached),
+        let relisted: [(Vec<Value>, ListUpdate); 4] = [
+            (all(), ListUpdate::Full),
+            (vec![host("w0/x", "answer-side", &writer, "DELETED")], ListUpdate::Delta),
+            (vec![host("w0/x", "answer-side", &writer, "SERVING")], ListUpdate::Delta),
+            (all(), ListUpdate::Cached),
         ];
         for (n, (hosts, scope)) in relisted.into_iter().enumerate() {
             o.rotation.take(&list(hosts), scope);
@@ -194,11 +194,11 @@
         }
         assert_eq!((writer.count("POST"), other.pool.core.avoided()), (0, 1));
         // Not listed at present, and yet it may be put back; the other process hears of that, and of a new order.
-        o.rotation.take(&list(vec![host("w0/x", "answer-side", &writer, "DELETED")]), Scope::Delta);
+        o.rotation.take(&list(vec![host("w0/x", "answer-side", &writer, "DELETED")]), ListUpdate::Delta);
         assert_eq!(o.order("/control/engines/w0%2Fx/online").await, 200);
         again.look();
         assert_eq!(other.pool.core.avoided(), 0);
-        o.rotation.take(&list(all()), Scope::Full);
+        o.rotation.take(&list(all()), ListUpdate::Full);
         assert_eq!(o.order("/control/engines/w1/offline").await, 200);
         again.look();
         let before = spare.count("POST");
@@ -255,7 +255,7 @@
                 "{method} {path}"
             );
         }
-        o.rotation.take(&list(vec![]), Scope::Full);
+        o.rotation.take(&list(vec![]), ListUpdate::Full);
         assert_eq!(o.call("GET", "/control/ready").await.status(), 503);
     });
 }
--- a/log-report/src/main.rs
+++ b/log-report/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand};
 use glenrail_access_log::account::Account;
 use glenrail_access_log::counts::Counts;
-use glenrail_access_log::Story;
+use glenrail_access_log::RequestRecord;
 
 #[derive(Parser)]
 #[command(version, about)]
@@ -35,14 +35,14 @@
 }
 
 /// Every story in the files of a folder, in order of arrival, and the sum of the gateways' counts.
-fn read(folder: &Path) -> Result<(Vec<Story>, Counts)> {
+fn read(folder: &Path) -> Result<(Vec<RequestRecord>, Counts)> {
     let (mut stories, mut counts) = (Vec::new(), Vec::new());
     for entry in fs::read_dir(folder).with_context(|| folder.display().to_string())? {
         let path = entry?.path();
         let text = fs::read(&path).with_context(|| path.display().to_string())?;
         let gateway = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
         for line in String::from_utf8_lossy(&text).lines() {
-            if let Some(mut story) = Story::of_line(line) {
+            if let Some(mut story) = RequestRecord::parse_line(line) {
                 story.id = format!("{gateway}/{}", story.id);
                 stories.push(story);
             } else if let Some(told) = Counts::of_line(line) {
@@ -50,7 +50,7 @@
             }
         }
     }
-    stories.sort_by(|a, b| a.came.total_cmp(&b.came));
+    stories.sort_by(|a, b| a.arrived_unix_ms.total_cmp(&b.arrived_unix_ms));
     Ok((stories, Counts::sum(counts)))
 }
 
--- a/model-checker/src/check.rs
+++ b/model-checker/src/check.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use glenrail_overload::budget as budget_machine;
-use glenrail_request_lifecycle::request::{Fault, Repeat};
+use glenrail_request_lifecycle::request::{Fault, RetrySafety};
 use glenrail_request_lifecycle::{client as client_machine, server as server_machine};
 use stateright::{Checker, HasDiscoveries, Model};
 
@@ -49,7 +49,7 @@
 const BASE: request::Setup = request::Setup {
     readers: 1,
     writers: 1,
-    repeat: Repeat::Never,
+    repeat: RetrySafety::AtMostOnce,
     cancel: true,
     troubles: 3,
     sends: 2,
@@ -81,7 +81,13 @@
         },
         Case {
             name: "query, two writers, two sends, two troubles",
-            setup: request::Setup { readers: 0, writers: 2, troubles: 2, repeat: Repeat::Freely, ..BASE },
+            setup: request::Setup {
+                readers: 0,
+                writers: 2,
+                troubles: 2,
+                repeat: RetrySafety::Idempotent,
+                ..BASE
+            },
         },
         Case {
             name: "order, nothing may be called back, two troubles",
@@ -100,7 +106,7 @@
         },
         Case {
             name: "query, a reader and a writer, three troubles",
-            setup: request::Setup { repeat: Repeat::Freely, ..BASE },
+            setup: request::Setup { repeat: RetrySafety::Idempotent, ..BASE },
         },
         Case {
             name: "order, places held ahead, three troubles",
--- a/model-checker/src/client.rs
+++ b/model-checker/src/client.rs
@@ -1,7 +1,7 @@
 //! The world round one client's connection: its real machine, a client that may send, stall and take nothing at
 //! any time, and a second process that may ask for the connection at any time.
 
-use glenrail_request_lifecycle::client::{Connection, Effect, Fault, Framing, Input, Patience, Stage};
+use glenrail_request_lifecycle::client::{Connection, Effect, Fault, Framing, Input, Stage, TimeoutKind};
 use serde::{Deserialize, Serialize};
 
 use crate::cover;
@@ -86,25 +86,27 @@
         }
         let stage = self.machine.stage();
         // The gate lets nothing through but in these.
-        if matches!(stage, Stage::Gate | Stage::Head | Stage::Idle) {
+        if matches!(stage, Stage::New | Stage::Head | Stage::Idle) {
             if self.requests > 0 || self.ahead {
                 out.push(Act::HeadBegins);
             }
             if self.ahead {
-                out.extend([Framing::Here, Framing::Told, Framing::Unknown].map(Act::HeadEnds));
+                out.extend(
+                    [Framing::Complete, Framing::KnownLength, Framing::UnknownLength].map(Act::HeadEnds),
+                );
                 out.push(Act::HeadIsNone);
             }
         }
-        if stage == Stage::Gate && !self.ahead {
+        if stage == Stage::New && !self.ahead {
             out.push(Act::StreamResumes);
         }
         if self.body_unread && matches!(stage, Stage::Body | Stage::Closing) {
             out.push(Act::BodyEnds);
         }
-        if matches!(stage, Stage::Body | Stage::Answer) {
+        if matches!(stage, Stage::Body | Stage::Response) {
             out.push(Act::AnswerEnds);
         }
-        if stage == Stage::Answer {
+        if stage == Stage::Response {
             if !self.leaving {
                 out.push(Act::StreamLeaves);
             }
@@ -121,7 +123,7 @@
             out.push(Act::Stalls(true));
         }
         out.extend([Act::Asked, Act::Evicted]);
-        if self.machine.patience() != Patience::Request {
+        if self.machine.timeout_kind() != TimeoutKind::Request {
             out.push(Act::Due);
         }
     }
@@ -131,54 +133,54 @@
             Act::HeadBegins => {
                 self.requests -= u8::from(!self.ahead);
                 self.ahead = true;
-                self.feed(Input::Ahead(true));
-                Input::Begun
+                self.feed(Input::PipelinedBytes(true));
+                Input::HeadStarted
             }
             Act::HeadEnds(framing) => {
                 if self.body_unread {
                     self.violate(Rule::NoRequestInBody);
                 }
                 (self.passing, self.open) = (true, true);
-                self.body_unread = framing != Framing::Here;
-                Input::Head(framing)
+                self.body_unread = framing != Framing::Complete;
+                Input::HeadComplete(framing)
             }
             Act::HeadIsNone => {
                 self.passing = true;
-                Input::Unreadable
+                Input::MalformedHead
             }
             Act::BodyEnds => {
                 self.body_unread = false;
-                Input::BodyRead
+                Input::BodyComplete
             }
             Act::AnswerEnds => {
                 (self.open, self.streaming, self.leaving) = (false, false, false);
-                Input::Answered
+                Input::ResponseFinished
             }
             Act::StreamLeaves => {
                 self.leaving = true;
-                Input::Leaves
+                Input::StreamDetached
             }
             Act::StreamResumes => {
                 (self.open, self.streaming) = (true, true);
-                Input::Resumed
+                Input::StreamResumed
             }
             Act::Passed => {
                 (self.passing, self.ahead) = (false, false);
-                Input::Ahead(false)
+                Input::PipelinedBytes(false)
             }
             Act::Pipelines => {
                 self.ahead = true;
                 self.requests -= 1;
-                Input::Ahead(true)
+                Input::PipelinedBytes(true)
             }
             Act::Stalls(stalled) => {
                 self.stalls -= u8::from(stalled);
                 self.stalled = stalled;
-                Input::Blocked(stalled)
+                Input::WriteBlocked(stalled)
             }
-            Act::Asked => Input::Asked,
+            Act::Asked => Input::HandOverRequested,
             Act::Evicted => Input::Evicted,
-            Act::Due => Input::Due,
+            Act::Due => Input::TimedOut,
         };
         self.feed(input);
     }
@@ -191,7 +193,7 @@
         cover::client(self.machine.stage(), input);
         match self.machine.step(input) {
             Err(_) => self.violate(Rule::NothingImpossible),
-            Ok(Effect::Nothing) => {}
+            Ok(Effect::None) => {}
             Ok(Effect::Close) => {
                 self.ended = true;
                 // A close between two requests may cross one that nobody has read: its client sends it again.
--- a/model-checker/src/corners.rs
+++ b/model-checker/src/corners.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Result;
 use glenrail_request_lifecycle::client::Framing;
-use glenrail_request_lifecycle::request::{Repeat, StreamEnd, Timer};
+use glenrail_request_lifecycle::request::{RetrySafety, StreamEnd, Timer};
 
 use crate::request::{Act, Setup};
 use crate::{client, trace};
@@ -20,7 +20,7 @@
 const SETUP: Setup = Setup {
     readers: 1,
     writers: 1,
-    repeat: Repeat::Never,
+    repeat: RetrySafety::AtMostOnce,
     cancel: true,
     troubles: 3,
     sends: 3,
@@ -70,7 +70,7 @@
                 read(),
                 reaches(1, WRITER),
                 vec![Act::DrainTold(WRITER), Act::Serves(1), Act::Delivers(1)],
-                vec![Act::StreamEnds(1, StreamEnd::Whole)],
+                vec![Act::StreamEnds(1, StreamEnd::Complete)],
             ],
         ),
         corner(
@@ -115,7 +115,7 @@
                 read(),
                 vec![Act::Restarts(READER)],
                 reaches(1, WRITER),
-                vec![Act::Serves(1), Act::Delivers(1), Act::Fires(Timer::Pin)],
+                vec![Act::Serves(1), Act::Delivers(1), Act::Fires(Timer::LeaseLimit)],
                 vec![Act::ReleaseArrives, Act::Refuse],
             ],
         ),
@@ -124,7 +124,7 @@
             "A write is handed to the machine and never arrives: its state is let go, and it is read and written anew",
             vec![
                 read(),
-                vec![Act::Send(WRITER), Act::Dial(1), Act::Up(1), Act::WroteInVain(1), Act::Fires(Timer::Pin)],
+                vec![Act::Send(WRITER), Act::Dial(1), Act::Up(1), Act::WroteInVain(1), Act::Fires(Timer::LeaseLimit)],
                 vec![Act::Drops(1), Act::ReleaseArrives, Act::Fail],
             ],
         ),
@@ -135,7 +135,7 @@
                 read(),
                 reaches(1, WRITER),
                 vec![Act::ShowsArrival(1), Act::Serves(1), Act::Delivers(1)],
-                vec![Act::StreamEnds(1, StreamEnd::Whole)],
+                vec![Act::StreamEnds(1, StreamEnd::Complete)],
             ],
         ),
         // Found by exploring, each mended in the machine.
@@ -145,7 +145,7 @@
             vec![
                 read(),
                 vec![Act::Send(WRITER), Act::Dial(1), Act::Up(1), Act::WroteInVain(1), Act::Release],
-                vec![Act::Fires(Timer::Pin), Act::Drops(1), Act::ReleaseArrives, Act::Fail],
+                vec![Act::Fires(Timer::LeaseLimit), Act::Drops(1), Act::ReleaseArrives, Act::Fail],
             ],
         ),
         corner(
@@ -153,7 +153,7 @@
             "Found: a place is held while its call is still out and the attempt beside it has timed out",
             vec![
                 vec![Act::Send(READER), Act::Hold(WRITER), Act::TimesOut(0), Act::PlaceServed],
-                vec![Act::ReleaseArrives, Act::Fires(Timer::Pin), Act::ReleaseArrives, Act::Fail],
+                vec![Act::ReleaseArrives, Act::Fires(Timer::LeaseLimit), Act::ReleaseArrives, Act::Fail],
             ],
         ),
         Corner {
@@ -177,7 +177,7 @@
                 vec![Act::Hold(2), Act::PlaceServed, Act::PlaceReplies(Some(true))],
                 vec![Act::Serves(0), Act::Delivers(0)],
                 reaches(1, WRITER),
-                vec![Act::Serves(1), Act::Delivers(1), Act::StreamEnds(1, StreamEnd::Whole)],
+                vec![Act::Serves(1), Act::Delivers(1), Act::StreamEnds(1, StreamEnd::Complete)],
                 vec![Act::ReleaseArrives],
             ]
             .concat(),
@@ -191,7 +191,7 @@
                 vec![Act::Serves(0), Act::Delivers(0)],
                 reaches(1, WRITER),
                 vec![Act::Serves(1), Act::Delivers(1), Act::ClientGoes],
-                vec![Act::StreamEnds(1, StreamEnd::Untaken), Act::PlaceServed, Act::PlaceSeesCut],
+                vec![Act::StreamEnds(1, StreamEnd::ClientStalled), Act::PlaceServed, Act::PlaceSeesCut],
                 vec![Act::ReleaseArrives],
             ]
             .concat(),
@@ -202,7 +202,7 @@
             vec![
                 read(),
                 reaches(1, WRITER),
-                vec![Act::Serves(1), Act::Delivers(1), Act::StreamEnds(1, StreamEnd::Moved)],
+                vec![Act::Serves(1), Act::Delivers(1), Act::StreamEnds(1, StreamEnd::HandedOver)],
             ],
         ),
     ]
@@ -212,10 +212,18 @@
 pub fn of_client() -> Vec<(&'static str, &'static str, client::Setup, Vec<client::Act>)> {
     use client::Act::*;
     let setup = client::Setup { requests: 2, stalls: 1, fault: None };
-    let one = [HeadBegins, HeadEnds(Framing::Here), Passed];
+    let one = [HeadBegins, HeadEnds(Framing::Complete), Passed];
     let over = vec![StreamLeaves, Stalls(true), Asked, Stalls(false), Asked];
-    let next =
-        vec![StreamLeaves, Pipelines, AnswerEnds, HeadEnds(Framing::Here), Passed, Asked, AnswerEnds, Due];
+    let next = vec![
+        StreamLeaves,
+        Pipelines,
+        AnswerEnds,
+        HeadEnds(Framing::Complete),
+        Passed,
+        Asked,
+        AnswerEnds,
+        Due,
+    ];
     vec![
         (
             "client-handed-over-between-two-chunks",
--- a/model-checker/src/cover.rs
+++ b/model-checker/src/cover.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use glenrail_request_lifecycle::request::{Input, Request, Step};
+use glenrail_request_lifecycle::request::{AttemptState, Input, Request};
 use glenrail_request_lifecycle::{client, server};
 
 /// A row: where the machine stood, and what came.
@@ -47,29 +47,29 @@
 ];
 
 fn row(machine: &Request, input: &Input) -> Row {
-    let at = |attempt: &usize| match machine.attempts().get(*attempt).map(|a| a.step) {
-        Some(Step::Waiting) => 0,
-        Some(Step::Out) => 1,
-        Some(Step::CalledBack) => 2,
-        Some(Step::Begun) => 3,
+    let at = |attempt: &usize| match machine.attempts().get(*attempt).map(|a| a.state) {
+        Some(AttemptState::Queued) => 0,
+        Some(AttemptState::InFlight) => 1,
+        Some(AttemptState::Cancelling) => 2,
+        Some(AttemptState::Streaming) => 3,
         _ => 4,
     };
-    let whole = if machine.closed() { 6 } else { 5 };
+    let whole = if machine.is_closed() { 6 } else { 5 };
     match input {
         Input::Send { .. } => (whole, 0),
         Input::Cancel { attempt } => (at(attempt), 1),
         Input::Release => (whole, 2),
-        Input::Answer(_) => (whole, 3),
-        Input::Hold { .. } => (whole, 4),
-        Input::ClientGone => (whole, 5),
+        Input::Respond(_) => (whole, 3),
+        Input::ReserveSlot { .. } => (whole, 4),
+        Input::ClientDisconnected => (whole, 5),
         Input::Replied { attempt, .. } => (at(attempt), 6),
         Input::StreamEnded { attempt, .. } => (at(attempt), 7),
         Input::TimedOut { attempt } => (at(attempt), 8),
-        Input::Dropped { attempt } => (at(attempt), 9),
-        Input::Placed { .. } => (whole, 10),
+        Input::CancelCompleted { attempt } => (at(attempt), 9),
+        Input::SlotAnswered { .. } => (whole, 10),
         Input::Released => (whole, 11),
-        Input::Due(_) => (whole, 12),
-        Input::Arrived { attempt } => (at(attempt), 13),
+        Input::TimerExpired(_) => (whole, 12),
+        Input::Delivered { attempt } => (at(attempt), 13),
     }
 }
 
@@ -108,7 +108,7 @@
 
 const CLIENT_STAGES: [client::Stage; 7] = {
     use client::Stage::*;
-    [Gate, Head, Body, Answer, Idle, Closing, HandedOver]
+    [New, Head, Body, Response, Idle, Closing, HandedOver]
 };
 
 /// The inputs that are rows; the two flags are noted in every stage alike.
@@ -116,17 +116,17 @@
     use client::Framing::*;
     use client::Input::*;
     vec![
-        Begun,
-        Head(Here),
-        Head(Told),
-        Head(Unknown),
-        Unreadable,
-        BodyRead,
-        Answered,
-        Resumed,
-        Leaves,
-        Asked,
-        Due,
+        HeadStarted,
+        HeadComplete(Complete),
+        HeadComplete(KnownLength),
+        HeadComplete(UnknownLength),
+        MalformedHead,
+        BodyComplete,
+        ResponseFinished,
+        StreamResumed,
+        StreamDetached,
+        HandOverRequested,
+        TimedOut,
         Evicted,
     ]
 }
@@ -139,23 +139,23 @@
 
 const SERVER_STAGES: [server::Stage; 8] = {
     use server::Stage::*;
-    [Dialling, Idle, Writing, Awaiting, Streaming, Stale, Closing, HandedOver]
+    [Connecting, Idle, Writing, AwaitingHead, Streaming, Stale, Closing, HandedOver]
 };
 
 fn server_inputs() -> Vec<server::Input> {
     use server::Input::*;
     vec![
-        Up,
-        Refused,
+        Connected,
+        ConnectFailed,
         Send { serving: true },
         Send { serving: false },
-        Wrote,
-        WroteAll,
-        Head,
-        End,
-        Stands,
-        Broke,
-        Dropped,
+        BytesWritten,
+        LastByteWritten,
+        HeadReceived,
+        ResponseComplete,
+        ReadPaused,
+        Broken,
+        Abandoned,
         Drained,
     ]
 }
--- a/model-checker/src/request.rs
+++ b/model-checker/src/request.rs
@@ -6,10 +6,11 @@
 //! are explored in all orders; what is no trouble is free, so that every path comes to rest.
 
 use glenrail_request_lifecycle::request::{
-    Answer, Effect, Fault, Final, Input, Repeat, Reply, Request, Stage, Step, StreamEnd, Terms, Timer,
+    AttemptState, Effect, Fault, FinalResponse, Input, Reply, Request, RequestPolicy, ResponseState,
+    RetrySafety, Stage, StreamEnd, Timer,
 };
 use glenrail_request_lifecycle::server::{self, Connection};
-use glenrail_request_lifecycle::Impossible;
+use glenrail_request_lifecycle::InvalidTransition;
 use serde::{Deserialize, Serialize};
 
 use crate::cover;
@@ -20,7 +21,7 @@
 pub struct Setup {
     pub readers: u8,
     pub writers: u8,
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     pub cancel: bool,
     /// Most troubles on one path.
     pub troubles: u8,
@@ -181,9 +182,9 @@
 impl Setup {
     fn stage(&self, server: u8) -> Stage {
         if server < self.readers {
-            Stage::Read
+            Stage::Prefill
         } else {
-            Stage::Run
+            Stage::Execute
         }
     }
 
@@ -193,7 +194,11 @@
 
     pub fn start(&self) -> World {
         let mut effects = Vec::new();
-        let terms = Terms { repeat: self.repeat, most: usize::from(self.sends), cancel: self.cancel };
+        let terms = RequestPolicy {
+            retry_safety: self.repeat,
+            max_attempts: usize::from(self.sends),
+            cancellation: self.cancel,
+        };
         let mut machine = Request::new(terms, &mut effects);
         machine.plant(self.fault);
         let mut world = World {
@@ -233,7 +238,7 @@
         let trouble = self.left.troubles > 0;
         if !self.over {
             self.orders(setup, out);
-            for timer in [Timer::Deadline, Timer::Pin] {
+            for timer in [Timer::Deadline, Timer::LeaseLimit] {
                 if self.armed[timer as usize] {
                     out.push(Act::Fires(timer));
                 }
@@ -292,7 +297,7 @@
             if left.sends > 0 {
                 out.push(Act::Send(s));
             }
-            if left.holds > 0 && setup.stage(s) == Stage::Run {
+            if left.holds > 0 && setup.stage(s) == Stage::Execute {
                 out.push(Act::Hold(s));
             }
         }
@@ -309,7 +314,7 @@
     }
 
     fn acts_of_call(&self, i: u8, call: &Call, trouble: bool, out: &mut Vec<Act>) {
-        let step = self.machine.attempts()[usize::from(i)].step;
+        let step = self.machine.attempts()[usize::from(i)].state;
         let gone = self.servers[usize::from(call.server)].restarted;
         match call.work {
             Work::Taken if call.way == Way::Open => {
@@ -325,14 +330,14 @@
         match call.way {
             Way::Starting => out.extend([Act::Dial(i), Act::Reuse(i)]),
             Way::Open => match call.connection.stage() {
-                server::Stage::Dialling => {
+                server::Stage::Connecting => {
                     out.push(Act::Up(i));
                     if trouble {
                         out.push(Act::Refused(i));
                     }
                 }
                 server::Stage::Writing => {
-                    if !call.connection.wrote() {
+                    if !call.connection.has_written() {
                         out.push(Act::Wrote(i));
                     }
                     out.push(Act::WroteAll(i));
@@ -344,11 +349,11 @@
             },
             _ => {}
         }
-        if call.way == Way::Open && step != Step::Begun && (trouble || gone) {
+        if call.way == Way::Open && step != AttemptState::Streaming && (trouble || gone) {
             out.push(Act::Breaks(i));
         }
-        let shown = self.machine.attempts()[usize::from(i)].arrived;
-        if step == Step::Out && call.arrived() && !shown {
+        let shown = self.machine.attempts()[usize::from(i)].delivered;
+        if step == AttemptState::InFlight && call.arrived() && !shown {
             out.push(Act::ShowsArrival(i));
         }
         if call.in_vain && call.way == Way::Open && call.work == Work::Nothing {
@@ -357,15 +362,20 @@
         if matches!(call.way, Way::Starting | Way::Open) {
             match step {
                 // Nothing else ends it where the deployment calls nothing back.
-                Step::Out if trouble || call.in_vain => out.push(Act::TimesOut(i)),
-                Step::CalledBack => out.push(Act::Drops(i)),
-                Step::Begun => {
-                    out.push(Act::StreamEnds(i, StreamEnd::Whole));
+                AttemptState::InFlight if trouble || call.in_vain => out.push(Act::TimesOut(i)),
+                AttemptState::Cancelling => out.push(Act::Drops(i)),
+                AttemptState::Streaming => {
+                    out.push(Act::StreamEnds(i, StreamEnd::Complete));
                     if self.client_gone {
-                        out.push(Act::StreamEnds(i, StreamEnd::Untaken));
+                        out.push(Act::StreamEnds(i, StreamEnd::ClientStalled));
                     }
                     if trouble {
-                        let ends = [StreamEnd::Moved, StreamEnd::Reset, StreamEnd::Spoilt, StreamEnd::Silent];
+                        let ends = [
+                            StreamEnd::HandedOver,
+                            StreamEnd::Reset,
+                            StreamEnd::MalformedResponse,
+                            StreamEnd::IdleTimeout,
+                        ];
                         out.extend(ends.map(|end| Act::StreamEnds(i, end)));
                     }
                 }
@@ -404,7 +414,7 @@
                 });
                 self.outcomes.push(0);
                 let may = !self.servers[usize::from(s)].told_drained;
-                self.feed(setup, Input::Send { server, stage, may }, log);
+                self.feed(setup, Input::Send { server, stage, permitted: may }, log);
             }
             Act::Cancel(i) => {
                 self.left.cancels -= 1;
@@ -414,35 +424,35 @@
                 self.left.releases -= 1;
                 self.feed(setup, Input::Release, log);
             }
-            Act::Refuse => self.feed(setup, Input::Answer(Final::Refused), log),
-            Act::Fail => self.feed(setup, Input::Answer(Final::Failed), log),
+            Act::Refuse => self.feed(setup, Input::Respond(FinalResponse::Rejected), log),
+            Act::Fail => self.feed(setup, Input::Respond(FinalResponse::Failed), log),
             Act::Hold(s) => {
                 self.left.holds -= 1;
-                self.feed(setup, Input::Hold { server: s.into() }, log);
+                self.feed(setup, Input::ReserveSlot { server: s.into() }, log);
             }
             Act::Dial(i) => self.calls[usize::from(i)].way = Way::Open,
             Act::Reuse(i) => self.reuse(setup, i, log),
             Act::Up(i) => {
-                if self.way(i, server::Input::Up).is_some() {
+                if self.way(i, server::Input::Connected).is_some() {
                     self.write(setup, i, log);
                 }
             }
-            Act::Wrote(i) => _ = self.way(i, server::Input::Wrote),
+            Act::Wrote(i) => _ = self.way(i, server::Input::BytesWritten),
             Act::WroteAll(i) => {
-                if self.way(i, server::Input::WroteAll).is_some() {
+                if self.way(i, server::Input::LastByteWritten).is_some() {
                     self.calls[usize::from(i)].work = Work::Taken;
                 }
             }
             Act::WroteInVain(i) => {
-                if self.way(i, server::Input::WroteAll).is_some() {
+                if self.way(i, server::Input::LastByteWritten).is_some() {
                     self.calls[usize::from(i)].in_vain = true;
                 }
             }
             Act::Arrives(i) => self.calls[usize::from(i)].work = Work::Taken,
-            Act::ShowsArrival(i) => self.feed(setup, Input::Arrived { attempt: i.into() }, log),
+            Act::ShowsArrival(i) => self.feed(setup, Input::Delivered { attempt: i.into() }, log),
             Act::Serves(i) => self.serves(i),
-            Act::Declines(i) => self.calls[usize::from(i)].work = Work::Replying(Reply::Declined),
-            Act::FindsUnfit(i) => self.calls[usize::from(i)].work = Work::Replying(Reply::Unfit),
+            Act::Declines(i) => self.calls[usize::from(i)].work = Work::Replying(Reply::Rejected),
+            Act::FindsUnfit(i) => self.calls[usize::from(i)].work = Work::Replying(Reply::Unprocessable),
             Act::Errs(i) => {
                 // It may have had its effect before it failed.
                 self.runs(i);
@@ -454,8 +464,8 @@
                 self.calls[usize::from(i)].work = Work::Done;
             }
             Act::SeesCut(i) => self.calls[usize::from(i)].work = Work::Done,
-            Act::Refused(i) => self.cut(setup, i, server::Input::Refused, log),
-            Act::Breaks(i) => self.cut(setup, i, server::Input::Broke, log),
+            Act::Refused(i) => self.cut(setup, i, server::Input::ConnectFailed, log),
+            Act::Breaks(i) => self.cut(setup, i, server::Input::Broken, log),
             Act::TimesOut(i) => {
                 self.close(i);
                 self.feed(setup, Input::TimedOut { attempt: i.into() }, log);
@@ -463,20 +473,20 @@
             Act::Drops(i) => {
                 let call = &self.calls[usize::from(i)];
                 let unwritten =
-                    call.way == Way::Starting || call.connection.stage() == server::Stage::Dialling;
+                    call.way == Way::Starting || call.connection.stage() == server::Stage::Connecting;
                 self.close(i);
                 let input = match unwritten {
                     true => Input::Replied { attempt: i.into(), reply: Reply::NotSent },
-                    false => Input::Dropped { attempt: i.into() },
+                    false => Input::CancelCompleted { attempt: i.into() },
                 };
                 self.feed(setup, input, log);
             }
             Act::StreamEnds(i, end) => {
                 let how = match end {
-                    StreamEnd::Whole => server::Input::End,
-                    StreamEnd::Moved => server::Input::Stands,
-                    StreamEnd::Untaken | StreamEnd::Silent => server::Input::Dropped,
-                    StreamEnd::Reset | StreamEnd::Spoilt => server::Input::Broke,
+                    StreamEnd::Complete => server::Input::ResponseComplete,
+                    StreamEnd::HandedOver => server::Input::ReadPaused,
+                    StreamEnd::ClientStalled | StreamEnd::IdleTimeout => server::Input::Abandoned,
+                    StreamEnd::Reset | StreamEnd::MalformedResponse => server::Input::Broken,
                 };
                 self.way(i, how);
                 let call = &mut self.calls[usize::from(i)];
@@ -501,11 +511,11 @@
             Act::PlaceSeesCut => self.place = PlaceAt::None,
             Act::PlaceReplies(held) => {
                 self.place = PlaceAt::None;
-                self.feed(setup, Input::Placed { held }, log);
+                self.feed(setup, Input::SlotAnswered { reserved: held }, log);
             }
             Act::ClientGoes => {
                 self.client_gone = true;
-                self.feed(setup, Input::ClientGone, log);
+                self.feed(setup, Input::ClientDisconnected, log);
             }
             Act::DrainTold(s) => {
                 self.servers[usize::from(s)].told_drained = true;
@@ -534,8 +544,8 @@
             }
             Act::Fires(timer) => {
                 self.armed[timer as usize] = false;
-                self.feed(setup, Input::Due(timer), log);
-                if timer == Timer::Pin && !self.over && self.holds_unclaimed() && !self.lets_go() {
+                self.feed(setup, Input::TimerExpired(timer), log);
+                if timer == Timer::LeaseLimit && !self.over && self.holds_unclaimed() && !self.lets_go() {
                     // Its limit has come: to wait for it once more is none of the ways out.
                     self.violate(Rule::HeldIsLetGo);
                 }
@@ -567,7 +577,7 @@
             Act::WroteInVain(_) => true,
             Act::TimesOut(i) => !self.calls[usize::from(i)].in_vain,
             Act::Breaks(i) => !self.servers[usize::from(self.calls[usize::from(i)].server)].restarted,
-            Act::StreamEnds(_, end) => !matches!(end, StreamEnd::Whole | StreamEnd::Untaken),
+            Act::StreamEnds(_, end) => !matches!(end, StreamEnd::Complete | StreamEnd::ClientStalled),
             Act::PlaceReplies(None) | Act::ClientGoes | Act::DrainTold(_) | Act::Restarts(_) => true,
             _ => false,
         }
@@ -583,7 +593,7 @@
         cover::server(connection.stage(), input);
         match connection.step(input) {
             Ok(effect) => Some(effect),
-            Err(Impossible { .. }) => {
+            Err(InvalidTransition { .. }) => {
                 self.violate(Rule::NothingImpossible);
                 None
             }
@@ -595,7 +605,7 @@
         let mut connection = Connection::default();
         connection.plant(setup.server_fault);
         use server::Input::*;
-        for input in [Up, Send { serving: true }, WroteAll, Head, End] {
+        for input in [Connected, Send { serving: true }, LastByteWritten, HeadReceived, ResponseComplete] {
             let _ = connection.step(input);
         }
         self.calls[usize::from(i)].connection = connection;
@@ -636,13 +646,13 @@
         }
         call.way = Way::Closed;
         call.work = if call.work == Work::Taken { Work::Orphan } else { Work::Done };
-        let reply = if effect == server::Effect::NeverRan { Reply::Connect } else { Reply::Reset };
+        let reply = if effect == server::Effect::NeverRan { Reply::ConnectFailed } else { Reply::Reset };
         self.feed(setup, Input::Replied { attempt: i.into(), reply }, log);
     }
 
     /// The gateway closes its end.
     fn close(&mut self, i: u8) {
-        self.way(i, server::Input::Dropped);
+        self.way(i, server::Input::Abandoned);
         let call = &mut self.calls[usize::from(i)];
         call.way = Way::Closed;
         call.work = match call.work {
@@ -654,7 +664,7 @@
     }
 
     fn runs(&mut self, i: u8) {
-        if self.calls[usize::from(i)].stage == Stage::Run {
+        if self.calls[usize::from(i)].stage == Stage::Execute {
             self.runs += 1;
         }
     }
@@ -664,38 +674,38 @@
         let (server, stage) =
             (usize::from(self.calls[usize::from(i)].server), self.calls[usize::from(i)].stage);
         let reply = match stage {
-            Stage::Read => {
+            Stage::Prefill => {
                 self.servers[server].state = true;
-                Reply::Read
+                Reply::Prefilled
             }
-            Stage::Run if self.servers.iter().any(|s| s.state) => {
+            Stage::Execute if self.servers.iter().any(|s| s.state) => {
                 self.runs(i);
                 // It fetches the state, and its stream takes the place that it holds.
                 self.servers.iter_mut().for_each(|s| s.state = false);
                 self.servers[server].place = false;
                 self.calls[usize::from(i)].begun = true;
-                Reply::Begins
+                Reply::FirstEvent
             }
-            Stage::Run => Reply::Declined,
+            Stage::Execute => Reply::Rejected,
         };
         self.calls[usize::from(i)].work = Work::Replying(reply);
     }
 
     fn delivers(&mut self, setup: &Setup, i: u8, log: &mut Log) {
         let Work::Replying(reply) = self.calls[usize::from(i)].work else { return };
-        if self.way(i, server::Input::Head).is_none() {
+        if self.way(i, server::Input::HeadReceived).is_none() {
             return;
         }
         self.calls[usize::from(i)].work = Work::Done;
-        if reply == Reply::Begins {
+        if reply == Reply::FirstEvent {
             self.feed(setup, Input::Replied { attempt: i.into(), reply }, log);
-            if self.machine.attempts()[usize::from(i)].step != Step::Begun {
+            if self.machine.attempts()[usize::from(i)].state != AttemptState::Streaming {
                 self.close(i);
-                self.feed(setup, Input::Dropped { attempt: i.into() }, log);
+                self.feed(setup, Input::CancelCompleted { attempt: i.into() }, log);
             }
             return;
         }
-        self.way(i, server::Input::End);
+        self.way(i, server::Input::ResponseComplete);
         self.calls[usize::from(i)].way = Way::Closed;
         self.feed(setup, Input::Replied { attempt: i.into(), reply }, log);
     }
@@ -722,7 +732,7 @@
                 self.violate(Rule::NothingAfterEnd);
             }
             match effect {
-                Effect::Start { attempt } => {
+                Effect::StartAttempt { attempt } => {
                     if self.calls.iter().any(|c| matches!(c.way, Way::Starting | Way::Open)) {
                         self.violate(Rule::NoSecondAttempt);
                     }
@@ -736,10 +746,10 @@
                     call.connection.plant(setup.server_fault);
                     call.way = Way::Starting;
                 }
-                Effect::CallBack { .. }
-                | Effect::TellPlace { .. }
-                | Effect::TellFirst { .. }
-                | Effect::TellGone => {}
+                Effect::CancelAttempt { .. }
+                | Effect::NotifySlot { .. }
+                | Effect::NotifyFirstToken { .. }
+                | Effect::NotifyClientDisconnected => {}
                 Effect::Release { after_cut } => {
                     if self.calls.iter().any(|c| matches!(c.way, Way::Starting | Way::Open)) {
                         self.violate(Rule::NoReleaseBesideAttempt);
@@ -748,43 +758,43 @@
                         self.violate(Rule::NoSendBesideRelease);
                     }
                 }
-                Effect::AskPlace { server } => {
+                Effect::RequestSlot { server } => {
                     self.place = PlaceAt::Asked { server: server as u8, served: false }
                 }
-                Effect::DropPlace => {
+                Effect::CancelSlotRequest => {
                     if let PlaceAt::Asked { server, served } = self.place {
                         self.place = if served { PlaceAt::None } else { PlaceAt::Orphan { server } };
                     }
                 }
-                Effect::Answer(last) => {
+                Effect::Respond(last) => {
                     self.answers += 1;
-                    self.refused |= last == Final::Refused;
+                    self.refused |= last == FinalResponse::Rejected;
                     if self.answers > 1 || self.streams > 0 || self.client_gone {
                         self.violate(Rule::OneFinalAnswer);
                     }
                 }
-                Effect::PassOn { .. } => {
+                Effect::ForwardStream { .. } => {
                     self.streams += 1;
                     if self.streams > 1 || self.answers > 0 || self.client_gone {
                         self.violate(Rule::OneFinalAnswer);
                     }
                 }
-                Effect::TellOutcome { attempt, .. } => {
+                Effect::NotifyOutcome { attempt, .. } => {
                     self.outcomes[attempt] += 1;
                     if self.outcomes[attempt] > 1 {
                         self.violate(Rule::OneOutcomePerSend);
                     }
                 }
-                Effect::Arm(timer) => self.armed[timer as usize] = true,
-                Effect::Disarm(timer) => self.armed[timer as usize] = false,
-                Effect::Over => self.ends(),
+                Effect::ArmTimer(timer) => self.armed[timer as usize] = true,
+                Effect::DisarmTimer(timer) => self.armed[timer as usize] = false,
+                Effect::Finished => self.ends(),
             }
         }
     }
 
     /// Whether the client has had all that it will get.
     fn answered(&self) -> bool {
-        !matches!(self.machine.answer(), Answer::Owed | Answer::Streaming)
+        !matches!(self.machine.response(), ResponseState::Pending | ResponseState::Streaming)
     }
 
     fn ends(&mut self) {
@@ -803,13 +813,13 @@
 
     /// What holds in every state.
     fn check(&mut self) {
-        if self.runs > 1 && self.machine.terms().repeat == Repeat::Never {
+        if self.runs > 1 && self.machine.policy().retry_safety == RetrySafety::AtMostOnce {
             self.violate(Rule::NeverRunsTwice);
         }
-        if self.refused && self.runs > 0 && self.machine.terms().repeat == Repeat::Never {
+        if self.refused && self.runs > 0 && self.machine.policy().retry_safety == RetrySafety::AtMostOnce {
             self.violate(Rule::RefusalIsTrue);
         }
-        let cared_for = !self.over && (self.lets_go() || self.armed[Timer::Pin as usize]);
+        let cared_for = !self.over && (self.lets_go() || self.armed[Timer::LeaseLimit as usize]);
         if self.holds_unclaimed() && !cared_for {
             self.violate(Rule::HeldIsLetGo);
         }
@@ -822,7 +832,7 @@
 
     /// Whether a release is under way, or an attempt is called back: that one is dropped at once, and the release follows.
     fn lets_go(&self) -> bool {
-        self.release.is_some() || self.machine.attempts().iter().any(|a| a.step == Step::CalledBack)
+        self.release.is_some() || self.machine.attempts().iter().any(|a| a.state == AttemptState::Cancelling)
     }
 
     /// Whether a world in which nothing more can happen has come to rest as it should.
--- a/model-checker/src/server.rs
+++ b/model-checker/src/server.rs
@@ -54,22 +54,24 @@
         let serving = !self.told_drained;
         let more = self.requests > 0;
         match self.machine.stage() {
-            Stage::Dialling => out.extend([Input::Up, Input::Refused, Input::Broke]),
+            Stage::Connecting => out.extend([Input::Connected, Input::ConnectFailed, Input::Broken]),
             Stage::Idle | Stage::Stale => {
                 if more {
                     out.push(Input::Send { serving });
                     // The word comes to the pool first, or to the connection.
                     out.push(Input::Send { serving: false });
                 }
-                out.push(Input::Broke);
+                out.push(Input::Broken);
             }
-            Stage::Writing => out.extend([Input::Wrote, Input::WroteAll, Input::Head, Input::Broke]),
-            Stage::Awaiting => out.extend([Input::Head, Input::Broke]),
-            Stage::Streaming => out.extend([Input::End, Input::Stands, Input::Broke]),
+            Stage::Writing => {
+                out.extend([Input::BytesWritten, Input::LastByteWritten, Input::HeadReceived, Input::Broken])
+            }
+            Stage::AwaitingHead => out.extend([Input::HeadReceived, Input::Broken]),
+            Stage::Streaming => out.extend([Input::ResponseComplete, Input::ReadPaused, Input::Broken]),
             // What was on its way still comes.
-            Stage::Closing | Stage::HandedOver => out.push(Input::Broke),
+            Stage::Closing | Stage::HandedOver => out.push(Input::Broken),
         }
-        out.push(Input::Dropped);
+        out.push(Input::Abandoned);
         if !self.told_drained {
             out.push(Input::Drained);
         }
@@ -81,8 +83,8 @@
         match act {
             Input::Send { .. } => self.requests -= 1,
             Input::Drained => self.told_drained = true,
-            Input::Wrote => self.wrote = true,
-            Input::WroteAll => (self.wrote, self.reached) = (true, true),
+            Input::BytesWritten => self.wrote = true,
+            Input::LastByteWritten => (self.wrote, self.reached) = (true, true),
             _ => {}
         }
         let Ok(effect) = self.machine.step(act) else {
@@ -97,13 +99,13 @@
             }
             Effect::NeverRan if self.reached => self.violate(Rule::NeverRanIsTrue),
             Effect::Replace if self.wrote => self.violate(Rule::ReplacedUnwritten),
-            Effect::Keep if self.told_drained => self.violate(Rule::DrainedNotKept),
-            Effect::Keep => (self.wrote, self.reached) = (false, false),
+            Effect::Reuse if self.told_drained => self.violate(Rule::DrainedNotKept),
+            Effect::Reuse => (self.wrote, self.reached) = (false, false),
             _ => {}
         }
         // Once it is closed, a word or two may still come for it.
         let over = matches!(stage, Stage::Closing | Stage::HandedOver | Stage::Stale);
-        self.ended = over && matches!(act, Input::Dropped);
+        self.ended = over && matches!(act, Input::Abandoned);
     }
 
     fn violate(&mut self, rule: Rule) {
@@ -112,7 +114,7 @@
 
     /// Whether it comes by itself sooner or later: whoever waits gives up, and what stands idle is dropped.
     pub fn comes(&self, act: Act) -> bool {
-        act == Input::Dropped
+        act == Input::Abandoned
     }
 
     pub fn rests_well(&self) -> bool {
--- a/model-checker/src/trace.rs
+++ b/model-checker/src/trace.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use anyhow::{bail, Context, Result};
-use glenrail_request_lifecycle::request::{Effect, Input, Request, Terms};
+use glenrail_request_lifecycle::request::{Effect, Input, Request, RequestPolicy};
 use serde::{Deserialize, Serialize};
 
 use crate::request::Log;
@@ -96,7 +96,11 @@
 /// The machine alone, fed with what the trace says, must say the same again.
 fn alone(setup: &crate::request::Setup, lines: &[String]) -> Result<usize> {
     let mut out: Vec<Effect> = Vec::new();
-    let terms = Terms { repeat: setup.repeat, most: usize::from(setup.sends), cancel: setup.cancel };
+    let terms = RequestPolicy {
+        retry_safety: setup.repeat,
+        max_attempts: usize::from(setup.sends),
+        cancellation: setup.cancel,
+    };
     let (mut machine, mut fed) = (Request::new(terms, &mut out), 0);
     machine.plant(setup.fault);
     for (n, line) in lines.iter().enumerate() {
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -23,27 +23,27 @@
     RequestId(integer(v, "ticket"))
 }
 
-fn status(code: u64) -> Status {
+fn status(code: u64) -> AttemptStatus {
     match code {
-        100 => Status::Served,
-        202 => Status::Read,
-        302 => Status::Full,
-        303 => Status::Timeout,
-        304 => Status::ConnectFailed,
-        305 => Status::Reset,
-        306 => Status::Cancelled,
-        307 => Status::NotSent,
-        _ => Status::Error,
+        100 => AttemptStatus::Served,
+        202 => AttemptStatus::Prefilled,
+        302 => AttemptStatus::Rejected,
+        303 => AttemptStatus::Timeout,
+        304 => AttemptStatus::ConnectFailed,
+        305 => AttemptStatus::Reset,
+        306 => AttemptStatus::Cancelled,
+        307 => AttemptStatus::NotSent,
+        _ => AttemptStatus::Error,
     }
 }
 
-fn pressure(v: &Value) -> Option<Report> {
+fn pressure(v: &Value) -> Option<LoadReport> {
     let pairs = v.get("pressure")?.as_object()?;
     Some(report(|name| pairs.get(name).and_then(Value::as_f64)))
 }
 
-fn member(v: &Value) -> Member {
-    Member {
+fn member(v: &Value) -> ServerEntry {
+    ServerEntry {
         server: server_id(text(v, "host")),
         zone: integer(v, "locality") as u32,
         cell: integer(v, "unit-group") as u32,
@@ -51,7 +51,7 @@
         state: match integer(v, "health") {
             1 => ServerState::Ready,
             2 => ServerState::Draining,
-            _ => ServerState::Gone,
+            _ => ServerState::Terminated,
         },
         weight: number(v, "rating"),
         started: v.get("last-start").and_then(Value::as_f64).filter(|t| *t > 0.0),
@@ -68,9 +68,9 @@
         prompt_tokens: number(v, "n-prompt"),
         prefix_tokens: number(v, "n-prefix"),
         max_tokens: number(v, "n-max"),
-        hint: v.get("hint").and_then(Value::as_f64),
-        patience: number(v, "patience-left"),
-        repeat: flag(v, "again-by-client"),
+        expected_duration: v.get("hint").and_then(Value::as_f64),
+        client_timeout: number(v, "patience-left"),
+        client_retry: flag(v, "again-by-client"),
         resumed: flag(v, "reconnect"),
     }
 }
@@ -79,20 +79,20 @@
     let server = server_id(text(v, "host"));
     let (id, attempt, elapsed) = (request_id(v), integer(v, "attempt") as u32, number(v, "duration"));
     Some(match text(v, "verb") {
-        "ENDPOINTS" => Event::Members {
-            scope: match integer(v, "scope") {
-                0 => Scope::Delta,
-                1 => Scope::Full,
-                2 => Scope::Cached,
-                _ => Scope::Failed,
+        "ENDPOINTS" => Event::ServerList {
+            update: match integer(v, "scope") {
+                0 => ListUpdate::Delta,
+                1 => ListUpdate::Full,
+                2 => ListUpdate::Cached,
+                _ => ListUpdate::Failed,
             },
-            members: list(v, "items").iter().map(member).collect(),
+            servers: list(v, "items").iter().map(member).collect(),
         },
         "INBOUND" => Event::Request(request(v)),
         "WAKEUP" => Event::Timer { key: integer(v, "key-back") },
-        "TIMED_OUT_CLIENT" => Event::ClientGone { id },
+        "TIMED_OUT_CLIENT" => Event::ClientDisconnected { id },
         "UNDER_WAY" => Event::FirstToken { id, attempt, server, elapsed },
-        "SETTLED" => Event::Outcome(Outcome {
+        "SETTLED" => Event::Outcome(AttemptOutcome {
             id,
             attempt,
             server,
@@ -100,14 +100,14 @@
             elapsed,
             note: number(v, "info"),
             closed: flag(v, "finished"),
-            arrived: status(integer(v, "rc")).may_have_arrived(),
+            delivered: status(integer(v, "rc")).may_have_arrived(),
             report: pressure(v),
         }),
-        "HELD_NOTE" => Event::Place { id, attempt, server, held: integer(v, "sort") == 1 },
+        "HELD_NOTE" => Event::SlotReservation { id, attempt, server, reserved: integer(v, "sort") == 1 },
         "HEALTH_RESULT" => {
-            Event::Probed { server, status: status(integer(v, "rc")), elapsed, report: pressure(v) }
+            Event::ProbeResult { server, status: status(integer(v, "rc")), elapsed, report: pressure(v) }
         }
-        "PEER" => Event::Peer {
+        "PEER" => Event::Gossip {
             from: integer(v, "src") as u32,
             bytes: STANDARD.decode(text(v, "raw")).unwrap_or_default(),
         },
@@ -131,17 +131,17 @@
             }
             Action::Cancel { id, attempt } => json!({"verb": "RETRACT", "ticket": id.0, "attempt": attempt}),
             Action::Release { id } => json!({"verb": "CLEAR_STATE", "ticket": id.0}),
-            Action::Refuse { id, retry_after, .. } => {
+            Action::Reject { id, retry_after, .. } => {
                 json!({"verb": "DECLINE", "ticket": id.0, "come-back": retry_after})
             }
             Action::Fail { id, .. } => json!({"verb": "FINISH_ERROR", "ticket": id.0}),
-            Action::Move { id } => json!({"verb": "REBALANCE", "ticket": id.0}),
-            Action::HoldPlace { id, server } => {
+            Action::Migrate { id } => json!({"verb": "REBALANCE", "ticket": id.0}),
+            Action::ReserveSlot { id, server } => {
                 json!({"verb": "RESERVE", "ticket": id.0, "host": host(&server)?})
             }
             Action::Probe { server } => json!({"verb": "POLL", "host": host(&server)?}),
             Action::CloseIdle { server } => json!({"verb": "DROP_CONNS", "host": host(&server)?}),
-            Action::Tell { to, bytes } => {
+            Action::SendGossip { to, bytes } => {
                 let to = to.map_or(json!("all"), |peer| json!(peer));
                 json!({"verb": "SAY", "addressee": to, "raw": STANDARD.encode(bytes)})
             }
@@ -214,22 +214,28 @@
             (Action::Cancel { id, attempt: 1 }, r#"{"verb":"RETRACT","ticket":7,"attempt":1}"#),
             (Action::Release { id }, r#"{"verb":"CLEAR_STATE","ticket":7}"#),
             (
-                Action::Refuse { id, retry_after: 9.5, reason: Reason::Shed },
+                Action::Reject { id, retry_after: 9.5, reason: RejectReason::LoadShed },
                 r#"{"verb":"DECLINE","ticket":7,"come-back":9.5}"#,
             ),
-            (Action::Fail { id, reason: Reason::OutOfTime }, r#"{"verb":"FINISH_ERROR","ticket":7}"#),
-            (Action::Move { id }, r#"{"verb":"REBALANCE","ticket":7}"#),
-            (Action::HoldPlace { id, server }, r#"{"verb":"RESERVE","ticket":7,"host":"10.0.0.1:80"}"#),
+            (
+                Action::Fail { id, reason: RejectReason::DeadlineExceeded },
+                r#"{"verb":"FINISH_ERROR","ticket":7}"#,
+            ),
+            (Action::Migrate { id }, r#"{"verb":"REBALANCE","ticket":7}"#),
+            (Action::ReserveSlot { id, server }, r#"{"verb":"RESERVE","ticket":7,"host":"10.0.0.1:80"}"#),
             (Action::Probe { server }, r#"{"verb":"POLL","host":"10.0.0.1:80"}"#),
             (Action::CloseIdle { server }, r#"{"verb":"DROP_CONNS","host":"10.0.0.1:80"}"#),
             (
-                Action::Tell { to: None, bytes: b"hi".to_vec() },
+                Action::SendGossip { to: None, bytes: b"hi".to_vec() },
                 r#"{"verb":"SAY","addressee":"all","raw":"aGk="}"#,
             ),
-            (Action::Tell { to: Some(2), bytes: vec![] }, r#"{"verb":"SAY","addressee":2,"raw":""}"#),
+            (Action::SendGossip { to: Some(2), bytes: vec![] }, r#"{"verb":"SAY","addressee":2,"raw":""}"#),
             (Action::Subscribe { on: true }, r#"{"verb":"SUBSCRIBE","want":true}"#),
             (Action::FetchList, r#"{"verb":"FETCH"}"#),
-            (Action::Timer { at: 3.5, key: 8, of: None }, r#"{"verb":"WAKE_ME","due-at":3.5,"key-back":8}"#),
+            (
+                Action::Timer { at: 3.5, key: 8, request: None },
+                r#"{"verb":"WAKE_ME","due-at":3.5,"key-back":8}"#,
+            ),
             (Action::Log("why".into()), r#"{"verb":"JOURNAL_LINE","words":"why"}"#),
         ];
         for (action, wanted) in cases {
