--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -44,3 +44,6 @@
 pub use settings::{Settings, SettingsError};
 pub use table::{Cell, Place, Table, TableError};
 pub use wire::{DATAGRAM_MOST, FRAME_MOST};
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/fleet/src/tests.rs
@@ -0,0 +1,174 @@
+//! Sealed messages of every kind as an earlier build wrote them: the present code seals the same messages to the same
+//! bytes, and opens the stored bytes to the same messages.
+
+use crate::membership::{Asked, Membership};
+use crate::seal::{Channel, Sealer};
+use crate::table::Digest;
+use crate::wire::Body;
+use crate::{Cell, FleetKey, Keyring, Life, Member, MemberId, MemberState, Place, Settings};
+
+/// One message a line: channel, name, and the sealed bytes in hexadecimal digits, in the order of their counters.
+const STORED: &str = include_str!("../tests/fixtures/stored_datagrams.txt");
+
+fn keys() -> Keyring {
+    Keyring::new(FleetKey::derive(&[7; 32], "stored").unwrap(), None)
+}
+
+fn member(name: &str, life: u64, returns: u32, host: u8) -> Member {
+    let address = ([10, 0, 0, host], 7_000 + u16::from(host)).into();
+    Member { id: MemberId::of_name(name), life: Life(life), returns, address }
+}
+
+fn sender() -> Member {
+    member("a", 5, 2, 1)
+}
+
+fn receiver() -> Member {
+    member("b", 7, 0, 2)
+}
+
+fn third() -> Member {
+    member("c", 1_700_000_000_000, 300, 3)
+}
+
+fn sender_over_ipv6() -> Member {
+    let address = ([0x2001, 0xdb8, 0, 0, 0, 0, 0, 1], 65_535).into();
+    Member { address, ..sender() }
+}
+
+fn membership(member: Member) -> Membership {
+    Membership::new(member, &Settings::default(), 1)
+}
+
+/// The packet with which a member introduces itself to another.
+fn announcement(from: Member, to: Member) -> Vec<u8> {
+    let mut asked = Asked::default();
+    membership(from).announce(to, &mut asked).unwrap();
+    asked.sends.pop().unwrap().1
+}
+
+/// What the sender answers the receiver's announcement with, when the third is the only other member it knows.
+fn feed() -> Vec<u8> {
+    let mut sender = membership(sender());
+    sender.packet(&announcement(third(), sender.me()), &mut Asked::default()).unwrap();
+    let mut asked = Asked::default();
+    sender.packet(&announcement(receiver(), sender.me()), &mut asked).unwrap();
+    asked.sends.into_iter().find(|(to, _)| *to == receiver()).unwrap().1
+}
+
+fn cell(origin: Member, key: &[u8], version: u64, age: u64, value: Option<&[u8]>) -> Cell {
+    let place = Place { origin: origin.id, kind: 300, key: key.to_vec() };
+    Cell::new(place, origin.life, version, age, value.map(<[u8]>::to_vec))
+}
+
+fn cells() -> Vec<Cell> {
+    vec![
+        cell(sender(), b"level", 4, 0, Some(&[3])),
+        cell(sender(), b"taken back", 300, 1_501, None),
+        cell(third(), &[0, 255], u64::MAX, 12_800, Some(&[])),
+    ]
+}
+
+fn digest(origin: Member, cells: u32, newest: u64, full: bool, hash: u64) -> Digest {
+    Digest { origin: origin.id, life: origin.life, cells, newest, full, hash }
+}
+
+fn digests() -> Vec<Digest> {
+    vec![
+        digest(sender(), 2, 300, false, 0x0102_0304_0506_0708),
+        digest(third(), 256, u64::MAX, true, u64::MAX),
+    ]
+}
+
+fn datagrams() -> Vec<(&'static str, Body)> {
+    let (from, to) = (MemberId(0), MemberId(u64::MAX));
+    vec![
+        ("hello", Body::Hello(sender())),
+        ("hello_over_ipv6", Body::Hello(sender_over_ipv6())),
+        ("swim_announcement", Body::Swim(announcement(sender(), receiver()))),
+        ("swim_feed", Body::Swim(feed())),
+        ("cells", Body::Cells(cells())),
+        ("digests", Body::Digests { from, to, digests: digests() }),
+        ("want", Body::Want(vec![digest(receiver(), 0, 0, false, 0)])),
+        ("whole", Body::Whole),
+    ]
+}
+
+fn frames() -> Vec<(&'static str, Body)> {
+    vec![
+        ("open", Body::Open(digests())),
+        ("cells", Body::Cells(vec![cell(sender(), b"level", 301, 100, Some(&[9, 8, 7]))])),
+        ("done", Body::Done(vec![digest(sender(), 1, 301, false, 1)])),
+    ]
+}
+
+/// Every message with its channel and its name, in the order in which the sender seals them.
+fn messages() -> Vec<(Channel, &'static str, Body)> {
+    let of = |channel| move |(name, body)| (channel, name, body);
+    let datagrams = datagrams().into_iter().map(of(Channel::Datagram));
+    datagrams.chain(frames().into_iter().map(of(Channel::Frame))).collect()
+}
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hexadecimal: &str) -> Vec<u8> {
+    let digits = hexadecimal.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).unwrap());
+    digits.map(|pair| u8::from_str_radix(pair, 16).unwrap()).collect()
+}
+
+/// The sealed bytes of each line of the fixture.
+fn stored() -> Vec<Vec<u8>> {
+    STORED.lines().map(|line| bytes(line.rsplit(' ').next().unwrap())).collect()
+}
+
+/// A greeting is meant for whoever listens, all else for the receiver.
+fn addressee(body: &Body) -> Option<(MemberId, Life)> {
+    let greeting = matches!(body, Body::Hello(_));
+    (!greeting).then_some((receiver().id, receiver().life))
+}
+
+fn sealed_line(sealer: &mut Sealer, channel: Channel, name: &str, body: &Body) -> String {
+    let sealed = sealer.seal(channel, addressee(body), &body.bytes());
+    format!("{} {name} {}\n", format!("{channel:?}").to_lowercase(), hexadecimal(&sealed))
+}
+
+#[test]
+fn the_same_messages_are_sealed_to_the_same_bytes() {
+    let mut sealer = Sealer::new(sender().id, sender().life, keys(), 8);
+    let line = |(channel, name, body)| sealed_line(&mut sealer, channel, name, &body);
+    let sealed: String = messages().into_iter().map(line).collect();
+    assert!(sealed == STORED, "the sealed messages differ from the stored ones; they are:\n{sealed}");
+}
+
+#[test]
+fn stored_bytes_open_to_the_same_messages() {
+    let mut opener = Sealer::new(receiver().id, receiver().life, keys(), 8);
+    let (stored, messages) = (stored(), messages());
+    assert_eq!(stored.len(), messages.len());
+    for (sealed, (channel, name, expected)) in stored.iter().zip(messages) {
+        let (from, body) = opener.open(channel, 0, sealed).unwrap();
+        assert_eq!((from.id, from.life), (sender().id, sender().life), "{name}");
+        assert_eq!(from.addressed, addressee(&expected).is_some(), "{name}");
+        assert_eq!(Body::read(body), Some(expected), "{name}");
+    }
+}
+
+#[test]
+fn stored_membership_packets_introduce_the_sender_and_the_third() {
+    let mut opener = Sealer::new(receiver().id, receiver().life, keys(), 8);
+    let mut receiver = membership(receiver());
+    let mut packets = 0;
+    for sealed in stored().iter().take(datagrams().len()) {
+        let (_, body) = opener.open(Channel::Datagram, 0, sealed).unwrap();
+        let Some(Body::Swim(packet)) = Body::read(body) else { continue };
+        assert_eq!(Membership::source(&packet), Some(sender()));
+        receiver.packet(&packet, &mut Asked::default()).unwrap();
+        packets += 1;
+    }
+    assert_eq!(packets, 2);
+    let mut expected = vec![(sender(), MemberState::Alive), (third(), MemberState::Alive)];
+    expected.sort_by_key(|(member, _)| member.id);
+    assert_eq!(receiver.changes(|_, _| false), expected);
+}
