--- /dev/null
+++ b/crates/story/tests/stored_lines.rs
@@ -0,0 +1,134 @@
+//! The lines of a gateway's log, requests and counts, against fixtures that an earlier build wrote.
+
+use glenrail_story::counts::{self, Counts, Opened, Prices};
+use glenrail_story::{End, Release, Stage, Story, Try, WORD};
+
+const REQUESTS: &str = include_str!("fixtures/request-lines.txt");
+const COUNTS: &str = include_str!("fixtures/counts-lines.txt");
+
+const ENDS: [End; 5] = [End::Served, End::Cut, End::Refused, End::Failed, End::Left];
+const STAGES: [Stage; 2] = [Stage::Read, Stage::Run];
+/// The router's words for the outcome of an attempt.
+const OUTCOMES: [&str; 11] = [
+    "Served",
+    "Read",
+    "Error",
+    "Full",
+    "Timeout",
+    "ConnectFailed",
+    "Reset",
+    "Spoilt",
+    "Cancelled",
+    "Undelivered",
+    "NotSent",
+];
+/// The router's words for why it refuses or fails a request.
+const REASONS: [&str; 7] =
+    ["UnknownClass", "Shed", "NoServer", "AttemptsSpent", "RetryBudget", "MayHaveRun", "OutOfTime"];
+
+/// An attempt with every optional figure.
+fn full_try(stage: Stage, how: &str) -> Try {
+    Try {
+        to: "1f".into(),
+        stage,
+        place: Some((1, 4)),
+        sent: 0.25,
+        written: Some(0.5),
+        arrived: Some(12.0),
+        first: Some(40.125),
+        ended: 900.75,
+        how: how.into(),
+        cold: true,
+        kept: 1_500.0,
+        in_flight: Some(3.0),
+        memory: Some(0.625),
+    }
+}
+
+/// An attempt with none.
+fn bare_try(stage: Stage, how: &str) -> Try {
+    Try { to: "15".into(), stage, sent: 1.0, ended: 2.0, how: how.into(), ..Try::default() }
+}
+
+/// A request with every optional figure.
+fn full_story(end: End) -> Story {
+    Story {
+        id: "00ff00ff00ff00ff".into(),
+        class: 2,
+        once: true,
+        tenant: 3,
+        session: u64::MAX,
+        prefix: Some(7),
+        prompt: 2_000.0,
+        shared: 1_500.0,
+        came: 1_750_000_000_000.0,
+        aim: 1_120.5,
+        worth: 0.1,
+        end,
+        took: 950.0,
+        why: "Shed".into(),
+        releases: vec![
+            Release { held: 10.0, ordered: 20.5, done: Some(31.0) },
+            Release { held: 40.0, ordered: 41.0, done: None },
+        ],
+        tries: vec![full_try(Stage::Read, "Read"), full_try(Stage::Run, "Served")],
+    }
+}
+
+/// A request with none.
+fn bare_story(end: End) -> Story {
+    Story { id: "a".into(), session: 1, end, ..Story::default() }
+}
+
+/// One request for each end, reason, and outcome at each stage, with and without what may be absent.
+fn stories() -> Vec<Story> {
+    let by_end = ENDS.iter().flat_map(|end| [bare_story(*end), full_story(*end)]);
+    let by_reason = REASONS.iter().map(|why| Story { why: (*why).into(), ..bare_story(End::Refused) });
+    let by_outcome = OUTCOMES.iter().flat_map(|how| {
+        STAGES.map(|stage| Story {
+            tries: vec![bare_try(stage, how), full_try(stage, how)],
+            ..bare_story(End::Failed)
+        })
+    });
+    by_end.chain(by_reason).chain(by_outcome).collect()
+}
+
+fn all_counts() -> Vec<Counts> {
+    let full = Counts {
+        since: 1_750_000_000_000.0,
+        probes: 11,
+        opened: Opened { attempt: 12, probe: 13, hold: 14, release: 15 },
+        not_opened: 16,
+        reused: u64::MAX,
+        lists: 18,
+        list_lines: 19,
+        lists_failed: 20,
+        prices: Prices { probe: 0.003, handshake: 0.01, discovery: 0.5, moved: 0.03, waste: 0.25 },
+    };
+    vec![Counts::default(), full]
+}
+
+/// Guards logs that are older than the program that reads them: what is written stays, to the byte.
+#[test]
+fn each_variety_of_request_is_written_as_it_was() {
+    let written: Vec<String> = stories().iter().map(|story| format!("{WORD}{story}")).collect();
+    assert_eq!(written, REQUESTS.lines().collect::<Vec<_>>());
+}
+
+#[test]
+fn each_stored_request_is_read_as_what_was_written() {
+    let read: Vec<Option<Story>> = REQUESTS.lines().map(Story::of_line).collect();
+    assert_eq!(read, stories().into_iter().map(Some).collect::<Vec<_>>());
+}
+
+#[test]
+fn counts_are_written_as_they_were() {
+    let written: Vec<String> = all_counts().iter().map(|c| format!("{}{c}", counts::WORD)).collect();
+    assert_eq!(written, COUNTS.lines().collect::<Vec<_>>());
+}
+
+#[test]
+fn stored_counts_are_read_as_what_was_written() {
+    let read: Vec<Option<Counts>> = COUNTS.lines().map(Counts::of_line).collect();
+    assert_eq!(read, all_counts().into_iter().map(Some).collect::<Vec<_>>());
+}
