--- a/crates/story/tests/stored_lines.rs
+++ b/crates/access-log/tests/stored_lines.rs
@@ -1,12 +1,18 @@
 //! The lines of a gateway's log, requests and counts, against fixtures that an earlier build wrote.
 
-use glenrail_story::counts::{self, Counts, Opened, Prices};
-use glenrail_story::{End, Release, Stage, Story, Try, WORD};
+use glenrail_access_log::counts::{self, Counts, Opened, Prices};
+use glenrail_access_log::{AttemptRecord, Release, RequestOutcome, RequestRecord, Stage, LINE_PREFIX};
 
 const REQUESTS: &str = include_str!("fixtures/request-lines.txt");
 const COUNTS: &str = include_str!("fixtures/counts-lines.txt");
 
-const ENDS: [End; 5] = [End::Served, End::Cut, End::Refused, End::Failed, End::Left];
+const ENDS: [RequestOutcome; 5] = [
+    RequestOutcome::Served,
+    RequestOutcome::Cut,
+    RequestOutcome::Refused,
+    RequestOutcome::Failed,
+    RequestOutcome::Left,
+];
 const STAGES: [Stage; 2] = [Stage::Read, Stage::Run];
 /// The router's words for the outcome of an attempt.
 const OUTCOMES: [&str; 11] = [
@@ -27,67 +33,76 @@
     ["UnknownClass", "Shed", "NoServer", "AttemptsSpent", "RetryBudget", "MayHaveRun", "OutOfTime"];
 
 /// An attempt with every optional figure.
-fn full_try(stage: Stage, how: &str) -> Try {
-    Try {
-        to: "1f".into(),
+fn full_try(stage: Stage, how: &str) -> AttemptRecord {
+    AttemptRecord {
+        server: "1f".into(),
         stage,
-        place: Some((1, 4)),
-        sent: 0.25,
-        written: Some(0.5),
-        arrived: Some(12.0),
-        first: Some(40.125),
-        ended: 900.75,
-        how: how.into(),
-        cold: true,
-        kept: 1_500.0,
+        location: Some((1, 4)),
+        sent_ms: 0.25,
+        written_ms: Some(0.5),
+        delivered_ms: Some(12.0),
+        first_token_ms: Some(40.125),
+        ended_ms: 900.75,
+        outcome: how.into(),
+        slow_start: true,
+        cached_tokens: 1_500.0,
         in_flight: Some(3.0),
-        memory: Some(0.625),
+        memory_share: Some(0.625),
     }
 }
 
 /// An attempt with none.
-fn bare_try(stage: Stage, how: &str) -> Try {
-    Try { to: "15".into(), stage, sent: 1.0, ended: 2.0, how: how.into(), ..Try::default() }
+fn bare_try(stage: Stage, how: &str) -> AttemptRecord {
+    AttemptRecord {
+        server: "15".into(),
+        stage,
+        sent_ms: 1.0,
+        ended_ms: 2.0,
+        outcome: how.into(),
+        ..AttemptRecord::default()
+    }
 }
 
 /// A request with every optional figure.
-fn full_story(end: End) -> Story {
-    Story {
+fn full_story(end: RequestOutcome) -> RequestRecord {
+    RequestRecord {
         id: "00ff00ff00ff00ff".into(),
         class: 2,
-        once: true,
+        at_most_once: true,
         tenant: 3,
         session: u64::MAX,
         prefix: Some(7),
-        prompt: 2_000.0,
-        shared: 1_500.0,
-        came: 1_750_000_000_000.0,
-        aim: 1_120.5,
-        worth: 0.1,
-        end,
-        took: 950.0,
-        why: "Shed".into(),
+        prompt_tokens: 2_000.0,
+        prefix_tokens: 1_500.0,
+        arrived_unix_ms: 1_750_000_000_000.0,
+        latency_objective_ms: 1_120.5,
+        priority_weight: 0.1,
+        outcome: end,
+        duration_ms: 950.0,
+        reject_reason: "Shed".into(),
         releases: vec![
             Release { held: 10.0, ordered: 20.5, done: Some(31.0) },
             Release { held: 40.0, ordered: 41.0, done: None },
         ],
-        tries: vec![full_try(Stage::Read, "Read"), full_try(Stage::Run, "Served")],
+        attempts: vec![full_try(Stage::Read, "Read"), full_try(Stage::Run, "Served")],
     }
 }
 
 /// A request with none.
-fn bare_story(end: End) -> Story {
-    Story { id: "a".into(), session: 1, end, ..Story::default() }
+fn bare_story(end: RequestOutcome) -> RequestRecord {
+    RequestRecord { id: "a".into(), session: 1, outcome: end, ..RequestRecord::default() }
 }
 
 /// One request for each end, reason, and outcome at each stage, with and without what may be absent.
-fn stories() -> Vec<Story> {
+fn stories() -> Vec<RequestRecord> {
     let by_end = ENDS.iter().flat_map(|end| [bare_story(*end), full_story(*end)]);
-    let by_reason = REASONS.iter().map(|why| Story { why: (*why).into(), ..bare_story(End::Refused) });
+    let by_reason = REASONS
+        .iter()
+        .map(|why| RequestRecord { reject_reason: (*why).into(), ..bare_story(RequestOutcome::Refused) });
     let by_outcome = OUTCOMES.iter().flat_map(|how| {
-        STAGES.map(|stage| Story {
-            tries: vec![bare_try(stage, how), full_try(stage, how)],
-            ..bare_story(End::Failed)
+        STAGES.map(|stage| RequestRecord {
+            attempts: vec![bare_try(stage, how), full_try(stage, how)],
+            ..bare_story(RequestOutcome::Failed)
         })
     });
     by_end.chain(by_reason).chain(by_outcome).collect()
@@ -111,13 +126,13 @@
 /// Guards logs that are older than the program that reads them: what is written stays, to the byte.
 #[test]
 fn each_variety_of_request_is_written_as_it_was() {
-    let written: Vec<String> = stories().iter().map(|story| format!("{WORD}{story}")).collect();
+    let written: Vec<String> = stories().iter().map(|story| format!("{LINE_PREFIX}{story}")).collect();
     assert_eq!(written, REQUESTS.lines().collect::<Vec<_>>());
 }
 
 #[test]
 fn each_stored_request_is_read_as_what_was_written() {
-    let read: Vec<Option<Story>> = REQUESTS.lines().map(Story::of_line).collect();
+    let read: Vec<Option<RequestRecord>> = REQUESTS.lines().map(RequestRecord::parse_line).collect();
     assert_eq!(read, stories().into_iter().map(Some).collect::<Vec<_>>());
 }
 
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -4,18 +4,18 @@
 //! What runs in the gateway is what the explorer explores: `gateway/src/core` drives [`request`], the gate of
 //! each client's connection drives [`client`], the engine drives [`server`]. Each transition table is one
 //! `match` in one place, and `docs/lifecycle.md` has it beside the rule that it guards. An input that cannot
-//! come in a state is an [`Impossible`], never a panic, and changes nothing.
+//! come in a state is an [`InvalidTransition`], never a panic, and changes nothing.
 //!
 //! ```
 //! use glenrail_request_lifecycle::request::*;
 //!
 //! let mut out = Vec::new();
-//! let mut request = Request::new(Terms { repeat: Repeat::Never, most: 5, cancel: true }, &mut out);
-//! request.step(Input::Send { server: 1, stage: Stage::Run, may: true }, &mut out)?;
-//! request.step(Input::Replied { attempt: 0, reply: Reply::Begins }, &mut out)?;
-//! request.step(Input::StreamEnded { attempt: 0, end: StreamEnd::Whole }, &mut out)?;
-//! assert!(request.over());
-//! # Ok::<(), glenrail_request_lifecycle::Impossible>(())
+//! let mut request = Request::new(RequestPolicy { retry_safety: RetrySafety::AtMostOnce, max_attempts: 5, cancellation: true }, &mut out);
+//! request.step(Input::Send { server: 1, stage: Stage::Execute, permitted: true }, &mut out)?;
+//! request.step(Input::Replied { attempt: 0, reply: Reply::FirstEvent }, &mut out)?;
+//! request.step(Input::StreamEnded { attempt: 0, end: StreamEnd::Complete }, &mut out)?;
+//! assert!(request.is_finished());
+//! # Ok::<(), glenrail_request_lifecycle::InvalidTransition>(())
 //! ```
 
 pub mod client;
--- a/crates/request-lifecycle/src/request/words.rs
+++ b/crates/request-lifecycle/src/request/words.rs
@@ -359,10 +359,13 @@
 /// What a request is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestPolicy {
+    #[serde(rename = "repeat")]
     pub retry_safety: RetrySafety,
     /// Most attempts.
+    #[serde(rename = "most")]
     pub max_attempts: usize,
     /// Whether the deployment lets an attempt be called back of which nobody wants the answer any more.
+    #[serde(rename = "cancel")]
     pub cancellation: bool,
 }
 
--- a/tests/stored_state.rs
+++ b/crates/router/tests/stored_state.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::*;
-use deckhub::*;
+use glenrail_router::*;
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/router-state-form-1.bin");
 const MIXED: u64 = 31;
@@ -31,14 +31,14 @@
 fn serve(rig: &mut Rig, id: u64, attempt: u32, server: u64) {
     let (of, server_id) = (RequestId(id), ServerId(server));
     rig.give(Event::FirstToken { id: of, attempt, server: server_id, elapsed: 40.0 });
-    rig.outcome(id, attempt, server, Status::Served);
+    rig.outcome(id, attempt, server, AttemptStatus::Served);
 }
 
 /// A reader, then a writer.
 fn split(rig: &mut Rig, id: u64) {
     let reader = rig.read_at(nth(id));
     rig.now += 50.0;
-    let read = rig.outcome_with(id, 0, reader, Status::Read, 500.0, Some(0.25));
+    let read = rig.outcome_with(id, 0, reader, AttemptStatus::Prefilled, 500.0, Some(0.25));
     let writer = next(rig, read);
     rig.now += 75.0;
     serve(rig, id, 1, writer);
@@ -57,7 +57,7 @@
     let mut rig = Rig::plain();
     rig.at(1_000.0);
     (0..30).for_each(|id| split(&mut rig, id));
-    rig.give(Event::Members { scope: Scope::Full, members: vec![member(MIXED, 2, 0)] });
+    rig.give(Event::ServerList { update: ListUpdate::Full, servers: vec![member(MIXED, 2, 0)] });
     (30..40).for_each(|id| whole(&mut rig, id));
     rig.now += 250.0;
     rig.timer(1 << 52);
@@ -67,16 +67,16 @@
 /// Guards an upgrade between two builds: what one exports is, to the byte, what the other was built to read.
 #[test]
 fn the_same_script_exports_the_same_bytes() {
-    assert_eq!(words(&script().router.recollect()), words(FIXTURE));
-    assert_eq!(script().router.recollect(), FIXTURE);
+    assert_eq!(words(&script().router.export_state()), words(FIXTURE));
+    assert_eq!(script().router.export_state(), FIXTURE);
 }
 
 /// Guards the reading of what an earlier build exported: nothing is lost, reordered or changed by it.
 #[test]
 fn a_stored_state_that_is_read_is_exported_again_the_same() {
     let mut router = Router::new(3, settings());
-    router.inherit(FIXTURE);
-    assert_eq!(router.recollect(), FIXTURE);
+    router.import_state(FIXTURE);
+    assert_eq!(router.export_state(), FIXTURE);
 }
 
 /// Guards the two tests above against a fixture that tells next to nothing.
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -1,8 +1,10 @@
 //! Recorded traces of a request's machine, and the log lines that the core makes of requests, against fixtures that an
 //! earlier build wrote.
 
-use glenrail_lifecycle::request::{Answer, Reply as Said, Request as Machine, StreamEnd, Timer};
-use glenrail_story::{Story, WORD};
+use glenrail_access_log::{RequestRecord, LINE_PREFIX};
+use glenrail_request_lifecycle::request::{
+    Reply as Said, Request as Machine, ResponseState, StreamEnd, Timer,
+};
 use serde::{Deserialize, Serialize};
 
 use super::super::trace::Told;
@@ -14,22 +16,23 @@
 /// What a machine was fed and what it answered; `fed` is as the explorer's traces have it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Trace {
-    terms: Terms,
+    terms: RequestPolicy,
     fed: Vec<(Input, Vec<Effect>)>,
 }
 
-const FREELY: Terms = Terms { repeat: Repeat::Freely, most: 5, cancel: true };
-const NEVER: Terms = Terms { repeat: Repeat::Never, ..FREELY };
-const KEEPS_CALLS: Terms = Terms { cancel: false, ..FREELY };
+const FREELY: RequestPolicy =
+    RequestPolicy { retry_safety: RetrySafety::Idempotent, max_attempts: 5, cancellation: true };
+const NEVER: RequestPolicy = RequestPolicy { retry_safety: RetrySafety::AtMostOnce, ..FREELY };
+const KEEPS_CALLS: RequestPolicy = RequestPolicy { cancellation: false, ..FREELY };
 
 fn reads() -> Input {
-    Input::Send { server: READERS[0], stage: Stage::Read, may: true }
+    Input::Send { server: READERS[0], stage: Stage::Prefill, permitted: true }
 }
 fn runs() -> Input {
-    Input::Send { server: WRITERS[0], stage: Stage::Run, may: true }
+    Input::Send { server: WRITERS[0], stage: Stage::Execute, permitted: true }
 }
 fn hold() -> Input {
-    Input::Hold { server: WRITERS[1] }
+    Input::ReserveSlot { server: WRITERS[1] }
 }
 fn replied(attempt: usize, reply: Said) -> Input {
     Input::Replied { attempt, reply }
@@ -38,69 +41,84 @@
     Input::StreamEnded { attempt: 0, end }
 }
 const CANCEL: Input = Input::Cancel { attempt: 0 };
-const DROPPED: Input = Input::Dropped { attempt: 0 };
-const FAILED: Input = Input::Answer(Final::Failed);
+const DROPPED: Input = Input::CancelCompleted { attempt: 0 };
+const FAILED: Input = Input::Respond(FinalResponse::Failed);
 
 /// A read and a write, each arrived.
 fn served() -> Vec<Input> {
-    let end = Input::StreamEnded { attempt: 1, end: StreamEnd::Whole };
-    let arrived = Input::Arrived { attempt: 0 };
-    vec![reads(), arrived, replied(0, Said::Read), runs(), replied(1, Said::Begins), end]
+    let end = Input::StreamEnded { attempt: 1, end: StreamEnd::Complete };
+    let arrived = Input::Delivered { attempt: 0 };
+    vec![reads(), arrived, replied(0, Said::Prefilled), runs(), replied(1, Said::FirstEvent), end]
 }
 
 /// A stream for each way in which one ends.
 fn streams() -> impl Iterator<Item = Vec<Input>> {
     let ends = [
-        StreamEnd::Whole,
-        StreamEnd::Moved,
+        StreamEnd::Complete,
+        StreamEnd::HandedOver,
         StreamEnd::Reset,
-        StreamEnd::Spoilt,
-        StreamEnd::Silent,
-        StreamEnd::Untaken,
+        StreamEnd::MalformedResponse,
+        StreamEnd::IdleTimeout,
+        StreamEnd::ClientStalled,
     ];
-    ends.into_iter().map(|end| vec![runs(), replied(0, Said::Begins), stream_ended(end)])
+    ends.into_iter().map(|end| vec![runs(), replied(0, Said::FirstEvent), stream_ended(end)])
 }
 
 /// A write for each reply that ends it before a stream begins and leaves the request open.
 fn write_replies() -> impl Iterator<Item = Vec<Input>> {
-    let replies = [Said::Declined, Said::Error, Said::Connect, Said::Reset, Said::Spoilt, Said::NotSent];
+    let replies = [
+        Said::Rejected,
+        Said::Error,
+        Said::ConnectFailed,
+        Said::Reset,
+        Said::MalformedResponse,
+        Said::NotSent,
+    ];
     replies.into_iter().map(|reply| vec![runs(), replied(0, reply), FAILED])
 }
 
 /// A place asked for beside a read, for each answer of the writer, and one that is given up.
 fn places() -> impl Iterator<Item = Vec<Input>> {
-    let (read, refuse) = (replied(0, Said::Read), Input::Answer(Final::Refused));
+    let (read, refuse) = (replied(0, Said::Prefilled), Input::Respond(FinalResponse::Rejected));
     let answered = move |held| {
-        vec![reads(), hold(), Input::Placed { held }, read, Input::Release, Input::Released, refuse]
+        vec![
+            reads(),
+            hold(),
+            Input::SlotAnswered { reserved: held },
+            read,
+            Input::Release,
+            Input::Released,
+            refuse,
+        ]
     };
-    let given_up = vec![reads(), hold(), Input::ClientGone, DROPPED, Input::Released];
+    let given_up = vec![reads(), hold(), Input::ClientDisconnected, DROPPED, Input::Released];
     [Some(true), Some(false), None].into_iter().map(answered).chain([given_up])
 }
 
 /// Attempts and requests that run out of time, or are called back.
 fn endings() -> Vec<Vec<Input>> {
-    let undelivered = Input::Dropped { attempt: 1 };
-    let (pin, deadline) = (Input::Due(Timer::Pin), Input::Due(Timer::Deadline));
+    let undelivered = Input::CancelCompleted { attempt: 1 };
+    let (pin, deadline) = (Input::TimerExpired(Timer::LeaseLimit), Input::TimerExpired(Timer::Deadline));
     vec![
-        vec![runs(), replied(0, Said::Unfit)],
-        vec![Input::Send { server: 11, stage: Stage::Read, may: false }, FAILED],
+        vec![runs(), replied(0, Said::Unprocessable)],
+        vec![Input::Send { server: 11, stage: Stage::Prefill, permitted: false }, FAILED],
         vec![reads(), CANCEL, DROPPED, Input::Released, FAILED],
         vec![runs(), Input::TimedOut { attempt: 0 }, FAILED],
-        vec![reads(), replied(0, Said::Read), runs(), pin, undelivered, Input::Released, FAILED],
+        vec![reads(), replied(0, Said::Prefilled), runs(), pin, undelivered, Input::Released, FAILED],
         vec![deadline],
     ]
 }
 
-fn script() -> Vec<(Terms, Vec<Input>)> {
+fn script() -> Vec<(RequestPolicy, Vec<Input>)> {
     let all = [served()].into_iter().chain(streams()).chain(write_replies()).chain(places());
     let freely = all.chain(endings()).map(|inputs| (FREELY, inputs));
-    let refuse = Input::Answer(Final::Refused);
+    let refuse = Input::Respond(FinalResponse::Rejected);
     let not_again = (NEVER, vec![runs(), replied(0, Said::Reset), runs(), refuse]);
-    let left = (KEEPS_CALLS, vec![runs(), Input::ClientGone, replied(0, Said::Error)]);
+    let left = (KEEPS_CALLS, vec![runs(), Input::ClientDisconnected, replied(0, Said::Error)]);
     freely.chain([not_again, left]).collect()
 }
 
-fn play(terms: Terms, inputs: &[Input]) -> (Machine, Trace) {
+fn play(terms: RequestPolicy, inputs: &[Input]) -> (Machine, Trace) {
     let mut machine = Machine::new(terms, &mut Vec::new());
     let step = |input: &Input| {
         let mut effects = Vec::new();
@@ -130,7 +148,7 @@
         let trace: Trace = serde_json::from_str(line).expect("a trace");
         let inputs: Vec<Input> = trace.fed.iter().map(|fed| fed.0).collect();
         let (machine, replayed) = play(trace.terms, &inputs);
-        assert!(machine.over(), "{line}");
+        assert!(machine.is_finished(), "{line}");
         assert_eq!(replayed, trace);
         assert_eq!(written(&trace), line);
     }
@@ -156,31 +174,31 @@
     assert!(releases.iter().all(|release| TRACES.contains(release)));
 }
 
-const STATUSES: [Status; 11] = [
-    Status::Served,
-    Status::Read,
-    Status::Error,
-    Status::Full,
-    Status::Timeout,
-    Status::ConnectFailed,
-    Status::Reset,
-    Status::Spoilt,
-    Status::Cancelled,
-    Status::Undelivered,
-    Status::NotSent,
+const STATUSES: [AttemptStatus; 11] = [
+    AttemptStatus::Served,
+    AttemptStatus::Prefilled,
+    AttemptStatus::Error,
+    AttemptStatus::Rejected,
+    AttemptStatus::Timeout,
+    AttemptStatus::ConnectFailed,
+    AttemptStatus::Reset,
+    AttemptStatus::MalformedResponse,
+    AttemptStatus::Cancelled,
+    AttemptStatus::Undelivered,
+    AttemptStatus::NotSent,
 ];
-const REASONS: [Reason; 7] = [
-    Reason::UnknownClass,
-    Reason::Shed,
-    Reason::NoServer,
-    Reason::AttemptsSpent,
-    Reason::RetryBudget,
-    Reason::MayHaveRun,
-    Reason::OutOfTime,
+const REASONS: [RejectReason; 7] = [
+    RejectReason::UnknownClass,
+    RejectReason::LoadShed,
+    RejectReason::NoServerAvailable,
+    RejectReason::AttemptsExhausted,
+    RejectReason::RetryBudgetExhausted,
+    RejectReason::MayHaveRun,
+    RejectReason::DeadlineExceeded,
 ];
 
 fn begun(class: u32) -> Told {
-    let ask = deckhub::Request {
+    let ask = glenrail_router::Request {
         id: RequestId(1),
         class,
         tenant: 2,
@@ -188,44 +206,45 @@
         prefix: Some(7),
         prompt_tokens: 2_000.0,
         prefix_tokens: 1_500.0,
-        ..deckhub::Request::default()
+        ..glenrail_router::Request::default()
     };
     Told::new(&ask, "00ff00ff00ff00ff", &settings(), 1_000.0, 1_750_000_000_000.25)
 }
 
 /// A read of which all is told, and a write of which nothing is.
-fn line_of_status(status: Status, machine: &Machine) -> Story {
+fn line_of_status(status: AttemptStatus, machine: &Machine) -> RequestRecord {
     let mut told = begun(1);
-    told.sent(READERS[0], Stage::Read, Some((1, 4)), true, 1_000.25);
+    told.sent(READERS[0], Stage::Prefill, Some((1, 4)), true, 1_000.25);
     told.written(0, 1_000.5);
     told.shown_to_arrive(0, 1_012.0);
     told.first(0, 1_040.125);
-    let report = deckhub::Report { in_flight: Some(3.0), memory: Some(0.625), ..Default::default() };
+    let report =
+        glenrail_router::LoadReport { in_flight: Some(3.0), memory_share: Some(0.625), ..Default::default() };
     told.ended(0, status, 1_500.0, Some(report), 1_100.0);
     told.release_ordered(1_100.0, 1_200.5);
     told.release_done(1_240.0);
-    told.sent(WRITERS[0], Stage::Run, None, false, 1_250.0);
+    told.sent(WRITERS[0], Stage::Execute, None, false, 1_250.0);
     told.ended(1, status, 0.0, None, 1_300.0);
     told.release_ordered(1_300.0, 1_301.0);
     told.closed(1_302.0);
     told.end(machine, 1_400.0)
 }
 
-fn line_of_reason(reason: Reason, machine: &Machine) -> Story {
+fn line_of_reason(reason: RejectReason, machine: &Machine) -> RequestRecord {
     let mut told = begun(0);
     told.why(reason);
-    told.why(Reason::Shed);
+    told.why(RejectReason::LoadShed);
     told.end(machine, 1_050.0)
 }
 
 /// One line for each outcome of an attempt, each reason, and each way in which a request ends.
 fn lines() -> Vec<String> {
-    let (refused, _) = play(FREELY, &[Input::Answer(Final::Refused)]);
-    assert_eq!(refused.answer(), Answer::Given(Final::Refused));
+    let (refused, _) = play(FREELY, &[Input::Respond(FinalResponse::Rejected)]);
+    assert_eq!(refused.response(), ResponseState::Final(FinalResponse::Rejected));
     let by_status = STATUSES.iter().map(|status| line_of_status(*status, &refused));
     let by_reason = REASONS.iter().map(|reason| line_of_reason(*reason, &refused));
     let by_end = script().into_iter().map(|(terms, inputs)| begun(2).end(&play(terms, &inputs).0, 1_500.0));
-    by_status.chain(by_reason).chain(by_end).map(|story| format!("{WORD}{story}")).collect()
+    by_status.chain(by_reason).chain(by_end).map(|story| format!("{LINE_PREFIX}{story}")).collect()
 }
 
 /// Guards the log against a type that is called otherwise: outcomes, reasons and ends keep their words in it.
@@ -241,7 +260,7 @@
 #[test]
 fn a_stored_log_line_is_read_and_written_again_the_same() {
     for line in LINES.lines() {
-        let story = Story::of_line(line).expect("a story");
-        assert_eq!(format!("{WORD}{story}"), line);
+        let story = RequestRecord::parse_line(line).expect("a story");
+        assert_eq!(format!("{LINE_PREFIX}{story}"), line);
     }
 }
