--- a/gateway/src/upgrade.rs
+++ b/gateway/src/upgrade.rs
@@ -355,6 +355,7 @@
 
 #[cfg(test)]
 mod tests {
+    mod wire_format;
     use super::*;
 
     /// Guards the upgrade from where `$TMPDIR` lies: a path may be longer than a socket's address holds. A file that a
--- /dev/null
+++ b/gateway/src/upgrade/tests/wire_format.rs
@@ -0,0 +1,301 @@
+//! The messages that two processes exchange in an upgrade, compared with those that an earlier build sent: in an update
+//! the old build hands over to the new one.
+
+use std::io::{Read, Write};
+use std::net::{Shutdown as Close, SocketAddr};
+use std::os::unix::net as blocking;
+use std::time::Instant;
+
+use super::*;
+
+const MESSAGES: &str = include_str!("../../../tests/fixtures/upgrade_messages.txt");
+/// The name of the socket in the state directory.
+const SOCKET: &str = "handover";
+/// What the router has learned is opaque to the messages.
+const STATE: [u8; 16] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
+const AHEAD: &[u8] = b"1a\r\nabc";
+const CLASS: &str = "interactive";
+/// A test that waits longer than this has failed.
+const LIMIT: Duration = Duration::from_secs(10);
+
+/// What goes with a client's connection that has a stream under way: bytes read ahead, and the class.
+type Stream = (&'static [u8], Option<&'static str>);
+
+/// The recorded messages that hand a client's connection over, each with its front.
+const CONNECTIONS: [(&str, u8, Option<Stream>); 5] = [
+    ("connection at rest, first front", PLATFORM, None),
+    ("connection at rest, second front", SECOND, None),
+    ("stream, first front", PLATFORM, Some((AHEAD, Some(CLASS)))),
+    ("stream, second front", SECOND, Some((AHEAD, Some(CLASS)))),
+    ("stream, nothing read ahead, no class", PLATFORM, Some((b"", None))),
+];
+
+/// The number of descriptors and the bytes of a recorded message.
+fn recorded(name: &str) -> (usize, Vec<u8>) {
+    let fields = |line: &'static str| line.split(" | ").collect::<Vec<_>>();
+    let fields = MESSAGES.lines().map(fields).find(|f| f[0] == name).expect("a recorded message");
+    let byte = |at| u8::from_str_radix(&fields[2][at..at + 2], 16).expect("hexadecimal digits");
+    (fields[1].parse().expect("a number"), (0..fields[2].len()).step_by(2).map(byte).collect())
+}
+
+/// The other process of an upgrade, which knows the recorded messages only.
+struct Peer(blocking::UnixStream);
+
+impl Peer {
+    fn new(stream: blocking::UnixStream) -> Peer {
+        stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
+        Peer(stream)
+    }
+
+    /// Connects as soon as the first process listens.
+    fn connect(state: &Path) -> Peer {
+        let (path, _open) = near(state, SOCKET).expect("a path");
+        let began = Instant::now();
+        loop {
+            match blocking::UnixStream::connect(&path) {
+                Ok(stream) => return Peer::new(stream),
+                Err(e) => assert!(began.elapsed() < LIMIT, "nobody listens: {e}"),
+            }
+            std::thread::sleep(Duration::from_millis(1));
+        }
+    }
+
+    /// Waits for a process that asks to take over.
+    fn accept(socket: &blocking::UnixListener) -> Peer {
+        socket.set_nonblocking(true).expect("not blocking");
+        let began = Instant::now();
+        loop {
+            match socket.accept() {
+                Ok((stream, _)) => {
+                    stream.set_nonblocking(false).expect("blocking");
+                    return Peer::new(stream);
+                }
+                Err(e) => assert!(began.elapsed() < LIMIT, "nobody asks: {e}"),
+            }
+            std::thread::sleep(Duration::from_millis(1));
+        }
+    }
+
+    /// Reads the first bytes that are there, and the descriptors that come along with them.
+    fn read(&self, bytes: &mut [u8]) -> (usize, Vec<OwnedFd>) {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
+        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let mut bytes = [IoSliceMut::new(bytes)];
+        let got = recvmsg(&self.0, &mut bytes, &mut control, RecvFlags::CMSG_CLOEXEC).expect("a message");
+        let descriptors = control.drain().flat_map(|message| match message {
+            RecvAncillaryMessage::ScmRights(descriptors) => descriptors.collect::<Vec<_>>(),
+            _ => Vec::new(),
+        });
+        (got.bytes, descriptors.collect())
+    }
+
+    /// Reads a message, which must be the recorded one, and gives out its descriptors.
+    fn expect(&self, name: &str) -> Vec<OwnedFd> {
+        let (count, bytes) = recorded(name);
+        let mut got = vec![0; bytes.len()];
+        let (mut size, descriptors) = self.read(&mut got[..1]);
+        assert_eq!((size, descriptors.len()), (1, count), "{name}");
+        while size < got.len() {
+            let (more, late) = self.read(&mut got[size..]);
+            assert!(more > 0 && late.is_empty(), "{name}: {more} bytes, {} late descriptors", late.len());
+            size += more;
+        }
+        assert_eq!(got, bytes, "{name}");
+        descriptors
+    }
+
+    /// Sends a recorded message with these descriptors.
+    fn send(&self, name: &str, descriptors: &[BorrowedFd<'_>]) {
+        let (count, bytes) = recorded(name);
+        assert_eq!(descriptors.len(), count, "{name}");
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        if count > 0 {
+            assert!(control.push(SendAncillaryMessage::ScmRights(descriptors)));
+        }
+        let first = [IoSlice::new(&bytes[..1])];
+        assert_eq!(sendmsg(&self.0, &first, &mut control, SendFlags::NOSIGNAL).expect("sent"), 1);
+        (&self.0).write_all(&bytes[1..]).expect("sent");
+    }
+
+    /// Ends, and finds that nothing more was sent.
+    fn end(mut self) {
+        self.0.shutdown(Close::Write).expect("closed");
+        let mut rest = Vec::new();
+        self.0.read_to_end(&mut rest).expect("the end");
+        assert!(rest.is_empty(), "{rest:x?}");
+    }
+}
+
+/// By its two addresses a connection is known again.
+type Ends = (SocketAddr, SocketAddr);
+
+fn ends(socket: &TcpStream) -> Ends {
+    (socket.local_addr().expect("an address"), socket.peer_addr().expect("an address"))
+}
+
+fn listener() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    (listener, address)
+}
+
+/// Both ends of a connection.
+fn connection() -> [TcpStream; 2] {
+    let (listener, address) = listener();
+    let near = TcpStream::connect(address).expect("a connection");
+    [near, listener.accept().expect("a connection").0]
+}
+
+/// A state directory of one test's own.
+fn state(name: &str) -> PathBuf {
+    let state = std::env::temp_dir().join(format!("glenrail-wire-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&state);
+    std::fs::create_dir_all(&state).expect("a directory");
+    state
+}
+
+fn share() -> Share {
+    let slots = Arc::new(Semaphore::new(10));
+    Share { slots, connections: 10, budget: Budget::new(100), bodies: 100 }
+}
+
+/// A client's connection and its server's for each of `CONNECTIONS`, with the far ends.
+fn sockets() -> Vec<[[TcpStream; 2]; 2]> {
+    CONNECTIONS.iter().map(|_| [connection(), connection()]).collect()
+}
+
+/// Hands the connections over once the other process has taken over.
+async fn give(sockets: Vec<[TcpStream; 2]>, shutdown: &Shutdown) {
+    let mut heirs = shutdown.heirs();
+    let heir = heirs.wait_for(Option::is_some).await.expect("an heir").clone().expect("an heir");
+    for ((_, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sockets) {
+        let moved = |(ahead, class): Stream| Moved {
+            rest: Rest { socket: server, ahead: ahead.to_vec() },
+            class: class.map(String::from),
+        };
+        let handed = Handed { front, socket: client, stream: stream.map(moved), guard: shutdown.guard() };
+        assert!(heir.send(handed).is_ok());
+    }
+}
+
+/// What a second process receives, as recorded: the listeners, the learned state and the connections.
+fn receive_all(peer: Peer, listeners: [SocketAddr; FRONTS], learned: &str, connections: &[[Ends; 2]]) {
+    for (name, address) in ["listener, first front", "listener, second front"].into_iter().zip(listeners) {
+        let got =
+            peer.expect(name).into_iter().map(|l| TcpListener::from(l).local_addr().expect("an address"));
+        assert_eq!(got.collect::<Vec<_>>(), [address], "{name}");
+    }
+    peer.expect("all listeners sent");
+    peer.send("serving", &[]);
+    peer.expect(learned);
+    for ((name, ..), sent) in CONNECTIONS.iter().zip(connections) {
+        let got: Vec<Ends> = peer.expect(name).into_iter().map(|s| ends(&TcpStream::from(s))).collect();
+        assert_eq!(got, sent[..got.len()], "{name}");
+    }
+    peer.end();
+}
+
+/// Runs the first process of an upgrade against a peer that expects what is recorded.
+async fn first_process(name: &str, learned: &'static [u8], recorded: &'static str) {
+    let (state, shutdown) = (state(name), Shutdown::default());
+    let ((first, first_at), (second, second_at)) = (listener(), listener());
+    let listeners = vec![(PLATFORM, OwnedFd::from(first)), (SECOND, OwnedFd::from(second))];
+    let (inboxes, _inboxes) = Inboxes::new();
+    let learned = Learned { give: Rc::new(|| learned.to_vec()), take: Rc::new(|_| {}) };
+    let (near, _far): (Vec<_>, Vec<_>) =
+        sockets().into_iter().map(|[[c, c_far], [s, s_far]]| ([c, s], [c_far, s_far])).unzip();
+    let connections: Vec<[Ends; 2]> = near.iter().map(|pair| pair.each_ref().map(ends)).collect();
+    let place = state.clone();
+    let peer = tokio::task::spawn_blocking(move || {
+        receive_all(Peer::connect(&place), [first_at, second_at], recorded, &connections);
+    });
+    let handing = hand_over(state.clone(), listeners, inboxes, learned, shutdown.clone(), share());
+    let giving = async {
+        give(near, &shutdown).await;
+        std::future::pending::<()>().await;
+    };
+    tokio::select! {
+        () = handing => panic!("it hands over for as long as it runs"),
+        () = giving => {}
+        checked = peer => checked.expect("all is as recorded"),
+    }
+    std::fs::remove_dir_all(state).expect("removed");
+}
+
+/// Guards the second process, of an earlier build: a first process sends it the recorded messages and no others.
+#[tokio::test]
+async fn the_first_process_sends_the_recorded_messages() {
+    first_process("sent", &STATE, "learned state").await;
+    first_process("sent-unlearned", &[], "no learned state").await;
+}
+
+/// Guards the first process's listeners, of an earlier build: the recorded messages hand each of them over.
+#[tokio::test]
+async fn the_second_process_reads_the_recorded_listeners() {
+    let state = state("listeners");
+    let (path, _open) = near(&state, SOCKET).expect("a path");
+    let socket = blocking::UnixListener::bind(path).expect("a socket");
+    let ((first, first_at), (second, second_at)) = (listener(), listener());
+    let peer = tokio::task::spawn_blocking(move || {
+        let peer = Peer::accept(&socket);
+        peer.send("listener, first front", &[first.as_fd()]);
+        peer.send("listener, second front", &[second.as_fd()]);
+        peer.send("all listeners sent", &[]);
+        peer.end();
+    });
+    let estate = inherit(&state).await.expect("another process");
+    let at = estate.listeners.map(|l| l.expect("a listener").local_addr().expect("an address"));
+    assert_eq!(at, [first_at, second_at]);
+    drop(estate.link);
+    peer.await.expect("nothing is sent before the second process serves");
+    std::fs::remove_dir_all(state).expect("removed");
+}
+
+/// The link of a second process, and the first process at its other end.
+fn linked() -> (Link, Peer) {
+    let (ours, theirs) = blocking::UnixStream::pair().expect("a pair");
+    ours.set_nonblocking(true).expect("not blocking");
+    (Link(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
+}
+
+/// What a connection that came in is, in the terms of `CONNECTIONS`.
+type Arrived = (Ends, Option<(Ends, Vec<u8>, Option<String>)>);
+
+fn arrived(inbox: &mut Inbox) -> Arrived {
+    let (client, stream) = inbox.try_recv().expect("a connection");
+    let stream = stream.map(|moved| (ends(&moved.rest.socket), moved.rest.ahead, moved.class));
+    (ends(&client), stream)
+}
+
+/// Guards clients that an earlier build hands over: the recorded messages are read as the values that they stand for,
+/// and answered as recorded.
+#[tokio::test]
+async fn the_second_process_reads_the_recorded_messages() {
+    let ((link, peer), sockets) = (linked(), sockets());
+    let sent: Vec<[Ends; 2]> = sockets.iter().map(|[[c, _], [s, _]]| [ends(c), ends(s)]).collect();
+    let peer = tokio::task::spawn_blocking(move || {
+        peer.expect("serving");
+        peer.send("learned state", &[]);
+        for ((name, ..), [[client, _], [server, _]]) in CONNECTIONS.iter().zip(&sockets) {
+            peer.send(name, &[client.as_fd(), server.as_fd()][..recorded(name).0]);
+        }
+        peer.send("no learned state", &[]);
+        peer.end();
+    });
+    let (inboxes, mut inbox) = Inboxes::new();
+    let taken = Rc::new(std::cell::RefCell::new(Vec::new()));
+    let take = {
+        let taken = taken.clone();
+        Rc::new(move |bytes: &[u8]| taken.borrow_mut().push(bytes.to_vec()))
+    };
+    let learned = Learned { give: Rc::new(Vec::new), take };
+    take_over(link, inboxes, learned, Shutdown::default(), share().halve()).await;
+    peer.await.expect("all is as recorded");
+    assert_eq!(*taken.borrow(), [STATE.to_vec(), Vec::new()]);
+    for ((name, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sent) {
+        let stream = stream.map(|(ahead, class)| (server, ahead.to_vec(), class.map(String::from)));
+        assert_eq!(arrived(&mut inbox[usize::from(front)]), (client, stream), "{name}");
+    }
+    assert!(inbox.iter_mut().all(|inbox| inbox.try_recv().is_err()), "nothing else has come");
+}
