--- a/gateway/tests/learned_state.rs
+++ b/gateway/tests/learned_state.rs
@@ -1,12 +1,12 @@
 //! What a router has learned, as the bytes that one process of an upgrade sends to the other, compared with those that an
 //! earlier build wrote.
 
-use deckhub::*;
+use glenrail_router::*;
 use serde_json::json;
 
 const RECORDED: &[u8] = include_bytes!("fixtures/learned_state.bin");
 /// By the time that a test's router takes the bytes in, its clock shows this.
-const NOW: Ms = 10_000.0;
+const NOW: Millis = 10_000.0;
 
 /// A field of the bytes, eight of them each.
 #[derive(Clone, Copy)]
@@ -62,7 +62,7 @@
 ];
 
 /// The bytes of the fields so long after they were recorded.
-fn bytes(later: Ms) -> Vec<u8> {
+fn bytes(later: Millis) -> Vec<u8> {
     let word = |field: Field| match field {
         Word(word) => word,
         Number(number) => number.to_bits(),
@@ -72,8 +72,8 @@
 }
 
 /// Has the router's clock show this.
-fn advance(router: &mut Router, now: Ms) {
-    router.handle(now, Event::Members { scope: Scope::Delta, members: Vec::new() }, &mut Vec::new());
+fn advance(router: &mut Router, now: Millis) {
+    router.handle(now, Event::ServerList { update: ListUpdate::Delta, servers: Vec::new() }, &mut Vec::new());
 }
 
 fn router() -> Router {
@@ -88,18 +88,18 @@
 #[test]
 fn a_router_writes_the_recorded_bytes() {
     let mut router = router();
-    router.inherit(&bytes(0.0));
-    assert_eq!(router.recollect(), RECORDED);
+    router.import_state(&bytes(0.0));
+    assert_eq!(router.export_state(), RECORDED);
 }
 
 /// Guards the reading: the recorded bytes give a router the fields' values, of which the times are ages and grow.
 #[test]
 fn the_recorded_bytes_are_read_as_the_same_values() {
     let mut router = router();
-    router.inherit(RECORDED);
-    assert_eq!(router.recollect(), bytes(0.0));
+    router.import_state(RECORDED);
+    assert_eq!(router.export_state(), bytes(0.0));
     advance(&mut router, NOW + 250.0);
-    assert_eq!(router.recollect(), bytes(250.0));
+    assert_eq!(router.export_state(), bytes(250.0));
 }
 
 /// Guards a router that has learned nothing yet: it writes the form and zeros, and no homes.
@@ -111,5 +111,5 @@
     for carried in 0..3 {
         expected[8 * (4 + 4 * carried)..][..8].copy_from_slice(&NOW.to_bits().to_le_bytes());
     }
-    assert_eq!(router().recollect(), expected);
+    assert_eq!(router().export_state(), expected);
 }
--- a/gateway/tests/order_files.rs
+++ b/gateway/tests/order_files.rs
@@ -9,7 +9,7 @@
 
 use common::gateway::*;
 use common::*;
-use deckhub::Scope;
+use glenrail_router::ListUpdate;
 use glenrail::discovery::List;
 use glenrail::engine::Engine;
 use glenrail::rotation::{Denied, Orders, Rotation};
@@ -80,7 +80,7 @@
         let stand_in = StandIn::start(|_, _| read()).await;
         let (g, state) = (gateway(&[], &[], None, 1).await, empty_state("written"));
         let rotation = rotation(&g, &state);
-        rotation.take(&list(&ORDERED, &stand_in), Scope::Full);
+        rotation.take(&list(&ORDERED, &stand_in), ListUpdate::Full);
         for id in ORDERED {
             assert_eq!(rotation.offline(id), Ok(()), "{id}");
         }
@@ -115,7 +115,7 @@
         let stand_in = StandIn::start(|_, _| read()).await;
         let (g, state) = (gateway(&[], &[], None, 1).await, copied_state("held"));
         let rotation = rotation(&g, &state);
-        rotation.take(&list(&[&ORDERED[..], &["server-2"]].concat(), &stand_in), Scope::Full);
+        rotation.take(&list(&[&ORDERED[..], &["server-2"]].concat(), &stand_in), ListUpdate::Full);
         assert_eq!((rotation.listed(), g.pool.core.avoided()), (ORDERED.len() + 1, ORDERED.len()));
         std::fs::remove_dir_all(state).expect("removed");
     });
