--- a/crates/request-lifecycle/src/request/mod.rs
+++ b/crates/request-lifecycle/src/request/mod.rs
@@ -6,11 +6,11 @@
 //! trusts neither: an order that would break a rule is answered with [`Status::NotSent`] and carried out by
 //! nobody, whatever the router or a plug-in believes.
 
-mod words;
+mod messages;
 
 use serde::{Deserialize, Serialize};
 
-pub use self::words::*;
+pub use self::messages::*;
 use crate::InvalidTransition;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/gateway/src/ops.rs
+++ b/gateway/src/admin.rs
@@ -9,12 +9,12 @@
 use serde_json::{json, Map, Value};
 
 use crate::core::Upstream;
-use crate::counters::{Counters, Counts, Tally};
 use crate::fleet;
 use crate::front::{response, Body, Front};
 use crate::invariants;
+use crate::maintenance::{Denied, Rotation};
+use crate::metrics::{Counters, Counts, Tally};
 use crate::pools::Pool;
-use crate::rotation::{Denied, Rotation};
 use crate::shutdown::Shutdown;
 
 /// Connections of operators where there are descriptors enough; where more come, the one that has been silent longest gives
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -9,8 +9,8 @@
 use serde_json::Value;
 
 use super::{error, read, Error};
+use crate::admin::CONNECTIONS;
 use crate::front::server::REFUSING;
-use crate::ops::CONNECTIONS;
 
 /// Descriptors of the process's own: standard streams, the runtime's, signals', listeners and their copies for a second
 /// process (17 are open with both fronts), the call of discovery and the one after it, the fleet's, a file being read.
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -7,11 +7,11 @@
 mod attempt;
 mod clock;
 mod effects;
-mod follow_up;
-mod job;
-mod passing;
+mod forwarding;
+mod orphaned_state;
+mod request_record;
+mod request_state;
 mod timers;
-mod trace;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -37,11 +37,11 @@
 use crate::upstream::{Call, Failed, Frame, Reply};
 
 pub use clock::{duration, Clock};
-use job::{Job, Sent};
-pub use passing::resume;
-use passing::{pass, rest, Passed};
+pub use forwarding::resume;
+use forwarding::{pass, rest, Passed};
+use request_record::Told;
+use request_state::{Job, Sent};
 use timers::{Due, Timers};
-use trace::Told;
 
 /// Pause before letting go of what a cut read may have left, so that the server has seen the cut by then.
 const AFTER_CUT: Duration = Duration::from_millis(25);
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use super::super::trace::Told;
+use super::super::request_record::Told;
 use super::*;
 
 const TRACES: &str = include_str!("fixtures/machine-traces.jsonl");
--- a/gateway/src/daemon.rs
+++ b/gateway/src/daemon/mod.rs
@@ -18,20 +18,20 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
+use crate::admin::{Desk, Ops};
 use crate::budget::Budget;
 use crate::config::{self, Bounds, Files};
 use crate::core::duration;
-use crate::counters::Counters;
 use crate::discovery::{self, List, Names, Tally};
 use crate::engine::Limits;
 use crate::fleet::{self, FleetError, Start};
 use crate::front::server::{self, Door};
 use crate::front::{inference, platform};
 use crate::log;
-use crate::ops::{Desk, Ops};
+use crate::maintenance::{Orders, Rotation};
+use crate::metrics::Counters;
 use crate::plugin::Plugin;
 use crate::pools::{PlatformChat, Pool, Second};
-use crate::rotation::{Orders, Rotation};
 use crate::shutdown::{self, Phase, Shutdown};
 use crate::upgrade::{self, Inboxes, Learned, Share};
 
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -18,10 +18,10 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::{spawn_local, AbortHandle};
 
-use super::inlet::{Gate, Inlet, Tap};
+use super::response_reader::{Gate, Inlet, Tap};
+use crate::counted_socket::Wire;
 use crate::exchange::Rest;
 use crate::log;
-use crate::wire::Wire;
 
 /// Most bytes read at once, more than the largest head. A piece of a stream is not larger, unless one event is: hyper's own
 /// bound of 400 kB, times the pieces that wait for a slow client, was 7 MB a stream.
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -3,14 +3,14 @@
 //! Every call is written once. A connection that proves dead before a byte was written is replaced; nothing else
 //! is ever sent again here, because whether to repeat is the module's decision.
 
-mod confirm;
 mod connection;
+mod endpoints;
 mod events;
-mod inlet;
-mod places;
+mod liveness;
 mod release;
 mod reply;
 mod requests;
+mod response_reader;
 mod resume;
 mod stream;
 
@@ -34,11 +34,11 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tower::Service;
 
-use self::confirm::Unconfirmed;
 use self::connection::{Connection, Peer, Verdict};
+pub use self::endpoints::Address;
+use self::endpoints::Places;
 use self::events::Events;
-pub use self::places::Address;
-use self::places::Places;
+use self::liveness::Unconfirmed;
 use self::reply::Tail;
 use self::requests::{attempt_request, lease_request, load_request, tell_left};
 use self::stream::{broken, Next, Stream};
--- a/gateway/src/engine/inlet.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -14,8 +14,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Sleep};
 
-use crate::chunks::Chunks;
-use crate::wire::Wire;
+use crate::chunk_position::Chunks;
+use crate::counted_socket::Wire;
 
 /// Most bytes of a head, and of all interim answers in front of it.
 const HEAD: usize = 16 << 10;
--- a/gateway/src/engine/resume.rs
+++ b/gateway/src/engine/resume.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{watch, OwnedSemaphorePermit};
 
 use super::events::{Events, Spoilt};
-use crate::chunks::Chunks;
+use crate::chunk_position::Chunks;
 use crate::exchange::Rest;
 use crate::upstream::{Failed, Frame};
 
--- a/gateway/src/engine/stream.rs
+++ b/gateway/src/engine/stream.rs
@@ -10,8 +10,8 @@
 use tokio::sync::watch;
 
 use super::events::{Events, Spoilt};
-use super::inlet::Tap;
 use super::reply::Tail;
+use super::response_reader::Tap;
 use crate::upstream::Failed;
 
 /// A stream of events that is coming in.
--- a/gateway/src/front/crowd.rs
+++ b/gateway/src/front/connection_table.rs
@@ -7,7 +7,7 @@
 use glenrail_request_lifecycle::client::{Effect, Input};
 use tokio::task::yield_now;
 
-use super::connection::Watch;
+use super::connection_watch::Watch;
 
 /// So many connections are looked into for one that gives way. A socket with a request unread is read in the next
 /// turn, so more of them than this at a time are hardly met.
--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection_watch.rs
@@ -12,9 +12,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use crate::handed::Moved;
+use crate::counted_socket::{ended, holds_unread, Wire};
 use crate::log;
-use crate::wire::{ended, holds_unread, Wire};
+use crate::upgrade::transferred::Moved;
 
 pub use glenrail_request_lifecycle::client::Stage;
 
--- a/gateway/src/front/inference.rs
+++ b/gateway/src/front/inference.rs
@@ -20,8 +20,8 @@
 use crate::budget::Budget;
 use crate::config;
 use crate::core::duration;
-use crate::counters::{Counters, Tally};
 use crate::exchange::{self, ClientSide, Failure, Payload, Piece};
+use crate::metrics::{Counters, Tally};
 
 /// Classes of requests to this front's own servers, by which they are counted.
 pub const EMBEDDINGS: &str = "embeddings";
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -1,14 +1,14 @@
 //! The client side: what both fronts share. A front turns its wire into an exchange request and the pieces of
 //! the answer back into its wire; it takes no decision.
 
-mod connection;
-mod crowd;
-mod gate;
+mod connection_table;
+mod connection_watch;
 pub mod inference;
 pub mod platform;
+mod request_reader;
 mod resume;
 pub mod server;
-mod watched;
+mod tracked_body;
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -28,8 +28,8 @@
 use tower::{service_fn, Service};
 
 use crate::budget::Budget;
-use crate::counters::Tally;
 use crate::exchange::{self, ClientSide, Piece, Rest};
+use crate::metrics::Tally;
 
 /// A body must have come by then ...
 const BODY_WAIT: Duration = Duration::from_secs(10);
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -14,8 +14,8 @@
 use super::{collect, decimals, response, Body, BodyError, Entry, Front};
 use crate::budget::Budget;
 use crate::core::duration;
-use crate::counters::{Counters, Tally};
 use crate::exchange::{self, ClientSide, Failure, Payload, Piece};
+use crate::metrics::{Counters, Tally};
 use crate::shutdown::Shutdown;
 
 const CHAT: &str = "/v1/chat/completions";
--- a/gateway/src/front/gate.rs
+++ b/gateway/src/front/request_reader.rs
@@ -9,8 +9,8 @@
 use glenrail_request_lifecycle::client::{Framing, Input};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use super::connection::{Stage, Watch};
-use crate::wire::Wire;
+use super::connection_watch::{Stage, Watch};
+use crate::counted_socket::Wire;
 
 /// Most bytes of a head, and of what a client sends ahead of its answer.
 pub const HEAD: usize = 16 << 10;
--- a/gateway/src/front/resume/mod.rs
+++ b/gateway/src/front/resume/mod.rs
@@ -3,8 +3,8 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
+use crate::counted_socket::ended;
 use crate::exchange::{ClientSide, Piece, Rest};
-use crate::wire::ended;
 
 /// How the rest of an answer ended.
 pub enum Ended {
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -19,19 +19,19 @@
 use tokio::time::{sleep, timeout, Instant};
 use tower::{service_fn, Service, ServiceExt};
 
-use super::crowd::{Crowd, Over, Place};
-use super::gate::{self, Gate};
+use super::connection_table::{Crowd, Over, Place};
+use super::request_reader::{self, Gate};
 use super::resume::Ended;
-use super::watched::Watched;
+use super::tracked_body::Watched;
 use super::{response, Body, Front};
 use crate::core;
-use crate::counters::{Counters, Outcome, Tally};
-use crate::handed::{Guard, Handed, Moved};
+use crate::counted_socket::{ended, Wire};
 use crate::log;
+use crate::metrics::{Counters, Outcome, Tally};
 use crate::pools::Pool;
 use crate::shutdown::{Phase, Shutdown};
+use crate::upgrade::transferred::{Guard, Handed, Moved};
 use crate::upgrade::{self, Inbox};
-use crate::wire::{ended, Wire};
 
 /// Connections beyond the cap that may at the same time be told to come back later; further ones are closed.
 pub const REFUSING: usize = 24;
@@ -277,7 +277,7 @@
         })
     });
     let connection =
-        http1::Builder::new().header_read_timeout(None).max_buf_size(gate::HEAD).serve_connection(
+        http1::Builder::new().header_read_timeout(None).max_buf_size(request_reader::HEAD).serve_connection(
             TokioIo::new(Gate::new(wire.clone(), place.watch.clone())),
             TowerToHyperService::new(service),
         );
--- a/gateway/src/front/watched.rs
+++ b/gateway/src/front/tracked_body.rs
@@ -8,10 +8,10 @@
 use bytes::Bytes;
 use http_body::{Frame, SizeHint};
 
-use super::connection::Watch;
+use super::connection_watch::Watch;
 use super::Body;
-use crate::counters::{Outcome, Tally};
-use crate::handed::Moved;
+use crate::metrics::{Outcome, Tally};
+use crate::upgrade::transferred::Moved;
 
 /// The body of an answer, which tells its connection when it is out.
 pub struct Watched {
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -5,26 +5,25 @@
 //!        client side      exchange object      server side
 //! ```
 
+pub mod admin;
 pub mod budget;
-mod chunks;
+mod chunk_position;
 pub mod config;
 pub mod core;
-pub mod counters;
+mod counted_socket;
 pub mod daemon;
 pub mod discovery;
 pub mod engine;
 pub mod exchange;
 pub mod fleet;
 pub mod front;
-pub mod handed;
 pub mod haproxy;
 pub mod invariants;
 pub mod log;
-pub mod ops;
+pub mod maintenance;
+pub mod metrics;
 pub mod plugin;
 pub mod pools;
-pub mod rotation;
 pub mod shutdown;
 pub mod upgrade;
 pub mod upstream;
-mod wire;
--- a/gateway/src/pools.rs
+++ b/gateway/src/pools.rs
@@ -13,10 +13,10 @@
 use crate::budget::Budget;
 use crate::config;
 use crate::core::{Clock, Core};
-use crate::counters::Counters;
 use crate::engine::{Address, Engine, Limits};
 use crate::front::inference::{Inference, Target};
 use crate::front::Entry;
+use crate::metrics::Counters;
 use crate::plugin::Plugin;
 
 /// One pool of servers: a router of its own, and the connections to them.
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-use crate::handed::{Guard, Heir, Open};
+use crate::upgrade::transferred::{Guard, Heir, Open};
 
 /// Told to send its clients away, the gateway ends their connections after this time: until then they may move by
 /// themselves, as each answer tells them to.
--- a/gateway/src/upgrade.rs
+++ b/gateway/src/upgrade/mod.rs
@@ -1,6 +1,8 @@
 //! Upgrades: a second process at the same address takes over from the first. It is handed the listening sockets, so
 //! there is one accept queue throughout, and then each client's connection that is at rest.
 
+pub mod transferred;
+
 use std::fs::File;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -22,9 +24,9 @@
 
 use crate::budget::{Budget, Claim};
 use crate::exchange::Rest;
-use crate::handed::{Handed, Moved};
 use crate::log;
 use crate::shutdown::{Phase, Shutdown};
+use crate::upgrade::transferred::{Handed, Moved};
 
 /// The fronts whose sockets are handed over.
 pub const PLATFORM: u8 = 0;
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use glenrail::budget::Budget;
-use glenrail::counters::Counters;
 use glenrail::discovery::{self, List, Names};
 use glenrail::engine::Limits;
 use glenrail::front::{platform, server};
+use glenrail::metrics::Counters;
 use glenrail::plugin::Plugin;
 use glenrail::pools::Pool;
 use glenrail::shutdown::Shutdown;
--- a/gateway/tests/ops.rs
+++ b/gateway/tests/ops.rs
@@ -9,11 +9,11 @@
 
 use common::gateway::*;
 use common::*;
+use glenrail::admin::{Desk, Ops, CONNECTIONS};
 use glenrail::discovery::List;
 use glenrail::engine::Engine;
 use glenrail::front::server;
-use glenrail::ops::{Desk, Ops, CONNECTIONS};
-use glenrail::rotation::{Orders, Rotation};
+use glenrail::maintenance::{Orders, Rotation};
 use glenrail::shutdown::Shutdown;
 use glenrail_router::ListUpdate;
 use http::{Request, Response};
--- a/gateway/tests/order_files.rs
+++ b/gateway/tests/order_files.rs
@@ -9,10 +9,10 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail_router::ListUpdate;
 use glenrail::discovery::List;
 use glenrail::engine::Engine;
-use glenrail::rotation::{Denied, Orders, Rotation};
+use glenrail::maintenance::{Denied, Orders, Rotation};
+use glenrail_router::ListUpdate;
 use serde_json::{json, Value};
 
 /// The servers that the fixture's orders are for.
