--- a/gateway/benches/core.rs
+++ b/gateway/benches/core.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use divan::Bencher;
-use glenrail::exchange::{ClientSide, Piece};
+use glenrail::exchange::{ClientSide, ResponsePart};
 use instant::{core, request};
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::LocalSet;
@@ -22,10 +22,10 @@
 const PATIENCE: f64 = 3_000_000.0;
 
 async fn end(mut client: ClientSide) {
-    while let Some(piece) = client.piece().await {
+    while let Some(piece) = client.next_part().await {
         match piece {
-            Piece::Begin(..) | Piece::Chunk(_) => {}
-            Piece::End => return,
+            ResponsePart::Head(..) | ResponsePart::Chunk(_) => {}
+            ResponsePart::End => return,
             other => panic!("{other:?}"),
         }
     }
@@ -89,5 +89,5 @@
             end(core.submit(request(format!("r{next}"), next, PATIENCE))).await
         });
     });
-    assert_eq!(core.open(), hanging.len());
+    assert_eq!(core.open_requests(), hanging.len());
 }
--- a/gateway/src/admin.rs
+++ b/gateway/src/admin.rs
@@ -12,8 +12,8 @@
 use crate::fleet;
 use crate::front::{response, Body, Front};
 use crate::invariants;
-use crate::maintenance::{Denied, Rotation};
-use crate::metrics::{Counters, Counts, Tally};
+use crate::maintenance::{Maintenance, OrderError};
+use crate::metrics::{OutcomeCounts, RequestCounter, RequestMetrics};
 use crate::pools::Pool;
 use crate::shutdown::Shutdown;
 
@@ -22,21 +22,21 @@
 pub const CONNECTIONS: usize = 8;
 
 /// What operators may ask and order.
-pub struct Desk<U> {
+pub struct AdminContext<U> {
     pub ready: Rc<dyn Fn() -> bool>,
-    pub counters: Counters,
+    pub counters: RequestMetrics,
     pub pools: Vec<Pool>,
-    pub rotation: Rc<Rotation<U>>,
+    pub rotation: Rc<Maintenance<U>>,
     pub shutdown: Shutdown,
     /// `None`: no file names one.
     pub fleet: Option<fleet::Handle>,
 }
 
-pub struct Ops<U>(Rc<Desk<U>>);
+pub struct AdminFront<U>(Rc<AdminContext<U>>);
 
-impl<U> Clone for Ops<U> {
+impl<U> Clone for AdminFront<U> {
     fn clone(&self) -> Self {
-        Ops(self.0.clone())
+        AdminFront(self.0.clone())
     }
 }
 
@@ -56,25 +56,29 @@
     answer
 }
 
-impl<U: Upstream> Ops<U> {
-    pub fn new(desk: Desk<U>) -> Self {
-        Ops(Rc::new(desk))
+impl<U: Upstream> AdminFront<U> {
+    pub fn new(desk: AdminContext<U>) -> Self {
+        AdminFront(Rc::new(desk))
     }
 
     fn figures(&self) -> Value {
         let desk = &self.0;
-        let by_class = |count: fn(&Counts) -> u64| -> Map<String, Value> {
-            desk.counters.all().iter().map(|(class, counts)| (class.clone(), count(counts).into())).collect()
+        let by_class = |count: fn(&OutcomeCounts) -> u64| -> Map<String, Value> {
+            desk.counters
+                .snapshot()
+                .iter()
+                .map(|(class, counts)| (class.clone(), count(counts).into()))
+                .collect()
         };
         let sum = |figure: fn(&Pool) -> usize| desk.pools.iter().map(figure).sum::<usize>();
         let mut figures = json!({
             "fulfilled": by_class(|c| c.fulfilled),
             "throttled": by_class(|c| c.throttled),
             "faulted": by_class(|c| c.faulted),
-            "relayed": desk.pools.iter().map(|p| p.engine.relayed()).sum::<u64>(),
-            "open_requests": sum(Pool::open),
+            "relayed": desk.pools.iter().map(|p| p.engine.attempts_written()).sum::<u64>(),
+            "open_requests": sum(Pool::open_requests),
             "registry_entries": desk.rotation.listed(),
-            "out_of_rotation": sum(|p| p.core.avoided()),
+            "out_of_rotation": sum(|p| p.core.avoided_servers()),
         });
         figures["invariants_broken"] =
             invariants::counts().map(|(name, count)| (name.to_string(), Value::from(count))).collect();
@@ -94,8 +98,8 @@
         };
         match done {
             Ok(()) => word(StatusCode::OK, &format!("{id}: {order}")),
-            Err(Denied::Unknown) => word(StatusCode::NOT_FOUND, &format!("{id}: no such engine")),
-            Err(Denied::Lost(why)) => {
+            Err(OrderError::UnknownServer) => word(StatusCode::NOT_FOUND, &format!("{id}: no such engine")),
+            Err(OrderError::NotPersisted(why)) => {
                 word(StatusCode::INTERNAL_SERVER_ERROR, &format!("{id}: the order cannot be kept: {why}"))
             }
         }
@@ -120,11 +124,11 @@
             ["counters"] => shown(&self.figures()),
             ["fleet"] => shown(&desk.fleet.as_ref().map_or(Value::Null, fleet::Handle::members)),
             ["out-of-service"] => {
-                desk.shutdown.send_away();
+                desk.shutdown.take_out_of_service();
                 word(StatusCode::OK, "out of service")
             }
             ["in-service"] => {
-                desk.shutdown.take_back();
+                desk.shutdown.return_to_service();
                 word(StatusCode::OK, "in service")
             }
             ["engines", id, order] => self.order(id, order),
@@ -133,7 +137,7 @@
     }
 }
 
-impl<U: Upstream> Front for Ops<U> {
+impl<U: Upstream> Front for AdminFront<U> {
     async fn answer(self, request: Request<Incoming>) -> Response<Body> {
         let mut answer = self.call(request.method(), request.uri().path());
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -141,7 +145,7 @@
     }
 
     /// Calls of operators are no requests.
-    fn tally(&self, _: &Request<Incoming>) -> Option<Tally> {
+    fn request_counter(&self, _: &Request<Incoming>) -> Option<RequestCounter> {
         None
     }
 }
--- a/gateway/src/chunk_position.rs
+++ b/gateway/src/chunk_position.rs
@@ -24,9 +24,9 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Chunks(At);
+pub struct ChunkPosition(At);
 
-impl Chunks {
+impl ChunkPosition {
     /// Whether the next byte begins a chunk.
     pub fn between(&self) -> bool {
         self.0 == At::Start
@@ -88,7 +88,7 @@
         /// once, and nothing of what follows it.
         #[test]
         fn data_comes_once_however_it_is_cut(cuts in prop::collection::vec((1usize..9, any::<bool>()), 120)) {
-            let (mut chunks, mut data, mut rest) = (Chunks::default(), Vec::new(), BODY);
+            let (mut chunks, mut data, mut rest) = (ChunkPosition::default(), Vec::new(), BODY);
             for (cut, one) in cuts {
                 let n = cut.min(rest.len());
                 let fresh = one && chunks.between();
@@ -109,7 +109,7 @@
     #[test]
     fn what_is_no_size_is_found_out() {
         for bad in [&b"x"[..], b"5x", b"ffffffffffff\r\n", b"1\r\nab", b"\r\n"] {
-            assert_eq!(Chunks::default().read(bad, false, |_| {}), Err(Unreadable), "{bad:?}");
+            assert_eq!(ChunkPosition::default().read(bad, false, |_| {}), Err(Unreadable), "{bad:?}");
         }
     }
 }
--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -6,16 +6,16 @@
 
 use super::*;
 
-impl<U: Upstream, R: Decide> Core<U, R> {
+impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     /// Sends an attempt once and feeds the machine with what becomes of it.
     pub(super) async fn attempt(
         &self, id: u64, attempt: usize, call: Call, until: Instant, cancelled: oneshot::Receiver<()>,
     ) {
         if until <= Instant::now() {
             // What was to be let go before took all its time.
-            return self.input(id, Input::Replied { attempt, reply: request::Reply::NotSent });
+            return self.step(id, Input::Replied { attempt, reply: request::Reply::NotSent });
         }
-        let Call::Attempt { wanted, server, .. } = &call else { return };
+        let Call::Attempt { cancel_token: wanted, server, .. } = &call else { return };
         let (wanted, server) = (wanted.clone(), *server);
         let call = self.upstream.clone().oneshot(call);
         let replied = async {
@@ -28,54 +28,56 @@
         let reply = tokio::select! {
             biased;
             // Called back while it was dialled, it never was out: the time of what is held for it has run on.
-            _ = cancelled => return self.input(id, match wanted.out() {
+            _ = cancelled => return self.step(id, match wanted.is_written() {
                 true => Input::CancelCompleted { attempt },
                 false => Input::Replied { attempt, reply: request::Reply::NotSent },
             }),
             reply = replied => reply,
         };
-        let Ok(reply) = reply else { return self.input(id, Input::TimedOut { attempt }) };
+        let Ok(reply) = reply else { return self.step(id, Input::TimedOut { attempt }) };
         let (reply, note, report) = match reply {
-            Ok(Reply::Answer { head, mut frames }) => {
+            Ok(Reply::Response { head, mut frames }) => {
                 let Some(Ok(Frame::Data(first))) = frames.next().await else {
-                    return self.input(id, Input::Replied { attempt, reply: request::Reply::Reset });
+                    return self.step(id, Input::Replied { attempt, reply: request::Reply::Reset });
                 };
-                self.input(id, Input::Replied { attempt, reply: request::Reply::FirstEvent });
+                self.step(id, Input::Replied { attempt, reply: request::Reply::FirstEvent });
                 let Some(pieces) = self.passes(id, attempt) else {
                     drop(frames);
-                    return self.input(id, Input::CancelCompleted { attempt });
+                    return self.step(id, Input::CancelCompleted { attempt });
                 };
-                let passed = match pass(&pieces, Piece::Begin(head, first)).await {
+                let passed = match pass(&pieces, ResponsePart::Head(head, first)).await {
                     true => rest(&pieces, frames).await,
                     false => request::StreamEnd::ClientStalled.into(),
                 };
                 return self.passed(id, attempt, passed);
             }
-            Ok(Reply::Read { kept, report }) => (request::Reply::Prefilled, kept, report),
-            Ok(Reply::Declined { no_state, report }) => {
+            Ok(Reply::Prefilled { cached_tokens: kept, report }) => (request::Reply::Prefilled, kept, report),
+            Ok(Reply::Rejected { state_missing: no_state, report }) => {
                 (request::Reply::Rejected, f64::from(u8::from(no_state)), report)
             }
-            Ok(Reply::Unfit { report }) => (request::Reply::Unprocessable, 0.0, report),
+            Ok(Reply::Unprocessable { report }) => (request::Reply::Unprocessable, 0.0, report),
             Ok(Reply::Error { report }) => (request::Reply::Error, 0.0, report),
             Ok(_) => (request::Reply::Error, 0.0, None),
-            Err(Failed::Connect) => (request::Reply::ConnectFailed, 0.0, None),
-            Err(Failed::Reset) => (request::Reply::Reset, 0.0, None),
-            Err(Failed::Spoilt) => (request::Reply::MalformedResponse, 0.0, None),
-            Err(Failed::NotSent) => (request::Reply::NotSent, 0.0, None),
+            Err(CallError::ConnectFailed) => (request::Reply::ConnectFailed, 0.0, None),
+            Err(CallError::Reset) => (request::Reply::Reset, 0.0, None),
+            Err(CallError::MalformedResponse) => (request::Reply::MalformedResponse, 0.0, None),
+            Err(CallError::NotSent) => (request::Reply::NotSent, 0.0, None),
         };
         self.keep(id, attempt, note, report);
-        self.input(id, Input::Replied { attempt, reply });
+        self.step(id, Input::Replied { attempt, reply });
     }
 
     /// Asks for a sign that an attempt has arrived, for as long as something waits for that; never ends. Its own answer may take
     /// any time, and what was written onto a way that has fallen silent never arrives, with no error.
-    async fn shows_arrival(&self, id: u64, attempt: usize, server: ServerId, wanted: &Wanted) -> Infallible {
+    async fn shows_arrival(
+        &self, id: u64, attempt: usize, server: ServerId, wanted: &CancelToken,
+    ) -> Infallible {
         loop {
-            let written = wanted.goes().await;
+            let written = wanted.first_byte_written().await;
             let Some(at) = self.ask_arrival_at(id, written) else { return pending().await };
             sleep_until(at).await;
             // Meanwhile it may have gone to another connection.
-            if wanted.written() != Some(written) {
+            if wanted.first_byte_at() != Some(written) {
                 continue;
             }
             if !self.waits_for_arrival(id) {
@@ -101,7 +103,7 @@
                 job.told.shown_to_arrive(attempt, now);
             }
         }
-        self.input(id, Input::Delivered { attempt });
+        self.step(id, Input::Delivered { attempt });
     }
 
     /// Whether something is held whose time runs on until an attempt is known to have arrived.
@@ -115,7 +117,7 @@
     }
 
     /// Where the answer of this attempt goes, if the machine has made it the client's.
-    fn passes(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<Piece>> {
+    fn passes(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<ResponsePart>> {
         let inner = self.inner.borrow();
         let job = inner.jobs.get(&id)?;
         (job.machine.attempts()[attempt].state == AttemptState::Streaming).then(|| job.pieces.clone())?
@@ -124,7 +126,7 @@
     fn passed(&self, id: u64, attempt: usize, passed: Passed) {
         let Passed { end, kept, report } = passed;
         self.keep(id, attempt, kept, report);
-        self.input(id, Input::StreamEnded { attempt, end });
+        self.step(id, Input::StreamEnded { attempt, end });
     }
 
     /// What a server said beside its reply, for the attempt's outcome.
@@ -137,13 +139,15 @@
     pub(super) async fn probe(&self, server: ServerId) {
         let sent = Instant::now();
         let (status, report) = match self.upstream.clone().oneshot(Call::Probe { server }).await {
-            Ok(Reply::Probed { well: true, report }) => (AttemptStatus::Served, report),
+            Ok(Reply::Probed { healthy: true, report }) => (AttemptStatus::Served, report),
             Ok(Reply::Probed { report, .. }) => (AttemptStatus::Error, report),
-            Ok(_) | Err(Failed::NotSent | Failed::Connect) => (AttemptStatus::ConnectFailed, None),
-            Err(Failed::Reset) => (AttemptStatus::Reset, None),
-            Err(Failed::Spoilt) => (AttemptStatus::MalformedResponse, None),
+            Ok(_) | Err(CallError::NotSent | CallError::ConnectFailed) => {
+                (AttemptStatus::ConnectFailed, None)
+            }
+            Err(CallError::Reset) => (AttemptStatus::Reset, None),
+            Err(CallError::MalformedResponse) => (AttemptStatus::MalformedResponse, None),
         };
         let elapsed = sent.elapsed().as_secs_f64() * 1000.0;
-        self.feed(Event::ProbeResult { server, status, elapsed, report });
+        self.dispatch(Event::ProbeResult { server, status, elapsed, report });
     }
 }
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::invariants;
 
-impl<U: Upstream, R: Decide> Core<U, R> {
+impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     pub(super) fn carry_out(&self, id: u64, effect: Effect) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -12,7 +12,7 @@
             Effect::StartAttempt { attempt } => {
                 let (cancel, cancelled) = oneshot::channel();
                 job.sent[attempt].cancel = Some(cancel);
-                invariants::check_start(&job.machine, attempt, &job.payload.name);
+                invariants::check_start(&job.machine, attempt, &job.payload.request_id);
                 let server = ServerId(job.machine.attempts()[attempt].server);
                 // While no connection comes up, the time of what is held runs on, and that in which it may be repeated.
                 let held = job.written_by(inner.pin_limit);
@@ -20,9 +20,16 @@
                 let by = [held, job.repeat_by()].into_iter().flatten().min();
                 let connect = by.map(|until| until.saturating_duration_since(Instant::now()));
                 let (core, payload, until) = (self.clone(), job.payload.clone(), job.sent[attempt].until);
-                let wanted = job.pieces.as_ref().map_or_else(Wanted::default, Wanted::of);
+                let wanted = job.pieces.as_ref().map_or_else(CancelToken::default, CancelToken::for_response);
                 job.sent[attempt].wanted = wanted.clone();
-                let call = Call::Attempt { server, payload, until, connect, confirm, wanted };
+                let call = Call::Attempt {
+                    server,
+                    payload,
+                    deadline: until,
+                    connect_timeout: connect,
+                    verify_connection: confirm,
+                    cancel_token: wanted,
+                };
                 spawn_local(async move { core.attempt(id, attempt, call, until, cancelled).await });
             }
             Effect::CancelAttempt { attempt } => job.sent[attempt].cancel = None,
@@ -50,16 +57,16 @@
                 if !job.machine.has_reservation() {
                     job.unclaimed_since = Instant::now();
                 }
-                let call = Call::Hold { server: ServerId(server), payload: job.payload.clone() };
+                let call = Call::ReserveSlot { server: ServerId(server), payload: job.payload.clone() };
                 let (core, call) = (self.clone(), self.upstream.clone().oneshot(call));
                 let task = spawn_local(async move {
                     let held = match call.await {
-                        Ok(Reply::Held(held)) => held,
+                        Ok(Reply::SlotReserved(held)) => held,
                         // Nothing of it reached the server.
-                        Err(Failed::Connect | Failed::NotSent) => Some(false),
+                        Err(CallError::ConnectFailed | CallError::NotSent) => Some(false),
                         _ => None,
                     };
-                    core.input(id, Input::SlotAnswered { reserved: held });
+                    core.step(id, Input::SlotAnswered { reserved: held });
                 });
                 job.place = Some(task.abort_handle());
             }
@@ -70,10 +77,10 @@
             }
             Effect::Respond(last) => {
                 let piece = match last {
-                    FinalResponse::Rejected => Piece::Refused(job.retry_after),
-                    FinalResponse::Failed => Piece::Failed(Failure::Upstream),
-                    FinalResponse::DeadlineExceeded => Piece::Failed(Failure::Deadline),
-                    FinalResponse::Unprocessable => Piece::Failed(Failure::Unfit),
+                    FinalResponse::Rejected => ResponsePart::Rejected(job.retry_after),
+                    FinalResponse::Failed => ResponsePart::Failed(Failure::Upstream),
+                    FinalResponse::DeadlineExceeded => ResponsePart::Failed(Failure::DeadlineExceeded),
+                    FinalResponse::Unprocessable => ResponsePart::Failed(Failure::Unprocessable),
                 };
                 if let Some(pieces) = &job.pieces {
                     // Nothing was passed on before, so there is room.
@@ -94,16 +101,16 @@
                     let server = job.machine.attempts()[attempt].server;
                     log!(
                         "request {}: no sign that it arrived at server {server:x}; called back",
-                        job.payload.name
+                        job.payload.request_id
                     );
                 }
                 let arrived = job.machine.attempts()[attempt].delivered;
                 // What a read that was cut may have left is held from now on.
                 let reads = job.machine.attempts()[attempt].stage == Stage::Prefill;
-                if arrived || reads && job.sent[attempt].wanted.out() {
+                if arrived || reads && job.sent[attempt].wanted.is_written() {
                     job.unclaimed_since = Instant::now();
                 }
-                if let Some(written) = job.sent[attempt].wanted.written() {
+                if let Some(written) = job.sent[attempt].wanted.first_byte_at() {
                     job.told.written(attempt, inner.clock.at(written));
                 }
                 let outcome = AttemptOutcome {
@@ -149,9 +156,9 @@
                 if let Some(job) = inner.jobs.remove(&id) {
                     job.watch.abort();
                     job.timers.iter().for_each(|(_, key)| inner.timers.disarm(key));
-                    inner.names.remove(&job.payload.name);
-                    inner.ended = Some(job.payload.name.as_str().into());
-                    invariants::check_end(&job.machine, &job.payload.name);
+                    inner.names.remove(&job.payload.request_id);
+                    inner.ended = Some(job.payload.request_id.as_str().into());
+                    invariants::check_end(&job.machine, &job.payload.request_id);
                     for read in job.given_up() {
                         spawn_local(self.clone().follow_up(read));
                     }
@@ -163,7 +170,7 @@
     }
 }
 
-impl<U: Upstream, R: Decide> Core<U, R> {
+impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     /// A release of what has been held since then has come to its end.
     fn released(&self, id: u64, held_since: Instant) {
         {
@@ -172,10 +179,10 @@
             let pin_limit = inner.pin_limit;
             if let Some(job) = inner.jobs.get_mut(&id) {
                 job.told.release_done(now);
-                invariants::check_held(held_since.elapsed(), pin_limit, &job.payload.name);
+                invariants::check_held(held_since.elapsed(), pin_limit, &job.payload.request_id);
             }
         }
-        self.input(id, Input::Released);
+        self.step(id, Input::Released);
     }
 }
 
--- a/gateway/src/core/forwarding.rs
+++ b/gateway/src/core/forwarding.rs
@@ -10,11 +10,11 @@
 
 use glenrail_router::LoadReport;
 
-use crate::exchange::{self, ClientSide, Piece};
+use crate::exchange::{self, ClientSide, ResponsePart};
 use crate::log;
-use crate::upstream::{Failed, Frame};
+use crate::upstream::{CallError, Frame};
 
-pub type Frames = LocalBoxStream<'static, Result<Frame, Failed>>;
+pub type Frames = LocalBoxStream<'static, Result<Frame, CallError>>;
 
 /// A stream without a whole event for so long is taken for dead, so that its client's connection ends within the
 /// 5 s that the platform's rules give. Its writer may have put the answer back into its queue, so no less.
@@ -36,7 +36,7 @@
 }
 
 /// Passes an answer on after its first piece, to its end.
-pub async fn rest(pieces: &mpsc::Sender<Piece>, mut frames: Frames) -> Passed {
+pub async fn rest(pieces: &mpsc::Sender<ResponsePart>, mut frames: Frames) -> Passed {
     loop {
         let frame = tokio::select! {
             biased;
@@ -45,19 +45,19 @@
         };
         match frame {
             Ok(Some(Ok(Frame::Data(bytes)))) => {
-                if !pass(pieces, Piece::Chunk(bytes)).await {
+                if !pass(pieces, ResponsePart::Chunk(bytes)).await {
                     return StreamEnd::ClientStalled.into();
                 }
             }
-            Ok(Some(Ok(Frame::Moved(rest)))) => {
-                pass(pieces, Piece::Moved(rest)).await;
+            Ok(Some(Ok(Frame::HandedOver(rest)))) => {
+                pass(pieces, ResponsePart::HandedOver(rest)).await;
                 return StreamEnd::HandedOver.into();
             }
-            Ok(Some(Ok(Frame::End { kept, report }))) => {
-                pass(pieces, Piece::End).await;
+            Ok(Some(Ok(Frame::End { cached_tokens: kept, report }))) => {
+                pass(pieces, ResponsePart::End).await;
                 return Passed { end: StreamEnd::Complete, kept, report };
             }
-            Ok(Some(Err(Failed::Spoilt))) => return StreamEnd::MalformedResponse.into(),
+            Ok(Some(Err(CallError::MalformedResponse))) => return StreamEnd::MalformedResponse.into(),
             Ok(Some(Err(_)) | None) => return StreamEnd::Reset.into(),
             Err(_) => {
                 log!("a stream fell silent and is cut");
@@ -69,7 +69,7 @@
 
 /// Goes on with an answer that another process began. No request of the router belongs to it any more.
 pub fn resume(frames: Frames) -> ClientSide {
-    let (client, pieces) = exchange::answer();
+    let (client, pieces) = exchange::response_channel();
     spawn_local(async move {
         rest(&pieces, frames).await;
     });
@@ -77,6 +77,6 @@
 }
 
 /// Whether the client took the piece.
-pub async fn pass(pieces: &mpsc::Sender<Piece>, piece: Piece) -> bool {
+pub async fn pass(pieces: &mpsc::Sender<ResponsePart>, piece: ResponsePart) -> bool {
     matches!(timeout(STALLED, pieces.send(piece)).await, Ok(Ok(())))
 }
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -32,15 +32,15 @@
 use tokio_util::time::delay_queue::Key;
 use tower::{Service, ServiceExt};
 
-use crate::exchange::{self, ClientSide, Failure, Payload, Piece, Wanted};
+use crate::exchange::{self, CancelToken, ClientSide, Failure, Payload, ResponsePart};
 use crate::log;
-use crate::upstream::{Call, Failed, Frame, Reply};
+use crate::upstream::{Call, CallError, Frame, Reply};
 
 pub use clock::{duration, Clock};
 pub use forwarding::resume;
 use forwarding::{pass, rest, Passed};
-use request_record::Told;
-use request_state::{Job, Sent};
+use request_record::RecordBuilder;
+use request_state::{AttemptCall, RequestState};
 use timers::{Due, Timers};
 
 /// Pause before letting go of what a cut read may have left, so that the server has seen the cut by then.
@@ -67,17 +67,20 @@
 
 /// The servers as one service, which the core calls.
 pub trait Upstream:
-    Service<Call, Response = Reply, Error = Failed, Future: 'static> + Clone + 'static
+    Service<Call, Response = Reply, Error = CallError, Future: 'static> + Clone + 'static
+{
+}
+impl<U: Service<Call, Response = Reply, Error = CallError, Future: 'static> + Clone + 'static> Upstream
+    for U
 {
 }
-impl<U: Service<Call, Response = Reply, Error = Failed, Future: 'static> + Clone + 'static> Upstream for U {}
 
 /// Whoever decides for the core: the module's router, or what a test puts in its place.
-pub trait Decide: 'static {
+pub trait DecisionPolicy: 'static {
     fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>);
 }
 
-impl Decide for Router {
+impl DecisionPolicy for Router {
     fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         Router::handle(self, now, event, out);
     }
@@ -103,7 +106,7 @@
     members: BTreeMap<ServerId, Listed>,
     queue: VecDeque<Event>,
     busy: bool,
-    jobs: HashMap<u64, Job>,
+    jobs: HashMap<u64, RequestState>,
     /// The requests that have not wholly ended, by the names that servers know them by.
     names: HashMap<String, u64>,
     /// The last request that has wholly ended.
@@ -124,7 +127,7 @@
 
 /// What a core holds at one time, to show that nothing is left of requests that have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holds {
+pub struct Occupancy {
     pub requests: usize,
     pub names: usize,
     pub timers: usize,
@@ -143,28 +146,28 @@
 
 impl<U: Upstream> Core<U> {
     pub fn new(seed: u64, settings: Settings, clock: Clock, upstream: U) -> Self {
-        Core::with(Router::new(seed, settings.clone()), settings, clock, upstream)
+        Core::with_policy(Router::new(seed, settings.clone()), settings, clock, upstream)
     }
 
     /// What the router has learned, for another process that takes over.
-    pub fn recollect(&self) -> Vec<u8> {
+    pub fn export_state(&self) -> Vec<u8> {
         self.inner.borrow().router.export_state()
     }
 
-    pub fn inherit(&self, learned: &[u8]) {
+    pub fn import_state(&self, learned: &[u8]) {
         self.inner.borrow_mut().router.import_state(learned);
     }
 
     /// Listed servers that get nothing new at present, by order or by the module's choice.
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_servers(&self) -> usize {
         let inner = self.inner.borrow();
         inner.members.keys().filter(|id| inner.router.is_avoided(**id)).count()
     }
 }
 
-impl<U: Upstream, R: Decide> Core<U, R> {
+impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     /// A core for which this router decides.
-    pub fn with(router: R, settings: Settings, clock: Clock, upstream: U) -> Self {
+    pub fn with_policy(router: R, settings: Settings, clock: Clock, upstream: U) -> Self {
         let most = settings.limits.max_attempts.max(1) as usize;
         let inner = Inner {
             clock,
@@ -191,7 +194,7 @@
     }
 
     /// A list of servers, or changes to it.
-    pub fn members(&self, scope: ListUpdate, members: Vec<ServerEntry>) {
+    pub fn update_servers(&self, scope: ListUpdate, members: Vec<ServerEntry>) {
         {
             let mut inner = self.inner.borrow_mut();
             if matches!(scope, ListUpdate::Full | ListUpdate::Cached) {
@@ -208,7 +211,7 @@
                 };
             }
         }
-        self.feed(Event::ServerList { update: scope, servers: members });
+        self.dispatch(Event::ServerList { update: scope, servers: members });
     }
 
     /// Whether the list has what it takes to answer a request.
@@ -219,65 +222,65 @@
     }
 
     /// Requests that were taken and have not ended.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.inner.borrow().jobs.values().filter(|j| !j.machine.is_closed()).count()
     }
 
     /// The process is about to end: whoever still waits for an answer to begin is refused now, or failed where its request
     /// may have run and trying again is not harmless.
-    pub fn answer_all(&self) {
-        let owed = |j: &Job| j.machine.response() == request::ResponseState::Pending;
+    pub fn answer_pending(&self) {
+        let owed = |j: &RequestState| j.machine.response() == request::ResponseState::Pending;
         let mut waiting: Vec<(u64, bool)> = Vec::new();
         waiting.extend(
             self.inner.borrow().jobs.iter().filter(|(_, j)| owed(j)).map(|(id, j)| (*id, j.may_refuse())),
         );
         waiting.sort_unstable();
         for (id, may_refuse) in waiting {
-            self.input(
+            self.step(
                 id,
                 Input::Respond(if may_refuse { FinalResponse::Rejected } else { FinalResponse::Failed }),
             );
             // The router lets go as if the client had left.
-            self.feed(Event::ClientDisconnected { id: RequestId(id) });
+            self.dispatch(Event::ClientDisconnected { id: RequestId(id) });
         }
     }
 
     /// Whether nothing is under way: no request, no attempt, no release.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.inner.borrow().jobs.is_empty()
     }
 
-    pub fn holds(&self) -> Holds {
+    pub fn occupancy(&self) -> Occupancy {
         let inner = self.inner.borrow();
-        Holds { requests: inner.jobs.len(), names: inner.names.len(), timers: inner.timers.len() }
+        Occupancy { requests: inner.jobs.len(), names: inner.names.len(), timers: inner.timers.len() }
     }
 
     /// Takes a request; its answer comes through the exchange.
     pub fn submit(&self, request: exchange::Request) -> ClientSide {
-        let (client, server) = exchange::pair(request);
-        let exchange::Request { mut ask, arrived, payload } = server.request;
+        let (client, server) = exchange::exchange_pair(request);
+        let exchange::Request { routing: mut ask, arrived, payload } = server.request;
         let id = {
             let mut inner = self.inner.borrow_mut();
             // Guards an open request from a copy: servers know both by one name, so whatever is done for the copy,
             // its releases above all, would hit the first.
-            if inner.names.contains_key(&payload.name) {
-                return ClientSide::failed(Failure::NameTaken);
+            if inner.names.contains_key(&payload.request_id) {
+                return ClientSide::failed(Failure::DuplicateRequestId);
             }
             // Small numbers in sequence: the module shifts ids left and keeps one high timer key for itself,
             // so the wire's 64-bit names must not reach it.
             inner.next += 1;
             let id = inner.next;
-            inner.names.insert(payload.name.clone(), id);
+            inner.names.insert(payload.request_id.clone(), id);
             id
         };
         let deadline = arrived + duration(ask.client_timeout);
         ask.id = RequestId(id);
         ask.client_timeout = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         let watch = spawn_local({
-            let (core, pieces) = (self.clone(), server.pieces.clone());
+            let (core, pieces) = (self.clone(), server.parts.clone());
             async move {
                 pieces.closed().await;
-                core.input(id, Input::ClientDisconnected);
+                core.step(id, Input::ClientDisconnected);
             }
         });
         let mut effects = Vec::new();
@@ -294,14 +297,15 @@
                 .filter(|_| effect == glenrail_router::Idempotency::IdempotencyKey)
                 .map(|c| duration(c.idempotency_window));
             let came = inner.clock.at(arrived);
-            let told = Told::new(&ask, &payload.name, &inner.settings, came, inner.clock.unix(came));
-            let job = Job {
+            let told =
+                RecordBuilder::new(&ask, &payload.request_id, &inner.settings, came, inner.clock.unix(came));
+            let job = RequestState {
                 machine: request::Request::new(
                     RequestPolicy { retry_safety: repeat, ..inner.terms },
                     &mut effects,
                 ),
                 payload,
-                pieces: Some(server.pieces),
+                pieces: Some(server.parts),
                 watch: watch.abort_handle(),
                 deadline,
                 sent: Vec::new(),
@@ -316,7 +320,7 @@
             inner.jobs.insert(id, job);
         }
         effects.into_iter().for_each(|effect| self.carry_out(id, effect));
-        self.feed(Event::Request(ask));
+        self.dispatch(Event::Request(ask));
         client
     }
 
@@ -327,11 +331,11 @@
             // A name that came again is in use.
             inner.ended.clone().filter(|name| !inner.names.contains_key(&**name))
         };
-        self.upstream.clone().oneshot(Call::Check { server, ended }).await.is_ok()
+        self.upstream.clone().oneshot(Call::VerifyReachable { server, finished_request: ended }).await.is_ok()
     }
 
     /// Hands one event to the router and carries out what it answers, in order.
-    fn feed(&self, event: Event) {
+    fn dispatch(&self, event: Event) {
         self.inner.borrow_mut().queue.push_back(event);
         self.run();
     }
@@ -355,31 +359,31 @@
                 inner.router.handle(now, event, &mut actions);
             }
             for action in actions.drain(..) {
-                self.act(action);
+                self.execute(action);
             }
         }
     }
 
     /// Carries out one order of the router.
-    fn act(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
             Action::Send { id, server, timeout } => self.send(id.0, server, timeout),
-            Action::Cancel { id, attempt } => self.input(id.0, Input::Cancel { attempt: attempt as usize }),
-            Action::Release { id } => self.input(id.0, Input::Release),
+            Action::Cancel { id, attempt } => self.step(id.0, Input::Cancel { attempt: attempt as usize }),
+            Action::Release { id } => self.step(id.0, Input::Release),
             Action::Reject { id, retry_after, reason } => {
                 if let Some(job) = self.inner.borrow_mut().jobs.get_mut(&id.0) {
                     job.retry_after = duration(retry_after);
                     job.told.why(reason);
                 }
-                self.input(id.0, Input::Respond(FinalResponse::Rejected));
+                self.step(id.0, Input::Respond(FinalResponse::Rejected));
             }
             Action::Fail { id, reason } => {
-                let late = |j: &Job| Instant::now() + duration(20.0) >= j.deadline;
+                let late = |j: &RequestState| Instant::now() + duration(20.0) >= j.deadline;
                 let late = self.inner.borrow().jobs.get(&id.0).is_some_and(late);
                 if let Some(job) = self.inner.borrow_mut().jobs.get_mut(&id.0) {
                     job.told.why(reason);
                 }
-                self.input(
+                self.step(
                     id.0,
                     Input::Respond(if late {
                         FinalResponse::DeadlineExceeded
@@ -388,7 +392,7 @@
                     }),
                 );
             }
-            Action::ReserveSlot { id, server } => self.input(id.0, Input::ReserveSlot { server: server.0 }),
+            Action::ReserveSlot { id, server } => self.step(id.0, Input::ReserveSlot { server: server.0 }),
             Action::Probe { server } => {
                 let core = self.clone();
                 spawn_local(async move { core.probe(server).await });
@@ -420,8 +424,8 @@
             let now = Instant::now();
             let until =
                 if wait > 0.0 { job.deadline.min(now + duration(wait) + SLACK) } else { job.deadline };
-            let wanted = Wanted::default();
-            job.sent.push(Sent { at: now, until, wanted, cancel: None, note: 0.0, report: None });
+            let wanted = CancelToken::default();
+            job.sent.push(AttemptCall { at: now, until, wanted, cancel: None, note: 0.0, report: None });
             let stage =
                 if listed.is_some_and(|l| l.role == Role::Prefill) { Stage::Prefill } else { Stage::Execute };
             let sent = inner.clock.at(now);
@@ -432,11 +436,11 @@
             let ready = listed.is_some_and(|l| l.state == ServerState::Ready);
             Input::Send { server: server.0, stage, permitted: ready && until > now }
         };
-        self.input(id, input);
+        self.step(id, input);
     }
 
     /// Feeds a request's machine and carries out what it says.
-    fn input(&self, id: u64, input: Input) {
+    fn step(&self, id: u64, input: Input) {
         let mut effects = Vec::new();
         {
             let mut inner = self.inner.borrow_mut();
@@ -496,14 +500,14 @@
     fn due(&self, key: Key, due: Due) {
         let (Due::Request(id, _) | Due::Router { of: Some(id), .. }) = due else {
             let Due::Router { key, .. } = due else { return };
-            return self.feed(Event::Timer { key });
+            return self.dispatch(Event::Timer { key });
         };
         if let Some(job) = self.inner.borrow_mut().jobs.get_mut(&id) {
             job.timers.retain(|t| t.1 != key);
         }
         match due {
-            Due::Router { key, .. } => self.feed(Event::Timer { key }),
-            Due::Request(id, timer) => self.input(id, Input::TimerExpired(timer)),
+            Due::Router { key, .. } => self.dispatch(Event::Timer { key }),
+            Due::Request(id, timer) => self.step(id, Input::TimerExpired(timer)),
         }
     }
 }
@@ -526,7 +530,7 @@
 }
 
 /// The core as a service of requests: what the layers before it wrap.
-impl<U: Upstream, R: Decide> Service<exchange::Request> for Core<U, R> {
+impl<U: Upstream, R: DecisionPolicy> Service<exchange::Request> for Core<U, R> {
     type Response = ClientSide;
     type Error = Infallible;
     type Future = std::future::Ready<Result<ClientSide, Infallible>>;
--- a/gateway/src/core/orphaned_state.rs
+++ b/gateway/src/core/orphaned_state.rs
@@ -14,7 +14,7 @@
     until: Instant,
 }
 
-impl Job {
+impl RequestState {
     /// The reads of a request at its end of which nobody can say that their servers have seen the close.
     pub(super) fn given_up(&self) -> Vec<GivenUp> {
         let unseen = |status| {
@@ -26,9 +26,9 @@
         let attempts = self.machine.attempts().iter().zip(&self.sent);
         let given_up = attempts.filter(|(attempt, sent)| {
             let closed_here = matches!(attempt.state, AttemptState::Ended(status) if unseen(status));
-            attempt.stage == Stage::Prefill && closed_here && sent.wanted.out()
+            attempt.stage == Stage::Prefill && closed_here && sent.wanted.is_written()
         });
-        let told = |(attempt, sent): (&request::Attempt, &Sent)| GivenUp {
+        let told = |(attempt, sent): (&request::Attempt, &AttemptCall)| GivenUp {
             server: ServerId(attempt.server),
             payload: self.payload.clone(),
             until: sent.until,
@@ -37,7 +37,7 @@
     }
 }
 
-impl<U: Upstream, R: Decide> Core<U, R> {
+impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     /// Lets go of what such a read may come to hold, until its server gives a sign: what passes then, the close has passed
     /// before.
     pub(super) async fn follow_up(self, read: GivenUp) {
@@ -46,7 +46,7 @@
             let seen = self.check(read.server).await;
             sleep(if seen { AFTER_CUT } else { pause }).await;
             // A request of the same name would lose what it holds.
-            if self.inner.borrow().names.contains_key(&read.payload.name) {
+            if self.inner.borrow().names.contains_key(&read.payload.request_id) {
                 return;
             }
             let call = Call::Release { payload: read.payload.clone() };
--- a/gateway/src/core/replay.rs
+++ b/gateway/src/core/replay.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Default)]
 struct Puppet(Rc<RefCell<Vec<Event>>>);
 
-impl Decide for Puppet {
+impl DecisionPolicy for Puppet {
     fn handle(&mut self, _: Millis, event: Event, _: &mut Vec<Action>) {
         self.0.borrow_mut().push(event);
     }
@@ -29,7 +29,7 @@
 struct Asked {
     /// What came, in order.
     calls: Vec<&'static str>,
-    attempts: Vec<oneshot::Sender<Result<Reply, Failed>>>,
+    attempts: Vec<oneshot::Sender<Result<Reply, CallError>>>,
     release: Option<oneshot::Sender<()>>,
     place: Option<oneshot::Sender<Option<bool>>>,
     /// Servers give signs.
@@ -47,10 +47,10 @@
 }
 
 impl Servers {
-    async fn answer(self, call: Call) -> Result<Reply, Failed> {
+    async fn answer(self, call: Call) -> Result<Reply, CallError> {
         match call {
-            Call::Attempt { wanted, .. } => {
-                wanted.goes_out(true);
+            Call::Attempt { cancel_token: wanted, .. } => {
+                wanted.set_written(true);
                 let (tell, told) = oneshot::channel();
                 {
                     let mut asked = self.0.borrow_mut();
@@ -60,11 +60,11 @@
                     asked.most_out = asked.most_out.max(asked.out);
                 }
                 let out = Out(self.clone());
-                let reply = told.await.unwrap_or(Err(Failed::Reset))?;
+                let reply = told.await.unwrap_or(Err(CallError::Reset))?;
                 Ok(match reply {
-                    Reply::Answer { head, frames } => {
+                    Reply::Response { head, frames } => {
                         let frames = frames.inspect(move |_| _ = &out).boxed_local();
-                        Reply::Answer { head, frames }
+                        Reply::Response { head, frames }
                     }
                     reply => reply,
                 })
@@ -73,16 +73,16 @@
                 let (tell, told) = oneshot::channel();
                 self.0.borrow_mut().calls.push("release");
                 self.0.borrow_mut().release = Some(tell);
-                told.await.map(|()| Reply::Done).map_err(|_| Failed::Connect)
+                told.await.map(|()| Reply::Done).map_err(|_| CallError::ConnectFailed)
             }
-            Call::Hold { .. } => {
+            Call::ReserveSlot { .. } => {
                 let (tell, told) = oneshot::channel();
                 self.0.borrow_mut().calls.push("place");
                 self.0.borrow_mut().place = Some(tell);
-                told.await.map(Reply::Held).map_err(|_| Failed::Reset)
+                told.await.map(Reply::SlotReserved).map_err(|_| CallError::Reset)
             }
-            Call::Check { .. } if self.0.borrow().signs => Ok(Reply::Done),
-            Call::Check { .. } => Err(Failed::Connect),
+            Call::VerifyReachable { .. } if self.0.borrow().signs => Ok(Reply::Done),
+            Call::VerifyReachable { .. } => Err(CallError::ConnectFailed),
             _ => Ok(Reply::Done),
         }
     }
@@ -123,11 +123,11 @@
             Input::Send { server, permitted: may, .. } => {
                 if !may {
                     let gone = ServerEntry { state: ServerState::Draining, ..self.member(server) };
-                    self.core.members(ListUpdate::Delta, vec![gone]);
+                    self.core.update_servers(ListUpdate::Delta, vec![gone]);
                 }
                 let timeout = if self.short.contains(&self.sends) { SHORT } else { 0.0 };
                 self.sends += 1;
-                self.core.act(Action::Send { id, server: ServerId(server), timeout });
+                self.core.execute(Action::Send { id, server: ServerId(server), timeout });
                 self.core.run();
             }
             Input::Cancel { attempt } => self.order(Action::Cancel { id, attempt: attempt as u32 }),
@@ -146,10 +146,10 @@
             Input::Replied { attempt, reply } => self.reply(attempt, reply),
             Input::StreamEnded { attempt, end } => {
                 let frame = match end {
-                    StreamEnd::Complete => Some(Ok(Frame::End { kept: 0.0, report: None })),
-                    StreamEnd::HandedOver => Some(Ok(Frame::Moved(rest_of_a_stream()))),
-                    StreamEnd::Reset => Some(Err(Failed::Reset)),
-                    StreamEnd::MalformedResponse => Some(Err(Failed::Spoilt)),
+                    StreamEnd::Complete => Some(Ok(Frame::End { cached_tokens: 0.0, report: None })),
+                    StreamEnd::HandedOver => Some(Ok(Frame::HandedOver(rest_of_a_stream()))),
+                    StreamEnd::Reset => Some(Err(CallError::Reset)),
+                    StreamEnd::MalformedResponse => Some(Err(CallError::MalformedResponse)),
                     StreamEnd::IdleTimeout => None,
                     StreamEnd::ClientStalled => {
                         drop(self.client.take());
@@ -181,7 +181,7 @@
     }
 
     fn order(&self, action: Action) {
-        self.core.act(action);
+        self.core.execute(action);
         self.core.run();
     }
 
@@ -192,21 +192,21 @@
 
     fn reply(&mut self, attempt: usize, reply: Said) {
         let said = match reply {
-            Said::Prefilled => Ok(Reply::Read { kept: 0.0, report: None }),
+            Said::Prefilled => Ok(Reply::Prefilled { cached_tokens: 0.0, report: None }),
             Said::FirstEvent => {
                 let (tell, mut told) = mpsc::unbounded_channel();
                 self.streams.insert(attempt, tell);
                 let first = stream::iter([Ok(Frame::Data("data: x\n\n".into()))]);
                 let frames = first.chain(stream::poll_fn(move |cx| told.poll_recv(cx))).boxed_local();
-                Ok(Reply::Answer { head: exchange::Head::default(), frames })
+                Ok(Reply::Response { head: exchange::ResponseHead::default(), frames })
             }
-            Said::Rejected => Ok(Reply::Declined { no_state: false, report: None }),
-            Said::Unprocessable => Ok(Reply::Unfit { report: None }),
+            Said::Rejected => Ok(Reply::Rejected { state_missing: false, report: None }),
+            Said::Unprocessable => Ok(Reply::Unprocessable { report: None }),
             Said::Error => Ok(Reply::Error { report: None }),
-            Said::ConnectFailed => Err(Failed::Connect),
-            Said::Reset => Err(Failed::Reset),
-            Said::MalformedResponse => Err(Failed::Spoilt),
-            Said::NotSent => Err(Failed::NotSent),
+            Said::ConnectFailed => Err(CallError::ConnectFailed),
+            Said::Reset => Err(CallError::Reset),
+            Said::MalformedResponse => Err(CallError::MalformedResponse),
+            Said::NotSent => Err(CallError::NotSent),
         };
         // An attempt that was kept back never called.
         let call = self.started.iter().position(|a| *a == attempt).expect("it was sent");
@@ -220,7 +220,7 @@
     core: Core<U, Puppet>,
     servers: Servers,
     client: Option<ClientSide>,
-    streams: HashMap<usize, mpsc::UnboundedSender<Result<Frame, Failed>>>,
+    streams: HashMap<usize, mpsc::UnboundedSender<Result<Frame, CallError>>>,
     /// Attempts that are to run out of time.
     short: Vec<usize>,
     /// Attempts that were sent, in order.
@@ -230,11 +230,11 @@
     began: Instant,
 }
 
-fn rest_of_a_stream() -> exchange::Rest {
+fn rest_of_a_stream() -> exchange::StreamRemainder {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let socket =
         std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-    exchange::Rest { socket, ahead: Vec::new() }
+    exchange::StreamRemainder { socket, read_ahead: Vec::new() }
 }
 
 async fn play(path: &Path) -> bool {
@@ -254,7 +254,7 @@
     });
     let mut settings = settings();
     settings.limits.cancellation = head.cancel;
-    let core = Core::with(told.clone(), settings, Clock::new(Duration::from_secs(1_000_000)), service);
+    let core = Core::with_policy(told.clone(), settings, Clock::new(Duration::from_secs(1_000_000)), service);
     let class = u32::from(head.repeat == Some(RetrySafety::AtMostOnce));
     let began = Instant::now();
     let mut play = PlayOn {
@@ -271,11 +271,12 @@
         readers: head.readers,
         began,
     };
-    core.members(ListUpdate::Full, (0..head.readers + head.writers).map(|s| play.member(s)).collect());
+    core.update_servers(ListUpdate::Full, (0..head.readers + head.writers).map(|s| play.member(s)).collect());
     let ask =
         glenrail_router::Request { class, client_timeout: PATIENCE, ..glenrail_router::Request::default() };
-    let payload = Payload { name: "ffffffffffffffff".into(), ..Payload::default() };
-    play.client = Some(core.submit(exchange::Request { ask, arrived: began, payload: Rc::new(payload) }));
+    let payload = Payload { request_id: "ffffffffffffffff".into(), ..Payload::default() };
+    play.client =
+        Some(core.submit(exchange::Request { routing: ask, arrived: began, payload: Rc::new(payload) }));
     settle().await;
     for (input, effects) in &fed {
         let starts = effects.iter().filter_map(|e| {
@@ -322,15 +323,15 @@
         .collect();
     assert_eq!(heard, outcomes, "{name}: what the router was told");
     assert!(servers.0.borrow().most_out <= 1, "{name}: two attempts at once");
-    assert_eq!(core.idle(), effects.contains(&Effect::Finished), "{name}: what is left");
+    assert_eq!(core.is_idle(), effects.contains(&Effect::Finished), "{name}: what is left");
     if let Some(mut client) = play.client.take() {
         let said =
             effects.iter().find_map(|e| if let Effect::Respond(last) = e { Some(*last) } else { None });
-        let first = client.piece().await;
+        let first = client.next_part().await;
         let same = match said {
-            Some(FinalResponse::Rejected) => matches!(first, Some(Piece::Refused(_))),
-            Some(_) => matches!(first, Some(Piece::Failed(_))),
-            None => matches!(first, Some(Piece::Begin(..))),
+            Some(FinalResponse::Rejected) => matches!(first, Some(ResponsePart::Rejected(_))),
+            Some(_) => matches!(first, Some(ResponsePart::Failed(_))),
+            None => matches!(first, Some(ResponsePart::Head(..))),
         };
         assert!(same, "{name}: {said:?} and yet {first:?}");
     }
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -8,12 +8,12 @@
 use glenrail_router::{AttemptStatus, Idempotency, LoadReport, Millis, RejectReason, Request, Settings};
 
 /// What is kept of a request for its line, beside its machine.
-pub(super) struct Told {
+pub(super) struct RecordBuilder {
     story: RequestRecord,
     arrived: Millis,
 }
 
-impl Told {
+impl RecordBuilder {
     /// `now` on the module's clock, `unix` the same moment on the machine's.
     pub fn new(ask: &Request, name: &str, settings: &Settings, now: Millis, unix: Millis) -> Self {
         let class = settings.classes.get(ask.class as usize).cloned().unwrap_or_default();
@@ -32,7 +32,7 @@
             priority_weight: class.priority_weight,
             ..RequestRecord::default()
         };
-        Told { story, arrived: now }
+        RecordBuilder { story, arrived: now }
     }
 
     /// `place`: the server's zone and its cell in that.
@@ -134,7 +134,7 @@
         let mut settings = crate::core::tests::settings();
         settings.classes[0].idempotency = Idempotency::IdempotencyKey;
         let ask = Request { id: RequestId(1), class: 0, tenant: 2, ..Request::default() };
-        let mut told = Told::new(&ask, "a", &settings, 10.0, 5e6);
+        let mut told = RecordBuilder::new(&ask, "a", &settings, 10.0, 5e6);
         told.sent(7, Asked::Prefill, Some((1, 4)), true, 12.0);
         let line = told.story.to_string();
         let story = RequestRecord::parse_line(&format!("{}{line}", glenrail_access_log::LINE_PREFIX))
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// What the core keeps of one attempt beside its machine.
-pub(super) struct Sent {
+pub(super) struct AttemptCall {
     pub at: Instant,
     pub until: Instant,
     /// Tells when its first byte went out.
-    pub wanted: Wanted,
+    pub wanted: CancelToken,
     /// Dropping it calls the attempt back.
     pub cancel: Option<oneshot::Sender<()>>,
     pub note: f64,
@@ -15,14 +15,14 @@
 }
 
 /// What the core keeps of one request beside its machine.
-pub(super) struct Job {
+pub(super) struct RequestState {
     pub machine: request::Request,
     pub payload: Rc<Payload>,
     /// Gone once the client is owed nothing more.
-    pub pieces: Option<mpsc::Sender<Piece>>,
+    pub pieces: Option<mpsc::Sender<ResponsePart>>,
     pub watch: AbortHandle,
     pub deadline: Instant,
-    pub sent: Vec<Sent>,
+    pub sent: Vec<AttemptCall>,
     /// Since when what is held waits for an attempt to take it. Of one that is not known to have arrived, that time ran on.
     pub unclaimed_since: Instant,
     pub place: Option<AbortHandle>,
@@ -32,10 +32,10 @@
     /// It may be refused whatever became of it.
     pub safe: bool,
     pub timers: Vec<(Due, Key)>,
-    pub told: Told,
+    pub told: RecordBuilder,
 }
 
-impl Job {
+impl RequestState {
     /// Rule 2: whether a refusal would be true.
     pub fn may_refuse(&self) -> bool {
         self.safe || !self.machine.may_have_run()
--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -9,7 +9,7 @@
     told: Rc<RefCell<Vec<AttemptStatus>>>,
 }
 
-impl Decide for CallsBack {
+impl DecisionPolicy for CallsBack {
     fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Request(ask) => {
@@ -39,10 +39,10 @@
         let (scripted, told) = (servers.clone(), Rc::default());
         let service = tower::service_fn(move |call| scripted.clone().answer(call));
         let router = CallsBack { after: 250.0, told: Rc::clone(&told) };
-        let core = Core::with(router, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
+        let core = Core::with_policy(router, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
         let member =
             |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
-        core.members(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
+        core.update_servers(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
         let _client = core.submit(request(0, 10_000.0));
         sleep(Duration::from_millis(20)).await;
         let read = Instant::now();
@@ -73,14 +73,14 @@
 fn a_release_that_nobody_took_is_tried_again() {
     paused(async {
         let script = |n: usize, server: ServerId| match READERS.contains(&server.0) {
-            true => (20, if n == 0 { Does::Fail(Failed::Reset) } else { Does::Read }),
+            true => (20, if n == 0 { Does::Fail(CallError::Reset) } else { Does::Read }),
             false => (20, Does::Stream),
         };
         let servers = Servers::new(script);
         servers.lose_releases.set(3);
         let core = core(&servers);
         let pieces = all(core.submit(request(1, 12_000.0))).await;
-        assert_eq!(pieces.last(), Some(&Some(Piece::End)));
+        assert_eq!(pieces.last(), Some(&Some(ResponsePart::End)));
         let calls: Vec<&str> = servers.calls.borrow().iter().map(|c| c.0).collect();
         let whole = ["attempt", "release", "release", "release", "release", "released", "attempt", "attempt"];
         assert_eq!(calls, whole);
@@ -91,7 +91,7 @@
 #[test]
 fn a_release_that_nobody_ever_takes_is_given_up() {
     paused(async {
-        let servers = Servers::new(|_, _| (20, Does::Fail(Failed::Reset)));
+        let servers = Servers::new(|_, _| (20, Does::Fail(CallError::Reset)));
         servers.lose_releases.set(usize::MAX);
         let (core, begun) = (core(&servers), Instant::now());
         let client = core.submit(request(1, 3_000.0));
@@ -110,7 +110,7 @@
         // The first write is reset after 200 ms; 100 ms are left.
         let script = |_: usize, server: ServerId| match READERS.contains(&server.0) {
             true => (20, Does::Read),
-            false => (200, Does::Fail(Failed::Reset)),
+            false => (200, Does::Fail(CallError::Reset)),
         };
         let servers = Servers::new(script);
         let core = core(&servers);
@@ -121,14 +121,14 @@
         // Later than that it may not be sent at all: it is failed at once, and its state let go.
         sleep(Duration::from_millis(280)).await;
         assert_eq!(servers.attempts(&WRITERS), 2);
-        assert!(core.idle(), "{:?}", servers.calls.borrow());
+        assert!(core.is_idle(), "{:?}", servers.calls.borrow());
     });
 }
 
 /// A router that writes again as soon as a write was reset, and first lets go of what is held.
 struct WritesAgain;
 
-impl Decide for WritesAgain {
+impl DecisionPolicy for WritesAgain {
     fn handle(&mut self, _: Millis, event: Event, out: &mut Vec<Action>) {
         let send = |id, server| Action::Send { id, server: ServerId(server), timeout: 5_000.0 };
         match event {
@@ -149,17 +149,18 @@
     paused(async {
         let script = |_: usize, server: ServerId| match READERS.contains(&server.0) {
             true => (20, Does::Read),
-            false => (200, Does::Fail(Failed::Reset)),
+            false => (200, Does::Fail(CallError::Reset)),
         };
         let servers = Servers::new(script);
         // Three calls of 40 ms that nobody takes, and pauses between them; 100 ms of the window are left.
         servers.lose_releases.set(3);
         let scripted = servers.clone();
         let service = tower::service_fn(move |call| scripted.clone().answer(call));
-        let core = Core::with(WritesAgain, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
+        let core =
+            Core::with_policy(WritesAgain, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
         let member =
             |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
-        core.members(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
+        core.update_servers(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
         let _client = core.submit(request(2, 12_000.0));
         while servers.attempts(&WRITERS) < 2 {
             sleep(Duration::from_millis(1)).await;
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::*;
-use crate::exchange::{Head, Request};
+use crate::exchange::{Request, ResponseHead};
 
 const READERS: [u64; 2] = [11, 12];
 const WRITERS: [u64; 2] = [21, 22];
@@ -30,7 +30,7 @@
     Full,
     Error,
     Unfit,
-    Fail(Failed),
+    Fail(CallError),
     Nothing,
     /// No connection comes up.
     Dial,
@@ -74,9 +74,11 @@
         self.calls.borrow().iter().filter(|c| c.0 == "attempt" && at.contains(&c.1)).count()
     }
 
-    async fn answer(self, call: Call) -> Result<Reply, Failed> {
+    async fn answer(self, call: Call) -> Result<Reply, CallError> {
         match call {
-            Call::Attempt { server, until, connect, wanted, .. } => {
+            Call::Attempt {
+                server, deadline: until, connect_timeout: connect, cancel_token: wanted, ..
+            } => {
                 let n = self.attempts(&[11, 12, 21, 22]);
                 self.calls.borrow_mut().push(("attempt", server.0));
                 self.waits.borrow_mut().push(until.saturating_duration_since(Instant::now()));
@@ -85,8 +87,9 @@
                 self.most_out.set(self.most_out.get().max(self.out.get()));
                 let out = Out(self.out.clone());
                 let (ms, does) = (self.script)(n, server);
-                let never_out = matches!(does, Does::Dial | Does::Fail(Failed::Connect | Failed::NotSent));
-                wanted.goes_out(!never_out);
+                let never_out =
+                    matches!(does, Does::Dial | Does::Fail(CallError::ConnectFailed | CallError::NotSent));
+                wanted.set_written(!never_out);
                 sleep(Duration::from_millis(ms)).await;
                 reply(does, out).await
             }
@@ -95,29 +98,29 @@
                 sleep(Duration::from_millis(40)).await;
                 if let Some(left) = self.lose_releases.get().checked_sub(1) {
                     self.lose_releases.set(left);
-                    return Err(Failed::Connect);
+                    return Err(CallError::ConnectFailed);
                 }
                 self.calls.borrow_mut().push(("released", 0));
                 Ok(Reply::Done)
             }
-            Call::Probe { .. } => Ok(Reply::Probed { well: true, report: None }),
+            Call::Probe { .. } => Ok(Reply::Probed { healthy: true, report: None }),
             _ => Ok(Reply::Done),
         }
     }
 }
 
-async fn reply(does: Does, out: Out) -> Result<Reply, Failed> {
+async fn reply(does: Does, out: Out) -> Result<Reply, CallError> {
     let data = || Ok(Frame::Data(Bytes::from_static(b"data: x\n\n")));
-    let end = || Ok(Frame::End { kept: 0.0, report: None });
+    let end = || Ok(Frame::End { cached_tokens: 0.0, report: None });
     let frames = match does {
-        Does::Read => return Ok(Reply::Read { kept: 0.0, report: None }),
-        Does::Full => return Ok(Reply::Declined { no_state: false, report: None }),
+        Does::Read => return Ok(Reply::Prefilled { cached_tokens: 0.0, report: None }),
+        Does::Full => return Ok(Reply::Rejected { state_missing: false, report: None }),
         Does::Error => return Ok(Reply::Error { report: None }),
-        Does::Unfit => return Ok(Reply::Unfit { report: None }),
+        Does::Unfit => return Ok(Reply::Unprocessable { report: None }),
         Does::Fail(how) => return Err(how),
         Does::Nothing | Does::Dial => return std::future::pending().await,
         Does::Stream => vec![data(), data(), end()],
-        Does::Cut => vec![data(), Err(Failed::Reset)],
+        Does::Cut => vec![data(), Err(CallError::Reset)],
         Does::Pause(pauses) => {
             let more = pauses.into_iter().map(move |s| (s, data()));
             let more = stream::iter(more).then(|(s, frame)| async move {
@@ -126,11 +129,11 @@
             });
             let frames = stream::iter([data()]).chain(more).chain(stream::pending());
             let frames = frames.inspect(move |_| _ = &out).boxed_local();
-            return Ok(Reply::Answer { head: Head::default(), frames });
+            return Ok(Reply::Response { head: ResponseHead::default(), frames });
         }
     };
     let frames = stream::iter(frames).inspect(move |_| _ = &out).boxed_local();
-    Ok(Reply::Answer { head: Head::default(), frames })
+    Ok(Reply::Response { head: ResponseHead::default(), frames })
 }
 
 pub(super) fn settings() -> Settings {
@@ -154,7 +157,7 @@
     let member =
         |id: &u64, kind| ServerEntry { server: ServerId(*id), kind, weight: 1.0, ..ServerEntry::default() };
     let readers = READERS.iter().map(|id| member(id, 0));
-    core.members(ListUpdate::Full, readers.chain(WRITERS.iter().map(|id| member(id, 1))).collect());
+    core.update_servers(ListUpdate::Full, readers.chain(WRITERS.iter().map(|id| member(id, 1))).collect());
     core
 }
 
@@ -167,8 +170,8 @@
         client_timeout: patience,
         ..glenrail_router::Request::default()
     };
-    let payload = Payload { name: "ffffffffffffffff".into(), ..Payload::default() };
-    Request { ask, arrived: Instant::now(), payload: Rc::new(payload) }
+    let payload = Payload { request_id: "ffffffffffffffff".into(), ..Payload::default() };
+    Request { routing: ask, arrived: Instant::now(), payload: Rc::new(payload) }
 }
 
 pub(super) fn paused<F: std::future::Future>(test: F) -> F::Output {
@@ -177,18 +180,18 @@
 }
 
 /// All pieces of an answer; `None` closes the list where it broke off.
-async fn all(mut client: ClientSide) -> Vec<Option<Piece>> {
+async fn all(mut client: ClientSide) -> Vec<Option<ResponsePart>> {
     let mut pieces = Vec::new();
     loop {
-        pieces.push(client.piece().await);
-        if !matches!(pieces.last(), Some(Some(Piece::Begin(..) | Piece::Chunk(_)))) {
+        pieces.push(client.next_part().await);
+        if !matches!(pieces.last(), Some(Some(ResponsePart::Head(..) | ResponsePart::Chunk(_)))) {
             return pieces;
         }
     }
 }
 
 async fn settled(core: &Core<impl Upstream>) {
-    while !core.idle() {
+    while !core.is_idle() {
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -205,8 +208,8 @@
         let core = core(&servers);
         for _ in 0..3 {
             let pieces = all(core.submit(request(1, 12_000.0))).await;
-            assert!(matches!(pieces[0], Some(Piece::Begin(..))));
-            assert_eq!(pieces.last(), Some(&Some(Piece::End)));
+            assert!(matches!(pieces[0], Some(ResponsePart::Head(..))));
+            assert_eq!(pieces.last(), Some(&Some(ResponsePart::End)));
         }
         settled(&core).await;
         assert_eq!((servers.attempts(&READERS), servers.attempts(&WRITERS)), (3, 3));
@@ -221,14 +224,14 @@
         let script = |n: usize, server: ServerId| match READERS.contains(&server.0) {
             true => (20, Does::Read),
             // As an engine does that is given less time than it usually has to connect.
-            false if n < 3 => (if n == 1 { 250 } else { 150 }, Does::Fail(Failed::Connect)),
+            false if n < 3 => (if n == 1 { 250 } else { 150 }, Does::Fail(CallError::ConnectFailed)),
             false => (20, Does::Stream),
         };
         let servers = Servers::new(script);
         let core = core(&servers);
         let begun = Instant::now();
         let pieces = all(core.submit(request(1, 12_000.0))).await;
-        assert_eq!(pieces.last(), Some(&Some(Piece::End)));
+        assert_eq!(pieces.last(), Some(&Some(ResponsePart::End)));
         let calls: Vec<&str> = servers.calls.borrow().iter().map(|c| c.0).collect();
         let whole = ["attempt", "attempt", "attempt", "release", "released", "attempt", "attempt"];
         assert_eq!(calls, whole);
@@ -246,7 +249,7 @@
         let servers = Servers::new(|_, _| (0, Does::Nothing));
         let (core, start) = (core(&servers), Instant::now());
         let pieces = all(core.submit(request(1, 900.0))).await;
-        assert_eq!(pieces, [Some(Piece::Failed(Failure::Deadline))]);
+        assert_eq!(pieces, [Some(ResponsePart::Failed(Failure::DeadlineExceeded))]);
         let took = start.elapsed();
         assert!(took <= Duration::from_millis(916) && took >= Duration::from_millis(880), "{took:?}");
         assert!(servers.waits.borrow().iter().all(|w| *w <= Duration::from_millis(900)));
@@ -258,7 +261,9 @@
 /// Guards rule 2: an order that may have run is never sent again, nor called harmless to repeat.
 #[test]
 fn an_order_that_may_have_run_is_not_sent_again() {
-    for how in [Does::Fail(Failed::Reset), Does::Fail(Failed::Spoilt), Does::Error, Does::Cut] {
+    for how in
+        [Does::Fail(CallError::Reset), Does::Fail(CallError::MalformedResponse), Does::Error, Does::Cut]
+    {
         paused(async {
             let what = how.clone();
             let servers = Servers::new(move |_, server| {
@@ -266,7 +271,10 @@
             });
             let core = core(&servers);
             let pieces = all(core.submit(request(1, 12_000.0))).await;
-            assert!(matches!(pieces.last(), Some(None | Some(Piece::Failed(_)))), "{how:?}: {pieces:?}");
+            assert!(
+                matches!(pieces.last(), Some(None | Some(ResponsePart::Failed(_)))),
+                "{how:?}: {pieces:?}"
+            );
             settled(&core).await;
             assert_eq!(servers.attempts(&WRITERS), 1, "{how:?}");
         });
@@ -278,11 +286,11 @@
 fn a_cut_read_is_let_go_before_the_next_send() {
     paused(async {
         let servers = Servers::new(|n, server| match n {
-            0 => (5, Does::Fail(Failed::Reset)),
+            0 => (5, Does::Fail(CallError::Reset)),
             _ => two_stages(n, server),
         });
         let core = core(&servers);
-        assert_eq!(all(core.submit(request(0, 10_000.0))).await.last(), Some(&Some(Piece::End)));
+        assert_eq!(all(core.submit(request(0, 10_000.0))).await.last(), Some(&Some(ResponsePart::End)));
         settled(&core).await;
         let calls: Vec<&str> = servers.calls.borrow().iter().map(|c| c.0).collect();
         assert_eq!(calls[..4], ["attempt", "release", "released", "attempt"]);
@@ -302,7 +310,7 @@
         sleep(Duration::from_millis(200)).await;
         assert_eq!(servers.out.get(), 0);
         assert!(servers.calls.borrow().iter().any(|c| c.0 == "released"));
-        assert!(core.idle());
+        assert!(core.is_idle());
     });
 }
 
@@ -332,9 +340,9 @@
         let _client = core.submit(request(0, 10_000.0));
         sleep(Duration::from_millis(10)).await;
         let copy = Action::Send { id: RequestId(1), server: ServerId(21), timeout: 100.0 };
-        core.act(copy.clone());
-        core.act(Action::Fail { id: RequestId(1), reason: RejectReason::DeadlineExceeded });
-        core.act(copy);
+        core.execute(copy.clone());
+        core.execute(Action::Fail { id: RequestId(1), reason: RejectReason::DeadlineExceeded });
+        core.execute(copy);
         sleep(Duration::from_millis(300)).await;
         assert_eq!((servers.attempts(&[11, 12, 21, 22]), servers.most_out.get()), (1, 1));
     });
@@ -349,12 +357,18 @@
         let core = core(&servers);
         let first = core.submit(request(0, 10_000.0));
         sleep(Duration::from_millis(20)).await;
-        assert_eq!(all(core.submit(request(0, 10_000.0))).await, [Some(Piece::Failed(Failure::NameTaken))]);
+        assert_eq!(
+            all(core.submit(request(0, 10_000.0))).await,
+            [Some(ResponsePart::Failed(Failure::DuplicateRequestId))]
+        );
         assert_eq!((servers.attempts(&READERS), servers.out.get()), (1, 1), "the first does not notice");
         drop(first);
         // Cut, and its release is on the way: still not ended.
         until_called(&servers, "release").await;
-        assert_eq!(all(core.submit(request(0, 10_000.0))).await, [Some(Piece::Failed(Failure::NameTaken))]);
+        assert_eq!(
+            all(core.submit(request(0, 10_000.0))).await,
+            [Some(ResponsePart::Failed(Failure::DuplicateRequestId))]
+        );
         settled(&core).await;
         let _again = core.submit(request(0, 10_000.0));
         sleep(Duration::from_millis(20)).await;
@@ -377,7 +391,10 @@
     paused(async {
         let servers = Servers::new(|_, _| (5, Does::Unfit));
         let core = core(&servers);
-        assert_eq!(all(core.submit(request(0, 10_000.0))).await, [Some(Piece::Failed(Failure::Unfit))]);
+        assert_eq!(
+            all(core.submit(request(0, 10_000.0))).await,
+            [Some(ResponsePart::Failed(Failure::Unprocessable))]
+        );
         settled(&core).await;
         assert_eq!(servers.calls.borrow().len(), 1);
     });
@@ -389,7 +406,7 @@
     paused(async {
         let servers = Servers::new(two_stages);
         let core = core(&servers);
-        assert_eq!(all(core.submit(request(0, 10_000.0))).await.last(), Some(&Some(Piece::End)));
+        assert_eq!(all(core.submit(request(0, 10_000.0))).await.last(), Some(&Some(ResponsePart::End)));
         settled(&core).await;
         assert!(!servers.calls.borrow().iter().any(|c| c.0 == "release"));
     });
@@ -402,11 +419,11 @@
         1 => Just(Does::Cut),
         1 => Just(Does::Full),
         1 => Just(Does::Error),
-        1 => Just(Does::Fail(Failed::Connect)),
+        1 => Just(Does::Fail(CallError::ConnectFailed)),
         1 => Just(Does::Unfit),
-        1 => Just(Does::Fail(Failed::Reset)),
-        1 => Just(Does::Fail(Failed::Spoilt)),
-        1 => Just(Does::Fail(Failed::NotSent)),
+        1 => Just(Does::Fail(CallError::Reset)),
+        1 => Just(Does::Fail(CallError::MalformedResponse)),
+        1 => Just(Does::Fail(CallError::NotSent)),
         1 => Just(Does::Nothing),
     ];
     (0u64..400, does)
@@ -439,7 +456,7 @@
                 None => {
                     let start = Instant::now();
                     let pieces = all(client).await;
-                    let begun = matches!(pieces[0], Some(Piece::Begin(..)));
+                    let begun = matches!(pieces[0], Some(ResponsePart::Head(..)));
                     assert!(begun || start.elapsed() <= limit, "{pieces:?} after {:?}", start.elapsed());
                     assert!(begun || pieces[0].is_some(), "broken off with nothing said");
                 }
@@ -451,7 +468,7 @@
             assert!(attempts.len() <= 5);
             let ran = attempts.iter().enumerate().filter(|(n, at)| {
                 let does = &steps[n % steps.len()].1;
-                WRITERS.contains(at) && !matches!(does, Does::Full | Does::Unfit | Does::Fail(Failed::Connect | Failed::NotSent))
+                WRITERS.contains(at) && !matches!(does, Does::Full | Does::Unfit | Does::Fail(CallError::ConnectFailed | CallError::NotSent))
             });
             assert!(class == 0 || ran.count() <= 1, "an order ran twice: {attempts:?} {steps:?}");
         });
@@ -475,7 +492,7 @@
                     "only what was asked for passed"
                 );
                 let pieces = all(core.submit(request(1, 12_000.0))).await;
-                assert_eq!(pieces.last(), Some(&Some(Piece::End)), "after {age} minutes more");
+                assert_eq!(pieces.last(), Some(&Some(ResponsePart::End)), "after {age} minutes more");
             }
             settled(&core).await;
         });
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use super::super::request_record::Told;
+use super::super::request_record::RecordBuilder;
 use super::*;
 
 const TRACES: &str = include_str!("fixtures/machine-traces.jsonl");
@@ -197,7 +197,7 @@
     RejectReason::DeadlineExceeded,
 ];
 
-fn begun(class: u32) -> Told {
+fn begun(class: u32) -> RecordBuilder {
     let ask = glenrail_router::Request {
         id: RequestId(1),
         class,
@@ -208,7 +208,7 @@
         prefix_tokens: 1_500.0,
         ..glenrail_router::Request::default()
     };
-    Told::new(&ask, "00ff00ff00ff00ff", &settings(), 1_000.0, 1_750_000_000_000.25)
+    RecordBuilder::new(&ask, "00ff00ff00ff00ff", &settings(), 1_000.0, 1_750_000_000_000.25)
 }
 
 /// A read of which all is told, and a write of which nothing is.
--- a/gateway/src/counted_socket.rs
+++ b/gateway/src/counted_socket.rs
@@ -16,13 +16,13 @@
 struct Due(u64, Rc<Cell<u64>>);
 
 /// Whether bytes have come that nobody has read; the end of what the other side sends is none.
-pub fn holds_unread(socket: &TcpStream) -> bool {
+pub fn has_unread(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     matches!(SockRef::from(socket).peek(&mut byte), Ok(1..))
 }
 
 /// Until the other side has ended its sending, whether or not what it sent before has been read.
-pub async fn ended(socket: &TcpStream) {
+pub async fn read_closed(socket: &TcpStream) {
     // An end counts for this interest too; bytes do not, and urgent ones are not sent here.
     while socket.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
         yield_now().await;
@@ -30,15 +30,15 @@
 }
 
 #[derive(Clone)]
-pub struct Wire {
+pub struct CountedSocket {
     pub socket: Rc<TcpStream>,
     written: Rc<Cell<u64>>,
     due: Rc<RefCell<Option<Due>>>,
 }
 
-impl Wire {
+impl CountedSocket {
     pub fn new(socket: TcpStream) -> Self {
-        Wire { socket: Rc::new(socket), written: Rc::default(), due: Rc::default() }
+        CountedSocket { socket: Rc::new(socket), written: Rc::default(), due: Rc::default() }
     }
 
     /// Bytes handed to the machine so far.
@@ -47,7 +47,7 @@
     }
 
     /// Whether there is nothing to read: no bytes, no end, no error.
-    pub fn quiet(&self) -> bool {
+    pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&*self.socket).peek(&mut byte);
         matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
@@ -83,7 +83,7 @@
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for CountedSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.socket.poll_read_ready(cx))?;
@@ -97,7 +97,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for CountedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_out(cx, || self.socket.try_write(buf))
     }
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -18,22 +18,22 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
-use crate::admin::{Desk, Ops};
+use crate::admin::{AdminContext, AdminFront};
 use crate::budget::Budget;
 use crate::config::{self, Bounds, Files};
 use crate::core::duration;
-use crate::discovery::{self, List, Names, Tally};
-use crate::engine::Limits;
+use crate::discovery::{self, DiscoveryMetrics, EndpointList, SettingsNames};
+use crate::engine::EngineLimits;
 use crate::fleet::{self, FleetError, Start};
-use crate::front::server::{self, Door};
+use crate::front::server::{self, FrontListener};
 use crate::front::{inference, platform};
 use crate::log;
-use crate::maintenance::{Orders, Rotation};
-use crate::metrics::Counters;
+use crate::maintenance::{Maintenance, OrderStore};
+use crate::metrics::RequestMetrics;
 use crate::plugin::Plugin;
-use crate::pools::{PlatformChat, Pool, Second};
+use crate::pools::{InferencePools, PlatformChat, Pool};
 use crate::shutdown::{self, Phase, Shutdown};
-use crate::upgrade::{self, Inboxes, Learned, Share};
+use crate::upgrade::{self, RoutingStateTransfer, SharedLimits, TransferInboxes};
 
 /// Connections still come for a while after the process was told to end (0.4 s on the platform).
 const LEAVING: Duration = Duration::from_millis(600);
@@ -110,34 +110,34 @@
     let shutdown = Shutdown::default();
     let state = platform.as_ref().filter(|p| p.ops.is_some()).map(|p| p.state.clone());
     let estate = match &state {
-        Some(state) => upgrade::inherit(state).await,
+        Some(state) => upgrade::request_handover(state).await,
         None => None,
     };
     let ([first, other], link) = estate.map_or_else(Default::default, |e| (e.listeners, Some(e.link)));
-    let (inboxes, [first_inbox, other_inbox]) = Inboxes::new();
+    let (inboxes, [first_inbox, other_inbox]) = TransferInboxes::new();
     // After another process, this one accepts only once it can do all that the other could.
     let (opener, open) = watch::channel(link.is_none());
-    let shared = Share {
+    let shared = SharedLimits {
         slots: slots.clone(),
         connections: bounds.server_connections,
         budget: budget.clone(),
         bodies: bounds.bodies,
     };
-    let after = link.map(|link| (link, shared.halve()));
+    let after = link.map(|link| (link, shared.reserve_half()));
     let mut listeners = Vec::new();
-    let mut learned = Learned { give: Rc::new(Vec::new), take: Rc::new(|_| {}) };
+    let mut learned = RoutingStateTransfer { export: Rc::new(Vec::new), import: Rc::new(|_| {}) };
     let mut able: Rc<dyn Fn() -> bool> = Rc::new(|| true);
     let mut pools = Vec::new();
     let deadlines = platform.iter().flat_map(|p| p.settings.classes.iter().map(|c| duration(c.deadline)));
-    let kill = shutdown::kill(deadlines);
-    let last_answer = platform.is_some().then(|| shutdown::last_answer(kill));
+    let kill = shutdown::kill_delay(deadlines);
+    let last_answer = platform.is_some().then(|| shutdown::last_response_delay(kill));
     let mut reloads: Vec<Box<dyn Fn()>> = Vec::new();
     let mut chat = None;
     let mut desk = None;
     let own = [inference::EMBEDDINGS, inference::CHAT].map(String::from);
     let own = own.into_iter().filter(|_| second.is_some());
     let classes = platform.iter().flat_map(|p| p.classes.iter().cloned());
-    let counters = Counters::new(classes.chain(own));
+    let counters = RequestMetrics::new(classes.chain(own));
     let mut signals = Signals::new()?;
     // The second front's connections come out of the same descriptors; alone, it may have them all.
     let share = bounds.client_connections / if platform.is_some() { 2 } else { 1 };
@@ -146,29 +146,29 @@
     if let Some(p) = platform {
         let listener = listen(&p.listen.to_string(), "listen", "platform", first).await?;
         listeners.push(to_hand_over(upgrade::PLATFORM, &listener)?);
-        let limits = Limits {
+        let limits = EngineLimits {
             connect_timeout: duration(p.settings.limits.connect_timeout),
             probes: p.settings.limits.probes,
             idle: p.conn_idle.mul_f64(IDLE_SHARE),
             public_api: false,
         };
         let classes = p.classes.iter().cloned().zip(p.settings.classes.iter().map(|c| c.deadline));
-        let come_back = platform::Names::come_back(&p.settings.limits);
-        let names = platform::Names { classes: classes.collect(), tenants: p.tenants, come_back };
+        let come_back = platform::PlatformNames::come_back(&p.settings.limits);
+        let names = platform::PlatformNames { classes: classes.collect(), tenants: p.tenants, come_back };
         let classes = p.settings.classes.clone();
-        let calls = discovery::calls(&p.settings, p.seed);
+        let calls = discovery::poll_schedule(&p.settings, p.seed);
         let pool = Pool::new(p.seed, p.settings, limits, slots.clone(), budget.clone());
         pools.push(pool.clone());
         let (from, to) = (pool.core.clone(), pool.core.clone());
-        learned = Learned {
-            give: Rc::new(move || from.recollect()),
-            take: Rc::new(move |bytes| to.inherit(bytes)),
+        learned = RoutingStateTransfer {
+            export: Rc::new(move || from.export_state()),
+            import: Rc::new(move |bytes| to.import_state(bytes)),
         };
-        let words = Names { zones: p.zones, kinds: p.kinds };
+        let words = SettingsNames { zones: p.zones, kinds: p.kinds };
         // Without a place for them, orders are denied; all else works.
         let orders =
-            p.ops.and_then(|_| Orders::open(&p.state).map_err(|e| log!("no place for orders: {e}")).ok());
-        let rotation = Rotation::new(words, pool.clock, pool.engine.clone(), pool.core.clone(), orders);
+            p.ops.and_then(|_| OrderStore::open(&p.state).map_err(|e| log!("no place for orders: {e}")).ok());
+        let rotation = Maintenance::new(words, pool.clock, pool.engine.clone(), pool.core.clone(), orders);
         let rotation = Rc::new(rotation);
         let address = watch::Sender::new(p.discovery);
         let watched = address.subscribe();
@@ -177,26 +177,26 @@
             Ok(None) => {}
             Err(e) => log!("{e}; all stays as it was"),
         }));
-        let known = List::deserialize(&p.known).ok();
+        let known = EndpointList::deserialize(&p.known).ok();
         if let Some(known) = &known {
-            rotation.take(known, ListUpdate::Cached);
+            rotation.apply_list(known, ListUpdate::Cached);
         }
         // A second process asks for the whole list, which is answered at once: what it was started with may be old.
         let from = known.map(|k| k.seq).filter(|_| after.is_none());
         let told = Rc::new(Cell::new(false));
-        let tally = Rc::new(Tally::default());
+        let tally = Rc::new(DiscoveryMetrics::default());
         spawn_local(tell_counts(pool.clone(), tally.clone(), p.prices));
         spawn_local({
             let (rotation, told) = (rotation.clone(), told.clone());
             discovery::watch(watched, from, calls, tally, move |list, scope| {
-                rotation.take(list, scope);
+                rotation.apply_list(list, scope);
                 told.set(true);
             })
         });
         let ready: Rc<dyn Fn() -> bool> = Rc::new({
             let (core, shutdown) = (pool.core.clone(), shutdown.clone());
             // Of the gateway: yes also where another process has taken over.
-            move || !shutdown.leaving() && core.can_serve()
+            move || !shutdown.is_draining() && core.can_serve()
         });
         if let Some(at) = p.ops {
             let listener = listen(&at.to_string(), "ops", "operators'", None).await?;
@@ -206,20 +206,20 @@
             desk = Some((listener, Rc::new(ready), rotation.clone()));
             let (core, orders, began) = (pool.core.clone(), rotation.clone(), Instant::now());
             able = Rc::new(move || {
-                orders.look();
+                orders.sync_orders();
                 core.can_serve() && (told.get() || began.elapsed() > SILENT_DISCOVERY)
             });
-            spawn_local(async move { rotation.keep_looking().await });
+            spawn_local(async move { rotation.watch_orders().await });
         }
         chat = Some(PlatformChat { names: names.classes.clone(), classes, pool: pool.clone() });
-        let door = Door {
+        let door = FrontListener {
             number: upgrade::PLATFORM,
             listener,
             inbox: Some(first_inbox),
             resume: Some(server::resume(&pool, &counters)),
             open: open.clone(),
         };
-        let (entry, ending, counts) = (pool.entry(&plugin), shutdown.clone(), counters.clone());
+        let (entry, ending, counts) = (pool.request_service(&plugin), shutdown.clone(), counters.clone());
         let front = platform::Platform::new(names, budget.clone(), entry, ready, ending, counts);
         let cap = bounds.client_connections - seconds;
         spawn_local(server::serve(door, front, cap, shutdown.clone()));
@@ -228,9 +228,9 @@
     if let Some((file, path)) = second {
         let listener = listen(&file.listen, "listen", "second", other).await?;
         listeners.push(to_hand_over(upgrade::SECOND, &listener)?);
-        let second = Second::new(&file, chat, &plugin, slots, budget, counters.clone())?;
+        let second = InferencePools::new(&file, chat, &plugin, slots, budget, counters.clone())?;
         let own = second.pools();
-        let door = Door {
+        let door = FrontListener {
             number: upgrade::SECOND,
             listener,
             inbox: Some(other_inbox),
@@ -253,9 +253,9 @@
     }
     if let Some((listener, ready, rotation)) = desk {
         let (pools, shutdown, fleet) = (pools.clone(), shutdown.clone(), member.clone());
-        let desk = Desk { ready, counters, pools, rotation, shutdown, fleet };
+        let desk = AdminContext { ready, counters, pools, rotation, shutdown, fleet };
         // Operators are answered until the process ends.
-        spawn_local(server::serve(listener, Ops::new(desk), bounds.operators, Shutdown::default()));
+        spawn_local(server::serve(listener, AdminFront::new(desk), bounds.operators, Shutdown::default()));
     }
 
     if let Some(state) = state {
@@ -266,7 +266,7 @@
                     sleep(SETTLE).await;
                 }
                 opener.send_replace(true);
-                spawn_local(upgrade::take_over(
+                spawn_local(upgrade::serve_as_successor(
                     link,
                     inboxes.clone(),
                     learned.clone(),
@@ -274,7 +274,7 @@
                     half,
                 ));
             }
-            upgrade::hand_over(state, listeners, inboxes, learned, shutdown, shared).await;
+            upgrade::serve_as_predecessor(state, listeners, inboxes, learned, shutdown, shared).await;
         });
     } else {
         // Copies would keep the sockets listening after the fronts have ended to accept.
@@ -293,10 +293,10 @@
         let pools = pools.clone();
         spawn_local(async move {
             sleep(last).await;
-            pools.iter().for_each(|p| p.core.answer_all());
+            pools.iter().for_each(|p| p.core.answer_pending());
         });
     }
-    leave(&shutdown, &pools, shutdown::last_words(kill)).await;
+    leave(&shutdown, &pools, shutdown::stream_handover_delay(kill)).await;
     // Last: until here it serves, and the others must count on it.
     if let Some(member) = member {
         member.leave();
@@ -305,7 +305,7 @@
 }
 
 /// Logs what this process has asked of servers and of discovery, whenever more has come.
-async fn tell_counts(pool: Pool, tally: Rc<Tally>, prices: Prices) {
+async fn tell_counts(pool: Pool, tally: Rc<DiscoveryMetrics>, prices: Prices) {
     let since = pool.clock.unix(pool.clock.now()).round();
     let mut told = Counts::default();
     loop {
@@ -340,15 +340,15 @@
 /// streams under way go over to it after `last_words`.
 pub async fn leave(shutdown: &Shutdown, pools: &[Pool], last_words: Duration) {
     log!("told to end");
-    shutdown.enter(Phase::Leaving);
+    shutdown.enter(Phase::Draining);
     // Where another process has taken over, connections come to that one.
-    match shutdown.superseded() {
+    match shutdown.has_successor() {
         true => {
             let (shutdown, pools) = (shutdown.clone(), pools.to_vec());
             spawn_local(async move {
                 sleep(last_words).await;
-                if shutdown.superseded() {
-                    pools.iter().for_each(|p| p.engine.move_streams());
+                if shutdown.has_successor() {
+                    pools.iter().for_each(|p| p.engine.hand_over_streams());
                 }
             });
         }
@@ -357,8 +357,8 @@
     shutdown.enter(Phase::Closing);
     // Accepting ends with what the machine had taken; those connections are counted by then.
     sleep(SETTLE).await;
-    shutdown.emptied().await;
-    while pools.iter().any(|p| !p.core.idle()) {
+    shutdown.drained().await;
+    while pools.iter().any(|p| !p.core.is_idle()) {
         sleep(SETTLE).await;
     }
     pools.iter().for_each(|p| p.engine.close_idle());
--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -8,7 +8,7 @@
 use serde_json::{Map, Value};
 
 use crate::core::{Clock, Core, Upstream};
-use crate::engine::{Address, Engine};
+use crate::engine::{Engine, ServerAddress};
 use crate::log;
 
 /// Words for a server's state; any other means that it is gone.
@@ -17,26 +17,26 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct List {
+pub struct EndpointList {
     pub seq: u64,
     pub whole: bool,
     #[serde(deserialize_with = "readable")]
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<Endpoint>,
 }
 
-impl List {
+impl EndpointList {
     /// Reads a list with any white space in it. A byte that is no text spoils its own line only.
-    pub fn read(bytes: &[u8]) -> serde_json::Result<List> {
+    pub fn read(bytes: &[u8]) -> serde_json::Result<EndpointList> {
         serde_json::from_str(&String::from_utf8_lossy(bytes))
     }
 }
 
 /// The lines of a list that can be used, in order. One that cannot be read must not cost the others, and of two lines for
 /// one engine the later holds; both are named in the log.
-fn readable<'de, D: Deserializer<'de>>(lines: D) -> Result<Vec<Host>, D::Error> {
-    let mut hosts: Vec<Host> = Vec::new();
+fn readable<'de, D: Deserializer<'de>>(lines: D) -> Result<Vec<Endpoint>, D::Error> {
+    let mut hosts: Vec<Endpoint> = Vec::new();
     for line in Option::<Vec<Box<RawValue>>>::deserialize(lines)?.unwrap_or_default() {
-        match Host::read(&line) {
+        match Endpoint::read(&line) {
             Err(e) => {
                 let line = line.get().split_whitespace().collect::<Vec<_>>().join(" ");
                 log!("discovery: a line is left out: {line:.200}: {e}");
@@ -55,7 +55,7 @@
 
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Host {
+pub struct Endpoint {
     pub host: String,
     pub dial: String,
     site: Value,
@@ -67,7 +67,7 @@
 }
 
 /// The deployment's own words, by which a list names zones and kinds.
-pub struct Names {
+pub struct SettingsNames {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
 }
@@ -90,19 +90,19 @@
     NoAddress,
 }
 
-impl Host {
+impl Endpoint {
     /// Reads a line. A field that is null is as good as left out, and a faulty one spoils the line; but where that line
     /// says that its server is to get nothing new, this much is taken.
-    fn read(line: &RawValue) -> Result<Host, Unusable> {
+    fn read(line: &RawValue) -> Result<Endpoint, Unusable> {
         let raw: BTreeMap<String, Box<RawValue>> = serde_json::from_str(line.get())?;
         let value = |raw: &RawValue| serde_json::from_str::<Value>(raw.get());
         let good = raw.iter().filter_map(|(name, raw)| Some((name.clone(), value(raw).ok()?)));
         let good: Map<String, Value> = good.filter(|(_, v)| !v.is_null()).collect();
         let word = |name: &str| good.get(name).and_then(Value::as_str).unwrap_or("").to_string();
         let (host, dial, health) = (word("host"), word("dial"), word("health"));
-        let brief = Host { host, dial, health, ..Host::default() };
+        let brief = Endpoint { host, dial, health, ..Endpoint::default() };
         let fault = raw.values().find_map(|raw| value(raw).err());
-        let read = fault.map_or_else(|| Host::deserialize(Value::Object(good)), Err);
+        let read = fault.map_or_else(|| Endpoint::deserialize(Value::Object(good)), Err);
         let host = match read {
             Err(e) if brief.health.is_empty() || brief.state() == ServerState::Ready => return Err(e.into()),
             read => read.unwrap_or(brief),
@@ -131,7 +131,7 @@
         }
     }
     /// The same number at every gateway: it depends on the name, not on where this gateway dials it.
-    fn member(&self, names: &Names, clock: &Clock) -> ServerEntry {
+    fn member(&self, names: &SettingsNames, clock: &Clock) -> ServerEntry {
         let kind = index(&self.class, &names.kinds);
         if kind.is_none() {
             log!("discovery: {} is of no known kind: {}", self.host, self.class);
@@ -149,25 +149,26 @@
 }
 
 /// Gives a list to the engine client and the core.
-pub fn apply<U: Upstream>(
-    list: &List, scope: ListUpdate, names: &Names, clock: &Clock, engine: &Engine, core: &Core<U>,
+pub fn apply_list<U: Upstream>(
+    list: &EndpointList, scope: ListUpdate, names: &SettingsNames, clock: &Clock, engine: &Engine,
+    core: &Core<U>,
 ) {
     let members: Vec<ServerEntry> = list.hosts.iter().map(|h| h.member(names, clock)).collect();
     let (mut changed, mut gone) = (Vec::new(), Vec::new());
     for (host, m) in list.hosts.iter().zip(&members) {
         match m.state {
             ServerState::Terminated => gone.push(m.server),
-            state => changed.push(Address {
+            state => changed.push(ServerAddress {
                 server: m.server,
-                dial: host.dial.clone(),
+                address: host.dial.clone(),
                 serving: state == ServerState::Ready,
                 zone: m.zone,
-                born: host.born_ms as u64,
+                started_ms: host.born_ms as u64,
             }),
         }
     }
-    engine.learn(scope != ListUpdate::Delta, &changed, &gone);
-    core.members(scope, members);
+    engine.update_servers(scope != ListUpdate::Delta, &changed, &gone);
+    core.update_servers(scope, members);
 }
 
 #[cfg(test)]
@@ -202,11 +203,11 @@
                 &lines.join(between)[..],
                 b"]\n}\n",
             ];
-            let list = List::read(&text.concat()).expect("a list");
+            let list = EndpointList::read(&text.concat()).expect("a list");
             let read: Vec<(&str, &str)> = list.hosts.iter().map(|h| (&*h.host, &*h.dial)).collect();
             assert_eq!((list.seq, list.whole), (7, true));
             assert_eq!(read, [("s-7", ""), ("s-1", "127.0.0.1:8"), ("s-10", "127.0.0.1:10")]);
-            let states: Vec<ServerState> = list.hosts.iter().map(Host::state).collect();
+            let states: Vec<ServerState> = list.hosts.iter().map(Endpoint::state).collect();
             assert_eq!(states, [ServerState::Terminated, ServerState::Draining, ServerState::Ready]);
         }
     }
@@ -227,7 +228,7 @@
             hosts.insert(at.index(hosts.len()), spoilt);
             let list = json!({"seq": 1, "whole": true, "hosts": hosts});
             let write = if indented { serde_json::to_vec_pretty } else { serde_json::to_vec };
-            let list = List::read(&write(&list).expect("a list")).expect("a list");
+            let list = EndpointList::read(&write(&list).expect("a list")).expect("a list");
             prop_assert_eq!(list.hosts.into_iter().map(|h| h.host).collect::<Vec<_>>(), names);
         }
     }
@@ -235,10 +236,10 @@
     /// Guards the hash that all gateways must share: a server is its `host`, wherever this gateway dials it.
     #[test]
     fn a_server_is_named_by_its_host_and_described_in_the_settings_words() {
-        let names = Names { zones: vec!["dc".into()], kinds: vec!["read".into(), "write".into()] };
+        let names = SettingsNames { zones: vec!["dc".into()], kinds: vec!["read".into(), "write".into()] };
         let clock = Clock::new(Duration::from_secs(100));
         let line = |line: &str| {
-            Host::deserialize(serde_json::from_str::<Value>(line).expect("JSON")).expect("a line")
+            Endpoint::deserialize(serde_json::from_str::<Value>(line).expect("JSON")).expect("a line")
         };
         let a = line(
             r#"{"host": "s-1", "dial": "127.0.0.1:1", "site": "dc", "class": "write", "block": 3, "health": "SERVING",
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -3,5 +3,5 @@
 mod list;
 mod watch;
 
-pub use list::{apply, Host, List, Names};
-pub use watch::{calls, watch, Tally};
+pub use list::{apply_list, Endpoint, EndpointList, SettingsNames};
+pub use watch::{poll_schedule, watch, DiscoveryMetrics};
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -16,7 +16,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout, Instant};
 
-use super::list::List;
+use super::list::EndpointList;
 use crate::core::duration;
 use crate::log;
 
@@ -31,7 +31,7 @@
 
 /// What the watch has cost: calls answered, the lines that came with them, calls that failed.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct DiscoveryMetrics {
     pub answered: Cell<u64>,
     pub lines: Cell<u64>,
     pub failed: Cell<u64>,
@@ -85,7 +85,7 @@
 /// Asks on the connection that is open, or on a new one; leaves it open for the next call where it may.
 async fn call(
     open: Option<Watch>, address: &str, ask: Poll, from: Option<u64>, limits: Limits,
-) -> Result<(Option<Watch>, List), Failed> {
+) -> Result<(Option<Watch>, EndpointList), Failed> {
     let target = match (ask, from) {
         (Poll::Changes { hold, .. }, Some(seq)) => {
             format!("/v1/endpoints?from={seq}&hold_ms={}", hold.as_millis())
@@ -115,13 +115,13 @@
         {
             text.extend_from_slice(part?.data_ref().map_or(&[], |data| data));
         }
-        Ok(((!ends).then_some(watch), List::read(&text)?))
+        Ok(((!ends).then_some(watch), EndpointList::read(&text)?))
     };
     timeout(limits.total, whole).await.map_err(|_| "an answer does not end in time")?
 }
 
 /// The calls of a gateway with this seed, one of as many as the settings say.
-pub fn calls(settings: &Settings, seed: u64) -> Calls {
+pub fn poll_schedule(settings: &Settings, seed: u64) -> Calls {
     let pauses = match settings.discovery {
         Discovery::Push => BackoffPolicy::PUSHED,
         Discovery::Subscribe => {
@@ -143,8 +143,8 @@
 /// changes, the call under way or the pause is given up at once, and the new place's whole list is the truth about what
 /// is gone.
 pub async fn watch(
-    mut address: watch::Receiver<String>, mut from: Option<u64>, mut calls: Calls, tally: Rc<Tally>,
-    take: impl Fn(&List, ListUpdate),
+    mut address: watch::Receiver<String>, mut from: Option<u64>, mut calls: Calls,
+    tally: Rc<DiscoveryMetrics>, take: impl Fn(&EndpointList, ListUpdate),
 ) {
     let mut open: Option<Watch> = None;
     let mut at = address.borrow_and_update().clone();
@@ -171,7 +171,7 @@
             },
             answer = &mut answer => answer,
         };
-        let whole = |list: &List| list.whole || matches!(ask, Poll::FullList { .. });
+        let whole = |list: &EndpointList| list.whole || matches!(ask, Poll::FullList { .. });
         let answer = answer.and_then(|(watch, list)| match whole(&list) && list.hosts.is_empty() {
             // An agent that has been sent nothing yet: the list known is better.
             true => Err("a whole list with no line that can be used".into()),
--- a/gateway/src/discovery/watch/tests.rs
+++ b/gateway/src/discovery/watch/tests.rs
@@ -11,13 +11,13 @@
         settings(serde_json::json!({"balancers": n, "discovery": "subscribe",
         "rules": {"ask-within": 10_000.0}}))
     };
-    let begin = |n: u32, seed| super::calls(&asked(n), seed).initial_delay();
+    let begin = |n: u32, seed| super::poll_schedule(&asked(n), seed).initial_delay();
     let latest = (1..=100).map(|seed| begin(100, seed)).max().expect("a call");
     assert!((Duration::from_secs(4)..Duration::from_secs(5)).contains(&latest), "{latest:?}");
     assert!((1..=100).all(|seed| begin(2, seed) < Duration::from_millis(100)));
     assert!((1..=300).all(|seed| begin(300, seed) < Duration::from_secs(5)), "before it counts as told");
     let pushed = settings(serde_json::json!({"balancers": 100, "rules": {"ask-within": 10_000.0}}));
-    assert_eq!(super::calls(&pushed, 1).initial_delay(), Duration::ZERO);
+    assert_eq!(super::poll_schedule(&pushed, 1).initial_delay(), Duration::ZERO);
 }
 
 #[test]
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -18,9 +18,9 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::{spawn_local, AbortHandle};
 
-use super::response_reader::{Gate, Inlet, Tap};
-use crate::counted_socket::Wire;
-use crate::exchange::Rest;
+use super::response_reader::{Gate, ResponseReader, Tap};
+use crate::counted_socket::CountedSocket;
+use crate::exchange::StreamRemainder;
 use crate::log;
 
 /// Most bytes read at once, more than the largest head. A piece of a stream is not larger, unless one event is: hyper's own
@@ -48,7 +48,7 @@
     pub peer: Peer,
     machine: server::Connection,
     pub sender: SendRequest<Full<Bytes>>,
-    wire: Wire,
+    wire: CountedSocket,
     gate: Rc<Gate>,
     awaited: Rc<Cell<bool>>,
     /// The body of the answer under way, as it is read.
@@ -61,9 +61,9 @@
     pub async fn open(peer: Peer, slot: OwnedSemaphorePermit) -> io::Result<Connection> {
         let socket = TcpStream::connect(&peer.dial).await?;
         socket.set_nodelay(true)?;
-        let (wire, awaited) = (Wire::new(socket), Rc::new(Cell::new(false)));
+        let (wire, awaited) = (CountedSocket::new(socket), Rc::new(Cell::new(false)));
         let (gate, tap) = (Rc::new(Gate::default()), Rc::new(Tap::default()));
-        let inlet = Inlet::new(wire.clone(), gate.clone(), awaited.clone(), tap.clone());
+        let inlet = ResponseReader::new(wire.clone(), gate.clone(), awaited.clone(), tap.clone());
         let (sender, connection) = Builder::new()
             .max_buf_size(READ)
             .handshake(TokioIo::new(inlet))
@@ -126,15 +126,15 @@
     }
 
     /// Gives the connection away as it stands; nothing is read of it here any more.
-    pub fn release(mut self) -> io::Result<Rest> {
+    pub fn release(mut self) -> io::Result<StreamRemainder> {
         let socket = self.wire.socket.as_fd().try_clone_to_owned()?;
         step(&mut self.machine, Input::ReadPaused);
-        Ok(Rest { socket: socket.into(), ahead: self.tap.ahead.take() })
+        Ok(StreamRemainder { socket: socket.into(), read_ahead: self.tap.ahead.take() })
     }
 
     /// Whether an idle connection can still be used: neither closed nor holding bytes that nobody asked for.
     pub fn lives(&mut self) -> bool {
-        let lives = self.wire.quiet() && self.sender.is_ready();
+        let lives = self.wire.is_quiet() && self.sender.is_ready();
         if !lives {
             step(&mut self.machine, Input::Broken);
         }
--- a/gateway/src/engine/endpoints.rs
+++ b/gateway/src/engine/endpoints.rs
@@ -11,18 +11,18 @@
 
 /// A server as discovery lists it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Address {
+pub struct ServerAddress {
     pub server: ServerId,
-    pub dial: String,
+    pub address: String,
     pub serving: bool,
     /// Servers are cut off by zones.
     pub zone: u32,
     /// When it last started, as the list says; 0 for long ago.
-    pub born: u64,
+    pub started_ms: u64,
 }
 
 #[derive(Default)]
-pub(super) struct Place {
+pub(super) struct ServerRecord {
     pub peer: Peer,
     pub serving: bool,
     zone: u32,
@@ -31,18 +31,18 @@
     reach: Reachability,
 }
 
-pub(super) struct Places {
+pub(super) struct ServerTable {
     began: Instant,
-    all: BTreeMap<ServerId, Place>,
+    all: BTreeMap<ServerId, ServerRecord>,
 }
 
-impl Places {
+impl ServerTable {
     pub fn new() -> Self {
-        Places { began: Instant::now(), all: BTreeMap::new() }
+        ServerTable { began: Instant::now(), all: BTreeMap::new() }
     }
 
     /// Takes in a list, or changes to it.
-    pub fn learn(&mut self, whole: bool, changed: &[Address], gone: &[ServerId]) {
+    pub fn learn(&mut self, whole: bool, changed: &[ServerAddress], gone: &[ServerId]) {
         if whole {
             self.all.retain(|id, _| changed.iter().any(|a| a.server == *id));
         }
@@ -51,7 +51,7 @@
         }
         for a in changed {
             let place = self.all.entry(a.server).or_default();
-            let peer = Peer { dial: a.dial.clone(), born: a.born };
+            let peer = Peer { dial: a.address.clone(), born: a.started_ms };
             if place.peer.dial != peer.dial {
                 place.reach = Reachability::default();
             }
@@ -63,15 +63,15 @@
         }
     }
 
-    pub fn get(&self, server: ServerId) -> Option<&Place> {
+    pub fn get(&self, server: ServerId) -> Option<&ServerRecord> {
         self.all.get(&server)
     }
 
-    pub fn get_mut(&mut self, server: ServerId) -> Option<&mut Place> {
+    pub fn get_mut(&mut self, server: ServerId) -> Option<&mut ServerRecord> {
         self.all.get_mut(&server)
     }
 
-    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Place> {
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut ServerRecord> {
         self.all.values_mut()
     }
 
@@ -96,7 +96,7 @@
     /// Those that may be asked to let go of something, in the order in which they are to be asked: any that runs takes it,
     /// those that drain last.
     pub fn running(&self) -> Vec<ServerId> {
-        let candidate = |(id, p): (&ServerId, &Place)| Candidate {
+        let candidate = |(id, p): (&ServerId, &ServerRecord)| Candidate {
             server: *id,
             zone: p.zone,
             has_idle_connection: !p.idle.is_empty(),
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -15,7 +15,7 @@
 use super::requests::{lease_request, load_request};
 use super::{Ask, Asked, Engine, BRIEF};
 use crate::log;
-use crate::upstream::{Failed, Reply};
+use crate::upstream::{CallError, Reply};
 
 /// A server that is well answers a probe within this time.
 const ANSWERS_WITHIN: Duration = Duration::from_millis(80);
@@ -37,12 +37,12 @@
     KeptBack,
 }
 
-impl From<Unconfirmed> for Failed {
-    fn from(unconfirmed: Unconfirmed) -> Failed {
+impl From<Unconfirmed> for CallError {
+    fn from(unconfirmed: Unconfirmed) -> CallError {
         match unconfirmed {
             // Nothing of a request went out.
-            Unconfirmed::Broken | Unconfirmed::Silent => Failed::Connect,
-            Unconfirmed::NoTime | Unconfirmed::KeptBack => Failed::NotSent,
+            Unconfirmed::Broken | Unconfirmed::Silent => CallError::ConnectFailed,
+            Unconfirmed::NoTime | Unconfirmed::KeptBack => CallError::NotSent,
         }
     }
 }
@@ -98,7 +98,7 @@
     }
 
     /// A sign of this server that is younger than this call: an answer, or a new connection where there is nothing to ask.
-    pub(super) async fn check(&self, server: ServerId, ended: Option<&str>) -> Result<Reply, Failed> {
+    pub(super) async fn check(&self, server: ServerId, ended: Option<&str>) -> Result<Reply, CallError> {
         let asked = match (self.0.limits.probes, ended) {
             (true, _) => Some(Asked::aside(Ask::Probe, load_request()?)),
             (false, Some(name)) => Some(Asked::aside(Ask::Release, lease_request(Method::DELETE, name)?)),
@@ -117,7 +117,7 @@
             Ok(checked) => checked.map(|()| Reply::Done),
             Err(_) => {
                 self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
-                Err(Failed::Connect)
+                Err(CallError::ConnectFailed)
             }
         }
     }
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -35,18 +35,18 @@
 use tower::Service;
 
 use self::connection::{Connection, Peer, Verdict};
-pub use self::endpoints::Address;
-use self::endpoints::Places;
+pub use self::endpoints::ServerAddress;
+use self::endpoints::ServerTable;
 use self::events::Events;
 use self::liveness::Unconfirmed;
 use self::reply::Tail;
 use self::requests::{attempt_request, lease_request, load_request, tell_left};
 use self::stream::{broken, Next, Stream};
 use crate::budget::Budget;
-use crate::exchange::{Head, Payload, Rest, Wanted};
+use crate::exchange::{CancelToken, Payload, ResponseHead, StreamRemainder};
 use crate::invariants::TOLD_AGE;
 use crate::log;
-use crate::upstream::{Call, Failed, Frame, Reply};
+use crate::upstream::{Call, CallError, Frame, Reply};
 
 /// Most bytes of an answer that is kept whole before any of it is passed on.
 const WHOLE: usize = 16 << 20;
@@ -63,7 +63,7 @@
 
 /// What servers of a pool are like, beyond what the list says.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct EngineLimits {
     pub connect_timeout: Duration,
     /// Whether servers may be probed.
     pub probes: bool,
@@ -75,8 +75,8 @@
 }
 
 struct Shared {
-    limits: Limits,
-    places: RefCell<Places>,
+    limits: EngineLimits,
+    places: RefCell<ServerTable>,
     slots: Arc<Semaphore>,
     /// For answers that are kept whole.
     budget: Budget,
@@ -115,12 +115,12 @@
     confirm: bool,
     /// Its answer is waited for until then.
     until: Option<Instant>,
-    wanted: Wanted,
+    wanted: CancelToken,
 }
 
 impl Asked {
     fn aside(what: Ask, request: Request<Bytes>) -> Asked {
-        Asked { what, request, connect: None, confirm: false, until: None, wanted: Wanted::default() }
+        Asked { what, request, connect: None, confirm: false, until: None, wanted: CancelToken::default() }
     }
 
     /// What is written if it goes out at this moment; nothing once its time is over, or that of what is held for it, or that in
@@ -142,8 +142,8 @@
 
 impl Engine {
     /// `slots` bounds the connections of all pools together, `budget` the bodies held.
-    pub fn new(limits: Limits, slots: Arc<Semaphore>, budget: Budget) -> Self {
-        let places = RefCell::new(Places::new());
+    pub fn new(limits: EngineLimits, slots: Arc<Semaphore>, budget: Budget) -> Self {
+        let places = RefCell::new(ServerTable::new());
         Engine(Rc::new(Shared {
             limits,
             places,
@@ -157,23 +157,23 @@
     }
 
     /// Takes in a list, or changes to it.
-    pub fn learn(&self, whole: bool, changed: &[Address], gone: &[ServerId]) {
+    pub fn update_servers(&self, whole: bool, changed: &[ServerAddress], gone: &[ServerId]) {
         self.0.places.borrow_mut().learn(whole, changed, gone);
     }
 
     /// Has every stream end here, now and from now on, where another process can go on with it.
-    pub fn move_streams(&self) {
+    pub fn hand_over_streams(&self) {
         self.0.moving.send_replace(true);
     }
 
     /// Goes on with a stream that another process began.
-    pub fn resume(&self, rest: Rest) -> LocalBoxStream<'static, Result<Frame, Failed>> {
+    pub fn resume(&self, rest: StreamRemainder) -> LocalBoxStream<'static, Result<Frame, CallError>> {
         let slot = self.0.slots.clone().try_acquire_owned().ok();
         resume::resume(rest, slot, self.0.moving.subscribe())
     }
 
     /// Attempts whose last byte was handed to the machine.
-    pub fn relayed(&self) -> u64 {
+    pub fn attempts_written(&self) -> u64 {
         self.0.relayed.get()
     }
 
@@ -211,10 +211,10 @@
         None
     }
 
-    async fn open(&self, server: ServerId, by: Option<Instant>) -> Result<Connection, Failed> {
+    async fn open(&self, server: ServerId, by: Option<Instant>) -> Result<Connection, CallError> {
         let usual = self.0.limits.connect_timeout;
         let time = by.map_or(usual, |by| usual.min(by.saturating_duration_since(Instant::now())));
-        let peer = self.0.places.borrow().get(server).map(|p| p.peer.clone()).ok_or(Failed::NotSent)?;
+        let peer = self.0.places.borrow().get(server).map(|p| p.peer.clone()).ok_or(CallError::NotSent)?;
         let slot = self.0.slots.clone().try_acquire_owned();
         let slot = slot.or_else(|_| {
             // Idle connections elsewhere give way.
@@ -222,20 +222,22 @@
             self.0.slots.clone().try_acquire_owned()
         });
         // No word on the server: the lack is here.
-        let slot = slot.map_err(|_| Failed::NotSent)?;
+        let slot = slot.map_err(|_| CallError::NotSent)?;
         match timeout(time, Connection::open(peer, slot)).await {
             Ok(Ok(connection)) => Ok(connection),
             // So short a time tells nothing of the server.
-            Err(_) if time < usual / 2 => Err(Failed::NotSent),
+            Err(_) if time < usual / 2 => Err(CallError::NotSent),
             _ => {
                 self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
-                Err(Failed::Connect)
+                Err(CallError::ConnectFailed)
             }
         }
     }
 
     /// Opens a connection for this, and counts it.
-    async fn opened(&self, server: ServerId, what: Ask, by: Option<Instant>) -> Result<Connection, Failed> {
+    async fn opened(
+        &self, server: ServerId, what: Ask, by: Option<Instant>,
+    ) -> Result<Connection, CallError> {
         let opened = self.open(server, by).await;
         let mut counts = self.0.counts.borrow_mut();
         match (&opened, what) {
@@ -295,13 +297,15 @@
     }
 
     /// Writes a request to a server once and returns the head of what comes back.
-    async fn ask(&self, server: ServerId, asked: &Asked) -> Result<(Response<Incoming>, Connection), Failed> {
+    async fn ask(
+        &self, server: ServerId, asked: &Asked,
+    ) -> Result<(Response<Incoming>, Connection), CallError> {
         let Asked { what, connect, wanted, .. } = asked;
         let what = *what;
         loop {
             // Nobody is dialled in vain: it costs the server work, and the request the time of the dial.
-            if !wanted.still() || !(what.aside() || self.serving(server)) {
-                return Err(Failed::NotSent);
+            if !wanted.is_active() || !(what.aside() || self.serving(server)) {
+                return Err(CallError::NotSent);
             }
             let idle = self.idle(server);
             let kept = idle.is_some();
@@ -320,16 +324,16 @@
             }
             // Connecting takes time: what was told meanwhile counts at the first byte.
             if !connection.may_write(self.may_get(server, &connection.peer, what)) {
-                return Err(Failed::NotSent);
+                return Err(CallError::NotSent);
             }
-            let request = asked.written().ok_or(Failed::NotSent)?;
+            let request = asked.written().ok_or(CallError::NotSent)?;
             let (engine, peer) = (self.clone(), connection.peer.clone());
             let (out, told) = (wanted.clone(), Instant::now());
             let clear = move || {
                 // What it says of the time that is left was true when it was made up.
                 let true_still = told.elapsed() <= TOLD_AGE;
-                let clear = true_still && out.still() && engine.may_get(server, &peer, what);
-                out.goes_out(clear);
+                let clear = true_still && out.is_active() && engine.may_get(server, &peer, what);
+                out.set_written(clear);
                 clear
             };
             if what == Ask::Attempt {
@@ -341,32 +345,32 @@
                     return Ok((response, connection));
                 }
                 // The server closed the idle connection just now, and not a byte went out.
-                Err(Verdict::Replace) => wanted.goes_out(false),
-                Err(Verdict::KeptBack) => return Err(Failed::NotSent),
-                Err(Verdict::NeverRan) => return Err(Failed::Connect),
+                Err(Verdict::Replace) => wanted.set_written(false),
+                Err(Verdict::KeptBack) => return Err(CallError::NotSent),
+                Err(Verdict::NeverRan) => return Err(CallError::ConnectFailed),
                 Err(Verdict::MayHaveRun(e)) => return Err(broken(&e)),
             }
         }
     }
 
     /// A request and its whole answer.
-    async fn brief(&self, server: ServerId, asked: &Asked) -> Result<(Head, Bytes), Failed> {
+    async fn brief(&self, server: ServerId, asked: &Asked) -> Result<(ResponseHead, Bytes), CallError> {
         let (response, connection) = self.ask(server, asked).await?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, BRIEF).collect().await.map_err(|_| Failed::Reset)?.to_bytes();
+        let body = Limited::new(body, BRIEF).collect().await.map_err(|_| CallError::Reset)?.to_bytes();
         self.keep(server, connection);
-        Ok((Head { status: parts.status, headers: parts.headers }, body))
+        Ok((ResponseHead { status: parts.status, headers: parts.headers }, body))
     }
 
-    async fn attempt(&self, server: ServerId, asked: &Asked, whole: bool) -> Result<Reply, Failed> {
+    async fn attempt(&self, server: ServerId, asked: &Asked, whole: bool) -> Result<Reply, CallError> {
         let (response, connection) = self.ask(server, asked).await?;
         let (parts, body) = response.into_parts();
-        let head = Head { status: parts.status, headers: parts.headers };
+        let head = ResponseHead { status: parts.status, headers: parts.headers };
         let report = reply::report_of(&head.headers);
         if head.status == StatusCode::OK && !whole {
             if !reply::is_events(&head) {
                 log!("an answer of server {:x} is no stream of events", server.0);
-                return Err(Failed::Spoilt);
+                return Err(CallError::MalformedResponse);
             }
             // From here on the connection is dropped, so closed, unless the stream comes to its end.
             let (moving, tap) = (self.0.moving.subscribe(), connection.tap.clone());
@@ -374,7 +378,7 @@
                 Stream { body, events: Events::default(), tail: Tail::default(), read: 0, tap, moving };
             let first = match self.soon(whole, events.next()).await?? {
                 Next::Events(first) => first,
-                Next::End | Next::Stands => return Err(Failed::Reset),
+                Next::End | Next::Stands => return Err(CallError::Reset),
             };
             let rest =
                 try_unfold((self.clone(), Some((events, connection))), move |(engine, open)| async move {
@@ -382,25 +386,26 @@
                     Ok(match events.next().await? {
                         Next::Events(data) => Some((Frame::Data(data), (engine, Some((events, connection))))),
                         Next::Stands => {
-                            let rest = connection.release().map_err(|_| Failed::Reset)?;
-                            Some((Frame::Moved(rest), (engine, None)))
+                            let rest = connection.release().map_err(|_| CallError::Reset)?;
+                            Some((Frame::HandedOver(rest), (engine, None)))
                         }
                         Next::End => {
                             engine.keep(server, connection);
                             let tail = &events.tail;
-                            let end = Frame::End { kept: tail.kept(), report: tail.report().or(report) };
+                            let end =
+                                Frame::End { cached_tokens: tail.kept(), report: tail.report().or(report) };
                             Some((end, (engine, None)))
                         }
                     })
                 });
             let frames = once(async { Ok(Frame::Data(first)) }).chain(rest).boxed_local();
-            return Ok(Reply::Answer { head, frames });
+            return Ok(Reply::Response { head, frames });
         }
         let Some(body) = self.soon(whole, self.whole(body)).await?? else {
             log!("an answer of server {:x} is too large to be kept whole", server.0);
             // Of a read that ended well a state is held all the same.
             return if head.status == StatusCode::ACCEPTED {
-                Err(Failed::Spoilt)
+                Err(CallError::MalformedResponse)
             } else {
                 Ok(Reply::Error { report })
             };
@@ -408,33 +413,33 @@
         self.keep(server, connection);
         let turned_away = reply::turned_away(&head, self.0.limits.public_api);
         Ok(match head.status.as_u16() {
-            202 => Reply::Read { kept: reply::kept(&body), report },
-            410 if turned_away => Reply::Declined { no_state: true, report },
-            429 | 503 | 504 if turned_away => Reply::Declined { no_state: false, report },
+            202 => Reply::Prefilled { cached_tokens: reply::kept(&body), report },
+            410 if turned_away => Reply::Rejected { state_missing: true, report },
+            429 | 503 | 504 if turned_away => Reply::Rejected { state_missing: false, report },
             status if status == 200 || (self.0.limits.public_api && (400..500).contains(&status)) => {
-                let end = Frame::End { kept: 0.0, report };
+                let end = Frame::End { cached_tokens: 0.0, report };
                 let frames = iter([Ok(Frame::Data(body)), Ok(end)]).boxed_local();
-                Reply::Answer { head, frames }
+                Reply::Response { head, frames }
             }
-            400..=499 => Reply::Unfit { report },
+            400..=499 => Reply::Unprocessable { report },
             _ => Reply::Error { report },
         })
     }
 
     /// What has to follow a head at once; a public API has its own pace, and so has an answer that is a document.
-    async fn soon<T>(&self, whole: bool, what: impl Future<Output = T>) -> Result<T, Failed> {
+    async fn soon<T>(&self, whole: bool, what: impl Future<Output = T>) -> Result<T, CallError> {
         if whole || self.0.limits.public_api {
             return Ok(what.await);
         }
         timeout(SOON, what).await.map_err(|_| {
             log!("an answer did not go on after its head");
-            Failed::Spoilt
+            CallError::MalformedResponse
         })
     }
 
     /// All of an answer; `None` where there is no room for it.
-    async fn whole(&self, mut body: Incoming) -> Result<Option<Bytes>, Failed> {
-        let (mut all, mut claim) = (Vec::new(), self.0.budget.claim(0).ok_or(Failed::Reset)?);
+    async fn whole(&self, mut body: Incoming) -> Result<Option<Bytes>, CallError> {
+        let (mut all, mut claim) = (Vec::new(), self.0.budget.claim(0).ok_or(CallError::Reset)?);
         while let Some(frame) = body.frame().await {
             if let Ok(data) = frame.map_err(|e| broken(&e))?.into_data() {
                 if all.len() + data.len() > WHOLE || !claim.grow(data.len()) {
@@ -446,17 +451,17 @@
         Ok(Some(claim.hold(all.into())))
     }
 
-    async fn hold(&self, server: ServerId, payload: &Payload) -> Result<Reply, Failed> {
-        let asked = Asked::aside(Ask::Hold, lease_request(Method::POST, &payload.name)?);
+    async fn hold(&self, server: ServerId, payload: &Payload) -> Result<Reply, CallError> {
+        let asked = Asked::aside(Ask::Hold, lease_request(Method::POST, &payload.request_id)?);
         let answer = timeout(HOLD_WAIT, self.brief(server, &asked)).await;
-        Ok(Reply::Held(match answer.map_err(|_| Failed::Reset)??.0.status.as_u16() {
+        Ok(Reply::SlotReserved(match answer.map_err(|_| CallError::Reset)??.0.status.as_u16() {
             200 => Some(true),
             409 => Some(false),
             _ => None,
         }))
     }
 
-    async fn probe(&self, server: ServerId) -> Result<Reply, Failed> {
+    async fn probe(&self, server: ServerId) -> Result<Reply, CallError> {
         let asked = Asked::aside(Ask::Probe, load_request()?);
         self.0.counts.borrow_mut().probes += 1;
         self.0.places.borrow_mut().note(server, |reach, now| reach.query_sent(now));
@@ -464,25 +469,34 @@
         if answer.is_err() {
             self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
         }
-        let (head, body) = answer.map_err(|_| Failed::Reset)??;
+        let (head, body) = answer.map_err(|_| CallError::Reset)??;
         let report = reply::report_of(&head.headers);
         let report = report.or_else(|| std::str::from_utf8(&body).ok().and_then(reply::report));
-        Ok(Reply::Probed { well: head.status == StatusCode::OK, report })
+        Ok(Reply::Probed { healthy: head.status == StatusCode::OK, report })
     }
 
-    async fn answer(self, call: Call) -> Result<Reply, Failed> {
+    async fn answer(self, call: Call) -> Result<Reply, CallError> {
         match call {
-            Call::Attempt { server, payload, until, connect, confirm, wanted } => {
+            Call::Attempt {
+                server,
+                payload,
+                deadline: until,
+                connect_timeout: connect,
+                verify_connection: confirm,
+                cancel_token: wanted,
+            } => {
                 let (request, connect) =
                     (attempt_request(&payload), connect.map(|time| Instant::now() + time));
                 let asked =
                     Asked { what: Ask::Attempt, request, connect, confirm, until: Some(until), wanted };
-                self.attempt(server, &asked, payload.whole).await
+                self.attempt(server, &asked, payload.buffer_response).await
             }
             Call::Release { payload } => self.release(&payload).await,
-            Call::Hold { server, payload } => self.hold(server, &payload).await,
+            Call::ReserveSlot { server, payload } => self.hold(server, &payload).await,
             Call::Probe { server } => self.probe(server).await,
-            Call::Check { server, ended } => self.check(server, ended.as_deref()).await,
+            Call::VerifyReachable { server, finished_request: ended } => {
+                self.check(server, ended.as_deref()).await
+            }
             Call::CloseIdle { server } => {
                 if let Some(place) = self.0.places.borrow_mut().get_mut(server) {
                     place.idle.clear();
@@ -495,10 +509,10 @@
 
 impl Service<Call> for Engine {
     type Response = Reply;
-    type Error = Failed;
-    type Future = LocalBoxFuture<'static, Result<Reply, Failed>>;
+    type Error = CallError;
+    type Future = LocalBoxFuture<'static, Result<Reply, CallError>>;
 
-    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Failed>> {
+    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), CallError>> {
         Poll::Ready(Ok(()))
     }
 
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -13,7 +13,7 @@
 use super::requests::lease_request;
 use super::{Ask, Asked, Engine};
 use crate::exchange::Payload;
-use crate::upstream::{Failed, Reply};
+use crate::upstream::{CallError, Reply};
 
 /// A round in which nobody has taken the release ends after this time; whoever ordered it begins the next, with those asked
 /// in vain last.
@@ -23,8 +23,8 @@
 
 impl Engine {
     /// Asks servers that run, one beside the other, until one has taken it.
-    pub(super) async fn release(&self, payload: &Payload) -> Result<Reply, Failed> {
-        let asked = Rc::new(Asked::aside(Ask::Release, lease_request(Method::DELETE, &payload.name)?));
+    pub(super) async fn release(&self, payload: &Payload) -> Result<Reply, CallError> {
+        let asked = Rc::new(Asked::aside(Ask::Release, lease_request(Method::DELETE, &payload.request_id)?));
         let now = || self.0.places.borrow().now();
         let (begun, limit) = (now(), LIMIT.as_millis() as u64);
         let mut release = Release::new(self.0.places.borrow().running(), begun, begun + limit);
@@ -44,7 +44,7 @@
                     let _ = tell.send(taken);
                 });
             }
-            let Some(wake) = release.wake(now()) else { return Err(Failed::Connect) };
+            let Some(wake) = release.wake(now()) else { return Err(CallError::ConnectFailed) };
             tokio::select! {
                 taken = told.recv() => match taken {
                     Some(true) => return Ok(Reply::Done),
--- a/gateway/src/engine/reply.rs
+++ b/gateway/src/engine/reply.rs
@@ -5,7 +5,7 @@
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::HeaderMap;
 
-use crate::exchange::Head;
+use crate::exchange::ResponseHead;
 
 const EVENTS: &str = "text/event-stream";
 const LOAD: &str = "srv-load";
@@ -14,7 +14,7 @@
 const TAIL: usize = 2048;
 
 /// Whether the server says that the request never ran there.
-pub fn turned_away(head: &Head, public_api: bool) -> bool {
+pub fn turned_away(head: &ResponseHead, public_api: bool) -> bool {
     let marked = head.headers.get(DECLINED).is_some_and(|v| v == "1");
     let public = match head.status.as_u16() {
         429 => true,
@@ -25,7 +25,7 @@
 }
 
 /// Whether an answer says that it is a stream of events.
-pub fn is_events(head: &Head) -> bool {
+pub fn is_events(head: &ResponseHead) -> bool {
     let kind = head.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
     kind.and_then(|k| k.get(..EVENTS.len())).is_some_and(|k| k.eq_ignore_ascii_case(EVENTS))
 }
@@ -102,7 +102,8 @@
     #[test]
     fn only_a_marked_answer_was_turned_away() {
         let head = |status: u16, name: &'static str| {
-            let mut head = Head { status: status.try_into().expect("a status"), ..Head::default() };
+            let mut head =
+                ResponseHead { status: status.try_into().expect("a status"), ..ResponseHead::default() };
             head.headers.insert(name, http::HeaderValue::from_static("1"));
             head
         };
--- a/gateway/src/engine/requests.rs
+++ b/gateway/src/engine/requests.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Method, Request, Uri};
 
 use crate::exchange::Payload;
-use crate::upstream::Failed;
+use crate::upstream::CallError;
 
 const REQ_ID: HeaderName = HeaderName::from_static("req-id");
 const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
@@ -33,7 +33,7 @@
     }
     let number = |n: String| HeaderValue::from_str(&n).unwrap_or(HeaderValue::from_static("0"));
     headers.insert(header::CONTENT_LENGTH, number(payload.body.len().to_string()));
-    if let Ok(name) = HeaderValue::from_str(&payload.name) {
+    if let Ok(name) = HeaderValue::from_str(&payload.request_id) {
         headers.insert(REQ_ID, name);
     }
     headers.entry(header::HOST).or_insert(HeaderValue::from_static("api.internal"));
@@ -51,17 +51,17 @@
     request.headers_mut().extend(left.ok().map(|v| (REQ_DEADLINE, v)));
 }
 
-fn plain_request(method: Method, path: &str) -> Result<Request<Bytes>, Failed> {
+fn plain_request(method: Method, path: &str) -> Result<Request<Bytes>, CallError> {
     let request = Request::builder().method(method).uri(path).header(header::HOST, "api.internal");
-    request.header(header::CONTENT_LENGTH, "0").body(Bytes::new()).map_err(|_| Failed::NotSent)
+    request.header(header::CONTENT_LENGTH, "0").body(Bytes::new()).map_err(|_| CallError::NotSent)
 }
 
 /// Asks a server for its load: a probe.
-pub(super) fn load_request() -> Result<Request<Bytes>, Failed> {
+pub(super) fn load_request() -> Result<Request<Bytes>, CallError> {
     plain_request(Method::GET, "/status/load")
 }
 
 /// About what is held for the request of this name.
-pub(super) fn lease_request(method: Method, name: &str) -> Result<Request<Bytes>, Failed> {
+pub(super) fn lease_request(method: Method, name: &str) -> Result<Request<Bytes>, CallError> {
     plain_request(method, &format!("/kv/leases/{name}"))
 }
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -14,8 +14,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Sleep};
 
-use crate::chunk_position::Chunks;
-use crate::counted_socket::Wire;
+use crate::chunk_position::ChunkPosition;
+use crate::counted_socket::CountedSocket;
 
 /// Most bytes of a head, and of all interim answers in front of it.
 const HEAD: usize = 16 << 10;
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub struct Tap {
     /// Where the framing stands after all that was passed on; `None` where the body has no chunks.
-    chunks: Cell<Option<Chunks>>,
+    chunks: Cell<Option<ChunkPosition>>,
     /// Bytes of data among what was passed on.
     data: Cell<u64>,
     stop: Cell<bool>,
@@ -63,7 +63,7 @@
     }
 
     fn begin(&self, chunked: bool) {
-        self.chunks.set(chunked.then(Chunks::default));
+        self.chunks.set(chunked.then(ChunkPosition::default));
         self.data.set(0);
         self.stop(false);
     }
@@ -118,8 +118,8 @@
     }
 }
 
-pub struct Inlet {
-    wire: Wire,
+pub struct ResponseReader {
+    wire: CountedSocket,
     gate: Rc<Gate>,
     /// A request was sent, and the head of its answer has not come.
     awaited: Rc<Cell<bool>>,
@@ -135,9 +135,9 @@
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-impl Inlet {
-    pub fn new(wire: Wire, gate: Rc<Gate>, awaited: Rc<Cell<bool>>, tap: Rc<Tap>) -> Self {
-        Inlet { wire, gate, awaited, ahead: Vec::new(), cleared: 0, interim: 0, begun: None, tap }
+impl ResponseReader {
+    pub fn new(wire: CountedSocket, gate: Rc<Gate>, awaited: Rc<Cell<bool>>, tap: Rc<Tap>) -> Self {
+        ResponseReader { wire, gate, awaited, ahead: Vec::new(), cleared: 0, interim: 0, begun: None, tap }
     }
 
     /// Looks for a final head in what has been read; without one, more has to come.
@@ -169,12 +169,12 @@
     }
 }
 
-impl Inlet {
+impl ResponseReader {
     /// Writes where the gate lets it; what is out has passed it.
     fn poll_out(
-        &mut self, write: impl FnOnce(Pin<&mut Wire>) -> Poll<io::Result<usize>>,
+        &mut self, write: impl FnOnce(Pin<&mut CountedSocket>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        self.gate.check(|| self.ahead.is_empty() && self.wire.quiet())?;
+        self.gate.check(|| self.ahead.is_empty() && self.wire.is_quiet())?;
         let written = write(Pin::new(&mut self.wire));
         if matches!(written, Poll::Ready(Ok(1..))) {
             self.gate.clear.take();
@@ -210,7 +210,7 @@
     }
 }
 
-impl AsyncRead for Inlet {
+impl AsyncRead for ResponseReader {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let me = self.get_mut();
         loop {
@@ -244,7 +244,7 @@
     }
 }
 
-impl AsyncWrite for Inlet {
+impl AsyncWrite for ResponseReader {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_out(|wire| wire.poll_write(cx, buf))
     }
--- a/gateway/src/engine/resume.rs
+++ b/gateway/src/engine/resume.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{watch, OwnedSemaphorePermit};
 
 use super::events::{Events, Spoilt};
-use crate::chunk_position::Chunks;
-use crate::exchange::Rest;
-use crate::upstream::{Failed, Frame};
+use crate::chunk_position::ChunkPosition;
+use crate::exchange::StreamRemainder;
+use crate::upstream::{CallError, Frame};
 
 /// Bytes read at once.
 const READ: usize = 16 << 10;
@@ -22,7 +22,7 @@
     socket: Option<TcpStream>,
     /// Read and not yet looked at.
     ahead: BytesMut,
-    chunks: Chunks,
+    chunks: ChunkPosition,
     events: Events,
     moving: watch::Receiver<bool>,
     _slot: Option<OwnedSemaphorePermit>,
@@ -38,45 +38,47 @@
 }
 
 impl Resumed {
-    async fn next(&mut self) -> Result<Frame, Failed> {
+    async fn next(&mut self) -> Result<Frame, CallError> {
         loop {
             let mut data = BytesMut::new();
             let read = self.chunks.read(&self.ahead, false, |d| data.extend_from_slice(d));
-            let read = read.map_err(|_| Failed::Spoilt)?;
+            let read = read.map_err(|_| CallError::MalformedResponse)?;
             let _ = self.ahead.split_to(read);
-            if let Some(whole) = self.events.take(&data.freeze()).map_err(|Spoilt| Failed::Spoilt)? {
+            if let Some(whole) =
+                self.events.take(&data.freeze()).map_err(|Spoilt| CallError::MalformedResponse)?
+            {
                 return Ok(Frame::Data(whole));
             }
             if self.chunks.ended() {
-                let end = Frame::End { kept: 0.0, report: None };
-                return self.events.complete().then_some(end).ok_or(Failed::Spoilt);
+                let end = Frame::End { cached_tokens: 0.0, report: None };
+                return self.events.complete().then_some(end).ok_or(CallError::MalformedResponse);
             }
             let stands = self.chunks.between() && self.events.complete();
             if *self.moving.borrow_and_update() && stands {
-                let socket = self.socket.take().and_then(|s| s.into_std().ok()).ok_or(Failed::Reset)?;
-                return Ok(Frame::Moved(Rest { socket, ahead: Vec::new() }));
+                let socket = self.socket.take().and_then(|s| s.into_std().ok()).ok_or(CallError::Reset)?;
+                return Ok(Frame::HandedOver(StreamRemainder { socket, read_ahead: Vec::new() }));
             }
             self.ahead.reserve(READ);
-            let socket = self.socket.as_mut().ok_or(Failed::Reset)?;
+            let socket = self.socket.as_mut().ok_or(CallError::Reset)?;
             let read = tokio::select! {
-                read = socket.read_buf(&mut self.ahead) => read.map_err(|_| Failed::Reset)?,
+                read = socket.read_buf(&mut self.ahead) => read.map_err(|_| CallError::Reset)?,
                 // The sender lives as long as the engine does.
                 _ = self.moving.changed() => continue,
             };
             if read == 0 {
-                return Err(Failed::Reset);
+                return Err(CallError::Reset);
             }
         }
     }
 }
 
 pub fn resume(
-    rest: Rest, slot: Option<OwnedSemaphorePermit>, moving: watch::Receiver<bool>,
-) -> LocalBoxStream<'static, Result<Frame, Failed>> {
+    rest: StreamRemainder, slot: Option<OwnedSemaphorePermit>, moving: watch::Receiver<bool>,
+) -> LocalBoxStream<'static, Result<Frame, CallError>> {
     let Ok(socket) = TcpStream::from_std(rest.socket) else {
-        return stream::iter([Err(Failed::Reset)]).boxed_local();
+        return stream::iter([Err(CallError::Reset)]).boxed_local();
     };
-    let (ahead, chunks) = (BytesMut::from(&rest.ahead[..]), Chunks::default());
+    let (ahead, chunks) = (BytesMut::from(&rest.read_ahead[..]), ChunkPosition::default());
     let (socket, events) = (Some(socket), Events::resumed());
     let resumed = Resumed { socket, ahead, chunks, events, moving, _slot: slot };
     stream::try_unfold(Some(resumed), |resumed| async move {
--- a/gateway/src/engine/stream.rs
+++ b/gateway/src/engine/stream.rs
@@ -12,7 +12,7 @@
 use super::events::{Events, Spoilt};
 use super::reply::Tail;
 use super::response_reader::Tap;
-use crate::upstream::Failed;
+use crate::upstream::CallError;
 
 /// A stream of events that is coming in.
 pub(super) struct Stream {
@@ -35,7 +35,7 @@
 }
 
 impl Stream {
-    pub async fn next(&mut self) -> Result<Next, Failed> {
+    pub async fn next(&mut self) -> Result<Next, CallError> {
         loop {
             // Between two chunks, but never within an event.
             let stop = *self.moving.borrow_and_update() && self.events.complete();
@@ -53,22 +53,22 @@
             let Some(frame) = frame else { break };
             if let Ok(data) = frame.map_err(|e| broken(&e))?.into_data() {
                 self.read += data.len() as u64;
-                if let Some(whole) = self.events.take(&data).map_err(|Spoilt| Failed::Spoilt)? {
+                if let Some(whole) = self.events.take(&data).map_err(|Spoilt| CallError::MalformedResponse)? {
                     self.tail.add(&whole);
                     return Ok(Next::Events(whole));
                 }
             }
         }
-        self.events.complete().then_some(Next::End).ok_or(Failed::Spoilt)
+        self.events.complete().then_some(Next::End).ok_or(CallError::MalformedResponse)
     }
 }
 
 /// Whether an answer broke off or could not be read. Either way the request may have run.
-pub(super) fn broken(e: &hyper::Error) -> Failed {
+pub(super) fn broken(e: &hyper::Error) -> CallError {
     let io = e.source().and_then(|s| s.downcast_ref::<io::Error>()).map(io::Error::kind);
     match io {
-        Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput) => Failed::Spoilt,
-        _ if e.is_parse() => Failed::Spoilt,
-        _ => Failed::Reset,
+        Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput) => CallError::MalformedResponse,
+        _ if e.is_parse() => CallError::MalformedResponse,
+        _ => CallError::Reset,
     }
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -17,26 +17,26 @@
 use tokio::time::Instant;
 
 /// Pieces that may wait for a slow client before its stream is no longer read. Each may be as large as an event.
-const PIECES: usize = 8;
+const MAX_QUEUED_PARTS: usize = 8;
 
 /// What is passed on unchanged to whichever server is tried.
 #[derive(Debug, Default)]
 pub struct Payload {
     /// The request's name outside this process.
-    pub name: String,
+    pub request_id: String,
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
     /// The answer is one document: it begins only once all of it is there, so a break can still be repeated.
-    pub whole: bool,
+    pub buffer_response: bool,
 }
 
 /// A request as the core takes it: the fields that decisions need, and the bytes.
 #[derive(Debug)]
 pub struct Request {
     /// Its `id` is given by the core.
-    pub ask: glenrail_router::Request,
+    pub routing: glenrail_router::Request,
     pub arrived: Instant,
     pub payload: Rc<Payload>,
 }
@@ -44,51 +44,51 @@
 /// Whether anybody still waits for an answer, asked in the moment before something is begun for it: the task that hears of
 /// a client's going may have its turn only after the one that begins, and not every deployment lets attempts be called back.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
-    pieces: Option<mpsc::WeakSender<Piece>>,
-    written: Rc<watch::Sender<Option<Instant>>>,
+pub struct CancelToken {
+    parts: Option<mpsc::WeakSender<ResponsePart>>,
+    first_byte_at: Rc<watch::Sender<Option<Instant>>>,
 }
 
-impl Wanted {
-    pub fn of(pieces: &mpsc::Sender<Piece>) -> Self {
-        Wanted { pieces: Some(pieces.downgrade()), written: Rc::default() }
+impl CancelToken {
+    pub fn for_response(pieces: &mpsc::Sender<ResponsePart>) -> Self {
+        CancelToken { parts: Some(pieces.downgrade()), first_byte_at: Rc::default() }
     }
 
     /// Nobody does once the client's side is dropped, or the answer was given.
-    pub fn still(&self) -> bool {
-        let Some(pieces) = &self.pieces else { return true };
+    pub fn is_active(&self) -> bool {
+        let Some(pieces) = &self.parts else { return true };
         pieces.upgrade().is_some_and(|pieces| !pieces.is_closed())
     }
 
     /// Whether a byte of its attempt is out, or about to be: one given up before that never was at its server.
-    pub fn out(&self) -> bool {
-        self.written().is_some()
+    pub fn is_written(&self) -> bool {
+        self.first_byte_at().is_some()
     }
 
     /// When its first byte went out.
-    pub fn written(&self) -> Option<Instant> {
-        *self.written.borrow()
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        *self.first_byte_at.borrow()
     }
 
     /// Until its first byte has gone out; gives when that was.
-    pub async fn goes(&self) -> Instant {
+    pub async fn first_byte_written(&self) -> Instant {
         loop {
-            if let Some(written) = self.written() {
+            if let Some(written) = self.first_byte_at() {
                 return written;
             }
-            if self.written.subscribe().changed().await.is_err() {
+            if self.first_byte_at.subscribe().changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 
-    pub fn goes_out(&self, out: bool) {
-        self.written.send_replace(out.then(Instant::now));
+    pub fn set_written(&self, out: bool) {
+        self.first_byte_at.send_replace(out.then(Instant::now));
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Head {
+pub struct ResponseHead {
     pub status: StatusCode,
     pub headers: HeaderMap,
 }
@@ -97,103 +97,103 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// Its time ran out.
-    Deadline,
+    DeadlineExceeded,
     /// The servers tried did not answer it.
     Upstream,
     /// A server says that the fault is the request's own.
-    Unfit,
+    Unprocessable,
     /// A request of this name is open.
-    NameTaken,
+    DuplicateRequestId,
 }
 
 /// The rest of an answer, for another process to go on with: the server's connection, between two chunks of its body,
 /// and what has been read of it beyond that.
 #[derive(Debug)]
-pub struct Rest {
+pub struct StreamRemainder {
     pub socket: TcpStream,
-    pub ahead: Vec<u8>,
+    pub read_ahead: Vec<u8>,
 }
 
 /// The same connection at the same place.
-impl PartialEq for Rest {
+impl PartialEq for StreamRemainder {
     fn eq(&self, other: &Self) -> bool {
-        self.socket.as_raw_fd() == other.socket.as_raw_fd() && self.ahead == other.ahead
+        self.socket.as_raw_fd() == other.socket.as_raw_fd() && self.read_ahead == other.read_ahead
     }
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Piece {
-    Begin(Head, Bytes),
+pub enum ResponsePart {
+    Head(ResponseHead, Bytes),
     Chunk(Bytes),
     End,
     /// Another process goes on from here.
-    Moved(Rest),
+    HandedOver(StreamRemainder),
     /// Final: trying again is harmless, after this time.
-    Refused(Duration),
+    Rejected(Duration),
     /// Final, promising nothing.
     Failed(Failure),
 }
 
 /// How an answer ended, for whoever watches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ResponseOutcome {
     /// To its end, or to where another process went on.
-    Served,
-    Refused,
+    Completed,
+    Rejected,
     Failed,
     /// The stream broke, or the client went away.
-    Cut,
+    Aborted,
 }
 
-type Observer = Box<dyn FnOnce(Ended)>;
+type Observer = Box<dyn FnOnce(ResponseOutcome)>;
 
 pub struct ClientSide {
-    pieces: mpsc::Receiver<Piece>,
+    parts: mpsc::Receiver<ResponsePart>,
     observer: Option<Observer>,
 }
 
 impl ClientSide {
     /// An answer that is a refusal from the start.
-    pub fn refused(after: Duration) -> Self {
-        ClientSide::answered(Piece::Refused(after))
+    pub fn rejected(after: Duration) -> Self {
+        ClientSide::with_only_part(ResponsePart::Rejected(after))
     }
 
     pub fn failed(why: Failure) -> Self {
-        ClientSide::answered(Piece::Failed(why))
+        ClientSide::with_only_part(ResponsePart::Failed(why))
     }
 
-    fn answered(piece: Piece) -> Self {
+    fn with_only_part(piece: ResponsePart) -> Self {
         let (tx, pieces) = mpsc::channel(1);
         let _ = tx.try_send(piece);
-        ClientSide { pieces, observer: None }
+        ClientSide { parts: pieces, observer: None }
     }
 
     /// Has this called once, when the answer ends.
-    pub fn observe(&mut self, observer: impl FnOnce(Ended) + 'static) {
+    pub fn observe(&mut self, observer: impl FnOnce(ResponseOutcome) + 'static) {
         self.observer = Some(Box::new(observer));
     }
 
     /// The next piece; `None` where the answer broke off.
-    pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Piece>> {
-        let piece = ready!(self.pieces.poll_recv(cx));
+    pub fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<ResponsePart>> {
+        let piece = ready!(self.parts.poll_recv(cx));
         let ended = match &piece {
-            Some(Piece::End | Piece::Moved(_)) => Some(Ended::Served),
-            Some(Piece::Refused(_)) => Some(Ended::Refused),
-            Some(Piece::Failed(_)) => Some(Ended::Failed),
-            None => Some(Ended::Cut),
+            Some(ResponsePart::End | ResponsePart::HandedOver(_)) => Some(ResponseOutcome::Completed),
+            Some(ResponsePart::Rejected(_)) => Some(ResponseOutcome::Rejected),
+            Some(ResponsePart::Failed(_)) => Some(ResponseOutcome::Failed),
+            None => Some(ResponseOutcome::Aborted),
             _ => None,
         };
         if let Some(ended) = ended {
-            self.tell(ended);
+            self.notify_observer(ended);
         }
         Poll::Ready(piece)
     }
 
-    pub async fn piece(&mut self) -> Option<Piece> {
-        poll_fn(|cx| self.poll_piece(cx)).await
+    pub async fn next_part(&mut self) -> Option<ResponsePart> {
+        poll_fn(|cx| self.poll_part(cx)).await
     }
 
-    fn tell(&mut self, ended: Ended) {
+    fn notify_observer(&mut self, ended: ResponseOutcome) {
         if let Some(observer) = self.observer.take() {
             observer(ended);
         }
@@ -202,22 +202,22 @@
 
 impl Drop for ClientSide {
     fn drop(&mut self) {
-        self.tell(Ended::Cut);
+        self.notify_observer(ResponseOutcome::Aborted);
     }
 }
 
 pub struct ServerSide {
     pub request: Request,
-    pub pieces: mpsc::Sender<Piece>,
+    pub parts: mpsc::Sender<ResponsePart>,
 }
 
 /// The two ends of an answer alone, for one that another process began.
-pub fn answer() -> (ClientSide, mpsc::Sender<Piece>) {
-    let (tx, pieces) = mpsc::channel(PIECES);
-    (ClientSide { pieces, observer: None }, tx)
+pub fn response_channel() -> (ClientSide, mpsc::Sender<ResponsePart>) {
+    let (tx, pieces) = mpsc::channel(MAX_QUEUED_PARTS);
+    (ClientSide { parts: pieces, observer: None }, tx)
 }
 
-pub fn pair(request: Request) -> (ClientSide, ServerSide) {
-    let (client, pieces) = answer();
-    (client, ServerSide { request, pieces })
+pub fn exchange_pair(request: Request) -> (ClientSide, ServerSide) {
+    let (client, pieces) = response_channel();
+    (client, ServerSide { request, parts: pieces })
 }
--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -95,11 +95,11 @@
 
     /// One process at a time: gives the port up to the process that took over, and takes it back if that one dies.
     async fn keep(self, shutdown: Shutdown) {
-        let mut heirs = shutdown.heirs();
+        let mut heirs = shutdown.successor_updates();
         while !self.0.ended.get() {
             // Before the match: what it looks at lives as long as its arms, and a driver held there keeps the port.
             let begun = self.driver().is_some();
-            match (shutdown.superseded(), begun) {
+            match (shutdown.has_successor(), begun) {
                 (true, true) => {
                     log!("fleet: the process that took over goes on as this member");
                     self.end();
--- a/gateway/src/front/connection_table.rs
+++ b/gateway/src/front/connection_table.rs
@@ -7,7 +7,7 @@
 use glenrail_request_lifecycle::client::{Effect, Input};
 use tokio::task::yield_now;
 
-use super::connection_watch::Watch;
+use super::connection_watch::ConnectionWatch;
 
 /// So many connections are looked into for one that gives way. A socket with a request unread is read in the next
 /// turn, so more of them than this at a time are hardly met.
@@ -15,35 +15,35 @@
 
 /// All connections of one front.
 #[derive(Default)]
-pub struct Crowd {
-    open: RefCell<BTreeMap<u64, Rc<Watch>>>,
+pub struct ConnectionTable {
+    open: RefCell<BTreeMap<u64, Rc<ConnectionWatch>>>,
     next: Cell<u64>,
 }
 
 /// A connection's place among all; it is free once this is dropped.
-pub struct Place {
-    crowd: Rc<Crowd>,
+pub struct TableEntry {
+    crowd: Rc<ConnectionTable>,
     number: u64,
-    pub watch: Rc<Watch>,
+    pub watch: Rc<ConnectionWatch>,
 }
 
 /// Why a connection was over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum CloseReason {
     /// It has stood somewhere for too long.
-    Late,
+    TimedOut,
     /// Another client needs its place at once.
-    GivesWay,
+    Evicted,
 }
 
-impl Place {
+impl TableEntry {
     /// Until the connection has stood somewhere for too long, or gives way to another.
-    pub async fn over(&self) -> Over {
+    pub async fn over(&self) -> CloseReason {
         loop {
             let input = self.watch.overdue().await;
             let closes = self.watch.feed(input) == Effect::Close;
             if closes && !self.watch.holds_request() {
-                return if input == Input::Evicted { Over::GivesWay } else { Over::Late };
+                return if input == Input::Evicted { CloseReason::Evicted } else { CloseReason::TimedOut };
             }
             // A request has come between the choice and here: it is read and served, and has its place again.
             self.crowd.open.borrow_mut().insert(self.number, self.watch.clone());
@@ -52,22 +52,22 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TableEntry {
     fn drop(&mut self) {
         self.crowd.open.borrow_mut().remove(&self.number);
     }
 }
 
-impl Crowd {
+impl ConnectionTable {
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    pub fn enter(self: &Rc<Self>) -> Place {
-        let (number, watch) = (self.next.get(), Rc::new(Watch::default()));
+    pub fn enter(self: &Rc<Self>) -> TableEntry {
+        let (number, watch) = (self.next.get(), Rc::new(ConnectionWatch::default()));
         self.next.set(number + 1);
         self.open.borrow_mut().insert(number, watch.clone());
-        Place { crowd: self.clone(), number, watch }
+        TableEntry { crowd: self.clone(), number, watch }
     }
 
     /// The connection that has stood longest without an open request is told to close; before it, one that only waits
--- a/gateway/src/front/connection_watch.rs
+++ b/gateway/src/front/connection_watch.rs
@@ -12,9 +12,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use crate::counted_socket::{ended, holds_unread, Wire};
+use crate::counted_socket::{has_unread, read_closed, CountedSocket};
 use crate::log;
-use crate::upgrade::transferred::Moved;
+use crate::upgrade::transferred::TransferredStream;
 
 pub use glenrail_request_lifecycle::client::Stage;
 
@@ -34,7 +34,7 @@
 const LINGER_READ: usize = 16 << 10;
 
 /// What the gate, the service and the timers know of one connection.
-pub struct Watch {
+pub struct ConnectionWatch {
     machine: RefCell<Connection>,
     /// Looked into for a request before the connection is closed; none once it is being closed.
     socket: RefCell<Weak<TcpStream>>,
@@ -44,16 +44,16 @@
     /// Something of the client's lies unread until its answer is out, so that its going does not show in reading.
     unread: Cell<bool>,
     /// The open answer's rest, if another process is to go on with it.
-    moved: RefCell<Option<Moved>>,
+    moved: RefCell<Option<TransferredStream>>,
     /// Why the open request must not be served.
     pub(super) fault: Cell<Option<&'static str>>,
     changed: Notify,
     pub(super) evicted: Notify,
 }
 
-impl Default for Watch {
+impl Default for ConnectionWatch {
     fn default() -> Self {
-        Watch {
+        ConnectionWatch {
             machine: RefCell::default(),
             socket: RefCell::default(),
             closing: Cell::default(),
@@ -67,7 +67,7 @@
     }
 }
 
-impl Watch {
+impl ConnectionWatch {
     pub fn stage(&self) -> Stage {
         self.machine.borrow().stage()
     }
@@ -115,7 +115,7 @@
     }
 
     /// The open answer goes no further here.
-    pub fn leave(&self, moved: Moved) {
+    pub fn leave(&self, moved: TransferredStream) {
         if self.stage() == Stage::Body {
             // Its length was not told; the front has read it to its end all the same, before it asked for an answer.
             self.feed(Input::BodyComplete);
@@ -124,7 +124,7 @@
         self.moved.replace(Some(moved));
     }
 
-    pub fn moved(&self) -> Option<Moved> {
+    pub fn moved(&self) -> Option<TransferredStream> {
         self.moved.take()
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Requests are read from this socket.
-    pub fn serves(&self, wire: &Wire) {
+    pub fn serves(&self, wire: &CountedSocket) {
         self.socket.replace(Rc::downgrade(&wire.socket));
     }
 
@@ -172,7 +172,7 @@
     }
 
     fn holds_unread(&self) -> bool {
-        self.socket.borrow().upgrade().is_some_and(|socket| holds_unread(&socket))
+        self.socket.borrow().upgrade().is_some_and(|socket| has_unread(&socket))
     }
 
     /// What the client sends is not read any more before its answer is out.
@@ -216,7 +216,7 @@
         let _ = SockRef::from(socket).shutdown(Shutdown::Write);
         let ends = async {
             if !still_sends && matches!(socket.peek(&mut [0]).await, Ok(1..)) {
-                ended(socket).await;
+                read_closed(socket).await;
             }
             let mut left = LINGER_BYTES;
             while left > 0 && socket.readable().await.is_ok() && drop_some(socket, &mut left) {}
--- a/gateway/src/front/inference.rs
+++ b/gateway/src/front/inference.rs
@@ -16,12 +16,12 @@
 use tokio::time::Instant;
 use tower::ServiceExt;
 
-use super::{collect, response, whole_seconds, Body, BodyError, Entry, Front};
+use super::{collect, response, whole_seconds, Body, BodyError, Front, RequestService};
 use crate::budget::Budget;
 use crate::config;
 use crate::core::duration;
-use crate::exchange::{self, ClientSide, Failure, Payload, Piece};
-use crate::metrics::{Counters, Tally};
+use crate::exchange::{self, ClientSide, Failure, Payload, ResponsePart};
+use crate::metrics::{RequestCounter, RequestMetrics};
 
 /// Classes of requests to this front's own servers, by which they are counted.
 pub const EMBEDDINGS: &str = "embeddings";
@@ -40,7 +40,7 @@
 
 /// Where requests of one kind go.
 pub struct Target {
-    pub entry: Rc<dyn Fn() -> Entry>,
+    pub entry: Rc<dyn Fn() -> RequestService>,
     pub ready: Rc<dyn Fn() -> bool>,
     /// Its class there: the place in the settings and, on the platform's servers, the name.
     pub class: (u32, Option<String>),
@@ -56,7 +56,7 @@
     embeddings: Option<Target>,
     chat: Option<Target>,
     budget: Budget,
-    counters: Counters,
+    counters: RequestMetrics,
     /// Names of requests: a start that differs between processes, and a count.
     seed: u64,
     count: Cell<u64>,
@@ -97,7 +97,7 @@
     /// A path whose target is left out does not exist.
     pub fn new(
         file: &config::Front, embeddings: Option<Target>, chat: Option<Target>, budget: Budget,
-        counters: Counters,
+        counters: RequestMetrics,
     ) -> Self {
         Inference(Rc::new(Inner {
             max_body: file.max_body,
@@ -130,7 +130,7 @@
         }
         let patience = self.patience(&parts.headers)?;
         let body = collect(&parts.headers, body, me.max_body, &me.budget).await.map_err(|e| match e {
-            BodyError::NoRoom => Fault::refused(COME_BACK),
+            BodyError::OutOfMemory => Fault::refused(COME_BACK),
             BodyError::TooLarge => {
                 let message = format!("the body is larger than {} bytes", me.max_body);
                 Fault::new(StatusCode::PAYLOAD_TOO_LARGE, "invalid_request_error", message)
@@ -167,9 +167,15 @@
             client_timeout: patience.as_secs_f64() * 1000.0,
             ..glenrail_router::Request::default()
         };
-        let payload =
-            Payload { name, method: parts.method, uri: parts.uri, headers, body, whole: !asked.stream };
-        let request = exchange::Request { ask, arrived, payload: Rc::new(payload) };
+        let payload = Payload {
+            request_id: name,
+            method: parts.method,
+            uri: parts.uri,
+            headers,
+            body,
+            buffer_response: !asked.stream,
+        };
+        let request = exchange::Request { routing: ask, arrived, payload: Rc::new(payload) };
         let Ok(answer) = (target.entry)().oneshot(request).await;
         pass_back(answer, arrived + patience).await
     }
@@ -192,14 +198,14 @@
 }
 
 impl Front for Inference {
-    fn tally(&self, request: &Request<Incoming>) -> Option<Tally> {
+    fn request_counter(&self, request: &Request<Incoming>) -> Option<RequestCounter> {
         let (target, own) = match request.uri().path() {
             "/v1/embeddings" | "/v1/rerank" => (&self.0.embeddings, EMBEDDINGS),
             "/v1/chat/completions" => (&self.0.chat, CHAT),
             _ => return None,
         };
         let class = target.as_ref().filter(|_| request.method() == Method::POST)?.class.1.as_deref();
-        self.0.counters.tally(class.unwrap_or(own))
+        self.0.counters.counter(class.unwrap_or(own))
     }
 
     async fn answer(self, request: Request<Incoming>) -> Response<Body> {
@@ -209,9 +215,9 @@
 
 /// The answer's first piece decides the status.
 async fn pass_back(mut answer: ClientSide, deadline: Instant) -> Result<Response<Body>, Fault> {
-    match answer.piece().await {
-        Some(Piece::Begin(head, first)) => {
-            let mut response = Response::new(Body::Stream { first: Some(first), rest: answer });
+    match answer.next_part().await {
+        Some(ResponsePart::Head(head, first)) => {
+            let mut response = Response::new(Body::Stream { first: Some(first), remaining: answer });
             *response.status_mut() = head.status;
             let kind = head.headers.get(CONTENT_TYPE).cloned();
             let kind = kind.unwrap_or(HeaderValue::from_static("application/json"));
@@ -219,11 +225,11 @@
             Ok(response)
         }
         // A refusal at the very end of the client's time is no word on load.
-        Some(Piece::Refused(_)) if Instant::now() + AT_END >= deadline => {
+        Some(ResponsePart::Rejected(_)) if Instant::now() + AT_END >= deadline => {
             Err(Fault::new(StatusCode::GATEWAY_TIMEOUT, "timeout_error", "no answer in time"))
         }
-        Some(Piece::Refused(after)) => Err(Fault::refused(after.max(COME_BACK))),
-        Some(Piece::Failed(Failure::Deadline)) => {
+        Some(ResponsePart::Rejected(after)) => Err(Fault::refused(after.max(COME_BACK))),
+        Some(ResponsePart::Failed(Failure::DeadlineExceeded)) => {
             Err(Fault::new(StatusCode::GATEWAY_TIMEOUT, "timeout_error", "no answer in time"))
         }
         _ => Err(Fault::new(StatusCode::BAD_GATEWAY, "upstream_error", "the servers did not answer")),
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -28,8 +28,8 @@
 use tower::{service_fn, Service};
 
 use crate::budget::Budget;
-use crate::exchange::{self, ClientSide, Piece, Rest};
-use crate::metrics::Tally;
+use crate::exchange::{self, ClientSide, ResponsePart, StreamRemainder};
+use crate::metrics::RequestCounter;
 
 /// A body must have come by then ...
 const BODY_WAIT: Duration = Duration::from_secs(10);
@@ -37,22 +37,22 @@
 const BODY_PAUSE: Duration = Duration::from_millis(2_000);
 
 /// The core behind whatever layers wrap it, as a front calls it.
-pub type Entry = UnsyncBoxService<exchange::Request, ClientSide, Infallible>;
+pub type RequestService = UnsyncBoxService<exchange::Request, ClientSide, Infallible>;
 
 /// What a front answers with.
 pub enum Body {
-    Whole(Full<Bytes>),
+    Full(Full<Bytes>),
     Stream {
         first: Option<Bytes>,
-        rest: ClientSide,
+        remaining: ClientSide,
     },
     /// Another process goes on with the stream: nothing more comes here.
-    Moved(Option<Rest>),
+    HandedOver(Option<StreamRemainder>),
 }
 
 impl Body {
     pub fn text(text: impl Into<Bytes>) -> Self {
-        Body::Whole(Full::new(text.into()))
+        Body::Full(Full::new(text.into()))
     }
 }
 
@@ -65,17 +65,17 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let me = self.get_mut();
         match me {
-            Body::Moved(_) => Poll::Pending,
-            Body::Whole(full) => Pin::new(full).poll_frame(cx).map_err(|never| match never {}),
-            Body::Stream { first, rest } => {
+            Body::HandedOver(_) => Poll::Pending,
+            Body::Full(full) => Pin::new(full).poll_frame(cx).map_err(|never| match never {}),
+            Body::Stream { first, remaining: rest } => {
                 if let Some(first) = first.take() {
                     return Poll::Ready(Some(Ok(Frame::data(first))));
                 }
-                Poll::Ready(match ready!(rest.poll_piece(cx)) {
-                    Some(Piece::Chunk(bytes)) => Some(Ok(Frame::data(bytes))),
-                    Some(Piece::End) => None,
-                    Some(Piece::Moved(rest)) => {
-                        *me = Body::Moved(Some(rest));
+                Poll::Ready(match ready!(rest.poll_part(cx)) {
+                    Some(ResponsePart::Chunk(bytes)) => Some(Ok(Frame::data(bytes))),
+                    Some(ResponsePart::End) => None,
+                    Some(ResponsePart::HandedOver(rest)) => {
+                        *me = Body::HandedOver(Some(rest));
                         return Poll::Pending;
                     }
                     // Broken off: an error ends the connection without the last chunk.
@@ -88,7 +88,7 @@
     /// Tells a whole body's length, so that it goes out with one.
     fn size_hint(&self) -> SizeHint {
         match self {
-            Body::Whole(full) => full.size_hint(),
+            Body::Full(full) => full.size_hint(),
             _ => SizeHint::default(),
         }
     }
@@ -101,7 +101,7 @@
     TooSlow,
     Broken,
     /// No memory for it at present: trying again is harmless.
-    NoRoom,
+    OutOfMemory,
 }
 
 /// Collects a body of at most `most` bytes, counted against the budget before it is read.
@@ -113,7 +113,7 @@
     if size > most {
         return Err(BodyError::TooLarge);
     }
-    let claim = budget.claim(size).ok_or(BodyError::NoRoom)?;
+    let claim = budget.claim(size).ok_or(BodyError::OutOfMemory)?;
     let mut body = pin!(Limited::new(body, most));
     let mut all = BytesMut::with_capacity(told.unwrap_or(0));
     let take = async {
@@ -151,10 +151,10 @@
     fn answer(self, request: Request<Incoming>) -> impl Future<Output = Response<Body>>;
 
     /// What will count this request, where it is one of a class.
-    fn tally(&self, request: &Request<Incoming>) -> Option<Tally>;
+    fn request_counter(&self, request: &Request<Incoming>) -> Option<RequestCounter>;
 
     /// The answer to what is turned away before it is looked at, and when its client is told to come back.
-    fn turned_away(&self, why: &'static str) -> Response<Body> {
+    fn reject(&self, why: &'static str) -> Response<Body> {
         let mut refusal = response(StatusCode::SERVICE_UNAVAILABLE, why);
         refusal.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
         refusal
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -11,11 +11,11 @@
 use tokio::time::Instant;
 use tower::ServiceExt;
 
-use super::{collect, decimals, response, Body, BodyError, Entry, Front};
+use super::{collect, decimals, response, Body, BodyError, Front, RequestService};
 use crate::budget::Budget;
 use crate::core::duration;
-use crate::exchange::{self, ClientSide, Failure, Payload, Piece};
-use crate::metrics::{Counters, Tally};
+use crate::exchange::{self, ClientSide, Failure, Payload, ResponsePart};
+use crate::metrics::{RequestCounter, RequestMetrics};
 use crate::shutdown::Shutdown;
 
 const CHAT: &str = "/v1/chat/completions";
@@ -32,7 +32,7 @@
 const DOOR_FULL: Duration = Duration::from_millis(1_000);
 
 /// What the front needs to know of the deployment to read a request.
-pub struct Names {
+pub struct PlatformNames {
     /// Each class and its deadline.
     pub classes: Vec<(String, Millis)>,
     pub tenants: Vec<String>,
@@ -40,7 +40,7 @@
     pub come_back: Duration,
 }
 
-impl Names {
+impl PlatformNames {
     /// The longest time that these settings let a refused client be told to wait.
     pub fn come_back(limits: &Limits) -> Duration {
         if limits.retry_after {
@@ -53,18 +53,18 @@
 
 #[derive(Clone)]
 pub struct Platform {
-    names: Rc<Names>,
+    names: Rc<PlatformNames>,
     budget: Budget,
-    entry: Rc<dyn Fn() -> Entry>,
+    entry: Rc<dyn Fn() -> RequestService>,
     ready: Rc<dyn Fn() -> bool>,
     shutdown: Shutdown,
-    counters: Counters,
+    counters: RequestMetrics,
 }
 
 impl Platform {
     pub fn new(
-        names: Names, budget: Budget, entry: Rc<dyn Fn() -> Entry>, ready: Rc<dyn Fn() -> bool>,
-        shutdown: Shutdown, counters: Counters,
+        names: PlatformNames, budget: Budget, entry: Rc<dyn Fn() -> RequestService>,
+        ready: Rc<dyn Fn() -> bool>, shutdown: Shutdown, counters: RequestMetrics,
     ) -> Self {
         Platform { names: Rc::new(names), budget, entry, ready, shutdown, counters }
     }
@@ -78,24 +78,24 @@
         };
         let body = match collect(&parts.headers, body, BODY, &self.budget).await {
             Ok(taken) => taken,
-            Err(BodyError::NoRoom) => return self.refusal(COME_BACK),
+            Err(BodyError::OutOfMemory) => return self.refusal(COME_BACK),
             Err(BodyError::TooLarge) => return response(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"),
             Err(BodyError::TooSlow) => return response(StatusCode::REQUEST_TIMEOUT, "body too slow\n"),
             Err(BodyError::Broken) => return response(StatusCode::BAD_REQUEST, "body broken off\n"),
         };
         // Its head came in time, its last byte did not.
-        if self.shutdown.too_late() {
+        if self.shutdown.rejects_new_requests() {
             return self.refusal(COME_BACK);
         }
         let payload = Payload {
-            name,
+            request_id: name,
             method: parts.method,
             uri: parts.uri,
             headers: parts.headers,
             body,
-            whole: false,
+            buffer_response: false,
         };
-        let request = exchange::Request { ask, arrived, payload: Rc::new(payload) };
+        let request = exchange::Request { routing: ask, arrived, payload: Rc::new(payload) };
         let Ok(answer) = (self.entry)().oneshot(request).await;
         self.pass_back(answer).await
     }
@@ -106,21 +106,23 @@
 
     /// The answer's first piece decides the status: 200 only once an engine's first event is there.
     async fn pass_back(&self, mut answer: ClientSide) -> Response<Body> {
-        match answer.piece().await {
-            Some(Piece::Begin(head, first)) => {
-                let stream = Body::Stream { first: Some(first), rest: answer };
+        match answer.next_part().await {
+            Some(ResponsePart::Head(head, first)) => {
+                let stream = Body::Stream { first: Some(first), remaining: answer };
                 let mut response = Response::new(stream);
                 let kind = head.headers.get(CONTENT_TYPE).cloned();
                 let kind = kind.unwrap_or(HeaderValue::from_static("text/event-stream"));
                 response.headers_mut().insert(CONTENT_TYPE, kind);
                 response
             }
-            Some(Piece::Refused(after)) => self.refusal(after),
-            Some(Piece::Failed(Failure::Deadline)) => response(StatusCode::GATEWAY_TIMEOUT, "out of time\n"),
-            Some(Piece::Failed(Failure::NameTaken)) => {
+            Some(ResponsePart::Rejected(after)) => self.refusal(after),
+            Some(ResponsePart::Failed(Failure::DeadlineExceeded)) => {
+                response(StatusCode::GATEWAY_TIMEOUT, "out of time\n")
+            }
+            Some(ResponsePart::Failed(Failure::DuplicateRequestId)) => {
                 response(StatusCode::CONFLICT, "Req-Id: a request with this id is open\n")
             }
-            Some(Piece::Failed(Failure::Unfit)) => {
+            Some(ResponsePart::Failed(Failure::Unprocessable)) => {
                 response(StatusCode::BAD_REQUEST, "the servers cannot use it\n")
             }
             _ => response(StatusCode::BAD_GATEWAY, "failed\n"),
@@ -129,12 +131,12 @@
 }
 
 impl Front for Platform {
-    fn tally(&self, request: &Request<Incoming>) -> Option<Tally> {
+    fn request_counter(&self, request: &Request<Incoming>) -> Option<RequestCounter> {
         let chat = request.uri().path() == CHAT && request.method() == Method::POST;
-        self.counters.tally(text(request.headers().get("Req-Kind").filter(|_| chat)?).ok()?.trim())
+        self.counters.counter(text(request.headers().get("Req-Kind").filter(|_| chat)?).ok()?.trim())
     }
 
-    fn turned_away(&self, why: &'static str) -> Response<Body> {
+    fn reject(&self, why: &'static str) -> Response<Body> {
         refusal(why, DOOR_FULL.min(self.names.come_back))
     }
 
@@ -164,7 +166,7 @@
 }
 
 /// Reads what decisions need from the headers, or says which one is at fault.
-fn fields(headers: &HeaderMap, names: &Names) -> Result<(String, glenrail_router::Request), String> {
+fn fields(headers: &HeaderMap, names: &PlatformNames) -> Result<(String, glenrail_router::Request), String> {
     let get = |name: &str| {
         let mut values = headers.get_all(name).iter().map(text);
         match (values.next(), values.next()) {
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn names() -> Names {
+fn names() -> PlatformNames {
     let classes = vec![("item-query".into(), 10_000.0), ("order-chat".into(), 12_000.0)];
-    Names { classes, tenants: vec![], come_back: Duration::ZERO }
+    PlatformNames { classes, tenants: vec![], come_back: Duration::ZERO }
 }
 
 fn read(pairs: &[(&'static str, &'static str)]) -> Result<(String, glenrail_router::Request), String> {
@@ -63,7 +63,7 @@
 /// Guards classes and tenants whose names are not plain ASCII: a header carries their bytes.
 #[test]
 fn a_name_in_any_language_is_found() {
-    let names = Names {
+    let names = PlatformNames {
         classes: vec![("ostoskysely-äö".into(), 10_000.0)],
         tenants: vec!["ગુજરાત".into()],
         come_back: Duration::ZERO,
@@ -85,7 +85,7 @@
     let told = |limits: &str, after: Duration| {
         let settings = format!("{{\"policy-limits\": {limits}}}");
         let limits = glenrail_settings::settings(&serde_json::from_str(&settings).expect("settings")).limits;
-        let refusal = refusal("", after.min(Names::come_back(&limits)));
+        let refusal = refusal("", after.min(PlatformNames::come_back(&limits)));
         refusal.headers().get(RETRY_AFTER).map(|v| v.to_str().expect("text").to_string())
     };
     let (allowed, much) = (
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -9,8 +9,8 @@
 use glenrail_request_lifecycle::client::{Framing, Input};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use super::connection_watch::{Stage, Watch};
-use crate::counted_socket::Wire;
+use super::connection_watch::{ConnectionWatch, Stage};
+use crate::counted_socket::CountedSocket;
 
 /// Most bytes of a head, and of what a client sends ahead of its answer.
 pub const HEAD: usize = 16 << 10;
@@ -26,18 +26,18 @@
 
 /// The socket as hyper reads it: a head is passed on once it is whole, and nothing of the next request before the
 /// answer to this one is out.
-pub struct Gate {
-    wire: Wire,
-    watch: Rc<Watch>,
+pub struct RequestReader {
+    wire: CountedSocket,
+    watch: Rc<ConnectionWatch>,
     /// Read and not passed on; so many bytes of it may be.
     ahead: Vec<u8>,
     cleared: usize,
     rest: Rest,
 }
 
-impl Gate {
-    pub fn new(wire: Wire, watch: Rc<Watch>) -> Self {
-        Gate { wire, watch, ahead: Vec::new(), cleared: 0, rest: Rest::Length(0) }
+impl RequestReader {
+    pub fn new(wire: CountedSocket, watch: Rc<ConnectionWatch>) -> Self {
+        RequestReader { wire, watch, ahead: Vec::new(), cleared: 0, rest: Rest::Length(0) }
     }
 
     /// Looks for a whole head in what has been read.
@@ -107,7 +107,7 @@
     }
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for RequestReader {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let me = self.get_mut();
         loop {
@@ -161,7 +161,7 @@
     }
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for RequestReader {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.wire).poll_write(cx, buf);
         self.note(written)
--- a/gateway/src/front/resume/mod.rs
+++ b/gateway/src/front/resume/mod.rs
@@ -3,8 +3,8 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use crate::counted_socket::ended;
-use crate::exchange::{ClientSide, Piece, Rest};
+use crate::counted_socket::read_closed;
+use crate::exchange::{ClientSide, ResponsePart, StreamRemainder};
 
 /// How the rest of an answer ended.
 pub enum Ended {
@@ -12,7 +12,7 @@
     Broken,
     ClientGone,
     /// A further process goes on with it.
-    Moved(Rest),
+    Moved(StreamRemainder),
 }
 
 /// Writes the rest of an answer.
@@ -20,12 +20,12 @@
     loop {
         let piece = tokio::select! {
             biased;
-            piece = answer.piece() => piece,
+            piece = answer.next_part() => piece,
             // What it sends ahead of its answer stays unread.
-            () = ended(socket) => return Ended::ClientGone,
+            () = read_closed(socket) => return Ended::ClientGone,
         };
         match piece {
-            Some(Piece::Chunk(bytes)) => {
+            Some(ResponsePart::Chunk(bytes)) => {
                 let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
                 chunk.extend_from_slice(&bytes);
                 chunk.extend_from_slice(b"\r\n");
@@ -33,11 +33,11 @@
                     return Ended::ClientGone;
                 }
             }
-            Some(Piece::End) => match socket.write_all(b"0\r\n\r\n").await {
+            Some(ResponsePart::End) => match socket.write_all(b"0\r\n\r\n").await {
                 Ok(()) => return Ended::Whole,
                 Err(_) => return Ended::ClientGone,
             },
-            Some(Piece::Moved(rest)) => return Ended::Moved(rest),
+            Some(ResponsePart::HandedOver(rest)) => return Ended::Moved(rest),
             // Broken off: the connection ends without the last chunk.
             _ => return Ended::Broken,
         }
--- a/gateway/src/front/resume/tests.rs
+++ b/gateway/src/front/resume/tests.rs
@@ -18,7 +18,7 @@
             let mut client =
                 TcpStream::connect(listener.local_addr().expect("one")).await.expect("connected");
             let (mut socket, _) = listener.accept().await.expect("a connection");
-            let (answer, _pieces) = exchange::answer();
+            let (answer, _pieces) = exchange::response_channel();
             client.write_all(ahead.as_bytes()).await.expect("sent");
             if resets {
                 client.set_zero_linger().expect("set");
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -19,19 +19,19 @@
 use tokio::time::{sleep, timeout, Instant};
 use tower::{service_fn, Service, ServiceExt};
 
-use super::connection_table::{Crowd, Over, Place};
-use super::request_reader::{self, Gate};
+use super::connection_table::{CloseReason, ConnectionTable, TableEntry};
+use super::request_reader::{self, RequestReader};
 use super::resume::Ended;
-use super::tracked_body::Watched;
+use super::tracked_body::TrackedBody;
 use super::{response, Body, Front};
 use crate::core;
-use crate::counted_socket::{ended, Wire};
+use crate::counted_socket::{read_closed, CountedSocket};
 use crate::log;
-use crate::metrics::{Counters, Outcome, Tally};
+use crate::metrics::{RequestCounter, RequestMetrics, RequestOutcome};
 use crate::pools::Pool;
 use crate::shutdown::{Phase, Shutdown};
-use crate::upgrade::transferred::{Guard, Handed, Moved};
-use crate::upgrade::{self, Inbox};
+use crate::upgrade::transferred::{ConnectionGuard, TransferredConnection, TransferredStream};
+use crate::upgrade::{self, TransferInbox};
 
 /// Connections beyond the cap that may at the same time be told to come back later; further ones are closed.
 pub const REFUSING: usize = 24;
@@ -42,9 +42,9 @@
 /// Pause after a failed accept (no descriptor left, say).
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-type Answer = Result<Response<Watched>, Infallible>;
+type Answer = Result<Response<TrackedBody>, Infallible>;
 
-type Classify = Rc<dyn Fn(&Request<Incoming>) -> Option<Tally>>;
+type Classify = Rc<dyn Fn(&Request<Incoming>) -> Option<RequestCounter>>;
 
 /// What a front says of a request that it does not answer itself.
 #[derive(Clone)]
@@ -54,30 +54,33 @@
 }
 
 /// What a connection is good for after a stream that another process began.
-pub enum After {
-    Kept,
-    Over,
+pub enum ConnectionFate {
+    KeepAlive,
+    Close,
     /// A further process goes on with the stream.
-    Moved(Moved),
+    HandedOver(TransferredStream),
 }
 
 /// Goes on with a stream.
-pub type Resume = Rc<dyn for<'a> Fn(&'a mut TcpStream, Moved) -> LocalBoxFuture<'a, After>>;
+pub type Resume =
+    Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, ConnectionFate>>;
 
 /// Goes on with streams over this pool, and counts them here at their end.
-pub fn resume(pool: &Pool, counters: &Counters) -> Resume {
+pub fn resume(pool: &Pool, counters: &RequestMetrics) -> Resume {
     let (pool, counters) = (pool.clone(), counters.clone());
-    Rc::new(move |socket, Moved { rest, class }| {
-        let tally = class.as_ref().and_then(|class| counters.tally(class));
+    Rc::new(move |socket, TransferredStream { remainder: rest, class }| {
+        let tally = class.as_ref().and_then(|class| counters.counter(class));
         let (frames, open) = (pool.engine.resume(rest), pool.resumed.open());
         Box::pin(async move {
             let ended = super::resume::resume(socket, core::resume(frames)).await;
             drop(open);
             let (outcome, after) = match ended {
-                Ended::Whole => (Some(Outcome::Fulfilled), After::Kept),
-                Ended::Broken => (Some(Outcome::Faulted), After::Over),
-                Ended::ClientGone => (None, After::Over),
-                Ended::Moved(rest) => (None, After::Moved(Moved { rest, class })),
+                Ended::Whole => (Some(RequestOutcome::Fulfilled), ConnectionFate::KeepAlive),
+                Ended::Broken => (Some(RequestOutcome::Faulted), ConnectionFate::Close),
+                Ended::ClientGone => (None, ConnectionFate::Close),
+                Ended::Moved(rest) => {
+                    (None, ConnectionFate::HandedOver(TransferredStream { remainder: rest, class }))
+                }
             };
             if let Some((tally, outcome)) = tally.zip(outcome) {
                 tally.count(outcome);
@@ -88,21 +91,21 @@
 }
 
 /// How connections come to a front.
-pub struct Door {
+pub struct FrontListener {
     /// The front's number, by which another process knows it.
     pub number: u8,
     pub listener: TcpListener,
     /// Connections that another process hands over.
-    pub inbox: Option<Inbox>,
+    pub inbox: Option<TransferInbox>,
     /// Goes on with streams that another process began.
     pub resume: Option<Resume>,
     /// Accepting begins once this is so.
     pub open: watch::Receiver<bool>,
 }
 
-impl From<TcpListener> for Door {
+impl From<TcpListener> for FrontListener {
     fn from(listener: TcpListener) -> Self {
-        Door {
+        FrontListener {
             number: upgrade::PLATFORM,
             listener,
             inbox: None,
@@ -113,20 +116,20 @@
 }
 
 /// Serves until shutdown has passed its accepting phase, then lets connections end by themselves.
-pub async fn serve(door: impl Into<Door>, front: impl Front, cap: usize, shutdown: Shutdown) {
-    let Door { number, listener, mut inbox, resume, mut open } = door.into();
+pub async fn serve(door: impl Into<FrontListener>, front: impl Front, cap: usize, shutdown: Shutdown) {
+    let FrontListener { number, listener, mut inbox, resume, mut open } = door.into();
     let service = front.clone().service();
     let turning_away = front.clone();
     let aside = Aside {
-        tally: Rc::new(move |request| front.tally(request)),
-        turn_away: Rc::new(move |why| turning_away.turned_away(why)),
+        tally: Rc::new(move |request| front.request_counter(request)),
+        turn_away: Rc::new(move |why| turning_away.reject(why)),
     };
-    let crowd = Rc::new(Crowd::default());
+    let crowd = Rc::new(ConnectionTable::default());
     // The end waits for the queue as for a connection: what it holds when accepting ends is still taken.
     let _accepting = shutdown.guard();
     // Guards the descriptors of servers and discovery, and the way in: at the cap, whoever has stood longest
     // without an open request gives way; only where all have one is the new connection refused.
-    let take = |socket: TcpStream, stream: Option<Moved>| {
+    let take = |socket: TcpStream, stream: Option<TransferredStream>| {
         if crowd.len() >= cap {
             crowd.evict();
         }
@@ -144,9 +147,9 @@
             if let Some((moved, resume)) = stream.zip(resume) {
                 place.watch.resume();
                 match resume(&mut socket, moved).await {
-                    After::Kept => place.watch.answered(),
-                    After::Over => return place.watch.close(&socket).await,
-                    After::Moved(moved) => {
+                    ConnectionFate::KeepAlive => place.watch.answered(),
+                    ConnectionFate::Close => return place.watch.close(&socket).await,
+                    ConnectionFate::HandedOver(moved) => {
                         return hand(&shutdown, socket.into_std().ok(), Some(moved), guard)
                     }
                 }
@@ -176,7 +179,7 @@
         // Whoever would open it is gone: then it stays shut.
         _ = open.wait_for(|open| *open) => {}
     }
-    let mut heirs = shutdown.heirs();
+    let mut heirs = shutdown.successor_updates();
     loop {
         // Another process accepts in place of this one for as long as it is there.
         let accepting = heirs.borrow_and_update().is_none();
@@ -203,7 +206,7 @@
             },
         }
     }
-    if shutdown.superseded() {
+    if shutdown.has_successor() {
         return;
     }
     let last = async {
@@ -215,7 +218,7 @@
 }
 
 /// The next connection handed over; none ever where nobody can.
-async fn next(inbox: &mut Option<Inbox>) -> Option<(std::net::TcpStream, Option<Moved>)> {
+async fn next(inbox: &mut Option<TransferInbox>) -> Option<(std::net::TcpStream, Option<TransferredStream>)> {
     match inbox {
         Some(inbox) => inbox.recv().await,
         None => None,
@@ -224,11 +227,11 @@
 
 /// Hands a connection to the process that has taken over.
 fn hand(
-    (shutdown, front): &(Shutdown, u8), socket: Option<std::net::TcpStream>, stream: Option<Moved>,
-    guard: Guard,
+    (shutdown, front): &(Shutdown, u8), socket: Option<std::net::TcpStream>,
+    stream: Option<TransferredStream>, guard: ConnectionGuard,
 ) {
-    if let (Some(socket), Some(heir)) = (socket, shutdown.heirs().borrow().as_ref()) {
-        let _ = heir.send(Handed { front: *front, socket, stream, guard });
+    if let (Some(socket), Some(heir)) = (socket, shutdown.successor_updates().borrow().as_ref()) {
+        let _ = heir.send(TransferredConnection { front: *front, socket, stream, guard });
     }
 }
 
@@ -239,15 +242,15 @@
 }
 
 async fn connection<S>(
-    socket: TcpStream, service: S, aside: Aside, ((shutdown, front), guard): ((Shutdown, u8), Guard),
-    place: Place,
+    socket: TcpStream, service: S, aside: Aside,
+    ((shutdown, front), guard): ((Shutdown, u8), ConnectionGuard), place: TableEntry,
 ) where
     S: Service<Request<Incoming>, Response = Response<Body>, Error = Infallible, Future: 'static>
         + Clone
         + 'static,
 {
     let _ = socket.set_nodelay(true);
-    let (wire, leaving, watch) = (Wire::new(socket), shutdown.clone(), place.watch.clone());
+    let (wire, leaving, watch) = (CountedSocket::new(socket), shutdown.clone(), place.watch.clone());
     watch.serves(&wire);
     let began = Instant::now();
     let service = service_fn(move |request| -> LocalBoxFuture<'static, Answer> {
@@ -257,39 +260,39 @@
         Box::pin(async move {
             let mut response = match watch.fault() {
                 Some(what) => response(StatusCode::BAD_REQUEST, format!("{what}\n")),
-                None if tally.is_some() && leaving.too_late() => turn_away("out of service\n"),
+                None if tally.is_some() && leaving.rejects_new_requests() => turn_away("out of service\n"),
                 None => service.oneshot(request).await?,
             };
             // While clients are sent away, each answer says that its connection ends; but not where a further request
             // lies behind this one, which would be dropped.
-            if watch.ends() || leaving.leaving() && !watch.has_more() {
+            if watch.ends() || leaving.is_draining() && !watch.has_more() {
                 response = last(response);
             }
             // The one place where requests are counted: here both fronts' answers pass, and every refusal.
             let tally = match (tally, response.body()) {
-                (Some(tally), Body::Whole(_)) => {
-                    tally.count(Outcome::of(response.status()));
+                (Some(tally), Body::Full(_)) => {
+                    tally.count(RequestOutcome::from_status(response.status()));
                     None
                 }
                 (tally, _) => tally,
             };
-            Ok(response.map(|body| Watched { body, watch, chunked, tally }))
+            Ok(response.map(|body| TrackedBody { body, watch, chunked, tally }))
         })
     });
     let connection =
         http1::Builder::new().header_read_timeout(None).max_buf_size(request_reader::HEAD).serve_connection(
-            TokioIo::new(Gate::new(wire.clone(), place.watch.clone())),
+            TokioIo::new(RequestReader::new(wire.clone(), place.watch.clone())),
             TowerToHyperService::new(service),
         );
     let at_rest = {
         tokio::pin!(connection);
-        let stop = shutdown.over(began);
+        let stop = shutdown.connection_must_end(began);
         tokio::pin!(stop);
-        let gone = ended(&wire.socket);
+        let gone = read_closed(&wire.socket);
         tokio::pin!(gone);
-        let (mut stopping, mut closed, mut heirs) = (false, false, shutdown.heirs());
+        let (mut stopping, mut closed, mut heirs) = (false, false, shutdown.successor_updates());
         loop {
-            let rests = || shutdown.superseded() && place.watch.goes();
+            let rests = || shutdown.has_successor() && place.watch.goes();
             tokio::select! {
                 // Asked in this order: what the connection has just done decides whether it rests.
                 biased;
@@ -301,12 +304,12 @@
                     false => Poll::Pending,
                 }) => return,
                 over = place.over() => match over {
-                    Over::Late => break false,
-                    Over::GivesWay => return,
+                    CloseReason::TimedOut => break false,
+                    CloseReason::Evicted => return,
                 },
                 () = poll_fn(|_| if rests() { Poll::Ready(()) } else { Poll::Pending }) => break true,
                 _ = heirs.changed() => {}
-                () = &mut stop, if !stopping && !shutdown.superseded() => stopping = true,
+                () = &mut stop, if !stopping && !shutdown.has_successor() => stopping = true,
                 // A request that has come is served before, read or not, behind another or alone.
                 () = poll_fn(|_| if place.watch.rests() { Poll::Ready(()) } else { Poll::Pending }),
                     if stopping && !closed =>
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -21,7 +21,7 @@
     /// No attempt starts while another one of its request is open.
     OneAttempt,
     /// What must not be repeated is not sent again once it may have run.
-    RunsOnce,
+    AtMostOnce,
     /// No attempt starts for a request that has had its answer, or whose client has left.
     NothingAfterEnd,
     /// A request that was taken has its answer at its end.
@@ -32,7 +32,7 @@
     pub const ALL: [Invariant; 5] = [
         Invariant::HeldInTime,
         Invariant::OneAttempt,
-        Invariant::RunsOnce,
+        Invariant::AtMostOnce,
         Invariant::NothingAfterEnd,
         Invariant::Answered,
     ];
@@ -42,7 +42,7 @@
         match self {
             Invariant::HeldInTime => "held_in_time",
             Invariant::OneAttempt => "one_attempt",
-            Invariant::RunsOnce => "runs_once",
+            Invariant::AtMostOnce => "runs_once",
             Invariant::NothingAfterEnd => "nothing_after_end",
             Invariant::Answered => "answered",
         }
@@ -75,7 +75,7 @@
     let again = machine.policy().retry_safety == RetrySafety::AtMostOnce
         && runs
         && others().any(|(_, a)| a.may_have_run());
-    check(!again, Invariant::RunsOnce, request, || format!("attempt {attempt} repeats what may have run"));
+    check(!again, Invariant::AtMostOnce, request, || format!("attempt {attempt} repeats what may have run"));
     let ended = machine.is_closed();
     check(!ended, Invariant::NothingAfterEnd, request, || format!("attempt {attempt} starts after the end"));
 }
