--- a/gateway/src/maintenance.rs
+++ b/gateway/src/maintenance.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 use crate::core::{Clock, Core, Upstream};
-use crate::discovery::{self, Host, List, Names};
+use crate::discovery::{self, Endpoint, EndpointList, SettingsNames};
 use crate::engine::Engine;
 use crate::log;
 
@@ -28,14 +28,14 @@
 /// Orders on disk, one empty file for each server that is out: each file appears and goes at once, so processes that
 /// share the directory have nothing to merge.
 #[derive(Clone, Debug)]
-pub struct Orders(PathBuf);
+pub struct OrderStore(PathBuf);
 
-impl Orders {
+impl OrderStore {
     /// The orders of this state directory, which is made if need be. Nobody else may give orders there, or take over.
     pub fn open(state: &Path) -> io::Result<Self> {
         let dir = state.join("offline");
         DirBuilder::new().recursive(true).mode(0o700).create(&dir)?;
-        Ok(Orders(dir))
+        Ok(OrderStore(dir))
     }
 
     fn file(&self, id: &str) -> PathBuf {
@@ -64,17 +64,17 @@
 
 /// Why an order was not taken.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum OrderError {
     /// Nobody has this id.
-    Unknown,
+    UnknownServer,
     /// It could not be kept, so it was not carried out either.
-    Lost(String),
+    NotPersisted(String),
 }
 
 #[derive(Default)]
 struct State {
     /// What discovery lists at present.
-    listed: BTreeMap<String, Host>,
+    listed: BTreeMap<String, Endpoint>,
     out: BTreeSet<String>,
     /// When servers came back, in Unix milliseconds.
     back: BTreeMap<String, f64>,
@@ -82,7 +82,7 @@
 
 impl State {
     /// The line of a server as it is passed on.
-    fn overlaid(&self, host: &Host) -> Host {
+    fn overlaid(&self, host: &Endpoint) -> Endpoint {
         let mut host = host.clone();
         if self.out.contains(&host.host) {
             host.drain();
@@ -93,27 +93,29 @@
     }
 }
 
-pub struct Rotation<U> {
-    names: Names,
+pub struct Maintenance<U> {
+    names: SettingsNames,
     clock: Clock,
     engine: Engine,
     core: Core<U>,
-    orders: Option<Orders>,
+    orders: Option<OrderStore>,
     state: RefCell<State>,
 }
 
-impl<U: Upstream> Rotation<U> {
+impl<U: Upstream> Maintenance<U> {
     /// Without a place for orders none is taken. Those that stand there hold from the first list on.
-    pub fn new(names: Names, clock: Clock, engine: Engine, core: Core<U>, orders: Option<Orders>) -> Self {
+    pub fn new(
+        names: SettingsNames, clock: Clock, engine: Engine, core: Core<U>, orders: Option<OrderStore>,
+    ) -> Self {
         let mut state = State::default();
         if let Some(Err(e)) = orders.as_ref().map(|o| o.all().map(|out| state.out = out)) {
             log!("orders cannot be read: {e}");
         }
-        Rotation { names, clock, engine, core, orders, state: RefCell::new(state) }
+        Maintenance { names, clock, engine, core, orders, state: RefCell::new(state) }
     }
 
     /// Takes a list, or changes to it, from discovery.
-    pub fn take(&self, list: &List, scope: ListUpdate) {
+    pub fn apply_list(&self, list: &EndpointList, scope: ListUpdate) {
         let passed_on = {
             let mut state = self.state.borrow_mut();
             if scope != ListUpdate::Delta {
@@ -133,9 +135,9 @@
         self.pass_on(passed_on, scope);
     }
 
-    fn pass_on(&self, hosts: Vec<Host>, scope: ListUpdate) {
-        let list = List { hosts, ..List::default() };
-        discovery::apply(&list, scope, &self.names, &self.clock, &self.engine, &self.core);
+    fn pass_on(&self, hosts: Vec<Endpoint>, scope: ListUpdate) {
+        let list = EndpointList { hosts, ..EndpointList::default() };
+        discovery::apply_list(&list, scope, &self.names, &self.clock, &self.engine, &self.core);
     }
 
     /// Servers that discovery lists.
@@ -144,27 +146,28 @@
     }
 
     /// Takes a server out. Twice is as good as once.
-    pub fn offline(&self, id: &str) -> Result<(), Denied> {
+    pub fn offline(&self, id: &str) -> Result<(), OrderError> {
         self.order(id, true)
     }
 
     /// Puts a server back, whether or not it is listed at present.
-    pub fn online(&self, id: &str) -> Result<(), Denied> {
+    pub fn online(&self, id: &str) -> Result<(), OrderError> {
         self.order(id, false)
     }
 
-    fn order(&self, id: &str, out: bool) -> Result<(), Denied> {
-        self.look();
+    fn order(&self, id: &str, out: bool) -> Result<(), OrderError> {
+        self.sync_orders();
         let known = {
             let state = self.state.borrow();
             state.listed.contains_key(id) || state.out.contains(id)
         };
         if !known || id.len() > NAME {
-            return Err(Denied::Unknown);
+            return Err(OrderError::UnknownServer);
         }
-        let orders = self.orders.as_ref().ok_or(Denied::Lost("no place to keep orders".into()))?;
+        let orders =
+            self.orders.as_ref().ok_or(OrderError::NotPersisted("no place to keep orders".into()))?;
         let kept = if out { orders.put(id) } else { orders.remove(id) };
-        kept.map_err(|e| Denied::Lost(e.to_string()))?;
+        kept.map_err(|e| OrderError::NotPersisted(e.to_string()))?;
         self.set(id, out);
         Ok(())
     }
@@ -187,7 +190,7 @@
     }
 
     /// Takes over orders that were given to another process.
-    pub fn look(&self) {
+    pub fn sync_orders(&self) {
         let Some(orders) = &self.orders else { return };
         let told = match orders.all() {
             Ok(told) => told,
@@ -200,10 +203,10 @@
     }
 
     /// Looks for such orders for as long as the process runs.
-    pub async fn keep_looking(&self) {
+    pub async fn watch_orders(&self) {
         loop {
             sleep(LOOK).await;
-            self.look();
+            self.sync_orders();
         }
     }
 }
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -7,25 +7,25 @@
 
 /// A request's final outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     Fulfilled,
     Throttled,
     Faulted,
 }
 
-impl Outcome {
+impl RequestOutcome {
     /// What the head of an answer alone says.
-    pub fn of(status: StatusCode) -> Self {
+    pub fn from_status(status: StatusCode) -> Self {
         match status.as_u16() {
-            429 | 503 => Outcome::Throttled,
-            200..=299 => Outcome::Fulfilled,
-            _ => Outcome::Faulted,
+            429 | 503 => RequestOutcome::Throttled,
+            200..=299 => RequestOutcome::Fulfilled,
+            _ => RequestOutcome::Faulted,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct OutcomeCounts {
     pub fulfilled: u64,
     pub throttled: u64,
     pub faulted: u64,
@@ -33,43 +33,45 @@
 
 /// Counts of all classes, by their names.
 #[derive(Clone, Debug, Default)]
-pub struct Counters(Rc<RefCell<Vec<(String, Counts)>>>);
+pub struct RequestMetrics(Rc<RefCell<Vec<(String, OutcomeCounts)>>>);
 
-impl Counters {
+impl RequestMetrics {
     pub fn new(classes: impl IntoIterator<Item = String>) -> Self {
-        Counters(Rc::new(RefCell::new(classes.into_iter().map(|c| (c, Counts::default())).collect())))
+        RequestMetrics(Rc::new(RefCell::new(
+            classes.into_iter().map(|c| (c, OutcomeCounts::default())).collect(),
+        )))
     }
 
     /// A request of this class, to be counted once; `None` where there is no such class.
-    pub fn tally(&self, class: &str) -> Option<Tally> {
+    pub fn counter(&self, class: &str) -> Option<RequestCounter> {
         let place = self.0.borrow().iter().position(|c| c.0 == class)?;
-        Some(Tally { counters: self.clone(), place })
+        Some(RequestCounter { counters: self.clone(), place })
     }
 
-    pub fn all(&self) -> Vec<(String, Counts)> {
+    pub fn snapshot(&self) -> Vec<(String, OutcomeCounts)> {
         self.0.borrow().clone()
     }
 }
 
 /// One request that will be counted at its end; one that its client abandoned is dropped uncounted.
 #[derive(Debug)]
-pub struct Tally {
-    counters: Counters,
+pub struct RequestCounter {
+    counters: RequestMetrics,
     place: usize,
 }
 
-impl Tally {
+impl RequestCounter {
     pub fn class(&self) -> String {
         self.counters.0.borrow()[self.place].0.clone()
     }
 
-    pub fn count(self, outcome: Outcome) {
+    pub fn count(self, outcome: RequestOutcome) {
         let mut all = self.counters.0.borrow_mut();
         let counts = &mut all[self.place].1;
         match outcome {
-            Outcome::Fulfilled => counts.fulfilled += 1,
-            Outcome::Throttled => counts.throttled += 1,
-            Outcome::Faulted => counts.faulted += 1,
+            RequestOutcome::Fulfilled => counts.fulfilled += 1,
+            RequestOutcome::Throttled => counts.throttled += 1,
+            RequestOutcome::Faulted => counts.faulted += 1,
         }
     }
 }
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use tower::{Service, ServiceExt};
 
-use crate::exchange::{ClientSide, Ended, Request};
+use crate::exchange::{ClientSide, Request, ResponseOutcome};
 use crate::log;
 
 /// Operations that one call of a hook may take: some milliseconds at most.
@@ -99,10 +99,10 @@
 }
 
 fn describe(request: &Request) -> Map {
-    let (ask, payload) = (&request.ask, &request.payload);
+    let (ask, payload) = (&request.routing, &request.payload);
     let text = |t: &str| Dynamic::from(t.to_string());
     Map::from_iter([
-        ("name".into(), text(&payload.name)),
+        ("name".into(), text(&payload.request_id)),
         ("path".into(), text(payload.uri.path())),
         ("class".into(), Dynamic::from(i64::from(ask.class))),
         ("session".into(), text(&format!("{:016x}", ask.session))),
@@ -138,7 +138,7 @@
             match plugin.ask(about.clone()) {
                 Verdict::Refuse(reason) => {
                     log!("plugin: refused: {reason}");
-                    return Ok(ClientSide::refused(COME_BACK));
+                    return Ok(ClientSide::rejected(COME_BACK));
                 }
                 Verdict::Pass(notes) => annotate(&mut request, &notes),
             }
@@ -158,12 +158,12 @@
     }
 }
 
-fn word(ended: Ended) -> &'static str {
+fn word(ended: ResponseOutcome) -> &'static str {
     match ended {
-        Ended::Served => "served",
-        Ended::Refused => "refused",
-        Ended::Failed => "failed",
-        Ended::Cut => "cut",
+        ResponseOutcome::Completed => "served",
+        ResponseOutcome::Rejected => "refused",
+        ResponseOutcome::Failed => "failed",
+        ResponseOutcome::Aborted => "cut",
     }
 }
 
--- a/gateway/src/pools.rs
+++ b/gateway/src/pools.rs
@@ -13,10 +13,10 @@
 use crate::budget::Budget;
 use crate::config;
 use crate::core::{Clock, Core};
-use crate::engine::{Address, Engine, Limits};
+use crate::engine::{Engine, EngineLimits, ServerAddress};
 use crate::front::inference::{Inference, Target};
-use crate::front::Entry;
-use crate::metrics::Counters;
+use crate::front::RequestService;
+use crate::metrics::RequestMetrics;
 use crate::plugin::Plugin;
 
 /// One pool of servers: a router of its own, and the connections to them.
@@ -26,17 +26,17 @@
     pub engine: Engine,
     pub clock: Clock,
     /// Streams that go on here and began in another process.
-    pub resumed: Resumed,
+    pub resumed: ResumedStreams,
 }
 
 /// How many streams are under way that another process began.
 #[derive(Clone, Default)]
-pub struct Resumed(Rc<Cell<usize>>);
+pub struct ResumedStreams(Rc<Cell<usize>>);
 
 /// One such stream.
-pub struct OpenStream(Resumed);
+pub struct OpenStream(ResumedStreams);
 
-impl Resumed {
+impl ResumedStreams {
     pub fn open(&self) -> OpenStream {
         self.0.set(self.0.get() + 1);
         OpenStream(self.clone())
@@ -50,7 +50,9 @@
 }
 
 impl Pool {
-    pub fn new(seed: u64, settings: Settings, limits: Limits, slots: Arc<Semaphore>, budget: Budget) -> Self {
+    pub fn new(
+        seed: u64, settings: Settings, limits: EngineLimits, slots: Arc<Semaphore>, budget: Budget,
+    ) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clock = Clock::new(unix);
         let engine = Engine::new(limits, slots, budget);
@@ -58,26 +60,26 @@
             core: Core::new(seed, settings, clock, engine.clone()),
             engine,
             clock,
-            resumed: Resumed::default(),
+            resumed: ResumedStreams::default(),
         }
     }
 
     /// Requests that were taken and have not ended, here or in the process that began them.
-    pub fn open(&self) -> usize {
-        self.core.open() + self.resumed.0.get()
+    pub fn open_requests(&self) -> usize {
+        self.core.open_requests() + self.resumed.0.get()
     }
 
     /// The pool as a front calls it, behind the plug-in.
-    pub fn entry(&self, plugin: &Option<Rc<Plugin>>) -> Rc<dyn Fn() -> Entry> {
+    pub fn request_service(&self, plugin: &Option<Rc<Plugin>>) -> Rc<dyn Fn() -> RequestService> {
         let (core, plugin) = (self.core.clone(), plugin.clone());
         Rc::new(move || match &plugin {
-            Some(plugin) => Entry::new(plugin.layer(core.clone())),
-            None => Entry::new(core.clone()),
+            Some(plugin) => RequestService::new(plugin.layer(core.clone())),
+            None => RequestService::new(core.clone()),
         })
     }
-    fn target(&self, plugin: &Option<Rc<Plugin>>, class: (u32, Option<String>)) -> Target {
+    fn inference_target(&self, plugin: &Option<Rc<Plugin>>, class: (u32, Option<String>)) -> Target {
         let core = self.core.clone();
-        Target { entry: self.entry(plugin), ready: Rc::new(move || core.can_serve()), class }
+        Target { entry: self.request_service(plugin), ready: Rc::new(move || core.can_serve()), class }
     }
 }
 
@@ -104,20 +106,20 @@
 }
 
 /// The second front and the pools that are its own.
-pub struct Second {
+pub struct InferencePools {
     pub front: Inference,
     embeddings: Option<FromFile>,
     chat: Option<FromFile>,
 }
 
-impl Second {
+impl InferencePools {
     pub fn new(
         file: &config::Front, platform: Option<PlatformChat>, plugin: &Option<Rc<Plugin>>,
-        slots: Arc<Semaphore>, budget: Budget, counters: Counters,
+        slots: Arc<Semaphore>, budget: Budget, counters: RequestMetrics,
     ) -> Result<Self, String> {
         let own = |pool: &config::Pool, repeatable: bool| {
             let settings = config::one_stage(pool, file.max_deadline_ms as Millis, repeatable);
-            let limits = Limits {
+            let limits = EngineLimits {
                 connect_timeout: Duration::from_millis(pool.connect_ms),
                 probes: false,
                 idle: Duration::from_millis(pool.idle_ms),
@@ -131,13 +133,14 @@
         };
         let embeddings = file.embeddings.as_ref().map(|pool| own(pool, true));
         let chat = file.chat.as_ref().map(|pool| own(pool, false));
-        let target = |own: &Option<FromFile>| own.as_ref().map(|o| o.pool.target(plugin, (0, None)));
+        let target =
+            |own: &Option<FromFile>| own.as_ref().map(|o| o.pool.inference_target(plugin, (0, None)));
         let chat_target = match (target(&chat), platform) {
             (None, Some(platform)) => Some(chat_of(platform, file.chat_class.as_deref(), plugin)?),
             (own, _) => own,
         };
         let front = Inference::new(file, target(&embeddings), chat_target, budget, counters);
-        Ok(Second { front, embeddings, chat })
+        Ok(InferencePools { front, embeddings, chat })
     }
 
     pub fn pools(&self) -> Vec<Pool> {
@@ -166,14 +169,14 @@
         state: if s.drain { ServerState::Draining } else { ServerState::Ready },
         ..ServerEntry::default()
     };
-    let address = |s: &config::Server| Address {
+    let address = |s: &config::Server| ServerAddress {
         server: server_id(&s.name),
-        dial: s.dial.clone(),
+        address: s.dial.clone(),
         serving: !s.drain,
-        ..Address::default()
+        ..ServerAddress::default()
     };
-    pool.engine.learn(true, &file.servers.iter().map(address).collect::<Vec<_>>(), &[]);
-    pool.core.members(ListUpdate::Full, file.servers.iter().map(member).collect());
+    pool.engine.update_servers(true, &file.servers.iter().map(address).collect::<Vec<_>>(), &[]);
+    pool.core.update_servers(ListUpdate::Full, file.servers.iter().map(member).collect());
 }
 
 /// Chat over the platform's servers is of the class that the file names; else of one that is never repeated.
@@ -186,5 +189,5 @@
         None => classes.iter().position(|c| c.idempotency == Idempotency::NonIdempotent).or(Some(0)),
     };
     let place = place.ok_or("configuration: chat_class: the platform has no such class")?;
-    Ok(pool.target(plugin, (place as u32, Some(names[place].0.clone()))))
+    Ok(pool.inference_target(plugin, (place as u32, Some(names[place].0.clone()))))
 }
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-use crate::upgrade::transferred::{Guard, Heir, Open};
+use crate::upgrade::transferred::{ConnectionGuard, OpenConnections, Successor};
 
 /// Told to send its clients away, the gateway ends their connections after this time: until then they may move by
 /// themselves, as each answer tells them to.
@@ -32,17 +32,17 @@
 const LAST_WORDS: f64 = 0.54;
 
 /// When a gateway with these deadlines is killed, from the word to end on.
-pub fn kill(deadlines: impl Iterator<Item = Duration>) -> Duration {
+pub fn kill_delay(deadlines: impl Iterator<Item = Duration>) -> Duration {
     deadlines.max().unwrap_or(MOST_DEADLINE).min(MOST_DEADLINE) + GRACE
 }
 
 /// When it answers what still waits for its first token: the kill would leave it with none.
-pub fn last_answer(kill: Duration) -> Duration {
+pub fn last_response_delay(kill: Duration) -> Duration {
     kill - BEFORE_KILL
 }
 
 /// How long it goes on with the streams under way where another process serves; then the other one does.
-pub fn last_words(kill: Duration) -> Duration {
+pub fn stream_handover_delay(kill: Duration) -> Duration {
     kill.mul_f64(LAST_WORDS)
 }
 
@@ -50,7 +50,7 @@
 pub enum Phase {
     Serving,
     /// Told to end; connections still come and are served.
-    Leaving,
+    Draining,
     /// Accepting has ended; what was taken is finished.
     Closing,
 }
@@ -58,13 +58,13 @@
 #[derive(Clone)]
 pub struct Shutdown {
     /// Where connections at rest go, once another process has taken over.
-    heir: Rc<watch::Sender<Option<Heir>>>,
+    successor: Rc<watch::Sender<Option<Successor>>>,
     /// Since when the gateway is out of service, if operators took it out.
-    away: Rc<watch::Sender<Option<Instant>>>,
+    out_of_service_since: Rc<watch::Sender<Option<Instant>>>,
     phase: Rc<watch::Sender<Phase>>,
     /// When the process was told to end.
-    told: Rc<Cell<Option<Instant>>>,
-    open: Open,
+    signalled_at: Rc<Cell<Option<Instant>>>,
+    open_connections: OpenConnections,
 }
 
 impl Default for Shutdown {
@@ -72,14 +72,20 @@
         let phase = Rc::new(watch::Sender::new(Phase::Serving));
         let away = Rc::new(watch::Sender::new(None));
         let heir = Rc::new(watch::Sender::new(None));
-        Shutdown { heir, away, phase, told: Rc::default(), open: Open::default() }
+        Shutdown {
+            successor: heir,
+            out_of_service_since: away,
+            phase,
+            signalled_at: Rc::default(),
+            open_connections: OpenConnections::default(),
+        }
     }
 }
 
 impl Shutdown {
     pub fn enter(&self, phase: Phase) {
-        if phase != Phase::Serving && self.told.get().is_none() {
-            self.told.set(Some(Instant::now()));
+        if phase != Phase::Serving && self.signalled_at.get().is_none() {
+            self.signalled_at.set(Some(Instant::now()));
         }
         self.phase.send_replace(phase);
     }
@@ -92,29 +98,31 @@
         let _ = seen.wait_for(|p| *p >= phase).await;
     }
     /// Out of service: clients are sent away. Twice is as good as once.
-    pub fn send_away(&self) {
-        self.away.send_if_modified(|since| since.replace(since.unwrap_or_else(Instant::now)).is_none());
+    pub fn take_out_of_service(&self) {
+        self.out_of_service_since
+            .send_if_modified(|since| since.replace(since.unwrap_or_else(Instant::now)).is_none());
     }
     /// In service again.
-    pub fn take_back(&self) {
-        self.away.send_replace(None);
+    pub fn return_to_service(&self) {
+        self.out_of_service_since.send_replace(None);
     }
-    pub fn away(&self) -> bool {
-        self.away.borrow().is_some()
+    pub fn out_of_service_since(&self) -> bool {
+        self.out_of_service_since.borrow().is_some()
     }
     /// Whether a request that has come now is too late to be taken.
-    pub fn too_late(&self) -> bool {
-        let away = self.away.borrow().is_some_and(|since| since.elapsed() > LAST_REQUEST);
+    pub fn rejects_new_requests(&self) -> bool {
+        let away = self.out_of_service_since.borrow().is_some_and(|since| since.elapsed() > LAST_REQUEST);
         // Where another process has taken over, it goes on with what is open here.
-        let ends = self.told.get().is_some_and(|at| at.elapsed() > LAST_TAKEN) && !self.superseded();
+        let ends =
+            self.signalled_at.get().is_some_and(|at| at.elapsed() > LAST_TAKEN) && !self.has_successor();
         away || ends
     }
     /// Whether each answer should tell its client that the connection ends.
-    pub fn leaving(&self) -> bool {
-        self.away() || self.phase() != Phase::Serving && !self.superseded()
+    pub fn is_draining(&self) -> bool {
+        self.out_of_service_since() || self.phase() != Phase::Serving && !self.has_successor()
     }
     /// Until a connection that began at this time has to end, once its open request has.
-    pub async fn over(&self, began: Instant) {
+    pub async fn connection_must_end(&self, began: Instant) {
         tokio::select! {
             () = self.closing(began) => {}
             () = self.sent_away(began) => {}
@@ -126,7 +134,7 @@
         sleep_until(began + ASK).await;
     }
     async fn sent_away(&self, began: Instant) {
-        let mut away = self.away.subscribe();
+        let mut away = self.out_of_service_since.subscribe();
         loop {
             let since = *away.borrow_and_update();
             let due = async {
@@ -143,20 +151,20 @@
         }
     }
     /// Another process has taken over, or is gone again.
-    pub fn succeed(&self, heir: Option<Heir>) {
-        self.heir.send_replace(heir);
+    pub fn set_successor(&self, heir: Option<Successor>) {
+        self.successor.send_replace(heir);
     }
-    pub fn superseded(&self) -> bool {
-        self.heir.borrow().is_some()
+    pub fn has_successor(&self) -> bool {
+        self.successor.borrow().is_some()
     }
-    pub fn heirs(&self) -> watch::Receiver<Option<Heir>> {
-        self.heir.subscribe()
+    pub fn successor_updates(&self) -> watch::Receiver<Option<Successor>> {
+        self.successor.subscribe()
     }
-    pub fn guard(&self) -> Guard {
-        self.open.guard()
+    pub fn guard(&self) -> ConnectionGuard {
+        self.open_connections.guard()
     }
     /// Until no connection is left.
-    pub async fn emptied(&self) {
-        self.open.emptied().await;
+    pub async fn drained(&self) {
+        self.open_connections.drained().await;
     }
 }
--- a/gateway/src/upgrade/mod.rs
+++ b/gateway/src/upgrade/mod.rs
@@ -23,10 +23,10 @@
 use tokio::time::timeout;
 
 use crate::budget::{Budget, Claim};
-use crate::exchange::Rest;
+use crate::exchange::StreamRemainder;
 use crate::log;
 use crate::shutdown::{Phase, Shutdown};
-use crate::upgrade::transferred::{Handed, Moved};
+use crate::upgrade::transferred::{TransferredConnection, TransferredStream};
 
 /// The fronts whose sockets are handed over.
 pub const PLATFORM: u8 = 0;
@@ -56,17 +56,17 @@
 const NAME: &str = "handover";
 
 /// Where connections that another process hands over come in.
-pub type Inbox = mpsc::UnboundedReceiver<(TcpStream, Option<Moved>)>;
+pub type TransferInbox = mpsc::UnboundedReceiver<(TcpStream, Option<TransferredStream>)>;
 
 /// The way in of one front.
-pub struct Inboxes([mpsc::UnboundedSender<(TcpStream, Option<Moved>)>; FRONTS]);
+pub struct TransferInboxes([mpsc::UnboundedSender<(TcpStream, Option<TransferredStream>)>; FRONTS]);
 
-impl Inboxes {
-    pub fn new() -> (Rc<Self>, [Inbox; FRONTS]) {
+impl TransferInboxes {
+    pub fn new() -> (Rc<Self>, [TransferInbox; FRONTS]) {
         let ((a, a_in), (b, b_in)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        (Rc::new(Inboxes([a, b])), [a_in, b_in])
+        (Rc::new(TransferInboxes([a, b])), [a_in, b_in])
     }
-    fn put(&self, front: u8, socket: TcpStream, stream: Option<Moved>) {
+    fn deliver(&self, front: u8, socket: TcpStream, stream: Option<TransferredStream>) {
         if let Some(inbox) = self.0.get(usize::from(front)) {
             // A front that is not there any more: its client sees the connection end.
             let _ = inbox.send((socket, stream));
@@ -76,7 +76,7 @@
 
 /// What two processes share while both live: each then has half.
 #[derive(Clone)]
-pub struct Share {
+pub struct SharedLimits {
     pub slots: Arc<Semaphore>,
     pub connections: usize,
     pub budget: Budget,
@@ -84,20 +84,20 @@
 }
 
 /// The half that is the other process's; given back when this is dropped.
-pub struct Half {
+pub struct ReservedHalf {
     slots: Arc<Semaphore>,
     kept: usize,
     _bodies: Option<Claim>,
 }
 
-impl Share {
-    pub fn halve(&self) -> Half {
+impl SharedLimits {
+    pub fn reserve_half(&self) -> ReservedHalf {
         let kept = self.slots.forget_permits(self.connections / 2);
-        Half { slots: self.slots.clone(), kept, _bodies: self.budget.claim(self.bodies / 2) }
+        ReservedHalf { slots: self.slots.clone(), kept, _bodies: self.budget.claim(self.bodies / 2) }
     }
 }
 
-impl Drop for Half {
+impl Drop for ReservedHalf {
     fn drop(&mut self) {
         self.slots.add_permits(self.kept);
     }
@@ -107,15 +107,15 @@
 
 /// What the platform's router has learned: given to another process, or taken from one.
 #[derive(Clone)]
-pub struct Learned {
-    pub give: Rc<dyn Fn() -> Vec<u8>>,
-    pub take: Take,
+pub struct RoutingStateTransfer {
+    pub export: Rc<dyn Fn() -> Vec<u8>>,
+    pub import: Take,
 }
 
 /// The connection between the two processes.
-pub struct Link(UnixStream);
+pub struct UpgradeLink(UnixStream);
 
-impl Link {
+impl UpgradeLink {
     async fn send(&self, word: u8, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
         self.0
             .async_io(Interest::WRITABLE, || {
@@ -130,12 +130,12 @@
             .await
     }
 
-    async fn pass(&self, handed: &Handed) -> io::Result<()> {
+    async fn pass(&self, handed: &TransferredConnection) -> io::Result<()> {
         let Some(moved) = &handed.stream else {
             return self.send(CLIENT + handed.front, &[handed.socket.as_fd()]).await;
         };
-        self.send(STREAM + handed.front, &[handed.socket.as_fd(), moved.rest.socket.as_fd()]).await?;
-        self.send_bytes(&moved.rest.ahead).await?;
+        self.send(STREAM + handed.front, &[handed.socket.as_fd(), moved.remainder.socket.as_fd()]).await?;
+        self.send_bytes(&moved.remainder.read_ahead).await?;
         self.send_bytes(moved.class.as_deref().unwrap_or("").as_bytes()).await
     }
 
@@ -208,20 +208,20 @@
 }
 
 /// What a first process leaves to this one.
-pub struct Estate {
+pub struct HandoverState {
     pub listeners: [Option<TcpListener>; FRONTS],
-    pub link: Link,
+    pub link: UpgradeLink,
 }
 
 /// Asks for what another process at this address holds; `None` where there is no such process.
-pub async fn inherit(state: &Path) -> Option<Estate> {
+pub async fn request_handover(state: &Path) -> Option<HandoverState> {
     let ask = async {
         let (path, _open) = near(state, NAME)?;
-        let link = Link(UnixStream::connect(path).await?);
+        let link = UpgradeLink(UnixStream::connect(path).await?);
         let mut listeners = [None, None];
         loop {
             match link.receive().await? {
-                Some((ALL, _)) => return Ok(Estate { listeners, link }),
+                Some((ALL, _)) => return Ok(HandoverState { listeners, link }),
                 Some((word, sockets)) if usize::from(word.wrapping_sub(LISTENER)) < FRONTS => {
                     listeners[usize::from(word - LISTENER)] =
                         sockets.into_iter().next().map(TcpListener::from);
@@ -252,12 +252,15 @@
 
 /// Takes over: says that this process serves, then takes the connections that the other one hands over, until that
 /// one has ended. Should this process be told to end meanwhile, the other one learns of it and accepts again.
-pub async fn take_over(link: Link, inboxes: Rc<Inboxes>, learned: Learned, shutdown: Shutdown, half: Half) {
+pub async fn serve_as_successor(
+    link: UpgradeLink, inboxes: Rc<TransferInboxes>, learned: RoutingStateTransfer, shutdown: Shutdown,
+    half: ReservedHalf,
+) {
     let taking = async {
         link.send(SERVING, &[]).await?;
         while let Some((word, sockets)) = link.receive().await? {
             if word == LEARNED {
-                (learned.take)(&link.receive_bytes().await?);
+                (learned.import)(&link.receive_bytes().await?);
                 continue;
             }
             let mut sockets = sockets.into_iter().map(TcpStream::from);
@@ -266,11 +269,12 @@
                 _ => None,
             };
             match (sockets.next(), sockets.next(), stream) {
-                (Some(client), None, None) => inboxes.put(word.wrapping_sub(CLIENT), client, None),
+                (Some(client), None, None) => inboxes.deliver(word.wrapping_sub(CLIENT), client, None),
                 (Some(client), Some(socket), Some((ahead, class))) => {
                     let class = String::from_utf8(class).ok().filter(|c| !c.is_empty());
-                    let moved = Moved { rest: Rest { socket, ahead }, class };
-                    inboxes.put(word.wrapping_sub(STREAM), client, Some(moved));
+                    let moved =
+                        TransferredStream { remainder: StreamRemainder { socket, read_ahead: ahead }, class };
+                    inboxes.deliver(word.wrapping_sub(STREAM), client, Some(moved));
                 }
                 _ => log!("the other process handed over too little: no descriptor may be left"),
             }
@@ -295,16 +299,16 @@
 }
 
 /// Waits for a process that is to take over, for as long as this one runs.
-pub async fn hand_over(
-    state: PathBuf, listeners: Vec<(u8, OwnedFd)>, inboxes: Rc<Inboxes>, learned: Learned,
-    shutdown: Shutdown, share: Share,
+pub async fn serve_as_predecessor(
+    state: PathBuf, listeners: Vec<(u8, OwnedFd)>, inboxes: Rc<TransferInboxes>,
+    learned: RoutingStateTransfer, shutdown: Shutdown, share: SharedLimits,
 ) {
     let mut asked_before = false;
     loop {
         let asked = async { publish(&state)?.accept().await };
         let link = tokio::select! {
             asked = asked => match asked {
-                Ok((stream, _)) => Link(stream),
+                Ok((stream, _)) => UpgradeLink(stream),
                 Err(e) => return log!("no upgrade is possible: {e}"),
             },
             // Nobody accepts any more: with these copies gone the machine refuses new connections, and a process that is
@@ -312,7 +316,7 @@
             () = shutdown.reached(Phase::Closing), if !asked_before => return,
         };
         asked_before = true;
-        let _half = share.halve();
+        let _half = share.reserve_half();
         if let Err(e) = succeed(&link, &listeners, &inboxes, &learned, &shutdown).await {
             log!("a handing over ended: {e}");
         }
@@ -321,7 +325,8 @@
 
 /// Hands over to one process, and ends when that one has gone.
 async fn succeed(
-    link: &Link, listeners: &[(u8, OwnedFd)], inboxes: &Inboxes, learned: &Learned, shutdown: &Shutdown,
+    link: &UpgradeLink, listeners: &[(u8, OwnedFd)], inboxes: &TransferInboxes,
+    learned: &RoutingStateTransfer, shutdown: &Shutdown,
 ) -> io::Result<()> {
     for (front, listener) in listeners {
         link.send(LISTENER + front, &[listener.as_fd()]).await?;
@@ -332,9 +337,9 @@
     }
     log!("another process has taken over");
     link.send(LEARNED, &[]).await?;
-    link.send_bytes(&(learned.give)()).await?;
-    let (heir, mut handed) = mpsc::unbounded_channel::<Handed>();
-    shutdown.succeed(Some(heir));
+    link.send_bytes(&(learned.export)()).await?;
+    let (heir, mut handed) = mpsc::unbounded_channel::<TransferredConnection>();
+    shutdown.set_successor(Some(heir));
     loop {
         let at_rest = tokio::select! {
             biased;
@@ -342,14 +347,14 @@
             _ = link.receive() => break,
         };
         if link.pass(&at_rest).await.is_err() {
-            inboxes.put(at_rest.front, at_rest.socket, at_rest.stream);
+            inboxes.deliver(at_rest.front, at_rest.socket, at_rest.stream);
             break;
         }
     }
-    shutdown.succeed(None);
+    shutdown.set_successor(None);
     // Not sent any more, so it is still ours.
     while let Ok(at_rest) = handed.try_recv() {
-        inboxes.put(at_rest.front, at_rest.socket, at_rest.stream);
+        inboxes.deliver(at_rest.front, at_rest.socket, at_rest.stream);
     }
     log!("the process that had taken over is gone; this one accepts again");
     Ok(())
@@ -367,27 +372,27 @@
         let top = std::env::temp_dir().join(format!("glenrail-upgrade-{}", std::process::id()));
         let state = top.join("x".repeat(120));
         std::fs::create_dir_all(&state).expect("a directory");
-        assert!(inherit(&state).await.is_none(), "nobody was ever there");
+        assert!(request_handover(&state).await.is_none(), "nobody was ever there");
         for _ in 0..2 {
             let listener = publish(&state).expect("a socket");
             let (path, _open) = near(&state, NAME).expect("a path");
             let (asked, answered) = tokio::join!(UnixStream::connect(path), listener.accept());
             assert!(asked.is_ok() && answered.is_ok());
         }
-        assert!(inherit(&state).await.is_none(), "it has died");
+        assert!(request_handover(&state).await.is_none(), "it has died");
         std::fs::remove_dir_all(top).expect("removed");
     }
 
     /// Guards the limits of both processes together: each has half while both live, and all of it after.
     #[test]
     fn half_is_kept_back_for_as_long_as_both_live() {
-        let share = Share {
+        let share = SharedLimits {
             slots: Arc::new(Semaphore::new(10)),
             connections: 10,
             budget: Budget::new(100),
             bodies: 100,
         };
-        let half = share.halve();
+        let half = share.reserve_half();
         assert_eq!(share.slots.available_permits(), 5);
         assert!(share.budget.claim(51).is_none() && share.budget.claim(50).is_some());
         drop(half);
--- a/gateway/src/upgrade/tests/wire_format.rs
+++ b/gateway/src/upgrade/tests/wire_format.rs
@@ -155,9 +155,9 @@
     state
 }
 
-fn share() -> Share {
+fn share() -> SharedLimits {
     let slots = Arc::new(Semaphore::new(10));
-    Share { slots, connections: 10, budget: Budget::new(100), bodies: 100 }
+    SharedLimits { slots, connections: 10, budget: Budget::new(100), bodies: 100 }
 }
 
 /// A client's connection and its server's for each of `CONNECTIONS`, with the far ends.
@@ -167,14 +167,19 @@
 
 /// Hands the connections over once the other process has taken over.
 async fn give(sockets: Vec<[TcpStream; 2]>, shutdown: &Shutdown) {
-    let mut heirs = shutdown.heirs();
+    let mut heirs = shutdown.successor_updates();
     let heir = heirs.wait_for(Option::is_some).await.expect("an heir").clone().expect("an heir");
     for ((_, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sockets) {
-        let moved = |(ahead, class): Stream| Moved {
-            rest: Rest { socket: server, ahead: ahead.to_vec() },
+        let moved = |(ahead, class): Stream| TransferredStream {
+            remainder: StreamRemainder { socket: server, read_ahead: ahead.to_vec() },
             class: class.map(String::from),
         };
-        let handed = Handed { front, socket: client, stream: stream.map(moved), guard: shutdown.guard() };
+        let handed = TransferredConnection {
+            front,
+            socket: client,
+            stream: stream.map(moved),
+            guard: shutdown.guard(),
+        };
         assert!(heir.send(handed).is_ok());
     }
 }
@@ -201,8 +206,8 @@
     let (state, shutdown) = (state(name), Shutdown::default());
     let ((first, first_at), (second, second_at)) = (listener(), listener());
     let listeners = vec![(PLATFORM, OwnedFd::from(first)), (SECOND, OwnedFd::from(second))];
-    let (inboxes, _inboxes) = Inboxes::new();
-    let learned = Learned { give: Rc::new(|| learned.to_vec()), take: Rc::new(|_| {}) };
+    let (inboxes, _inboxes) = TransferInboxes::new();
+    let learned = RoutingStateTransfer { export: Rc::new(|| learned.to_vec()), import: Rc::new(|_| {}) };
     let (near, _far): (Vec<_>, Vec<_>) =
         sockets().into_iter().map(|[[c, c_far], [s, s_far]]| ([c, s], [c_far, s_far])).unzip();
     let connections: Vec<[Ends; 2]> = near.iter().map(|pair| pair.each_ref().map(ends)).collect();
@@ -210,7 +215,7 @@
     let peer = tokio::task::spawn_blocking(move || {
         receive_all(Peer::connect(&place), [first_at, second_at], recorded, &connections);
     });
-    let handing = hand_over(state.clone(), listeners, inboxes, learned, shutdown.clone(), share());
+    let handing = serve_as_predecessor(state.clone(), listeners, inboxes, learned, shutdown.clone(), share());
     let giving = async {
         give(near, &shutdown).await;
         std::future::pending::<()>().await;
@@ -244,7 +249,7 @@
         peer.send("all listeners sent", &[]);
         peer.end();
     });
-    let estate = inherit(&state).await.expect("another process");
+    let estate = request_handover(&state).await.expect("another process");
     let at = estate.listeners.map(|l| l.expect("a listener").local_addr().expect("an address"));
     assert_eq!(at, [first_at, second_at]);
     drop(estate.link);
@@ -253,18 +258,18 @@
 }
 
 /// The link of a second process, and the first process at its other end.
-fn linked() -> (Link, Peer) {
+fn linked() -> (UpgradeLink, Peer) {
     let (ours, theirs) = blocking::UnixStream::pair().expect("a pair");
     ours.set_nonblocking(true).expect("not blocking");
-    (Link(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
+    (UpgradeLink(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
 }
 
 /// What a connection that came in is, in the terms of `CONNECTIONS`.
 type Arrived = (Ends, Option<(Ends, Vec<u8>, Option<String>)>);
 
-fn arrived(inbox: &mut Inbox) -> Arrived {
+fn arrived(inbox: &mut TransferInbox) -> Arrived {
     let (client, stream) = inbox.try_recv().expect("a connection");
-    let stream = stream.map(|moved| (ends(&moved.rest.socket), moved.rest.ahead, moved.class));
+    let stream = stream.map(|moved| (ends(&moved.remainder.socket), moved.remainder.read_ahead, moved.class));
     (ends(&client), stream)
 }
 
@@ -283,14 +288,14 @@
         peer.send("no learned state", &[]);
         peer.end();
     });
-    let (inboxes, mut inbox) = Inboxes::new();
+    let (inboxes, mut inbox) = TransferInboxes::new();
     let taken = Rc::new(std::cell::RefCell::new(Vec::new()));
     let take = {
         let taken = taken.clone();
         Rc::new(move |bytes: &[u8]| taken.borrow_mut().push(bytes.to_vec()))
     };
-    let learned = Learned { give: Rc::new(Vec::new), take };
-    take_over(link, inboxes, learned, Shutdown::default(), share().halve()).await;
+    let learned = RoutingStateTransfer { export: Rc::new(Vec::new), import: take };
+    serve_as_successor(link, inboxes, learned, Shutdown::default(), share().reserve_half()).await;
     peer.await.expect("all is as recorded");
     assert_eq!(*taken.borrow(), [STATE.to_vec(), Vec::new()]);
     for ((name, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sent) {
--- a/gateway/src/upgrade/transferred.rs
+++ b/gateway/src/upgrade/transferred.rs
@@ -6,34 +6,34 @@
 
 use tokio::sync::{mpsc, Notify};
 
-use crate::exchange::Rest;
+use crate::exchange::StreamRemainder;
 
 /// The rest of a stream that goes on in the other process, and the class that it counts for.
-pub struct Moved {
-    pub rest: Rest,
+pub struct TransferredStream {
+    pub remainder: StreamRemainder,
     pub class: Option<String>,
 }
 
 /// A client's connection on its way to the other process: at rest, or with a stream under way.
-pub struct Handed {
+pub struct TransferredConnection {
     pub front: u8,
     pub socket: TcpStream,
-    pub stream: Option<Moved>,
+    pub stream: Option<TransferredStream>,
     /// The process that hands it over waits for it until it is sent.
-    pub guard: Guard,
+    pub guard: ConnectionGuard,
 }
 
 /// Where connections at rest go once another process has taken over.
-pub type Heir = mpsc::UnboundedSender<Handed>;
+pub type Successor = mpsc::UnboundedSender<TransferredConnection>;
 
 /// The connections that a process waits for before it ends.
 #[derive(Clone, Default)]
-pub struct Open(Rc<(Cell<usize>, Notify)>);
+pub struct OpenConnections(Rc<(Cell<usize>, Notify)>);
 
 /// One of them.
-pub struct Guard(Open);
+pub struct ConnectionGuard(OpenConnections);
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let (count, changed) = &*self.0 .0;
         count.set(count.get() - 1);
@@ -41,15 +41,15 @@
     }
 }
 
-impl Open {
-    pub fn guard(&self) -> Guard {
+impl OpenConnections {
+    pub fn guard(&self) -> ConnectionGuard {
         let (count, _) = &*self.0;
         count.set(count.get() + 1);
-        Guard(self.clone())
+        ConnectionGuard(self.clone())
     }
 
     /// Until none is left.
-    pub async fn emptied(&self) {
+    pub async fn drained(&self) {
         let (count, empty) = &*self.0;
         loop {
             let changed = empty.notified();
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -9,7 +9,7 @@
 use glenrail_router::{LoadReport, ServerId};
 use tokio::time::Instant;
 
-use crate::exchange::{Head, Payload, Rest, Wanted};
+use crate::exchange::{CancelToken, Payload, ResponseHead, StreamRemainder};
 
 #[derive(Clone, Debug)]
 pub enum Call {
@@ -18,19 +18,19 @@
     Attempt {
         server: ServerId,
         payload: Rc<Payload>,
-        until: Instant,
-        connect: Option<Duration>,
+        deadline: Instant,
+        connect_timeout: Option<Duration>,
         /// Its connection has to have answered something a moment before: a state waits for it, and what is written onto a
         /// connection that has fallen silent never arrives.
-        confirm: bool,
+        verify_connection: bool,
         /// Not a first byte goes out once nobody wants it.
-        wanted: Wanted,
+        cancel_token: CancelToken,
     },
     /// Lets go of every lease held for the request, at any server that runs.
     Release {
         payload: Rc<Payload>,
     },
-    Hold {
+    ReserveSlot {
         server: ServerId,
         payload: Rc<Payload>,
     },
@@ -38,11 +38,11 @@
         server: ServerId,
     },
     /// Asks for a sign that this server, and the way to it, is well at this moment, or fails soon.
-    Check {
+    VerifyReachable {
         server: ServerId,
-        /// A request that has wholly ended: where no server may be probed, its release is a call that changes nothing and is
+        /// A request that has wholly finished_request: where no server may be probed, its release is a call that changes nothing and is
         /// answered.
-        ended: Option<Rc<str>>,
+        finished_request: Option<Rc<str>>,
     },
     CloseIdle {
         server: ServerId,
@@ -51,31 +51,31 @@
 
 pub enum Reply {
     /// The prompt was read, with so many of its tokens found kept.
-    Read {
-        kept: f64,
+    Prefilled {
+        cached_tokens: f64,
         report: Option<LoadReport>,
     },
     /// The answer begins; the first frame is there already.
-    Answer {
-        head: Head,
-        frames: LocalBoxStream<'static, Result<Frame, Failed>>,
+    Response {
+        head: ResponseHead,
+        frames: LocalBoxStream<'static, Result<Frame, CallError>>,
     },
     /// Turned away, so it never ran.
-    Declined {
-        no_state: bool,
+    Rejected {
+        state_missing: bool,
         report: Option<LoadReport>,
     },
     Error {
         report: Option<LoadReport>,
     },
     /// Turned away for a fault of its own, which every server would find.
-    Unfit {
+    Unprocessable {
         report: Option<LoadReport>,
     },
     /// Held, not held, or not known.
-    Held(Option<bool>),
+    SlotReserved(Option<bool>),
     Probed {
-        well: bool,
+        healthy: bool,
         report: Option<LoadReport>,
     },
     Done,
@@ -85,22 +85,22 @@
 pub enum Frame {
     Data(Bytes),
     /// Another process goes on from here.
-    Moved(Rest),
+    HandedOver(StreamRemainder),
     End {
-        kept: f64,
+        cached_tokens: f64,
         report: Option<LoadReport>,
     },
 }
 
 /// How a call ended that got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum CallError {
     /// Nothing of it can have run: its last byte was never written.
-    Connect,
+    ConnectFailed,
     /// It may have run.
     Reset,
     /// What came back could not be read; it may have run.
-    Spoilt,
+    MalformedResponse,
     /// Kept back: the server had to get nothing new.
     NotSent,
 }
--- a/gateway/tests/ahead.rs
+++ b/gateway/tests/ahead.rs
@@ -59,7 +59,7 @@
                     let gone = timeout(SOON, until(|| writer.closed.get() == 1)).await;
                     let framing = if first.contains("chunked") { "chunks" } else { "a length" };
                     assert!(gone.is_ok(), "{framing}, {ahead} bytes ahead: {how:?}");
-                    until(|| g.pool.core.idle()).await;
+                    until(|| g.pool.core.is_idle()).await;
                 });
             }
         }
--- a/gateway/tests/bad_requests.rs
+++ b/gateway/tests/bad_requests.rs
@@ -247,7 +247,7 @@
             let (_, answer) = said(&g, &request(&lines)).await;
             assert!(answer.matches("HTTP/1.1 ").count() <= 2, "{answer}");
             good.is_served().await;
-            while !g.pool.core.idle() {
+            while !g.pool.core.is_idle() {
                 tokio::task::yield_now().await;
             }
         });
--- a/gateway/tests/clients.rs
+++ b/gateway/tests/clients.rs
@@ -262,7 +262,7 @@
         let (first, ()) = tokio::join!(chat_as(&g, "a7"), copy);
         assert_eq!((first.status().as_u16(), first.body().as_deref()), (200, Some(STREAM.as_bytes())));
         assert_eq!((reader.seen.borrow().len(), writer.seen.borrow().len()), (1, 1));
-        until(|| g.pool.core.idle()).await;
+        until(|| g.pool.core.is_idle()).await;
         assert_eq!(chat_as(&g, "a7").await.status(), 200);
     });
 }
--- a/gateway/tests/common/attempts.rs
+++ b/gateway/tests/common/attempts.rs
@@ -6,9 +6,9 @@
 
 use futures_util::StreamExt;
 use glenrail::budget::Budget;
-use glenrail::engine::{Address, Engine, Limits};
-use glenrail::exchange::{Payload, Wanted};
-use glenrail::upstream::{Call, Failed, Frame, Reply};
+use glenrail::engine::{Engine, EngineLimits, ServerAddress};
+use glenrail::exchange::{CancelToken, Payload};
+use glenrail::upstream::{Call, CallError, Frame, Reply};
 use glenrail_router::ServerId;
 use http::{HeaderMap, HeaderValue, Method};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,12 +25,13 @@
 pub const PATIENCE: Duration = Duration::from_millis(1_500);
 
 pub fn engine(idle: Duration, slots: usize) -> Engine {
-    let limits = Limits { connect_timeout: Duration::from_secs(5), probes: true, idle, public_api: false };
+    let limits =
+        EngineLimits { connect_timeout: Duration::from_secs(5), probes: true, idle, public_api: false };
     Engine::new(limits, Arc::new(Semaphore::new(slots)), Budget::new(1 << 20))
 }
 
-pub fn address(server: ServerId, at: &StandIn, serving: bool) -> Address {
-    Address { server, dial: at.address.to_string(), serving, ..Address::default() }
+pub fn address(server: ServerId, at: &StandIn, serving: bool) -> ServerAddress {
+    ServerAddress { server, address: at.address.to_string(), serving, ..ServerAddress::default() }
 }
 
 pub fn payload(body: &str) -> Rc<Payload> {
@@ -40,17 +41,24 @@
     headers.insert("connection", HeaderValue::from_static("close"));
     let uri = "/v1/chat/completions?a=b".parse().expect("a target");
     let body = body.to_string().into();
-    Rc::new(Payload { name: "9b1f".into(), method: Method::POST, uri, headers, body, whole: false })
+    Rc::new(Payload {
+        request_id: "9b1f".into(),
+        method: Method::POST,
+        uri,
+        headers,
+        body,
+        buffer_response: false,
+    })
 }
 
-pub async fn attempt(engine: &Engine, body: &str) -> Result<Reply, Failed> {
+pub async fn attempt(engine: &Engine, body: &str) -> Result<Reply, CallError> {
     let call = Call::Attempt {
         server: SERVER,
         payload: payload(body),
-        until: Instant::now() + PATIENCE,
-        connect: None,
-        confirm: false,
-        wanted: Wanted::default(),
+        deadline: Instant::now() + PATIENCE,
+        connect_timeout: None,
+        verify_connection: false,
+        cancel_token: CancelToken::default(),
     };
     engine.clone().oneshot(call).await
 }
@@ -68,7 +76,11 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dial = listener.local_addr().expect("an address").to_string();
     let engine = engine(AGES, 8);
-    engine.learn(true, &[Address { server: SERVER, dial, serving: true, ..Address::default() }], &[]);
+    engine.update_servers(
+        true,
+        &[ServerAddress { server: SERVER, address: dial, serving: true, ..ServerAddress::default() }],
+        &[],
+    );
     let connections = Rc::new(std::cell::Cell::new(0));
     let count = connections.clone();
     spawn_local(async move {
@@ -93,9 +105,9 @@
 }
 
 /// How an attempt went: how its answer began, the bytes passed on, and how it ended.
-pub async fn streamed(engine: &Engine) -> Result<(Vec<u8>, Option<Failed>), Failed> {
+pub async fn streamed(engine: &Engine) -> Result<(Vec<u8>, Option<CallError>), CallError> {
     let frames = match attempt(engine, "last byte").await? {
-        Reply::Answer { frames, .. } => frames,
+        Reply::Response { frames, .. } => frames,
         _ => panic!("no stream"),
     };
     let (mut bytes, mut frames) = (Vec::new(), frames);
@@ -103,7 +115,7 @@
         match frame {
             Ok(Frame::Data(data)) => bytes.extend_from_slice(&data),
             Ok(Frame::End { .. }) => return Ok((bytes, None)),
-            Ok(Frame::Moved(_)) => panic!("nothing asked for a move"),
+            Ok(Frame::HandedOver(_)) => panic!("nothing asked for a move"),
             Err(how) => return Ok((bytes, Some(how))),
         }
     }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use glenrail::budget::Budget;
-use glenrail::discovery::{self, List, Names};
-use glenrail::engine::Limits;
+use glenrail::discovery::{self, EndpointList, SettingsNames};
+use glenrail::engine::EngineLimits;
 use glenrail::front::{platform, server};
-use glenrail::metrics::Counters;
+use glenrail::metrics::RequestMetrics;
 use glenrail::plugin::Plugin;
 use glenrail::pools::Pool;
 use glenrail::shutdown::Shutdown;
@@ -25,7 +25,7 @@
     pub pool: Pool,
     pub shutdown: Shutdown,
     pub accepting: JoinHandle<()>,
-    pub counters: Counters,
+    pub counters: RequestMetrics,
 }
 
 pub fn host(name: &str, kind: &str, at: &StandIn, health: &str) -> serde_json::Value {
@@ -33,14 +33,14 @@
         "health": health, "share": 1.0, "born_ms": 0})
 }
 
-pub fn names() -> Names {
-    Names { zones: vec!["dc".into()], kinds: vec!["prompt-side".into(), "answer-side".into()] }
+pub fn names() -> SettingsNames {
+    SettingsNames { zones: vec!["dc".into()], kinds: vec!["prompt-side".into(), "answer-side".into()] }
 }
 
 pub fn apply(pool: &Pool, scope: glenrail_router::ListUpdate, hosts: Vec<serde_json::Value>) {
-    let list: List =
+    let list: EndpointList =
         serde_json::from_value(json!({"seq": 1, "whole": true, "hosts": hosts})).expect("a list");
-    discovery::apply(&list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
+    discovery::apply_list(&list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
 }
 
 /// A gateway before a reader and a writer.
@@ -54,7 +54,7 @@
         "policy-limits": {"max-attempts": 5, "cancel": true, "retry-after": true, "max-retry-after": 500.0},
         "rules": {"cold": 13000.0, "cold-from": 0.31, "fall": 3000.0, "fall-multiple": 4.0}}));
     let limits =
-        Limits { connect_timeout: Duration::from_secs(5), probes: true, idle: AGES, public_api: false };
+        EngineLimits { connect_timeout: Duration::from_secs(5), probes: true, idle: AGES, public_api: false };
     let budget = Budget::new(64 << 20);
     let pool = Pool::new(3, settings, limits, Arc::new(Semaphore::new(100)), budget.clone());
     let mut hosts = Vec::new();
@@ -69,16 +69,16 @@
     let shutdown = Shutdown::default();
     let ready: Rc<dyn Fn() -> bool> = Rc::new({
         let (core, shutdown) = (pool.core.clone(), shutdown.clone());
-        move || !shutdown.leaving() && core.can_serve()
+        move || !shutdown.is_draining() && core.can_serve()
     });
-    let names = platform::Names {
+    let names = platform::PlatformNames {
         classes: vec![("item-query".into(), 10_000.0), ("order-chat".into(), 12_000.0)],
         tenants: vec![],
         come_back: Duration::from_millis(500),
     };
     let classes = names.classes.iter().map(|c| c.0.clone());
-    let counters = Counters::new(classes);
-    let (entry, ending) = (pool.entry(&plugin), shutdown.clone());
+    let counters = RequestMetrics::new(classes);
+    let (entry, ending) = (pool.request_service(&plugin), shutdown.clone());
     let front = platform::Platform::new(names, budget, entry, ready, ending, counters.clone());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/gateway/tests/common/instant.rs
+++ b/gateway/tests/common/instant.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use futures_util::stream::{self, StreamExt};
 use glenrail::core::{Clock, Core, Upstream};
-use glenrail::exchange::{Head, Payload, Request};
-use glenrail::upstream::{Call, Failed, Frame, Reply};
+use glenrail::exchange::{Payload, Request, ResponseHead};
+use glenrail::upstream::{Call, CallError, Frame, Reply};
 use glenrail_router::{ListUpdate, Millis, ServerEntry, ServerId};
 use serde_json::json;
 use tokio::time::Instant;
@@ -16,14 +16,16 @@
 const WRITERS: u64 = 100;
 
 /// Answers at once, but for requests whose names begin with `h`, which hang.
-async fn answer(call: Call) -> Result<Reply, Failed> {
+async fn answer(call: Call) -> Result<Reply, CallError> {
     match call {
-        Call::Attempt { payload, .. } if payload.name.starts_with('h') => std::future::pending().await,
-        Call::Attempt { server, .. } if server.0 < WRITERS => Ok(Reply::Read { kept: 0.0, report: None }),
+        Call::Attempt { payload, .. } if payload.request_id.starts_with('h') => std::future::pending().await,
+        Call::Attempt { server, .. } if server.0 < WRITERS => {
+            Ok(Reply::Prefilled { cached_tokens: 0.0, report: None })
+        }
         Call::Attempt { .. } => {
-            let end = Frame::End { kept: 0.0, report: None };
+            let end = Frame::End { cached_tokens: 0.0, report: None };
             let frames = [Ok(Frame::Data(Bytes::from_static(b"data: x\n\n"))), Ok(end)];
-            Ok(Reply::Answer { head: Head::default(), frames: stream::iter(frames).boxed_local() })
+            Ok(Reply::Response { head: ResponseHead::default(), frames: stream::iter(frames).boxed_local() })
         }
         _ => Ok(Reply::Done),
     }
@@ -39,7 +41,7 @@
     let core = Core::new(7, settings, Clock::new(Duration::from_secs(1_000_000)), tower::service_fn(answer));
     let member = |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
     let members = (0..servers).flat_map(|n| [member(n, 0), member(WRITERS + n, 1)]);
-    core.members(ListUpdate::Full, members.collect());
+    core.update_servers(ListUpdate::Full, members.collect());
     core
 }
 
@@ -51,6 +53,6 @@
         client_timeout: patience,
         ..glenrail_router::Request::default()
     };
-    let payload = Payload { name, ..Payload::default() };
-    Request { ask, arrived: Instant::now(), payload: Rc::new(payload) }
+    let payload = Payload { request_id: name, ..Payload::default() };
+    Request { routing: ask, arrived: Instant::now(), payload: Rc::new(payload) }
 }
--- a/gateway/tests/confirm.rs
+++ b/gateway/tests/confirm.rs
@@ -9,21 +9,21 @@
 use common::attempts::*;
 use common::*;
 use glenrail::engine::Engine;
-use glenrail::exchange::Wanted;
-use glenrail::upstream::{Call, Failed, Reply};
+use glenrail::exchange::CancelToken;
+use glenrail::upstream::{Call, CallError, Reply};
 use tokio::time::Instant;
 use tower::ServiceExt;
 
 /// A write for which a state is held.
-async fn write(engine: &Engine, connect: Duration) -> (Result<Reply, Failed>, Wanted) {
-    let wanted = Wanted::default();
+async fn write(engine: &Engine, connect: Duration) -> (Result<Reply, CallError>, CancelToken) {
+    let wanted = CancelToken::default();
     let call = Call::Attempt {
         server: SERVER,
         payload: payload("{}"),
-        until: Instant::now() + PATIENCE,
-        connect: Some(connect),
-        confirm: true,
-        wanted: wanted.clone(),
+        deadline: Instant::now() + PATIENCE,
+        connect_timeout: Some(connect),
+        verify_connection: true,
+        cancel_token: wanted.clone(),
     };
     (engine.clone().oneshot(call).await, wanted)
 }
@@ -32,7 +32,7 @@
 
 fn before(server: &StandIn) -> Engine {
     let engine = engine(AGES, 8);
-    engine.learn(true, &[address(SERVER, server, true)], &[]);
+    engine.update_servers(true, &[address(SERVER, server, true)], &[]);
     engine
 }
 
@@ -50,7 +50,7 @@
         })
         .await;
         let engine = before(&server);
-        assert!(matches!(write(&engine, TIME).await.0, Ok(Reply::Answer { .. })));
+        assert!(matches!(write(&engine, TIME).await.0, Ok(Reply::Response { .. })));
         assert_eq!(methods(&server), ["GET", "POST"]);
         assert_eq!(server.connections.get(), 1);
     });
@@ -63,8 +63,8 @@
         let server = StandIn::start(|_, _| Act::Silence).await;
         let (engine, began) = (before(&server), Instant::now());
         let (reply, wanted) = write(&engine, TIME).await;
-        assert!(matches!(reply, Err(Failed::Connect)));
-        assert!(!wanted.out());
+        assert!(matches!(reply, Err(CallError::ConnectFailed)));
+        assert!(!wanted.is_written());
         assert!(began.elapsed() < TIME, "another writer can still be asked");
         assert_eq!(methods(&server), ["GET"]);
     });
@@ -76,7 +76,7 @@
     run(async {
         let server = StandIn::start(|_, _| Act::Silence).await;
         let engine = before(&server);
-        assert!(matches!(write(&engine, Duration::from_millis(20)).await.0, Err(Failed::NotSent)));
+        assert!(matches!(write(&engine, Duration::from_millis(20)).await.0, Err(CallError::NotSent)));
     });
 }
 
@@ -95,10 +95,10 @@
         })
         .await;
         let engine = before(&server);
-        assert!(matches!(attempt(&engine, "{}").await, Ok(Reply::Read { .. })));
+        assert!(matches!(attempt(&engine, "{}").await, Ok(Reply::Prefilled { .. })));
         back_to_the_pool().await;
         closes.set(true);
-        assert!(matches!(write(&engine, TIME).await.0, Ok(Reply::Read { .. })));
+        assert!(matches!(write(&engine, TIME).await.0, Ok(Reply::Prefilled { .. })));
         assert_eq!((server.count("POST"), server.connections.get()), (2, 2));
     });
 }
@@ -114,9 +114,13 @@
         })
         .await;
         let engine = before(&server);
-        let check = || engine.clone().oneshot(Call::Check { server: SERVER, ended: Some("9b1f".into()) });
+        let check = || {
+            engine
+                .clone()
+                .oneshot(Call::VerifyReachable { server: SERVER, finished_request: Some("9b1f".into()) })
+        };
         assert!(matches!(check().await, Ok(Reply::Done)));
         answers.set(false);
-        assert!(matches!(check().await, Err(Failed::Connect)));
+        assert!(matches!(check().await, Err(CallError::ConnectFailed)));
     });
 }
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -23,7 +23,7 @@
 /// The calls of a gateway alone.
 fn calls(mode: &str) -> glenrail_request_lifecycle::watch::PollSchedule {
     let settings = json!({"balancers": 1, "discovery": mode, "rules": {"ask-within": 10_000.0}});
-    discovery::calls(&glenrail_settings::settings(&settings), 1)
+    discovery::poll_schedule(&glenrail_settings::settings(&settings), 1)
 }
 
 /// Has a gateway watch this agent from a version on, and says when it last took a list.
@@ -31,7 +31,7 @@
     let (pool, taken) = (g.pool.clone(), Rc::new(Cell::new(None)));
     let (address, seen) = (watch::Sender::new(agent.address.to_string()).subscribe(), taken.clone());
     spawn_local(discovery::watch(address, from, calls(PUSHED), Rc::default(), move |list, scope| {
-        discovery::apply(list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
+        discovery::apply_list(list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
         seen.set(Some(Instant::now()));
     }));
     taken
@@ -90,7 +90,7 @@
             calls(ASKED),
             Rc::default(),
             move |list, scope| {
-                discovery::apply(list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
+                discovery::apply_list(list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
                 seen.borrow_mut().push((scope, pool.core.can_serve()));
             },
         );
@@ -130,7 +130,7 @@
             Rc::default(),
             move |list, scope| {
                 assert_eq!(scope, ListUpdate::Full);
-                discovery::apply(list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
+                discovery::apply_list(list, scope, &names(), &pool.clock, &pool.engine, &pool.core);
             },
         );
         let moved = async {
@@ -288,7 +288,7 @@
         let address = watch::Sender::new(old.address.to_string());
         let taken = Rc::new(Cell::new(false));
         let seen = taken.clone();
-        let tally = Rc::new(discovery::Tally::default());
+        let tally = Rc::new(discovery::DiscoveryMetrics::default());
         spawn_local(discovery::watch(address.subscribe(), None, calls(ASKED), tally.clone(), move |_, _| {
             seen.set(true);
         }));
--- a/gateway/tests/drains.rs
+++ b/gateway/tests/drains.rs
@@ -48,7 +48,7 @@
             go.set(true);
             // No other writer is there: turned away in time, and what was read is let go.
             assert_eq!(asked.await.status(), 503, "{gone} {moves}");
-            until(|| reader.count("DELETE") + old.count("DELETE") > 0 && g.pool.core.idle()).await;
+            until(|| reader.count("DELETE") + old.count("DELETE") > 0 && g.pool.core.is_idle()).await;
             assert_eq!(old.count("POST"), 0, "{gone} {moves}");
             let back = if moves { &other } else { &old };
             let mut line = host("w0", "answer-side", back, "SERVING");
--- a/gateway/tests/engine.rs
+++ b/gateway/tests/engine.rs
@@ -8,9 +8,9 @@
 use common::attempts::*;
 use common::*;
 use futures_util::StreamExt;
-use glenrail::engine::Address;
-use glenrail::exchange::{Payload, Wanted};
-use glenrail::upstream::{Call, Failed, Frame, Reply};
+use glenrail::engine::ServerAddress;
+use glenrail::exchange::{CancelToken, Payload};
+use glenrail::upstream::{Call, CallError, Frame, Reply};
 use glenrail_router::ServerId;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -26,25 +26,25 @@
         let big = |n: usize| vec![b'x'; if n == 0 { (1 << 20) + 1 } else { 1 << 20 }];
         let server = StandIn::start(move |n, _| Act::Answer(answer(200, &[], big(n)))).await;
         let engine = engine(AGES, 8);
-        engine.learn(true, &[address(SERVER, &server, true)], &[]);
+        engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
         let whole = || {
-            let payload = Payload { name: "a".into(), whole: true, ..Payload::default() };
+            let payload = Payload { request_id: "a".into(), buffer_response: true, ..Payload::default() };
             engine.clone().oneshot(Call::Attempt {
                 server: SERVER,
                 payload: Rc::new(payload),
-                until: Instant::now() + AGES,
-                connect: None,
-                confirm: false,
-                wanted: Wanted::default(),
+                deadline: Instant::now() + AGES,
+                connect_timeout: None,
+                verify_connection: false,
+                cancel_token: CancelToken::default(),
             })
         };
         assert!(matches!(whole().await, Ok(Reply::Error { .. })));
         let Ok(kept) = whole().await else { panic!("no answer") };
-        assert!(matches!(kept, Reply::Answer { .. }));
+        assert!(matches!(kept, Reply::Response { .. }));
         // The room is taken until the answer is gone.
         assert!(matches!(whole().await, Ok(Reply::Error { .. })));
         drop(kept);
-        assert!(matches!(whole().await, Ok(Reply::Answer { .. })));
+        assert!(matches!(whole().await, Ok(Reply::Response { .. })));
     });
 }
 
@@ -53,9 +53,9 @@
     run(async {
         let server = StandIn::start(|_, _| stream()).await;
         let engine = engine(AGES, 8);
-        engine.learn(true, &[address(SERVER, &server, true)], &[]);
+        engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
         let from = Instant::now();
-        let Ok(Reply::Answer { mut frames, .. }) = attempt(&engine, "{\"a\": 1}").await else {
+        let Ok(Reply::Response { mut frames, .. }) = attempt(&engine, "{\"a\": 1}").await else {
             panic!("no stream")
         };
         let elapsed = from.elapsed();
@@ -67,7 +67,9 @@
             }
         }
         assert_eq!(bytes, STREAM.as_bytes());
-        let Some(Frame::End { kept, report: Some(report) }) = last else { panic!("no report") };
+        let Some(Frame::End { cached_tokens: kept, report: Some(report) }) = last else {
+            panic!("no report")
+        };
         assert_eq!((kept, report.in_flight, report.memory_share), (12.0, Some(2.0), Some(0.25)));
         let seen = server.seen.borrow()[0].clone();
         assert_eq!((seen.path.as_str(), seen.id.as_str()), ("/v1/chat/completions?a=b", "9b1f"));
@@ -88,18 +90,18 @@
 #[test]
 fn each_answer_is_the_outcome_that_the_protocol_says() {
     let declined = [("srv-declined", "1")];
-    type Fits = fn(&Result<Reply, Failed>) -> bool;
+    type Fits = fn(&Result<Reply, CallError>) -> bool;
     type Case<'a> = (u16, &'a [(&'a str, &'a str)], Fits);
     let cases: [Case; 7] = [
-        (202, &[], |r| matches!(r, Ok(Reply::Read { kept, .. }) if *kept == 7.0)),
-        (410, &declined, |r| matches!(r, Ok(Reply::Declined { no_state: true, .. }))),
-        (503, &declined, |r| matches!(r, Ok(Reply::Declined { no_state: false, .. }))),
-        (504, &declined, |r| matches!(r, Ok(Reply::Declined { no_state: false, .. }))),
+        (202, &[], |r| matches!(r, Ok(Reply::Prefilled { cached_tokens: kept, .. }) if *kept == 7.0)),
+        (410, &declined, |r| matches!(r, Ok(Reply::Rejected { state_missing: true, .. }))),
+        (503, &declined, |r| matches!(r, Ok(Reply::Rejected { state_missing: false, .. }))),
+        (504, &declined, |r| matches!(r, Ok(Reply::Rejected { state_missing: false, .. }))),
         // Unmarked, it may have run.
         (503, &[("retry-after", "1")], |r| matches!(r, Ok(Reply::Error { .. }))),
         (500, &[], |r| matches!(r, Ok(Reply::Error { .. }))),
         // The request's own fault: not to be tried elsewhere.
-        (400, &[], |r| matches!(r, Ok(Reply::Unfit { .. }))),
+        (400, &[], |r| matches!(r, Ok(Reply::Unprocessable { .. }))),
     ];
     for (status, headers, fits) in cases {
         run(async move {
@@ -111,7 +113,7 @@
             })
             .await;
             let engine = engine(AGES, 8);
-            engine.learn(true, &[address(SERVER, &server, true)], &[]);
+            engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
             assert!(fits(&attempt(&engine, "x").await), "{status}");
         });
     }
@@ -125,11 +127,15 @@
         for body in ["", "{}", &"x".repeat(200 << 10)] {
             let server = StandIn::start(|n, _| if n == 0 { read() } else { Act::Break }).await;
             let engine = engine(AGES, 8);
-            engine.learn(true, &[address(SERVER, &server, true)], &[]);
-            assert!(matches!(attempt(&engine, body).await, Ok(Reply::Read { .. })));
+            engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
+            assert!(matches!(attempt(&engine, body).await, Ok(Reply::Prefilled { .. })));
             // On the kept connection and on a new one alike.
             for _ in 0..2 {
-                assert!(matches!(attempt(&engine, body).await, Err(Failed::Reset)), "{} bytes", body.len());
+                assert!(
+                    matches!(attempt(&engine, body).await, Err(CallError::Reset)),
+                    "{} bytes",
+                    body.len()
+                );
             }
             assert_eq!(server.count("POST"), 3);
         }
@@ -142,15 +148,15 @@
     run(async {
         let server = StandIn::start(|_, _| read()).await;
         let engine = engine(AGES, 8);
-        engine.learn(true, &[address(SERVER, &server, true)], &[]);
+        engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
         let sending = attempt(&engine, "x");
         tokio::pin!(sending);
         // The first poll begins to connect; the list changes before it can end.
         assert!(poll_once(sending.as_mut()).is_pending());
-        engine.learn(false, &[address(SERVER, &server, false)], &[]);
-        assert!(matches!(sending.await, Err(Failed::NotSent)));
-        engine.learn(false, &[], &[SERVER]);
-        assert!(matches!(attempt(&engine, "x").await, Err(Failed::NotSent)));
+        engine.update_servers(false, &[address(SERVER, &server, false)], &[]);
+        assert!(matches!(sending.await, Err(CallError::NotSent)));
+        engine.update_servers(false, &[], &[SERVER]);
+        assert!(matches!(attempt(&engine, "x").await, Err(CallError::NotSent)));
         assert_eq!(server.seen.borrow().len(), 0);
     });
 }
@@ -167,12 +173,18 @@
         // It accepts, by its machine, and nobody reads.
         let deaf = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let engine = engine(AGES, 8);
-        let at = |n, dial: String, zone| Address { server: ServerId(n), dial, serving: true, zone, born: 0 };
+        let at = |n, dial: String, zone| ServerAddress {
+            server: ServerId(n),
+            address: dial,
+            serving: true,
+            zone,
+            started_ms: 0,
+        };
         let mut list = vec![at(1, dead_at.to_string(), 0)];
         list.push(at(2, deaf.local_addr().expect("an address").to_string(), 0));
         list.extend((3..9).map(|n| at(n, silent.address.to_string(), 0)));
         list.push(at(9, well.address.to_string(), 1));
-        engine.learn(true, &list, &[]);
+        engine.update_servers(true, &list, &[]);
         let done = engine.clone().oneshot(Call::Release { payload: payload("") }).await;
         assert!(matches!(done, Ok(Reply::Done)));
         assert_eq!(well.seen.borrow()[0].path, "/kv/leases/9b1f");
@@ -190,7 +202,7 @@
     run(async {
         let server = StandIn::start(|_, _| read()).await;
         let engine = engine(Duration::from_millis(20), 8);
-        engine.learn(true, &[address(SERVER, &server, true)], &[]);
+        engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
         assert!(attempt(&engine, "x").await.is_ok());
         until(|| server.closed.get() == 1).await;
         assert!(attempt(&engine, "x").await.is_ok());
@@ -205,7 +217,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let dial = listener.local_addr().expect("an address").to_string();
         let engine = engine(AGES, 8);
-        engine.learn(true, &[Address { server: SERVER, dial, serving: true, ..Address::default() }], &[]);
+        engine.update_servers(
+            true,
+            &[ServerAddress { server: SERVER, address: dial, serving: true, ..ServerAddress::default() }],
+            &[],
+        );
         for _ in 0..3 {
             let peer = async {
                 let (mut peer, _) = listener.accept().await.expect("a connection");
@@ -218,7 +234,7 @@
                 // And closes, though it did not say so.
             };
             let (told, ()) = tokio::join!(attempt(&engine, "last byte"), peer);
-            assert!(matches!(told, Ok(Reply::Read { .. })));
+            assert!(matches!(told, Ok(Reply::Prefilled { .. })));
             back_to_the_pool().await;
         }
     });
@@ -231,7 +247,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let dial = listener.local_addr().expect("an address").to_string();
         let engine = engine(AGES, 8);
-        engine.learn(true, &[Address { server: SERVER, dial, serving: true, ..Address::default() }], &[]);
+        engine.update_servers(
+            true,
+            &[ServerAddress { server: SERVER, address: dial, serving: true, ..ServerAddress::default() }],
+            &[],
+        );
         let mut sending = Box::pin(attempt(&engine, "last byte"));
         let peer = async {
             let (mut peer, _) = listener.accept().await.expect("a connection");
@@ -257,22 +277,22 @@
     run(async {
         let (one, two) = (StandIn::start(|_, _| read()).await, StandIn::start(|_, _| read()).await);
         let engine = engine(AGES, 1);
-        engine.learn(true, &[address(SERVER, &one, true), address(ServerId(2), &two, true)], &[]);
+        engine.update_servers(true, &[address(SERVER, &one, true), address(ServerId(2), &two, true)], &[]);
         assert!(attempt(&engine, "x").await.is_ok());
         back_to_the_pool().await;
         let other = || Call::Attempt {
             server: ServerId(2),
             payload: payload("x"),
-            connect: None,
-            until: Instant::now() + AGES,
-            confirm: false,
-            wanted: Wanted::default(),
+            connect_timeout: None,
+            deadline: Instant::now() + AGES,
+            verify_connection: false,
+            cancel_token: CancelToken::default(),
         };
         let both = async { tokio::join!(engine.clone().oneshot(other()), engine.clone().oneshot(other())) };
         let (a, b) = both.await;
         assert!(a.is_ok() != b.is_ok(), "one slot, one connection");
         // The server is not to blame, so it must not look unreachable.
-        assert!(matches!(a.and(b), Err(Failed::NotSent)));
+        assert!(matches!(a.and(b), Err(CallError::NotSent)));
     });
 }
 
@@ -306,7 +326,7 @@
                 _ => read(),
             }).await;
             let engine = engine(AGES, 4);
-            engine.learn(true, &[address(SERVER, &server, true)], &[]);
+            engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
             let (mut kept, mut serving, mut opened, mut written) = (false, true, 0, 0);
             for step in steps {
                 next.set(step);
@@ -314,7 +334,7 @@
                     Step::Ask | Step::AskAndClose | Step::AskAndBreak => {
                         let told = attempt(&engine, "x").await;
                         if !serving {
-                            assert!(matches!(told, Err(Failed::NotSent)));
+                            assert!(matches!(told, Err(CallError::NotSent)));
                             kept = false;
                             // It is refused before or after the connect; only the write counts.
                             opened = server.connections.get();
@@ -331,7 +351,7 @@
                     }
                     Step::Drain | Step::Serve => {
                         serving = matches!(step, Step::Serve);
-                        engine.learn(false, &[address(SERVER, &server, serving)], &[]);
+                        engine.update_servers(false, &[address(SERVER, &server, serving)], &[]);
                         kept &= serving;
                     }
                 }
@@ -365,7 +385,7 @@
             let (engine, connections) = raw_server(vec![opening.clone().into_bytes()]).await;
             for n in 1..3 {
                 let told = streamed(&engine).await;
-                assert_eq!(told, Err(Failed::Spoilt), "{}", &opening[..opening.len().min(200)]);
+                assert_eq!(told, Err(CallError::MalformedResponse), "{}", &opening[..opening.len().min(200)]);
                 // A connection that ended well in HTTP's terms may be used again.
                 assert!(
                     connections.get() == n || opening.ends_with("four") || opening.ends_with("0\r\n\r\n")
@@ -384,7 +404,11 @@
             let (engine, connections) = raw_server(vec![whole, later.clone().into_bytes()]).await;
             for n in 1..3 {
                 let told = streamed(&engine).await;
-                assert_eq!(told, Ok((b"data: {}\n\n".to_vec(), Some(Failed::Spoilt))), "{later}");
+                assert_eq!(
+                    told,
+                    Ok((b"data: {}\n\n".to_vec(), Some(CallError::MalformedResponse))),
+                    "{later}"
+                );
                 assert_eq!(connections.get(), n);
             }
         });
@@ -459,7 +483,7 @@
         let answer: Vec<u8> = OPENING.bytes().chain(body).chain(*b"0\r\n\r\n").collect();
         run(async {
             let (engine, _) = raw_server(cut(&answer, &lengths)).await;
-            let Reply::Answer { mut frames, .. } = attempt(&engine, "last byte").await.expect("a stream") else {
+            let Reply::Response { mut frames, .. } = attempt(&engine, "last byte").await.expect("a stream") else {
                 panic!("no stream")
             };
             let mut at = engine;
@@ -471,10 +495,10 @@
                         got += 1;
                         if moves.last().is_some_and(|m| got > *m) {
                             moves.pop();
-                            at.move_streams();
+                            at.hand_over_streams();
                         }
                     }
-                    Frame::Moved(rest) => {
+                    Frame::HandedOver(rest) => {
                         // Another process has an engine of its own.
                         at = self::engine(AGES, 8);
                         frames = at.resume(rest);
--- a/gateway/tests/first_byte.rs
+++ b/gateway/tests/first_byte.rs
@@ -9,9 +9,9 @@
 
 use common::attempts::*;
 use common::*;
-use glenrail::engine::{Address, Engine};
-use glenrail::exchange::{answer as ends, Wanted};
-use glenrail::upstream::{Call, Failed, Reply};
+use glenrail::engine::{Engine, ServerAddress};
+use glenrail::exchange::{response_channel as ends, CancelToken};
+use glenrail::upstream::{Call, CallError, Reply};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 use tower::ServiceExt;
@@ -39,14 +39,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("set");
         let engine = engine(AGES, 8);
-        engine.learn(true, &[at(&listener, true)], &[]);
+        engine.update_servers(true, &[at(&listener, true)], &[]);
         let (told, kept) = tokio::join!(attempt(&engine, "last byte"), async {
             let mut kept = accepted(&listener).await;
             take(&mut kept).await;
             kept.write_all(b"HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}").expect("written");
             kept
         });
-        assert!(matches!(told, Ok(Reply::Read { .. })));
+        assert!(matches!(told, Ok(Reply::Prefilled { .. })));
         back_to_the_pool().await;
         ByHand { listener, engine, kept }
     }
@@ -63,9 +63,9 @@
     }
 }
 
-fn at(listener: &TcpListener, serving: bool) -> Address {
+fn at(listener: &TcpListener, serving: bool) -> ServerAddress {
     let dial = listener.local_addr().expect("an address").to_string();
-    Address { server: SERVER, dial, serving, ..Address::default() }
+    ServerAddress { server: SERVER, address: dial, serving, ..ServerAddress::default() }
 }
 
 async fn accepted(listener: &TcpListener) -> TcpStream {
@@ -108,7 +108,10 @@
                     .expect("written");
                 new
             });
-            assert!(matches!(told, Ok(Reply::Read { kept, .. }) if kept == 5.0), "{says:?} {ends} {crowd}");
+            assert!(
+                matches!(told, Ok(Reply::Prefilled { cached_tokens: kept, .. }) if kept == 5.0),
+                "{says:?} {ends} {crowd}"
+            );
             assert_eq!(server.rest(), "", "{says:?} {ends} {crowd}");
         });
     }
@@ -127,14 +130,14 @@
             tokio::pin!(sending);
             assert!(poll_once(sending.as_mut()).is_pending());
             match change {
-                0 => server.engine.learn(false, &[at(&server.listener, false)], &[]),
-                1 => server.engine.learn(false, &[], &[SERVER]),
-                _ => server.engine.learn(false, &[at(&other, true)], &[]),
+                0 => server.engine.update_servers(false, &[at(&server.listener, false)], &[]),
+                1 => server.engine.update_servers(false, &[], &[SERVER]),
+                _ => server.engine.update_servers(false, &[at(&other, true)], &[]),
             }
-            assert!(matches!(sending.await, Err(Failed::NotSent)), "{change}");
+            assert!(matches!(sending.await, Err(CallError::NotSent)), "{change}");
             if change < 2 {
                 // Nor is it dialled for the next one.
-                assert!(matches!(attempt(&engine, "last byte").await, Err(Failed::NotSent)), "{change}");
+                assert!(matches!(attempt(&engine, "last byte").await, Err(CallError::NotSent)), "{change}");
                 assert!(server.listener.accept().is_err(), "{change}");
             }
             assert_eq!(server.rest(), "", "{change}");
@@ -155,20 +158,20 @@
             let call = || Call::Attempt {
                 server: SERVER,
                 payload: payload("last byte"),
-                until: Instant::now() + AGES,
-                connect: None,
-                confirm: false,
-                wanted: Wanted::of(&pieces),
+                deadline: Instant::now() + AGES,
+                connect_timeout: None,
+                verify_connection: false,
+                cancel_token: CancelToken::for_response(&pieces),
             };
             let sending = server.engine.clone().oneshot(call());
             tokio::pin!(sending);
             assert!(poll_once(sending.as_mut()).is_pending());
             drop(client);
-            assert!(matches!(sending.await, Err(Failed::NotSent)), "{fresh}");
+            assert!(matches!(sending.await, Err(CallError::NotSent)), "{fresh}");
             let dialled = || std::iter::from_fn(|| server.listener.accept().ok()).count();
             assert_eq!(dialled(), usize::from(fresh));
             // And nobody is dialled any more.
-            assert!(matches!(server.engine.clone().oneshot(call()).await, Err(Failed::NotSent)));
+            assert!(matches!(server.engine.clone().oneshot(call()).await, Err(CallError::NotSent)));
             assert_eq!(dialled(), 0, "{fresh}");
             assert_eq!(server.rest(), "", "{fresh}");
         });
@@ -184,12 +187,12 @@
         let call = Call::Attempt {
             server: SERVER,
             payload: payload("last byte"),
-            until: Instant::now() + AGES,
-            connect: Some(Duration::ZERO),
-            confirm: false,
-            wanted: Wanted::default(),
+            deadline: Instant::now() + AGES,
+            connect_timeout: Some(Duration::ZERO),
+            verify_connection: false,
+            cancel_token: CancelToken::default(),
         };
-        assert!(matches!(server.engine.clone().oneshot(call).await, Err(Failed::NotSent)));
+        assert!(matches!(server.engine.clone().oneshot(call).await, Err(CallError::NotSent)));
         assert!(server.listener.accept().is_err(), "nor is anybody dialled");
         server.engine.close_idle();
         assert_eq!(server.rest(), "");
@@ -205,27 +208,27 @@
         let old = StandIn::start(move |_, _| Act::Later(Duration::from_millis(50), later())).await;
         let new = StandIn::start(|_, _| read()).await;
         let engine = engine(AGES, 8);
-        engine.learn(true, &[address(SERVER, &old, true)], &[]);
+        engine.update_servers(true, &[address(SERVER, &old, true)], &[]);
         let first = attempt(&engine, "x");
         tokio::pin!(first);
         tokio::select! {
             _ = &mut first => panic!("it takes longer"),
             () = until(|| old.count("POST") == 1) => {}
         }
-        engine.learn(false, &[address(SERVER, &new, true)], &[]);
+        engine.update_servers(false, &[address(SERVER, &new, true)], &[]);
         assert!(first.await.is_ok());
         back_to_the_pool().await;
         assert!(attempt(&engine, "x").await.is_ok());
         assert_eq!((old.count("POST"), new.count("POST")), (1, 1));
         // It comes back where it was; its machine has told nobody that the connections of before are dead.
         back_to_the_pool().await;
-        let born = |born| Address { born, ..address(SERVER, &new, true) };
-        engine.learn(false, &[born(5)], &[]);
+        let born = |born| ServerAddress { started_ms: born, ..address(SERVER, &new, true) };
+        engine.update_servers(false, &[born(5)], &[]);
         assert!(attempt(&engine, "x").await.is_ok());
         assert_eq!(new.connections.get(), 2);
         back_to_the_pool().await;
         // The same life, told again.
-        engine.learn(true, &[born(5)], &[]);
+        engine.update_servers(true, &[born(5)], &[]);
         assert!(attempt(&engine, "x").await.is_ok());
         assert_eq!((new.connections.get(), new.count("POST")), (2, 3));
     });
@@ -238,7 +241,7 @@
         let server = StandIn::start(|_, _| read()).await;
         let idle = Duration::from_millis(100);
         let engine = engine(idle, 8);
-        engine.learn(true, &[address(SERVER, &server, true)], &[]);
+        engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
         assert!(attempt(&engine, "x").await.is_ok());
         back_to_the_pool().await;
         // The thread stands still: no timer runs, and no task.
--- a/gateway/tests/fleet_drivers.rs
+++ b/gateway/tests/fleet_drivers.rs
@@ -137,15 +137,15 @@
         assert!(second.handle.driver().is_none(), "the first one has the port");
         let life = |one: &One| one.handle.driver().map(|driver| driver.look(|fleet| fleet.me().life));
         let began = life(&first);
-        first.shutdown.succeed(Some(tokio::sync::mpsc::unbounded_channel().0));
+        first.shutdown.set_successor(Some(tokio::sync::mpsc::unbounded_channel().0));
         until(|| life(&second) > began).await;
         assert_eq!(life(&first), None);
         until(|| other.figure("alive") == 1).await;
         let third = after(&first);
-        second.shutdown.succeed(Some(tokio::sync::mpsc::unbounded_channel().0));
+        second.shutdown.set_successor(Some(tokio::sync::mpsc::unbounded_channel().0));
         until(|| life(&third).is_some()).await;
         let between = life(&third);
-        second.shutdown.succeed(None);
+        second.shutdown.set_successor(None);
         third.handle.leave();
         until(|| life(&second) > between).await;
         let driver = second.handle.driver().expect("a life");
--- a/gateway/tests/gone.rs
+++ b/gateway/tests/gone.rs
@@ -146,18 +146,18 @@
             let writer = StandIn::start(|_, _| stream()).await;
             let g = gateway(&[], &[&writer], None, 50).await;
             let client = Client::ask_as("item-query", g.address, "a1");
-            until(|| g.pool.core.open() == 1).await;
+            until(|| g.pool.core.open_requests() == 1).await;
             // The thread is here until the going has reached the machine: nobody has read it.
             let left = client.goes(going);
             if seen {
-                until(|| g.pool.core.idle()).await;
+                until(|| g.pool.core.is_idle()).await;
             }
             let hosts = vec![
                 host("r", "prompt-side", &reader, "SERVING"),
                 host("w0", "answer-side", &writer, "SERVING"),
             ];
             apply(&g.pool, glenrail_router::ListUpdate::Full, hosts);
-            until(|| g.pool.core.idle()).await;
+            until(|| g.pool.core.is_idle()).await;
             assert_eq!(chat_as(&g, "a2").await.status(), 200);
             assert_eq!((reader.count("POST"), writer.count("POST")), (1, 1), "{going:?} {seen}");
             drop(left);
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -11,10 +11,10 @@
 use common::*;
 use glenrail::budget::Budget;
 use glenrail::config::{front_from, Front};
-use glenrail::engine::{Address, Limits};
+use glenrail::engine::{EngineLimits, ServerAddress};
 use glenrail::front::server;
-use glenrail::metrics::Counters;
-use glenrail::pools::{PlatformChat, Pool, Second};
+use glenrail::metrics::RequestMetrics;
+use glenrail::pools::{InferencePools, PlatformChat, Pool};
 use glenrail::shutdown::Shutdown;
 use glenrail_router::{ListUpdate, ServerEntry, ServerId};
 use http::HeaderValue;
@@ -29,7 +29,7 @@
 
 struct Gateway {
     address: SocketAddr,
-    second: Second,
+    second: InferencePools,
     file: Front,
 }
 
@@ -53,7 +53,8 @@
 async fn gateway(file: Front) -> Gateway {
     let budget = Budget::new(64 << 20);
     let slots = Arc::new(Semaphore::new(300));
-    let second = Second::new(&file, None, &None, slots, budget, Counters::default()).expect("a front");
+    let second =
+        InferencePools::new(&file, None, &None, slots, budget, RequestMetrics::default()).expect("a front");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(server::serve(listener, second.front.clone(), 200, Shutdown::default()));
@@ -301,26 +302,31 @@
             "domain": {"stage-of-kind": ["read", "write"], "pin-limit": 500.0},
             "policy-limits": {"max-attempts": 5, "cancel": true}}));
         let (slots, budget) = (Arc::new(Semaphore::new(100)), Budget::new(64 << 20));
-        let limits =
-            Limits { connect_timeout: Duration::from_secs(5), probes: true, idle: AGES, public_api: false };
+        let limits = EngineLimits {
+            connect_timeout: Duration::from_secs(5),
+            probes: true,
+            idle: AGES,
+            public_api: false,
+        };
         let classes = settings.classes.clone();
         let pool = Pool::new(1, settings, limits, slots.clone(), budget.clone());
         let (ids, kinds) = ([ServerId(1), ServerId(2)], [0, 1]);
         let member =
             |i: usize| ServerEntry { server: ids[i], kind: kinds[i], weight: 1.0, ..ServerEntry::default() };
-        let dial = |i: usize, at: &StandIn| Address {
+        let dial = |i: usize, at: &StandIn| ServerAddress {
             server: ids[i],
-            dial: at.address.to_string(),
+            address: at.address.to_string(),
             serving: true,
-            ..Address::default()
+            ..ServerAddress::default()
         };
-        pool.engine.learn(true, &[dial(0, &reader), dial(1, &writer)], &[]);
-        pool.core.members(ListUpdate::Full, vec![member(0), member(1)]);
+        pool.engine.update_servers(true, &[dial(0, &reader), dial(1, &writer)], &[]);
+        pool.core.update_servers(ListUpdate::Full, vec![member(0), member(1)]);
         let names = vec![("item-query".to_string(), 10_000.0), ("order-chat".to_string(), 12_000.0)];
         let platform = PlatformChat { names, classes, pool };
         let file = file(&[("e", &embedder, false)], &[]);
         let second =
-            Second::new(&file, Some(platform), &None, slots, budget, Counters::default()).expect("a front");
+            InferencePools::new(&file, Some(platform), &None, slots, budget, RequestMetrics::default())
+                .expect("a front");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         spawn_local(server::serve(listener, second.front.clone(), 200, Shutdown::default()));
--- a/gateway/tests/kept.rs
+++ b/gateway/tests/kept.rs
@@ -10,8 +10,8 @@
 use cap::Cap;
 use common::*;
 use glenrail::budget::Budget;
-use glenrail::engine::{Address, Engine, Limits};
-use glenrail::exchange::{Payload, Wanted};
+use glenrail::engine::{Engine, EngineLimits, ServerAddress};
+use glenrail::exchange::{CancelToken, Payload};
 use glenrail::upstream::{Call, Reply};
 use glenrail_router::ServerId;
 use tokio::sync::Semaphore;
@@ -29,28 +29,28 @@
     run(async {
         let server = StandIn::start(|_, _| Act::Answer(answer(202, &[], r#"{"cached_tokens":4}"#))).await;
         let idle = Duration::from_secs(3_600);
-        let limits = Limits { connect_timeout: AGES, probes: true, idle, public_api: false };
+        let limits = EngineLimits { connect_timeout: AGES, probes: true, idle, public_api: false };
         let engine = Engine::new(limits, Arc::new(Semaphore::new(4)), Budget::new(1 << 20));
-        let address = Address {
+        let address = ServerAddress {
             server: ServerId(1),
-            dial: server.address.to_string(),
+            address: server.address.to_string(),
             serving: true,
-            ..Address::default()
+            ..ServerAddress::default()
         };
-        engine.learn(true, &[address], &[]);
+        engine.update_servers(true, &[address], &[]);
         let mut held = Vec::new();
         for round in 0..2 {
             for _ in 0..[200, 2_000][round] {
-                let payload = Rc::new(Payload { name: "a".into(), ..Payload::default() });
+                let payload = Rc::new(Payload { request_id: "a".into(), ..Payload::default() });
                 let call = Call::Attempt {
                     server: ServerId(1),
                     payload,
-                    connect: None,
-                    until: Instant::now() + AGES,
-                    confirm: false,
-                    wanted: Wanted::default(),
+                    connect_timeout: None,
+                    deadline: Instant::now() + AGES,
+                    verify_connection: false,
+                    cancel_token: CancelToken::default(),
                 };
-                assert!(matches!(engine.clone().oneshot(call).await, Ok(Reply::Read { .. })));
+                assert!(matches!(engine.clone().oneshot(call).await, Ok(Reply::Prefilled { .. })));
                 for _ in 0..10 {
                     yield_now().await;
                 }
--- a/gateway/tests/leases.rs
+++ b/gateway/tests/leases.rs
@@ -8,9 +8,9 @@
 
 use common::*;
 use glenrail::budget::Budget;
-use glenrail::engine::{Address, Engine, Limits};
-use glenrail::exchange::{Payload, Wanted};
-use glenrail::upstream::{Call, Failed, Reply};
+use glenrail::engine::{Engine, EngineLimits, ServerAddress};
+use glenrail::exchange::{CancelToken, Payload};
+use glenrail::upstream::{Call, CallError, Reply};
 use glenrail_router::ServerId;
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
@@ -19,23 +19,23 @@
 const WAIT: Duration = Duration::from_secs(20);
 
 fn engine(bodies: usize) -> Engine {
-    let limits = Limits { connect_timeout: WAIT, probes: true, idle: WAIT, public_api: false };
+    let limits = EngineLimits { connect_timeout: WAIT, probes: true, idle: WAIT, public_api: false };
     Engine::new(limits, Arc::new(Semaphore::new(8)), Budget::new(bodies))
 }
 
-fn list(at: &[(&StandIn, bool)]) -> Vec<Address> {
-    let line = |(n, (at, serving)): (usize, &(&StandIn, bool))| Address {
+fn list(at: &[(&StandIn, bool)]) -> Vec<ServerAddress> {
+    let line = |(n, (at, serving)): (usize, &(&StandIn, bool))| ServerAddress {
         server: ServerId(n as u64),
-        dial: at.address.to_string(),
+        address: at.address.to_string(),
         serving: *serving,
         zone: 0,
-        born: 0,
+        started_ms: 0,
     };
     at.iter().enumerate().map(line).collect()
 }
 
 fn payload() -> Rc<Payload> {
-    Rc::new(Payload { name: "9b1f".into(), ..Payload::default() })
+    Rc::new(Payload { request_id: "9b1f".into(), ..Payload::default() })
 }
 
 /// Guards rule 5 while all that is listed drains: any server that runs takes a release, those that drain after the others.
@@ -45,11 +45,11 @@
         let taken = || StandIn::start(|_, _| Act::Answer(answer(204, &[], "")));
         let (drains, serves) = (taken().await, taken().await);
         let engine = engine(1 << 20);
-        engine.learn(true, &list(&[(&drains, false), (&serves, true)]), &[]);
+        engine.update_servers(true, &list(&[(&drains, false), (&serves, true)]), &[]);
         let release = || engine.clone().oneshot(Call::Release { payload: payload() });
         assert!(matches!(release().await, Ok(Reply::Done)));
         assert_eq!((drains.count("DELETE"), serves.count("DELETE")), (0, 1));
-        engine.learn(true, &list(&[(&drains, false)]), &[]);
+        engine.update_servers(true, &list(&[(&drains, false)]), &[]);
         assert!(matches!(release().await, Ok(Reply::Done)));
         assert_eq!((drains.count("DELETE"), serves.count("DELETE")), (1, 1));
     });
@@ -62,15 +62,15 @@
     run(async {
         let server = StandIn::start(|_, _| read()).await;
         let engine = engine(4);
-        engine.learn(true, &list(&[(&server, true)]), &[]);
+        engine.update_servers(true, &list(&[(&server, true)]), &[]);
         let call = Call::Attempt {
             server: ServerId(0),
             payload: payload(),
-            until: Instant::now() + WAIT,
-            connect: None,
-            confirm: false,
-            wanted: Wanted::default(),
+            deadline: Instant::now() + WAIT,
+            connect_timeout: None,
+            verify_connection: false,
+            cancel_token: CancelToken::default(),
         };
-        assert!(matches!(engine.oneshot(call).await, Err(Failed::Spoilt)));
+        assert!(matches!(engine.oneshot(call).await, Err(CallError::MalformedResponse)));
     });
 }
--- a/gateway/tests/memory.rs
+++ b/gateway/tests/memory.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use cap::Cap;
-use glenrail::core::Holds;
-use glenrail::exchange::Piece;
+use glenrail::core::Occupancy;
+use glenrail::exchange::ResponsePart;
 use instant::{core, request};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
@@ -29,17 +29,17 @@
             while sent < until {
                 sent += 1;
                 let mut client = core.submit(request(format!("{sent:016x}"), sent, 30_000.0));
-                let mut last = client.piece().await;
-                while matches!(last, Some(Piece::Begin(..) | Piece::Chunk(_))) {
-                    last = client.piece().await;
+                let mut last = client.next_part().await;
+                while matches!(last, Some(ResponsePart::Head(..) | ResponsePart::Chunk(_))) {
+                    last = client.next_part().await;
                 }
-                assert_eq!(last, Some(Piece::End), "request {sent}");
+                assert_eq!(last, Some(ResponsePart::End), "request {sent}");
             }
-            while !core.idle() {
+            while !core.is_idle() {
                 sleep(Duration::from_millis(1)).await;
             }
             // The router's own tick is all that is armed.
-            assert_eq!(core.holds(), Holds { requests: 0, names: 0, timers: 1 });
+            assert_eq!(core.occupancy(), Occupancy { requests: 0, names: 0, timers: 1 });
             after.push(HEAP.allocated());
         }
         let grown = after[1].saturating_sub(after[0]);
--- a/gateway/tests/ops.rs
+++ b/gateway/tests/ops.rs
@@ -9,11 +9,11 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail::admin::{Desk, Ops, CONNECTIONS};
-use glenrail::discovery::List;
+use glenrail::admin::{AdminContext, AdminFront, CONNECTIONS};
+use glenrail::discovery::EndpointList;
 use glenrail::engine::Engine;
 use glenrail::front::server;
-use glenrail::maintenance::{Orders, Rotation};
+use glenrail::maintenance::{Maintenance, OrderStore};
 use glenrail::shutdown::Shutdown;
 use glenrail_router::ListUpdate;
 use http::{Request, Response};
@@ -26,7 +26,7 @@
 struct Operated {
     g: Gateway,
     ops: SocketAddr,
-    rotation: Rc<Rotation<Engine>>,
+    rotation: Rc<Maintenance<Engine>>,
     state: PathBuf,
 }
 
@@ -37,15 +37,15 @@
     dir
 }
 
-fn rotation(g: &Gateway, state: &std::path::Path, hosts: Vec<Value>) -> Rc<Rotation<Engine>> {
-    let orders = Orders::open(state).expect("a directory");
+fn rotation(g: &Gateway, state: &std::path::Path, hosts: Vec<Value>) -> Rc<Maintenance<Engine>> {
+    let orders = OrderStore::open(state).expect("a directory");
     let pool = &g.pool;
-    let it = Rotation::new(names(), pool.clock, pool.engine.clone(), pool.core.clone(), Some(orders));
-    it.take(&list(hosts), ListUpdate::Full);
+    let it = Maintenance::new(names(), pool.clock, pool.engine.clone(), pool.core.clone(), Some(orders));
+    it.apply_list(&list(hosts), ListUpdate::Full);
     Rc::new(it)
 }
 
-fn list(hosts: Vec<Value>) -> List {
+fn list(hosts: Vec<Value>) -> EndpointList {
     serde_json::from_value(json!({"seq": 1, "whole": true, "hosts": hosts})).expect("a list")
 }
 
@@ -58,7 +58,7 @@
     ];
     let rotation = rotation(&g, &state, hosts);
     let core = g.pool.core.clone();
-    let desk = Desk {
+    let desk = AdminContext {
         ready: Rc::new(move || core.can_serve()),
         counters: g.counters.clone(),
         pools: vec![g.pool.clone()],
@@ -68,7 +68,7 @@
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let ops = listener.local_addr().expect("an address");
-    spawn_local(server::serve(listener, Ops::new(desk), CONNECTIONS, Shutdown::default()));
+    spawn_local(server::serve(listener, AdminFront::new(desk), CONNECTIONS, Shutdown::default()));
     Operated { g, ops, rotation, state }
 }
 
@@ -125,7 +125,7 @@
         assert_eq!((&figures["relayed"], &figures["open_requests"]), (&json!(6), &json!(1)));
         assert_eq!((&figures["registry_entries"], &figures["out_of_rotation"]), (&json!(2), &json!(0)));
         drop(held);
-        until(|| o.g.pool.core.open() == 0).await;
+        until(|| o.g.pool.core.open_requests() == 0).await;
         assert_eq!(o.figures().await["fulfilled"], json!({"item-query": 1, "order-chat": 0}));
     });
 }
@@ -166,7 +166,7 @@
             ]
         };
         let o = operated("bans", &[&reader, &writer], 50).await;
-        o.rotation.take(&list(all()), ListUpdate::Full);
+        o.rotation.apply_list(&list(all()), ListUpdate::Full);
         assert_eq!(o.order("/control/engines/nobody/offline").await, 404);
         assert_eq!(o.order("/control/engines/nobody/online").await, 404);
         assert_eq!(o.order("/control/engines/w1/online").await, 200, "it is in already");
@@ -181,7 +181,7 @@
             (all(), ListUpdate::Cached),
         ];
         for (n, (hosts, scope)) in relisted.into_iter().enumerate() {
-            o.rotation.take(&list(hosts), scope);
+            o.rotation.apply_list(&list(hosts), scope);
             for id in [["b0", "c0"], ["b1", "c1"], ["b2", "c2"], ["b3", "c3"]][n] {
                 assert_eq!(chat_as(&o.g, id).await.status(), 200);
             }
@@ -192,15 +192,16 @@
         for id in ["d0", "d1", "d2", "d3"] {
             assert_eq!(chat_as(&other, id).await.status(), 200);
         }
-        assert_eq!((writer.count("POST"), other.pool.core.avoided()), (0, 1));
+        assert_eq!((writer.count("POST"), other.pool.core.avoided_servers()), (0, 1));
         // Not listed at present, and yet it may be put back; the other process hears of that, and of a new order.
-        o.rotation.take(&list(vec![host("w0/x", "answer-side", &writer, "DELETED")]), ListUpdate::Delta);
+        o.rotation
+            .apply_list(&list(vec![host("w0/x", "answer-side", &writer, "DELETED")]), ListUpdate::Delta);
         assert_eq!(o.order("/control/engines/w0%2Fx/online").await, 200);
-        again.look();
-        assert_eq!(other.pool.core.avoided(), 0);
-        o.rotation.take(&list(all()), ListUpdate::Full);
+        again.sync_orders();
+        assert_eq!(other.pool.core.avoided_servers(), 0);
+        o.rotation.apply_list(&list(all()), ListUpdate::Full);
         assert_eq!(o.order("/control/engines/w1/offline").await, 200);
-        again.look();
+        again.sync_orders();
         let before = spare.count("POST");
         // Just started, it is spared at first.
         for gateway in [&o.g, &other] {
@@ -255,7 +256,7 @@
                 "{method} {path}"
             );
         }
-        o.rotation.take(&list(vec![]), ListUpdate::Full);
+        o.rotation.apply_list(&list(vec![]), ListUpdate::Full);
         assert_eq!(o.call("GET", "/control/ready").await.status(), 503);
     });
 }
--- a/gateway/tests/order_files.rs
+++ b/gateway/tests/order_files.rs
@@ -9,9 +9,9 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail::discovery::List;
+use glenrail::discovery::EndpointList;
 use glenrail::engine::Engine;
-use glenrail::maintenance::{Denied, Orders, Rotation};
+use glenrail::maintenance::{Maintenance, OrderError, OrderStore};
 use glenrail_router::ListUpdate;
 use serde_json::{json, Value};
 
@@ -62,13 +62,13 @@
     state
 }
 
-fn rotation(g: &Gateway, state: &Path) -> Rotation<Engine> {
-    let orders = Orders::open(state).expect("the folder of orders");
-    Rotation::new(names(), g.pool.clock, g.pool.engine.clone(), g.pool.core.clone(), Some(orders))
+fn rotation(g: &Gateway, state: &Path) -> Maintenance<Engine> {
+    let orders = OrderStore::open(state).expect("the folder of orders");
+    Maintenance::new(names(), g.pool.clock, g.pool.engine.clone(), g.pool.core.clone(), Some(orders))
 }
 
 /// A list of these servers, all of them serving.
-fn list(servers: &[&str], stand_in: &StandIn) -> List {
+fn list(servers: &[&str], stand_in: &StandIn) -> EndpointList {
     let hosts: Vec<Value> = servers.iter().map(|id| host(id, "answer-side", stand_in, "SERVING")).collect();
     serde_json::from_value(json!({"seq": 1, "whole": true, "hosts": hosts})).expect("a list")
 }
@@ -80,7 +80,7 @@
         let stand_in = StandIn::start(|_, _| read()).await;
         let (g, state) = (gateway(&[], &[], None, 1).await, empty_state("written"));
         let rotation = rotation(&g, &state);
-        rotation.take(&list(&ORDERED, &stand_in), ListUpdate::Full);
+        rotation.apply_list(&list(&ORDERED, &stand_in), ListUpdate::Full);
         for id in ORDERED {
             assert_eq!(rotation.offline(id), Ok(()), "{id}");
         }
@@ -98,11 +98,11 @@
     run(async {
         let (g, state) = (gateway(&[], &[], None, 1).await, copied_state("read"));
         let rotation = rotation(&g, &state);
-        assert_eq!(rotation.online("server-2"), Err(Denied::Unknown));
+        assert_eq!(rotation.online("server-2"), Err(OrderError::UnknownServer));
         for (n, id) in ORDERED.into_iter().enumerate() {
             assert_eq!(rotation.online(id), Ok(()), "{id}");
             assert_eq!(files(&state).len(), ORDERED.len() - n - 1, "the file of {id} has gone");
-            assert_eq!(rotation.online(id), Err(Denied::Unknown), "{id}");
+            assert_eq!(rotation.online(id), Err(OrderError::UnknownServer), "{id}");
         }
         std::fs::remove_dir_all(state).expect("removed");
     });
@@ -115,8 +115,8 @@
         let stand_in = StandIn::start(|_, _| read()).await;
         let (g, state) = (gateway(&[], &[], None, 1).await, copied_state("held"));
         let rotation = rotation(&g, &state);
-        rotation.take(&list(&[&ORDERED[..], &["server-2"]].concat(), &stand_in), ListUpdate::Full);
-        assert_eq!((rotation.listed(), g.pool.core.avoided()), (ORDERED.len() + 1, ORDERED.len()));
+        rotation.apply_list(&list(&[&ORDERED[..], &["server-2"]].concat(), &stand_in), ListUpdate::Full);
+        assert_eq!((rotation.listed(), g.pool.core.avoided_servers()), (ORDERED.len() + 1, ORDERED.len()));
         std::fs::remove_dir_all(state).expect("removed");
     });
 }
--- a/gateway/tests/platform.rs
+++ b/gateway/tests/platform.rs
@@ -75,7 +75,7 @@
         }
         // The client goes, and with it the stream that nobody reads.
         drop(client);
-        until(|| writer.closed.get() > 0 && g.pool.core.idle()).await;
+        until(|| writer.closed.get() > 0 && g.pool.core.is_idle()).await;
     });
 }
 
@@ -105,7 +105,7 @@
     let began = Instant::now();
     let status = chat(&g, "order-chat", "1.5").await.status();
     let took = began.elapsed();
-    until(|| g.pool.core.idle()).await;
+    until(|| g.pool.core.is_idle()).await;
     assert!(reader.count("DELETE") + writer.count("DELETE") > 0);
     (status, took)
 }
@@ -157,7 +157,7 @@
         client.write_all(format!("{head}content-length: 2\r\n\r\n{{}}").as_bytes()).await.expect("sent");
         until(|| reader.count("POST") == 1).await;
         drop(client);
-        until(|| reader.count("DELETE") + writer.count("DELETE") > 0 && g.pool.core.idle()).await;
+        until(|| reader.count("DELETE") + writer.count("DELETE") > 0 && g.pool.core.is_idle()).await;
     });
 }
 
--- a/gateway/tests/restart.rs
+++ b/gateway/tests/restart.rs
@@ -139,7 +139,7 @@
         half.write_all(first.as_bytes()).await.expect("sent");
         // Older than the time that a new connection is given, and begun.
         sleep(Duration::from_millis(400)).await;
-        g.shutdown.enter(Phase::Leaving);
+        g.shutdown.enter(Phase::Draining);
         let mut late = TcpStream::connect(g.address).await.expect("a connection");
         let new = std::net::TcpStream::connect(g.address).expect("a connection");
         std::io::Write::write_all(&mut &new, request("new").as_bytes()).expect("sent");
@@ -162,6 +162,6 @@
             assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("[DONE]"), "{which}: {answer:?}");
             assert!(answer.contains("connection: close"), "{which}: {answer}");
         }
-        g.shutdown.emptied().await;
+        g.shutdown.drained().await;
     });
 }
