--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,8 @@
-use super::*;
+//! The settings JSON in the router's terms.
+
+use glenrail_router::{Idempotency, Role};
+
+use super::{server_id, settings};
 
 #[test]
 fn classes_and_roles_come_from_their_lists() {
