--- /dev/null
+++ b/simulator-adapter/src/host.rs
@@ -0,0 +1,87 @@
+//! The router instances of one process, by the simulator's number of each.
+
+use std::collections::BTreeMap;
+
+use glenrail_router::{Action, Router, ServerId};
+use glenrail_settings::{integer, list, server_id, settings, text};
+use serde_json::{json, Map, Value};
+
+use crate::decode::decode_event;
+use crate::encode::encode_action;
+use crate::error::AdapterError;
+
+/// One router, and the addresses of the servers that its lists have named.
+pub(crate) struct Instance {
+    router: Router,
+    addresses: BTreeMap<ServerId, String>,
+}
+
+impl Instance {
+    /// Remembers the addresses that an event's list names: the router knows servers by their ids alone.
+    fn remember_addresses(&mut self, event: &Value) {
+        for item in list(event, "items") {
+            let address = text(item, "host");
+            self.addresses.insert(server_id(address), address.to_string());
+        }
+    }
+
+    /// An action on the wire; `None` for one at a server that no list has named.
+    pub(crate) fn step(&self, number: u64, action: Action) -> Option<Value> {
+        let address_of = |server: ServerId| self.addresses.get(&server).map(String::as_str);
+        let mut step = encode_action(action, address_of)?;
+        step["i"] = json!(number);
+        Some(step)
+    }
+}
+
+/// All router instances of this process.
+#[derive(Default)]
+pub(crate) struct Host {
+    pub(crate) instances: BTreeMap<u64, Instance>,
+}
+
+impl Host {
+    /// Answers one line of input with the steps that its events lead to.
+    pub(crate) fn handle_batch(&mut self, line: &[u8]) -> Result<Value, AdapterError> {
+        let batch: Value = serde_json::from_slice(line).map_err(AdapterError::NotJson)?;
+        let batch: &Map<String, Value> =
+            batch.as_object().ok_or(AdapterError::Missing("a line is not an object"))?;
+        let now = batch.get("sim-time").and_then(Value::as_f64);
+        let now = now.ok_or(AdapterError::Missing("a batch has no number in sim-time"))?;
+        let inbox = batch.get("inbox").and_then(Value::as_array);
+        let inbox = inbox.ok_or(AdapterError::Missing("a batch has no array in inbox"))?;
+        let mut steps = Vec::new();
+        for event in inbox {
+            self.handle_event(now, event, &mut steps)?;
+        }
+        Ok(json!({ "steps": steps }))
+    }
+
+    fn handle_event(&mut self, now: f64, event: &Value, steps: &mut Vec<Value>) -> Result<(), AdapterError> {
+        let verb = event.get("verb").and_then(Value::as_str);
+        let verb = verb.ok_or(AdapterError::Missing("an event has no verb"))?;
+        let number = event.get("i").and_then(Value::as_u64);
+        let number = number.ok_or(AdapterError::Missing("an event has no instance in i"))?;
+        match verb {
+            "INIT" => self.start(number, event),
+            "DETACH" => _ = self.instances.remove(&number),
+            _ => self.forward(number, now, event, steps),
+        }
+        Ok(())
+    }
+
+    fn start(&mut self, number: u64, event: &Value) {
+        let router = Router::new(integer(event, "seed"), settings(&event["settings"]));
+        self.instances.insert(number, Instance { router, addresses: BTreeMap::new() });
+    }
+
+    /// Hands an event to its router; an unknown instance or a verb of a newer simulator is skipped.
+    fn forward(&mut self, number: u64, now: f64, event: &Value, steps: &mut Vec<Value>) {
+        let Some(instance) = self.instances.get_mut(&number) else { return };
+        instance.remember_addresses(event);
+        let Some(event) = decode_event(event) else { return };
+        let mut actions = Vec::new();
+        instance.router.handle(now, event, &mut actions);
+        steps.extend(actions.into_iter().filter_map(|action| instance.step(number, action)));
+    }
+}
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,33 +1,45 @@
-//! Standard input to standard output: one batch a line in, one reply a line out.
+//! The simulator's adapter: one batch of events a line on standard input, one reply with steps a line on standard output.
+//!
+//! The simulator owns the clock and the random seeds; this program hosts as many routers as the simulator asks for and decides
+//! nothing itself. A malformed line ends it with one line on standard error and an exit code that is not 0.
 
-mod wire;
+#![deny(missing_docs)]
+
+mod decode;
+mod encode;
+mod error;
+mod host;
+#[cfg(test)]
+mod tests;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-fn run() -> Result<(), String> {
-    let mut host = wire::Host::default();
+use error::AdapterError;
+use host::Host;
+
+fn run() -> Result<(), AdapterError> {
+    let mut host = Host::default();
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("cannot read: {e}"))?;
-        if read == 0 {
+        let length = input.read_until(b'\n', &mut line).map_err(AdapterError::Read)?;
+        if length == 0 {
             return Ok(());
         }
-        let reply = host.batch(&line)?;
-        writeln!(output, "{reply}")
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("cannot write: {e}"))?;
+        let reply = host.handle_batch(&line)?;
+        writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(AdapterError::Write)?;
     }
 }
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("glenrail-simulator-adapter: {}", message.replace('\n', " "));
+        Err(error) => {
+            let message = error.to_string().replace('\n', " ");
+            eprintln!("glenrail-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
