--- /dev/null
+++ b/crates/access-log/src/counts/tests.rs
@@ -0,0 +1,37 @@
+//! The counts of many gateways, summed and priced.
+
+use super::{Counts, Opened, Prices, WORD};
+
+fn counts(since: f64, probes: u64) -> Counts {
+    let prices = Prices { probe: 0.003, handshake: 0.01, discovery: 0.5, ..Prices::default() };
+    let opened = Opened { attempt: 10, probe: 5, ..Opened::default() };
+    Counts { since, probes, opened, list_lines: 40, prices, ..Counts::default() }
+}
+
+#[test]
+fn a_line_is_read_back_whatever_stands_around_it() {
+    let one = counts(7.0, 3);
+    assert_eq!(Counts::parse_line(&format!("24.1 glenrail: {WORD}{one} (2 like it left out)")), Some(one));
+    assert_eq!(Counts::parse_line("24.1 glenrail: counts of nothing"), None);
+}
+
+/// Guards against counting a gateway's earlier lines beside its last, and against losing what a killed one had done.
+#[test]
+fn of_each_start_the_last_line_counts() {
+    let named = |name: &str, c| (name.to_string(), c);
+    let lines = [
+        named("n1", counts(1.0, 30)),
+        named("n1", counts(1.0, 20)),
+        named("n1", counts(2.0, 7)),
+        named("n2", counts(1.0, 5)),
+    ];
+    let sum = Counts::sum(lines);
+    assert_eq!((sum.probes, sum.opened.total(), sum.list_lines), (42, 45, 120));
+}
+
+#[test]
+fn the_price_is_that_of_the_settings_terms() {
+    let price = counts(1.0, 200).price(100);
+    assert!((price - (0.003 * 2.0 + 0.01 * 0.15 + 0.5 * 0.4 / 100.0)).abs() < 1e-12, "{price}");
+    assert!(counts(1.0, 200).table(100).contains("0.60% priced"));
+}
--- /dev/null
+++ b/crates/access-log/src/loss_report/served_shares.rs
@@ -0,0 +1,144 @@
+//! What each class, or each tenant, asked for, and how much of it was served. A policy that serves the sum well may still
+//! starve one of them: whoever gets far less than the mean is named.
+
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+use super::turn::{Turn, TurnResult};
+use crate::RequestRecord;
+
+/// A class is starved below this part of what is served on the mean.
+pub const STARVED_CLASS: f64 = 0.5;
+/// A tenant is starved below this part of what is served on the mean.
+pub const STARVED_TENANT: f64 = 1.0 / 3.0;
+/// Who has less than this part of the turns and of the weight is not judged, unless its class is not idempotent.
+const JUDGED_FROM: f64 = 0.05;
+
+/// What one class or tenant asked for, in priority weight times tokens; the four results add up to `asked`.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ServedShare {
+    /// Turns of clients.
+    pub turns: usize,
+    /// Asked for.
+    pub asked: f64,
+    /// Answered within the latency objective.
+    pub in_time: f64,
+    /// Answered later.
+    pub late: f64,
+    /// Rejected.
+    pub rejected: f64,
+    /// Neither answered nor rejected.
+    pub failed: f64,
+    /// Its class must not simply be retried.
+    pub at_most_once: bool,
+}
+
+/// Whom a turn is counted for.
+pub(super) struct Owner {
+    /// Index of the class or tenant.
+    pub id: u32,
+    /// It is a class that must not simply be retried.
+    pub at_most_once: bool,
+}
+
+/// What was asked for and served, by index of class or tenant.
+#[derive(Debug, Default, PartialEq)]
+pub struct ServedShares(pub BTreeMap<u32, ServedShare>);
+
+/// Those that are served too little.
+pub struct Starved {
+    /// Each with its index, worst first.
+    pub owners: Vec<(u32, ServedShare)>,
+    /// The share that is served in time on the mean.
+    pub mean: f64,
+}
+
+impl ServedShare {
+    /// The part of what was asked for that was served in time.
+    pub fn served(&self) -> f64 {
+        self.in_time / self.asked.max(1e-9)
+    }
+
+    fn add(&mut self, other: &ServedShare) {
+        self.turns += other.turns;
+        self.asked += other.asked;
+        self.in_time += other.in_time;
+    }
+
+    /// Whether it is large enough to be judged, or of a class that must not simply be retried.
+    fn is_judged(&self, sum: &ServedShare) -> bool {
+        self.at_most_once
+            || self.turns as f64 >= JUDGED_FROM * sum.turns as f64
+            || self.asked >= JUDGED_FROM * sum.asked
+    }
+}
+
+impl ServedShares {
+    /// Counts a turn for its class or tenant.
+    pub(super) fn add(&mut self, turn: &Turn, owner_of: fn(&RequestRecord) -> Owner) {
+        let Some(first) = turn.requests.first() else { return };
+        let owner = owner_of(first);
+        let share = self.0.entry(owner.id).or_default();
+        let weight = turn.weight();
+        share.turns += 1;
+        share.asked += weight;
+        share.at_most_once |= owner.at_most_once;
+        let part = match turn.result() {
+            TurnResult::InTime => &mut share.in_time,
+            TurnResult::RejectedUnsent | TurnResult::RejectedAfterAttempts => &mut share.rejected,
+            _ if turn.first_token_ms().is_some() => &mut share.late,
+            _ => &mut share.failed,
+        };
+        *part += weight;
+    }
+
+    fn sum(&self) -> ServedShare {
+        let mut sum = ServedShare::default();
+        self.0.values().for_each(|share| sum.add(share));
+        sum
+    }
+
+    /// Those that are served less than this part of the mean.
+    pub fn starved(&self, part: f64) -> Starved {
+        let sum = self.sum();
+        let is_starved = |share: &ServedShare| share.is_judged(&sum) && share.served() < part * sum.served();
+        let starved = self.0.iter().filter(|(_, share)| is_starved(share));
+        let mut owners: Vec<_> = starved.map(|(id, share)| (*id, *share)).collect();
+        owners.sort_by(|a, b| a.1.served().total_cmp(&b.1.served()));
+        Starved { owners, mean: sum.served() }
+    }
+
+    /// As text, in % of what each asked for; `name` is what the indices count.
+    pub(super) fn table(&self, name: &str, part: f64) -> String {
+        let mut text = String::new();
+        for (id, share) in &self.0 {
+            write_share(&mut text, &format!("{name} {id}"), share);
+        }
+        let starved = self.starved(part);
+        for (id, share) in starved.owners {
+            let repeats = if share.at_most_once { ", not to be repeated" } else { "" };
+            let (served, mean) = (100.0 * share.served(), 100.0 * starved.mean);
+            let _ =
+                writeln!(text, "SHORT: {name} {id}{repeats}: {served:.2}% in time, {mean:.2}% on the mean");
+        }
+        text
+    }
+}
+
+fn write_share(text: &mut String, name: &str, share: &ServedShare) {
+    let percent = |weight: f64| 100.0 * weight / share.asked.max(1e-9);
+    let in_time = percent(share.in_time);
+    let late = percent(share.late);
+    let rejected = percent(share.rejected);
+    let failed = percent(share.failed);
+    let repeats = if share.at_most_once { "  not to be repeated" } else { "" };
+    let _ = writeln!(
+        text,
+        "{name:<14}{:>7} turns {in_time:>7.2}% in time {late:>6.2}% late {rejected:>6.2}% refused {failed:>6.2}% \
+         failed{repeats}",
+        share.turns,
+    );
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/access-log/src/loss_report/served_shares/tests.rs
@@ -0,0 +1,66 @@
+//! Who is named as starved.
+
+use super::{Owner, ServedShares, STARVED_CLASS, STARVED_TENANT};
+use crate::loss_report::turn::Turn;
+use crate::{AttemptRecord, RequestOutcome, RequestRecord};
+
+fn request(class: u32, session: u64, served: bool) -> RequestRecord {
+    let run = AttemptRecord { first_token_ms: Some(100.0), ..AttemptRecord::default() };
+    let (end, tries) =
+        if served { (RequestOutcome::Served, vec![run]) } else { (RequestOutcome::Refused, vec![]) };
+    RequestRecord {
+        class,
+        session,
+        outcome: end,
+        attempts: tries,
+        at_most_once: class == 2,
+        latency_objective_ms: 500.0,
+        priority_weight: 1.0,
+        ..RequestRecord::default()
+    }
+}
+
+fn by_class(request: &RequestRecord) -> Owner {
+    Owner { id: request.class, at_most_once: request.at_most_once }
+}
+
+/// Tenants are never judged for one request of a class that must not be retried.
+fn by_tenant(request: &RequestRecord) -> Owner {
+    Owner { id: request.class, at_most_once: false }
+}
+
+fn shares(requests: &[RequestRecord]) -> ServedShares {
+    let mut shares = ServedShares::default();
+    requests.iter().for_each(|s| shares.add(&Turn { requests: vec![s] }, by_class));
+    shares
+}
+
+/// Guards against a class that starves unseen in a good mean, above all one that may not be repeated and is rare.
+#[test]
+fn starved_classes_are_named_worst_first() {
+    let well = (0..98).map(|n| request(0, n, n % 10 != 0));
+    let ill = (0..10).map(|n| request(1, n, n < 3));
+    let rare = [request(2, 0, false), request(3, 0, false)];
+    let shares = shares(&well.chain(ill).chain(rare).collect::<Vec<_>>());
+    let short: Vec<u32> = shares.starved(STARVED_CLASS).owners.iter().map(|s| s.0).collect();
+    assert_eq!(short, [2, 1]);
+    assert_eq!(shares.starved(STARVED_TENANT).owners.len(), 1);
+    // A tenant is not judged for one request of such a class.
+    let mut tenants = ServedShares::default();
+    let few = [request(2, 0, false)].into_iter().chain((1..60).map(|n| request(0, n, true)));
+    let few: Vec<RequestRecord> = few.collect();
+    few.iter().for_each(|s| tenants.add(&Turn { requests: vec![s] }, by_tenant));
+    assert_eq!(tenants.starved(STARVED_TENANT).owners, []);
+    assert!(shares
+        .table("class", STARVED_CLASS)
+        .contains("SHORT: class 2, not to be repeated: 0.00% in time"));
+}
+
+#[test]
+fn the_results_of_a_class_add_up() {
+    let shares = shares(&(0..30).map(|n| request(n as u32 % 3, n, n % 4 != 0)).collect::<Vec<_>>());
+    for s in shares.0.values() {
+        let sum = s.in_time + s.late + s.rejected + s.failed;
+        assert!((sum - s.asked).abs() < 1e-9 && s.turns == 10, "{s:?}");
+    }
+}
--- /dev/null
+++ b/crates/access-log/src/loss_report/state_transfers/tests.rs
@@ -0,0 +1,63 @@
+//! Which states count as moved and which as wasted.
+
+use super::StateTransfers;
+use crate::counts::Prices;
+use crate::loss_report::turn::Turn;
+use crate::{AttemptRecord, RequestRecord, Stage};
+
+fn prefill(location: (u32, u32), cached_tokens: f64) -> AttemptRecord {
+    AttemptRecord {
+        location: Some(location),
+        outcome: "Read".into(),
+        cached_tokens,
+        ..AttemptRecord::default()
+    }
+}
+
+fn decode(location: (u32, u32), answered: bool) -> AttemptRecord {
+    AttemptRecord {
+        stage: Stage::Run,
+        location: Some(location),
+        first_token_ms: answered.then_some(1.0),
+        ..AttemptRecord::default()
+    }
+}
+
+fn transfers(attempts: Vec<AttemptRecord>) -> StateTransfers {
+    let record = RequestRecord { prompt_tokens: 1_000.0, attempts, ..RequestRecord::default() };
+    let mut transfers = StateTransfers::default();
+    transfers.add(&Turn { requests: vec![&record] });
+    transfers
+}
+
+#[test]
+fn a_state_moves_from_its_last_prefill_to_where_decoding_begins() {
+    let near = transfers(vec![prefill((0, 1), 400.0), decode((0, 2), false), decode((0, 1), true)]);
+    assert_eq!(
+        (near.fetched, near.moved_share(), near.prefilled, near.wasted_share()),
+        (1_000.0, 0.0, 600.0, 0.0)
+    );
+    let far = transfers(vec![prefill((0, 1), 0.0), decode((1, 1), true)]);
+    assert_eq!((far.moved_share(), far.out_of_zone), (1.0, 1_000.0));
+    let prices = Prices { moved: 0.03, waste: 0.16, ..Prices::default() };
+    assert!(far.table(&prices).contains("3.00% priced"));
+    // The same number in another zone is another cell.
+    assert_eq!(transfers(vec![prefill((0, 1), 0.0), decode((0, 2), true)]).out_of_zone, 0.0);
+}
+
+/// Guards against taking a prompt that was read twice for one that was used twice.
+#[test]
+fn a_prefill_whose_state_nobody_fetches_is_wasted() {
+    let twice = transfers(vec![
+        prefill((0, 1), 0.0),
+        decode((0, 1), false),
+        prefill((0, 2), 700.0),
+        decode((0, 2), true),
+    ]);
+    assert_eq!((twice.prefilled, twice.wasted_share(), twice.moved_share()), (1_300.0, 1.0, 0.0));
+    assert_eq!(transfers(vec![prefill((0, 1), 900.0)]).wasted_share(), 0.1);
+    assert_eq!(
+        transfers(vec![decode((0, 1), true)]),
+        StateTransfers { asked: 1_000.0, ..StateTransfers::default() }
+    );
+}
--- a/crates/access-log/tests/stored_lines.rs
+++ b/crates/access-log/tests/stored_lines.rs
@@ -144,6 +144,6 @@
 
 #[test]
 fn stored_counts_are_read_as_what_was_written() {
-    let read: Vec<Option<Counts>> = COUNTS.lines().map(Counts::of_line).collect();
+    let read: Vec<Option<Counts>> = COUNTS.lines().map(Counts::parse_line).collect();
     assert_eq!(read, all_counts().into_iter().map(Some).collect::<Vec<_>>());
 }
--- a/log-report/src/main.rs
+++ b/log-report/src/main.rs
@@ -1,23 +1,23 @@
-//! `glenrail-log-report account LOGS`: what of the worth asked for was lost, and by what cause.
+//! `glenrail-log-report account LOGS`: what of the weight that clients asked for was lost, and by what cause.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
-use glenrail_access_log::account::Account;
 use glenrail_access_log::counts::Counts;
+use glenrail_access_log::loss_report::{Interval, LossReport};
 use glenrail_access_log::RequestRecord;
 
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// An account of the worth lost, by cause, and of what was asked of servers and of discovery and its price, from the
     /// logs of all gateways in a folder.
     Account {
@@ -34,35 +34,42 @@
     },
 }
 
-/// Every story in the files of a folder, in order of arrival, and the sum of the gateways' counts.
-fn read(folder: &Path) -> Result<(Vec<RequestRecord>, Counts)> {
-    let (mut stories, mut counts) = (Vec::new(), Vec::new());
+/// What the logs of all gateways hold.
+struct Logs {
+    /// In order of arrival.
+    records: Vec<RequestRecord>,
+    /// The sum over all gateways.
+    counts: Counts,
+}
+
+/// Reads every file of a folder; a file's name without its ending is its gateway's.
+fn read_logs(folder: &Path) -> Result<Logs> {
+    let mut records = Vec::new();
+    let mut counts = Vec::new();
     for entry in fs::read_dir(folder).with_context(|| folder.display().to_string())? {
         let path = entry?.path();
         let text = fs::read(&path).with_context(|| path.display().to_string())?;
-        let gateway = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
+        let gateway = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
         for line in String::from_utf8_lossy(&text).lines() {
-            if let Some(mut story) = RequestRecord::parse_line(line) {
-                story.id = format!("{gateway}/{}", story.id);
-                stories.push(story);
-            } else if let Some(told) = Counts::of_line(line) {
-                counts.push((gateway.clone(), told));
+            if let Some(mut record) = RequestRecord::parse_line(line) {
+                record.id = format!("{gateway}/{}", record.id);
+                records.push(record);
+            } else if let Some(counted) = Counts::parse_line(line) {
+                counts.push((gateway.clone(), counted));
             }
         }
     }
-    stories.sort_by(|a, b| a.arrived_unix_ms.total_cmp(&b.arrived_unix_ms));
-    Ok((stories, Counts::sum(counts)))
+    records.sort_by(|a, b| a.arrived_unix_ms.total_cmp(&b.arrived_unix_ms));
+    Ok(Logs { records, counts: Counts::sum(counts) })
 }
 
 fn main() -> Result<()> {
-    match Cli::parse().what {
-        What::Account { logs, tell, from, to } => {
-            let (stories, counts) = read(&logs)?;
-            let whole = Account::of(&stories, 0.0, f64::MAX);
-            print!("{}", Account::of(&stories, from, to).table(tell));
-            print!("over the whole time, {} first tries:\n{}", whole.turns, counts.table(whole.turns));
-            print!("{}", whole.moves.table(&counts.prices));
-        }
-    }
+    let Command::Account { logs, tell, from, to } = Cli::parse().command;
+    let Logs { records, counts } = read_logs(&logs)?;
+    let interval = Interval { from_s: from, to_s: to };
+    print!("{}", LossReport::new(&records, interval).table(tell));
+    let whole = LossReport::new(&records, Interval::ALL);
+    print!("over the whole time, {} first tries:\n{}", whole.turns, counts.table(whole.turns));
+    print!("{}", whole.transfers.table(&counts.prices));
     Ok(())
 }
