--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -6,7 +6,7 @@
 pub mod inference;
 pub mod platform;
 mod request_reader;
-mod resume;
+mod resumed_stream;
 pub mod server;
 mod tracked_body;
 
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -21,7 +21,7 @@
 
 use super::connection_table::{CloseReason, ConnectionTable, TableEntry};
 use super::request_reader::{self, RequestReader};
-use super::resume::Ended;
+use super::resumed_stream::Ended;
 use super::tracked_body::TrackedBody;
 use super::{response, Body, Front};
 use crate::core;
@@ -72,7 +72,7 @@
         let tally = class.as_ref().and_then(|class| counters.counter(class));
         let (frames, open) = (pool.engine.resume(rest), pool.resumed.open());
         Box::pin(async move {
-            let ended = super::resume::resume(socket, core::resume(frames)).await;
+            let ended = super::resumed_stream::resume(socket, core::resume(frames)).await;
             drop(open);
             let (outcome, after) = match ended {
                 Ended::Whole => (Some(RequestOutcome::Fulfilled), ConnectionFate::KeepAlive),
