--- /dev/null
+++ b/gateway/src/front/body.rs
@@ -0,0 +1,122 @@
+//! Bodies: a response's, as hyper writes it, and a request's, collected within the memory budget.
+
+use std::io;
+use std::pin::{pin, Pin};
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http::header::CONTENT_LENGTH;
+use http::HeaderMap;
+use http_body::{Frame, SizeHint};
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use tokio::time::timeout;
+
+use crate::budget::Budget;
+use crate::exchange::{ClientSide, ResponsePart, StreamRemainder};
+
+/// A request's body must have arrived within this time ...
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// ... and no pause in it may last longer than this.
+const BODY_PAUSE_TIMEOUT: Duration = Duration::from_millis(2_000);
+
+/// The body of a front's response.
+pub enum Body {
+    /// All of it is there.
+    Full(Full<Bytes>),
+    /// A stream: its first bytes, then what follows in the exchange.
+    Stream {
+        /// Not yet written.
+        first: Option<Bytes>,
+        /// The rest of the response.
+        remaining: ClientSide,
+    },
+    /// Another process goes on with the stream: nothing more is written here.
+    HandedOver(Option<StreamRemainder>),
+}
+
+impl Body {
+    /// A short body.
+    pub fn text(text: impl Into<Bytes>) -> Self {
+        Body::Full(Full::new(text.into()))
+    }
+}
+
+impl http_body::Body for Body {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        self: Pin<&mut Self>, context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        let body = self.get_mut();
+        let (first, remaining) = match body {
+            Body::HandedOver(_) => return Poll::Pending,
+            Body::Full(full) => return Pin::new(full).poll_frame(context).map_err(|never| match never {}),
+            Body::Stream { first, remaining } => (first, remaining),
+        };
+        if let Some(first) = first.take() {
+            return Poll::Ready(Some(Ok(Frame::data(first))));
+        }
+        match ready!(remaining.poll_part(context)) {
+            Some(ResponsePart::Chunk(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
+            Some(ResponsePart::End) => Poll::Ready(None),
+            Some(ResponsePart::HandedOver(remainder)) => {
+                *body = Body::HandedOver(Some(remainder));
+                Poll::Pending
+            }
+            // Broken off: an error ends the connection without the last chunk.
+            _ => Poll::Ready(Some(Err(io::Error::other("the answer broke off")))),
+        }
+    }
+
+    /// The length of a full body, so that it is written with one.
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            Body::Full(full) => full.size_hint(),
+            _ => SizeHint::default(),
+        }
+    }
+}
+
+/// Why a request's body was not accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BodyError {
+    /// It is larger than the front takes.
+    TooLarge,
+    /// It did not arrive in time, or paused for too long.
+    TooSlow,
+    /// Its connection broke, or its framing did.
+    Broken,
+    /// No memory for it at present: trying again is harmless.
+    OutOfMemory,
+}
+
+/// Collects a request's body of at most `max_bytes`, counted against the budget before any of it is read.
+pub async fn collect(
+    headers: &HeaderMap, body: Incoming, max_bytes: usize, budget: &Budget,
+) -> Result<Bytes, BodyError> {
+    let announced = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
+    let size: usize = announced.unwrap_or(max_bytes);
+    if size > max_bytes {
+        return Err(BodyError::TooLarge);
+    }
+    let claim = budget.claim(size).ok_or(BodyError::OutOfMemory)?;
+    let mut body = pin!(Limited::new(body, max_bytes));
+    let mut collected = BytesMut::with_capacity(announced.unwrap_or(0));
+    let read_all = async {
+        while let Some(frame) =
+            timeout(BODY_PAUSE_TIMEOUT, body.frame()).await.map_err(|_| BodyError::TooSlow)?
+        {
+            match frame {
+                Ok(frame) => collected.extend_from_slice(&frame.into_data().unwrap_or_default()),
+                Err(error) if error.is::<LengthLimitError>() => return Err(BodyError::TooLarge),
+                Err(_) => return Err(BodyError::Broken),
+            }
+        }
+        Ok(())
+    };
+    timeout(BODY_TIMEOUT, read_all).await.unwrap_or(Err(BodyError::TooSlow))?;
+    Ok(claim.hold(collected.freeze()))
+}
--- /dev/null
+++ b/gateway/src/front/inference/body_fields.rs
@@ -0,0 +1,167 @@
+//! What decisions need of the JSON bodies of these APIs.
+
+use glenrail_settings::server_id;
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use super::error::ApiError;
+use super::CHARS_PER_TOKEN;
+
+/// Most inputs or documents of one request.
+const MAX_BATCH: usize = 2_048;
+/// Tokens that a chat is taken to ask for where it sets no limit.
+const DEFAULT_MAX_TOKENS: f64 = 512.0;
+
+/// Reads a body of one endpoint.
+pub(super) type BodyReader = fn(&[u8]) -> Result<BodyFields, ApiError>;
+
+/// What decisions need of a body.
+#[derive(Debug)]
+pub(super) struct BodyFields {
+    /// The conversation; `None` where the request belongs to none.
+    pub session: Option<u64>,
+    /// The prefix that conversations share.
+    pub prefix: Option<u64>,
+    pub prefix_tokens: f64,
+    pub max_tokens: f64,
+    /// The answer is a stream of events; else one document.
+    pub stream: bool,
+}
+
+impl BodyFields {
+    /// Of a batch, which has neither session nor stream.
+    fn batch() -> Self {
+        BodyFields { session: None, prefix: None, prefix_tokens: 0.0, max_tokens: 0.0, stream: false }
+    }
+}
+
+fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, ApiError> {
+    serde_json::from_slice(body)
+        .map_err(|error| ApiError::invalid(format!("the body is not as wanted: {error}")))
+}
+
+fn is_text(value: &RawValue) -> bool {
+    value.get().starts_with('"')
+}
+
+fn is_tokens(value: &RawValue) -> bool {
+    serde_json::from_str::<Vec<u32>>(value.get()).is_ok_and(|tokens| !tokens.is_empty())
+}
+
+/// Checks the entries of a batch, each of which must pass the test.
+fn check_batch(key: &str, value: &RawValue, is_valid: impl Fn(&RawValue) -> bool) -> Result<(), ApiError> {
+    let entries: Vec<&RawValue> =
+        serde_json::from_str(value.get()).map_err(|_| ApiError::invalid(format!("{key}: a list wanted")))?;
+    if entries.is_empty() || entries.len() > MAX_BATCH {
+        let message = format!("{key}: 1 to {MAX_BATCH} entries wanted, not {}", entries.len());
+        return Err(ApiError::invalid(message));
+    }
+    match entries.iter().position(|entry| !is_valid(entry)) {
+        Some(index) => Err(ApiError::invalid(format!("{key}[{index}]: not of a kind that is taken"))),
+        None => Ok(()),
+    }
+}
+
+/// Reads a request for embeddings: one text, a list of texts, tokens, or a list of lists of tokens.
+pub(super) fn read_embeddings(body: &[u8]) -> Result<BodyFields, ApiError> {
+    #[derive(Deserialize)]
+    struct Shape<'a> {
+        #[serde(rename = "model")]
+        _model: String,
+        #[serde(borrow)]
+        input: &'a RawValue,
+    }
+    let shape: Shape = parse(body)?;
+    if is_text(shape.input) {
+        if shape.input.get() == "\"\"" {
+            return Err(ApiError::invalid("input: must not be empty"));
+        }
+    } else if !is_tokens(shape.input) {
+        check_batch("input", shape.input, |value| is_text(value) || is_tokens(value))?;
+    }
+    Ok(BodyFields::batch())
+}
+
+/// Reads a request to rerank documents.
+pub(super) fn read_rerank(body: &[u8]) -> Result<BodyFields, ApiError> {
+    #[derive(Deserialize)]
+    struct Shape<'a> {
+        #[serde(rename = "model")]
+        _model: String,
+        query: String,
+        #[serde(borrow)]
+        documents: &'a RawValue,
+        top_n: Option<u64>,
+    }
+    let shape: Shape = parse(body)?;
+    if shape.query.is_empty() {
+        return Err(ApiError::invalid("query: must not be empty"));
+    }
+    if shape.top_n == Some(0) {
+        return Err(ApiError::invalid("top_n: must be above 0"));
+    }
+    check_batch("documents", shape.documents, |value| is_text(value) || value.get().starts_with('{'))?;
+    Ok(BodyFields::batch())
+}
+
+#[derive(Deserialize)]
+struct ChatMessage<'a> {
+    role: String,
+    #[serde(borrow)]
+    content: Option<&'a RawValue>,
+}
+
+impl ChatMessage<'_> {
+    fn text(&self) -> &str {
+        self.content.map_or("", RawValue::get)
+    }
+}
+
+#[derive(Deserialize)]
+struct ChatShape<'a> {
+    #[serde(rename = "model")]
+    _model: String,
+    #[serde(borrow)]
+    messages: Vec<ChatMessage<'a>>,
+    max_tokens: Option<u32>,
+    max_completion_tokens: Option<u32>,
+    #[serde(default)]
+    stream: Option<bool>,
+    user: Option<String>,
+}
+
+impl ChatShape<'_> {
+    /// What conversations are told apart by: the user, and the first message of the user.
+    fn session(&self) -> u64 {
+        let opening = self.messages.iter().find(|message| message.role == "user");
+        let opening = opening.map_or("", ChatMessage::text);
+        let user = self.user.as_deref().unwrap_or_default();
+        server_id(&format!("{user}\n{opening}")).0
+    }
+
+    /// What conversations share: a system message that others follow.
+    fn shared_prefix(&self) -> Option<&str> {
+        let first = self.messages.first()?;
+        (first.role == "system" && self.messages.len() > 1).then(|| first.text())
+    }
+}
+
+/// Reads a chat.
+pub(super) fn read_chat(body: &[u8]) -> Result<BodyFields, ApiError> {
+    let shape: ChatShape = parse(body)?;
+    if shape.messages.is_empty() {
+        return Err(ApiError::invalid("messages: must not be empty"));
+    }
+    let limit = shape.max_completion_tokens.or(shape.max_tokens);
+    if limit == Some(0) {
+        return Err(ApiError::invalid("max_tokens: must be above 0"));
+    }
+    let prefix = shape.shared_prefix();
+    Ok(BodyFields {
+        session: Some(shape.session()),
+        prefix: prefix.map(|text| server_id(text).0),
+        prefix_tokens: prefix.map_or(0.0, |text| text.len() as f64 / CHARS_PER_TOKEN),
+        max_tokens: limit.map_or(DEFAULT_MAX_TOKENS, f64::from),
+        stream: shape.stream.unwrap_or(false),
+    })
+}
--- /dev/null
+++ b/gateway/src/front/inference/error.rs
@@ -0,0 +1,85 @@
+//! Errors in the shape that clients of these public APIs expect.
+
+use std::time::Duration;
+
+use http::header::{CONTENT_TYPE, RETRY_AFTER};
+use http::{HeaderValue, Response, StatusCode};
+use serde_json::json;
+
+use crate::front::{response, whole_seconds, Body};
+
+/// Errors of the client's own making.
+const INVALID_REQUEST: &str = "invalid_request_error";
+
+/// An error response.
+#[derive(Debug)]
+pub(super) struct ApiError {
+    pub status: StatusCode,
+    /// The `type` of the public shape.
+    kind: &'static str,
+    pub message: String,
+    /// When trying again may help.
+    retry_after: Option<Duration>,
+}
+
+impl ApiError {
+    fn new(status: StatusCode, kind: &'static str, message: impl Into<String>) -> Self {
+        ApiError { status, kind, message: message.into(), retry_after: None }
+    }
+
+    /// The body or a header is not as wanted.
+    pub fn invalid(message: impl Into<String>) -> Self {
+        ApiError::new(StatusCode::BAD_REQUEST, INVALID_REQUEST, message)
+    }
+
+    /// There is no such path, or its target is left out.
+    pub fn no_path() -> Self {
+        ApiError::new(StatusCode::NOT_FOUND, INVALID_REQUEST, "no such path here")
+    }
+
+    /// Only POST is served.
+    pub fn method_not_allowed() -> Self {
+        ApiError::new(StatusCode::METHOD_NOT_ALLOWED, INVALID_REQUEST, "POST wanted")
+    }
+
+    /// The body is larger than the front takes.
+    pub fn body_too_large(max_bytes: usize) -> Self {
+        let message = format!("the body is larger than {max_bytes} bytes");
+        ApiError::new(StatusCode::PAYLOAD_TOO_LARGE, INVALID_REQUEST, message)
+    }
+
+    /// The body did not arrive in time.
+    pub fn body_too_slow() -> Self {
+        ApiError::new(StatusCode::REQUEST_TIMEOUT, INVALID_REQUEST, "body too slow")
+    }
+
+    /// Rejected; trying again after this time is harmless.
+    pub fn overloaded(retry_after: Duration) -> Self {
+        let message = "overloaded, try again later";
+        let error = ApiError::new(StatusCode::SERVICE_UNAVAILABLE, "overloaded_error", message);
+        ApiError { retry_after: Some(retry_after), ..error }
+    }
+
+    /// The client's time ran out.
+    pub fn deadline_exceeded() -> Self {
+        ApiError::new(StatusCode::GATEWAY_TIMEOUT, "timeout_error", "no answer in time")
+    }
+
+    /// No server answered.
+    pub fn upstream_failed() -> Self {
+        ApiError::new(StatusCode::BAD_GATEWAY, "upstream_error", "the servers did not answer")
+    }
+
+    /// The response in the public shape.
+    pub fn into_response(self) -> Response<Body> {
+        let error = json!({"message": self.message, "type": self.kind, "param": null, "code": null});
+        let mut response = response(self.status, json!({ "error": error }).to_string());
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        let retry_after =
+            self.retry_after.and_then(|after| HeaderValue::from_str(&whole_seconds(after)).ok());
+        if let Some(retry_after) = retry_after {
+            response.headers_mut().insert(RETRY_AFTER, retry_after);
+        }
+        response
+    }
+}
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -1,22 +1,36 @@
 //! What the headers of a request are read as.
 
-use super::*;
+use std::time::Duration;
+
+use glenrail_router::Request;
+use http::header::RETRY_AFTER;
+use http::{HeaderMap, HeaderName, HeaderValue};
+
+use super::fields::{read_fields, FieldError, Fields};
+use super::{rejection, PlatformNames, DEFAULT_RETRY_AFTER, OVER_CAP_RETRY_AFTER};
+
+/// The longest time that any client waits (ms).
+const MAX_CLIENT_TIMEOUT: f64 = 60_000.0;
 
 fn names() -> PlatformNames {
     let classes = vec![("item-query".into(), 10_000.0), ("order-chat".into(), 12_000.0)];
     PlatformNames { classes, tenants: vec![], come_back: Duration::ZERO }
 }
 
-fn read(pairs: &[(&'static str, &'static str)]) -> Result<(String, glenrail_router::Request), String> {
-    let pairs = pairs.iter().map(|(n, v)| {
-        (http::HeaderName::from_bytes(n.as_bytes()).expect("a name"), HeaderValue::from_static(v))
-    });
-    fields(&pairs.collect(), &names())
+fn read(pairs: &[(&'static str, &'static str)]) -> Result<Fields, FieldError> {
+    let header = |(name, value): &(&'static str, &'static str)| {
+        (HeaderName::from_bytes(name.as_bytes()).expect("a name"), HeaderValue::from_static(value))
+    };
+    read_fields(&pairs.iter().map(header).collect(), &names())
+}
+
+fn routing(pairs: &[(&'static str, &'static str)]) -> Request {
+    read(pairs).expect("a request").routing
 }
 
 #[test]
 fn the_fields_of_a_request_are_read() {
-    let (name, ask) = read(&[
+    let Fields { request_id, routing } = read(&[
         ("Req-Id", "9b1f03aa5c7e2d41"),
         ("Req-Kind", "order-chat"),
         ("Req-Key", "7f3a9c21e0b4d655"),
@@ -24,9 +38,9 @@
         ("Req-Extra", "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800,new=x"),
     ])
     .expect("a request");
-    assert_eq!((name.as_str(), ask.class, ask.client_timeout), ("9b1f03aa5c7e2d41", 1, 4800.0));
-    assert_eq!((ask.session, ask.prefix), (0x7f3a_9c21_e0b4_d655, Some(0x5c0f_6e1a_2b3d_4c59)));
-    assert_eq!((ask.prompt_tokens, ask.prefix_tokens, ask.max_tokens), (5120.0, 2048.0, 800.0));
+    assert_eq!((request_id.as_str(), routing.class, routing.client_timeout), ("9b1f03aa5c7e2d41", 1, 4800.0));
+    assert_eq!((routing.session, routing.prefix), (0x7f3a_9c21_e0b4_d655, Some(0x5c0f_6e1a_2b3d_4c59)));
+    assert_eq!((routing.prompt_tokens, routing.prefix_tokens, routing.max_tokens), (5120.0, 2048.0, 800.0));
 }
 
 /// Guards against a guess where a header is wrong: each fault is named.
@@ -49,15 +63,15 @@
         (vec![id, kind, ("Req-Extra", "prompt_len")], "Req-Extra"),
         (vec![id, kind, ("Req-Extra", "prompt_len=NaN")], "Req-Extra"),
     ] {
-        let told = read(&pairs).expect_err(fault);
-        assert!(told.starts_with(fault), "{told}");
+        let error = read(&pairs).expect_err(fault).to_string();
+        assert!(error.starts_with(fault), "{error}");
     }
-    assert_eq!(read(&[id, kind]).expect("a request").1.client_timeout, 10_000.0);
-    let boast = ("Req-Extra", "prompt_len=1e300,prefix_len=65537,max_out=1e300");
-    let boast = read(&[id, kind, boast]).expect("a request").1;
-    assert_eq!([boast.prompt_tokens, boast.prefix_tokens, boast.max_tokens], [65_536.0; 3]);
-    let patient = read(&[id, kind, ("Req-Deadline", "1e300")]).expect("a request").1;
-    assert_eq!(patient.client_timeout, MOST_PATIENCE);
+    assert_eq!(routing(&[id, kind]).client_timeout, 10_000.0);
+    let excessive = ("Req-Extra", "prompt_len=1e300,prefix_len=65537,max_out=1e300");
+    let excessive = routing(&[id, kind, excessive]);
+    assert_eq!([excessive.prompt_tokens, excessive.prefix_tokens, excessive.max_tokens], [65_536.0; 3]);
+    let patient = routing(&[id, kind, ("Req-Deadline", "1e300")]);
+    assert_eq!(patient.client_timeout, MAX_CLIENT_TIMEOUT);
 }
 
 /// Guards classes and tenants whose names are not plain ASCII: a header carries their bytes.
@@ -73,28 +87,29 @@
     headers.insert("req-id", value("a1"));
     headers.insert("req-kind", value("ostoskysely-äö"));
     headers.insert("req-owner", value("ગુજરાત"));
-    let (_, ask) = fields(&headers, &names).expect("a request");
-    assert_eq!((ask.class, ask.tenant), (0, 0));
+    let routing = read_fields(&headers, &names).expect("a request").routing;
+    assert_eq!((routing.class, routing.tenant), (0, 0));
     headers.insert("req-kind", HeaderValue::from_bytes(b"\xff\xfe").expect("a value"));
-    assert!(fields(&headers, &names).expect_err("an error").starts_with("Req-Kind"));
+    let error = read_fields(&headers, &names).expect_err("an error").to_string();
+    assert!(error.starts_with("Req-Kind"), "{error}");
 }
 
-/// Guards the settings' word on when a refused client may be told to come back: whether at all, and how late at most.
+/// Guards what the settings say of Retry-After: whether there is one, and its longest time.
 #[test]
-fn a_refused_client_is_told_no_more_than_the_settings_allow() {
-    let told = |limits: &str, after: Duration| {
+fn retry_after_keeps_to_what_the_settings_allow() {
+    let retry_after = |limits: &str, after: Duration| {
         let settings = format!("{{\"policy-limits\": {limits}}}");
         let limits = glenrail_settings::settings(&serde_json::from_str(&settings).expect("settings")).limits;
-        let refusal = refusal("", after.min(PlatformNames::come_back(&limits)));
-        refusal.headers().get(RETRY_AFTER).map(|v| v.to_str().expect("text").to_string())
+        let rejection = rejection("", after.min(PlatformNames::come_back(&limits)));
+        rejection.headers().get(RETRY_AFTER).map(|value| value.to_str().expect("text").to_string())
     };
     let (allowed, much) = (
         r#"{"retry-after": true, "max-retry-after": 500}"#,
         r#"{"retry-after": true, "max-retry-after": 3000}"#,
     );
-    assert_eq!(told(allowed, DOOR_FULL).as_deref(), Some("0.500"));
-    assert_eq!(told(allowed, COME_BACK).as_deref(), Some("0.250"));
-    assert_eq!(told(much, DOOR_FULL).as_deref(), Some("1.000"));
-    assert_eq!(told(r#"{"retry-after": false, "max-retry-after": 500}"#, DOOR_FULL), None);
-    assert_eq!(told("{}", COME_BACK), None);
+    assert_eq!(retry_after(allowed, OVER_CAP_RETRY_AFTER).as_deref(), Some("0.500"));
+    assert_eq!(retry_after(allowed, DEFAULT_RETRY_AFTER).as_deref(), Some("0.250"));
+    assert_eq!(retry_after(much, OVER_CAP_RETRY_AFTER).as_deref(), Some("1.000"));
+    assert_eq!(retry_after(r#"{"retry-after": false, "max-retry-after": 500}"#, OVER_CAP_RETRY_AFTER), None);
+    assert_eq!(retry_after("{}", DEFAULT_RETRY_AFTER), None);
 }
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -1,4 +1,7 @@
-//! A gate before hyper that lets one request through at a time and tells of a framing that could hide another.
+//! What hyper reads of a client's connection: one request at a time, and none whose framing could hide another.
+//!
+//! A head is passed on once it is complete, and nothing of the next request before the response to this one is written, so
+//! that whoever closes the connection, or hands it over, knows whether a request is crossing.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -12,173 +15,220 @@
 use super::connection_watch::{ConnectionWatch, Stage};
 use crate::counted_socket::CountedSocket;
 
-/// Most bytes of a head, and of what a client sends ahead of its answer.
-pub const HEAD: usize = 16 << 10;
-const HEADERS: usize = 100;
+/// Most bytes of a head, and of what a client sends ahead of its response.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Most header lines of a head.
+const MAX_HEADERS: usize = 100;
+/// Bytes read at once while a head is awaited.
+const READ_BYTES: usize = 4096;
 
 /// What of a body is still to come.
 #[derive(Clone, Copy, Debug)]
-enum Rest {
+enum RemainingBody {
+    /// Bytes.
     Length(u64),
-    /// Until its service says so.
+    /// Its end is found only by reading it.
     Unknown,
 }
 
-/// The socket as hyper reads it: a head is passed on once it is whole, and nothing of the next request before the
-/// answer to this one is out.
+/// The socket as hyper reads it.
 pub struct RequestReader {
-    wire: CountedSocket,
+    socket: CountedSocket,
     watch: Rc<ConnectionWatch>,
-    /// Read and not passed on; so many bytes of it may be.
-    ahead: Vec<u8>,
-    cleared: usize,
-    rest: Rest,
+    /// Read and not passed on.
+    buffer: Vec<u8>,
+    /// Bytes at the front of the buffer that may be passed on.
+    passable: usize,
+    remaining_body: RemainingBody,
+}
+
+/// How a request frames its body.
+struct BodyFraming {
+    /// The announced length; `None` where it cannot be read.
+    length: Option<u64>,
+    /// Its end is marked in the body itself.
+    has_transfer_encoding: bool,
+    /// Why the request must be rejected.
+    fault: Option<&'static str>,
+}
+
+impl BodyFraming {
+    /// Guards against a request hidden in a body that the next reader frames otherwise. hyper would drop the length before
+    /// its service could see it.
+    fn of(headers: &[httparse::Header]) -> BodyFraming {
+        let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
+        let (lengths, encodings) = (named("content-length").count(), named("transfer-encoding").count());
+        let fault = match (lengths, encodings) {
+            (0 | 1, 0) | (0, 1) => None,
+            (_, 0) => Some("Content-Length: given more than once"),
+            (0, _) => Some("Transfer-Encoding: given more than once"),
+            _ => Some("Content-Length and Transfer-Encoding: one of them wanted, not both"),
+        };
+        let length = match named("content-length").next() {
+            Some(header) => std::str::from_utf8(header.value).ok().and_then(|value| value.parse().ok()),
+            None => Some(0),
+        };
+        BodyFraming { length, has_transfer_encoding: encodings > 0, fault }
+    }
+
+    /// The body's length, where the framing is sound and announces one.
+    fn known_length(&self) -> Option<u64> {
+        self.length.filter(|_| self.fault.is_none() && !self.has_transfer_encoding)
+    }
 }
 
 impl RequestReader {
-    pub fn new(wire: CountedSocket, watch: Rc<ConnectionWatch>) -> Self {
-        RequestReader { wire, watch, ahead: Vec::new(), cleared: 0, rest: Rest::Length(0) }
+    /// A reader of this socket.
+    pub fn new(socket: CountedSocket, watch: Rc<ConnectionWatch>) -> Self {
+        let remaining_body = RemainingBody::Length(0);
+        RequestReader { socket, watch, buffer: Vec::new(), passable: 0, remaining_body }
     }
 
-    /// Looks for a whole head in what has been read.
+    /// Looks for a complete head in the buffer, and says whether something may be passed on.
     fn examine(&mut self) -> bool {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        let size = match request.parse(&self.ahead) {
+        let head_size = match request.parse(&self.buffer) {
             Ok(httparse::Status::Complete(size)) => size,
-            Ok(httparse::Status::Partial) if self.ahead.len() < HEAD => return false,
+            Ok(httparse::Status::Partial) if self.buffer.len() < MAX_HEAD_BYTES => return false,
             // hyper has the words for it.
             _ => {
-                self.cleared = self.ahead.len();
+                self.passable = self.buffer.len();
                 self.watch.feed(Input::MalformedHead);
                 return true;
             }
         };
-        let count = |name: &str| request.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).count();
-        let (lengths, codings) = (count("content-length"), count("transfer-encoding"));
-        // Guards against a request hidden in a body that the next reader frames otherwise. hyper would drop the
-        // length before its service could see it.
-        let fault = match (lengths, codings) {
-            (0 | 1, 0) | (0, 1) => None,
-            (_, 0) => Some("Content-Length: given more than once"),
-            (0, _) => Some("Transfer-Encoding: given more than once"),
-            _ => Some("Content-Length and Transfer-Encoding: one of them wanted, not both"),
-        };
-        let length = request.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-        let length = length.map_or(Some(0), |h| std::str::from_utf8(h.value).ok()?.parse::<u64>().ok());
-        self.watch.fault.set(fault);
-        let body = self.ahead.len() - size;
-        match length {
-            Some(length) if fault.is_none() && codings == 0 => {
-                let here = length.min(body as u64);
-                self.cleared = size + here as usize;
-                self.rest = Rest::Length(length - here);
-                self.watch.feed(Input::HeadComplete(if length == here {
-                    Framing::Complete
-                } else {
-                    Framing::KnownLength
-                }));
-            }
-            // Where a chunked body ends is hyper's to find, so nothing may follow it here.
-            _ => {
-                self.cleared = self.ahead.len();
-                self.rest = Rest::Unknown;
-                // hyper reads no further than bytes that lie behind the body.
-                self.watch.stops_reading();
-                self.watch.feed(Input::HeadComplete(Framing::UnknownLength));
-            }
+        let framing = BodyFraming::of(request.headers);
+        self.watch.framing_fault.set(framing.fault);
+        match framing.known_length() {
+            Some(length) => self.pass_head(head_size, length),
+            None => self.pass_head_of_unknown_length(),
         }
         true
     }
 
-    /// Reads more into `ahead`; 0 at the end of what the client sends.
-    fn fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let mut space = [MaybeUninit::uninit(); 4096];
+    /// Passes a head on, and what is here of its body.
+    fn pass_head(&mut self, head_size: usize, body_length: u64) {
+        let buffered = body_length.min((self.buffer.len() - head_size) as u64);
+        self.passable = head_size + buffered as usize;
+        self.remaining_body = RemainingBody::Length(body_length - buffered);
+        let framing = if body_length == buffered { Framing::Complete } else { Framing::KnownLength };
+        self.watch.feed(Input::HeadComplete(framing));
+    }
+
+    /// Where a chunked body ends is hyper's to find, so nothing may follow it here.
+    fn pass_head_of_unknown_length(&mut self) {
+        self.passable = self.buffer.len();
+        self.remaining_body = RemainingBody::Unknown;
+        // hyper reads no further than bytes that lie behind the body.
+        self.watch.stop_reading();
+        self.watch.feed(Input::HeadComplete(Framing::UnknownLength));
+    }
+
+    /// Reads more into the buffer; 0 at the end of what the client sends.
+    fn fill(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        let mut space = [MaybeUninit::uninit(); READ_BYTES];
         let mut part = ReadBuf::uninit(&mut space);
-        ready!(Pin::new(&mut self.wire).poll_read(cx, &mut part))?;
-        self.ahead.extend_from_slice(part.filled());
-        self.watch.feed(Input::PipelinedBytes(!self.ahead.is_empty()));
+        ready!(Pin::new(&mut self.socket).poll_read(context, &mut part))?;
+        self.buffer.extend_from_slice(part.filled());
+        self.watch.feed(Input::PipelinedBytes(!self.buffer.is_empty()));
         Poll::Ready(Ok(part.filled().len()))
     }
 
-    fn note<T>(&self, written: Poll<T>) -> Poll<T> {
+    /// Passes on what may be, as far as there is space.
+    fn pass_on(&mut self, space: &mut ReadBuf<'_>) {
+        let length = self.passable.min(space.remaining());
+        space.put_slice(&self.buffer[..length]);
+        self.buffer.drain(..length);
+        self.passable -= length;
+        self.watch.feed(Input::PipelinedBytes(!self.buffer.is_empty()));
+    }
+
+    /// Reads a body straight into hyper's space, up to its end.
+    fn poll_body(&mut self, context: &mut Context<'_>, space: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let RemainingBody::Length(remaining) = &mut self.remaining_body else {
+            return Pin::new(&mut self.socket).poll_read(context, space);
+        };
+        let most = space.remaining().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+        let mut part = ReadBuf::new(space.initialize_unfilled_to(most));
+        ready!(Pin::new(&mut self.socket).poll_read(context, &mut part))?;
+        let read = part.filled().len();
+        *remaining -= read as u64;
+        if *remaining == 0 && self.watch.stage() == Stage::Body {
+            self.watch.feed(Input::BodyComplete);
+        }
+        space.advance(read);
+        Poll::Ready(Ok(()))
+    }
+
+    fn note_write<T>(&self, written: Poll<T>) -> Poll<T> {
         self.watch.feed(Input::WriteBlocked(written.is_pending()));
         written
     }
 }
 
 impl AsyncRead for RequestReader {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let me = self.get_mut();
+    fn poll_read(
+        self: Pin<&mut Self>, context: &mut Context<'_>, space: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let reader = self.get_mut();
         loop {
-            if me.cleared > 0 {
-                let n = me.cleared.min(buf.remaining());
-                buf.put_slice(&me.ahead[..n]);
-                me.ahead.drain(..n);
-                me.cleared -= n;
-                me.watch.feed(Input::PipelinedBytes(!me.ahead.is_empty()));
+            if reader.passable > 0 {
+                reader.pass_on(space);
                 return Poll::Ready(Ok(()));
             }
-            match me.watch.stage() {
+            match reader.watch.stage() {
                 Stage::New | Stage::Head | Stage::Idle => {
-                    if !me.ahead.is_empty() && me.examine() {
+                    if !reader.buffer.is_empty() && reader.examine() {
                         continue;
                     }
-                    if ready!(me.fill(cx))? == 0 {
+                    if ready!(reader.fill(context))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    me.watch.feed(Input::HeadStarted);
+                    reader.watch.feed(Input::HeadStarted);
                 }
                 Stage::Response => {
-                    // Read only to see the client go; what it sends ahead of its answer is kept, up to a bound.
-                    if me.ahead.len() >= HEAD {
-                        me.watch.stops_reading();
+                    // Read only to see the client disconnect; what it sends ahead is buffered, up to a bound.
+                    if reader.buffer.len() >= MAX_HEAD_BYTES {
+                        reader.watch.stop_reading();
                         return Poll::Pending;
                     }
-                    if ready!(me.fill(cx))? == 0 {
+                    if ready!(reader.fill(context))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
                 }
                 // Nobody reads here any more once it is handed over.
                 Stage::HandedOver => return Poll::Pending,
-                Stage::Body | Stage::Closing => {
-                    let Rest::Length(left) = &mut me.rest else {
-                        return Pin::new(&mut me.wire).poll_read(cx, buf);
-                    };
-                    let most = buf.remaining().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                    let mut part = ReadBuf::new(buf.initialize_unfilled_to(most));
-                    ready!(Pin::new(&mut me.wire).poll_read(cx, &mut part))?;
-                    let n = part.filled().len();
-                    *left -= n as u64;
-                    if *left == 0 && me.watch.stage() == Stage::Body {
-                        me.watch.feed(Input::BodyComplete);
-                    }
-                    buf.advance(n);
-                    return Poll::Ready(Ok(()));
-                }
+                Stage::Body | Stage::Closing => return reader.poll_body(context, space),
             }
         }
     }
 }
 
 impl AsyncWrite for RequestReader {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.wire).poll_write(cx, buf);
-        self.note(written)
+    fn poll_write(
+        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        let written = Pin::new(&mut self.socket).poll_write(context, bytes);
+        self.note_write(written)
     }
+
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>, context: &mut Context<'_>, slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.wire).poll_write_vectored(cx, bufs);
-        self.note(written)
+        let written = Pin::new(&mut self.socket).poll_write_vectored(context, slices);
+        self.note_write(written)
     }
+
     fn is_write_vectored(&self) -> bool {
-        self.wire.is_write_vectored()
+        self.socket.is_write_vectored()
     }
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.wire).poll_flush(cx)
+
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_flush(context)
     }
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.wire).poll_shutdown(cx)
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_shutdown(context)
     }
 }
--- a/gateway/src/front/tracked_body.rs
+++ b/gateway/src/front/tracked_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to a client.
+//! The body of a response on its way to a client, which tells its connection when it is written and counts the request.
 
 use std::io;
 use std::pin::Pin;
@@ -10,22 +10,52 @@
 
 use super::connection_watch::ConnectionWatch;
 use super::Body;
+use crate::exchange::StreamRemainder;
 use crate::metrics::{RequestCounter, RequestOutcome};
 use crate::upgrade::transferred::TransferredStream;
 
-/// The body of an answer, which tells its connection when it is out.
+/// The framing of a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Framing {
+    /// In chunks, as to every client but those of HTTP/1.0; another process can go on between two of them.
+    Chunked,
+    /// Up to the connection's end.
+    UntilClose,
+}
+
+/// The body of a response.
 pub struct TrackedBody {
+    /// What is written.
     pub body: Body,
+    /// The connection that it is written on.
     pub watch: Rc<ConnectionWatch>,
-    /// It goes out in chunks, as to every client but those of HTTP/1.0.
-    pub chunked: bool,
+    /// How it is framed.
+    pub framing: Framing,
     /// Counts the request when its stream has ended.
-    pub tally: Option<RequestCounter>,
+    pub counter: Option<RequestCounter>,
+}
+
+impl TrackedBody {
+    /// Has the connection keep a stream that another process goes on with. The request is counted there.
+    fn detach(&mut self, remainder: StreamRemainder) -> io::Result<()> {
+        let class = self.counter.take().map(|counter| counter.class());
+        if self.framing == Framing::UntilClose {
+            return Err(io::Error::other("no chunks, so nobody can go on with it"));
+        }
+        self.watch.detach_stream(TransferredStream { remainder, class });
+        Ok(())
+    }
+
+    fn count(&mut self, outcome: RequestOutcome) {
+        if let Some(counter) = self.counter.take() {
+            counter.count(outcome);
+        }
+    }
 }
 
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.watch.answered();
+        self.watch.response_finished();
     }
 }
 
@@ -34,35 +64,29 @@
     type Error = io::Error;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+        mut self: Pin<&mut Self>, context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let frame = Pin::new(&mut self.body).poll_frame(cx);
-        if let Body::HandedOver(rest) = &mut self.body {
-            let rest = rest.take();
-            let class = self.tally.take().map(|t| t.class());
-            if let Some(rest) = rest {
-                if !self.chunked {
-                    return Poll::Ready(Some(Err(io::Error::other(
-                        "no chunks, so nobody can go on with it",
-                    ))));
+        let frame = Pin::new(&mut self.body).poll_frame(context);
+        if let Body::HandedOver(remainder) = &mut self.body {
+            if let Some(remainder) = remainder.take() {
+                if let Err(error) = self.detach(remainder) {
+                    return Poll::Ready(Some(Err(error)));
                 }
-                self.watch.leave(TransferredStream { remainder: rest, class });
             }
         }
         let frame = ready!(frame);
-        let outcome = match &frame {
-            Some(Ok(_)) => None,
-            Some(Err(_)) => Some(RequestOutcome::Faulted),
-            None => Some(RequestOutcome::Fulfilled),
-        };
-        if let Some((tally, outcome)) = outcome.and_then(|o| self.tally.take().map(|t| (t, o))) {
-            tally.count(outcome);
+        match &frame {
+            Some(Ok(_)) => {}
+            Some(Err(_)) => self.count(RequestOutcome::Faulted),
+            None => self.count(RequestOutcome::Fulfilled),
         }
         Poll::Ready(frame)
     }
+
     fn is_end_stream(&self) -> bool {
         self.body.is_end_stream()
     }
+
     fn size_hint(&self) -> SizeHint {
         self.body.size_hint()
     }
