--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -4,12 +4,12 @@
 use crate::api::ServerEntry;
 use proptest::prelude::*;
 
-fn sight() -> impl Strategy<Value = Sight> {
+fn sight() -> impl Strategy<Value = LoadKnowledge> {
     prop_oneof![
-        (0.0..80.0, any::<bool>()).prop_map(|(load, crowded)| Sight::Seen(load, crowded)),
-        Just(Sight::Unseen),
-        Just(Sight::Asked),
-        Just(Sight::Deaf),
+        (0.0..80.0, any::<bool>()).prop_map(|(load, crowded)| LoadKnowledge::Reported(load, crowded)),
+        Just(LoadKnowledge::Unknown),
+        Just(LoadKnowledge::Probing),
+        Just(LoadKnowledge::NoAnswer),
     ]
 }
 
@@ -18,36 +18,36 @@
     /// asked is never asked again.
     #[test]
     fn the_first_that_will_do_gets_it(sights in prop::collection::vec(sight(), 1..6), may_look: bool) {
-        match next(&sights, may_look) {
-            Next::Send(n) => {
+        match next_step(&sights, may_look) {
+            NextStep::Send(n) => {
                 prop_assert!(n < sights.len());
-                let will_do = |s: &Sight| matches!(s, Sight::Seen(_, false) | Sight::Asked);
+                let will_do = |s: &LoadKnowledge| matches!(s, LoadKnowledge::Reported(_, false) | LoadKnowledge::Probing);
                 prop_assert!(!sights[..n].iter().any(will_do));
-                if let Sight::Seen(load, true) = sights[n] {
-                    let less = |s: &Sight| matches!(s, Sight::Seen(other, _) if *other < load);
+                if let LoadKnowledge::Reported(load, true) = sights[n] {
+                    let less = |s: &LoadKnowledge| matches!(s, LoadKnowledge::Reported(other, _) if *other < load);
                     prop_assert!(!sights.iter().any(less));
                 }
             }
-            Next::Look(which) => {
+            NextStep::Probe(which) => {
                 prop_assert!(may_look && !which.is_empty());
-                prop_assert!(which.iter().all(|n| sights[*n] == Sight::Unseen));
+                prop_assert!(which.iter().all(|n| sights[*n] == LoadKnowledge::Unknown));
             }
-            Next::Wait => prop_assert!(sights.contains(&Sight::Asked)),
+            NextStep::Wait => prop_assert!(sights.contains(&LoadKnowledge::Probing)),
         }
     }
 
     /// Asking on behalf of a request comes to an end: two rounds of looks at the most.
     #[test]
     fn looks_come_to_an_end(answers in prop::collection::vec(sight(), 1..6)) {
-        let mut sights = vec![Sight::Unseen; answers.len()];
+        let mut sights = vec![LoadKnowledge::Unknown; answers.len()];
         for _ in 0..=2 {
-            match next(&sights, true) {
-                Next::Send(_) => return Ok(()),
-                Next::Look(which) => for n in which {
-                    let heard = matches!(answers[n], Sight::Seen(..));
-                    sights[n] = if heard { answers[n] } else { Sight::Deaf };
+            match next_step(&sights, true) {
+                NextStep::Send(_) => return Ok(()),
+                NextStep::Probe(which) => for n in which {
+                    let heard = matches!(answers[n], LoadKnowledge::Reported(..));
+                    sights[n] = if heard { answers[n] } else { LoadKnowledge::NoAnswer };
                 }
-                Next::Wait => prop_assert!(false, "nothing is out"),
+                NextStep::Wait => prop_assert!(false, "nothing is out"),
             }
         }
         prop_assert!(false, "still looking: {:?}", sights);
@@ -57,20 +57,20 @@
     #[test]
     fn dearer_looks_are_fewer(a in 0.0..0.1f64, b in 0.0..0.1f64, moved in 0.0..0.1f64) {
         let (cheap, dear) = (a.min(b), a.max(b));
-        prop_assert!(looks_earned(dear) <= looks_earned(cheap) && looks_earned(cheap) <= LOOKS);
-        prop_assert!(looks_earned(dear) * dear <= LOOKS_MAY_COST + 1e-9);
-        prop_assert!(writers_seen(dear, moved) <= writers_seen(cheap, moved));
-        prop_assert_eq!((looks_earned(0.003), writers_seen(0.003, 0.03)), (4.0, 2));
-        prop_assert_eq!((looks_earned(0.012), writers_seen(0.012, 0.03)), (1.0, 1));
-        prop_assert_eq!(writers_seen(a.max(1e-6), 0.0), 0);
+        prop_assert!(probes_earned(dear) <= probes_earned(cheap) && probes_earned(cheap) <= MAX_PROBES_PER_REQUEST);
+        prop_assert!(probes_earned(dear) * dear <= PROBE_COST_LIMIT + 1e-9);
+        prop_assert!(decode_servers_to_probe(dear, moved) <= decode_servers_to_probe(cheap, moved));
+        prop_assert_eq!((probes_earned(0.003), decode_servers_to_probe(0.003, 0.03)), (4.0, 2));
+        prop_assert_eq!((probes_earned(0.012), decode_servers_to_probe(0.012, 0.03)), (1.0, 1));
+        prop_assert_eq!(decode_servers_to_probe(a.max(1e-6), 0.0), 0);
     }
 
     /// More requests for a beginning never take a home away, and there are never more homes than readers.
     #[test]
     fn homes_grow_with_what_is_asked(asked in 1.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
                                      readers in 1usize..200, routers in 1.0..400.0) {
-        let few = homes(asked, asked + others, readers, routers, 1.0);
-        let many = homes(asked + more, asked + more + others, readers, routers, 1.0);
+        let few = preferred_servers(asked, asked + others, readers, routers, 1.0);
+        let many = preferred_servers(asked + more, asked + more + others, readers, routers, 1.0);
         prop_assert!(1 <= few && few <= many && many <= readers);
     }
 
@@ -81,17 +81,17 @@
                                       weights in prop::collection::vec(0.1..4.0f64, 1..60)) {
         let of = |(weight, n)| {
             let info = ServerEntry { weight, server: ServerId(n), ..ServerEntry::default() };
-            Server { info, ..Server::default() }
+            ServerRecord { entry: info, ..ServerRecord::default() }
         };
-        let readers: Vec<Server> = weights.iter().copied().zip(0..).map(of).collect();
-        let asks = |asked: f64, home: Option<&ServerId>, of: &Server| {
-            Asked::of([asked + others, asked], readers.iter(), home).at(of)
+        let readers: Vec<ServerRecord> = weights.iter().copied().zip(0..).map(of).collect();
+        let asks = |asked: f64, home: Option<&ServerId>, of: &ServerRecord| {
+            PrefixDemand::new([asked + others, asked], readers.iter(), home).at_server(of)
         };
         let s = &readers[0];
         prop_assert!(asks(asked, None, s) <= asks(asked + more, None, s));
         prop_assert!(asks(asked, None, s) <= weights.iter().sum());
         prop_assert_eq!(asks(asked.min(1.0), None, s), 0.0);
-        let home = asks(asked, Some(&s.info.server), s);
+        let home = asks(asked, Some(&s.entry.server), s);
         prop_assert!(home <= asks(asked, None, s) && home <= weights[0]);
     }
 
@@ -99,27 +99,27 @@
     /// that were heard of does not make its own load the usual one.
     #[test]
     fn the_usual_load_is_not_crowded(loads in prop::collection::vec(0.0..60.0, 0..40), hot in 10.0..80.0) {
-        let middle = usual(loads.clone());
-        prop_assert!(!crowded(middle, middle) && !crowded(middle + FLOOR, middle));
-        prop_assert!(crowded(hot, usual(vec![hot])));
+        let middle = typical_load(loads.clone());
+        prop_assert!(!is_overloaded(middle, middle) && !is_overloaded(middle + OVERLOAD_FLOOR, middle));
+        prop_assert!(is_overloaded(hot, typical_load(vec![hot])));
     }
 
     /// A wait is told by what the reader has in hand, by a fresh word only, and only where own requests cannot.
     #[test]
     fn a_wait_is_told_by_what_is_in_hand(load in 0.0..60.0, more in 0.1..10.0, age in 0.0..2_000.0) {
-        let at = |load| Server { seen: Some((load, 0.0)), ..Server::default() };
-        let (less, wait) = (told_wait(&at(load), 300.0, age, 0.1, 900.0), told_wait(&at(load + more), 300.0, age, 0.1, 900.0));
-        prop_assert_eq!(less < wait, age <= SEEN);
-        prop_assert_eq!(told_wait(&at(load), 2.0, age, 0.1, 900.0), 0.0);
+        let at = |load| ServerRecord { reported_load: Some((load, 0.0)), ..ServerRecord::default() };
+        let (less, wait) = (reported_wait(&at(load), 300.0, age, 0.1, 900.0), reported_wait(&at(load + more), 300.0, age, 0.1, 900.0));
+        prop_assert_eq!(less < wait, age <= LOAD_REPORT_TTL);
+        prop_assert_eq!(reported_wait(&at(load), 2.0, age, 0.1, 900.0), 0.0);
     }
 
     /// What a server said long ago is worth nothing, and what it says now everything.
     #[test]
     fn what_was_seen_fades_into_the_usual(load in 0.0..60.0, usual in 1.0..20.0, age in 0.0..60_000.0) {
-        let s = Server { seen: Some((load, 0.0)), ..Server::default() };
-        prop_assert_eq!(reckon(&s, 0.0, usual, false), load);
-        let late = reckon(&s, age, usual, false);
+        let s = ServerRecord { reported_load: Some((load, 0.0)), ..ServerRecord::default() };
+        prop_assert_eq!(estimated_load(&s, 0.0, usual, false), load);
+        let late = estimated_load(&s, age, usual, false);
         prop_assert!(late >= load.min(usual) - 1e-9 && late <= load.max(usual) + 1e-9);
-        prop_assert!((reckon(&s, 1e6, usual, false) - usual).abs() < 1e-6);
+        prop_assert!((estimated_load(&s, 1e6, usual, false) - usual).abs() < 1e-6);
     }
 }
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -19,34 +19,37 @@
 
 use std::collections::BTreeMap;
 
-use crate::recent_entries::{newest, Newest};
-use crate::{api::*, log_limit::Log, server_list, shedding_trials::Trials, state::*, tenant_quota::Shares};
+use crate::recent_entries::{recent_entries, RecentEntries};
+use crate::{
+    api::*, log_limit::LogLimiter, server_list, shedding_trials::SheddingTrials, state::*,
+    tenant_quota::TenantQuotas,
+};
 
 /// Housekeeping period (ms).
 const TICK: Millis = 100.0;
 const TICK_KEY: u64 = 1 << 52;
 /// How often each beginning is asked for, and each reader sent to, is remembered for so long (ms).
-const ASKED_MEMORY: Millis = 40_000.0;
+const REQUEST_RATE_DECAY: Millis = 40_000.0;
 
 /// The decisions of one dispatcher.
 pub struct Router {
     settings: Settings,
     pub(crate) now: Millis,
     random: Random,
-    pub(crate) started: Option<Millis>,
-    servers: server_list::Servers,
-    jobs: BTreeMap<RequestId, Job>,
-    pub(crate) table: Newest<Key, ServerId>,
+    pub(crate) started_at: Option<Millis>,
+    servers: server_list::ServerMap,
+    requests: BTreeMap<RequestId, RequestState>,
+    pub(crate) affinity_table: RecentEntries<AffinityKey, ServerId>,
     /// How often each beginning is asked for, and all requests together (`None`).
-    asked: Newest<Option<u64>, f64>,
-    pub(crate) learned: Learned,
-    retries: f64,
+    request_rates: RecentEntries<Option<u64>, f64>,
+    pub(crate) statistics: RoutingStatistics,
+    retry_budget: f64,
     /// Probes earned and not yet sent.
-    probes: f64,
-    shares: Shares,
-    trials: Trials,
-    log: Log,
-    ask_list_at: Option<Millis>,
+    probe_budget: f64,
+    tenant_quotas: TenantQuotas,
+    shedding_trials: SheddingTrials,
+    log_limiter: LogLimiter,
+    resubscribe_at: Option<Millis>,
     tick_due: Option<Millis>,
 }
 
@@ -56,18 +59,18 @@
             settings,
             now: 0.0,
             random: Random::new(seed),
-            started: None,
+            started_at: None,
             servers: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            table: newest(prefix_table::CAP),
-            asked: newest(prefix_table::CAP),
-            learned: Learned::default(),
-            retries: retries::RETRY_SAVED,
-            probes: 0.0,
-            shares: Shares::default(),
-            trials: Trials::default(),
-            log: Log::default(),
-            ask_list_at: None,
+            requests: BTreeMap::new(),
+            affinity_table: recent_entries(prefix_table::CAPACITY),
+            request_rates: recent_entries(prefix_table::CAPACITY),
+            statistics: RoutingStatistics::default(),
+            retry_budget: retries::MAX_RETRY_BUDGET,
+            probe_budget: 0.0,
+            tenant_quotas: TenantQuotas::default(),
+            shedding_trials: SheddingTrials::default(),
+            log_limiter: LogLimiter::default(),
+            resubscribe_at: None,
             tick_due: None,
         }
     }
@@ -75,57 +78,59 @@
     /// Takes in one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = if now.is_finite() { now.max(self.now) } else { self.now };
-        self.start(out);
+        self.initialize(out);
         match event {
-            Event::ServerList { update: scope, servers: members } => self.on_members(scope, members),
+            Event::ServerList { update: scope, servers: members } => self.on_server_list(scope, members),
             Event::Request(ask) => self.on_request(ask, out),
             Event::Timer { key: TICK_KEY } => self.on_tick(out),
             Event::Timer { key } => self.on_timer(key, out),
-            Event::ClientDisconnected { id } => self.settle(id, out),
-            Event::FirstToken { id, attempt, elapsed, .. } => self.on_first(id, attempt, elapsed),
+            Event::ClientDisconnected { id } => self.finish(id, out),
+            Event::FirstToken { id, attempt, elapsed, .. } => self.on_first_token(id, attempt, elapsed),
             Event::Outcome(outcome) => self.on_outcome(outcome, out),
-            Event::ProbeResult { server, status, report, .. } => self.on_probed(server, status, report, out),
+            Event::ProbeResult { server, status, report, .. } => {
+                self.on_probe_result(server, status, report, out)
+            }
             Event::SlotReservation { .. } | Event::Gossip { .. } => {}
         }
     }
 
     /// Whether this server is known and yet gets nothing new at present.
     pub fn is_avoided(&self, id: ServerId) -> bool {
-        self.servers.get(&id).is_some_and(|s| !s.well(self.now))
+        self.servers.get(&id).is_some_and(|s| !s.is_available(self.now))
     }
 
-    fn start(&mut self, out: &mut Vec<Action>) {
-        if self.started.is_none() {
-            self.started = Some(self.now);
-            let granted = |t: &Tenant| sane(t.allowance_per_s) / self.routers();
-            self.shares = Shares::new(self.settings.tenants.iter().map(granted), self.now);
+    fn initialize(&mut self, out: &mut Vec<Action>) {
+        if self.started_at.is_none() {
+            self.started_at = Some(self.now);
+            let granted = |t: &Tenant| sanitize(t.allowance_per_s) / self.router_count();
+            self.tenant_quotas = TenantQuotas::new(self.settings.tenants.iter().map(granted), self.now);
             if self.settings.discovery == Discovery::Subscribe {
                 out.push(Action::Subscribe { on: true });
             }
         }
         // A tick that never came back (a lost timer) must not stop housekeeping for good.
         if self.tick_due.is_none_or(|due| self.now > due + 10.0 * TICK) {
-            self.set_tick(out);
+            self.schedule_tick(out);
         }
     }
 
-    fn routers(&self) -> f64 {
+    fn router_count(&self) -> f64 {
         f64::from(self.settings.router_count.max(1))
     }
 
-    fn set_tick(&mut self, out: &mut Vec<Action>) {
+    fn schedule_tick(&mut self, out: &mut Vec<Action>) {
         self.tick_due = Some(self.now + TICK);
         out.push(Action::Timer { at: self.now + TICK, key: TICK_KEY, request: None });
     }
 
-    fn on_members(&mut self, scope: ListUpdate, members: Vec<ServerEntry>) {
+    fn on_server_list(&mut self, scope: ListUpdate, members: Vec<ServerEntry>) {
         if scope == ListUpdate::Failed {
             // Ask again after a pause; the old list still holds.
-            self.ask_list_at =
+            self.resubscribe_at =
                 Some(self.now + (self.settings.rules.discovery_poll_limit / 4.0).clamp(TICK, 5_000.0));
             return;
         }
-        server_list::take(
+        server_list::apply_update(
             &mut self.servers,
             scope,
             members,
@@ -136,12 +141,12 @@
     }
 
     fn on_tick(&mut self, out: &mut Vec<Action>) {
-        self.set_tick(out);
-        self.check_silence(out);
-        if self.ask_list_at.is_some_and(|at| self.now >= at) {
-            self.ask_list_at = None;
+        self.schedule_tick(out);
+        self.detect_timeouts(out);
+        if self.resubscribe_at.is_some_and(|at| self.now >= at) {
+            self.resubscribe_at = None;
             out.push(Action::Subscribe { on: true });
         }
-        self.probe(out);
+        self.probe_quiet_servers(out);
     }
 }
--- a/crates/router/src/policy/prefix_table.rs
+++ b/crates/router/src/policy/prefix_table.rs
@@ -4,18 +4,18 @@
 use crate::{api::*, state::*};
 
 /// Most entries kept; a session and a beginning take one each.
-pub const CAP: usize = 50_000;
+pub const CAPACITY: usize = 50_000;
 /// An entry older than this is not believed (ms; the design's figure).
 const EXPIRY: Millis = 30_000.0;
 /// Share of a session's prompt that its last reader is taken to have kept.
 const SESSION_KEPT: f64 = 0.8;
 
-impl Job {
+impl RequestState {
     /// What a reader matched by this key should still keep of the prompt.
-    pub fn kept(&self, key: Option<Key>) -> f64 {
+    pub fn cached_tokens(&self, key: Option<AffinityKey>) -> f64 {
         match key {
-            Some(Key::Session(_)) => self.ask.prompt_tokens * SESSION_KEPT,
-            Some(Key::Prefix(_)) => self.ask.prefix_tokens,
+            Some(AffinityKey::Session(_)) => self.request.prompt_tokens * SESSION_KEPT,
+            Some(AffinityKey::Prefix(_)) => self.request.prefix_tokens,
             None => 0.0,
         }
     }
@@ -23,20 +23,22 @@
 
 impl Router {
     /// Where this key lives, as long as it is believed.
-    pub(super) fn home(&mut self, key: &Key) -> Option<ServerId> {
+    pub(super) fn affinity_server(&mut self, key: &AffinityKey) -> Option<ServerId> {
         let now = self.now;
-        self.table.get(key).filter(|e| now < e.1 + EXPIRY).map(|e| e.0)
+        self.affinity_table.get(key).filter(|e| now < e.1 + EXPIRY).map(|e| e.0)
     }
 
     /// The session lives at this server from now on, and the shared beginning unless its entry still holds:
     /// one read elsewhere must not move it, or a jam scatters all homes, each move a read from the start.
-    pub(super) fn learn(&mut self, id: RequestId, server: ServerId) {
-        let Some(Request { session, prefix, .. }) = self.jobs.get(&id).map(|j| &j.ask) else { return };
-        self.table.put(Key::Session(*session), (server, self.now));
-        if let Some(key) = prefix.map(Key::Prefix) {
+    pub(super) fn record_affinity(&mut self, id: RequestId, server: ServerId) {
+        let Some(Request { session, prefix, .. }) = self.requests.get(&id).map(|j| &j.request) else {
+            return;
+        };
+        self.affinity_table.put(AffinityKey::Session(*session), (server, self.now));
+        if let Some(key) = prefix.map(AffinityKey::Prefix) {
             let holds = |e: &(ServerId, Millis)| self.now < e.1 + EXPIRY && self.servers.contains_key(&e.0);
-            if self.table.peek(&key).is_none_or(|e| e.0 == server || !holds(e)) {
-                self.table.put(key, (server, self.now));
+            if self.affinity_table.peek(&key).is_none_or(|e| e.0 == server || !holds(e)) {
+                self.affinity_table.put(key, (server, self.now));
             }
         }
     }
--- a/crates/router/src/rendezvous.rs
+++ b/crates/router/src/rendezvous.rs
@@ -16,7 +16,9 @@
 
 /// These servers, each with its weight, in order for a beginning. Among its first `homes` the session is hashed
 /// again, so that every router sends a session to one of them.
-pub fn order(servers: Vec<(ServerId, f64)>, beginning: u64, session: u64, homes: usize) -> Vec<ServerId> {
+pub fn ranked_servers(
+    servers: Vec<(ServerId, f64)>, beginning: u64, session: u64, homes: usize,
+) -> Vec<ServerId> {
     let by = |key: u64| move |s: &(ServerId, f64)| score(s.0, s.1, key);
     let mut ranked = servers;
     let (place, again) = (by(beginning), by(session));
@@ -37,12 +39,12 @@
         fn order_is_kept_when_a_server_or_a_home_is_lost(count in 2u64..40, lost in 0u64..40, homes in 1usize..6,
                                                          beginning: u64, session: u64) {
             let all: Vec<(ServerId, f64)> = (0..count).map(|n| (ServerId(n * 7 + 1), 1.0)).collect();
-            let whole = order(all.clone(), beginning, session, 1);
+            let whole = ranked_servers(all.clone(), beginning, session, 1);
             let gone = ServerId((lost % count) * 7 + 1);
-            let fewer = order(all.iter().copied().filter(|s| s.0 != gone).collect(), beginning, session, 1);
+            let fewer = ranked_servers(all.iter().copied().filter(|s| s.0 != gone).collect(), beginning, session, 1);
             let kept: Vec<ServerId> = whole.iter().copied().filter(|s| *s != gone).collect();
             prop_assert_eq!(fewer, kept);
-            let (some, more) = (order(all.clone(), beginning, session, homes), order(all, beginning, session, homes + 1));
+            let (some, more) = (ranked_servers(all.clone(), beginning, session, homes), ranked_servers(all, beginning, session, homes + 1));
             let new = whole.get(homes).copied();
             prop_assert!(some[0] == more[0] || new == Some(more[0]), "{:?} {:?}", some, more);
         }
--- a/crates/router/src/shedding_trials.rs
+++ b/crates/router/src/shedding_trials.rs
@@ -9,22 +9,22 @@
 const NOTHING_SENT: Millis = 3_000.0;
 
 #[derive(Default)]
-pub struct Trials {
+pub struct SheddingTrials {
     /// Turned away since anything was sent, and when that was.
-    turned_away: u32,
-    sent: Millis,
+    rejected_in_a_row: u32,
+    record_send: Millis,
 }
 
-impl Trials {
+impl SheddingTrials {
     /// An attempt goes out.
-    pub fn sent(&mut self, now: Millis) {
-        *self = Trials { turned_away: 0, sent: now };
+    pub fn record_send(&mut self, now: Millis) {
+        *self = SheddingTrials { rejected_in_a_row: 0, record_send: now };
     }
 
     /// Whether one more request that would come late is turned away.
-    pub fn turns_away(&mut self, now: Millis) -> bool {
-        let trial = self.turned_away >= IN_A_ROW && now >= self.sent + NOTHING_SENT;
-        self.turned_away += u32::from(!trial);
+    pub fn should_reject(&mut self, now: Millis) -> bool {
+        let trial = self.rejected_in_a_row >= IN_A_ROW && now >= self.record_send + NOTHING_SENT;
+        self.rejected_in_a_row += u32::from(!trial);
         !trial
     }
 }
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -32,19 +32,21 @@
     pub fn export_state(&self) -> Vec<u8> {
         let mut all = Words::default();
         all.put(FORM);
-        all.number(self.now - self.started.unwrap_or(self.now));
-        all.number(self.learned.prompt);
-        for c in &self.learned.carried {
-            [c.count, self.now - c.at, c.units, c.peak].into_iter().for_each(|x| all.number(x));
+        all.number(self.now - self.started_at.unwrap_or(self.now));
+        all.number(self.statistics.mean_prompt_tokens);
+        for c in &self.statistics.throughput_by_role {
+            [c.completions, self.now - c.updated_at, c.capacity_units, c.peak_rate]
+                .into_iter()
+                .for_each(|x| all.number(x));
         }
-        for p in &self.learned.pace {
-            all.number(p.low);
+        for p in &self.statistics.service_time_by_stage {
+            all.number(p.per_token);
             all.put(u64::from(p.samples));
         }
-        for (key, (server, at)) in self.table.iter().take(HOMES) {
+        for (key, (server, at)) in self.affinity_table.iter().take(HOMES) {
             let (kind, name) = match key {
-                Key::Session(name) => (0, *name),
-                Key::Prefix(name) => (1, *name),
+                AffinityKey::Session(name) => (0, *name),
+                AffinityKey::Prefix(name) => (1, *name),
             };
             [kind, name, server.0].into_iter().for_each(|word| all.put(word));
             all.number(self.now - at);
@@ -59,28 +61,41 @@
             return;
         }
         let now = self.now;
-        let mut number = || words.next().map(|word| sane(f64::from_bits(word)));
+        let mut number = || words.next().map(|word| sanitize(f64::from_bits(word)));
         let (Some(age), Some(prompt)) = (number(), number()) else { return };
-        let mut carried = [Carried::default(); 3];
+        let mut carried = [RoleThroughput::default(); 3];
         for c in &mut carried {
             let (Some(count), Some(age), Some(units), Some(peak)) = (number(), number(), number(), number())
             else {
                 return;
             };
-            *c = Carried { count, at: now - age, units, peak };
+            *c = RoleThroughput {
+                completions: count,
+                updated_at: now - age,
+                capacity_units: units,
+                peak_rate: peak,
+            };
         }
-        let mut pace = [Pace::default(); 2];
+        let mut pace = [ServiceTime::default(); 2];
         for p in &mut pace {
             let (Some(low), Some(samples)) = (words.next(), words.next()) else { return };
-            *p = Pace { low: sane(f64::from_bits(low)), samples: u32::try_from(samples).unwrap_or(u32::MAX) };
+            *p = ServiceTime {
+                per_token: sanitize(f64::from_bits(low)),
+                samples: u32::try_from(samples).unwrap_or(u32::MAX),
+            };
         }
-        self.started = Some(now - age);
-        self.learned = Learned { prompt, carried, pace, ..self.learned };
+        self.started_at = Some(now - age);
+        self.statistics = RoutingStatistics {
+            mean_prompt_tokens: prompt,
+            throughput_by_role: carried,
+            service_time_by_stage: pace,
+            ..self.statistics
+        };
         let rest: Vec<u64> = words.take(4 * HOMES).collect();
         // The newest came first, and what is put last counts as the newest.
         for home in rest.chunks_exact(4).rev() {
-            let key = if home[0] == 0 { Key::Session(home[1]) } else { Key::Prefix(home[1]) };
-            self.table.put(key, (ServerId(home[2]), now - sane(f64::from_bits(home[3]))));
+            let key = if home[0] == 0 { AffinityKey::Session(home[1]) } else { AffinityKey::Prefix(home[1]) };
+            self.affinity_table.put(key, (ServerId(home[2]), now - sanitize(f64::from_bits(home[3]))));
         }
     }
 }
--- a/crates/router/src/state/math.rs
+++ b/crates/router/src/state/math.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Millis;
 
-pub fn sane(x: f64) -> f64 {
+pub fn sanitize(x: f64) -> f64 {
     if x.is_finite() {
         x.clamp(0.0, 1e12)
     } else {
@@ -28,7 +28,7 @@
         Random(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1)
     }
     /// The next number in [0, 1).
-    pub fn unit(&mut self) -> f64 {
+    pub fn next_unit(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
--- a/crates/router/src/tenant_quota.rs
+++ b/crates/router/src/tenant_quota.rs
@@ -20,40 +20,50 @@
 
 /// One tenant at one router.
 #[derive(Clone, Copy, Debug)]
-pub struct Share {
+pub struct TenantQuota {
     /// Requests a second granted to this router alone.
-    rate: f64,
+    requests_per_s: f64,
     credit: f64,
-    at: Millis,
-    asked: (f64, Millis),
+    updated_at: Millis,
+    recent_requests: (f64, Millis),
 }
 
 /// All tenants at one router.
 #[derive(Clone, Debug, Default)]
-pub struct Shares(Vec<Share>);
+pub struct TenantQuotas(Vec<TenantQuota>);
 
-impl Shares {
+impl TenantQuotas {
     /// `rates`: what each tenant is granted at this router, in requests a second.
     pub fn new(rates: impl Iterator<Item = f64>, now: Millis) -> Self {
-        Shares(rates.map(|rate| Share { rate, credit: SAVED_LEAST, at: now, asked: (0.0, now) }).collect())
+        TenantQuotas(
+            rates
+                .map(|rate| TenantQuota {
+                    requests_per_s: rate,
+                    credit: SAVED_LEAST,
+                    updated_at: now,
+                    recent_requests: (0.0, now),
+                })
+                .collect(),
+        )
     }
 
     /// This router's part of the traffic against an even one, never less than that.
-    pub fn part(&self, now: Millis) -> f64 {
-        let granted = self.0.iter().filter(|s| s.rate > 0.0);
+    pub fn traffic_share(&self, now: Millis) -> f64 {
+        let granted = self.0.iter().filter(|s| s.requests_per_s > 0.0);
         let sure = |count: f64| (count - CHANCE).max(0.0);
-        let used = granted.map(|s| sure(decayed(s.asked, now, MEMORY)) * 1000.0 / MEMORY / s.rate);
+        let used = granted
+            .map(|s| sure(decayed(s.recent_requests, now, MEMORY)) * 1000.0 / MEMORY / s.requests_per_s);
         median(used.collect()).clamp(1.0, MOST)
     }
 
     /// Takes in a tenant's request and tells whether it lies beyond its share.
-    pub fn over(&mut self, tenant: usize, now: Millis) -> bool {
-        let part = self.part(now);
+    pub fn record_request(&mut self, tenant: usize, now: Millis) -> bool {
+        let part = self.traffic_share(now);
         let Some(s) = self.0.get_mut(tenant) else { return false };
-        s.asked = (1.0 + decayed(s.asked, now, MEMORY), now);
-        let rate = s.rate * part;
+        s.recent_requests = (1.0 + decayed(s.recent_requests, now, MEMORY), now);
+        let rate = s.requests_per_s * part;
         let most = (rate * SAVED / 1000.0).max(SAVED_LEAST);
-        (s.credit, s.at) = ((s.credit + rate * (now - s.at) / 1000.0).min(most), now);
+        (s.credit, s.updated_at) = ((s.credit + rate * (now - s.updated_at) / 1000.0).min(most), now);
         let over = s.credit < 1.0;
         s.credit -= f64::from(u8::from(!over));
         over
@@ -68,7 +78,7 @@
     /// Of this tenant's requests in ten seconds, the share told to be over, where each asks for so many times its rate.
     fn told(times: [f64; 3], of: usize) -> f64 {
         let rates = [3.0, 2.5, 1.5];
-        let mut shares = Shares::new(rates.into_iter(), 0.0);
+        let mut shares = TenantQuotas::new(rates.into_iter(), 0.0);
         let mut asks: Vec<(Millis, usize)> = Vec::new();
         for (tenant, rate) in rates.iter().enumerate() {
             let gap = 1000.0 / (rate * times[tenant]);
@@ -79,7 +89,7 @@
         asks.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (mut over, mut all) = (0.0, 0.0);
         for (at, tenant) in asks {
-            let is = shares.over(tenant, at);
+            let is = shares.record_request(tenant, at);
             if tenant == of && at > 20_000.0 {
                 over += f64::from(u8::from(is));
                 all += 1.0;
--- a/crates/router/src/wait_estimate.rs
+++ b/crates/router/src/wait_estimate.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Millis, Role};
 use crate::fleet_load;
-use crate::state::{Learned, Server, Stage, Waiting};
+use crate::state::{PendingAttempt, RoutingStatistics, ServerRecord, Stage};
 
 /// Of this router's own work that waits at a server, what a new one waits for: a server takes in several at once.
 const OWN_COUNTS: f64 = 0.5;
@@ -18,47 +18,52 @@
 const ROLE_WAIT_FADES: Millis = 4_000.0;
 
 /// The work of a usual read, in tokens.
-pub fn usual_work(learned: &Learned) -> f64 {
-    0.5 * learned.prompt + FIXED_WORK
+pub fn typical_work(learned: &RoutingStatistics) -> f64 {
+    0.5 * learned.mean_prompt_tokens + FIXED_WORK
 }
 
 /// How long it takes (ms) until a read of this much work has ended at a reader, or a stream begins at a writer or a mixed
 /// server, if sent now. A server of which nothing is known is taken for idle.
-pub fn until(s: &Server, learned: &Learned, routers: f64, now: Millis, work: f64) -> Millis {
-    let counts = |w: &&Waiting| w.counts();
-    let oldest = s.waiting.values().filter(counts).map(|w| w.since).fold(now, f64::min);
-    let trust = if s.waiting.is_empty() { ((s.answered - now) / WAIT_FADES).exp() } else { 1.0 };
-    let (like, at) = learned.waits[s.role as usize];
+pub fn time_to_serve(
+    s: &ServerRecord, learned: &RoutingStatistics, routers: f64, now: Millis, work: f64,
+) -> Millis {
+    let counts = |w: &&PendingAttempt| w.reflects_queue();
+    let oldest = s.pending.values().filter(counts).map(|w| w.sent_at).fold(now, f64::min);
+    let trust = if s.pending.is_empty() { ((s.last_progress_at - now) / WAIT_FADES).exp() } else { 1.0 };
+    let (like, at) = learned.wait_by_role[s.role as usize];
     // A writer's wait fades into its role's: one of many routers meets it too seldom to have its own.
     let writer = s.role == Role::Decode;
     let like = if writer { like * ((at - now) / ROLE_WAIT_FADES).exp() } else { 0.0 };
-    let wait = (s.wait * trust + like * (1.0 - trust)).max(now - oldest);
+    let wait = (s.queue_wait * trust + like * (1.0 - trust)).max(now - oldest);
     if writer {
         return wait;
     }
-    let pace = pace(s, learned, routers);
-    let told = fleet_load::told_wait(s, routers, now, pace, usual_work(learned));
+    let pace = time_per_token(s, learned, routers);
+    let told = fleet_load::reported_wait(s, routers, now, pace, typical_work(learned));
     // Outcomes come too late to tell of what this router has sent there just now.
-    let own: f64 = s.waiting.values().filter(counts).map(|w| w.work).sum();
+    let own: f64 = s.pending.values().filter(counts).map(|w| w.work).sum();
     // One of many routers has few samples for long, and refuses nothing for what it only guesses.
-    let pace = if pace > 0.0 || fleet_load::thin(routers) { pace } else { UNKNOWN_PACE };
+    let pace = if pace > 0.0 || fleet_load::is_large_fleet(routers) { pace } else { UNKNOWN_PACE };
     wait.max(told).max(own * OWN_COUNTS * pace) + work * pace
 }
 
 /// The time that a token takes a server to read, as far as known.
-fn pace(s: &Server, learned: &Learned, routers: f64) -> Millis {
-    s.pace(learned.pace[Stage::Read as usize], fleet_load::enough(routers))
+fn time_per_token(s: &ServerRecord, learned: &RoutingStatistics, routers: f64) -> Millis {
+    s.time_per_token(
+        learned.service_time_by_stage[Stage::Prefill as usize],
+        fleet_load::min_service_time_samples(routers),
+    )
 }
 
 /// How long (ms) a server may be busy with what this router has sent it up to a moment, and give no sign meanwhile: reads
 /// run one after the other. A long prompt takes longer than the patience with a server that says nothing, and is read in
 /// vain, again and again, where it is not reckoned with. A stream's begin has no such work.
-pub fn busy(s: &Server, learned: &Learned, routers: f64, until: Millis) -> Millis {
+pub fn max_busy_time(s: &ServerRecord, learned: &RoutingStatistics, routers: f64, until: Millis) -> Millis {
     if s.role == Role::Decode {
         return 0.0;
     }
-    let pace = pace(s, learned, routers);
-    let before = s.waiting.values().filter(|w| w.since <= until).map(|w| w.work).sum::<f64>();
+    let pace = time_per_token(s, learned, routers);
+    let before = s.pending.values().filter(|w| w.sent_at <= until).map(|w| w.work).sum::<f64>();
     WORK_SLACK * before * if pace > 0.0 { pace } else { UNKNOWN_PACE }
 }
 
