--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,14 +1,14 @@
 //! What the router keeps in mind: plain data and look-ups, no decisions.
 
-mod learned;
 mod math;
 mod request_state;
-mod server;
+mod server_record;
+mod statistics;
 
-pub use learned::*;
 pub use math::*;
 pub use request_state::*;
-pub use server::*;
+pub use server_record::*;
+pub use statistics::*;
 
 use crate::api::*;
 
