--- a/crates/router/src/fleet_load.rs
+++ b/crates/router/src/fleet_load.rs
@@ -1,221 +1,278 @@
-//! What is decided about many routers that cannot see each other: how many homes a beginning has when nobody's own
-//! counts show how hot it is, and whom to look at before a request is sent. No clock, no state, no I/O.
+//! Load estimate where many routers share the fleet and none sees the others' traffic.
+//!
+//! In a small fleet a router's own counts stand for all. In a large one they say too little, so servers are probed for
+//! their load: this module decides how many preferred servers a prefix gets, which servers to probe, and which of them
+//! gets a request. Pure functions; the router owns the state, and the caller owns the clock.
 
 use crate::api::{Millis, ServerId};
 use crate::slow_start_budget;
-use crate::state::{median, ServerRecord, LOAD_REPORT_TTL};
-
-/// Own counts stand for the whole while the escape's floor, divided among the routers, is a request or more.
-const FEW_ROUTERS: f64 = 4.0;
-/// Homes of a beginning: what is asked for once among few requests is taken to be one of so many alike.
-const ALIKE: f64 = 30.0;
-/// Homes of a beginning among many routers, at least: its next one is read there already when the first is crowded.
-const HOMES: usize = 2;
-/// Crowded: in flight exceeds this many times the median, and the median plus this many.
+use crate::state::{median, RecentRequests, ServerRecord, LOAD_REPORT_TTL};
+
+/// Up to this many routers a router's own counts stand for all: the floor of diversion, divided among the routers, is
+/// then still a request or more.
+const SMALL_FLEET: f64 = 4.0;
+/// Large fleet: requests that are added to a router's own count, as if each were for another prefix. A prefix that came
+/// once among few requests is so taken for one of many alike.
+const PRIOR_REQUESTS: f64 = 30.0;
+/// Large fleet: least number of preferred servers of a prefix. The second has it cached when the first is overloaded.
+const MIN_PREFERRED_SERVERS: usize = 2;
+/// A server is overloaded when its requests in flight exceed the typical load by this factor and by this many.
 const OVERLOAD_FACTOR: f64 = 2.0;
 const OVERLOAD_FLOOR: f64 = 4.0;
-/// Loads of so many servers make a median; those not yet heard from are taken to have this much in flight.
-const HEARD: usize = 12;
-const USUAL: f64 = 1.0;
-/// Candidates in order that a request looks at before one elsewhere; an answer is waited for so long (ms). Who is
-/// slower than that is taken for busy.
+/// Servers whose loads make a median. Those not heard from count as having the default load.
+const MIN_LOAD_SAMPLES: usize = 12;
+const DEFAULT_LOAD: f64 = 1.0;
+/// Candidates, in order, that are probed for a request before one elsewhere.
 pub const MAX_PROBED_CANDIDATES: usize = 3;
+/// Time within which a probe must be answered (ms). A server that is slower counts as overloaded.
 pub const PROBE_TIMEOUT: Millis = 120.0;
-const ENOUGH: u32 = 5;
-/// Looks that a request can use; those for its reader may cost so much of its worth. Measured: without any, a day with a hot
-/// beginning loses 0.3 of its result, a day without one some 0.01.
+/// Large fleet: samples from which a service time is used.
+const MIN_SERVICE_TIME_SAMPLES: u32 = 5;
+/// Most probes that a request can use, and the part of its value that probes for its prefill server may cost. Measured:
+/// without any, a day with a popular prefix loses 0.3 of its result, a day without one some 0.01.
 const MAX_PROBES_PER_REQUEST: f64 = 4.0;
 const PROBE_COST_LIMIT: f64 = 0.012;
-/// A first look at a writer near a read saves this share of the tokens that would leave their cell, a further one this part
-/// of what the one before saved. Measured: 0.96 of the tokens leave with none, 0.48 with one, 0.34 with two (docs/fleet.md).
-const LOOK_SAVES: f64 = 0.48;
-const FURTHER_SAVES: f64 = 0.29;
+/// The first probe of a decode server near a prefill saves this share of the tokens that would leave their cell, and
+/// each further one this part of what the one before saved. Measured: 0.96 of the tokens leave with none, 0.48 with one,
+/// 0.34 with two (docs/fleet.md).
+const FIRST_PROBE_SAVING: f64 = 0.48;
+const FURTHER_PROBE_FACTOR: f64 = 0.29;
+/// Most decode servers that are probed at a time.
 pub const MAX_PROBED_DECODE_SERVERS: usize = 4;
-/// Loads that lie so near to each other are alike.
-const ALIKE_LOAD: f64 = 0.5;
-/// What a server said of its load fades in this time (ms).
-const SEEN_FADES: Millis = 3_000.0;
+/// Loads that differ by no more than this count as equal.
+const LOAD_TOLERANCE: f64 = 0.5;
+/// Decay time of the confidence in a load report (ms).
+const LOAD_REPORT_DECAY: Millis = 3_000.0;
 
-/// Whether each router's own counts are too few to tell what all together do.
+/// Whether each router's own counts are too few to show what all routers do together.
 pub fn is_large_fleet(routers: f64) -> bool {
-    routers > FEW_ROUTERS
+    routers > SMALL_FLEET
 }
 
-/// Samples of a pace that tell a server's own speed whatever its queue. A router that sees much of the traffic has more
-/// the next moment.
+/// Samples from which a service time shows a server's own speed whatever its queue. A router that sees much of the
+/// traffic has more of them the next moment.
 pub fn min_service_time_samples(routers: f64) -> u32 {
     if is_large_fleet(routers) {
-        ENOUGH
+        MIN_SERVICE_TIME_SAMPLES
     } else {
         1
     }
 }
 
-/// Looks that a request earns, from what a look costs of a request's worth.
-pub fn probes_earned(probe: f64) -> f64 {
-    (PROBE_COST_LIMIT / probe.max(1e-9)).min(MAX_PROBES_PER_REQUEST)
+/// Probes that a request earns where each costs this part of its value.
+pub fn probes_earned(probe_price: f64) -> f64 {
+    (PROBE_COST_LIMIT / probe_price.max(1e-9)).min(MAX_PROBES_PER_REQUEST)
 }
 
-/// Writers near a read to be looked at while it lasts: as many as save more by what they keep in its cell than they cost,
-/// where `moved` is taken off for all tokens moved.
-pub fn decode_servers_to_probe(probe: f64, moved: f64) -> usize {
-    let saves = |n: usize| moved * LOOK_SAVES * FURTHER_SAVES.powi(n as i32);
-    (0..MAX_PROBED_DECODE_SERVERS).take_while(|n| saves(*n) > probe).count()
+/// How many decode servers near a prefill to probe while it runs: as many as save more, by what they keep in its cell,
+/// than they cost. `transfer_price` is what the transfer of all tokens out of their cell costs.
+pub fn decode_servers_to_probe(probe_price: f64, transfer_price: f64) -> usize {
+    let saving = |index: usize| transfer_price * FIRST_PROBE_SAVING * FURTHER_PROBE_FACTOR.powi(index as i32);
+    (0..MAX_PROBED_DECODE_SERVERS).take_while(|index| saving(*index) > probe_price).count()
 }
 
-/// How many of `readers` a beginning is read at: its share of all requests, in reader's parts. `asked` of `all`
-/// own requests were for it, this one included. Among many routers a count of one or two says little, so it is
-/// weighed against what one of many alike would show; the more a router has seen, the more its own count tells.
-pub fn preferred_servers(asked: f64, all: f64, readers: usize, routers: f64, parts: f64) -> usize {
-    let most = readers.max(1);
+/// How many of so many prefill servers a prefix prefers: its share of all requests, in units of
+/// `load_per_server` average servers.
+///
+/// In a large fleet a count of one or two says little, so it is weighed against what one of many alike would show; the
+/// more a router has seen, the more its own count says.
+pub fn preferred_servers(
+    recent: RecentRequests, servers: usize, routers: f64, load_per_server: f64,
+) -> usize {
+    let max_count = servers.max(1);
     if !is_large_fleet(routers) {
-        // The request itself is counted already and tells nothing of how often its like come.
-        let share = (asked - 1.0) / all.max(1.0);
-        return ((share * readers as f64 / parts).round() as usize).clamp(1, most);
+        // The request itself is counted already and does not show how often others come.
+        let share = (recent.same_prefix - 1.0) / recent.total.max(1.0);
+        return ((share * servers as f64 / load_per_server).round() as usize).clamp(1, max_count);
     }
-    ((request_share(asked, all) * readers as f64 / parts).ceil() as usize).max(HOMES).clamp(1, most)
+    let share = prefix_share(recent.same_prefix, recent.total);
+    let count = (share * servers as f64 / load_per_server).ceil() as usize;
+    count.max(MIN_PREFERRED_SERVERS).clamp(1, max_count)
 }
 
-/// A beginning's share of all requests, as a router of many sees it.
-fn request_share(asked: f64, all: f64) -> f64 {
-    asked / (all + ALIKE)
+/// A prefix's share of all requests, as one router of a large fleet estimates it.
+fn prefix_share(same_prefix: f64, total: f64) -> f64 {
+    same_prefix / (total + PRIOR_REQUESTS)
 }
 
-/// What a beginning asks of readers, in units that it keeps busy, by its share of all requests.
+/// Capacity that the requests for a prefix keep busy, over all routers.
 pub struct PrefixDemand {
     units: f64,
     preferred: Option<ServerId>,
 }
 
 impl PrefixDemand {
-    /// Asked for so often `[of all requests, for this beginning]`, of these readers, of which one is the
-    /// request's home.
+    /// The demand of a prefix with so many requests of late, at these prefill servers, of which one is preferred.
     pub fn new<'a>(
-        [all, asked]: [f64; 2], readers: impl Iterator<Item = &'a ServerRecord>, home: Option<&ServerId>,
+        recent: RecentRequests, servers: impl Iterator<Item = &'a ServerRecord>, preferred: Option<&ServerId>,
     ) -> PrefixDemand {
-        // The request itself is counted already and tells nothing of how often its like come.
-        let asked = (asked - 1.0).max(0.0);
-        let units = request_share(asked, all)
-            * readers.map(|s| slow_start_budget::capacity_units(s, 1.0)).sum::<f64>();
-        PrefixDemand { units, preferred: home.copied() }
+        // The request itself is counted already and does not show how often others come.
+        let others = (recent.same_prefix - 1.0).max(0.0);
+        let total_units = servers.map(|server| slow_start_budget::capacity_units(server, 1.0)).sum::<f64>();
+        let units = prefix_share(others, recent.total) * total_units;
+        PrefixDemand { units, preferred: preferred.copied() }
     }
 
-    /// What may come to a server: to a home its part, as there are homes for each reader's part; to any other
-    /// the whole, since all routers send what overflows to the first that is not crowded.
-    pub fn at_server(&self, s: &ServerRecord) -> f64 {
-        let part = if self.preferred == Some(s.entry.server) {
-            slow_start_budget::capacity_units(s, 1.0)
+    /// The part of it that may come to a server, in units of capacity: to the preferred one no more than its own
+    /// capacity, as there is a preferred server for each such part; to any other all of it, since all routers send what
+    /// overflows to the first that is not overloaded.
+    pub fn at_server(&self, server: &ServerRecord) -> f64 {
+        if self.preferred == Some(server.entry.server) {
+            self.units.min(slow_start_budget::capacity_units(server, 1.0))
         } else {
-            f64::MAX
-        };
-        self.units.min(part)
+            self.units
+        }
     }
 }
 
-/// The usual load of a server, from those that were heard of late. Of too few, the hot one would be the median itself.
-pub fn typical_load(mut heard: Vec<f64>) -> f64 {
-    heard.resize(heard.len().max(HEARD), USUAL);
-    median(heard)
+/// Typical load of a server: the median of those known. Of too few, an overloaded one would be the median itself, so
+/// they are filled up with the default load.
+pub fn typical_load(mut loads: Vec<f64>) -> f64 {
+    loads.resize(loads.len().max(MIN_LOAD_SAMPLES), DEFAULT_LOAD);
+    median(loads)
 }
 
-/// Whether a server with so much in flight is clearly above the usual.
-pub fn is_overloaded(load: f64, usual: f64) -> bool {
-    load > (OVERLOAD_FACTOR * usual).max(usual + OVERLOAD_FLOOR)
+/// Whether a load is clearly above the typical one.
+pub fn is_overloaded(load: f64, typical: f64) -> bool {
+    load > (OVERLOAD_FACTOR * typical).max(typical + OVERLOAD_FLOOR)
 }
 
-/// The load to be reckoned with at a server that is not looked at: what it said fades into the usual. A cold one that
-/// may get something now is taken for empty: each router may send it little, and few requests would find their way
-/// there on their own.
-pub fn estimated_load(s: &ServerRecord, now: Millis, usual: f64, cold: bool) -> f64 {
-    let Some((load, at)) = s.reported_load else { return if cold { 0.0 } else { usual.max(USUAL) } };
-    let trust = ((at - now) / SEEN_FADES).exp();
-    (load + s.sent_since_report) * trust + usual.max(USUAL) * (1.0 - trust)
+/// Whether a server has just started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Phase {
+    /// In slow start.
+    SlowStart,
+    /// At full capacity.
+    WarmedUp,
 }
 
-/// One of those with the least, drawn by chance: routers that know the same must not all pick the same.
-pub fn least_loaded(reckoned: &[(f64, ServerId)], draw: f64) -> Option<ServerId> {
-    let lowest = reckoned.iter().map(|r| r.0).fold(f64::MAX, f64::min);
-    let near: Vec<ServerId> = reckoned.iter().filter(|r| r.0 <= lowest + ALIKE_LOAD).map(|r| r.1).collect();
-    near.get((draw * near.len() as f64) as usize).copied()
+/// Load of a server that is not probed: its report fades into the typical load. One in slow start without a report
+/// counts as empty: each router may send it little, and few requests would get there otherwise.
+pub fn estimated_load(server: &ServerRecord, now: Millis, typical: f64, phase: Phase) -> f64 {
+    let unreported = typical.max(DEFAULT_LOAD);
+    match (server.reported_load, phase) {
+        (None, Phase::SlowStart) => 0.0,
+        (None, Phase::WarmedUp) => unreported,
+        (Some(report), _) => {
+            let confidence = ((report.reported_at - now) / LOAD_REPORT_DECAY).exp();
+            let reported = report.in_flight + server.sent_since_report;
+            reported * confidence + unreported * (1.0 - confidence)
+        }
+    }
 }
 
-/// How long what a reader has in hand by its own fresh word will take it, at this pace and with so much work each.
-/// Fewer routers know it from what their own requests waited.
-pub fn reported_wait(s: &ServerRecord, routers: f64, now: Millis, pace: f64, work: f64) -> Millis {
-    s.current_load(now, LOAD_REPORT_TTL)
-        .filter(|_| is_large_fleet(routers))
-        .map_or(0.0, |load| load * work * pace)
+/// One of the servers with the least estimated load, by a draw in [0, 1): routers that know the same must not all choose
+/// the same.
+pub fn least_loaded(estimates: &[(f64, ServerId)], draw: f64) -> Option<ServerId> {
+    let lowest = estimates.iter().map(|(load, _)| *load).fold(f64::MAX, f64::min);
+    let is_low = |estimate: &&(f64, ServerId)| estimate.0 <= lowest + LOAD_TOLERANCE;
+    let low: Vec<ServerId> = estimates.iter().filter(is_low).map(|(_, id)| *id).collect();
+    low.get((draw * low.len() as f64) as usize).copied()
 }
 
-/// What a request knows of a server of this warmth, on whose behalf it was last looked at then.
-pub fn load_knowledge(
-    s: &ServerRecord, looked: Option<Millis>, now: Millis, usual: f64, warmth: f64,
-) -> LoadKnowledge {
-    match (
-        s.current_load(now, LOAD_REPORT_TTL).map(|load| slow_start_budget::normalized_load(load, warmth)),
-        looked,
-    ) {
-        (Some(load), _) => LoadKnowledge::Reported(load, is_overloaded(load, usual)),
-        (None, None) => LoadKnowledge::Unknown,
-        (None, Some(at)) if now < at + PROBE_TIMEOUT => LoadKnowledge::Probing,
-        (None, Some(_)) => LoadKnowledge::NoAnswer,
+/// Time (ms) that a server needs for what it has in flight by a fresh load report, with so much work each. 0 in a small
+/// fleet, where a router knows the wait from its own requests.
+pub fn reported_wait(
+    server: &ServerRecord, routers: f64, now: Millis, time_per_token: Millis, work_tokens: f64,
+) -> Millis {
+    if !is_large_fleet(routers) {
+        return 0.0;
     }
+    let load = server.current_load(now, LOAD_REPORT_TTL);
+    load.map_or(0.0, |load| load * work_tokens * time_per_token)
 }
 
-/// What is known of a server that a request may go to.
+/// What is known of the load of a server that a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadKnowledge {
-    /// In flight there in terms of a warm one, as far as known, and whether that is crowded.
-    Reported(f64, bool),
-    /// Nothing fresh, and nobody has asked.
+    /// It has reported.
+    Reported {
+        /// Requests in flight, as they would be at full capacity.
+        load: f64,
+        /// Whether that is clearly above the typical load.
+        is_overloaded: bool,
+    },
+    /// There is no fresh report, and no probe has been sent.
     Unknown,
-    /// Asked, and the answer may still come.
+    /// A probe has been sent, and its answer may still come.
     Probing,
-    /// Asked, and it did not answer in time, or not well.
+    /// A probe has failed or was not answered in time.
     NoAnswer,
 }
 
 impl LoadKnowledge {
-    /// Whether its own word is here or can still come.
-    pub fn may_be_known(self, may_look: bool) -> bool {
-        matches!(self, LoadKnowledge::Reported(..) | LoadKnowledge::Probing)
-            || (may_look && self == LoadKnowledge::Unknown)
+    /// Whether a report is there or can still come.
+    pub fn may_be_known(self, budget: ProbeBudget) -> bool {
+        match self {
+            LoadKnowledge::Reported { .. } | LoadKnowledge::Probing => true,
+            LoadKnowledge::Unknown => budget == ProbeBudget::Available,
+            LoadKnowledge::NoAnswer => false,
+        }
     }
 }
 
+/// What a request knows of a server with this share of its capacity, for which it last sent a probe at `probed_at`.
+pub fn load_knowledge(
+    server: &ServerRecord, probed_at: Option<Millis>, now: Millis, typical: f64, capacity_share: f64,
+) -> LoadKnowledge {
+    if let Some(in_flight) = server.current_load(now, LOAD_REPORT_TTL) {
+        let load = slow_start_budget::normalized_load(in_flight, capacity_share);
+        return LoadKnowledge::Reported { load, is_overloaded: is_overloaded(load, typical) };
+    }
+    match probed_at {
+        None => LoadKnowledge::Unknown,
+        Some(sent_at) if now < sent_at + PROBE_TIMEOUT => LoadKnowledge::Probing,
+        Some(_) => LoadKnowledge::NoAnswer,
+    }
+}
+
+/// Whether a probe can be paid for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProbeBudget {
+    /// At least one.
+    Available,
+    /// None.
+    Exhausted,
+}
+
+/// What a request whose candidates have been looked over does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// To the candidate of this number.
+    /// It is sent to the candidate with this index.
     Send(usize),
-    /// First look at these.
+    /// The candidates with these indices are probed.
     Probe(Vec<usize>),
+    /// It waits for the answer to a probe.
     Wait,
 }
 
-/// The next step for a request whose candidates stand in the order in which all routers would try them: the first
-/// that is not crowded gets it. So a hot home overflows to the same next home from every router, and its load is
-/// told by the server, not guessed from a router's own few requests. The first is looked at alone, then all others at
-/// once. When none will do, the least loaded of them; when none answers, the last, which is the one elsewhere.
-pub fn next_step(candidates: &[LoadKnowledge], may_look: bool) -> NextStep {
-    for (n, sight) in candidates.iter().enumerate() {
-        match sight {
-            LoadKnowledge::Reported(_, false) => return NextStep::Send(n),
-            LoadKnowledge::Reported(_, true) | LoadKnowledge::NoAnswer => {}
+/// The next step of a request whose candidates stand in the order in which all routers try them.
+///
+/// The first that is not overloaded gets it. So an overloaded preferred server overflows to the same next one from every
+/// router, and its load is reported by the server, not guessed from a router's own few requests. The first is probed
+/// alone, then all others at once. If none will do, the least loaded of them gets it; if none answers, the last, which
+/// is the one elsewhere.
+pub fn next_step(candidates: &[LoadKnowledge], budget: ProbeBudget) -> NextStep {
+    for (index, knowledge) in candidates.iter().enumerate() {
+        match knowledge {
+            LoadKnowledge::Reported { is_overloaded: false, .. } => return NextStep::Send(index),
+            LoadKnowledge::Reported { is_overloaded: true, .. } | LoadKnowledge::NoAnswer => {}
             LoadKnowledge::Probing => return NextStep::Wait,
-            LoadKnowledge::Unknown if may_look => {
-                let all = if n == 0 { 1 } else { candidates.len() };
-                return NextStep::Probe(
-                    (n..all).filter(|n| candidates[*n] == LoadKnowledge::Unknown).collect(),
-                );
+            LoadKnowledge::Unknown if budget == ProbeBudget::Exhausted => return NextStep::Send(index),
+            LoadKnowledge::Unknown => {
+                let end = if index == 0 { 1 } else { candidates.len() };
+                let is_unknown = |index: &usize| candidates[*index] == LoadKnowledge::Unknown;
+                return NextStep::Probe((index..end).filter(is_unknown).collect());
             }
-            LoadKnowledge::Unknown => return NextStep::Send(n),
         }
     }
-    let load = |s: &LoadKnowledge| if let LoadKnowledge::Reported(load, _) = s { Some(*load) } else { None };
-    let seen = candidates.iter().enumerate().filter_map(|(n, s)| Some((n, load(s)?)));
-    NextStep::Send(
-        seen.min_by(|a, b| a.1.total_cmp(&b.1)).map_or(candidates.len().saturating_sub(1), |s| s.0),
-    )
+    let load = |(index, knowledge): (usize, &LoadKnowledge)| match knowledge {
+        LoadKnowledge::Reported { load, .. } => Some((index, *load)),
+        _ => None,
+    };
+    let reported = candidates.iter().enumerate().filter_map(load);
+    let least = reported.min_by(|a, b| a.1.total_cmp(&b.1));
+    NextStep::Send(least.map_or(candidates.len().saturating_sub(1), |(index, _)| index))
 }
 
 #[cfg(test)]
--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -1,125 +1,151 @@
-//! Decisions about many routers keep their order and bounds whatever is seen.
+//! Decisions in a large fleet keep their order and bounds whatever is known.
 
 use super::*;
 use crate::api::ServerEntry;
+use crate::state::server_record::ReportedLoad;
 use proptest::prelude::*;
 
-fn sight() -> impl Strategy<Value = LoadKnowledge> {
+fn knowledge() -> impl Strategy<Value = LoadKnowledge> {
     prop_oneof![
-        (0.0..80.0, any::<bool>()).prop_map(|(load, crowded)| LoadKnowledge::Reported(load, crowded)),
+        (0.0..80.0, any::<bool>())
+            .prop_map(|(load, is_overloaded)| LoadKnowledge::Reported { load, is_overloaded }),
         Just(LoadKnowledge::Unknown),
         Just(LoadKnowledge::Probing),
         Just(LoadKnowledge::NoAnswer),
     ]
 }
 
+fn recent_requests(same_prefix: f64, total: f64) -> RecentRequests {
+    RecentRequests { total, same_prefix }
+}
+
+/// A server that reported this load at time 0.
+fn server_with_load(in_flight: f64) -> ServerRecord {
+    let reported_load = Some(ReportedLoad { in_flight, reported_at: 0.0 });
+    ServerRecord { reported_load, ..ServerRecord::default() }
+}
+
 proptest! {
-    /// Whatever is seen, a request goes to one of its candidates, never past one that would do, and what was
-    /// asked is never asked again.
+    /// Whatever is known, a request goes to one of its candidates, never past one that would do, and a server that was
+    /// probed is not probed again.
     #[test]
-    fn the_first_that_will_do_gets_it(sights in prop::collection::vec(sight(), 1..6), may_look: bool) {
-        match next_step(&sights, may_look) {
-            NextStep::Send(n) => {
-                prop_assert!(n < sights.len());
-                let will_do = |s: &LoadKnowledge| matches!(s, LoadKnowledge::Reported(_, false) | LoadKnowledge::Probing);
-                prop_assert!(!sights[..n].iter().any(will_do));
-                if let LoadKnowledge::Reported(load, true) = sights[n] {
-                    let less = |s: &LoadKnowledge| matches!(s, LoadKnowledge::Reported(other, _) if *other < load);
-                    prop_assert!(!sights.iter().any(less));
+    fn the_first_candidate_that_is_not_overloaded_is_chosen(
+        candidates in prop::collection::vec(knowledge(), 1..6), may_probe: bool,
+    ) {
+        let budget = if may_probe { ProbeBudget::Available } else { ProbeBudget::Exhausted };
+        match next_step(&candidates, budget) {
+            NextStep::Send(chosen) => {
+                prop_assert!(chosen < candidates.len());
+                let would_do = |candidate: &LoadKnowledge| matches!(
+                    candidate,
+                    LoadKnowledge::Reported { is_overloaded: false, .. } | LoadKnowledge::Probing
+                );
+                prop_assert!(!candidates[..chosen].iter().any(would_do));
+                if let LoadKnowledge::Reported { load: chosen_load, is_overloaded: true } = candidates[chosen] {
+                    let is_less = |candidate: &LoadKnowledge| matches!(
+                        candidate,
+                        LoadKnowledge::Reported { load, .. } if *load < chosen_load
+                    );
+                    prop_assert!(!candidates.iter().any(is_less));
                 }
             }
-            NextStep::Probe(which) => {
-                prop_assert!(may_look && !which.is_empty());
-                prop_assert!(which.iter().all(|n| sights[*n] == LoadKnowledge::Unknown));
+            NextStep::Probe(indices) => {
+                prop_assert!(may_probe && !indices.is_empty());
+                prop_assert!(indices.iter().all(|index| candidates[*index] == LoadKnowledge::Unknown));
             }
-            NextStep::Wait => prop_assert!(sights.contains(&LoadKnowledge::Probing)),
+            NextStep::Wait => prop_assert!(candidates.contains(&LoadKnowledge::Probing)),
         }
     }
 
-    /// Asking on behalf of a request comes to an end: two rounds of looks at the most.
+    /// The probes for a request come to an end: two rounds of them at most.
     #[test]
-    fn looks_come_to_an_end(answers in prop::collection::vec(sight(), 1..6)) {
-        let mut sights = vec![LoadKnowledge::Unknown; answers.len()];
+    fn probes_for_a_request_end_after_two_rounds(answers in prop::collection::vec(knowledge(), 1..6)) {
+        let mut candidates = vec![LoadKnowledge::Unknown; answers.len()];
         for _ in 0..=2 {
-            match next_step(&sights, true) {
+            match next_step(&candidates, ProbeBudget::Available) {
                 NextStep::Send(_) => return Ok(()),
-                NextStep::Probe(which) => for n in which {
-                    let heard = matches!(answers[n], LoadKnowledge::Reported(..));
-                    sights[n] = if heard { answers[n] } else { LoadKnowledge::NoAnswer };
+                NextStep::Probe(indices) => for index in indices {
+                    let answered = matches!(answers[index], LoadKnowledge::Reported { .. });
+                    candidates[index] = if answered { answers[index] } else { LoadKnowledge::NoAnswer };
                 }
-                NextStep::Wait => prop_assert!(false, "nothing is out"),
+                NextStep::Wait => prop_assert!(false, "no probe is in flight"),
             }
         }
-        prop_assert!(false, "still looking: {:?}", sights);
+        prop_assert!(false, "still probing: {:?}", candidates);
     }
 
-    /// Dearer looks are never more, and at the price of our deployments there are four and two.
+    /// A higher price never gives more probes, and at the price of our deployments there are four and two.
     #[test]
-    fn dearer_looks_are_fewer(a in 0.0..0.1f64, b in 0.0..0.1f64, moved in 0.0..0.1f64) {
-        let (cheap, dear) = (a.min(b), a.max(b));
-        prop_assert!(probes_earned(dear) <= probes_earned(cheap) && probes_earned(cheap) <= MAX_PROBES_PER_REQUEST);
-        prop_assert!(probes_earned(dear) * dear <= PROBE_COST_LIMIT + 1e-9);
-        prop_assert!(decode_servers_to_probe(dear, moved) <= decode_servers_to_probe(cheap, moved));
+    fn more_expensive_probes_are_fewer(a in 0.0..0.1f64, b in 0.0..0.1f64, transfer_price in 0.0..0.1f64) {
+        let (low, high) = (a.min(b), a.max(b));
+        prop_assert!(probes_earned(high) <= probes_earned(low) && probes_earned(low) <= MAX_PROBES_PER_REQUEST);
+        prop_assert!(probes_earned(high) * high <= PROBE_COST_LIMIT + 1e-9);
+        prop_assert!(decode_servers_to_probe(high, transfer_price) <= decode_servers_to_probe(low, transfer_price));
         prop_assert_eq!((probes_earned(0.003), decode_servers_to_probe(0.003, 0.03)), (4.0, 2));
         prop_assert_eq!((probes_earned(0.012), decode_servers_to_probe(0.012, 0.03)), (1.0, 1));
         prop_assert_eq!(decode_servers_to_probe(a.max(1e-6), 0.0), 0);
     }
 
-    /// More requests for a beginning never take a home away, and there are never more homes than readers.
+    /// More requests for a prefix never take a preferred server from it, and there are never more than servers.
     #[test]
-    fn homes_grow_with_what_is_asked(asked in 1.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
-                                     readers in 1usize..200, routers in 1.0..400.0) {
-        let few = preferred_servers(asked, asked + others, readers, routers, 1.0);
-        let many = preferred_servers(asked + more, asked + more + others, readers, routers, 1.0);
-        prop_assert!(1 <= few && few <= many && many <= readers);
+    fn preferred_servers_grow_with_the_requests_for_a_prefix(
+        same_prefix in 1.0..50.0, more in 0.0..50.0, others in 0.0..200.0, servers in 1usize..200, routers in 1.0..400.0,
+    ) {
+        let fewer_requests = recent_requests(same_prefix, same_prefix + others);
+        let more_requests = recent_requests(same_prefix + more, same_prefix + more + others);
+        let fewer = preferred_servers(fewer_requests, servers, routers, 1.0);
+        let more = preferred_servers(more_requests, servers, routers, 1.0);
+        prop_assert!(1 <= fewer && fewer <= more && more <= servers);
     }
 
-    /// A beginning asks for more the more of all is asked for it, and never for more than there is; of
-    /// its home never for more than of another.
+    /// The demand of a prefix grows with its requests and never exceeds the capacity; at its preferred server it is never
+    /// more than at another.
     #[test]
-    fn a_beginning_asks_for_its_share(asked in 0.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
-                                      weights in prop::collection::vec(0.1..4.0f64, 1..60)) {
-        let of = |(weight, n)| {
-            let info = ServerEntry { weight, server: ServerId(n), ..ServerEntry::default() };
-            ServerRecord { entry: info, ..ServerRecord::default() }
+    fn the_demand_of_a_prefix_grows_with_its_share_of_requests(
+        same_prefix in 0.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
+        weights in prop::collection::vec(0.1..4.0f64, 1..60),
+    ) {
+        let server_of = |(weight, id)| {
+            let entry = ServerEntry { weight, server: ServerId(id), ..ServerEntry::default() };
+            ServerRecord { entry, ..ServerRecord::default() }
         };
-        let readers: Vec<ServerRecord> = weights.iter().copied().zip(0..).map(of).collect();
-        let asks = |asked: f64, home: Option<&ServerId>, of: &ServerRecord| {
-            PrefixDemand::new([asked + others, asked], readers.iter(), home).at_server(of)
+        let servers: Vec<ServerRecord> = weights.iter().copied().zip(0..).map(server_of).collect();
+        let demand = |same_prefix: f64, preferred: Option<&ServerId>, server: &ServerRecord| {
+            let recent = recent_requests(same_prefix, same_prefix + others);
+            PrefixDemand::new(recent, servers.iter(), preferred).at_server(server)
         };
-        let s = &readers[0];
-        prop_assert!(asks(asked, None, s) <= asks(asked + more, None, s));
-        prop_assert!(asks(asked, None, s) <= weights.iter().sum());
-        prop_assert_eq!(asks(asked.min(1.0), None, s), 0.0);
-        let home = asks(asked, Some(&s.entry.server), s);
-        prop_assert!(home <= asks(asked, None, s) && home <= weights[0]);
+        let first = &servers[0];
+        prop_assert!(demand(same_prefix, None, first) <= demand(same_prefix + more, None, first));
+        prop_assert!(demand(same_prefix, None, first) <= weights.iter().sum());
+        prop_assert_eq!(demand(same_prefix.min(1.0), None, first), 0.0);
+        let at_preferred = demand(same_prefix, Some(&first.entry.server), first);
+        prop_assert!(at_preferred <= demand(same_prefix, None, first) && at_preferred <= weights[0]);
     }
 
-    /// A server is not crowded for having what the others have, give or take the floor; one hot server among few
-    /// that were heard of does not make its own load the usual one.
+    /// A server with a typical load is not overloaded, give or take the floor; one overloaded server among few that were
+    /// heard from does not make its own load the typical one.
     #[test]
-    fn the_usual_load_is_not_crowded(loads in prop::collection::vec(0.0..60.0, 0..40), hot in 10.0..80.0) {
-        let middle = typical_load(loads.clone());
-        prop_assert!(!is_overloaded(middle, middle) && !is_overloaded(middle + OVERLOAD_FLOOR, middle));
-        prop_assert!(is_overloaded(hot, typical_load(vec![hot])));
+    fn the_typical_load_is_not_an_overload(loads in prop::collection::vec(0.0..60.0, 0..40), high in 10.0..80.0) {
+        let typical = typical_load(loads.clone());
+        prop_assert!(!is_overloaded(typical, typical) && !is_overloaded(typical + OVERLOAD_FLOOR, typical));
+        prop_assert!(is_overloaded(high, typical_load(vec![high])));
     }
 
-    /// A wait is told by what the reader has in hand, by a fresh word only, and only where own requests cannot.
+    /// A wait is reckoned from the load that a server reports, by a fresh report only, and only in a large fleet.
     #[test]
-    fn a_wait_is_told_by_what_is_in_hand(load in 0.0..60.0, more in 0.1..10.0, age in 0.0..2_000.0) {
-        let at = |load| ServerRecord { reported_load: Some((load, 0.0)), ..ServerRecord::default() };
-        let (less, wait) = (reported_wait(&at(load), 300.0, age, 0.1, 900.0), reported_wait(&at(load + more), 300.0, age, 0.1, 900.0));
-        prop_assert_eq!(less < wait, age <= LOAD_REPORT_TTL);
-        prop_assert_eq!(reported_wait(&at(load), 2.0, age, 0.1, 900.0), 0.0);
+    fn a_reported_wait_needs_a_fresh_report_and_a_large_fleet(load in 0.0..60.0, more in 0.1..10.0, age in 0.0..2_000.0) {
+        let wait = |load, routers| reported_wait(&server_with_load(load), routers, age, 0.1, 900.0);
+        prop_assert_eq!(wait(load, 300.0) < wait(load + more, 300.0), age <= LOAD_REPORT_TTL);
+        prop_assert_eq!(wait(load, 2.0), 0.0);
     }
 
-    /// What a server said long ago is worth nothing, and what it says now everything.
+    /// A fresh report counts fully, and a very old one not at all.
     #[test]
-    fn what_was_seen_fades_into_the_usual(load in 0.0..60.0, usual in 1.0..20.0, age in 0.0..60_000.0) {
-        let s = ServerRecord { reported_load: Some((load, 0.0)), ..ServerRecord::default() };
-        prop_assert_eq!(estimated_load(&s, 0.0, usual, false), load);
-        let late = estimated_load(&s, age, usual, false);
-        prop_assert!(late >= load.min(usual) - 1e-9 && late <= load.max(usual) + 1e-9);
-        prop_assert!((estimated_load(&s, 1e6, usual, false) - usual).abs() < 1e-6);
+    fn a_reported_load_fades_into_the_typical_load(load in 0.0..60.0, typical in 1.0..20.0, age in 0.0..60_000.0) {
+        let server = server_with_load(load);
+        prop_assert_eq!(estimated_load(&server, 0.0, typical, Phase::WarmedUp), load);
+        let later = estimated_load(&server, age, typical, Phase::WarmedUp);
+        prop_assert!(later >= load.min(typical) - 1e-9 && later <= load.max(typical) + 1e-9);
+        prop_assert!((estimated_load(&server, 1e6, typical, Phase::WarmedUp) - typical).abs() < 1e-6);
     }
 }
--- a/crates/router/src/log_limit.rs
+++ b/crates/router/src/log_limit.rs
@@ -1,22 +1,25 @@
-//! The router's lines for the log: seldom enough that a fault which repeats does not fill it.
+//! Rate limit of the router's log lines: a fault that repeats must not fill the log.
+//!
+//! The router owns this state, and the caller owns the clock.
 
 use std::collections::BTreeMap;
 
 use crate::api::{Action, Millis};
 
-/// At most one line of each kind in this time (ms).
-const EVERY: Millis = 5_000.0;
+/// At most one line of each kind is written in this time (ms).
+const MIN_INTERVAL: Millis = 5_000.0;
 
 /// When a line of each kind was last written.
 #[derive(Default)]
 pub struct LogLimiter(BTreeMap<&'static str, Millis>);
 
 impl LogLimiter {
-    /// Appends a line, unless one of its kind was written a short time ago.
-    pub fn log(&mut self, kind: &'static str, words: String, now: Millis, out: &mut Vec<Action>) {
-        if self.0.get(kind).is_none_or(|at| now >= at + EVERY) {
+    /// Appends a line to the actions, unless one of its kind was written a short time ago.
+    pub fn log(&mut self, kind: &'static str, text: String, now: Millis, actions: &mut Vec<Action>) {
+        let last_written = self.0.get(kind);
+        if last_written.is_none_or(|written_at| now >= written_at + MIN_INTERVAL) {
             self.0.insert(kind, now);
-            out.push(Action::Log(format!("{kind}: {words}")));
+            actions.push(Action::Log(format!("{kind}: {text}")));
         }
     }
 }
--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -1,89 +1,145 @@
-//! Writer choice: the lowest projected memory, and near the reader where that costs little.
+//! Decode placement: the decode server with the least projected memory, near the prefill server where that costs little.
+//!
+//! State: none of its own; it reads memory reports and the streams sent since. Guards the memory of decode servers, and
+//! the price of transfers between cells and zones.
 
 use super::Router;
-use crate::{api::*, slow_start_budget, state::*};
+use crate::api::{Action, Millis, Role, ServerId};
+use crate::slow_start_budget;
+use crate::state::{Location, RequestState, ServerRecord, Stage, LOAD_REPORT_TTL};
 
-/// Share of memory by which a near writer may lie above the lowest: where its memory is known, and where
-/// it is guessed.
-const NEAR_MARGIN: f64 = 0.05;
-const NEAR_UNSURE: f64 = 0.4;
-/// A report fades in this time (ms), and what is not known may lie this far above the average.
-pub const MEMORY_REPORT_DECAY: Millis = 10_000.0;
-const UNSURE: f64 = 0.2;
-/// From this projection of the lowest writer on, mixed servers take states too.
+/// Share of memory by which a nearby server may be above the lowest: where its memory is known, and where it is a guess.
+const NEARBY_MARGIN: f64 = 0.05;
+const NEARBY_MARGIN_UNKNOWN: f64 = 0.4;
+/// Decay time of the confidence in a memory report (ms).
+pub(super) const MEMORY_REPORT_DECAY: Millis = 10_000.0;
+/// Where memory is unknown, a projection may be up to this far above the average.
+const UNKNOWN_SPREAD: f64 = 0.2;
+/// From this projection on a decode server is full: by its reports, and by the waits met there where there are none.
 const FULL: f64 = 0.85;
-const FULL_UNSURE: f64 = 0.5;
+const FULL_BY_WAITS: f64 = 0.5;
+
+/// Memory that a server is projected to have in use, as a share of its capacity; above 1 it has a queue.
+#[derive(Clone, Copy)]
+struct Projection {
+    server: ServerId,
+    memory_share: f64,
+}
 
 impl Router {
+    /// Chooses the decode server for a state that waits at its prefill server.
     pub(super) fn choose_decode_server(
-        &mut self, job: &RequestState, out: &mut Vec<Action>,
+        &mut self, request: &RequestState, actions: &mut Vec<Action>,
     ) -> Option<ServerId> {
-        let usable = self.eligible_servers(&[Role::Decode], job, Stage::Decode, out);
-        let mut known = self.projected_memory(&usable);
-        // Where none can be asked, what was waited there speaks: an aim of it is as bad as a memory that
-        // is full.
-        let deaf = if self.settings.limits.probes { 0.0 } else { 1.0 / job.first_token_objective().max(1.0) };
-        let waits = |id| (1.0 - self.memory_report_confidence(id)) * self.expected_time(id, 0.0) * deaf;
-        known.iter_mut().for_each(|w| w.1 += waits(w.0));
-        // Exception: mixed servers take states too while every writer is known to be nearly full.
-        if known.iter().all(|w| {
-            w.1 * self.memory_report_confidence(w.0) > FULL
-                || deaf > 0.0 && w.1 * (1.0 - self.memory_report_confidence(w.0)) > FULL_UNSURE
-        }) {
-            let mixed = self.eligible_servers(&[Role::Mixed], job, Stage::Decode, out);
-            known.extend(self.projected_memory(&mixed));
+        let eligible = self.eligible_servers(&[Role::Decode], request, Stage::Decode, actions);
+        let mut projections = self.projected_memory(&eligible);
+        let wait_weight = self.wait_weight(request);
+        for projection in &mut projections {
+            let confidence = self.memory_confidence(projection.server);
+            let wait = self.expected_time(projection.server, 0.0);
+            projection.memory_share += (1.0 - confidence) * wait * wait_weight;
         }
-        if known.is_empty() && self.probes_before_send() {
-            self.probe_stale_decode_servers(out);
+        // Mixed servers decode for others only while every decode server is nearly full.
+        if projections.iter().all(|projection| self.is_nearly_full(*projection, wait_weight)) {
+            let mixed = self.eligible_servers(&[Role::Mixed], request, Stage::Decode, actions);
+            projections.extend(self.projected_memory(&mixed));
         }
-        let place = |id: &ServerId| self.servers.get(id).map(|s| s.entry.location());
-        let home = job.prefilled_on.as_ref().and_then(place)?;
-        let lowest = |near: &dyn Fn((u32, u32)) -> bool| {
-            let mine = known.iter().copied().filter(|w| place(&w.0).is_some_and(near));
-            mine.min_by(|a, b| a.1.total_cmp(&b.1))
-        };
-        let best = lowest(&|_| true)?;
-        // What is not known does not speak against a near writer.
-        let looks = self.probes_before_send();
-        let known = |s: &ServerRecord| looks && self.now <= s.memory_reported_at + LOAD_REPORT_TTL;
-        let room = |c: &(ServerId, f64)| {
-            self.servers.get(&c.0).is_some_and(|s| known(s) && c.1 + job.memory_share(s) <= FULL)
-        };
-        let margin = |sure: f64| NEAR_MARGIN * sure + NEAR_UNSURE * (1.0 - sure);
-        let fits =
-            |c: &(ServerId, f64)| c.1 <= best.1 + margin(self.memory_report_confidence(c.0)) || room(c);
-        let near = |c: Option<(ServerId, f64)>| c.filter(fits).map(|c| c.0);
-        near(lowest(&|p| p == home)).or(near(lowest(&|p| p.0 == home.0))).or(Some(best.0))
+        if projections.is_empty() && self.probes_before_send() {
+            self.probe_stale_decode_servers(actions);
+        }
+        let prefilled_at = self.servers.get(&request.prefilled_on?)?.entry.location();
+        self.prefer_nearby(&projections, prefilled_at, request)
     }
 
-    /// Last reported share of memory, believed less with its age (then the average, give or take), plus the
-    /// streams sent there since. Own sends stand for those of the other routers only where there are many:
-    /// a few among hundreds of routers say nothing, and what all send alike raises all alike.
-    fn projected_memory(&mut self, usable: &[ServerId]) -> Vec<(ServerId, f64)> {
-        // What is not known is drawn by chance: routers that know the same must not all pick the same.
-        let draws: Vec<f64> = usable.iter().map(|_| self.random.next_unit()).collect();
-        let servers: Vec<&ServerRecord> = usable.iter().filter_map(|id| self.servers.get(id)).collect();
-        let known = servers.iter().map(|s| {
-            (s.memory_share.unwrap_or(0.0), s.memory_report_confidence(self.now, MEMORY_REPORT_DECAY))
-        });
-        let (sum, weight) = known.fold((0.0, 1e-9), |a, (m, t)| (a.0 + m * t, a.1 + t));
-        let own = servers.iter().map(|s| s.unreported_streams.len()).sum::<usize>() as f64;
+    /// What a millisecond of wait counts for as memory. Without probes the waits met at a server stand in for its
+    /// memory: one as long as the objective is as bad as a full memory.
+    fn wait_weight(&self, request: &RequestState) -> f64 {
+        if self.settings.limits.probes {
+            0.0
+        } else {
+            1.0 / request.first_token_objective().max(1.0)
+        }
+    }
+
+    fn is_nearly_full(&self, projection: Projection, wait_weight: f64) -> bool {
+        let Projection { server, memory_share } = projection;
+        let confidence = self.memory_confidence(server);
+        let full_by_report = memory_share * confidence > FULL;
+        let full_by_waits = wait_weight > 0.0 && memory_share * (1.0 - confidence) > FULL_BY_WAITS;
+        full_by_report || full_by_waits
+    }
+
+    /// The lowest projection in the same cell, or else in the same zone, if it is acceptable beside the lowest of all;
+    /// else that one.
+    fn prefer_nearby(
+        &self, projections: &[Projection], location: Location, request: &RequestState,
+    ) -> Option<ServerId> {
+        let best = self.lowest(projections, |_| true)?;
+        let in_cell = self.lowest(projections, |other| other == location);
+        let in_zone = self.lowest(projections, |other| other.zone == location.zone);
+        let nearby = [in_cell, in_zone].into_iter().flatten();
+        let mut acceptable = nearby.filter(|candidate| self.is_acceptable_nearby(*candidate, best, request));
+        Some(acceptable.next().unwrap_or(best).server)
+    }
+
+    fn lowest(&self, projections: &[Projection], is_near: impl Fn(Location) -> bool) -> Option<Projection> {
+        let location = |id| self.servers.get(&id).map(|server| server.entry.location());
+        let near = projections.iter().copied().filter(|p| location(p.server).is_some_and(&is_near));
+        near.min_by(|a, b| a.memory_share.total_cmp(&b.memory_share))
+    }
+
+    /// Whether a nearby server may be chosen over the one with the lowest projection. Unknown memory does not count
+    /// against it, and known free memory is enough.
+    fn is_acceptable_nearby(&self, candidate: Projection, best: Projection, request: &RequestState) -> bool {
+        let confidence = self.memory_confidence(candidate.server);
+        let margin = NEARBY_MARGIN * confidence + NEARBY_MARGIN_UNKNOWN * (1.0 - confidence);
+        if candidate.memory_share <= best.memory_share + margin {
+            return true;
+        }
+        let Some(server) = self.servers.get(&candidate.server) else { return false };
+        let is_reported =
+            self.probes_before_send() && self.now <= server.memory_reported_at + LOAD_REPORT_TTL;
+        is_reported && candidate.memory_share + request.memory_share(server) <= FULL
+    }
+
+    /// Projected memory of these servers: the last report, believed less with its age (then the average, plus a random
+    /// part), and the streams sent since.
+    ///
+    /// This router's own streams stand for those of the others only where it sent many: a few say nothing about a
+    /// large fleet, and would raise all alike.
+    fn projected_memory(&mut self, ids: &[ServerId]) -> Vec<Projection> {
+        // Routers that know the same must not all choose the same server.
+        let draws: Vec<f64> = ids.iter().map(|_| self.random.next_unit()).collect();
+        let servers: Vec<&ServerRecord> = ids.iter().filter_map(|id| self.servers.get(id)).collect();
+        let average = self.average_memory(&servers);
+        let own_streams = servers.iter().map(|server| server.unreported_streams.len()).sum::<usize>() as f64;
         let routers = self.router_count();
-        let times = 1.0 + (routers - 1.0) * (own / routers).min(1.0);
-        let project = |s: &ServerRecord, draw: f64| {
-            let unsure = 1.0 - s.memory_report_confidence(self.now, MEMORY_REPORT_DECAY);
-            let seen = s.memory_share.unwrap_or(0.0) * (1.0 - unsure) + unsure * (sum / weight);
-            let sent: f64 = s.unreported_streams.values().map(|r| r.1).sum();
-            let warmth = if self.probes_before_send() { self.capacity_share(s) } else { 1.0 };
-            (
-                s.entry.server,
-                slow_start_budget::normalized_load(seen + sent * times, warmth) + unsure * UNSURE * draw,
-            )
+        let fleet_factor = 1.0 + (routers - 1.0) * (own_streams / routers).min(1.0);
+        let project = |(server, draw): (&&ServerRecord, f64)| {
+            let unknown = 1.0 - server.memory_report_confidence(self.now, MEMORY_REPORT_DECAY);
+            let reported = server.memory_share.unwrap_or(0.0) * (1.0 - unknown) + unknown * average;
+            let sent: f64 = server.unreported_streams.values().map(|stream| stream.memory_share).sum();
+            let capacity_share = if self.probes_before_send() { self.capacity_share(server) } else { 1.0 };
+            let load = slow_start_budget::normalized_load(reported + sent * fleet_factor, capacity_share);
+            Projection { server: server.entry.server, memory_share: load + unknown * UNKNOWN_SPREAD * draw }
         };
-        servers.iter().zip(draws).map(|(s, draw)| project(s, draw)).collect()
+        servers.iter().zip(draws).map(project).collect()
+    }
+
+    /// Mean reported memory, weighted by the confidence in the reports.
+    fn average_memory(&self, servers: &[&ServerRecord]) -> f64 {
+        // Avoids a division by 0 where nothing has been reported.
+        let (mut sum, mut weight) = (0.0, 1e-9);
+        for server in servers {
+            let confidence = server.memory_report_confidence(self.now, MEMORY_REPORT_DECAY);
+            sum += server.memory_share.unwrap_or(0.0) * confidence;
+            weight += confidence;
+        }
+        sum / weight
     }
 
-    fn memory_report_confidence(&self, id: ServerId) -> f64 {
-        self.servers.get(&id).map_or(0.0, |s| s.memory_report_confidence(self.now, MEMORY_REPORT_DECAY))
+    fn memory_confidence(&self, id: ServerId) -> f64 {
+        let server = self.servers.get(&id);
+        server.map_or(0.0, |server| server.memory_report_confidence(self.now, MEMORY_REPORT_DECAY))
     }
 }
--- a/crates/router/src/policy/diversion.rs
+++ b/crates/router/src/policy/diversion.rs
@@ -1,57 +1,70 @@
-//! The escape: a home with far more in flight than its like is passed over.
+//! Overload diversion: a preferred server with far more load than its peers is passed over.
+//!
+//! State: none of its own; it reads this router's own counts, so it serves small fleets (`probes` serves large ones).
+//! Guards a prefill server that many prefixes prefer, at the price of a prefill that finds nothing cached.
 
-use super::{Router, REQUEST_RATE_DECAY};
-use crate::{api::*, state::*};
+use super::Router;
+use crate::api::{Millis, ServerId};
+use crate::state::{median, RequestState, REQUEST_RATE_DECAY};
 
-/// In flight must exceed this many times the median ...
-const TIMES: f64 = 2.0;
-/// Lately sent this many times the mean, which is told with less noise.
-const SENT_TIMES: f64 = 1.6;
-/// ... and the median plus this many for the whole fleet (own counts: divided among the routers).
-const FLOOR: f64 = 8.0;
-/// By time: a read that would end after this share of the aim goes where it ends before that, and within
-/// this part of it.
-const LATE: f64 = 0.35;
-const GAINS: f64 = 0.6;
+/// A server is overloaded when its requests in flight exceed this many times the median of its role ...
+const IN_FLIGHT_FACTOR: f64 = 2.0;
+/// ... and the median by this many, over all routers together.
+const IN_FLIGHT_FLOOR: f64 = 8.0;
+/// A server has excess sends when it was sent this many times the mean of late. Sends vary less than requests in
+/// flight.
+const SENDS_FACTOR: f64 = 1.6;
+/// A prefill that would end after this share of the objective goes where it would end before that ...
+const LATE_OBJECTIVE_SHARE: f64 = 0.35;
+/// ... and within this part of the time.
+const FASTER_FACTOR: f64 = 0.6;
 
 impl Router {
-    /// Whether this router has lately sent a reader far over the mean: where requests in flight are too few
-    /// to show an overloaded home, what was sent still does.
-    pub(super) fn has_excess_sends(&self, id: ServerId, usable: &[ServerId]) -> bool {
-        let sends = |id: &ServerId| {
-            let s = self.servers.get(id);
-            s.map_or(0.0, |s| decayed(s.recent_sends, self.now, REQUEST_RATE_DECAY))
+    /// Whether this router has sent a server far more than the mean of late. That still shows an overloaded server
+    /// where requests in flight are too few to show it.
+    pub(super) fn has_excess_sends(&self, id: ServerId, eligible: &[ServerId]) -> bool {
+        let recent_sends = |id: &ServerId| {
+            let server = self.servers.get(id);
+            server.map_or(0.0, |server| server.recent_sends.value_at(self.now, REQUEST_RATE_DECAY))
         };
-        let mean = usable.iter().map(sends).sum::<f64>() / usable.len().max(1) as f64;
-        sends(&id) > SENT_TIMES * mean + 1.0
+        let mean = eligible.iter().map(recent_sends).sum::<f64>() / eligible.len().max(1) as f64;
+        recent_sends(&id) > SENDS_FACTOR * mean + 1.0
     }
 
-    fn divert_by_in_flight(&self, home: ServerId, usable: &[ServerId]) -> ServerId {
-        let role = |id: &ServerId| self.servers.get(id).map(|s| s.role);
-        let load = |id: &ServerId| self.servers.get(id).map_or(0.0, |s| f64::from(s.in_flight));
-        let peers = || usable.iter().copied().filter(|id| role(id) == role(&home));
-        let middle = median(peers().map(|id| load(&id)).collect());
-        let floor = (FLOOR / self.router_count()).max(1.0);
-        if load(&home) <= (TIMES * middle).max(middle + floor) {
-            return home;
+    /// The preferred server, or the least loaded of its role if it is overloaded by this router's own counts.
+    fn divert_by_in_flight(&self, preferred: ServerId, eligible: &[ServerId]) -> ServerId {
+        let role = |id: &ServerId| self.servers.get(id).map(|server| server.role);
+        let in_flight =
+            |id: &ServerId| self.servers.get(id).map_or(0.0, |server| f64::from(server.in_flight));
+        let peers = || eligible.iter().copied().filter(|id| role(id) == role(&preferred));
+        let typical = median(peers().map(|id| in_flight(&id)).collect());
+        let floor = (IN_FLIGHT_FLOOR / self.router_count()).max(1.0);
+        if in_flight(&preferred) <= (IN_FLIGHT_FACTOR * typical).max(typical + floor) {
+            return preferred;
         }
-        peers().min_by(|a, b| load(a).total_cmp(&load(b))).unwrap_or(home)
+        peers().min_by(|a, b| in_flight(a).total_cmp(&in_flight(b))).unwrap_or(preferred)
     }
 
-    /// A reader where the read would end late, a slow one say, is passed over for the one where it would
-    /// end first: it must not be refused for its home's sake. Harm: read whole there, so where all are late
-    /// it stays at home.
+    /// The server that gets a request: the preferred one, unless it is overloaded or its prefill would end late, as at
+    /// a slow server, and another's would not. The request must not be rejected for the sake of affinity.
+    ///
+    /// Cost: a complete prefill there. So where all would be late, affinity is kept.
     pub(super) fn divert(
-        &self, home: ServerId, kept: f64, usable: &[ServerId], job: &RequestState,
+        &self, preferred: ServerId, cached_tokens: f64, eligible: &[ServerId], request: &RequestState,
     ) -> ServerId {
-        let chosen = self.divert_by_in_flight(home, usable);
-        let there = self.expected_time(chosen, job.prefill_work(if chosen == home { kept } else { 0.0 }));
-        let others = usable.iter().map(|id| (*id, self.expected_time(*id, job.prefill_work(0.0))));
-        let best = others.min_by(|a, b| a.1.total_cmp(&b.1));
-        best.filter(|b| {
-            there > LATE * job.first_token_objective()
-                && b.1 < (LATE * job.first_token_objective()).min(GAINS * there)
-        })
-        .map_or(chosen, |b| b.0)
+        let chosen = self.divert_by_in_flight(preferred, eligible);
+        let cached_tokens = if chosen == preferred { cached_tokens } else { 0.0 };
+        let time_there = self.expected_time(chosen, request.prefill_work(cached_tokens));
+        let late_after = LATE_OBJECTIVE_SHARE * request.first_token_objective();
+        let times = eligible.iter().map(|id| (*id, self.expected_time(*id, request.prefill_work(0.0))));
+        let fastest: Option<(ServerId, Millis)> = times.min_by(|a, b| a.1.total_cmp(&b.1));
+        match fastest {
+            Some((server, time))
+                if time_there > late_after && time < late_after.min(FASTER_FACTOR * time_there) =>
+            {
+                server
+            }
+            _ => chosen,
+        }
     }
 }
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -1,47 +1,83 @@
-//! Load shedding: what can hardly be in time is refused at once, over-share tenants first.
+//! Load shedding: requests that can hardly be in time are rejected at once, those of tenants over their quota first.
+//!
+//! State: none of its own; it reads the wait estimates and slow-start allowances, and `shedding_trials` counts the
+//! rejections. Guards clients from waiting in vain, and prefill servers from work that no decode server can follow up.
 
-use super::{state_leases::LEASE_SHARE, Router};
-use crate::{api::*, state::*, wait_estimate};
+use super::state_leases::USED_LEASE_SHARE;
+use super::Router;
+use crate::api::{Millis, Role, ServerId};
+use crate::state::{Placement, RequestState, ServerRecord};
+use crate::wait_estimate;
 
-/// Share of the aim after which a first token must be expected; for a tenant over its share.
-const LATEST: f64 = 0.7;
-const LATEST_OVER_SHARE: f64 = 0.35;
+/// Share of the objective within which the first token must be expected, and that of a tenant over its quota.
+const OBJECTIVE_SHARE: f64 = 0.7;
+const OVER_QUOTA_OBJECTIVE_SHARE: f64 = 0.35;
+/// The probability of a rejection grows by this for each such share that the first token is expected later ...
+const REJECT_SLOPE: f64 = 3.0;
+/// ... up to this.
+const MAX_REJECT_PROBABILITY: f64 = 0.95;
 
 impl RequestState {
-    /// Work of taking in the prompt where so much of it is kept.
-    pub fn prefill_work(&self, kept: f64) -> f64 {
-        (self.request.prompt_tokens - kept).max(0.0) + wait_estimate::FIXED_WORK
+    /// Work of its prefill, in tokens, where so many of its tokens are cached.
+    pub(super) fn prefill_work(&self, cached_tokens: f64) -> f64 {
+        (self.request.prompt_tokens - cached_tokens).max(0.0) + wait_estimate::FIXED_WORK
     }
 }
 
 impl Router {
-    /// Whether a request that would be read there, where so much of it is kept, is refused at once.
-    pub(super) fn should_shed(&mut self, job: &RequestState, reader: ServerId, kept: f64) -> bool {
-        let writers =
+    /// Whether a request is rejected at once instead of being placed there as its first attempt.
+    pub(super) fn should_shed(&mut self, request: &RequestState, placement: Placement) -> bool {
+        let first_token = self.expected_first_token(request, placement);
+        let lacks_decode_server = self.lacks_decode_server(first_token);
+        let is_late = self.draws_late_rejection(request, first_token);
+        (lacks_decode_server || is_late) && self.shedding_trials.should_reject(self.now)
+    }
+
+    /// Time until the first token of a request that is placed there now.
+    fn expected_first_token(&self, request: &RequestState, placement: Placement) -> Millis {
+        let decode_servers =
             self.servers.values().filter(|s| s.role == Role::Decode && !s.health.is_ejected(self.now));
-        let write = writers.map(|s| self.expected_time(s.entry.server, 0.0)).fold(f64::MAX, f64::min);
-        let whole = self.servers.get(&reader).is_some_and(|s| s.role != Role::Prefill) || write == f64::MAX;
-        let first = self.expected_time(reader, job.prefill_work(kept)) + if whole { 0.0 } else { write };
-        let part = first
-            / (job.first_token_objective() * if job.over_quota { LATEST_OVER_SHARE } else { LATEST })
-                .max(1.0);
-        // In vain: what no writer may take before it is let go of, beside those that are read already.
-        let end = self.now + first + LEASE_SHARE * self.settings.rules.lease_limit;
-        let takes = |s: &ServerRecord, at| self.slow_start_allowance(s, 0.0, at).sends_left();
-        let writers = self.servers.values().filter(|s| s.role != Role::Prefill && s.is_reachable(self.now));
-        let sends = || writers.map(|s| Some(takes(s, self.now)?.max(takes(s, end)?))).sum::<Option<usize>>();
-        let before = || self.requests.values().filter(|j| j.needs_decode_server()).count();
-        let in_vain = self.probes_before_send() && sends().is_some_and(|sends| sends <= before());
-        let late = part > 1.0 && self.random.next_unit() < (3.0 * (part - 1.0)).min(0.95);
-        (in_vain || late) && self.shedding_trials.should_reject(self.now)
+        let shortest_decode_wait =
+            decode_servers.map(|s| self.expected_time(s.entry.server, 0.0)).fold(f64::MAX, f64::min);
+        let prefill = self.expected_time(placement.server, request.prefill_work(placement.cached_tokens));
+        let decodes_in_place = self.servers.get(&placement.server).is_some_and(|s| s.role != Role::Prefill);
+        if decodes_in_place || shortest_decode_wait == f64::MAX {
+            prefill
+        } else {
+            prefill + shortest_decode_wait
+        }
+    }
+
+    /// Whether no decode server would take the state of a new prefill before its lease ends, beside the requests that
+    /// need one already. Only known where routers probe, and only while every decode server is in slow start.
+    fn lacks_decode_server(&self, prefill_time: Millis) -> bool {
+        if !self.probes_before_send() {
+            return false;
+        }
+        let lease_end = self.now + prefill_time + USED_LEASE_SHARE * self.settings.rules.lease_limit;
+        let sends_left = |server: &ServerRecord| {
+            let now = self.slow_start_allowance(server, 0.0, self.now).sends_left()?;
+            let later = self.slow_start_allowance(server, 0.0, lease_end).sends_left()?;
+            Some(now.max(later))
+        };
+        let servers = self.servers.values().filter(|s| s.role != Role::Prefill && s.is_reachable(self.now));
+        let Some(capacity) = servers.map(sends_left).sum::<Option<usize>>() else { return false };
+        let needed = self.requests.values().filter(|request| request.needs_decode_server()).count();
+        capacity <= needed
+    }
+
+    /// Whether a request is rejected as late: by chance, so that routers with the same view do not reject alike.
+    fn draws_late_rejection(&mut self, request: &RequestState, first_token: Millis) -> bool {
+        let share = if request.over_quota { OVER_QUOTA_OBJECTIVE_SHARE } else { OBJECTIVE_SHARE };
+        let lateness = first_token / (request.first_token_objective() * share).max(1.0);
+        let probability = (REJECT_SLOPE * (lateness - 1.0)).min(MAX_REJECT_PROBABILITY);
+        lateness > 1.0 && self.random.next_unit() < probability
     }
 
-    /// When a read of this much work would end at a reader, or a stream begin at a writer or a mixed
-    /// server, if sent now.
-    pub(super) fn expected_time(&self, id: ServerId, work: f64) -> Millis {
-        let s = self.servers.get(&id);
-        s.map_or(0.0, |s| {
-            wait_estimate::time_to_serve(s, &self.statistics, self.router_count(), self.now, work)
-        })
+    /// Time until a prefill of so much work would end at a server, or at a decode or mixed server a stream would begin,
+    /// if it were sent now.
+    pub(super) fn expected_time(&self, id: ServerId, work_tokens: f64) -> Millis {
+        let Some(server) = self.servers.get(&id) else { return 0.0 };
+        wait_estimate::time_to_serve(server, &self.statistics, self.router_count(), self.now, work_tokens)
     }
 }
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -1,126 +1,154 @@
-//! Outlier ejection and the panic threshold: who may get work.
+//! Outlier ejection and the panic threshold: which servers may get work at present.
+//!
+//! State: [`Health`] in each server's record. Guards requests from servers that fail, and the fleet from ejecting its
+//! servers for a fault that is not theirs.
 
-use super::{Router, TICK};
-use crate::{api::*, state::*};
+use super::state_leases::NOTE_NO_STATE;
+use super::{Router, HOUSEKEEPING_INTERVAL};
+use crate::api::{Action, AttemptOutcome, AttemptStatus, Millis, Role, ServerId, ServerState};
+use crate::state::{
+    sanitize, Attempt, FailureKind, Health, PrefillSample, RequestState, ServerRecord, Stage,
+};
 
-/// A first ejection lasts this long (ms), each further one twice as long, up to so many doublings.
-pub const BASE_EJECTION_TIME: Millis = 500.0;
-const DOUBLINGS: u32 = 4;
-/// Weights of a broken connection and a spoilt answer (the others eject alone); what success leaves.
-const RESET_WEIGHT: f64 = 0.6;
-const SPOILT_WEIGHT: f64 = 0.2;
-const FORGIVE: f64 = 0.8;
-/// When less than this share of a role looks well, soft symptoms are not believed.
+/// Time of a first ejection (ms). Each further one takes twice as long ...
+pub(super) const BASE_EJECTION_TIME: Millis = 500.0;
+/// ... up to so many doublings.
+const MAX_DOUBLINGS: u32 = 4;
+/// Score of a broken connection and of a malformed response. Any other failure has a score of 1, which ejects.
+const RESET_SCORE: f64 = 0.6;
+const MALFORMED_RESPONSE_SCORE: f64 = 0.2;
+/// Part of the score that a success leaves.
+const SCORE_AFTER_SUCCESS: f64 = 0.8;
+/// Panic threshold: below this share of servers that are not ejected, ejections for soft failures are overruled.
 const PANIC_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Servers of these roles that may get work now: ready, not suspect, and not too cold.
+    /// Servers of these roles that may get an attempt of a request now: ready, not ejected, and within slow start's
+    /// allowance.
     pub(super) fn eligible_servers(
-        &mut self, roles: &[Role], job: &RequestState, stage: Stage, out: &mut Vec<Action>,
+        &mut self, roles: &[Role], request: &RequestState, stage: Stage, actions: &mut Vec<Action>,
     ) -> Vec<ServerId> {
         let now = self.now;
-        let may = |s: &&ServerRecord| s.entry.state == ServerState::Ready && job.can_send_to(&s.entry, now);
-        let ready: Vec<&ServerRecord> =
-            self.servers.values().filter(|s| roles.contains(&s.role)).filter(may).collect();
-        let mut good: Vec<&ServerRecord> =
-            ready.iter().copied().filter(|s| !s.health.is_ejected(now)).collect();
-        if (good.len() as f64) < PANIC_SHARE * ready.len() as f64 {
-            // Panic threshold: most of a role looks bad, so the cause is not the server.
-            good = ready.iter().copied().filter(|s| !s.health.is_unreachable()).collect();
-            if good.is_empty() {
-                good.clone_from(&ready);
+        let accepts = |server: &&ServerRecord| {
+            roles.contains(&server.role)
+                && server.entry.state == ServerState::Ready
+                && request.can_send_to(&server.entry, now)
+        };
+        let ready: Vec<&ServerRecord> = self.servers.values().filter(accepts).collect();
+        let mut healthy: Vec<&ServerRecord> =
+            ready.iter().copied().filter(|server| !server.health.is_ejected(now)).collect();
+        if (healthy.len() as f64) < PANIC_SHARE * ready.len() as f64 {
+            // Most servers of a role look bad, so the fault is elsewhere. Unreachable ones stay out while others remain.
+            healthy = ready.iter().copied().filter(|server| !server.health.is_unreachable()).collect();
+            if healthy.is_empty() {
+                healthy.clone_from(&ready);
             }
-            self.log_limiter.log(
-                "panic threshold",
-                format!("using {} of {}", good.len(), ready.len()),
-                now,
-                out,
-            );
+            let text = format!("using {} of {}", healthy.len(), ready.len());
+            self.log_limiter.log("panic threshold", text, now, actions);
         }
-        // A reader that is cold is looked at first.
-        let later = stage == Stage::Prefill && self.probes_before_send();
-        good.retain(|s| later || self.slow_start_allowance(s, 0.0, now).permits_send(s, now));
-        let good: Vec<ServerId> = good.iter().map(|s| s.entry.server).collect();
-        let fresh: Vec<ServerId> = good.iter().copied().filter(|id| !job.has_failed_on(*id, stage)).collect();
-        // All tried already: not again at once, or a refused connection burns every attempt in a moment.
-        match fresh.is_empty() && now >= job.idle_since + TICK {
-            true => good,
-            false => fresh,
+        // A prefill server in slow start is probed first, which then decides.
+        let is_probed_first = stage == Stage::Prefill && self.probes_before_send();
+        healthy.retain(|server| {
+            is_probed_first || self.slow_start_allowance(server, 0.0, now).permits_send(server, now)
+        });
+        let healthy: Vec<ServerId> = healthy.iter().map(|server| server.entry.server).collect();
+        let untried: Vec<ServerId> =
+            healthy.iter().copied().filter(|id| !request.has_failed_on(*id, stage)).collect();
+        // All have been tried: wait a little, or refused connections would use up every attempt in a moment.
+        let may_try_again = now >= request.idle_since + HOUSEKEEPING_INTERVAL;
+        if untried.is_empty() && may_try_again {
+            healthy
+        } else {
+            untried
         }
     }
 
-    /// Feeds the health judgement and the paces from one outcome; `work`: of an attempt to read.
+    /// Updates a server's health and service time by the end of an attempt. `work_tokens` is that of a prefill.
     pub(super) fn record_attempt_health(
-        &mut self, o: &AttemptOutcome, stage: Stage, sent: Millis, work: f64, out: &mut Vec<Action>,
+        &mut self, outcome: &AttemptOutcome, attempt: &Attempt, work_tokens: f64, actions: &mut Vec<Action>,
     ) {
-        if let Some(what) = FailureKind::from_status(o.status) {
-            return self.record_failure(o.server, what, out);
+        if let Some(kind) = FailureKind::from_status(outcome.status) {
+            return self.record_failure(outcome.server, kind, actions);
         }
-        match o.status {
+        match outcome.status {
             AttemptStatus::Served | AttemptStatus::Prefilled => {
-                self.record_success(o.server, sent);
-                let server = self.servers.get_mut(&o.server).filter(|_| stage == Stage::Prefill);
-                if let Some(s) = server {
-                    s.record_prefill(&mut self.statistics, work, sanitize(o.elapsed), sent, self.now);
+                self.record_success(outcome.server, attempt.sent_at);
+                if attempt.stage != Stage::Prefill {
+                    return;
+                }
+                let elapsed = sanitize(outcome.elapsed);
+                let sample = PrefillSample { work_tokens, elapsed, sent_at: attempt.sent_at };
+                if let Some(server) = self.servers.get_mut(&outcome.server) {
+                    server.record_prefill(sample, &mut self.statistics, self.now);
                 }
             }
-            AttemptStatus::Rejected if o.note < 1.0 => {
-                // Turned away: full, whatever the last report said, until a fresh one.
-                if let Some(s) = self.servers.get_mut(&o.server) {
-                    s.memory_share = Some(s.memory_share.unwrap_or(0.0).max(1.0));
-                    s.memory_reported_at = self.now;
+            AttemptStatus::Rejected if outcome.note < NOTE_NO_STATE => {
+                // It counts as full until its next report, whatever the last one said.
+                if let Some(server) = self.servers.get_mut(&outcome.server) {
+                    server.memory_share = Some(server.memory_share.unwrap_or(0.0).max(1.0));
+                    server.memory_reported_at = self.now;
                 }
             }
             _ => {}
         }
     }
 
-    /// One judgement for every kind of symptom: enough of them eject a server for a while, ever longer.
-    /// Harm: a server that is merely busy is skipped; the panic threshold bounds that.
-    pub(super) fn record_failure(&mut self, id: ServerId, what: FailureKind, out: &mut Vec<Action>) {
+    /// Counts a failure of a server, and ejects the server once its failures are enough.
+    ///
+    /// Cost: a server that is merely busy may be skipped; the panic threshold bounds that.
+    pub(super) fn record_failure(&mut self, id: ServerId, kind: FailureKind, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        let weights = [(FailureKind::Reset, RESET_WEIGHT), (FailureKind::MalformedResponse, SPOILT_WEIGHT)];
-        s.health.score += weights.iter().find(|w| w.0 == what).map_or(1.0, |w| w.1);
-        let trial = s.health.on_trial && what != FailureKind::MalformedResponse;
-        let spared = if trial { now < s.health.ejected_until } else { s.health.score < 1.0 };
-        if spared {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        server.health.score += match kind {
+            FailureKind::Reset => RESET_SCORE,
+            FailureKind::MalformedResponse => MALFORMED_RESPONSE_SCORE,
+            FailureKind::Error | FailureKind::Unresponsive | FailureKind::ConnectFailed => 1.0,
+        };
+        // On trial one failure is enough, except while it is still ejected and except a malformed response.
+        let is_on_trial = server.health.on_trial && kind != FailureKind::MalformedResponse;
+        let is_tolerated =
+            if is_on_trial { now < server.health.ejected_until } else { server.health.score < 1.0 };
+        if is_tolerated {
             return;
         }
-        let doublings = s.health.ejections.min(DOUBLINGS);
-        s.health = Health {
+        let doublings = server.health.ejections.min(MAX_DOUBLINGS);
+        server.health = Health {
             score: 0.0,
             ejections: doublings + 1,
             ejected_until: now + BASE_EJECTION_TIME * f64::from(1u32 << doublings),
             ejected_at: now,
             on_trial: true,
-            cause: Some(what),
+            cause: Some(kind),
         };
-        s.forget_measurements();
-        let unreachable = s.health.is_unreachable();
-        self.log_limiter.log("ejection", format!("server {:x}, {what:?}", id.0), now, out);
-        if unreachable {
-            self.cancel_lost_attempts(|_, _, a| a.server == id, out);
+        server.forget_measurements();
+        let is_unreachable = server.health.is_unreachable();
+        self.log_limiter.log("ejection", format!("server {:x}, {kind:?}", id.0), now, actions);
+        if is_unreachable {
+            self.cancel_lost_attempts(|_, _, attempt| attempt.server == id, actions);
         }
     }
 
-    pub(super) fn record_success(&mut self, id: ServerId, sent: Millis) {
+    /// Counts a success of a server by an attempt sent at `sent_at`, which ends a trial that began before.
+    pub(super) fn record_success(&mut self, id: ServerId, sent_at: Millis) {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        s.last_progress_at = now;
-        s.health.score *= FORGIVE;
-        if s.health.on_trial && sent >= s.health.ejected_at {
-            // Back: it may have restarted unseen, so it is taken for cold if it could not be reached.
-            if s.health.cause == Some(FailureKind::ConnectFailed) {
-                s.enter_slow_start(Some(now), now, self.random.next_unit());
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        server.last_progress_at = now;
+        server.health.score *= SCORE_AFTER_SUCCESS;
+        if server.health.on_trial && sent_at >= server.health.ejected_at {
+            // One that could not be reached may have restarted without an entry in the list.
+            if server.health.cause == Some(FailureKind::ConnectFailed) {
+                server.enter_slow_start(Some(now), now, self.random.next_unit());
             }
-            s.health.on_trial = false;
-            s.health.cause = None;
-            s.health.ejected_until = now;
-        } else if s.health.ejections > 0
-            && now > s.health.ejected_until + BASE_EJECTION_TIME * f64::from(1u32 << s.health.ejections)
+            server.health.on_trial = false;
+            server.health.cause = None;
+            server.health.ejected_until = now;
+            return;
+        }
+        let ejections = server.health.ejections;
+        if ejections > 0
+            && now > server.health.ejected_until + BASE_EJECTION_TIME * f64::from(1u32 << ejections)
         {
-            s.health.ejections -= 1;
+            server.health.ejections -= 1;
         }
     }
 }
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -1,161 +1,230 @@
-//! Looks: probes, on behalf of a request or to hear from a server that has been silent.
+//! Load probes: on behalf of a request in a large fleet, or to hear from a server that has been quiet.
+//!
+//! State: the router's probe budget, earned by requests, and the probes sent for each request. Guards the price of
+//! probes over the whole fleet, and preferred servers that no single router sees to be overloaded.
 
-use super::{decode_placement::MEMORY_REPORT_DECAY, outlier_detection::BASE_EJECTION_TIME, Router};
-use crate::{
-    api::*, fleet_load, fleet_load::LoadKnowledge, fleet_load::NextStep, slow_start_budget, state::*,
-};
+use super::decode_placement::MEMORY_REPORT_DECAY;
+use super::outlier_detection::BASE_EJECTION_TIME;
+use super::Router;
+use crate::api::{Action, AttemptStatus, LoadReport, Millis, Prices, Role, ServerId};
+use crate::fleet_load::{self, LoadKnowledge, NextStep, Phase, PrefixDemand, ProbeBudget};
+use crate::slow_start_budget::{self, Allowance};
+use crate::state::{Location, RequestState, SentProbe, ServerRecord, LOAD_REPORT_TTL};
 
-/// Servers not heard from for this long are probed (ms), from so many probes earned by a request.
-pub const PROBE_INTERVAL: Millis = 1_000.0;
-const PROBE_EARN: f64 = 1.0;
-/// Among many routers: how many looks are saved up for requests.
-const LOOKS_KEPT: f64 = 12.0;
+/// A server that has not been heard from for this long is probed (ms).
+pub(super) const PROBE_INTERVAL: Millis = 1_000.0;
+/// Small fleet: probes earned by a request, and most that are saved up.
+const PROBES_PER_REQUEST: f64 = 1.0;
+const MAX_PROBE_BUDGET: f64 = 2.0;
+/// Large fleet: probes that are saved up for requests, not to be spent on quiet servers.
+const PROBES_RESERVED_FOR_REQUESTS: f64 = 12.0;
+/// Quiet servers with pending work are probed before all others.
+const PENDING_WORK_URGENCY: Millis = 1e12;
+
+/// What one request knows of the prefill servers that it may go to.
+struct FleetView<'a> {
+    router: &'a Router,
+    request: &'a RequestState,
+    demand: PrefixDemand,
+    typical_load: f64,
+}
+
+impl<'a> FleetView<'a> {
+    fn server(&self, id: ServerId) -> Option<&'a ServerRecord> {
+        self.router.servers.get(&id)
+    }
+
+    fn allowance(&self, server: &ServerRecord) -> Allowance {
+        let demand_units = self.demand.at_server(server);
+        self.router.slow_start_allowance(server, demand_units, self.router.now)
+    }
+
+    fn permits_send(&self, id: ServerId) -> bool {
+        self.server(id).is_some_and(|server| self.allowance(server).permits_send(server, self.router.now))
+    }
+
+    /// What is known of a server's load. One in slow start whose report does not count is treated like one that does
+    /// not answer.
+    fn knowledge(&self, id: ServerId) -> LoadKnowledge {
+        let Some(server) = self.server(id).filter(|server| self.allowance(server).trusts_report()) else {
+            return LoadKnowledge::NoAnswer;
+        };
+        let capacity_share = self.router.capacity_share(server);
+        let probed_at = self.request.probed_at(id);
+        fleet_load::load_knowledge(server, probed_at, self.router.now, self.typical_load, capacity_share)
+    }
+
+    /// The server to fall back on: one that was probed already, or else one with the least estimated load.
+    fn fallback(&self, others: &[ServerId], draw: f64) -> Option<ServerId> {
+        if let Some(probed) = others.iter().find(|id| self.request.probed_at(**id).is_some()) {
+            return Some(*probed);
+        }
+        let estimate = |id: &ServerId| {
+            let server = self.server(*id)?;
+            let phase = match self.router.capacity_share(server) < 1.0 {
+                true => Phase::SlowStart,
+                false => Phase::WarmedUp,
+            };
+            Some((fleet_load::estimated_load(server, self.router.now, self.typical_load, phase), *id))
+        };
+        let estimates: Vec<(f64, ServerId)> = others.iter().filter_map(estimate).collect();
+        fleet_load::least_loaded(&estimates, draw)
+    }
+}
 
 impl Router {
-    /// Whether requests go by what servers say when they are asked: routers are too many for own counts.
+    /// Whether load reports decide instead of this router's own counts, which say too little in a large fleet. A
+    /// request may then have to wait for a probe before it is sent.
     pub(super) fn probes_before_send(&self) -> bool {
         fleet_load::is_large_fleet(self.router_count()) && self.settings.limits.probes
     }
 
-    /// The escape among many routers: the first in order that is not crowded by its own word, asked for it.
+    /// Overload diversion in a large fleet: the first server in order that is not overloaded by its load report, which
+    /// is probed for. `None` while an answer is awaited.
     pub(super) fn choose_by_load_probe(
-        &mut self, matched: Option<ServerId>, order: &[ServerId], job: &mut RequestState,
-        out: &mut Vec<Action>,
+        &mut self, matched: Option<ServerId>, ranked: &[ServerId], request: &mut RequestState,
+        actions: &mut Vec<Action>,
     ) -> Option<ServerId> {
-        let (now, draw) = (self.now, self.random.next_unit());
-        let rest = order.iter().copied().filter(|id| matched != Some(*id));
-        let mut candidates: Vec<ServerId> = matched.into_iter().chain(rest).collect();
-        let server = |id: &ServerId| self.servers.get(id);
-        let readers = order.iter().filter_map(server);
-        let asked = fleet_load::PrefixDemand::new(job.recent_requests, readers, candidates.first());
-        let may_get = |id: &ServerId| {
-            server(id)
-                .is_some_and(|s| self.slow_start_allowance(s, asked.at_server(s), now).permits_send(s, now))
-        };
-        let heard =
-            candidates.iter().filter_map(|id| server(id)?.current_load(now, MEMORY_REPORT_DECAY)).collect();
-        let usual = fleet_load::typical_load(heard);
-        // Of the others, one that was looked at or has the fewest in flight as far as is known stands last.
+        let draw = self.random.next_unit();
+        let budget = if self.probe_budget >= 1.0 { ProbeBudget::Available } else { ProbeBudget::Exhausted };
+        let unmatched = ranked.iter().copied().filter(|id| matched != Some(*id));
+        let mut candidates: Vec<ServerId> = matched.into_iter().chain(unmatched).collect();
+        let view = self.fleet_view(ranked, &candidates, request);
         let mut others = candidates.split_off(candidates.len().min(fleet_load::MAX_PROBED_CANDIDATES));
-        others.retain(may_get);
-        let seen = others.iter().find(|id| job.probes.iter().any(|l| l.0 == **id)).copied();
-        let reckon =
-            |s: &ServerRecord| fleet_load::estimated_load(s, now, usual, self.capacity_share(s) < 1.0);
-        let reckoned: Vec<_> = others.iter().filter_map(|id| Some((reckon(server(id)?), *id))).collect();
-        candidates.extend(seen.or(fleet_load::least_loaded(&reckoned, draw)));
-        let look = |id: &ServerId| job.probes.iter().find(|l| l.0 == *id).map(|l| l.1);
-        let sight =
-            |s: &ServerRecord, look| fleet_load::load_knowledge(s, look, now, usual, self.capacity_share(s));
-        let told = |s: &&ServerRecord| self.slow_start_allowance(s, asked.at_server(s), now).trusts_report();
-        let sights =
-            |id: &ServerId| server(id).filter(told).map_or(LoadKnowledge::NoAnswer, |s| sight(s, look(id)));
-        // A cold one that says nothing gets nothing.
-        let may_look = self.probe_budget >= 1.0;
-        candidates.retain(|id| may_get(id) || sights(id).may_be_known(may_look));
-        let sights: Vec<LoadKnowledge> = candidates.iter().map(sights).collect();
-        match fleet_load::next_step(&sights, may_look) {
-            NextStep::Send(n) => return candidates.get(n).copied(),
+        others.retain(|id| view.permits_send(*id));
+        candidates.extend(view.fallback(&others, draw));
+        // A server in slow start gets nothing without a load report.
+        candidates.retain(|id| view.permits_send(*id) || view.knowledge(*id).may_be_known(budget));
+        let knowledge: Vec<LoadKnowledge> = candidates.iter().map(|id| view.knowledge(*id)).collect();
+        match fleet_load::next_step(&knowledge, budget) {
+            NextStep::Send(index) => return candidates.get(index).copied(),
             NextStep::Wait => {}
-            NextStep::Probe(which) => {
-                for id in which.into_iter().filter_map(|n| candidates.get(n)) {
-                    job.probes.push((*id, now));
-                    self.send_probe(*id, out);
+            NextStep::Probe(indices) => {
+                for server in indices.into_iter().filter_map(|index| candidates.get(index).copied()) {
+                    request.probes.push(SentProbe { server, sent_at: self.now });
+                    self.send_probe(server, actions);
                 }
             }
         }
         None
     }
 
-    fn send_probe(&mut self, id: ServerId, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        s.last_probed_at = self.now;
+    fn fleet_view<'a>(
+        &'a self, ranked: &[ServerId], candidates: &[ServerId], request: &'a RequestState,
+    ) -> FleetView<'a> {
+        let server = |id: &ServerId| self.servers.get(id);
+        let prefill_servers = ranked.iter().filter_map(server);
+        let demand = PrefixDemand::new(request.recent_requests, prefill_servers, candidates.first());
+        let load = |id: &ServerId| server(id)?.current_load(self.now, MEMORY_REPORT_DECAY);
+        let loads = candidates.iter().filter_map(load).collect();
+        FleetView { router: self, request, demand, typical_load: fleet_load::typical_load(loads) }
+    }
+
+    fn send_probe(&mut self, id: ServerId, actions: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        server.last_probed_at = self.now;
         self.probe_budget -= 1.0;
-        out.push(Action::Probe { server: id });
+        actions.push(Action::Probe { server: id });
     }
 
-    /// While the prompt is read, some writers near it are asked for their memory: a state need not leave
-    /// its cell for a writer of which no more is known.
-    pub(super) fn probe_nearby_decode_servers(&mut self, place: (u32, u32), out: &mut Vec<Action>) {
-        let (now, Prices { probe, cell_transfer: moved }) = (self.now, self.settings.prices);
-        let near = |s: &ServerRecord| {
-            s.entry.location() == place && now > s.memory_reported_at.max(s.last_probed_at) + LOAD_REPORT_TTL
+    /// Probes some decode servers near a prefill for their memory while it runs, so that its state need not leave its
+    /// cell for a server of which more is known.
+    pub(super) fn probe_nearby_decode_servers(&mut self, location: Location, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let Prices { probe, cell_transfer } = self.settings.prices;
+        let is_unknown_nearby = |server: &ServerRecord| {
+            let last_known_at = server.memory_reported_at.max(server.last_probed_at);
+            server.entry.location() == location && now > last_known_at + LOAD_REPORT_TTL
         };
-        self.probe_decode_servers(near, fleet_load::decode_servers_to_probe(probe, moved), out);
+        let count = fleet_load::decode_servers_to_probe(probe, cell_transfer);
+        self.probe_decode_servers(is_unknown_nearby, count, actions);
     }
 
-    /// A state that no writer may take has some asked anew: a cold one gets nothing without its fresh word,
-    /// and what it said as the read began is old at its end.
-    pub(super) fn probe_stale_decode_servers(&mut self, out: &mut Vec<Action>) {
+    /// Probes some decode servers for a state that none of them may take: one in slow start gets nothing without a fresh
+    /// report, and what it reported at the start of a prefill is old at its end.
+    pub(super) fn probe_stale_decode_servers(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        let old = |s: &ServerRecord| {
-            s.current_load(now, slow_start_budget::FLEET_REPORT_TTL).is_none()
-                && now > s.last_probed_at + fleet_load::PROBE_TIMEOUT
+        let is_stale = |server: &ServerRecord| {
+            server.current_load(now, slow_start_budget::FLEET_REPORT_TTL).is_none()
+                && now > server.last_probed_at + fleet_load::PROBE_TIMEOUT
         };
-        self.probe_decode_servers(old, fleet_load::MAX_PROBED_DECODE_SERVERS, out);
+        self.probe_decode_servers(is_stale, fleet_load::MAX_PROBED_DECODE_SERVERS, actions);
     }
 
+    /// Probes up to `max_count` available decode servers, drawn at random.
     fn probe_decode_servers(
-        &mut self, which: impl Fn(&ServerRecord) -> bool, most: usize, out: &mut Vec<Action>,
+        &mut self, is_wanted: impl Fn(&ServerRecord) -> bool, max_count: usize, actions: &mut Vec<Action>,
     ) {
-        let asked = |s: &&ServerRecord| s.role == Role::Decode && s.is_available(self.now) && which(s);
-        let mut some: Vec<_> = self.servers.values().filter(asked).map(|s| s.entry.server).collect();
-        for _ in 0..most.min(some.len()).min(self.probe_budget as usize) {
-            let n = (self.random.next_unit() * some.len() as f64) as usize;
-            self.send_probe(some.swap_remove(n.min(some.len() - 1)), out);
+        let is_candidate = |server: &&ServerRecord| {
+            server.role == Role::Decode && server.is_available(self.now) && is_wanted(server)
+        };
+        let mut candidates: Vec<ServerId> =
+            self.servers.values().filter(is_candidate).map(|server| server.entry.server).collect();
+        let count = max_count.min(candidates.len()).min(self.probe_budget as usize);
+        for _ in 0..count {
+            let index = (self.random.next_unit() * candidates.len() as f64) as usize;
+            let drawn = candidates.swap_remove(index.min(candidates.len() - 1));
+            self.send_probe(drawn, actions);
         }
     }
 
     pub(super) fn on_probe_result(
-        &mut self, server: ServerId, status: AttemptStatus, report: Option<LoadReport>, out: &mut Vec<Action>,
+        &mut self, id: ServerId, status: AttemptStatus, report: Option<LoadReport>, actions: &mut Vec<Action>,
     ) {
-        self.record_load_report(server, report);
+        self.record_load_report(id, report);
         let now = self.now;
-        let unreachable =
-            |s: &&mut ServerRecord| status != AttemptStatus::Served && s.health.is_unreachable();
-        if let Some(s) = self.servers.get_mut(&server).filter(unreachable) {
-            s.health.ejected_until = s.health.ejected_until.max(now + BASE_EJECTION_TIME);
+        let failed = status != AttemptStatus::Served;
+        let ejected = self.servers.get_mut(&id).filter(|server| failed && server.health.is_unreachable());
+        if let Some(server) = ejected {
+            server.health.ejected_until = server.health.ejected_until.max(now + BASE_EJECTION_TIME);
         }
         let mut waiting = Vec::new();
-        for (id, job) in self.requests.iter_mut().filter(|(_, j)| !j.closed && !j.has_attempt_in_flight()) {
-            let Some(look) = job.probes.iter_mut().find(|l| l.0 == server) else { continue };
-            if status != AttemptStatus::Served {
-                look.1 = now - fleet_load::PROBE_TIMEOUT;
+        for (request_id, request) in &mut self.requests {
+            if request.closed || request.has_attempt_in_flight() {
+                continue;
             }
-            waiting.push(*id);
+            let Some(probe) = request.probes.iter_mut().find(|probe| probe.server == id) else { continue };
+            if failed {
+                probe.sent_at = now - fleet_load::PROBE_TIMEOUT;
+            }
+            waiting.push(*request_id);
+        }
+        for request_id in waiting {
+            self.advance(request_id, actions);
         }
-        waiting.into_iter().for_each(|id| self.advance(id, out));
-    }
-
-    /// Spends the probes earned where an answer would change most: where work waits, then longest unheard of.
-    pub(super) fn probe_quiet_servers(&mut self, out: &mut Vec<Action>) {
-        // Among many routers, probes are kept for the servers that a request is to go to.
-        let kept = if fleet_load::is_large_fleet(self.router_count()) { LOOKS_KEPT } else { 0.0 };
-        while self.settings.limits.probes && self.probe_budget >= 1.0 + kept {
-            let due = self
-                .servers
-                .values_mut()
-                .filter(|s| self.now >= s.last_heard_at.max(s.last_probed_at) + PROBE_INTERVAL);
-            let urgency = |s: &ServerRecord| {
-                s.last_heard_at.max(s.last_probed_at) - if s.pending.is_empty() { 0.0 } else { 1e12 }
+    }
+
+    /// Spends the probe budget on quiet servers: first those with pending work, then the one quiet for longest.
+    pub(super) fn probe_quiet_servers(&mut self, actions: &mut Vec<Action>) {
+        let is_large_fleet = fleet_load::is_large_fleet(self.router_count());
+        let reserved = if is_large_fleet { PROBES_RESERVED_FOR_REQUESTS } else { 0.0 };
+        while self.settings.limits.probes && self.probe_budget >= 1.0 + reserved {
+            let quiet_since = |server: &ServerRecord| server.last_heard_at.max(server.last_probed_at);
+            let rank = |server: &ServerRecord| {
+                quiet_since(server) - if server.pending.is_empty() { 0.0 } else { PENDING_WORK_URGENCY }
             };
-            let Some(s) = due.min_by(|a, b| urgency(a).total_cmp(&urgency(b))) else { return };
-            let id = s.entry.server;
-            self.send_probe(id, out);
+            let quiet = self.servers.values().filter(|s| self.now >= quiet_since(s) + PROBE_INTERVAL);
+            let Some(server) = quiet.min_by(|a, b| rank(a).total_cmp(&rank(b))) else { return };
+            let id = server.entry.server;
+            self.send_probe(id, actions);
         }
     }
 
+    /// Takes in a load report of a server, if there is one.
     pub(super) fn record_load_report(&mut self, id: ServerId, report: Option<LoadReport>) {
-        if let (Some(s), Some(report)) = (self.servers.get_mut(&id), report) {
-            s.record_load_report(report, self.statistics.mean_prompt_tokens, self.now);
+        if let (Some(server), Some(report)) = (self.servers.get_mut(&id), report) {
+            server.record_load_report(report, self.statistics.mean_prompt_tokens, self.now);
         }
     }
 
-    /// Looks and probes earned by a new request.
+    /// Adds to the probe budget what a new request earns.
     pub(super) fn earn_probes(&mut self) {
-        let (earn, most) = match fleet_load::is_large_fleet(self.router_count()) {
-            true => (fleet_load::probes_earned(self.settings.prices.probe), LOOKS_KEPT + 1.0),
-            false => (PROBE_EARN, 2.0),
+        let (earned, max_budget) = match fleet_load::is_large_fleet(self.router_count()) {
+            true => {
+                (fleet_load::probes_earned(self.settings.prices.probe), PROBES_RESERVED_FOR_REQUESTS + 1.0)
+            }
+            false => (PROBES_PER_REQUEST, MAX_PROBE_BUDGET),
         };
-        self.probe_budget = (self.probe_budget + earn).min(most);
+        self.probe_budget = (self.probe_budget + earned).min(max_budget);
     }
 }
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -1,167 +1,209 @@
-//! The steps of a request, from its arrival to its first token.
+//! Request life cycle: the steps of a request from its arrival to its first token.
+//!
+//! State: [`RequestState`] in the router's map, from arrival until the last attempt has ended. Guards the deadline, the
+//! limit of attempts, and one attempt in flight at a time.
 
-use super::{
-    outlier_detection::BASE_EJECTION_TIME, retries::MAX_RETRY_BUDGET, retries::RETRIES_PER_REQUEST, Router,
-    REQUEST_RATE_DECAY,
+use super::outlier_detection::BASE_EJECTION_TIME;
+use super::retries::{MAX_RETRY_BUDGET, RETRIES_PER_REQUEST};
+use super::timer_key::TimerKey;
+use super::Router;
+use crate::api::{Action, Millis, RejectReason, Request, RequestId, Role};
+use crate::state::{
+    sanitize, Attempt, DecayingValue, Placement, PossibleExecution, RecentRequests, RequestState, SentWork,
+    Stage, UnreportedStream, REQUEST_RATE_DECAY,
 };
-use crate::{api::*, state::*, wait_estimate};
+use crate::wait_estimate;
 
-/// The pause before a request that found no server looks again (ms).
-pub const PLACEMENT_RETRY_INTERVAL: Millis = 20.0;
+/// Pause before a request that found no server tries again (ms).
+pub(super) const PLACEMENT_RETRY_INTERVAL: Millis = 20.0;
+/// A timer may fire early by this much (ms). One that is due so soon counts as fired, or the step would be lost.
+const TIMER_TOLERANCE: Millis = 0.5;
+
+/// What a request does next.
+enum Step {
+    /// Nothing: an attempt is in flight, the request is closed, or a timer is set.
+    Nothing,
+    /// Send an attempt.
+    Send(Placement),
+    /// Set a timer to try again.
+    RetryLater,
+    /// Reject or fail it.
+    Abandon(RejectReason),
+}
 
 impl Router {
-    pub(super) fn on_request(&mut self, mut ask: Request, out: &mut Vec<Action>) {
-        let Some(class) = self.settings.classes.get(ask.class as usize).cloned() else {
-            out.push(Action::Reject { id: ask.id, retry_after: 0.0, reason: RejectReason::UnknownClass });
+    pub(super) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        let Some(class) = self.settings.classes.get(request.class as usize).cloned() else {
+            actions.push(Action::Reject { id, retry_after: 0.0, reason: RejectReason::UnknownClass });
             return;
         };
-        if self.requests.contains_key(&ask.id) {
+        if self.requests.contains_key(&id) {
             return;
         }
-        ask.sanitize();
-        self.statistics.record_prompt(ask.prompt_tokens);
-        let (id, now) = (ask.id, self.now);
-        let deadline = now + ask.client_timeout;
-        self.retry_budget =
-            (self.retry_budget + RETRIES_PER_REQUEST).min((MAX_RETRY_BUDGET / self.router_count()).max(1.0));
+        request.sanitize();
+        self.statistics.record_prompt(request.prompt_tokens);
+        let now = self.now;
+        let deadline = now + request.client_timeout;
+        let max_budget = (MAX_RETRY_BUDGET / self.router_count()).max(1.0);
+        self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(max_budget);
         self.earn_probes();
-        let asked = [None, Some(ask.affinity_key())].map(|key| {
-            let e = self.request_rates.get_or_insert_mut(key, || (0.0, now));
-            *e = (
-                ask.prompt_tokens / self.statistics.mean_prompt_tokens.max(1.0)
-                    + decayed(*e, now, REQUEST_RATE_DECAY),
-                now,
-            );
-            e.0
-        });
-        let over_share = self.tenant_quotas.record_request(ask.tenant as usize, now);
-        let job = RequestState {
-            request: ask,
+        let state = RequestState {
             class,
             arrived_at: now,
             deadline,
             idle_since: now,
-            over_quota: over_share,
-            recent_requests: asked,
+            recent_requests: self.count_request(&request),
+            over_quota: self.tenant_quotas.record_request(request.tenant as usize, now),
+            request,
             ..RequestState::default()
         };
-        self.requests.insert(id, job);
-        let answer_by = (deadline - 2.0 * self.settings.tick_interval).max(self.now);
-        out.push(Action::Timer { at: answer_by, key: id.0 << 1, request: Some(id) });
-        self.advance(id, out);
+        self.requests.insert(id, state);
+        let answer_by = (deadline - 2.0 * self.settings.tick_interval).max(now);
+        actions.push(TimerKey::Deadline(id).set(answer_by));
+        self.advance(id, actions);
     }
 
-    /// Takes the next step for a request that no attempt is out for.
-    pub(super) fn advance(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(mut job) = self.requests.remove(&id) else { return };
-        let done = job.closed || job.is_streaming() || job.has_attempt_in_flight();
-        let spent = job.attempts.len() as u32 >= self.settings.limits.max_attempts;
-        if !done && !spent {
-            self.release_late_lease(&mut job, out);
-        }
-        let target = if done || spent {
-            None
-        } else if job.prefilled_on.is_some() {
-            self.choose_decode_server(&job, out).map(|w| (w, Stage::Decode, 0.0))
-        } else {
-            self.choose_prefill_server(&mut job, out)
+    /// Counts a request that arrives, for all requests and for its prefix.
+    fn count_request(&mut self, request: &Request) -> RecentRequests {
+        let now = self.now;
+        let relative = request.prompt_tokens / self.statistics.mean_prompt_tokens.max(1.0);
+        let mut count = |key| {
+            let rate = self.request_rates.get_or_insert_mut(key, || DecayingValue::zero(now));
+            rate.add(relative, now, REQUEST_RATE_DECAY)
         };
-        let shed = match target {
-            Some((reader, _, kept)) if job.attempts.is_empty() => self.should_shed(&job, reader, kept),
-            None => self.now > job.arrived_at + job.first_token_objective(),
-            _ => false,
+        let total = count(None);
+        let same_prefix = count(Some(request.hash_key()));
+        RecentRequests { total, same_prefix }
+    }
+
+    /// Takes the next step of a request that has no attempt in flight.
+    pub(super) fn advance(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(mut request) = self.requests.remove(&id) else { return };
+        let step = self.next_step(&mut request, actions);
+        self.requests.insert(id, request);
+        match step {
+            Step::Nothing => {}
+            Step::Send(placement) => self.send_attempt(id, placement, actions),
+            Step::RetryLater => {
+                actions.push(TimerKey::NextStep(id).set(self.now + PLACEMENT_RETRY_INTERVAL));
+            }
+            Step::Abandon(reason) => {
+                if reason == RejectReason::LoadShed {
+                    let text = "late, or no decode server has room".into();
+                    self.log_limiter.log("load shedding", text, self.now, actions);
+                }
+                self.reject_or_fail(id, reason, actions);
+            }
+        }
+    }
+
+    fn next_step(&mut self, request: &mut RequestState, actions: &mut Vec<Action>) -> Step {
+        let in_progress = request.closed || request.is_streaming() || request.has_attempt_in_flight();
+        let exhausted = request.attempts.len() as u32 >= self.settings.limits.max_attempts;
+        let placement = if in_progress || exhausted { None } else { self.choose_placement(request, actions) };
+        let shed = match placement {
+            Some(placement) if request.attempts.is_empty() => self.should_shed(request, placement),
+            Some(_) => false,
+            None => self.now > request.arrived_at + request.first_token_objective(),
         };
-        let may_wait = !spent && self.lease_outlasts_retry(&job);
-        // Its timer may be a rounding early: taken for still out, the step would be lost.
-        let waits = job.step_timer_due > self.now + 0.5;
-        if target.is_none() && !waits {
-            job.step_timer_due = self.now + PLACEMENT_RETRY_INTERVAL;
+        let timer_is_set = request.step_timer_due > self.now + TIMER_TOLERANCE;
+        if placement.is_none() && !timer_is_set {
+            request.step_timer_due = self.now + PLACEMENT_RETRY_INTERVAL;
         }
-        self.requests.insert(id, job);
-        match target {
-            _ if done => {}
-            _ if shed => {
-                self.log_limiter.log("load shedding", "late, or for no writer".into(), self.now, out);
-                self.reject_or_fail(id, RejectReason::LoadShed, out);
-            }
-            Some(pick) => self.send_attempt(id, pick, out),
-            None if may_wait && waits => {}
-            None if may_wait => out.push(Action::Timer {
-                at: self.now + PLACEMENT_RETRY_INTERVAL,
-                key: id.0 << 1 | 1,
-                request: Some(id),
-            }),
-            None if spent => self.reject_or_fail(id, RejectReason::AttemptsExhausted, out),
-            None => self.reject_or_fail(id, RejectReason::NoServerAvailable, out),
+        match placement {
+            _ if in_progress => Step::Nothing,
+            _ if shed => Step::Abandon(RejectReason::LoadShed),
+            Some(placement) => Step::Send(placement),
+            None if exhausted => Step::Abandon(RejectReason::AttemptsExhausted),
+            None if !self.lease_outlasts_retry(request) => Step::Abandon(RejectReason::NoServerAvailable),
+            None if timer_is_set => Step::Nothing,
+            None => Step::RetryLater,
+        }
+    }
+
+    fn choose_placement(
+        &mut self, request: &mut RequestState, actions: &mut Vec<Action>,
+    ) -> Option<Placement> {
+        self.release_late_lease(request, actions);
+        if request.prefilled_on.is_none() {
+            return self.choose_prefill_server(request, actions);
         }
+        let server = self.choose_decode_server(request, actions)?;
+        Some(Placement { server, stage: Stage::Decode, cached_tokens: 0.0 })
     }
 
-    fn send_attempt(&mut self, id: RequestId, (to, stage, kept): Placement, out: &mut Vec<Action>) {
+    fn send_attempt(&mut self, id: RequestId, placement: Placement, actions: &mut Vec<Action>) {
+        let Placement { server: target, stage, cached_tokens } = placement;
         let now = self.now;
-        let credit = self.servers.get(&to).map_or(0.0, |s| self.send_credit(s, now));
-        let usual = wait_estimate::typical_work(&self.statistics);
-        let (Some(job), Some(s)) = (self.requests.get_mut(&id), self.servers.get_mut(&to)) else { return };
-        let own = job.prefill_work(kept);
-        // What fills a reader's memory is what it has not kept yet, so tokens count, not requests.
-        let weight = if s.role == Role::Decode { 1.0 } else { own / usual };
-        s.record_send(id, now, credit - 1.0, (own, weight, REQUEST_RATE_DECAY));
-        if s.health.on_trial {
-            // One trial at a time.
-            s.health.ejected_until = now + BASE_EJECTION_TIME;
+        let credit = self.servers.get(&target).map_or(0.0, |server| self.send_credit(server, now));
+        let typical_work = wait_estimate::typical_work(&self.statistics);
+        let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&target))
+        else {
+            return;
+        };
+        let tokens = request.prefill_work(cached_tokens);
+        // A prefill server's memory is filled by the tokens that it has not cached yet, not by the number of requests.
+        let relative = if server.role == Role::Decode { 1.0 } else { tokens / typical_work };
+        server.record_send(id, SentWork { tokens, relative, remaining_credit: credit - 1.0 }, now);
+        if server.health.on_trial {
+            // Only one trial at a time.
+            server.health.ejected_until = now + BASE_EJECTION_TIME;
         }
+        let location = server.entry.location();
         if stage == Stage::Decode {
-            s.unreported_streams.insert(id, (now, job.memory_share(s)));
-            job.possible_execution.get_or_insert((s.entry.zone, s.entry.cell, now));
+            let memory_share = request.memory_share(server);
+            server.unreported_streams.insert(id, UnreportedStream { sent_at: now, memory_share });
+            request.possible_execution.get_or_insert(PossibleExecution { location, sent_at: now });
         }
-        // Slow work that moves is left alone: a copy would be read from the start. Silence tells the rest.
-        let timeout = (job.deadline - now - 2.0 * self.settings.tick_interval).max(1.0);
-        job.attempts.push(Attempt {
-            server: to,
+        // The time-out is the deadline: a retry of slow work that gets on would start it over. Work that does not get
+        // on is left to time-out detection.
+        let timeout = (request.deadline - now - 2.0 * self.settings.tick_interval).max(1.0);
+        request.attempts.push(Attempt {
+            server: target,
             stage,
             sent_at: now,
             in_flight: true,
-            work: own,
+            work_tokens: tokens,
             ..Attempt::default()
         });
-        out.push(Action::Send { id, server: to, timeout });
+        actions.push(Action::Send { id, server: target, timeout });
         self.shedding_trials.record_send(now);
-        let place = s.entry.location();
         if stage == Stage::Prefill && self.probes_before_send() {
-            self.probe_nearby_decode_servers(place, out);
+            self.probe_nearby_decode_servers(location, actions);
         }
     }
 
-    pub(super) fn on_timer(&mut self, key: u64, out: &mut Vec<Action>) {
-        let id = RequestId(key >> 1);
-        match self.requests.get(&id).filter(|j| j.awaits_first_token()) {
-            None => {}
-            Some(_) if key & 1 == 1 => self.advance(id, out),
-            Some(_) => self.reject_or_fail(id, RejectReason::DeadlineExceeded, out),
+    pub(super) fn on_step_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.requests.get(&id).is_some_and(RequestState::awaits_first_token) {
+            self.advance(id, actions);
         }
     }
 
+    pub(super) fn on_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        self.reject_or_fail(id, RejectReason::DeadlineExceeded, actions);
+    }
+
     pub(super) fn on_first_token(&mut self, id: RequestId, attempt: u32, elapsed: Millis) {
-        let Some(job) = self.requests.get_mut(&id) else { return };
-        let Some(Attempt { server, sent_at: sent, work, .. }) = job.record_first_token(attempt, self.now)
-        else {
-            return;
-        };
-        let per_work = sanitize(elapsed) / work;
-        let whole = job.attempts.iter().all(|a| a.stage == Stage::Decode);
-        self.statistics.service_time_by_stage[Stage::Decode as usize].record(per_work);
-        if let Some(s) = self.servers.get_mut(&server) {
-            let mut wait = sanitize(elapsed);
-            if whole {
-                s.service_time.record(per_work);
-                wait = (wait - work * s.service_time.per_token).max(0.0);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.record_first_token(attempt, self.now) else { return };
+        let elapsed = sanitize(elapsed);
+        let per_token = elapsed / attempt.work_tokens;
+        let prefilled_in_place = request.attempts.iter().all(|a| a.stage == Stage::Decode);
+        self.statistics.record_service_time(Stage::Decode, per_token);
+        if let Some(server) = self.servers.get_mut(&attempt.server) {
+            let mut wait = elapsed;
+            if prefilled_in_place {
+                server.service_time.record(per_token);
+                wait = (wait - attempt.work_tokens * server.service_time.per_token).max(0.0);
             }
-            s.pending.remove(&id);
-            s.record_wait(&mut self.statistics, wait, sent, self.now);
+            server.pending.remove(&id);
+            server.record_wait(wait, attempt.sent_at, &mut self.statistics, self.now);
         }
-        self.record_completion(server);
-        if whole {
-            self.record_affinity(id, server);
+        self.record_completion(attempt.server);
+        if prefilled_in_place {
+            self.record_affinity(id, attempt.server);
         }
-        self.record_success(server, sent);
+        self.record_success(attempt.server, attempt.sent_at);
     }
 }
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -1,16 +1,27 @@
-//! Retries: whether another attempt may follow (rule 2), and the budget that it is paid from.
+//! Retry policy and retry budget: whether another attempt may follow one that ended.
+//!
+//! State: the attempts in [`RequestState`], and the router's one budget. Guards idempotency (what may have run is
+//! repeated only where that is harmless) and bounds the load that retries add to a fleet in trouble.
 
 use super::Router;
-use crate::{api::*, state::*};
+use crate::api::{
+    Action, AttemptOutcome, AttemptStatus, DeduplicationScope, Idempotency, Millis, RejectReason, RequestId,
+    ServerEntry,
+};
+use crate::state::{sanitize, RequestState};
 
-/// Retries earned by a request, the most that may be saved up, and the least that one costs.
-pub const RETRIES_PER_REQUEST: f64 = 0.1;
-pub const MAX_RETRY_BUDGET: f64 = 30.0;
-const RETRY_LEAST: f64 = 0.1;
+/// Retries that each request adds to the budget.
+pub(super) const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Most retries that all routers together may have saved up.
+pub(super) const MAX_RETRY_BUDGET: f64 = 30.0;
+/// Least that a retry takes from the budget, whose usual price is 1.
+const MIN_RETRY_COST: f64 = 0.1;
+/// No retry is sent when less than this many clock ticks are left before the deadline.
+const MIN_TICKS_LEFT: f64 = 3.0;
 
 impl RequestState {
-    /// Rule 2: a refusal says that trying again is harmless.
-    pub fn can_reject(&self) -> bool {
+    /// Whether it may be rejected, which tells its client that trying again is harmless.
+    pub(super) fn can_reject(&self) -> bool {
         let never_ran = self.possible_execution.is_none() && !self.has_attempt_in_flight();
         match self.class.idempotency {
             Idempotency::Idempotent => true,
@@ -20,80 +31,92 @@
             Idempotency::NonIdempotent => never_ran,
         }
     }
-    /// Rule 2: whether another attempt may go anywhere.
-    pub fn can_retry(&self, now: Millis) -> bool {
-        let within = |(_, _, sent)| {
-            self.class.idempotency == Idempotency::IdempotencyKey
-                && now < sent + self.class.idempotency_window
-        };
-        self.class.idempotency == Idempotency::Idempotent || self.possible_execution.is_none_or(within)
+
+    /// Whether another attempt may be sent to any server at all.
+    pub(super) fn can_retry(&self, now: Millis) -> bool {
+        let Some(execution) = self.possible_execution else { return true };
+        match self.class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey => now < execution.sent_at + self.class.idempotency_window,
+            Idempotency::NonIdempotent => false,
+        }
     }
-    /// Rule 2: whether another attempt may go to this server.
-    pub fn can_send_to(&self, to: &ServerEntry, now: Millis) -> bool {
-        let in_group =
-            |(zone, cell, _)| self.class.deduplication_scope.covers((zone, cell), (to.zone, to.cell));
-        self.can_retry(now)
-            && (self.class.idempotency == Idempotency::Idempotent
-                || self.possible_execution.is_none_or(in_group))
+
+    /// Whether another attempt may be sent to this server.
+    pub(super) fn can_send_to(&self, server: &ServerEntry, now: Millis) -> bool {
+        if !self.can_retry(now) {
+            return false;
+        }
+        let scope = self.class.deduplication_scope;
+        let recognises_key = match self.possible_execution {
+            Some(execution) => scope.covers(execution.location, server.location()),
+            None => true,
+        };
+        self.class.idempotency == Idempotency::Idempotent || recognises_key
     }
 }
 
 impl Router {
-    pub(super) fn on_outcome(&mut self, o: AttemptOutcome, out: &mut Vec<Action>) {
-        self.record_load_report(o.server, o.report);
-        let Some(job) = self.requests.get_mut(&o.id) else { return };
-        let Some(Attempt { server, stage, sent_at: sent, .. }) = job.record_outcome(&o, self.now) else {
-            return;
-        };
-        let work = job.prefill_work(sanitize(o.note));
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.record_attempt_end(o.id);
-        }
-        self.record_attempt_health(&o, stage, sent, work, out);
-        if o.status == AttemptStatus::Prefilled {
-            self.record_completion(server);
-            self.record_affinity(o.id, server);
+    pub(super) fn on_outcome(&mut self, outcome: AttemptOutcome, actions: &mut Vec<Action>) {
+        self.record_load_report(outcome.server, outcome.report);
+        let Some(request) = self.requests.get_mut(&outcome.id) else { return };
+        let Some(attempt) = request.record_outcome(&outcome, self.now) else { return };
+        let work_tokens = request.prefill_work(sanitize(outcome.note));
+        if let Some(server) = self.servers.get_mut(&attempt.server) {
+            server.record_attempt_end(outcome.id);
         }
-        // The writer found no state, or has spent it; its reader may only be cut off: let go in any case.
-        let no_state = o.status == AttemptStatus::Rejected && o.note >= 1.0;
-        let gone =
-            no_state || matches!(o.status, AttemptStatus::MalformedResponse | AttemptStatus::Undelivered);
-        if gone && self.requests.get_mut(&o.id).is_some_and(|j| j.prefilled_on.take().is_some()) {
-            out.push(Action::Release { id: o.id });
+        self.record_attempt_health(&outcome, &attempt, work_tokens, actions);
+        if outcome.status == AttemptStatus::Prefilled {
+            self.record_completion(attempt.server);
+            self.record_affinity(outcome.id, attempt.server);
         }
-        self.retry_or_finish(o.id, o.status, out);
+        self.release_lost_state(&outcome, actions);
+        self.retry_or_finish(outcome.id, outcome.status, actions);
     }
 
-    fn retry_or_finish(&mut self, id: RequestId, status: AttemptStatus, out: &mut Vec<Action>) {
-        let Some(job) = self.requests.get(&id) else { return };
-        if job.closed {
-            return self.finish(id, out);
+    /// Decides what follows the end of an attempt.
+    fn retry_or_finish(&mut self, id: RequestId, status: AttemptStatus, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.closed {
+            return self.finish(id, actions);
         }
-        if job.has_attempt_in_flight() {
+        if request.has_attempt_in_flight() {
             return;
         }
         if status == AttemptStatus::Prefilled {
-            return self.advance(id, out);
+            return self.advance(id, actions);
         }
-        let late = self.now > job.arrived_at + job.first_token_objective();
-        // A retry costs what the lost attempt took: quick errors may not use up what few requests earn.
-        let took = job.attempts.last().map_or(0.0, |a| self.now - a.sent_at);
-        let cost = match status {
-            AttemptStatus::ConnectFailed | AttemptStatus::NotSent => 0.0,
-            AttemptStatus::Cancelled if !late => 0.0,
-            _ => (took / job.first_token_objective().max(1.0)).clamp(RETRY_LEAST, 1.0),
-        };
-        let too_late = job.deadline - self.now <= 3.0 * self.settings.tick_interval;
-        let hindrance = match () {
-            _ if !job.can_retry(self.now) => Some(RejectReason::MayHaveRun),
-            _ if too_late => Some(RejectReason::DeadlineExceeded),
-            _ if self.retry_budget < cost => Some(RejectReason::RetryBudgetExhausted),
-            _ => None,
-        };
-        if let Some(reason) = hindrance {
-            return self.reject_or_fail(id, reason, out);
+        let cost = self.retry_cost(request, status);
+        if let Some(reason) = self.retry_obstacle(request, cost) {
+            return self.reject_or_fail(id, reason, actions);
         }
         self.retry_budget -= cost;
-        self.advance(id, out);
+        self.advance(id, actions);
+    }
+
+    /// What a retry takes from the budget. It is the time that the lost attempt took, as a share of the objective, so
+    /// that quick errors do not use up what few requests earn.
+    fn retry_cost(&self, request: &RequestState, status: AttemptStatus) -> f64 {
+        let objective = request.first_token_objective();
+        let is_late = self.now > request.arrived_at + objective;
+        match status {
+            AttemptStatus::ConnectFailed | AttemptStatus::NotSent => 0.0,
+            AttemptStatus::Cancelled if !is_late => 0.0,
+            _ => {
+                let lost_time = request.attempts.last().map_or(0.0, |attempt| self.now - attempt.sent_at);
+                (lost_time / objective.max(1.0)).clamp(MIN_RETRY_COST, 1.0)
+            }
+        }
+    }
+
+    /// Why no retry may follow, if so.
+    fn retry_obstacle(&self, request: &RequestState, cost: f64) -> Option<RejectReason> {
+        if !request.can_retry(self.now) {
+            return Some(RejectReason::MayHaveRun);
+        }
+        if request.deadline - self.now <= MIN_TICKS_LEFT * self.settings.tick_interval {
+            return Some(RejectReason::DeadlineExceeded);
+        }
+        (self.retry_budget < cost).then_some(RejectReason::RetryBudgetExhausted)
     }
 }
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -1,53 +1,84 @@
-//! What is held for a request: until when, and letting go of it at the end.
+//! State leases: how long a prefill server holds a request's state, and its release.
+//!
+//! State: `prefilled_on` and `lease_since` in [`RequestState`]; the prefill server enforces the lease by its own clock.
+//! Guards the lease limit, and that each state is released exactly when nothing can fetch it any more.
 
-use super::{request_steps::PLACEMENT_RETRY_INTERVAL, Router};
-use crate::{api::*, state::*};
+use super::request_steps::PLACEMENT_RETRY_INTERVAL;
+use super::Router;
+use crate::api::{Action, AttemptOutcome, AttemptStatus, RejectReason, RequestId};
+use crate::state::RequestState;
 
-/// Share of the pin limit after which a held state is let go.
-pub const LEASE_SHARE: f64 = 0.8;
+/// Share of the lease limit that is used; the rest covers the differences between the clocks.
+pub(super) const USED_LEASE_SHARE: f64 = 0.8;
+/// A rejection asks for a retry after at most this part of the time left to the deadline.
+const RETRY_AFTER_DIVISOR: f64 = 4.0;
+/// [`AttemptOutcome::note`] of a rejection from this on: the decode server found no state to fetch.
+pub(super) const NOTE_NO_STATE: f64 = 1.0;
 
 impl Router {
-    pub(super) fn reject_or_fail(&mut self, id: RequestId, reason: RejectReason, out: &mut Vec<Action>) {
-        let retry = if self.settings.limits.retry_after { self.settings.limits.max_retry_after } else { 0.0 };
-        let Some(job) = self.requests.get(&id).filter(|j| j.awaits_first_token()) else { return };
-        out.push(if job.can_reject() {
-            let retry_after = retry.min((job.deadline - self.now).max(0.0) / 4.0);
+    /// Gives the final answer to a request that awaits its first token, and ends it.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, reason: RejectReason, actions: &mut Vec<Action>) {
+        let limits = &self.settings.limits;
+        let max_retry_after = if limits.retry_after { limits.max_retry_after } else { 0.0 };
+        let Some(request) = self.requests.get(&id).filter(|request| request.awaits_first_token()) else {
+            return;
+        };
+        actions.push(if request.can_reject() {
+            let time_left = (request.deadline - self.now).max(0.0);
+            let retry_after = max_retry_after.min(time_left / RETRY_AFTER_DIVISOR);
             Action::Reject { id, retry_after, reason }
         } else {
             Action::Fail { id, reason }
         });
-        self.finish(id, out);
+        self.finish(id, actions);
     }
 
-    /// After the end: call back what is out, let go of what is held, forget the request when all is in.
-    pub(super) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let cancel = self.settings.limits.cancellation;
-        let Some(job) = self.requests.get_mut(&id) else { return };
-        job.closed = true;
-        if cancel {
-            job.cancel_attempts(out);
+    /// Closes a request: cancels what is in flight and, once nothing is, releases its state and forgets it.
+    pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.closed = true;
+        if self.settings.limits.cancellation {
+            request.cancel_attempts(actions);
         }
-        if !job.has_attempt_in_flight() {
-            if job.prefilled_on.is_some() {
-                out.push(Action::Release { id });
-            }
-            self.requests.remove(&id);
+        if request.has_attempt_in_flight() {
+            return;
+        }
+        if request.prefilled_on.is_some() {
+            actions.push(Action::Release { id });
+        }
+        self.requests.remove(&id);
+    }
+
+    /// Releases a state that a decode attempt has lost or used up. The prefill server may only be cut off from the
+    /// decode server, so it is told in any case.
+    pub(super) fn release_lost_state(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
+        let is_lost = match outcome.status {
+            AttemptStatus::Rejected => outcome.note >= NOTE_NO_STATE,
+            AttemptStatus::MalformedResponse | AttemptStatus::Undelivered => true,
+            _ => false,
+        };
+        if !is_lost {
+            return;
+        }
+        let Some(request) = self.requests.get_mut(&outcome.id) else { return };
+        if request.prefilled_on.take().is_some() {
+            actions.push(Action::Release { id: outcome.id });
         }
     }
 
-    /// Lets go of a state that found no writer to connect to in time, while there is time to read it anew.
-    /// One for which there was no writer at all would find none the next time either.
-    pub(super) fn release_late_lease(&self, job: &mut RequestState, out: &mut Vec<Action>) {
-        let tried = job.prefilled_on.is_some() && job.idle_since > job.lease_since;
-        if tried && !self.lease_outlasts_retry(job) {
-            job.prefilled_on = None;
-            out.push(Action::Release { id: job.request.id });
+    /// Releases a state whose decode servers could not be reached before its lease ran out, while there is time for a
+    /// new prefill. A state for which there was no decode server at all is left: a new one would fare no better.
+    pub(super) fn release_late_lease(&self, request: &mut RequestState, actions: &mut Vec<Action>) {
+        let was_tried = request.prefilled_on.is_some() && request.idle_since > request.lease_since;
+        if was_tried && !self.lease_outlasts_retry(request) {
+            request.prefilled_on = None;
+            actions.push(Action::Release { id: request.request.id });
         }
     }
 
-    /// Whether the state that is held for it, if any, may still be held when it looks again.
-    pub(super) fn lease_outlasts_retry(&self, job: &RequestState) -> bool {
-        let until = job.lease_since + LEASE_SHARE * self.settings.rules.lease_limit;
-        job.prefilled_on.is_none() || self.now + PLACEMENT_RETRY_INTERVAL <= until
+    /// Whether the lease of its state, if it has one, still lasts when the request tries again.
+    pub(super) fn lease_outlasts_retry(&self, request: &RequestState) -> bool {
+        let lease_end = request.lease_since + USED_LEASE_SHARE * self.settings.rules.lease_limit;
+        request.prefilled_on.is_none() || self.now + PLACEMENT_RETRY_INTERVAL <= lease_end
     }
 }
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -1,60 +1,138 @@
-//! Silence: servers that give no sign of life, and attempts that are lost at one that does.
+//! Outlier detection by time-out: servers that give no sign of life, and attempts that are lost at one that does.
+//!
+//! State: the last signs of life in each server's record. Guards requests that wait at a dead, disconnected or hung
+//! server: it is ejected, and its attempts are cancelled in time for a retry.
 
-use super::{probes::PROBE_INTERVAL, Router};
-use crate::{api::*, fleet_load, state::*, wait_estimate};
+use super::probes::PROBE_INTERVAL;
+use super::Router;
+use crate::api::{Action, Idempotency, Millis, RequestClass, Role, ServerId};
+use crate::state::{Attempt, FailureKind, RequestState, ServerRecord, Stage};
+use crate::{fleet_load, wait_estimate};
 
-/// An attempt's server must show a sign of life in so many aims, or quarters of a deadline if those are less.
-const OF_AIM: f64 = 3.0;
-/// A server whose reports or probe answers still come is given this many times as long.
-const HEARD_PATIENCE: f64 = 2.5;
-/// Lost: an attempt that later ones at its server have overtaken, or whose server has started anew, after
-/// this share of the aim and twice its own work.
-const LOST_OF_AIM: f64 = 0.3;
-/// Lost too: a read that is alone there for so much longer, as the others have been sent elsewhere meanwhile.
-const ALONE: f64 = 2.0;
+/// A server must show progress within so many times the shortest objective of a class, where an objective counts for no
+/// more than a quarter of its class's deadline.
+const OBJECTIVES_WITHOUT_PROGRESS: f64 = 3.0;
+const MAX_OBJECTIVE_OF_DEADLINE: f64 = 0.25;
+/// Longest objective that is reckoned with (ms).
+const MAX_OBJECTIVE: Millis = 1e6;
+/// A server whose load reports still come is given this many times as long.
+const REPORTING_PATIENCE: f64 = 2.5;
+/// Reports still come if the last sign of life is no older than this (ms).
+const REPORTING_WITHIN: Millis = 2.0 * PROBE_INTERVAL;
+/// An attempt is lost, when later ones at its server have overtaken it or the server has restarted, after this share of
+/// its objective and twice the time of its own work.
+const LOST_OBJECTIVE_SHARE: f64 = 0.3;
+const LOST_WORK_FACTOR: f64 = 2.0;
+/// A prefill that is alone at its server is lost after this many times that share, if others have got on elsewhere.
+const ALONE_PATIENCE: f64 = 2.0;
+
+/// When a server last showed progress.
+struct ServerProgress {
+    server: ServerId,
+    role: Role,
+    last_progress_at: Millis,
+}
+
+/// What tells a lost attempt from one that waits its turn.
+struct LostAttempts {
+    now: Millis,
+    /// Progress of all servers; empty in a large fleet, where a router's own attempts say too little.
+    progress: Vec<ServerProgress>,
+}
+
+impl LostAttempts {
+    fn includes(&self, server: &ServerRecord, request: &RequestState, attempt: &Attempt) -> bool {
+        let is_overtaken =
+            server.pending.get(&request.request.id).is_none_or(|pending| !pending.reflects_queue());
+        if !is_overtaken && !self.is_left_alone(server, attempt) {
+            return false;
+        }
+        let share = LOST_OBJECTIVE_SHARE * if is_overtaken { 1.0 } else { ALONE_PATIENCE };
+        let work_time = LOST_WORK_FACTOR * attempt.work_tokens * server.service_time.per_token;
+        self.now > attempt.sent_at + share * request.first_token_objective() + work_time
+    }
+
+    /// Whether a prefill is the only attempt at its server while others have got on at other servers since: nothing can
+    /// overtake it there.
+    fn is_left_alone(&self, server: &ServerRecord, attempt: &Attempt) -> bool {
+        let has_progressed_elsewhere = |other: &ServerProgress| {
+            other.server != attempt.server
+                && other.role == server.role
+                && other.last_progress_at > attempt.sent_at
+        };
+        server.pending.len() == 1
+            && attempt.stage == Stage::Prefill
+            && self.progress.iter().any(has_progressed_elsewhere)
+    }
+}
 
 impl Router {
-    /// Silence: work waits at a server that gave no sign for far longer than such work takes: it is dead, cut
-    /// off or stuck. Should also cover hung processes. Harm: a pause as long as that counts too.
-    pub(super) fn detect_timeouts(&mut self, out: &mut Vec<Action>) {
-        let aims = self.settings.classes.iter().map(|c| c.latency_objective.min(c.deadline / 4.0));
-        let least = OF_AIM * aims.fold(f64::MAX, f64::min).min(1e6);
-        let late = |s: &ServerRecord, since: Millis| {
-            let alive = if self.now < s.last_heard_at + 2.0 * PROBE_INTERVAL { HEARD_PATIENCE } else { 1.0 };
-            let quiet_for = |time: Millis| self.now > since.max(s.last_progress_at) + time;
-            quiet_for(alive * least)
-                && quiet_for(wait_estimate::max_busy_time(s, &self.statistics, self.router_count(), since))
+    /// Ejects servers that have been unresponsive for too long, and cancels attempts that are lost.
+    ///
+    /// Cost: a pause as long as that counts too.
+    pub(super) fn detect_timeouts(&mut self, actions: &mut Vec<Action>) {
+        for id in self.unresponsive_servers() {
+            self.record_failure(id, FailureKind::Unresponsive, actions);
+        }
+        let progress_of = |(id, server): (&ServerId, &ServerRecord)| ServerProgress {
+            server: *id,
+            role: server.role,
+            last_progress_at: server.last_progress_at,
         };
-        let quiet = |s: &&ServerRecord| s.pending.values().any(|w| late(s, w.sent_at));
-        let silent: Vec<ServerId> = self.servers.values().filter(quiet).map(|s| s.entry.server).collect();
-        silent.into_iter().for_each(|id| self.record_failure(id, FailureKind::Unresponsive, out));
-        let now = self.now;
-        let few = !fleet_load::is_large_fleet(self.router_count());
-        let answers: Vec<_> = self.servers.iter().map(|(id, s)| (*id, s.role, s.last_progress_at)).collect();
-        let lost = |s: &ServerRecord, j: &RequestState, a: &Attempt| {
-            let others = |o: &(ServerId, Role, Millis)| o.0 != a.server && o.1 == s.role && o.2 > a.sent_at;
-            let alone =
-                few && s.pending.len() == 1 && a.stage == Stage::Prefill && answers.iter().any(others);
-            let overtaken = s.pending.get(&j.request.id).is_none_or(|w| !w.reflects_queue());
-            let part = LOST_OF_AIM * if overtaken { 1.0 } else { ALONE };
-            (overtaken || alone)
-                && now
-                    > a.sent_at + part * j.first_token_objective() + 2.0 * a.work * s.service_time.per_token
+        let progress = match fleet_load::is_large_fleet(self.router_count()) {
+            true => Vec::new(),
+            false => self.servers.iter().map(progress_of).collect(),
         };
-        self.cancel_lost_attempts(lost, out);
+        let lost = LostAttempts { now: self.now, progress };
+        self.cancel_lost_attempts(
+            |server, request, attempt| lost.includes(server, request, attempt),
+            actions,
+        );
     }
 
-    /// Attempts taken for lost are called back at once, not at their time-outs, where another may follow: a
-    /// read has no effect.
+    fn unresponsive_servers(&self) -> Vec<ServerId> {
+        let objective_of =
+            |class: &RequestClass| class.latency_objective.min(class.deadline * MAX_OBJECTIVE_OF_DEADLINE);
+        let shortest_objective = self.settings.classes.iter().map(objective_of).fold(f64::MAX, f64::min);
+        let patience = OBJECTIVES_WITHOUT_PROGRESS * shortest_objective.min(MAX_OBJECTIVE);
+        let is_unresponsive = |server: &&ServerRecord| {
+            let mut pending = server.pending.values();
+            pending.any(|attempt| self.is_unresponsive_since(server, attempt.sent_at, patience))
+        };
+        self.servers.values().filter(is_unresponsive).map(|server| server.entry.server).collect()
+    }
+
+    /// Whether a server has shown no progress with work sent at `sent_at` for longer than `patience`, and for longer
+    /// than that work can take.
+    fn is_unresponsive_since(&self, server: &ServerRecord, sent_at: Millis, patience: Millis) -> bool {
+        let still_reports = self.now < server.last_heard_at + REPORTING_WITHIN;
+        let factor = if still_reports { REPORTING_PATIENCE } else { 1.0 };
+        let has_waited = |time: Millis| self.now > sent_at.max(server.last_progress_at) + time;
+        has_waited(factor * patience)
+            && has_waited(wait_estimate::max_busy_time(
+                server,
+                &self.statistics,
+                self.router_count(),
+                sent_at,
+            ))
+    }
+
+    /// Cancels the last attempt of each request where it `is_lost` and a retry is harmless, instead of waiting for its
+    /// time-out. A prefill has no effect, so it may always be repeated.
     pub(super) fn cancel_lost_attempts(
-        &mut self, lost: impl Fn(&ServerRecord, &RequestState, &Attempt) -> bool, out: &mut Vec<Action>,
+        &mut self, is_lost: impl Fn(&ServerRecord, &RequestState, &Attempt) -> bool,
+        actions: &mut Vec<Action>,
     ) {
-        let Router { requests: jobs, servers, settings, .. } = self;
-        for job in jobs.values_mut().filter(|j| settings.limits.cancellation && j.awaits_first_token()) {
-            let Some(a) = job.attempts.last().filter(|a| a.in_flight) else { continue };
-            let may = a.stage == Stage::Prefill || job.class.idempotency == Idempotency::Idempotent;
-            if may && servers.get(&a.server).is_some_and(|s| lost(s, job, a)) {
-                job.cancel_attempts(out);
+        if !self.settings.limits.cancellation {
+            return;
+        }
+        for request in self.requests.values_mut().filter(|request| request.awaits_first_token()) {
+            let Some(attempt) = request.attempts.last().filter(|attempt| attempt.in_flight) else { continue };
+            let is_repeatable =
+                attempt.stage == Stage::Prefill || request.class.idempotency == Idempotency::Idempotent;
+            let Some(server) = self.servers.get(&attempt.server) else { continue };
+            if is_repeatable && is_lost(server, request, attempt) {
+                request.cancel_attempts(actions);
             }
         }
     }
--- a/crates/router/src/recent_entries.rs
+++ b/crates/router/src/recent_entries.rs
@@ -1,4 +1,4 @@
-//! A map of the newest so many entries, hashed alike in every process so that runs repeat.
+//! A bounded map that drops its least recently used entry, hashed alike in every process so that runs repeat.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{BuildHasherDefault, Hash};
@@ -6,12 +6,11 @@
 
 use lru::LruCache;
 
-use crate::api::Millis;
+/// The map. A look-up by `get` counts as a use, one by `peek` does not.
+pub type RecentEntries<K, V> = LruCache<K, V, BuildHasherDefault<DefaultHasher>>;
 
-/// Values and when each was last put in; looking one up by `get` makes it the newest.
-pub type RecentEntries<K, V> = LruCache<K, (V, Millis), BuildHasherDefault<DefaultHasher>>;
-
-/// An empty one that holds so many, one at least.
-pub fn recent_entries<K: Hash + Eq, V>(cap: usize) -> RecentEntries<K, V> {
-    LruCache::with_hasher(NonZeroUsize::new(cap).unwrap_or(NonZeroUsize::MIN), Default::default())
+/// An empty map with room for so many entries, one at least.
+pub fn recent_entries<K: Hash + Eq, V>(capacity: usize) -> RecentEntries<K, V> {
+    let capacity = NonZeroUsize::new(capacity).unwrap_or(NonZeroUsize::MIN);
+    LruCache::with_hasher(capacity, BuildHasherDefault::default())
 }
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -1,52 +1,58 @@
-//! The servers as the list tells them: who has come, who has gone, who runs anew. No decision, no I/O.
+//! The endpoint list: servers that join, leave or restart.
+//!
+//! The router owns the map of servers, and the caller owns the clock.
 
 use std::collections::BTreeMap;
 
-use crate::api::*;
-use crate::state::*;
+use crate::api::{ListUpdate, Millis, Role, ServerEntry, ServerId, ServerKind, ServerState};
+use crate::state::{Random, ServerRecord};
 
-/// What a server is taken to hold whose kind does not say (tokens).
-const MEMORY_TOKENS: f64 = 1e5;
+/// Memory of a server whose kind does not say, in tokens.
+const DEFAULT_MEMORY_TOKENS: f64 = 1e5;
 
+/// All listed servers, by identifier.
 pub type ServerMap = BTreeMap<ServerId, ServerRecord>;
 
-/// Takes in a list, or a change to it. A server that is new or runs anew begins with a part of a send earned that is
-/// drawn by chance, as all routers learn of it at once.
+/// Applies a list, or a change to it.
+///
+/// A server that is new or has restarted begins with a random part of a send as slow-start credit, because all routers
+/// learn of it at the same time.
 pub fn apply_update(
-    servers: &mut ServerMap, scope: ListUpdate, members: Vec<ServerEntry>, kinds: &[ServerKind],
+    servers: &mut ServerMap, update: ListUpdate, entries: Vec<ServerEntry>, kinds: &[ServerKind],
     random: &mut Random, now: Millis,
 ) {
-    if scope != ListUpdate::Delta {
-        let listed: Vec<ServerId> = members.iter().map(|m| m.server).collect();
+    if update != ListUpdate::Delta {
+        let listed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
         servers.retain(|id, _| listed.contains(id));
     }
-    for info in members {
-        if info.state == ServerState::Terminated {
-            servers.remove(&info.server);
-        } else if let Some(old) = servers.get_mut(&info.server) {
-            if info.started.is_some() && info.started != old.entry.started {
-                old.restart(info.started, now, random.next_unit());
+    for entry in entries {
+        if entry.state == ServerState::Terminated {
+            servers.remove(&entry.server);
+        } else if let Some(known) = servers.get_mut(&entry.server) {
+            if entry.started.is_some() && entry.started != known.entry.started {
+                known.restart(entry.started, now, random.next_unit());
             }
-            old.entry = info;
+            known.entry = entry;
         } else {
-            servers.insert(info.server, new_record(info, kinds, random.next_unit(), now));
+            let id = entry.server;
+            servers.insert(id, new_record(entry, kinds, random.next_unit(), now));
         }
     }
 }
 
-fn new_record(info: ServerEntry, kinds: &[ServerKind], credit: f64, now: Millis) -> ServerRecord {
-    let kind = kinds.get(info.kind as usize);
-    let (role, memory) = kind.map_or((Role::Mixed, 0.0), |k| (k.role, k.memory_tokens));
+fn new_record(entry: ServerEntry, kinds: &[ServerKind], send_credit: f64, now: Millis) -> ServerRecord {
+    let kind = kinds.get(entry.kind as usize);
+    let memory_tokens = kind.map(|kind| kind.memory_tokens).filter(|tokens| *tokens > 0.0);
     ServerRecord {
-        role,
-        memory_tokens: if memory > 0.0 { memory } else { MEMORY_TOKENS },
+        role: kind.map_or(Role::Mixed, |kind| kind.role),
+        memory_tokens: memory_tokens.unwrap_or(DEFAULT_MEMORY_TOKENS),
         memory_reported_at: now,
-        slow_start_since: info.started,
-        send_credit: credit,
+        slow_start_since: entry.started,
+        send_credit,
         credit_updated_at: now,
         last_heard_at: now,
         last_progress_at: now,
-        entry: info,
+        entry,
         ..ServerRecord::default()
     }
 }
--- a/crates/router/src/shedding_trials.rs
+++ b/crates/router/src/shedding_trials.rs
@@ -1,30 +1,33 @@
-//! Trials: what is expected is learned from answers alone, so a router that turns away all that comes would never hear that
-//! its servers are well again. No clock, no I/O.
+//! Trials under load shedding: one request that is sent although it is expected to be late.
+//!
+//! The expected wait is learned only from responses, so a router that rejects everything would never learn that its
+//! servers have recovered. The router owns this state, and the caller owns the clock.
 
 use crate::api::Millis;
 
-/// Once so many requests in a row were turned away and nothing was sent for so long (ms), the next is sent as a trial, however
-/// late it is expected. The acceptance leaves 14 and 4 s.
-const IN_A_ROW: u32 = 14;
-const NOTHING_SENT: Millis = 3_000.0;
+/// A trial follows this many rejections in a row (the acceptance tests allow fewer than 15) ...
+const REJECTIONS_BEFORE_TRIAL: u32 = 14;
+/// ... once nothing has been sent for this long (ms; the acceptance tests allow 4 s).
+const IDLE_BEFORE_TRIAL: Millis = 3_000.0;
 
+/// Rejections since the last send.
 #[derive(Default)]
 pub struct SheddingTrials {
-    /// Turned away since anything was sent, and when that was.
     rejected_in_a_row: u32,
-    record_send: Millis,
+    last_sent_at: Millis,
 }
 
 impl SheddingTrials {
-    /// An attempt goes out.
+    /// Notes that an attempt is sent.
     pub fn record_send(&mut self, now: Millis) {
-        *self = SheddingTrials { rejected_in_a_row: 0, record_send: now };
+        *self = SheddingTrials { rejected_in_a_row: 0, last_sent_at: now };
     }
 
-    /// Whether one more request that would come late is turned away.
+    /// Whether a request that is expected to be late is rejected; if not, it is the trial.
     pub fn should_reject(&mut self, now: Millis) -> bool {
-        let trial = self.rejected_in_a_row >= IN_A_ROW && now >= self.record_send + NOTHING_SENT;
-        self.rejected_in_a_row += u32::from(!trial);
-        !trial
+        let is_trial =
+            self.rejected_in_a_row >= REJECTIONS_BEFORE_TRIAL && now >= self.last_sent_at + IDLE_BEFORE_TRIAL;
+        self.rejected_in_a_row += u32::from(!is_trial);
+        !is_trial
     }
 }
--- a/crates/router/src/slow_start_budget.rs
+++ b/crates/router/src/slow_start_budget.rs
@@ -1,128 +1,150 @@
-//! Slow start: how much a server that has just started can be trusted with, and what all routers together may send it
-//! (rule 4) though none of them sees the others. No clock, no state of its own, no I/O.
+//! Slow-start budget: what all routers together may send to a server that has just started, though none of them sees
+//! the others.
 //!
-//! Where a router sees a good part of the traffic, it spends a credit that grows with its own part of what the server
-//! may get. Of a hundred routers each holds a whole send only once in a minute, mostly for servers that its few requests
-//! do not need, while those that are warm drown. There a server's own fresh word stands for the sum of all routers.
+//! A router that sees a good part of the traffic spends a credit, which grows with its own part of the server's
+//! capacity. In a fleet of a hundred routers that alone would not do: each would earn a whole send only once in a
+//! minute, mostly for servers that its few requests do not need, while the warmed-up servers are overloaded. There a
+//! fresh load report of the server stands for the traffic of all routers.
+//!
+//! Pure functions over [`ServerRecord`]; the router owns the state, and the caller owns the clock.
 
 use crate::api::{Millis, Rules};
 use crate::state::{RoleThroughput, ServerRecord};
 
-/// Memory of the rate carried, and of the highest (ms).
-const RATE_MEMORY: Millis = 10_000.0;
-const PEAK_MEMORY: Millis = 60_000.0;
-/// Credit grows at this part of what makes a server fall over; the rest of it is left to those who go by its
-/// word.
-const GROWS: f64 = 0.5;
-/// Those to which it is home and those that overflow to it go by its word side by side, and leave each other
-/// their part.
-const WAYS: f64 = 2.0;
-/// A cold server gets at least this many sends a second from all routers together.
-const TRICKLE: f64 = 0.5;
-/// A cold server's word stands for what all routers send it for so long (ms). Reports are old already when they are told.
+/// Decay times of the count of completions and of their highest rate (ms).
+const COMPLETIONS_DECAY: Millis = 10_000.0;
+const PEAK_RATE_DECAY: Millis = 60_000.0;
+/// Credit grows at this part of the rate that overloads a server. The rest is left to the routers that go by its load
+/// report.
+const CREDIT_RATE_SHARE: f64 = 0.5;
+/// Routers for which it is the preferred server and routers that divert to it go by its report at the same time, so
+/// each of these two groups gets half of that rest.
+const REPORT_USER_GROUPS: f64 = 2.0;
+/// Least rate at which credit for a server grows, in sends a second of all routers together.
+const MIN_FLEET_RATE: f64 = 0.5;
+/// Time for which a load report stands for the traffic of all routers (ms). Reports are already old when they arrive.
 pub const FLEET_REPORT_TTL: Millis = 250.0;
-/// A word that is old at all routers alike sends on those whose credit is above this part of a send: the others go elsewhere.
+/// A report that is equally old at all routers counts only for those with more credit than this, in sends; the others
+/// send elsewhere.
 const MIN_REPORT_THRESHOLD: f64 = 0.4;
-/// The least share of its capacity that a server is taken to start with, whatever the settings say.
-const LEAST: f64 = 0.05;
-/// The rule leaves twice the root of what makes a server fall, and two, for chance: so many of these may be saved.
-const SLACK: f64 = 1.0;
-/// Where there are no more routers, the slack holds a whole send of each.
-const FEW: f64 = 4.0;
-const LEAST_WEIGHT: f64 = 0.01;
+/// Least share of its capacity that a server is taken to start with, whatever the settings say.
+const MIN_CAPACITY_SHARE: f64 = 0.05;
+/// The rule leaves 2 * sqrt(n) + 2 sends beyond the overload bound n for chance. This times (sqrt(n) + 1) may be saved
+/// up as whole sends of credit.
+const SAVED_SLACK: f64 = 1.0;
+/// Up to this many routers that slack has room for a whole send of each.
+const SMALL_FLEET: f64 = 4.0;
+/// Least weight that a server is taken to have.
+const MIN_WEIGHT: f64 = 0.01;
 
-/// The share of its capacity that a server can be trusted with which runs since then (`None`: long ago).
+/// Share of its capacity, from 0 to 1, that a server started at `since` can be sent (`None`: long ago).
 pub fn capacity_share(rules: &Rules, since: Option<Millis>, now: Millis) -> f64 {
     match since {
-        Some(at) if now < at + rules.slow_start_window => {
-            let from = rules.slow_start_initial_share.clamp(LEAST, 1.0);
-            from + (1.0 - from) * ((now - at) / rules.slow_start_window.max(1.0)).clamp(0.0, 1.0)
+        Some(started) if now < started + rules.slow_start_window => {
+            let initial = rules.slow_start_initial_share.clamp(MIN_CAPACITY_SHARE, 1.0);
+            let elapsed_share = ((now - started) / rules.slow_start_window.max(1.0)).clamp(0.0, 1.0);
+            initial + (1.0 - initial) * elapsed_share
         }
         _ => 1.0,
     }
 }
 
-/// What a server counts for at present, beside others of its role.
-pub fn capacity_units(s: &ServerRecord, warmth: f64) -> f64 {
-    s.entry.weight.max(LEAST_WEIGHT) * warmth
+/// Capacity of a server at present, relative to other servers of its role.
+pub fn capacity_units(server: &ServerRecord, capacity_share: f64) -> f64 {
+    server.entry.weight.max(MIN_WEIGHT) * capacity_share
 }
 
-/// Sends that a cold server of so many units has left from this router, growing at half of what makes it fall over, by what
-/// a unit has carried for this router. Guards rule 4 without knowing capacities; each router uses its own share and
-/// starts anywhere below one send, so the sum fits. What has grown is reckoned at the warmth of the time in which it grew.
+/// Sends that this router may make at `now` to a server in slow start with so many units of capacity.
+///
+/// The credit grows at half of the rate that overloads the server, estimated from what a unit of capacity has
+/// completed for this router. Each router counts its own part and starts anywhere below one send, so the sum stays
+/// within the overload bound although nobody knows the capacity. The growth since the last update is reckoned at the
+/// mean capacity over that time.
 pub fn send_credit(
-    s: &ServerRecord, units: f64, carried: &RoleThroughput, rules: &Rules, routers: f64, now: Millis,
+    server: &ServerRecord, units: f64, throughput: &RoleThroughput, rules: &Rules, routers: f64, now: Millis,
 ) -> f64 {
-    let warm = |at| capacity_share(rules, s.slow_start_since, at);
-    let mean = units * (warm(s.credit_updated_at) / warm(now)).min(1.0).midpoint(1.0);
-    let falls = |units: f64| rules.overload_multiple * units * carried.peak_rate;
-    let rate = (falls(mean) * GROWS).max(TRICKLE / routers);
-    let grown = s.send_credit + rate * (now - s.credit_updated_at) / 1000.0;
-    if grown < 1.0 || routers <= FEW {
-        return grown.min(1.0);
+    let share_at = |when| capacity_share(rules, server.slow_start_since, when);
+    let mean_units = units * (share_at(server.credit_updated_at) / share_at(now)).min(1.0).midpoint(1.0);
+    let overload_rate = |units: f64| rules.overload_multiple * units * throughput.peak_rate;
+    let growth_rate = (overload_rate(mean_units) * CREDIT_RATE_SHARE).max(MIN_FLEET_RATE / routers);
+    let credit = server.send_credit + growth_rate * (now - server.credit_updated_at) / 1000.0;
+    if credit < 1.0 || routers <= SMALL_FLEET {
+        return credit.min(1.0);
     }
-    // Whole sends that many routers have saved would all come in one burst. So one lapses once it has stood for longer than
-    // leaves no more of them, at all routers together, than the part of the rule's slack that may be saved.
-    let fall = falls(units) * routers * rules.overload_window / 1000.0;
-    let stands = (SLACK * (fall.sqrt() + 1.0) / routers).min(1.0);
-    grown.fract() + f64::from(u8::from(grown.fract() <= stands))
+    // Whole sends that many routers have saved up would all come in one burst. So a whole send expires: at any time no
+    // more of them stand, at all routers together, than the part of the rule's slack that may be saved.
+    let fleet_bound = overload_rate(units) * routers * rules.overload_window / 1000.0;
+    let time_to_live = (SAVED_SLACK * (fleet_bound.sqrt() + 1.0) / routers).min(1.0);
+    let has_whole_send = credit.fract() <= time_to_live;
+    credit.fract() + f64::from(u8::from(has_whole_send))
 }
 
-/// Takes in that servers of so many units have brought a request to its end, for a router of this age.
-pub fn record_completion(carried: &mut RoleThroughput, units: f64, age: Millis, now: Millis) {
-    let (gap, age) = (now - carried.updated_at, age.max(RATE_MEMORY / 2.0));
-    carried.completions = 1.0 + carried.completions * (-gap / RATE_MEMORY).exp();
-    // Units that have just left the list still count: they carried part of what is counted.
-    carried.capacity_units = units.max(carried.capacity_units * (-gap / RATE_MEMORY).exp()).max(LEAST_WEIGHT);
-    let rate = 1000.0 * carried.completions / (RATE_MEMORY * (1.0 - (-age / RATE_MEMORY).exp()));
-    carried.peak_rate = (rate / carried.capacity_units).max(carried.peak_rate * (-gap / PEAK_MEMORY).exp());
-    carried.updated_at = now;
+/// Counts a completion by servers that have so many units of capacity together, for a router of this age.
+pub fn record_completion(throughput: &mut RoleThroughput, units: f64, router_age: Millis, now: Millis) {
+    let elapsed = now - throughput.updated_at;
+    let age = router_age.max(COMPLETIONS_DECAY / 2.0);
+    let decay = (-elapsed / COMPLETIONS_DECAY).exp();
+    throughput.completions = 1.0 + throughput.completions * decay;
+    // Servers that have just left the list still count: they completed part of what is counted.
+    throughput.capacity_units = units.max(throughput.capacity_units * decay).max(MIN_WEIGHT);
+    // A young router has not counted for the whole decay time.
+    let counted_time = COMPLETIONS_DECAY * (1.0 - (-age / COMPLETIONS_DECAY).exp());
+    let rate = 1000.0 * throughput.completions / counted_time;
+    let earlier_peak = throughput.peak_rate * (-elapsed / PEAK_RATE_DECAY).exp();
+    throughput.peak_rate = (rate / throughput.capacity_units).max(earlier_peak);
+    throughput.updated_at = now;
 }
 
-/// How full a server of this warmth is that says it holds so much, in terms of a warm one: it works through it so much
-/// more slowly.
-pub fn normalized_load(held: f64, warmth: f64) -> f64 {
-    held / warmth.max(LEAST)
+/// A load as it would be at full capacity: a server in slow start works through the same load so much more slowly.
+pub fn normalized_load(load: f64, capacity_share: f64) -> f64 {
+    load / capacity_share.max(MIN_CAPACITY_SHARE)
 }
 
-/// The part of a send that a router has to have in credit at a cold server of so many units to go by its
-/// word, for a beginning that is asked for as often as keeps so many units busy.
+/// Credit, as a part of one send, from which a router may go by the load report of a server in slow start.
+/// `demand_units` is the capacity that the requests of the prefix keep busy, over all routers.
 ///
-/// A word is as old as the server makes it, which nobody is told, and until it changes all routers see the
-/// same room. The first home that is not crowded gets what all of them are asked of a hot beginning. So no
-/// larger share of the routers goes by the word than takes, of all that they are asked, a half of what the
-/// credit leaves of what makes the server fall: the other half is for those that come there by the other way.
-pub fn report_threshold(rules: &Rules, units: f64, asked: f64) -> f64 {
-    let left = (1.0 - GROWS) / WAYS * rules.overload_multiple * units;
-    (1.0 - left / asked.max(LEAST_WEIGHT)).max(MIN_REPORT_THRESHOLD)
+/// The age of a report is unknown, and until the next one all routers see the same free capacity. The first preferred
+/// server that is not overloaded would get the requests of a popular prefix from all of them. So the share of routers
+/// that go by the report is bounded: together they may send half of what the credit leaves of the overload bound, and
+/// the other half is for the routers that divert there.
+pub fn report_threshold(rules: &Rules, units: f64, demand_units: f64) -> f64 {
+    let bound = (1.0 - CREDIT_RATE_SHARE) / REPORT_USER_GROUPS * rules.overload_multiple * units;
+    (1.0 - bound / demand_units.max(MIN_WEIGHT)).max(MIN_REPORT_THRESHOLD)
 }
 
-/// What a router trusts a server with, on behalf of a request.
+/// What a router may send to a server on behalf of a request.
 pub struct Allowance {
+    /// Share of its capacity that the server can be sent, from 0 to 1; 1 outside slow start.
     pub capacity_share: f64,
+    /// Whole sends that the router has in credit.
     pub send_credit: f64,
-    /// The credit from which its word counts; never where routers do not look.
+    /// Credit from which the server's load report counts; `None` where routers do not probe before a send.
     pub report_threshold: Option<f64>,
 }
 
 impl Allowance {
-    /// Whether a server may be sent something: a warm one always, a cold one from credit, or where its word
-    /// is fresh and stands for what all routers send it. How much it then gets is for whoever compares its
-    /// word with the others'.
-    pub fn permits_send(&self, s: &ServerRecord, now: Millis) -> bool {
-        let whole = self.capacity_share >= 1.0 || self.send_credit >= 1.0;
-        whole || (self.trusts_report() && s.current_load(now, FLEET_REPORT_TTL).is_some())
+    /// Whether a request may be sent: always outside slow start, else from a whole send of credit, or where a fresh
+    /// load report counts. The caller then compares its load with that of other servers.
+    pub fn permits_send(&self, server: &ServerRecord, now: Millis) -> bool {
+        if !self.is_slow_start() || self.send_credit >= 1.0 {
+            return true;
+        }
+        self.trusts_report() && server.current_load(now, FLEET_REPORT_TTL).is_some()
     }
 
-    /// How many sends a cold server will take from this router; `None` of a warm one, which takes any number.
+    /// Requests that the server will take from this router; `None` outside slow start, where there is no limit.
     pub fn sends_left(&self) -> Option<usize> {
-        (self.capacity_share < 1.0).then(|| usize::from(self.trusts_report()))
+        self.is_slow_start().then(|| usize::from(self.trusts_report()))
     }
 
-    /// Whether a cold server's own word stands for what this router sends it. It runs ahead of its credit by
-    /// less than a send: of a hot beginning all routers have many, and send them all before the word changes.
+    /// Whether the server's load report counts. It lets the router run ahead of its credit by less than one send: of a
+    /// popular prefix all routers have many requests and would send them all before the report changes.
     pub fn trusts_report(&self) -> bool {
-        self.capacity_share >= 1.0 || self.report_threshold.is_some_and(|ahead| self.send_credit > ahead)
+        !self.is_slow_start() || self.report_threshold.is_some_and(|threshold| self.send_credit > threshold)
+    }
+
+    fn is_slow_start(&self) -> bool {
+        self.capacity_share < 1.0
     }
 }
 
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,101 +1,149 @@
-//! What a router has learned and no list tells, as bytes for a second process that takes the place of this one:
-//! what each role has carried, the paces, and the newest homes of sessions and beginnings. Times are ages.
+//! Snapshot: what a router has learned, as bytes for the process that takes over from it.
+//!
+//! It holds the throughput of each role, the service times, and the newest entries of the prefix table; everything else
+//! comes with the server list. The form is fixed (`tests/stored_state.rs`): 64-bit little-endian words, numbers as
+//! their IEEE 754 bits, and times as ages, because the two processes have different clocks.
 
-use crate::api::*;
+use crate::api::{Millis, ServerId};
 use crate::policy::Router;
-use crate::state::*;
+use crate::state::{sanitize, AffinityEntry, AffinityKey, RoleThroughput, RoutingStatistics, ServiceTime};
 
-/// The form of the bytes.
+/// Version of the form, the first word.
 const FORM: u64 = 1;
-/// Most homes that are told; the newest ones.
-const HOMES: usize = 4_000;
+/// Most entries of the prefix table that are passed on, the newest first.
+const MAX_ENTRIES: usize = 4_000;
+/// Bytes of a word.
+const WORD_SIZE: usize = 8;
+/// Kinds of key.
+const SESSION: u64 = 0;
+const PREFIX: u64 = 1;
 
-/// Numbers, eight bytes each.
 #[derive(Default)]
-struct Words(Vec<u8>);
+struct Writer(Vec<u8>);
 
-impl Words {
-    fn put(&mut self, word: u64) {
+impl Writer {
+    fn word(&mut self, word: u64) {
         self.0.extend_from_slice(&word.to_le_bytes());
     }
-    fn number(&mut self, x: f64) {
-        self.put(x.to_bits());
+
+    fn number(&mut self, number: f64) {
+        self.word(number.to_bits());
     }
 }
 
-fn words(bytes: &[u8]) -> impl Iterator<Item = u64> + '_ {
-    let word = |b: &[u8]| b.iter().rev().fold(0, |w, b| w << 8 | u64::from(*b));
-    bytes.chunks_exact(8).map(word)
+/// Reads words in order; `None` at the end. An incomplete word at the end is ignored.
+struct Reader<'a>(std::slice::ChunksExact<'a, u8>);
+
+impl<'a> Reader<'a> {
+    fn new(bytes: &'a [u8]) -> Self {
+        Reader(bytes.chunks_exact(WORD_SIZE))
+    }
+
+    fn word(&mut self) -> Option<u64> {
+        let bytes = self.0.next()?;
+        Some(bytes.iter().rev().fold(0, |word, byte| word << 8 | u64::from(*byte)))
+    }
+
+    fn number(&mut self) -> Option<f64> {
+        self.word().map(|word| sanitize(f64::from_bits(word)))
+    }
+}
+
+/// The words before the entries.
+struct Header {
+    age: Millis,
+    mean_prompt_tokens: f64,
+    throughput_by_role: [RoleThroughput; 3],
+    service_time_by_stage: [ServiceTime; 2],
+}
+
+impl Header {
+    fn read(reader: &mut Reader, now: Millis) -> Option<Header> {
+        let age = reader.number()?;
+        let mean_prompt_tokens = reader.number()?;
+        let mut throughput_by_role = [RoleThroughput::default(); 3];
+        for throughput in &mut throughput_by_role {
+            *throughput = RoleThroughput {
+                completions: reader.number()?,
+                updated_at: now - reader.number()?,
+                capacity_units: reader.number()?,
+                peak_rate: reader.number()?,
+            };
+        }
+        let mut service_time_by_stage = [ServiceTime::default(); 2];
+        for service_time in &mut service_time_by_stage {
+            let per_token = reader.number()?;
+            let samples = u32::try_from(reader.word()?).unwrap_or(u32::MAX);
+            *service_time = ServiceTime { per_token, samples };
+        }
+        Some(Header { age, mean_prompt_tokens, throughput_by_role, service_time_by_stage })
+    }
+}
+
+fn read_entry(reader: &mut Reader, now: Millis) -> Option<(AffinityKey, AffinityEntry)> {
+    let kind = reader.word()?;
+    let key = reader.word()?;
+    let server = ServerId(reader.word()?);
+    let updated_at = now - reader.number()?;
+    let key = if kind == SESSION { AffinityKey::Session(key) } else { AffinityKey::Prefix(key) };
+    Some((key, AffinityEntry { server, updated_at }))
 }
 
 impl Router {
+    /// What this router has learned, for [`Router::import_state`] of another process.
     pub fn export_state(&self) -> Vec<u8> {
-        let mut all = Words::default();
-        all.put(FORM);
-        all.number(self.now - self.started_at.unwrap_or(self.now));
-        all.number(self.statistics.mean_prompt_tokens);
-        for c in &self.statistics.throughput_by_role {
-            [c.completions, self.now - c.updated_at, c.capacity_units, c.peak_rate]
-                .into_iter()
-                .for_each(|x| all.number(x));
+        let mut writer = Writer::default();
+        writer.word(FORM);
+        writer.number(self.now - self.started_at.unwrap_or(self.now));
+        writer.number(self.statistics.mean_prompt_tokens);
+        for throughput in &self.statistics.throughput_by_role {
+            writer.number(throughput.completions);
+            writer.number(self.now - throughput.updated_at);
+            writer.number(throughput.capacity_units);
+            writer.number(throughput.peak_rate);
         }
-        for p in &self.statistics.service_time_by_stage {
-            all.number(p.per_token);
-            all.put(u64::from(p.samples));
+        for service_time in &self.statistics.service_time_by_stage {
+            writer.number(service_time.per_token);
+            writer.word(u64::from(service_time.samples));
         }
-        for (key, (server, at)) in self.affinity_table.iter().take(HOMES) {
-            let (kind, name) = match key {
-                AffinityKey::Session(name) => (0, *name),
-                AffinityKey::Prefix(name) => (1, *name),
+        for (key, entry) in self.affinity_table.iter().take(MAX_ENTRIES) {
+            let (kind, key) = match key {
+                AffinityKey::Session(session) => (SESSION, *session),
+                AffinityKey::Prefix(prefix) => (PREFIX, *prefix),
             };
-            [kind, name, server.0].into_iter().for_each(|word| all.put(word));
-            all.number(self.now - at);
+            writer.word(kind);
+            writer.word(key);
+            writer.word(entry.server.0);
+            writer.number(self.now - entry.updated_at);
         }
-        all.0
+        writer.0
     }
 
-    /// Takes such bytes in, as far as they can be read. What this router has learned itself by now gives way.
+    /// Takes in what another process has exported, in place of what this router has learned itself.
+    ///
+    /// Bytes of another form, or without a complete header, change nothing; an incomplete entry at the end is ignored.
     pub fn import_state(&mut self, bytes: &[u8]) {
-        let mut words = words(bytes);
-        if words.next() != Some(FORM) {
-            return;
-        }
         let now = self.now;
-        let mut number = || words.next().map(|word| sanitize(f64::from_bits(word)));
-        let (Some(age), Some(prompt)) = (number(), number()) else { return };
-        let mut carried = [RoleThroughput::default(); 3];
-        for c in &mut carried {
-            let (Some(count), Some(age), Some(units), Some(peak)) = (number(), number(), number(), number())
-            else {
-                return;
-            };
-            *c = RoleThroughput {
-                completions: count,
-                updated_at: now - age,
-                capacity_units: units,
-                peak_rate: peak,
-            };
-        }
-        let mut pace = [ServiceTime::default(); 2];
-        for p in &mut pace {
-            let (Some(low), Some(samples)) = (words.next(), words.next()) else { return };
-            *p = ServiceTime {
-                per_token: sanitize(f64::from_bits(low)),
-                samples: u32::try_from(samples).unwrap_or(u32::MAX),
-            };
+        let mut reader = Reader::new(bytes);
+        if reader.word() != Some(FORM) {
+            return;
         }
-        self.started_at = Some(now - age);
+        let Some(header) = Header::read(&mut reader, now) else { return };
+        self.started_at = Some(now - header.age);
         self.statistics = RoutingStatistics {
-            mean_prompt_tokens: prompt,
-            throughput_by_role: carried,
-            service_time_by_stage: pace,
+            mean_prompt_tokens: header.mean_prompt_tokens,
+            throughput_by_role: header.throughput_by_role,
+            service_time_by_stage: header.service_time_by_stage,
             ..self.statistics
         };
-        let rest: Vec<u64> = words.take(4 * HOMES).collect();
-        // The newest came first, and what is put last counts as the newest.
-        for home in rest.chunks_exact(4).rev() {
-            let key = if home[0] == 0 { AffinityKey::Session(home[1]) } else { AffinityKey::Prefix(home[1]) };
-            self.affinity_table.put(key, (ServerId(home[2]), now - sanitize(f64::from_bits(home[3]))));
+        let mut entries = Vec::new();
+        while entries.len() < MAX_ENTRIES {
+            let Some(entry) = read_entry(&mut reader, now) else { break };
+            entries.push(entry);
+        }
+        // The newest comes first, and what is put last counts as the newest.
+        for (key, entry) in entries.into_iter().rev() {
+            self.affinity_table.put(key, entry);
         }
     }
 }
--- a/crates/router/src/state/math.rs
+++ b/crates/router/src/state/math.rs
@@ -1,37 +1,47 @@
-//! Small sums, and chance.
+//! Small calculations on figures that come from outside or fade with time.
 
 use crate::api::Millis;
 
-pub fn sanitize(x: f64) -> f64 {
-    if x.is_finite() {
-        x.clamp(0.0, 1e12)
+/// Largest figure accepted from outside, whatever its unit: sums of such figures stay finite.
+const MAX_FIGURE: f64 = 1e12;
+
+/// A figure from outside, forced into the range in which it can mean something.
+pub fn sanitize(figure: f64) -> f64 {
+    if figure.is_finite() {
+        figure.clamp(0.0, MAX_FIGURE)
     } else {
         0.0
     }
 }
 
-/// What is left of a count, last touched at the second value, that fades in that time.
-pub fn decayed((count, at): (f64, Millis), now: Millis, fades: Millis) -> f64 {
-    count * ((at - now) / fades).exp()
-}
-
+/// The lower median; 0 of no values.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
 }
 
-/// A seeded random source (xorshift).
-pub struct Random(u64);
+/// A sum whose parts fade exponentially with their age.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct DecayingValue {
+    value: f64,
+    updated_at: Millis,
+}
 
-impl Random {
-    pub fn new(seed: u64) -> Self {
-        Random(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1)
+impl DecayingValue {
+    /// A sum of nothing.
+    pub fn zero(now: Millis) -> Self {
+        DecayingValue { value: 0.0, updated_at: now }
     }
-    /// The next number in [0, 1).
-    pub fn next_unit(&mut self) -> f64 {
-        self.0 ^= self.0 << 13;
-        self.0 ^= self.0 >> 7;
-        self.0 ^= self.0 << 17;
-        (self.0 >> 11) as f64 / (1u64 << 53) as f64
+
+    /// What is left of the sum at `now`. A part falls to 1/e of itself in `decay_time`.
+    pub fn value_at(&self, now: Millis, decay_time: Millis) -> f64 {
+        self.value * ((self.updated_at - now) / decay_time).exp()
+    }
+
+    /// Adds an amount at `now` and returns the new sum.
+    pub fn add(&mut self, amount: f64, now: Millis, decay_time: Millis) -> f64 {
+        self.value = amount + self.value_at(now, decay_time);
+        self.updated_at = now;
+        self.value
     }
 }
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,112 +1,29 @@
-//! What the router keeps in mind: plain data and look-ups, no decisions.
+//! What the router knows of servers, requests and the traffic as a whole: plain data and look-ups.
+//!
+//! Nothing here decides anything. [`Router`](crate::Router) owns the values, `policy` reads and updates them, and the
+//! caller owns the clock, which comes in as `now`.
 
+mod health;
+mod location;
 mod math;
+mod placement;
+mod random;
 mod request_state;
-mod server_record;
+pub mod server_record;
 mod statistics;
 
-pub use math::*;
-pub use request_state::*;
-pub use server_record::*;
-pub use statistics::*;
+pub use health::{FailureKind, Health};
+pub use location::Location;
+pub use math::{median, sanitize, DecayingValue};
+pub use placement::{AffinityEntry, AffinityKey, Placement, Stage};
+pub use random::Random;
+pub use request_state::{Attempt, PossibleExecution, RecentRequests, RequestState, SentProbe};
+pub use server_record::{PendingAttempt, PrefillSample, SentWork, ServerRecord, UnreportedStream};
+pub use statistics::{RoleThroughput, RoutingStatistics, ServiceTime};
 
-use crate::api::*;
+use crate::api::Millis;
 
-/// A load seen so long ago needs no second look (ms): a report is refreshed about as seldom.
+/// Time for which a load report replaces a probe (ms). Servers renew their reports about as often.
 pub const LOAD_REPORT_TTL: Millis = 500.0;
-
-#[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
-pub enum AffinityKey {
-    Session(u64),
-    Prefix(u64),
-}
-
-#[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-pub enum Stage {
-    #[default]
-    Prefill,
-    Decode,
-}
-
-impl Stage {
-    /// The stage at which a request comes to a server of this role first.
-    pub fn first_for(role: Role) -> Self {
-        match role {
-            Role::Prefill => Stage::Prefill,
-            Role::Decode | Role::Mixed => Stage::Decode,
-        }
-    }
-}
-
-/// Where a request goes next, at which stage, and how much of its prompt should be kept there.
-pub type Placement = (ServerId, Stage, f64);
-
-/// What speaks against a server.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum FailureKind {
-    Error,
-    Reset,
-    MalformedResponse,
-    Unresponsive,
-    ConnectFailed,
-}
-
-impl FailureKind {
-    /// What the end of an attempt speaks of.
-    pub fn from_status(status: AttemptStatus) -> Option<Self> {
-        match status {
-            AttemptStatus::ConnectFailed => Some(FailureKind::ConnectFailed),
-            AttemptStatus::Undelivered => Some(FailureKind::Unresponsive),
-            AttemptStatus::Error => Some(FailureKind::Error),
-            AttemptStatus::Reset => Some(FailureKind::Reset),
-            AttemptStatus::MalformedResponse => Some(FailureKind::MalformedResponse),
-            _ => None,
-        }
-    }
-}
-
-impl Request {
-    /// Puts right what cannot be meant.
-    pub(crate) fn sanitize(&mut self) {
-        for x in
-            [&mut self.prompt_tokens, &mut self.prefix_tokens, &mut self.max_tokens, &mut self.client_timeout]
-        {
-            *x = sanitize(*x);
-        }
-    }
-    /// What it is read by when it has no home yet: the beginning it shares with others, or else its session.
-    pub(crate) fn affinity_key(&self) -> u64 {
-        self.prefix.unwrap_or(self.session)
-    }
-}
-
-impl AttemptStatus {
-    /// Whether it proves that a write did not run.
-    pub(crate) fn proves_not_run(self) -> bool {
-        matches!(
-            self,
-            AttemptStatus::Rejected
-                | AttemptStatus::ConnectFailed
-                | AttemptStatus::NotSent
-                | AttemptStatus::Prefilled
-        )
-    }
-}
-
-impl ServerEntry {
-    /// Its zone, and its cell in it.
-    pub(crate) fn location(&self) -> (u32, u32) {
-        (self.zone, self.cell)
-    }
-}
-
-impl DeduplicationScope {
-    /// Whether two places, each a zone and a cell in it, share the group.
-    pub fn covers(self, a: (u32, u32), b: (u32, u32)) -> bool {
-        match self {
-            DeduplicationScope::All => true,
-            DeduplicationScope::Zone => a.0 == b.0,
-            DeduplicationScope::Cell => a == b,
-        }
-    }
-}
+/// Decay time of the counts of requests for each prefix and of sends to each server (ms).
+pub const REQUEST_RATE_DECAY: Millis = 40_000.0;
--- a/crates/router/src/state/server_record.rs
+++ b/crates/router/src/state/server_record.rs
@@ -1,178 +1,234 @@
-//! What is known of a server.
+//! What the router knows of one server: its list entry, its load and health, and its own traffic there.
 
 use std::collections::BTreeMap;
 
-use super::{decayed, sanitize, FailureKind, RoutingStatistics, ServiceTime, Stage};
-use crate::api::*;
+use super::{sanitize, DecayingValue, Health, RoutingStatistics, ServiceTime, Stage, REQUEST_RATE_DECAY};
+use crate::api::{LoadReport, Millis, RequestId, Role, ServerEntry, ServerState};
 
-#[derive(Default)]
-pub struct Health {
-    pub score: f64,
-    pub ejections: u32,
-    /// Ejected until then; afterwards on trial until an attempt sent since has succeeded.
-    pub ejected_until: Millis,
-    pub ejected_at: Millis,
-    pub on_trial: bool,
-    /// The symptom that ejected it.
-    pub cause: Option<FailureKind>,
-}
-
-impl Health {
-    /// Ejected at this time.
-    pub fn is_ejected(&self, now: Millis) -> bool {
-        self.on_trial && now < self.ejected_until
-    }
-    /// It could not be reached, which the panic threshold does not forgive.
-    pub fn is_unreachable(&self) -> bool {
-        matches!(self.cause, Some(FailureKind::Unresponsive | FailureKind::ConnectFailed))
-    }
-}
+/// An attempt that this many later ones have overtaken is taken for lost, so its wait says nothing of the queue.
+const LOST_AFTER_OVERTAKEN: u32 = 3;
+/// Weight of a new wait in the moving means.
+const WAIT_BLEND: f64 = 0.3;
 
-/// An attempt that waits for its read to end or its stream to begin: since when, how many that were sent later have moved
-/// on, and its work in tokens.
+/// An attempt in flight that waits for the end of its prefill or for its first token.
 pub struct PendingAttempt {
+    /// When it was sent.
     pub sent_at: Millis,
+    /// How many attempts that were sent to the same server later have got on before it.
     pub overtaken_by: u32,
-    pub work: f64,
+    /// Its work, in tokens.
+    pub work_tokens: f64,
 }
 
-/// So many attempts that were sent later and have moved on say that one is lost: its wait tells nothing of the queue.
-const OVERTAKEN: u32 = 3;
-/// Weight of a new wait.
-const WAIT_BLEND: f64 = 0.3;
-
 impl PendingAttempt {
-    /// Whether its wait tells of its server.
+    /// Whether its wait shows the length of the server's queue.
     pub fn reflects_queue(&self) -> bool {
-        self.overtaken_by < OVERTAKEN
+        self.overtaken_by < LOST_AFTER_OVERTAKEN
     }
 }
 
+/// A stream of this router that a server's last memory report cannot include.
+#[derive(Clone, Copy, Debug)]
+pub struct UnreportedStream {
+    /// When it was sent.
+    pub sent_at: Millis,
+    /// Share of the server's memory that it will use.
+    pub memory_share: f64,
+}
+
+/// Load of a server by its last report.
+#[derive(Clone, Copy, Debug)]
+pub struct ReportedLoad {
+    /// Requests in flight at the server, from all routers.
+    pub in_flight: f64,
+    /// When the report came.
+    pub reported_at: Millis,
+}
+
+/// What an attempt costs the server that it is sent to.
+#[derive(Clone, Copy, Debug)]
+pub struct SentWork {
+    /// Its work, in tokens.
+    pub tokens: f64,
+    /// The same, in usual requests.
+    pub relative: f64,
+    /// Slow-start credit that it leaves, in whole sends.
+    pub remaining_credit: f64,
+}
+
+/// A prefill that has ended.
+#[derive(Clone, Copy, Debug)]
+pub struct PrefillSample {
+    /// Its work, in tokens.
+    pub work_tokens: f64,
+    /// Time that it took, including its wait in the server's queue.
+    pub elapsed: Millis,
+    /// When it was sent.
+    pub sent_at: Millis,
+}
+
+/// One server as this router knows it.
 #[derive(Default)]
 pub struct ServerRecord {
+    /// Its entry in the server list.
     pub entry: ServerEntry,
+    /// What it does.
     pub role: Role,
+    /// Capacity of its memory for request state, in tokens.
     pub memory_tokens: f64,
-    /// Attempts out, and those of them that wait.
+    /// Attempts of this router in flight there.
     pub in_flight: u32,
+    /// Those of them that wait for the end of their prefill or for their first token.
     pub pending: BTreeMap<RequestId, PendingAttempt>,
+    /// Share of its memory in use by its last report, with what waits for memory; `None`: never reported.
     pub memory_share: Option<f64>,
+    /// When its memory was last reported.
     pub memory_reported_at: Millis,
-    /// Own streams that the last report cannot know of: when sent, share of memory.
-    pub unreported_streams: BTreeMap<RequestId, (Millis, f64)>,
-    /// Time to the end of a read or to the first token, by work; and what of it was waiting.
+    /// Streams of this router that the last memory report cannot include.
+    pub unreported_streams: BTreeMap<RequestId, UnreportedStream>,
+    /// Time to the end of a prefill, or at a mixed server to the first token, without the wait.
     pub service_time: ServiceTime,
+    /// Moving mean of the wait before that.
     pub queue_wait: Millis,
+    /// Its failures and its ejection.
     pub health: Health,
+    /// Start of its slow start; `None`: so long ago that it is over.
     pub slow_start_since: Option<Millis>,
-    pub recent_sends: (f64, Millis),
+    /// What this router has sent there of late, in usual requests.
+    pub recent_sends: DecayingValue,
+    /// Slow-start credit at `credit_updated_at`, in whole sends.
     pub send_credit: f64,
+    /// When that credit was last reckoned.
     pub credit_updated_at: Millis,
-    /// Last sign of life of any kind, and last time that an attempt moved on there.
+    /// Last sign of life of any kind.
     pub last_heard_at: Millis,
+    /// Last probe.
     pub last_probed_at: Millis,
-    /// Requests in flight there as it last said, and when; what this router sent there since counts on top.
-    pub reported_load: Option<(f64, Millis)>,
+    /// Its load by its last report.
+    pub reported_load: Option<ReportedLoad>,
+    /// What this router has sent there since that report; it counts on top of it.
     pub sent_since_report: f64,
+    /// Last time that an attempt of this router succeeded there or got its first token.
     pub last_progress_at: Millis,
 }
 
 impl ServerRecord {
-    /// Listed as ready, and not ejected.
+    /// Whether it is listed as ready and not ejected.
     pub fn is_available(&self, now: Millis) -> bool {
         self.entry.state == ServerState::Ready && !self.health.is_ejected(now)
     }
-    /// Listed as ready, and not ejected as unreachable.
+
+    /// Whether it is listed as ready and not ejected as unreachable.
     pub fn is_reachable(&self, now: Millis) -> bool {
-        self.entry.state == ServerState::Ready
-            && !(self.health.is_ejected(now) && self.health.is_unreachable())
+        let ejected_as_unreachable = self.health.is_ejected(now) && self.health.is_unreachable();
+        self.entry.state == ServerState::Ready && !ejected_as_unreachable
     }
-    /// What a report of its memory is still worth, from 1 (just now) to 0 (none yet), fading in that time.
-    pub fn memory_report_confidence(&self, now: Millis, fades: Millis) -> f64 {
-        self.memory_share.map_or(0.0, |_| ((self.memory_reported_at - now) / fades).exp())
+
+    /// Confidence in its memory report, from 1 (just reported) down to 0 (never reported); it falls to 1/e in
+    /// `decay_time`.
+    pub fn memory_report_confidence(&self, now: Millis, decay_time: Millis) -> f64 {
+        self.memory_share.map_or(0.0, |_| ((self.memory_reported_at - now) / decay_time).exp())
     }
-    /// Requests in flight there: what it said within this time, and what this router has sent there since.
-    pub fn current_load(&self, now: Millis, within: Millis) -> Option<f64> {
-        let (load, _) = self.reported_load.filter(|(_, at)| now <= at + within)?;
-        Some(load + self.sent_since_report)
+
+    /// Requests in flight there: by a report no older than `max_age`, and what this router has sent since.
+    pub fn current_load(&self, now: Millis, max_age: Millis) -> Option<f64> {
+        let report = self.reported_load.filter(|report| now <= report.reported_at + max_age)?;
+        Some(report.in_flight + self.sent_since_report)
     }
-    /// The time that a unit of work takes here. Of few samples all may have waited in a queue, which is no reason to
-    /// refuse what an idle server could read: until there are enough its role's speak, and before those nobody.
-    pub fn time_per_token(&self, role: ServiceTime, enough: u32) -> f64 {
-        let known = [self.service_time, role].into_iter().find(|p| p.samples >= enough);
-        known.map_or(0.0, |p| p.per_token)
+
+    /// Milliseconds that a token of work takes here; 0 while that is unknown.
+    ///
+    /// Of a few samples all may have waited in a queue, which is no reason to reject what an idle server could do. So
+    /// below `min_samples` the estimate for its whole role is used, and below that none.
+    pub fn time_per_token(&self, role: ServiceTime, min_samples: u32) -> Millis {
+        let known = [self.service_time, role].into_iter().find(|estimate| estimate.samples >= min_samples);
+        known.map_or(0.0, |estimate| estimate.per_token)
     }
-    /// An attempt of this request goes out to it, which leaves it this much of its credit. `work` in tokens, `weight` in
-    /// usual requests; `fades` (ms): the memory of its sends.
-    pub fn record_send(
-        &mut self, id: RequestId, now: Millis, credit: f64, (work, weight, fades): (f64, f64, Millis),
-    ) {
+
+    /// Notes that an attempt of this request is sent to it.
+    pub fn record_send(&mut self, id: RequestId, work: SentWork, now: Millis) {
         self.in_flight += 1;
         self.sent_since_report += 1.0;
-        self.recent_sends = (weight + decayed(self.recent_sends, now, fades), now);
-        self.pending.insert(id, PendingAttempt { sent_at: now, overtaken_by: 0, work });
-        (self.send_credit, self.credit_updated_at) = (credit, now);
+        self.recent_sends.add(work.relative, now, REQUEST_RATE_DECAY);
+        let attempt = PendingAttempt { sent_at: now, overtaken_by: 0, work_tokens: work.tokens };
+        self.pending.insert(id, attempt);
+        self.send_credit = work.remaining_credit;
+        self.credit_updated_at = now;
     }
-    /// An attempt of this request has come to its end.
+
+    /// Notes that an attempt of this request has come to its end.
     pub fn record_attempt_end(&mut self, id: RequestId) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.pending.remove(&id);
         self.unreported_streams.remove(&id);
     }
-    /// A read of this much work, sent then, has ended here.
-    pub fn record_prefill(
-        &mut self, learned: &mut RoutingStatistics, work: f64, elapsed: Millis, sent: Millis, now: Millis,
-    ) {
-        self.service_time.record(elapsed / work);
-        self.record_wait(learned, (elapsed - work * self.service_time.per_token).max(0.0), sent, now);
-        learned.service_time_by_stage[Stage::Prefill as usize].record(elapsed / work);
+
+    /// Notes the end of a prefill.
+    pub fn record_prefill(&mut self, sample: PrefillSample, statistics: &mut RoutingStatistics, now: Millis) {
+        let PrefillSample { work_tokens, elapsed, sent_at } = sample;
+        self.service_time.record(elapsed / work_tokens);
+        let wait = (elapsed - work_tokens * self.service_time.per_token).max(0.0);
+        self.record_wait(wait, sent_at, statistics, now);
+        statistics.record_service_time(Stage::Prefill, elapsed / work_tokens);
     }
-    /// An attempt that was sent then has met this wait here.
-    pub fn record_wait(&mut self, learned: &mut RoutingStatistics, wait: Millis, sent: Millis, now: Millis) {
-        self.pending.values_mut().filter(|w| w.sent_at < sent).for_each(|w| w.overtaken_by += 1);
+
+    /// Notes the wait before the service of an attempt, which overtakes all attempts sent before it.
+    pub fn record_wait(
+        &mut self, wait: Millis, sent_at: Millis, statistics: &mut RoutingStatistics, now: Millis,
+    ) {
+        for overtaken in self.pending.values_mut().filter(|pending| pending.sent_at < sent_at) {
+            overtaken.overtaken_by += 1;
+        }
         self.queue_wait += WAIT_BLEND * (wait - self.queue_wait);
-        let like = &mut learned.wait_by_role[self.role as usize];
-        *like = (like.0 + WAIT_BLEND * (wait - like.0), now);
+        statistics.record_wait(self.role, wait, WAIT_BLEND, now);
     }
-    /// Takes in what it says of itself; `prompt`: mean tokens of a prompt.
-    pub fn record_load_report(&mut self, report: LoadReport, prompt: f64, now: Millis) {
+
+    /// Takes a load report in. `mean_prompt_tokens` turns a queue of requests into tokens.
+    pub fn record_load_report(&mut self, report: LoadReport, mean_prompt_tokens: f64, now: Millis) {
         self.last_heard_at = now;
-        if let Some(load) = report.in_flight {
-            (self.reported_load, self.sent_since_report) = (Some((sanitize(load), now)), 0.0);
+        if let Some(in_flight) = report.in_flight {
+            self.reported_load = Some(ReportedLoad { in_flight: sanitize(in_flight), reported_at: now });
+            self.sent_since_report = 0.0;
         }
-        // What waits for memory counts as if it held it: a full writer's share alone stops at the top.
-        let waits = report
-            .backlog_kilotokens
-            .map(|k| sanitize(k) * 1000.0)
-            .or(report.queue.map(|q| sanitize(q) * prompt));
-        let Some(memory) =
-            report.memory_share.map(|m| sanitize(m) + waits.unwrap_or(0.0) / self.memory_tokens)
-        else {
-            return;
+        let Some(memory_in_use) = report.memory_share else { return };
+        // What waits for memory counts as if it used it: the share alone stops at 1 at a server that is full.
+        let waiting_tokens = match (report.backlog_kilotokens, report.queue) {
+            (Some(kilotokens), _) => sanitize(kilotokens) * 1000.0,
+            (None, Some(queue)) => sanitize(queue) * mean_prompt_tokens,
+            (None, None) => 0.0,
         };
-        if self.memory_share != Some(memory) {
-            // A fresh figure: it knows of what was sent before the last sight of the old one.
-            let known = self.memory_reported_at;
-            self.unreported_streams.retain(|_, r| r.0 >= known);
-            self.memory_share = Some(memory);
+        let memory_share = sanitize(memory_in_use) + waiting_tokens / self.memory_tokens;
+        if self.memory_share != Some(memory_share) {
+            // A new figure includes what was sent before the last report of the old one.
+            let included_before = self.memory_reported_at;
+            self.unreported_streams.retain(|_, stream| stream.sent_at >= included_before);
+            self.memory_share = Some(memory_share);
         }
         self.memory_reported_at = now;
     }
-    /// Forgets what was measured of its speed.
+
+    /// Drops what was measured of its speed.
     pub fn forget_measurements(&mut self) {
-        (self.service_time, self.queue_wait) = (ServiceTime::default(), 0.0);
+        self.service_time = ServiceTime::default();
+        self.queue_wait = 0.0;
     }
-    /// A new process runs there: cold, empty, and not to blame for what the old one did.
-    pub fn restart(&mut self, since: Option<Millis>, now: Millis, credit: f64) {
-        (self.health, self.memory_share, self.recent_sends) = (Health::default(), None, (0.0, now));
+
+    /// Starts afresh for a new process: in slow start, empty, and not to blame for the failures of the old one.
+    pub fn restart(&mut self, started: Option<Millis>, now: Millis, send_credit: f64) {
+        self.health = Health::default();
+        self.memory_share = None;
+        self.recent_sends = DecayingValue::zero(now);
         self.reported_load = None;
         self.unreported_streams.clear();
         self.pending.clear();
         self.forget_measurements();
-        self.enter_slow_start(since, now, credit);
+        self.enter_slow_start(started, now, send_credit);
     }
-    /// A new process seems to run there: cold from this time on, with this part of a send earned.
-    pub fn enter_slow_start(&mut self, since: Option<Millis>, now: Millis, credit: f64) {
-        (self.slow_start_since, self.send_credit, self.credit_updated_at) = (since, credit, now);
+
+    /// Enters slow start, as of `since`, with this part of a send as credit.
+    pub fn enter_slow_start(&mut self, since: Option<Millis>, now: Millis, send_credit: f64) {
+        self.slow_start_since = since;
+        self.send_credit = send_credit;
+        self.credit_updated_at = now;
     }
 }
--- /dev/null
+++ b/crates/router/src/tenant_quota/tests.rs
@@ -0,0 +1,47 @@
+//! A tenant is judged by its own requests, whatever the others send.
+
+use super::*;
+use proptest::prelude::*;
+
+/// Share of a tenant's requests that are beyond its quota, from 20 s to 30 s, where each tenant sends so many times its
+/// rate.
+fn share_beyond_quota(load_factors: [f64; 3], judged_tenant: usize) -> f64 {
+    let rates = [3.0, 2.5, 1.5];
+    let mut quotas = TenantQuotas::new(rates.into_iter(), 0.0);
+    let mut requests: Vec<(Millis, usize)> = Vec::new();
+    for (tenant, rate) in rates.iter().enumerate() {
+        let interval = 1000.0 / (rate * load_factors[tenant]);
+        let times = (1..).map(|n| interval * f64::from(n)).take_while(|time| *time < 30_000.0);
+        requests.extend(times.map(|time| (time, tenant)));
+    }
+    requests.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let (mut beyond, mut total) = (0.0, 0.0);
+    for (time, tenant) in requests {
+        let is_beyond = quotas.record_request(tenant, time);
+        if tenant == judged_tenant && time > 20_000.0 {
+            beyond += f64::from(u8::from(is_beyond));
+            total += 1.0;
+        }
+    }
+    beyond / total
+}
+
+proptest! {
+    /// A tenant within its quota is never judged beyond it, however far beyond it one other is; that one is.
+    #[test]
+    fn a_burst_of_one_tenant_does_not_affect_the_others(
+        first in 0.3..0.95f64, last in 0.3..0.95f64, burst in 2.0..6.0f64,
+    ) {
+        prop_assert_eq!(share_beyond_quota([first, burst, last], 0), 0.0);
+        prop_assert_eq!(share_beyond_quota([first, burst, last], 2), 0.0);
+        let beyond = share_beyond_quota([first, burst, last], 1);
+        prop_assert!((beyond - (1.0 - 1.0 / burst)).abs() < 0.1, "{}", beyond);
+    }
+
+    /// A router that gets another router's clients too judges no tenant beyond its quota for that.
+    #[test]
+    fn more_traffic_of_every_tenant_puts_none_beyond_its_quota(factor in 1.5..2.5f64, less in 0.6..0.9f64) {
+        prop_assert!(share_beyond_quota([factor * less, factor, factor], 0) < 0.3);
+        prop_assert!(share_beyond_quota([factor, factor * less, factor], 2) < 0.3);
+    }
+}
