--- a/crates/router/src/wait_estimate.rs
+++ b/crates/router/src/wait_estimate.rs
@@ -1,70 +1,90 @@
-//! When a server would come to a request sent now, by what this router has seen of it. No clock, no state, no I/O.
+//! Wait estimate: when a server would get to a request that is sent now.
+//!
+//! It rests on what this router's own requests met there and, in a large fleet, on the server's load report. Pure
+//! functions over [`ServerRecord`] and [`RoutingStatistics`]; the caller owns the clock.
 
 use crate::api::{Millis, Role};
 use crate::fleet_load;
 use crate::state::{PendingAttempt, RoutingStatistics, ServerRecord, Stage};
 
-/// Of this router's own work that waits at a server, what a new one waits for: a server takes in several at once.
-const OWN_COUNTS: f64 = 0.5;
-/// Time that a token's reading takes while nothing has been read yet (ms).
-const UNKNOWN_PACE: Millis = 0.06;
-/// Tokens of work that every read costs beside its own (keeps short reads comparable).
+/// Part of this router's own pending work that a new request waits for: a server works on several at once.
+const OWN_WORK_SHARE: f64 = 0.5;
+/// Time for the prefill of a token while none has been measured (ms).
+const DEFAULT_TIME_PER_TOKEN: Millis = 0.06;
+/// Tokens of work that every prefill costs beside its own. It keeps the times of short prompts comparable.
 pub const FIXED_WORK: f64 = 500.0;
-/// A token of a long prompt takes up to half as long again as one of a usual one, each looks at all before it, and as much may
-/// be in the queue from elsewhere.
-const WORK_SLACK: f64 = 3.0;
-/// The times in which a server's wait and its role's fade (ms).
-const WAIT_FADES: Millis = 1_000.0;
-const ROLE_WAIT_FADES: Millis = 4_000.0;
+/// A typical prefill is one of a prompt of which this share is not cached.
+const TYPICAL_UNCACHED_SHARE: f64 = 0.5;
+/// How much longer than estimated a server's own work may take: a token of a long prompt takes up to half as long again
+/// (attention grows with the prompt), and as much work may be queued by other routers.
+const BUSY_SLACK: f64 = 3.0;
+/// Decay times of a server's own wait and of its role's wait (ms).
+const SERVER_WAIT_DECAY: Millis = 1_000.0;
+const ROLE_WAIT_DECAY: Millis = 4_000.0;
 
-/// The work of a usual read, in tokens.
-pub fn typical_work(learned: &RoutingStatistics) -> f64 {
-    0.5 * learned.mean_prompt_tokens + FIXED_WORK
+/// Work of a typical prefill, in tokens.
+pub fn typical_work(statistics: &RoutingStatistics) -> f64 {
+    TYPICAL_UNCACHED_SHARE * statistics.mean_prompt_tokens + FIXED_WORK
 }
 
-/// How long it takes (ms) until a read of this much work has ended at a reader, or a stream begins at a writer or a mixed
-/// server, if sent now. A server of which nothing is known is taken for idle.
+/// Time (ms) until a prefill of so much work would end at a server, or at a decode or mixed server a stream would
+/// begin, if it were sent now. A server of which nothing is known counts as idle.
 pub fn time_to_serve(
-    s: &ServerRecord, learned: &RoutingStatistics, routers: f64, now: Millis, work: f64,
+    server: &ServerRecord, statistics: &RoutingStatistics, routers: f64, now: Millis, work_tokens: f64,
 ) -> Millis {
-    let counts = |w: &&PendingAttempt| w.reflects_queue();
-    let oldest = s.pending.values().filter(counts).map(|w| w.sent_at).fold(now, f64::min);
-    let trust = if s.pending.is_empty() { ((s.last_progress_at - now) / WAIT_FADES).exp() } else { 1.0 };
-    let (like, at) = learned.wait_by_role[s.role as usize];
-    // A writer's wait fades into its role's: one of many routers meets it too seldom to have its own.
-    let writer = s.role == Role::Decode;
-    let like = if writer { like * ((at - now) / ROLE_WAIT_FADES).exp() } else { 0.0 };
-    let wait = (s.queue_wait * trust + like * (1.0 - trust)).max(now - oldest);
-    if writer {
+    let wait = measured_wait(server, statistics, now);
+    if server.role == Role::Decode {
         return wait;
     }
-    let pace = time_per_token(s, learned, routers);
-    let told = fleet_load::reported_wait(s, routers, now, pace, typical_work(learned));
-    // Outcomes come too late to tell of what this router has sent there just now.
-    let own: f64 = s.pending.values().filter(counts).map(|w| w.work).sum();
-    // One of many routers has few samples for long, and refuses nothing for what it only guesses.
-    let pace = if pace > 0.0 || fleet_load::is_large_fleet(routers) { pace } else { UNKNOWN_PACE };
-    wait.max(told).max(own * OWN_COUNTS * pace) + work * pace
+    let per_token = time_per_token(server, statistics, routers);
+    let reported_wait = fleet_load::reported_wait(server, routers, now, per_token, typical_work(statistics));
+    // Outcomes come too late to show what this router has sent there just now.
+    let own_work: f64 = server.pending.values().filter(|p| p.reflects_queue()).map(|p| p.work_tokens).sum();
+    // In a large fleet a router has few samples for a long time, and rejects nothing for a mere guess.
+    let is_known = per_token > 0.0 || fleet_load::is_large_fleet(routers);
+    let per_token = if is_known { per_token } else { DEFAULT_TIME_PER_TOKEN };
+    wait.max(reported_wait).max(own_work * OWN_WORK_SHARE * per_token) + work_tokens * per_token
 }
 
-/// The time that a token takes a server to read, as far as known.
-fn time_per_token(s: &ServerRecord, learned: &RoutingStatistics, routers: f64) -> Millis {
-    s.time_per_token(
-        learned.service_time_by_stage[Stage::Prefill as usize],
-        fleet_load::min_service_time_samples(routers),
-    )
+/// Wait (ms) at a server by what this router's own requests met there.
+fn measured_wait(server: &ServerRecord, statistics: &RoutingStatistics, now: Millis) -> Millis {
+    let queued = server.pending.values().filter(|pending| pending.reflects_queue());
+    let oldest_sent_at = queued.map(|pending: &PendingAttempt| pending.sent_at).fold(now, f64::min);
+    let confidence = match server.pending.is_empty() {
+        true => ((server.last_progress_at - now) / SERVER_WAIT_DECAY).exp(),
+        false => 1.0,
+    };
+    // A decode server's wait fades into its role's: in a large fleet a router meets it too seldom to know its own.
+    let role_wait = match server.role {
+        Role::Decode => {
+            let recent = statistics.wait(Role::Decode);
+            recent.mean * ((recent.updated_at - now) / ROLE_WAIT_DECAY).exp()
+        }
+        Role::Prefill | Role::Mixed => 0.0,
+    };
+    (server.queue_wait * confidence + role_wait * (1.0 - confidence)).max(now - oldest_sent_at)
 }
 
-/// How long (ms) a server may be busy with what this router has sent it up to a moment, and give no sign meanwhile: reads
-/// run one after the other. A long prompt takes longer than the patience with a server that says nothing, and is read in
-/// vain, again and again, where it is not reckoned with. A stream's begin has no such work.
-pub fn max_busy_time(s: &ServerRecord, learned: &RoutingStatistics, routers: f64, until: Millis) -> Millis {
-    if s.role == Role::Decode {
+/// Time (ms) that a server takes for the prefill of a token; 0 while that is unknown.
+fn time_per_token(server: &ServerRecord, statistics: &RoutingStatistics, routers: f64) -> Millis {
+    let min_samples = fleet_load::min_service_time_samples(routers);
+    server.time_per_token(statistics.service_time(Stage::Prefill), min_samples)
+}
+
+/// Longest time (ms) that a server may be busy with what this router had sent it by time `until`, without a sign of
+/// life. Prefills run one after the other, and a long prompt takes longer than the patience with an unresponsive
+/// server: without this it would be cancelled and sent elsewhere again and again. The begin of a stream at a decode
+/// server has no such work.
+pub fn max_busy_time(
+    server: &ServerRecord, statistics: &RoutingStatistics, routers: f64, until: Millis,
+) -> Millis {
+    if server.role == Role::Decode {
         return 0.0;
     }
-    let pace = time_per_token(s, learned, routers);
-    let before = s.pending.values().filter(|w| w.sent_at <= until).map(|w| w.work).sum::<f64>();
-    WORK_SLACK * before * if pace > 0.0 { pace } else { UNKNOWN_PACE }
+    let per_token = time_per_token(server, statistics, routers);
+    let pending = server.pending.values().filter(|pending| pending.sent_at <= until);
+    let work_tokens = pending.map(|pending| pending.work_tokens).sum::<f64>();
+    BUSY_SLACK * work_tokens * if per_token > 0.0 { per_token } else { DEFAULT_TIME_PER_TOKEN }
 }
 
 #[cfg(test)]
--- a/crates/router/src/wait_estimate/tests.rs
+++ b/crates/router/src/wait_estimate/tests.rs
@@ -1,45 +1,55 @@
-//! The estimate holds its order and its bounds whatever it is told.
+//! The wait estimate keeps its order and its bounds whatever was measured.
 
 use super::*;
 use crate::api::RequestId;
 use proptest::prelude::*;
 
+/// A server with these attempts pending, each with its send time and its work in tokens.
+fn pending(attempts: impl Iterator<Item = (Millis, f64)>) -> ServerRecord {
+    let attempt = |(id, (sent_at, work_tokens))| {
+        (RequestId(id), PendingAttempt { sent_at, overtaken_by: 0, work_tokens })
+    };
+    ServerRecord { pending: (0..).zip(attempts).map(attempt).collect(), ..ServerRecord::default() }
+}
+
 proptest! {
-    /// More work, own or new, never ends sooner, and a wait that was met is forgotten with time, but not what is out.
+    /// More work, pending or new, never ends sooner, and a wait that was met fades with time, but not what is pending.
     #[test]
-    fn more_work_never_ends_sooner(own in prop::collection::vec(0.0..20_000.0f64, 0..6), work in 500.0..20_000.0f64,
-                                   more in 0.0..20_000.0f64, wait in 0.0..5_000.0f64, pace in 0.01..0.5f64) {
-        let mut learned = RoutingStatistics { mean_prompt_tokens: 3_000.0, ..RoutingStatistics::default() };
-        learned.service_time_by_stage[Stage::Prefill as usize].record(pace);
-        let waiting = own.iter().zip(0..).map(|(work, id)| {
-            (RequestId(id), PendingAttempt { sent_at: 1_000.0, overtaken_by: 0, work: *work })
-        });
-        let busy = ServerRecord { pending: waiting.collect(), queue_wait: wait, last_progress_at: 1_000.0, ..ServerRecord::default() };
-        let ends = |s: &ServerRecord, work, now| time_to_serve(s, &learned, 3.0, now, work);
-        prop_assert!(ends(&busy, work, 1_000.0) <= ends(&busy, work + more, 1_000.0));
-        let idle = ServerRecord { queue_wait: wait, last_progress_at: 1_000.0, ..ServerRecord::default() };
-        prop_assert!(ends(&idle, work, 1_000.0) <= ends(&busy, work, 1_000.0) + 1e-9);
-        prop_assert!((ends(&idle, work, 60_000.0) - work * pace).abs() < 1.0);
-        let out = busy.pending.len();
-        prop_assert!(out == 0 || ends(&busy, work, 60_000.0) >= 59_000.0);
+    fn more_work_never_ends_sooner(
+        own in prop::collection::vec(0.0..20_000.0f64, 0..6), work in 500.0..20_000.0f64, more in 0.0..20_000.0f64,
+        queue_wait in 0.0..5_000.0f64, per_token in 0.01..0.5f64,
+    ) {
+        let mut statistics = RoutingStatistics { mean_prompt_tokens: 3_000.0, ..RoutingStatistics::default() };
+        statistics.record_service_time(Stage::Prefill, per_token);
+        let busy = pending(own.iter().map(|work| (1_000.0, *work)));
+        let busy = ServerRecord { queue_wait, last_progress_at: 1_000.0, ..busy };
+        let time = |server: &ServerRecord, work, now| time_to_serve(server, &statistics, 3.0, now, work);
+        prop_assert!(time(&busy, work, 1_000.0) <= time(&busy, work + more, 1_000.0));
+        let idle = ServerRecord { queue_wait, last_progress_at: 1_000.0, ..ServerRecord::default() };
+        prop_assert!(time(&idle, work, 1_000.0) <= time(&busy, work, 1_000.0) + 1e-9);
+        prop_assert!((time(&idle, work, 60_000.0) - work * per_token).abs() < 1.0);
+        let pending_count = busy.pending.len();
+        prop_assert!(pending_count == 0 || time(&busy, work, 60_000.0) >= 59_000.0);
     }
 
-    /// The patience with a server covers its own reads up to then, grows with each, and is finite whatever was learned.
+    /// The patience with a server covers the prefills sent to it up to then, grows with each, and is finite whatever was
+    /// measured.
     #[test]
-    fn a_server_may_be_busy_for_as_long_as_its_reads_take(own in prop::collection::vec((0.0..9_000.0f64, 0.0..70_000.0f64), 0..6),
-                                                          until in 0.0..9_000.0f64, pace in prop::option::of(0.0..0.5f64)) {
-        let mut learned = RoutingStatistics::default();
-        pace.iter().for_each(|pace| learned.service_time_by_stage[Stage::Prefill as usize].record(*pace));
-        let waiting = own.iter().zip(0..).map(|((since, work), id)| {
-            (RequestId(id), PendingAttempt { sent_at: *since, overtaken_by: 0, work: *work })
-        });
-        let server = ServerRecord { pending: waiting.collect(), ..ServerRecord::default() };
-        let allowed = max_busy_time(&server, &learned, 3.0, until);
-        let before: f64 = own.iter().filter(|o| o.0 <= until).map(|o| o.1).sum();
-        prop_assert!(allowed.is_finite() && allowed >= before * pace.unwrap_or(0.0));
-        prop_assert!(max_busy_time(&server, &learned, 3.0, until + 1_000.0) >= allowed);
-        prop_assert!(before == 0.0 || allowed > 0.0, "nothing learned yet is no reason to be impatient");
-        let writer = ServerRecord { role: Role::Decode, ..server };
-        prop_assert_eq!(max_busy_time(&writer, &learned, 3.0, until), 0.0);
+    fn a_server_may_be_busy_for_as_long_as_its_prefills_take(
+        own in prop::collection::vec((0.0..9_000.0f64, 0.0..70_000.0f64), 0..6), until in 0.0..9_000.0f64,
+        per_token in prop::option::of(0.0..0.5f64),
+    ) {
+        let mut statistics = RoutingStatistics::default();
+        if let Some(per_token) = per_token {
+            statistics.record_service_time(Stage::Prefill, per_token);
+        }
+        let server = pending(own.iter().copied());
+        let allowed = max_busy_time(&server, &statistics, 3.0, until);
+        let work_before: f64 = own.iter().filter(|(sent_at, _)| *sent_at <= until).map(|(_, work)| work).sum();
+        prop_assert!(allowed.is_finite() && allowed >= work_before * per_token.unwrap_or(0.0));
+        prop_assert!(max_busy_time(&server, &statistics, 3.0, until + 1_000.0) >= allowed);
+        prop_assert!(work_before == 0.0 || allowed > 0.0, "without a measurement there is still patience");
+        let decode_server = ServerRecord { role: Role::Decode, ..server };
+        prop_assert_eq!(max_busy_time(&decode_server, &statistics, 3.0, until), 0.0);
     }
 }
