--- a/crates/router/src/api/events.rs
+++ b/crates/router/src/api/events.rs
@@ -4,7 +4,8 @@
     AttemptOutcome, AttemptStatus, ListUpdate, LoadReport, Millis, Request, RequestId, ServerEntry, ServerId,
 };
 
-/// Something that happened, passed to [`Router::handle`](crate::Router::handle) in the order in which it happened.
+/// Something that happened, passed to [`Router::handle`](crate::Router::handle) in the order in which it
+/// happened.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A server list, or a change to it, came from discovery.
--- a/crates/router/src/api/mod.rs
+++ b/crates/router/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! Interface of the router: data types only.
 //!
-//! A [`Settings`] value is passed once, to [`Router::new`](crate::Router::new). From then on every [`Event`] is
-//! answered by a list of [`Action`]s. All times and durations are [`Millis`] on one monotonic clock that the caller
-//! owns.
+//! A [`Settings`] value is passed once, to [`Router::new`](crate::Router::new). From then on every [`Event`]
+//! is answered by a list of [`Action`]s. All times and durations are [`Millis`] on one monotonic clock that
+//! the caller owns.
 
 mod actions;
 mod events;
--- a/crates/router/src/api/requests.rs
+++ b/crates/router/src/api/requests.rs
@@ -52,8 +52,8 @@
     MalformedResponse,
     /// The attempt was cancelled by the router or by its client; it may have run.
     Cancelled,
-    /// The request was written, and no sign of its delivery came in time: the attempt was cancelled and its state
-    /// lease released. It may have run.
+    /// The request was written, and no sign of its delivery came in time: the attempt was cancelled and its
+    /// state lease released. It may have run.
     Undelivered,
     /// The attempt ended before anything was written.
     NotSent,
@@ -65,8 +65,8 @@
         !matches!(self, AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
     }
 
-    /// The name of this status in a line of the access log. The names stay as earlier versions wrote them, so that
-    /// logs of all versions can be searched alike.
+    /// The name of this status in a line of the access log. The names stay as earlier versions wrote them, so
+    /// that logs of all versions can be searched alike.
     pub fn log_label(self) -> &'static str {
         match self {
             AttemptStatus::Served => "Served",
@@ -99,15 +99,16 @@
     pub elapsed: Millis,
     /// Detail whose meaning depends on `status`:
     ///
-    /// - [`Prefilled`](AttemptStatus::Prefilled) and [`Served`](AttemptStatus::Served): prompt tokens that the server
-    ///   found in its prefix cache.
-    /// - [`Rejected`](AttemptStatus::Rejected): 1 when a decode server found no state to fetch; 0 when it had no
-    ///   capacity.
+    /// - [`Prefilled`](AttemptStatus::Prefilled) and [`Served`](AttemptStatus::Served): prompt tokens that
+    ///   the server found in its prefix cache.
+    /// - [`Rejected`](AttemptStatus::Rejected): 1 when a decode server found no state to fetch; 0 when it had
+    ///   no capacity.
     /// - Any other status: unused.
     pub note: f64,
     /// The request is closed, by this outcome or earlier: no further attempt may follow.
     pub closed: bool,
-    /// The attempt is known to have reached its server, so that the lease of a prefilled state did not run meanwhile.
+    /// The attempt is known to have reached its server, so that the lease of a prefilled state did not run
+    /// meanwhile.
     pub delivered: bool,
     /// Load report that came with the response.
     pub report: Option<LoadReport>,
@@ -133,8 +134,8 @@
 }
 
 impl RejectReason {
-    /// The name of this reason in a line of the access log. The names stay as earlier versions wrote them, so that
-    /// logs of all versions can be searched alike.
+    /// The name of this reason in a line of the access log. The names stay as earlier versions wrote them, so
+    /// that logs of all versions can be searched alike.
     pub fn log_label(self) -> &'static str {
         match self {
             RejectReason::UnknownClass => "UnknownClass",
--- a/crates/router/src/api/settings.rs
+++ b/crates/router/src/api/settings.rs
@@ -5,7 +5,8 @@
 /// What a kind of server does for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Runs the prefill of a prompt and keeps the resulting state (KV cache) until a decode server fetches it.
+    /// Runs the prefill of a prompt and keeps the resulting state (KV cache) until a decode server fetches
+    /// it.
     #[default]
     Prefill,
     /// Fetches a prefilled state and streams the answer.
@@ -57,8 +58,8 @@
     pub memory_tokens: f64,
 }
 
-/// Objectives and guarantees of one class of requests. [`Request::class`](super::Request::class) is its index in
-/// [`Settings::classes`].
+/// Objectives and guarantees of one class of requests. [`Request::class`](super::Request::class) is its index
+/// in [`Settings::classes`].
 #[derive(Clone, Debug, Default)]
 pub struct RequestClass {
     /// Objective for the time to the first token of an empty prompt.
--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -26,8 +26,8 @@
 }
 
 proptest! {
-    /// Whatever is known, a request goes to one of its candidates, never past one that would do, and a server that was
-    /// probed is not probed again.
+    /// Whatever is known, a request goes to one of its candidates, never past one that would do, and a server
+    /// that was probed is not probed again.
     #[test]
     fn the_first_candidate_that_is_not_overloaded_is_chosen(
         candidates in prop::collection::vec(knowledge(), 1..6), may_probe: bool,
@@ -86,7 +86,8 @@
         prop_assert_eq!(decode_servers_to_probe(a.max(1e-6), 0.0), 0);
     }
 
-    /// More requests for a prefix never take a preferred server from it, and there are never more than servers.
+    /// More requests for a prefix never take a preferred server from it, and there are never more than
+    /// servers.
     #[test]
     fn preferred_servers_grow_with_the_requests_for_a_prefix(
         same_prefix in 1.0..50.0, more in 0.0..50.0, others in 0.0..200.0, servers in 1usize..200, routers in 1.0..400.0,
@@ -98,8 +99,8 @@
         prop_assert!(1 <= fewer && fewer <= more && more <= servers);
     }
 
-    /// The demand of a prefix grows with its requests and never exceeds the capacity; at its preferred server it is never
-    /// more than at another.
+    /// The demand of a prefix grows with its requests and never exceeds the capacity; at its preferred server
+    /// it is never more than at another.
     #[test]
     fn the_demand_of_a_prefix_grows_with_its_share_of_requests(
         same_prefix in 0.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
@@ -122,8 +123,8 @@
         prop_assert!(at_preferred <= demand(same_prefix, None, first) && at_preferred <= weights[0]);
     }
 
-    /// A server with a typical load is not overloaded, give or take the floor; one overloaded server among few that were
-    /// heard from does not make its own load the typical one.
+    /// A server with a typical load is not overloaded, give or take the floor; one overloaded server among
+    /// few that were heard from does not make its own load the typical one.
     #[test]
     fn the_typical_load_is_not_an_overload(loads in prop::collection::vec(0.0..60.0, 0..40), high in 10.0..80.0) {
         let typical = typical_load(loads.clone());
@@ -131,7 +132,8 @@
         prop_assert!(is_overloaded(high, typical_load(vec![high])));
     }
 
-    /// A wait is reckoned from the load that a server reports, by a fresh report only, and only in a large fleet.
+    /// A wait is reckoned from the load that a server reports, by a fresh report only, and only in a large
+    /// fleet.
     #[test]
     fn a_reported_wait_needs_a_fresh_report_and_a_large_fleet(load in 0.0..60.0, more in 0.1..10.0, age in 0.0..2_000.0) {
         let wait = |load, routers| reported_wait(&server_with_load(load), routers, age, 0.1, 900.0);
--- a/crates/router/src/policy/affinity.rs
+++ b/crates/router/src/policy/affinity.rs
@@ -1,14 +1,16 @@
-//! Prefix affinity: requests of a session or with a shared prefix go to the prefill server that has it cached.
+//! Prefix affinity: requests of a session or with a shared prefix go to the prefill server that has it
+//! cached.
 //!
-//! State: none of its own; the prefix table maps keys to servers, and a consistent hash serves where it has no entry.
-//! Guards the prefix caches, which pay only if every router sends a prefix to the same few servers.
+//! State: none of its own; the prefix table maps keys to servers, and a consistent hash serves where it has
+//! no entry. Guards the prefix caches, which pay only if every router sends a prefix to the same few servers.
 
 use super::Router;
 use crate::api::{Action, Role, ServerId};
 use crate::state::{AffinityKey, Placement, RequestState, ServerRecord, Stage};
 use crate::{fleet_load, rendezvous};
 
-/// A popular prefix gets one preferred server for each so many times an average server's share of all requests.
+/// A popular prefix gets one preferred server for each so many times an average server's share of all
+/// requests.
 const LOAD_PER_PREFERRED_SERVER: f64 = 1.0;
 
 /// A server found in the prefix table, and the key it was found by.
@@ -19,7 +21,8 @@
 }
 
 impl Router {
-    /// Chooses by session, else by shared prefix, else by consistent hash; then diverts from an overloaded server.
+    /// Chooses by session, else by shared prefix, else by consistent hash; then diverts from an overloaded
+    /// server.
     pub(super) fn choose_prefill_server(
         &mut self, request: &mut RequestState, actions: &mut Vec<Action>,
     ) -> Option<Placement> {
@@ -44,8 +47,8 @@
         Some(Placement { server, stage, cached_tokens })
     }
 
-    /// The eligible server that the prefix table names for the session, or else for the prefix of a request. A prefix
-    /// with several preferred servers is hashed instead.
+    /// The eligible server that the prefix table names for the session, or else for the prefix of a request.
+    /// A prefix with several preferred servers is hashed instead.
     fn match_affinity(
         &mut self, request: &RequestState, eligible: &[ServerId], preferred_count: usize,
     ) -> Option<AffinityMatch> {
@@ -67,9 +70,9 @@
 
     /// How many preferred servers the prefix of a request has.
     ///
-    /// A prefix with more requests than one server can bear gets several, and each session one of them: in a large
-    /// fleet no router's own counts would show that all together overload a single one. Cost: each further server
-    /// prefills the prefix once.
+    /// A prefix with more requests than one server can bear gets several, and each session one of them: in a
+    /// large fleet no router's own counts would show that all together overload a single one. Cost: each
+    /// further server prefills the prefix once.
     fn preferred_server_count(&self, request: &RequestState, eligible: &[ServerId]) -> usize {
         let routers = self.router_count();
         let recent = request.recent_requests;
@@ -78,8 +81,8 @@
 
     /// Eligible servers in the order in which every router tries them for a request, by weight.
     ///
-    /// A mixed server counts for as much as gives it, of all requests, its share of all servers: a prefill server also
-    /// works for the decode servers, a mixed one only for itself.
+    /// A mixed server counts for as much as gives it, of all requests, its share of all servers: a prefill
+    /// server also works for the decode servers, a mixed one only for itself.
     fn hash_order(
         &self, eligible: &[ServerId], request: &RequestState, preferred_count: usize,
     ) -> Vec<ServerId> {
--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -1,21 +1,24 @@
-//! Decode placement: the decode server with the least projected memory, near the prefill server where that costs little.
+//! Decode placement: the decode server with the least projected memory, near the prefill server where that
+//! costs little.
 //!
-//! State: none of its own; it reads memory reports and the streams sent since. Guards the memory of decode servers, and
-//! the price of transfers between cells and zones.
+//! State: none of its own; it reads memory reports and the streams sent since. Guards the memory of decode
+//! servers, and the price of transfers between cells and zones.
 
 use super::Router;
 use crate::api::{Action, Millis, Role, ServerId};
 use crate::slow_start_budget;
 use crate::state::{Location, RequestState, ServerRecord, Stage, LOAD_REPORT_TTL};
 
-/// Share of memory by which a nearby server may be above the lowest: where its memory is known, and where it is a guess.
+/// Share of memory by which a nearby server may be above the lowest: where its memory is known, and where it
+/// is a guess.
 const NEARBY_MARGIN: f64 = 0.05;
 const NEARBY_MARGIN_UNKNOWN: f64 = 0.4;
 /// Decay time of the confidence in a memory report (ms).
 pub(super) const MEMORY_REPORT_DECAY: Millis = 10_000.0;
 /// Where memory is unknown, a projection may be up to this far above the average.
 const UNKNOWN_SPREAD: f64 = 0.2;
-/// From this projection on a decode server is full: by its reports, and by the waits met there where there are none.
+/// From this projection on a decode server is full: by its reports, and by the waits met there where there
+/// are none.
 const FULL: f64 = 0.85;
 const FULL_BY_WAITS: f64 = 0.5;
 
@@ -51,8 +54,8 @@
         self.prefer_nearby(&projections, prefilled_at, request)
     }
 
-    /// What a millisecond of wait counts for as memory. Without probes the waits met at a server stand in for its
-    /// memory: one as long as the objective is as bad as a full memory.
+    /// What a millisecond of wait counts for as memory. Without probes the waits met at a server stand in for
+    /// its memory: one as long as the objective is as bad as a full memory.
     fn wait_weight(&self, request: &RequestState) -> f64 {
         if self.settings.limits.probes {
             0.0
@@ -69,8 +72,8 @@
         full_by_report || full_by_waits
     }
 
-    /// The lowest projection in the same cell, or else in the same zone, if it is acceptable beside the lowest of all;
-    /// else that one.
+    /// The lowest projection in the same cell, or else in the same zone, if it is acceptable beside the
+    /// lowest of all; else that one.
     fn prefer_nearby(
         &self, projections: &[Projection], location: Location, request: &RequestState,
     ) -> Option<ServerId> {
@@ -88,8 +91,8 @@
         near.min_by(|a, b| a.memory_share.total_cmp(&b.memory_share))
     }
 
-    /// Whether a nearby server may be chosen over the one with the lowest projection. Unknown memory does not count
-    /// against it, and known free memory is enough.
+    /// Whether a nearby server may be chosen over the one with the lowest projection. Unknown memory does not
+    /// count against it, and known free memory is enough.
     fn is_acceptable_nearby(&self, candidate: Projection, best: Projection, request: &RequestState) -> bool {
         let confidence = self.memory_confidence(candidate.server);
         let margin = NEARBY_MARGIN * confidence + NEARBY_MARGIN_UNKNOWN * (1.0 - confidence);
@@ -102,11 +105,11 @@
         is_reported && candidate.memory_share + request.memory_share(server) <= FULL
     }
 
-    /// Projected memory of these servers: the last report, believed less with its age (then the average, plus a random
-    /// part), and the streams sent since.
+    /// Projected memory of these servers: the last report, believed less with its age (then the average, plus
+    /// a random part), and the streams sent since.
     ///
-    /// This router's own streams stand for those of the others only where it sent many: a few say nothing about a
-    /// large fleet, and would raise all alike.
+    /// This router's own streams stand for those of the others only where it sent many: a few say nothing
+    /// about a large fleet, and would raise all alike.
     fn projected_memory(&mut self, ids: &[ServerId]) -> Vec<Projection> {
         // Routers that know the same must not all choose the same server.
         let draws: Vec<f64> = ids.iter().map(|_| self.random.next_unit()).collect();
--- a/crates/router/src/policy/diversion.rs
+++ b/crates/router/src/policy/diversion.rs
@@ -1,7 +1,8 @@
 //! Overload diversion: a preferred server with far more load than its peers is passed over.
 //!
-//! State: none of its own; it reads this router's own counts, so it serves small fleets (`probes` serves large ones).
-//! Guards a prefill server that many prefixes prefer, at the price of a prefill that finds nothing cached.
+//! State: none of its own; it reads this router's own counts, so it serves small fleets (`probes` serves
+//! large ones). Guards a prefill server that many prefixes prefer, at the price of a prefill that finds
+//! nothing cached.
 
 use super::Router;
 use crate::api::{Millis, ServerId};
@@ -11,8 +12,8 @@
 const IN_FLIGHT_FACTOR: f64 = 2.0;
 /// ... and the median by this many, over all routers together.
 const IN_FLIGHT_FLOOR: f64 = 8.0;
-/// A server has excess sends when it was sent this many times the mean of late. Sends vary less than requests in
-/// flight.
+/// A server has excess sends when it was sent this many times the mean of late. Sends vary less than requests
+/// in flight.
 const SENDS_FACTOR: f64 = 1.6;
 /// A prefill that would end after this share of the objective goes where it would end before that ...
 const LATE_OBJECTIVE_SHARE: f64 = 0.35;
@@ -20,8 +21,8 @@
 const FASTER_FACTOR: f64 = 0.6;
 
 impl Router {
-    /// Whether this router has sent a server far more than the mean of late. That still shows an overloaded server
-    /// where requests in flight are too few to show it.
+    /// Whether this router has sent a server far more than the mean of late. That still shows an overloaded
+    /// server where requests in flight are too few to show it.
     pub(super) fn has_excess_sends(&self, id: ServerId, eligible: &[ServerId]) -> bool {
         let recent_sends = |id: &ServerId| {
             let server = self.servers.get(id);
@@ -45,8 +46,9 @@
         peers().min_by(|a, b| in_flight(a).total_cmp(&in_flight(b))).unwrap_or(preferred)
     }
 
-    /// The server that gets a request: the preferred one, unless it is overloaded or its prefill would end late, as at
-    /// a slow server, and another's would not. The request must not be rejected for the sake of affinity.
+    /// The server that gets a request: the preferred one, unless it is overloaded or its prefill would end
+    /// late, as at a slow server, and another's would not. The request must not be rejected for the sake of
+    /// affinity.
     ///
     /// Cost: a complete prefill there. So where all would be late, affinity is kept.
     pub(super) fn divert(
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -1,7 +1,9 @@
-//! Load shedding: requests that can hardly be in time are rejected at once, those of tenants over their quota first.
+//! Load shedding: requests that can hardly be in time are rejected at once, those of tenants over their quota
+//! first.
 //!
-//! State: none of its own; it reads the wait estimates and slow-start allowances, and `shedding_trials` counts the
-//! rejections. Guards clients from waiting in vain, and prefill servers from work that no decode server can follow up.
+//! State: none of its own; it reads the wait estimates and slow-start allowances, and `shedding_trials`
+//! counts the rejections. Guards clients from waiting in vain, and prefill servers from work that no decode
+//! server can follow up.
 
 use super::state_leases::USED_LEASE_SHARE;
 use super::Router;
@@ -12,7 +14,8 @@
 /// Share of the objective within which the first token must be expected, and that of a tenant over its quota.
 const OBJECTIVE_SHARE: f64 = 0.7;
 const OVER_QUOTA_OBJECTIVE_SHARE: f64 = 0.35;
-/// The probability of a rejection grows by this for each such share that the first token is expected later ...
+/// The probability of a rejection grows by this for each such share that the first token is expected later
+/// ...
 const REJECT_SLOPE: f64 = 3.0;
 /// ... up to this.
 const MAX_REJECT_PROBABILITY: f64 = 0.95;
@@ -48,8 +51,9 @@
         }
     }
 
-    /// Whether no decode server would take the state of a new prefill before its lease ends, beside the requests that
-    /// need one already. Only known where routers probe, and only while every decode server is in slow start.
+    /// Whether no decode server would take the state of a new prefill before its lease ends, beside the
+    /// requests that need one already. Only known where routers probe, and only while every decode server is
+    /// in slow start.
     fn lacks_decode_server(&self, prefill_time: Millis) -> bool {
         if !self.probes_before_send() {
             return false;
@@ -66,7 +70,8 @@
         capacity <= needed
     }
 
-    /// Whether a request is rejected as late: by chance, so that routers with the same view do not reject alike.
+    /// Whether a request is rejected as late: by chance, so that routers with the same view do not reject
+    /// alike.
     fn draws_late_rejection(&mut self, request: &RequestState, first_token: Millis) -> bool {
         let share = if request.over_quota { OVER_QUOTA_OBJECTIVE_SHARE } else { OBJECTIVE_SHARE };
         let lateness = first_token / (request.first_token_objective() * share).max(1.0);
@@ -74,8 +79,8 @@
         lateness > 1.0 && self.random.next_unit() < probability
     }
 
-    /// Time until a prefill of so much work would end at a server, or at a decode or mixed server a stream would begin,
-    /// if it were sent now.
+    /// Time until a prefill of so much work would end at a server, or at a decode or mixed server a stream
+    /// would begin, if it were sent now.
     pub(super) fn expected_time(&self, id: ServerId, work_tokens: f64) -> Millis {
         let Some(server) = self.servers.get(&id) else { return 0.0 };
         wait_estimate::time_to_serve(server, &self.statistics, self.router_count(), self.now, work_tokens)
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Routing policy: which server a request goes to, whether it is retried, and when it is rejected.
 //!
-//! [`Router`] owns all state; each module adds one concern to it. The caller owns the clock and carries the actions
-//! out. On the usual path the prefix table, or else a consistent hash, names the prefill server (`affinity`); an
-//! overloaded one is passed over (`diversion`, or `probes` in a large fleet); and the state goes to the decode server
-//! with the least projected memory (`decode_placement`).
+//! [`Router`] owns all state; each module adds one concern to it. The caller owns the clock and carries the
+//! actions out. On the usual path the prefix table, or else a consistent hash, names the prefill server
+//! (`affinity`); an overloaded one is passed over (`diversion`, or `probes` in a large fleet); and the state
+//! goes to the decode server with the least projected memory (`decode_placement`).
 
 mod affinity;
 mod decode_placement;
@@ -70,7 +70,8 @@
 }
 
 impl Router {
-    /// A router that knows no server yet. `seed` determines its random draws; routers of one fleet should differ in it.
+    /// A router that knows no server yet. `seed` determines its random draws; routers of one fleet should
+    /// differ in it.
     pub fn new(seed: u64, settings: Settings) -> Self {
         Router {
             settings,
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection and the panic threshold: which servers may get work at present.
 //!
-//! State: [`Health`] in each server's record. Guards requests from servers that fail, and the fleet from ejecting its
-//! servers for a fault that is not theirs.
+//! State: [`Health`] in each server's record. Guards requests from servers that fail, and the fleet from
+//! ejecting its servers for a fault that is not theirs.
 
 use super::state_leases::NOTE_NO_STATE;
 use super::{Router, HOUSEKEEPING_INTERVAL};
@@ -14,17 +14,19 @@
 pub(super) const BASE_EJECTION_TIME: Millis = 500.0;
 /// ... up to so many doublings.
 const MAX_DOUBLINGS: u32 = 4;
-/// Score of a broken connection and of a malformed response. Any other failure has a score of 1, which ejects.
+/// Score of a broken connection and of a malformed response. Any other failure has a score of 1, which
+/// ejects.
 const RESET_SCORE: f64 = 0.6;
 const MALFORMED_RESPONSE_SCORE: f64 = 0.2;
 /// Part of the score that a success leaves.
 const SCORE_AFTER_SUCCESS: f64 = 0.8;
-/// Panic threshold: below this share of servers that are not ejected, ejections for soft failures are overruled.
+/// Panic threshold: below this share of servers that are not ejected, ejections for soft failures are
+/// overruled.
 const PANIC_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Servers of these roles that may get an attempt of a request now: ready, not ejected, and within slow start's
-    /// allowance.
+    /// Servers of these roles that may get an attempt of a request now: ready, not ejected, and within slow
+    /// start's allowance.
     pub(super) fn eligible_servers(
         &mut self, roles: &[Role], request: &RequestState, stage: Stage, actions: &mut Vec<Action>,
     ) -> Vec<ServerId> {
@@ -38,7 +40,8 @@
         let mut healthy: Vec<&ServerRecord> =
             ready.iter().copied().filter(|server| !server.health.is_ejected(now)).collect();
         if (healthy.len() as f64) < PANIC_SHARE * ready.len() as f64 {
-            // Most servers of a role look bad, so the fault is elsewhere. Unreachable ones stay out while others remain.
+            // Most servers of a role look bad, so the fault is elsewhere. Unreachable ones stay out while
+            // others remain.
             healthy = ready.iter().copied().filter(|server| !server.health.is_unreachable()).collect();
             if healthy.is_empty() {
                 healthy.clone_from(&ready);
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Updates a server's health and service time by the end of an attempt. `work_tokens` is that of a prefill.
+    /// Updates a server's health and service time by the end of an attempt. `work_tokens` is that of a
+    /// prefill.
     pub(super) fn record_attempt_health(
         &mut self, outcome: &AttemptOutcome, attempt: &Attempt, work_tokens: f64, actions: &mut Vec<Action>,
     ) {
--- a/crates/router/src/policy/prefix_table.rs
+++ b/crates/router/src/policy/prefix_table.rs
@@ -1,7 +1,7 @@
 //! Prefix table: which server has the prefix of a session or a shared prefix in its cache.
 //!
-//! State: the router's `affinity_table`, bounded and least recently used first out. Guards against entries that outlive
-//! the cache they stand for.
+//! State: the router's `affinity_table`, bounded and least recently used first out. Guards against entries
+//! that outlive the cache they stand for.
 
 use super::Router;
 use crate::api::{Millis, RequestId, ServerId};
@@ -38,10 +38,11 @@
         self.affinity_table.get(key).filter(|entry| entry.is_live(now)).map(|entry| entry.server)
     }
 
-    /// Ties a request's session to the server that has done its prefill, and its prefix unless that has a live entry.
+    /// Ties a request's session to the server that has done its prefill, and its prefix unless that has a
+    /// live entry.
     ///
-    /// One request that was diverted must not move the prefix, or a short overload would scatter all prefixes, each
-    /// move costing a prefill from the start.
+    /// One request that was diverted must not move the prefix, or a short overload would scatter all
+    /// prefixes, each move costing a prefill from the start.
     pub(super) fn record_affinity(&mut self, id: RequestId, server: ServerId) {
         let Some(state) = self.requests.get(&id) else { return };
         let now = self.now;
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -1,7 +1,7 @@
 //! Load probes: on behalf of a request in a large fleet, or to hear from a server that has been quiet.
 //!
-//! State: the router's probe budget, earned by requests, and the probes sent for each request. Guards the price of
-//! probes over the whole fleet, and preferred servers that no single router sees to be overloaded.
+//! State: the router's probe budget, earned by requests, and the probes sent for each request. Guards the
+//! price of probes over the whole fleet, and preferred servers that no single router sees to be overloaded.
 
 use super::decode_placement::MEMORY_REPORT_DECAY;
 use super::outlier_detection::BASE_EJECTION_TIME;
@@ -43,8 +43,8 @@
         self.server(id).is_some_and(|server| self.allowance(server).permits_send(server, self.router.now))
     }
 
-    /// What is known of a server's load. One in slow start whose report does not count is treated like one that does
-    /// not answer.
+    /// What is known of a server's load. One in slow start whose report does not count is treated like one
+    /// that does not answer.
     fn knowledge(&self, id: ServerId) -> LoadKnowledge {
         let Some(server) = self.server(id).filter(|server| self.allowance(server).trusts_report()) else {
             return LoadKnowledge::NoAnswer;
@@ -73,14 +73,14 @@
 }
 
 impl Router {
-    /// Whether load reports decide instead of this router's own counts, which say too little in a large fleet. A
-    /// request may then have to wait for a probe before it is sent.
+    /// Whether load reports decide instead of this router's own counts, which say too little in a large
+    /// fleet. A request may then have to wait for a probe before it is sent.
     pub(super) fn probes_before_send(&self) -> bool {
         fleet_load::is_large_fleet(self.router_count()) && self.settings.limits.probes
     }
 
-    /// Overload diversion in a large fleet: the first server in order that is not overloaded by its load report, which
-    /// is probed for. `None` while an answer is awaited.
+    /// Overload diversion in a large fleet: the first server in order that is not overloaded by its load
+    /// report, which is probed for. `None` while an answer is awaited.
     pub(super) fn choose_by_load_probe(
         &mut self, matched: Option<ServerId>, ranked: &[ServerId], request: &mut RequestState,
         actions: &mut Vec<Action>,
@@ -127,8 +127,8 @@
         actions.push(Action::Probe { server: id });
     }
 
-    /// Probes some decode servers near a prefill for their memory while it runs, so that its state need not leave its
-    /// cell for a server of which more is known.
+    /// Probes some decode servers near a prefill for their memory while it runs, so that its state need not
+    /// leave its cell for a server of which more is known.
     pub(super) fn probe_nearby_decode_servers(&mut self, location: Location, actions: &mut Vec<Action>) {
         let now = self.now;
         let Prices { probe, cell_transfer } = self.settings.prices;
@@ -140,8 +140,8 @@
         self.probe_decode_servers(is_unknown_nearby, count, actions);
     }
 
-    /// Probes some decode servers for a state that none of them may take: one in slow start gets nothing without a fresh
-    /// report, and what it reported at the start of a prefill is old at its end.
+    /// Probes some decode servers for a state that none of them may take: one in slow start gets nothing
+    /// without a fresh report, and what it reported at the start of a prefill is old at its end.
     pub(super) fn probe_stale_decode_servers(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_stale = |server: &ServerRecord| {
@@ -194,7 +194,8 @@
         }
     }
 
-    /// Spends the probe budget on quiet servers: first those with pending work, then the one quiet for longest.
+    /// Spends the probe budget on quiet servers: first those with pending work, then the one quiet for
+    /// longest.
     pub(super) fn probe_quiet_servers(&mut self, actions: &mut Vec<Action>) {
         let is_large_fleet = fleet_load::is_large_fleet(self.router_count());
         let reserved = if is_large_fleet { PROBES_RESERVED_FOR_REQUESTS } else { 0.0 };
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -1,7 +1,7 @@
 //! Request life cycle: the steps of a request from its arrival to its first token.
 //!
-//! State: [`RequestState`] in the router's map, from arrival until the last attempt has ended. Guards the deadline, the
-//! limit of attempts, and one attempt in flight at a time.
+//! State: [`RequestState`] in the router's map, from arrival until the last attempt has ended. Guards the
+//! deadline, the limit of attempts, and one attempt in flight at a time.
 
 use super::outlier_detection::BASE_EJECTION_TIME;
 use super::retries::{MAX_RETRY_BUDGET, RETRIES_PER_REQUEST};
@@ -16,7 +16,8 @@
 
 /// Pause before a request that found no server tries again (ms).
 pub(super) const PLACEMENT_RETRY_INTERVAL: Millis = 20.0;
-/// A timer may fire early by this much (ms). One that is due so soon counts as fired, or the step would be lost.
+/// A timer may fire early by this much (ms). One that is due so soon counts as fired, or the step would be
+/// lost.
 const TIMER_TOLERANCE: Millis = 0.5;
 
 /// What a request does next.
@@ -143,7 +144,8 @@
             return;
         };
         let tokens = request.prefill_work(cached_tokens);
-        // A prefill server's memory is filled by the tokens that it has not cached yet, not by the number of requests.
+        // A prefill server's memory is filled by the tokens that it has not cached yet, not by the number of
+        // requests.
         let relative = if server.role == Role::Decode { 1.0 } else { tokens / typical_work };
         server.record_send(id, SentWork { tokens, relative, remaining_credit: credit - 1.0 }, now);
         if server.health.on_trial {
@@ -156,8 +158,8 @@
             server.unreported_streams.insert(id, UnreportedStream { sent_at: now, memory_share });
             request.possible_execution.get_or_insert(PossibleExecution { location, sent_at: now });
         }
-        // The time-out is the deadline: a retry of slow work that gets on would start it over. Work that does not get
-        // on is left to time-out detection.
+        // The time-out is the deadline: a retry of slow work that gets on would start it over. Work that does
+        // not get on is left to time-out detection.
         let timeout = (request.deadline - now - 2.0 * self.settings.tick_interval).max(1.0);
         request.attempts.push(Attempt {
             server: target,
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -1,7 +1,7 @@
 //! Retry policy and retry budget: whether another attempt may follow one that ended.
 //!
-//! State: the attempts in [`RequestState`], and the router's one budget. Guards idempotency (what may have run is
-//! repeated only where that is harmless) and bounds the load that retries add to a fleet in trouble.
+//! State: the attempts in [`RequestState`], and the router's one budget. Guards idempotency (what may have
+//! run is repeated only where that is harmless) and bounds the load that retries add to a fleet in trouble.
 
 use super::Router;
 use crate::api::{
@@ -94,8 +94,8 @@
         self.advance(id, actions);
     }
 
-    /// What a retry takes from the budget. It is the time that the lost attempt took, as a share of the objective, so
-    /// that quick errors do not use up what few requests earn.
+    /// What a retry takes from the budget. It is the time that the lost attempt took, as a share of the
+    /// objective, so that quick errors do not use up what few requests earn.
     fn retry_cost(&self, request: &RequestState, status: AttemptStatus) -> f64 {
         let objective = request.first_token_objective();
         let is_late = self.now > request.arrived_at + objective;
--- a/crates/router/src/policy/slow_start.rs
+++ b/crates/router/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much traffic a server that has just started may receive from this router.
 //!
-//! State: `slow_start_since` and the send credit in each [`ServerRecord`]. Guards the overload bound that all routers
-//! must keep together; `slow_start_budget` has the calculation.
+//! State: `slow_start_since` and the send credit in each [`ServerRecord`]. Guards the overload bound that all
+//! routers must keep together; `slow_start_budget` has the calculation.
 
 use super::Router;
 use crate::api::{Millis, ServerId};
@@ -22,7 +22,8 @@
         slow_start_budget::send_credit(server, units, throughput, rules, self.router_count(), when)
     }
 
-    /// What this router may send to a server at time `when`, for a prefix that keeps `demand_units` of capacity busy.
+    /// What this router may send to a server at time `when`, for a prefix that keeps `demand_units` of
+    /// capacity busy.
     pub(super) fn slow_start_allowance(
         &self, server: &ServerRecord, demand_units: f64, when: Millis,
     ) -> Allowance {
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -1,7 +1,8 @@
 //! State leases: how long a prefill server holds a request's state, and its release.
 //!
-//! State: `prefilled_on` and `lease_since` in [`RequestState`]; the prefill server enforces the lease by its own clock.
-//! Guards the lease limit, and that each state is released exactly when nothing can fetch it any more.
+//! State: `prefilled_on` and `lease_since` in [`RequestState`]; the prefill server enforces the lease by its
+//! own clock. Guards the lease limit, and that each state is released exactly when nothing can fetch it any
+//! more.
 
 use super::request_steps::PLACEMENT_RETRY_INTERVAL;
 use super::Router;
@@ -49,8 +50,8 @@
         self.requests.remove(&id);
     }
 
-    /// Releases a state that a decode attempt has lost or used up. The prefill server may only be cut off from the
-    /// decode server, so it is told in any case.
+    /// Releases a state that a decode attempt has lost or used up. The prefill server may only be cut off
+    /// from the decode server, so it is told in any case.
     pub(super) fn release_lost_state(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
         let is_lost = match outcome.status {
             AttemptStatus::Rejected => outcome.note >= NOTE_NO_STATE,
@@ -66,8 +67,9 @@
         }
     }
 
-    /// Releases a state whose decode servers could not be reached before its lease ran out, while there is time for a
-    /// new prefill. A state for which there was no decode server at all is left: a new one would fare no better.
+    /// Releases a state whose decode servers could not be reached before its lease ran out, while there is
+    /// time for a new prefill. A state for which there was no decode server at all is left: a new one would
+    /// fare no better.
     pub(super) fn release_late_lease(&self, request: &mut RequestState, actions: &mut Vec<Action>) {
         let was_tried = request.prefilled_on.is_some() && request.idle_since > request.lease_since;
         if was_tried && !self.lease_outlasts_retry(request) {
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -1,7 +1,8 @@
-//! Outlier detection by time-out: servers that give no sign of life, and attempts that are lost at one that does.
+//! Outlier detection by time-out: servers that give no sign of life, and attempts that are lost at one that
+//! does.
 //!
-//! State: the last signs of life in each server's record. Guards requests that wait at a dead, disconnected or hung
-//! server: it is ejected, and its attempts are cancelled in time for a retry.
+//! State: the last signs of life in each server's record. Guards requests that wait at a dead, disconnected
+//! or hung server: it is ejected, and its attempts are cancelled in time for a retry.
 
 use super::probes::PROBE_INTERVAL;
 use super::Router;
@@ -9,8 +10,8 @@
 use crate::state::{Attempt, FailureKind, RequestState, ServerRecord, Stage};
 use crate::{fleet_load, wait_estimate};
 
-/// A server must show progress within so many times the shortest objective of a class, where an objective counts for no
-/// more than a quarter of its class's deadline.
+/// A server must show progress within so many times the shortest objective of a class, where an objective
+/// counts for no more than a quarter of its class's deadline.
 const OBJECTIVES_WITHOUT_PROGRESS: f64 = 3.0;
 const MAX_OBJECTIVE_OF_DEADLINE: f64 = 0.25;
 /// Longest objective that is reckoned with (ms).
@@ -19,11 +20,12 @@
 const REPORTING_PATIENCE: f64 = 2.5;
 /// Reports still come if the last sign of life is no older than this (ms).
 const REPORTING_WITHIN: Millis = 2.0 * PROBE_INTERVAL;
-/// An attempt is lost, when later ones at its server have overtaken it or the server has restarted, after this share of
-/// its objective and twice the time of its own work.
+/// An attempt is lost, when later ones at its server have overtaken it or the server has restarted, after
+/// this share of its objective and twice the time of its own work.
 const LOST_OBJECTIVE_SHARE: f64 = 0.3;
 const LOST_WORK_FACTOR: f64 = 2.0;
-/// A prefill that is alone at its server is lost after this many times that share, if others have got on elsewhere.
+/// A prefill that is alone at its server is lost after this many times that share, if others have got on
+/// elsewhere.
 const ALONE_PATIENCE: f64 = 2.0;
 
 /// When a server last showed progress.
@@ -52,8 +54,8 @@
         self.now > attempt.sent_at + share * request.first_token_objective() + work_time
     }
 
-    /// Whether a prefill is the only attempt at its server while others have got on at other servers since: nothing can
-    /// overtake it there.
+    /// Whether a prefill is the only attempt at its server while others have got on at other servers since:
+    /// nothing can overtake it there.
     fn is_left_alone(&self, server: &ServerRecord, attempt: &Attempt) -> bool {
         let has_progressed_elsewhere = |other: &ServerProgress| {
             other.server != attempt.server
@@ -102,8 +104,8 @@
         self.servers.values().filter(is_unresponsive).map(|server| server.entry.server).collect()
     }
 
-    /// Whether a server has shown no progress with work sent at `sent_at` for longer than `patience`, and for longer
-    /// than that work can take.
+    /// Whether a server has shown no progress with work sent at `sent_at` for longer than `patience`, and for
+    /// longer than that work can take.
     fn is_unresponsive_since(&self, server: &ServerRecord, sent_at: Millis, patience: Millis) -> bool {
         let still_reports = self.now < server.last_heard_at + REPORTING_WITHIN;
         let factor = if still_reports { REPORTING_PATIENCE } else { 1.0 };
@@ -117,8 +119,8 @@
             ))
     }
 
-    /// Cancels the last attempt of each request where it `is_lost` and a retry is harmless, instead of waiting for its
-    /// time-out. A prefill has no effect, so it may always be repeated.
+    /// Cancels the last attempt of each request where it `is_lost` and a retry is harmless, instead of
+    /// waiting for its time-out. A prefill has no effect, so it may always be repeated.
     pub(super) fn cancel_lost_attempts(
         &mut self, is_lost: impl Fn(&ServerRecord, &RequestState, &Attempt) -> bool,
         actions: &mut Vec<Action>,
--- a/crates/router/src/rendezvous.rs
+++ b/crates/router/src/rendezvous.rs
@@ -7,8 +7,8 @@
 
 use crate::api::ServerId;
 
-/// Score of a server for a key. The highest is tried first; the weight is the server's share of all keys, relative to
-/// the other servers.
+/// Score of a server for a key. The highest is tried first; the weight is the server's share of all keys,
+/// relative to the other servers.
 fn score(server: ServerId, weight: f64, key: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (server.0, key).hash(&mut hasher);
@@ -16,8 +16,8 @@
     -weight / unit.ln()
 }
 
-/// These servers, each with its weight, in order for a hash key (a prefix, or else a session). Among the first
-/// `preferred_count` the session is hashed again, so that every router sends a session to one of them.
+/// These servers, each with its weight, in order for a hash key (a prefix, or else a session). Among the
+/// first `preferred_count` the session is hashed again, so that every router sends a session to one of them.
 pub fn ranked_servers(
     mut servers: Vec<(ServerId, f64)>, hash_key: u64, session: u64, preferred_count: usize,
 ) -> Vec<ServerId> {
--- a/crates/router/src/rendezvous/tests.rs
+++ b/crates/router/src/rendezvous/tests.rs
@@ -4,7 +4,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// The loss of a server moves only the keys that it had, and one more preferred server takes sessions only to itself.
+    /// The loss of a server moves only the keys that it had, and one more preferred server takes sessions
+    /// only to itself.
     #[test]
     fn order_is_stable_when_a_server_leaves_or_a_preferred_server_is_added(
         count in 2u64..40, removed in 0u64..40, preferred in 1usize..6, hash_key: u64, session: u64,
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -15,8 +15,8 @@
 
 /// Applies a list, or a change to it.
 ///
-/// A server that is new or has restarted begins with a random part of a send as slow-start credit, because all routers
-/// learn of it at the same time.
+/// A server that is new or has restarted begins with a random part of a send as slow-start credit, because
+/// all routers learn of it at the same time.
 pub fn apply_update(
     servers: &mut ServerMap, update: ListUpdate, entries: Vec<ServerEntry>, kinds: &[ServerKind],
     random: &mut Random, now: Millis,
--- a/crates/router/src/shedding_trials.rs
+++ b/crates/router/src/shedding_trials.rs
@@ -1,7 +1,7 @@
 //! Trials under load shedding: one request that is sent although it is expected to be late.
 //!
-//! The expected wait is learned only from responses, so a router that rejects everything would never learn that its
-//! servers have recovered. The router owns this state, and the caller owns the clock.
+//! The expected wait is learned only from responses, so a router that rejects everything would never learn
+//! that its servers have recovered. The router owns this state, and the caller owns the clock.
 
 use crate::api::Millis;
 
--- a/crates/router/src/slow_start_budget/tests.rs
+++ b/crates/router/src/slow_start_budget/tests.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// In every overload window, a server that started at 0 and completes so many requests a second at full capacity was sent
-/// no more than the rule leaves.
+/// In every overload window, a server that started at 0 and completes so many requests a second at full
+/// capacity was sent no more than the rule leaves.
 fn assert_no_overload(sent: &[Millis], rules: &Rules, rate_per_s: f64) -> Result<(), TestCaseError> {
     for start in sent {
         let window = *start..start + rules.overload_window;
@@ -61,9 +61,10 @@
         prop_assert_eq!(share_at(13_000.0), 1.0);
     }
 
-    /// Whatever the number of routers, whether each spends at once or all save up for one burst, with none, a third or all
-    /// of them restarted within a second, once or again every second and a half: all together send a server in slow start,
-    /// in any overload window, no more than the bound, though they estimate its rate no lower than it is.
+    /// Whatever the number of routers, whether each spends at once or all save up for one burst, with none, a
+    /// third or all of them restarted within a second, once or again every second and a half: all together
+    /// send a server in slow start, in any overload window, no more than the bound, though they estimate its
+    /// rate no lower than it is.
     #[test]
     fn the_sum_of_all_send_credits_keeps_a_starting_server_from_overload(
         routers in prop::sample::select(vec![3usize, 20, 30, 100, 300]), rate_per_s in 1.0..30.0f64,
@@ -96,9 +97,10 @@
         assert_no_overload(&sent, &rules, rate_per_s)?;
     }
 
-    /// Whatever load a server reports, as long as it stays the same: requests for a prefix come to all routers, and all
-    /// have a fresh report of an empty server in slow start all the time. They send it, in any overload window, no more
-    /// than the bound, though each estimates the demand of the prefix somewhat higher or lower than it is.
+    /// Whatever load a server reports, as long as it stays the same: requests for a prefix come to all
+    /// routers, and all have a fresh report of an empty server in slow start all the time. They send it, in
+    /// any overload window, no more than the bound, though each estimates the demand of the prefix somewhat
+    /// higher or lower than it is.
     #[test]
     fn an_unchanged_load_report_keeps_a_starting_server_from_overload(
         routers in prop::sample::select(vec![20usize, 30, 100, 300]),
@@ -129,8 +131,8 @@
         assert_no_overload(&sent, &rules, rate_per_s)?;
     }
 
-    /// The higher the demand of a prefix, the fewer routers go by a report; the more the server bears, the more. Never
-    /// all, and any from a whole send of credit on.
+    /// The higher the demand of a prefix, the fewer routers go by a report; the more the server bears, the
+    /// more. Never all, and any from a whole send of credit on.
     #[test]
     fn fewer_routers_go_by_a_report_the_higher_the_demand(
         a in 0.0..50.0f64, b in 0.0..50.0f64, c in 0.01..10.0f64, d in 0.01..10.0f64,
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,8 +1,9 @@
 //! Snapshot: what a router has learned, as bytes for the process that takes over from it.
 //!
-//! It holds the throughput of each role, the service times, and the newest entries of the prefix table; everything else
-//! comes with the server list. The form is fixed (`tests/stored_state.rs`): 64-bit little-endian words, numbers as
-//! their IEEE 754 bits, and times as ages, because the two processes have different clocks.
+//! It holds the throughput of each role, the service times, and the newest entries of the prefix table;
+//! everything else comes with the server list. The form is fixed (`tests/stored_state.rs`): 64-bit
+//! little-endian words, numbers as their IEEE 754 bits, and times as ages, because the two processes have
+//! different clocks.
 
 use crate::api::{Millis, ServerId};
 use crate::policy::Router;
@@ -121,7 +122,8 @@
 
     /// Takes in what another process has exported, in place of what this router has learned itself.
     ///
-    /// Bytes of another form, or without a complete header, change nothing; an incomplete entry at the end is ignored.
+    /// Bytes of another form, or without a complete header, change nothing; an incomplete entry at the end is
+    /// ignored.
     pub fn import_state(&mut self, bytes: &[u8]) {
         let now = self.now;
         let mut reader = Reader::new(bytes);
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,7 +1,7 @@
 //! What the router knows of servers, requests and the traffic as a whole: plain data and look-ups.
 //!
-//! Nothing here decides anything. [`Router`](crate::Router) owns the values, `policy` reads and updates them, and the
-//! caller owns the clock, which comes in as `now`.
+//! Nothing here decides anything. [`Router`](crate::Router) owns the values, `policy` reads and updates them,
+//! and the caller owns the clock, which comes in as `now`.
 
 mod health;
 mod location;
--- a/crates/router/src/state/request_state.rs
+++ b/crates/router/src/state/request_state.rs
@@ -70,8 +70,8 @@
     pub prefilled_on: Option<ServerId>,
     /// When its last attempt ended, or when it arrived.
     pub idle_since: Millis,
-    /// Since when the lease of its state has run. It also runs during an attempt that is not known to have reached its
-    /// server.
+    /// Since when the lease of its state has run. It also runs during an attempt that is not known to have
+    /// reached its server.
     pub lease_since: Millis,
     /// It is beyond its tenant's quota.
     pub over_quota: bool,
@@ -91,7 +91,8 @@
         !self.closed && !self.is_streaming()
     }
 
-    /// Length that its answer is expected to have, in tokens: by the expected duration, or else half of the most.
+    /// Length that its answer is expected to have, in tokens: by the expected duration, or else half of the
+    /// most.
     pub fn expected_answer_tokens(&self) -> f64 {
         let per_token = self.class.inter_token_objective;
         let duration = self.request.expected_duration.filter(|ms| *ms > 0.0 && per_token > 0.0);
--- a/crates/router/src/state/server_record.rs
+++ b/crates/router/src/state/server_record.rs
@@ -5,7 +5,8 @@
 use super::{sanitize, DecayingValue, Health, RoutingStatistics, ServiceTime, Stage, REQUEST_RATE_DECAY};
 use crate::api::{LoadReport, Millis, RequestId, Role, ServerEntry, ServerState};
 
-/// An attempt that this many later ones have overtaken is taken for lost, so its wait says nothing of the queue.
+/// An attempt that this many later ones have overtaken is taken for lost, so its wait says nothing of the
+/// queue.
 const LOST_AFTER_OVERTAKEN: u32 = 3;
 /// Weight of a new wait in the moving means.
 const WAIT_BLEND: f64 = 0.3;
@@ -138,8 +139,8 @@
 
     /// Milliseconds that a token of work takes here; 0 while that is unknown.
     ///
-    /// Of a few samples all may have waited in a queue, which is no reason to reject what an idle server could do. So
-    /// below `min_samples` the estimate for its whole role is used, and below that none.
+    /// Of a few samples all may have waited in a queue, which is no reason to reject what an idle server
+    /// could do. So below `min_samples` the estimate for its whole role is used, and below that none.
     pub fn time_per_token(&self, role: ServiceTime, min_samples: u32) -> Millis {
         let known = [self.service_time, role].into_iter().find(|estimate| estimate.samples >= min_samples);
         known.map_or(0.0, |estimate| estimate.per_token)
@@ -213,7 +214,8 @@
         self.queue_wait = 0.0;
     }
 
-    /// Starts afresh for a new process: in slow start, empty, and not to blame for the failures of the old one.
+    /// Starts afresh for a new process: in slow start, empty, and not to blame for the failures of the old
+    /// one.
     pub fn restart(&mut self, started: Option<Millis>, now: Millis, send_credit: f64) {
         self.health = Health::default();
         self.memory_share = None;
--- a/crates/router/src/state/statistics.rs
+++ b/crates/router/src/state/statistics.rs
@@ -7,8 +7,8 @@
 
 /// Weight of a new prompt in the mean length.
 const PROMPT_BLEND: f64 = 0.05;
-/// Weight of a new service time that is shorter than the estimate, and of one that is not. The estimate follows the
-/// fastest samples, because the others may have waited in a queue.
+/// Weight of a new service time that is shorter than the estimate, and of one that is not. The estimate
+/// follows the fastest samples, because the others may have waited in a queue.
 const FASTER_BLEND: f64 = 0.5;
 const SLOWER_BLEND: f64 = 0.05;
 
--- a/crates/router/src/tenant_quota.rs
+++ b/crates/router/src/tenant_quota.rs
@@ -1,8 +1,9 @@
 //! Tenant quotas: which tenants are beyond their quota, as one router of several sees it.
 //!
-//! A router knows the allowance of all routers together but not its own part of the traffic. Where clients are spread
-//! unevenly, or another router is down, every tenant sends it more than the allowance divided by the routers. The rate
-//! of the median tenant against its allowance is that part; one tenant's burst does not move it.
+//! A router knows the allowance of all routers together but not its own part of the traffic. Where clients
+//! are spread unevenly, or another router is down, every tenant sends it more than the allowance divided by
+//! the routers. The rate of the median tenant against its allowance is that part; one tenant's burst does not
+//! move it.
 //!
 //! The router owns this state, and the caller owns the clock.
 
@@ -13,7 +14,8 @@
 const REQUESTS_DECAY: Millis = 10_000.0;
 /// A tenant may save up so much time's worth of its allowance (ms) ...
 const MAX_SAVED_TIME: Millis = 3_000.0;
-/// ... and at least so many requests at a router: one of hundreds of routers is granted less than one a second.
+/// ... and at least so many requests at a router: one of hundreds of routers is granted less than one a
+/// second.
 const MIN_BURST: f64 = 5.0;
 /// A few requests show nothing: one of hundreds of routers sees no more of anybody.
 const INSIGNIFICANT_REQUESTS: f64 = 2.0;
--- a/crates/router/src/tenant_quota/tests.rs
+++ b/crates/router/src/tenant_quota/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use proptest::prelude::*;
 
-/// Share of a tenant's requests that are beyond its quota, from 20 s to 30 s, where each tenant sends so many times its
-/// rate.
+/// Share of a tenant's requests that are beyond its quota, from 20 s to 30 s, where each tenant sends so many
+/// times its rate.
 fn share_beyond_quota(load_factors: [f64; 3], judged_tenant: usize) -> f64 {
     let rates = [3.0, 2.5, 1.5];
     let mut quotas = TenantQuotas::new(rates.into_iter(), 0.0);
--- a/crates/router/src/wait_estimate.rs
+++ b/crates/router/src/wait_estimate.rs
@@ -1,7 +1,7 @@
 //! Wait estimate: when a server would get to a request that is sent now.
 //!
-//! It rests on what this router's own requests met there and, in a large fleet, on the server's load report. Pure
-//! functions over [`ServerRecord`] and [`RoutingStatistics`]; the caller owns the clock.
+//! It rests on what this router's own requests met there and, in a large fleet, on the server's load report.
+//! Pure functions over [`ServerRecord`] and [`RoutingStatistics`]; the caller owns the clock.
 
 use crate::api::{Millis, Role};
 use crate::fleet_load;
@@ -15,8 +15,8 @@
 pub const FIXED_WORK: f64 = 500.0;
 /// A typical prefill is one of a prompt of which this share is not cached.
 const TYPICAL_UNCACHED_SHARE: f64 = 0.5;
-/// How much longer than estimated a server's own work may take: a token of a long prompt takes up to half as long again
-/// (attention grows with the prompt), and as much work may be queued by other routers.
+/// How much longer than estimated a server's own work may take: a token of a long prompt takes up to half as
+/// long again (attention grows with the prompt), and as much work may be queued by other routers.
 const BUSY_SLACK: f64 = 3.0;
 /// Decay times of a server's own wait and of its role's wait (ms).
 const SERVER_WAIT_DECAY: Millis = 1_000.0;
@@ -27,8 +27,8 @@
     TYPICAL_UNCACHED_SHARE * statistics.mean_prompt_tokens + FIXED_WORK
 }
 
-/// Time (ms) until a prefill of so much work would end at a server, or at a decode or mixed server a stream would
-/// begin, if it were sent now. A server of which nothing is known counts as idle.
+/// Time (ms) until a prefill of so much work would end at a server, or at a decode or mixed server a stream
+/// would begin, if it were sent now. A server of which nothing is known counts as idle.
 pub fn time_to_serve(
     server: &ServerRecord, statistics: &RoutingStatistics, routers: f64, now: Millis, work_tokens: f64,
 ) -> Millis {
@@ -54,7 +54,8 @@
         true => ((server.last_progress_at - now) / SERVER_WAIT_DECAY).exp(),
         false => 1.0,
     };
-    // A decode server's wait fades into its role's: in a large fleet a router meets it too seldom to know its own.
+    // A decode server's wait fades into its role's: in a large fleet a router meets it too seldom to know its
+    // own.
     let role_wait = match server.role {
         Role::Decode => {
             let recent = statistics.wait(Role::Decode);
@@ -71,10 +72,10 @@
     server.time_per_token(statistics.service_time(Stage::Prefill), min_samples)
 }
 
-/// Longest time (ms) that a server may be busy with what this router had sent it by time `until`, without a sign of
-/// life. Prefills run one after the other, and a long prompt takes longer than the patience with an unresponsive
-/// server: without this it would be cancelled and sent elsewhere again and again. The begin of a stream at a decode
-/// server has no such work.
+/// Longest time (ms) that a server may be busy with what this router had sent it by time `until`, without a
+/// sign of life. Prefills run one after the other, and a long prompt takes longer than the patience with an
+/// unresponsive server: without this it would be cancelled and sent elsewhere again and again. The begin of a
+/// stream at a decode server has no such work.
 pub fn max_busy_time(
     server: &ServerRecord, statistics: &RoutingStatistics, routers: f64, until: Millis,
 ) -> Millis {
--- a/crates/router/src/wait_estimate/tests.rs
+++ b/crates/router/src/wait_estimate/tests.rs
@@ -13,7 +13,8 @@
 }
 
 proptest! {
-    /// More work, pending or new, never ends sooner, and a wait that was met fades with time, but not what is pending.
+    /// More work, pending or new, never ends sooner, and a wait that was met fades with time, but not what is
+    /// pending.
     #[test]
     fn more_work_never_ends_sooner(
         own in prop::collection::vec(0.0..20_000.0f64, 0..6), work in 500.0..20_000.0f64, more in 0.0..20_000.0f64,
@@ -32,8 +33,8 @@
         prop_assert!(pending_count == 0 || time(&busy, work, 60_000.0) >= 59_000.0);
     }
 
-    /// The patience with a server covers the prefills sent to it up to then, grows with each, and is finite whatever was
-    /// measured.
+    /// The patience with a server covers the prefills sent to it up to then, grows with each, and is finite
+    /// whatever was measured.
     #[test]
     fn a_server_may_be_busy_for_as_long_as_its_prefills_take(
         own in prop::collection::vec((0.0..9_000.0f64, 0.0..70_000.0f64), 0..6), until in 0.0..9_000.0f64,
