--- a/crates/router/tests/cold/main.rs
+++ b/crates/router/tests/slow_start/main.rs
@@ -4,12 +4,12 @@
 
 #[path = "../common/mod.rs"]
 mod common;
-mod day;
-mod play;
+mod scenario;
+mod simulation;
 
-use day::*;
-use play::*;
 use proptest::prelude::*;
+use scenario::*;
+use simulation::*;
 
 /// The highest share of the limit at any cold reader and any cold writer.
 fn worst(day: Day) -> (f64, f64) {
--- a/crates/router/tests/cold/play.rs
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -7,7 +7,7 @@
 use glenrail_router::*;
 
 use crate::common::*;
-use crate::day::*;
+use crate::scenario::*;
 
 mod starts;
 
