--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,11 +1,21 @@
-//! A short script's view of a router: settings, servers and events with sensible defaults.
+//! Helpers of the tests: settings, servers and requests with sensible defaults, and a router to script events for.
 #![allow(dead_code)]
 
 use glenrail_router::*;
 
-pub const READERS: [u64; 3] = [11, 12, 13];
-pub const WRITERS: [u64; 3] = [21, 22, 23];
+/// Indices of the kinds in [`settings`].
+pub const PREFILL: u32 = 0;
+pub const DECODE: u32 = 1;
+pub const MIXED: u32 = 2;
+/// Indices of the classes in [`settings`].
+pub const IDEMPOTENT: u32 = 0;
+pub const IDEMPOTENCY_KEY: u32 = 1;
+pub const NON_IDEMPOTENT: u32 = 2;
+/// Servers of [`sample_servers`]: one of each role in a zone and cell of its own.
+pub const PREFILL_SERVERS: [u64; 3] = [11, 12, 13];
+pub const DECODE_SERVERS: [u64; 3] = [21, 22, 23];
 
+/// Settings of one of two routers that may probe.
 pub fn settings() -> Settings {
     let class = RequestClass {
         latency_objective: 1_000.0,
@@ -67,17 +77,20 @@
     }
 }
 
-pub fn member(id: u64, kind: u32, zone: u32) -> ServerEntry {
+/// A ready server of this kind, in the cell of its zone that has the zone's number.
+pub fn server_entry(id: u64, kind: u32, zone: u32) -> ServerEntry {
     ServerEntry { server: ServerId(id), zone, cell: zone, kind, weight: 1.0, ..ServerEntry::default() }
 }
 
-/// Three readers and three writers, one of each in a zone and cell of its own.
-pub fn fleet() -> Vec<ServerEntry> {
-    let readers = READERS.iter().zip(0..).map(|(id, zone)| member(*id, 0, zone));
-    readers.chain(WRITERS.iter().zip(0..).map(|(id, zone)| member(*id, 1, zone))).collect()
+/// Three prefill servers and three decode servers, one of each in a zone and cell of its own.
+pub fn sample_servers() -> Vec<ServerEntry> {
+    let prefill = PREFILL_SERVERS.iter().zip(0..).map(|(id, zone)| server_entry(*id, PREFILL, zone));
+    let decode = DECODE_SERVERS.iter().zip(0..).map(|(id, zone)| server_entry(*id, DECODE, zone));
+    prefill.chain(decode).collect()
 }
 
-pub fn ask(id: u64) -> Request {
+/// A request of its own session, whose prefix is that of all other sample requests.
+pub fn sample_request(id: u64) -> Request {
     Request {
         id: RequestId(id),
         session: 1_000 + id,
@@ -90,43 +103,91 @@
     }
 }
 
-pub struct Rig {
-    pub router: Router,
+/// A sample request with this prefix.
+pub fn request_with_prefix(id: u64, prefix: u64) -> Request {
+    Request { prefix: Some(prefix), ..sample_request(id) }
+}
+
+/// Key of the timer that gives a request its next step.
+pub fn step_timer(id: u64) -> u64 {
+    id << 1 | 1
+}
+
+/// Key of the timer at a request's deadline.
+pub fn deadline_timer(id: u64) -> u64 {
+    id << 1
+}
+
+/// Key of the housekeeping timer.
+pub const HOUSEKEEPING_TIMER: u64 = 1 << 52;
+
+/// A router and the time at which it gets its next event.
+pub struct TestRouter {
+    pub inner: Router,
     pub now: Millis,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, members: Vec<ServerEntry>) -> Self {
-        Rig::seeded(3, settings, members)
+impl TestRouter {
+    pub fn new(settings: Settings, servers: Vec<ServerEntry>) -> Self {
+        TestRouter::seeded(3, settings, servers)
     }
-    /// One whose router draws its chances from this seed.
-    pub fn seeded(seed: u64, settings: Settings, members: Vec<ServerEntry>) -> Self {
-        let mut rig = Rig { router: Router::new(seed, settings), now: 0.0 };
-        rig.give(Event::ServerList { update: ListUpdate::Full, servers: members });
-        rig
+
+    /// A router whose random draws come from this seed.
+    pub fn seeded(seed: u64, settings: Settings, servers: Vec<ServerEntry>) -> Self {
+        let mut router = TestRouter { inner: Router::new(seed, settings), now: 0.0 };
+        router.update_servers(ListUpdate::Full, servers);
+        router
+    }
+
+    /// A router with the sample settings and servers.
+    pub fn with_defaults() -> Self {
+        TestRouter::new(settings(), sample_servers())
     }
-    pub fn plain() -> Self {
-        Rig::new(settings(), fleet())
+
+    /// One router of two hundred, with the sample servers.
+    pub fn in_large_fleet() -> Self {
+        TestRouter::new(Settings { router_count: 200, ..settings() }, sample_servers())
     }
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.router.handle(self.now, event, &mut out);
-        out
+
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.inner.handle(self.now, event, &mut actions);
+        actions
     }
-    pub fn at(&mut self, now: Millis) -> &mut Self {
+
+    /// Sets the time.
+    pub fn at_time(&mut self, now: Millis) -> &mut Self {
         self.now = now;
         self
     }
-    pub fn request(&mut self, ask: Request) -> Vec<Action> {
-        self.give(Event::Request(ask))
+
+    pub fn update_servers(&mut self, update: ListUpdate, servers: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::ServerList { update, servers })
+    }
+
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::Request(request))
     }
+
+    pub fn disconnect(&mut self, id: u64) -> Vec<Action> {
+        self.handle(Event::ClientDisconnected { id: RequestId(id) })
+    }
+
+    pub fn first_token(&mut self, id: u64, attempt: u32, server: u64, elapsed: Millis) -> Vec<Action> {
+        self.handle(Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed })
+    }
+
     pub fn outcome(&mut self, id: u64, attempt: u32, server: u64, status: AttemptStatus) -> Vec<Action> {
         self.outcome_with(id, attempt, server, status, 0.0, None)
     }
+
     pub fn outcome_with(
-        &mut self, id: u64, attempt: u32, server: u64, status: AttemptStatus, note: f64, memory: Option<f64>,
+        &mut self, id: u64, attempt: u32, server: u64, status: AttemptStatus, note: f64,
+        memory_share: Option<f64>,
     ) -> Vec<Action> {
-        self.give(Event::Outcome(AttemptOutcome {
+        let report = memory_share
+            .map(|memory_share| LoadReport { memory_share: Some(memory_share), ..LoadReport::default() });
+        self.handle(Event::Outcome(AttemptOutcome {
             id: RequestId(id),
             attempt,
             server: ServerId(server),
@@ -135,84 +196,130 @@
             note,
             closed: status == AttemptStatus::Served,
             delivered: status.may_have_arrived(),
-            report: memory.map(|m| LoadReport { memory_share: Some(m), ..LoadReport::default() }),
+            report,
         }))
     }
-    pub fn timer(&mut self, key: u64) -> Vec<Action> {
-        self.give(Event::Timer { key })
-    }
-    /// Reports a share of memory for a server, as a probe's answer.
-    pub fn memory(&mut self, server: u64, memory: f64) {
-        let report = Some(LoadReport { memory_share: Some(memory), ..LoadReport::default() });
-        self.give(Event::ProbeResult {
+
+    /// The end of a prefill after `elapsed`, with nothing cached.
+    pub fn prefilled_after(&mut self, id: u64, server: u64, elapsed: Millis) -> Vec<Action> {
+        self.handle(Event::Outcome(AttemptOutcome {
+            id: RequestId(id),
+            attempt: 0,
             server: ServerId(server),
-            status: AttemptStatus::Served,
-            elapsed: 1.0,
-            report,
-        });
+            status: AttemptStatus::Prefilled,
+            elapsed,
+            note: 0.0,
+            closed: false,
+            delivered: true,
+            report: None,
+        }))
+    }
+
+    pub fn fire_timer(&mut self, key: u64) -> Vec<Action> {
+        self.handle(Event::Timer { key })
+    }
+
+    pub fn run_housekeeping(&mut self) -> Vec<Action> {
+        self.fire_timer(HOUSEKEEPING_TIMER)
+    }
+
+    /// The answer of a server to a probe.
+    pub fn probe_answer(&mut self, server: u64, report: Option<LoadReport>) -> Vec<Action> {
+        let (server, status) = (ServerId(server), AttemptStatus::Served);
+        self.handle(Event::ProbeResult { server, status, elapsed: 1.0, report })
+    }
+
+    /// A server's report of its memory, as the answer to a probe.
+    pub fn report_memory(&mut self, server: u64, memory_share: f64) {
+        let report = LoadReport { memory_share: Some(memory_share), ..LoadReport::default() };
+        self.probe_answer(server, Some(report));
+    }
+
+    /// A server's report of what it has in flight, as the answer to a probe.
+    pub fn report_load(&mut self, server: u64, in_flight: f64) -> Vec<Action> {
+        let report = LoadReport { in_flight: Some(in_flight), ..LoadReport::default() };
+        self.probe_answer(server, Some(report))
     }
-    /// A request in a fleet where every server that is looked at says at once that it has nothing in flight.
-    pub fn request_seen(&mut self, ask: Request) -> Vec<Action> {
-        let actions = self.request(ask);
-        self.answered(actions)
+
+    /// Submits a request in a fleet in which every server that is probed reports at once that it is idle.
+    pub fn submit_to_idle(&mut self, request: Request) -> Vec<Action> {
+        let actions = self.submit(request);
+        self.answer_probes_as_idle(actions)
+    }
+
+    /// All that follows on these actions when each server that is probed reports at once that it is idle.
+    pub fn answer_probes_as_idle(&mut self, actions: Vec<Action>) -> Vec<Action> {
+        self.answer_probes_with_load(actions, 0.0)
     }
-    /// All that follows on these actions when each server that is looked at says at once that it has nothing in flight.
-    pub fn answered(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
+
+    /// All that follows on these actions when each server that is probed reports this load at once.
+    pub fn answer_probes_with_load(&mut self, mut actions: Vec<Action>, in_flight: f64) -> Vec<Action> {
         let mut answered = 0;
-        while let Some(server) = probed(&actions).get(answered).copied() {
+        while let Some(server) = probed_servers(&actions).get(answered).copied() {
             answered += 1;
-            actions.extend(self.load(server, 0.0));
+            actions.extend(self.report_load(server, in_flight));
         }
         actions
     }
-    /// A server's word on what it has in flight, as a probe's answer.
-    pub fn load(&mut self, server: u64, in_flight: f64) -> Vec<Action> {
-        let report = Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() });
-        self.give(Event::ProbeResult {
-            server: ServerId(server),
-            status: AttemptStatus::Served,
-            elapsed: 1.0,
-            report,
-        })
+
+    /// Submits a request to an idle fleet and returns the prefill server that it is sent to.
+    pub fn prefill_server_for(&mut self, request: Request) -> u64 {
+        sent_to(&self.submit_to_idle(request)).expect("a send")
     }
-    /// Sends a request and returns the reader that it went to.
-    pub fn read_at(&mut self, ask: Request) -> u64 {
-        sent(&self.request_seen(ask)).expect("a send")
+
+    /// Requests with other prefixes than the sample's, so that none is popular.
+    pub fn send_mixed_traffic(&mut self) {
+        for id in 100_000..100_030 {
+            let server = self.prefill_server_for(request_with_prefix(id, id));
+            self.disconnect(id);
+            self.outcome(id, 0, server, AttemptStatus::Cancelled);
+        }
+    }
+
+    /// Ends a prefill, and returns the decode server that the state is sent to.
+    pub fn decode_server_after(&mut self, id: u64, prefill_server: u64) -> u64 {
+        let actions = self.outcome(id, 0, prefill_server, AttemptStatus::Prefilled);
+        sent_to(&actions).expect("a decode server")
     }
 }
 
-/// Where the first send among these actions goes.
-pub fn sent(actions: &[Action]) -> Option<u64> {
-    actions.iter().find_map(|a| match a {
+/// The server of the first send among these actions.
+pub fn sent_to(actions: &[Action]) -> Option<u64> {
+    actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(server.0),
         _ => None,
     })
 }
 
 /// The servers probed by these actions, in order.
-pub fn probed(actions: &[Action]) -> Vec<u64> {
-    let probe = |a: &Action| match a {
+pub fn probed_servers(actions: &[Action]) -> Vec<u64> {
+    let probed = |action: &Action| match action {
         Action::Probe { server } => Some(server.0),
         _ => None,
     };
-    actions.iter().filter_map(probe).collect()
+    actions.iter().filter_map(probed).collect()
+}
+
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn is_released(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Release { .. }))
 }
 
-pub fn released(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Release { .. }))
+/// Whether a line of this kind is logged.
+pub fn logs(actions: &[Action], kind: &str) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Log(line) if line.starts_with(kind)))
 }
 
-/// The keys of the timers set, in order.
-pub fn timers(actions: &[Action]) -> Vec<(Millis, u64)> {
-    let timer = |a: &Action| match a {
+/// Due times and keys of the timers set, in order.
+pub fn timers_set(actions: &[Action]) -> Vec<(Millis, u64)> {
+    let timer = |action: &Action| match action {
         Action::Timer { at, key, .. } => Some((*at, *key)),
         _ => None,
     };
--- a/crates/router/tests/decode_capacity.rs
+++ b/crates/router/tests/decode_capacity.rs
@@ -1,5 +1,5 @@
-//! One of many routers while every writer is cold: it reads nothing that no writer may take, and asks those again whose word
-//! was old as a read ended. No sockets, no clock but the events'.
+//! One of many routers while every decode server is in slow start: it runs no prefill whose state no decode server would
+//! take, and probes those again whose report was old at the end of a prefill. No sockets, no clock but the events'.
 
 mod common;
 
@@ -7,148 +7,173 @@
 use glenrail_router::*;
 
 const ROUTERS: u32 = 32;
-/// A read takes longer (ms) than a cold writer's word counts.
-const READ: Millis = 400.0;
+/// A prefill takes longer (ms) than the report of a server in slow start counts.
+const PREFILL_TIME: Millis = 400.0;
 
+/// How a request ended.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-enum End {
+enum Ending {
     Served,
-    RefusedUnsent,
-    /// Read, and then no writer took it.
-    InVain,
+    /// Rejected before it was sent.
+    RejectedUnsent,
+    /// Rejected after its prefill: no decode server took its state.
+    RejectedAfterPrefill,
 }
 
-/// A router of many that has just been told that all writers are new.
-fn cold(seed: u64) -> Rig {
-    let started = |m: ServerEntry| match WRITERS.contains(&m.server.0) {
-        true => ServerEntry { started: Some(0.0), ..m },
-        false => m,
+/// How many requests ended in each way.
+#[derive(Debug, Default)]
+struct Endings {
+    served: u32,
+    rejected_unsent: u32,
+    rejected_after_prefill: u32,
+}
+
+impl Endings {
+    fn count(&mut self, ending: Ending) {
+        match ending {
+            Ending::Served => self.served += 1,
+            Ending::RejectedUnsent => self.rejected_unsent += 1,
+            Ending::RejectedAfterPrefill => self.rejected_after_prefill += 1,
+        }
+    }
+}
+
+/// A router of many that has just learned that all decode servers are new.
+fn router_with_starting_decode_servers(seed: u64) -> TestRouter {
+    let started = |entry: ServerEntry| match DECODE_SERVERS.contains(&entry.server.0) {
+        true => ServerEntry { started: Some(0.0), ..entry },
+        false => entry,
     };
-    Rig::seeded(
-        seed,
-        Settings { router_count: ROUTERS, ..settings() },
-        fleet().into_iter().map(started).collect(),
-    )
+    let servers = sample_servers().into_iter().map(started).collect();
+    TestRouter::seeded(seed, Settings { router_count: ROUTERS, ..settings() }, servers)
 }
 
 /// Plays one request to its end, alone.
-fn play(rig: &mut Rig, id: u64) -> End {
-    let actions = rig.request_seen(ask(id));
-    let Some(reader) = sent(&actions) else {
-        assert!(refused(&actions), "neither sent nor refused: {actions:?}");
-        return End::RefusedUnsent;
+fn play(router: &mut TestRouter, id: u64) -> Ending {
+    let actions = router.submit_to_idle(sample_request(id));
+    let Some(prefill_server) = sent_to(&actions) else {
+        assert!(is_rejected(&actions), "neither sent nor rejected: {actions:?}");
+        return Ending::RejectedUnsent;
     };
-    assert!(READERS.contains(&reader));
-    rig.now += READ;
-    let mut actions = rig.outcome(id, 0, reader, AttemptStatus::Prefilled);
+    assert!(PREFILL_SERVERS.contains(&prefill_server));
+    router.now += PREFILL_TIME;
+    let mut actions = router.outcome(id, 0, prefill_server, AttemptStatus::Prefilled);
     loop {
-        actions = rig.answered(actions);
-        if let Some(writer) = sent(&actions) {
-            assert!(WRITERS.contains(&writer));
-            let first =
-                Event::FirstToken { id: RequestId(id), attempt: 1, server: ServerId(writer), elapsed: 20.0 };
-            rig.give(first);
-            rig.outcome(id, 1, writer, AttemptStatus::Served);
-            return End::Served;
+        actions = router.answer_probes_as_idle(actions);
+        if let Some(decode_server) = sent_to(&actions) {
+            assert!(DECODE_SERVERS.contains(&decode_server));
+            router.first_token(id, 1, decode_server, 20.0);
+            router.outcome(id, 1, decode_server, AttemptStatus::Served);
+            return Ending::Served;
         }
-        if refused(&actions) {
-            return End::InVain;
+        if is_rejected(&actions) {
+            return Ending::RejectedAfterPrefill;
         }
-        // The step that looks again.
-        let step = timers(&actions).into_iter().find(|t| t.1 == id << 1 | 1).expect("another step");
-        actions = rig.at(step.0).timer(step.1);
+        let timers = timers_set(&actions);
+        let (due, key) = timers.into_iter().find(|timer| timer.1 == step_timer(id)).expect("another step");
+        actions = router.at_time(due).fire_timer(key);
     }
 }
 
-/// Guards the readers' time: what is read for no writer is read in vain, and costs those that wait behind it.
+/// Guards the time of prefill servers: a prefill for no decode server is in vain, and delays those that wait behind it.
 #[test]
-fn nothing_is_read_that_no_writer_may_take() {
-    let mut seen = [0; 3];
+fn no_prefill_runs_whose_state_no_decode_server_would_take() {
+    let mut endings = Endings::default();
     for seed in 1..=40 {
-        let mut rig = cold(seed);
-        (1..=12).for_each(|id| seen[play(&mut rig, id) as usize] += 1);
+        let mut router = router_with_starting_decode_servers(seed);
+        (1..=12).for_each(|id| endings.count(play(&mut router, id)));
     }
-    let [served, unsent, in_vain] = seen;
-    assert!(served > 0 && unsent > 0, "served {served}, refused unsent {unsent}");
-    assert_eq!(in_vain, 0, "served {served}, refused unsent {unsent}");
+    assert!(endings.served > 0 && endings.rejected_unsent > 0, "{endings:?}");
+    assert_eq!(endings.rejected_after_prefill, 0, "{endings:?}");
 }
 
-/// Guards against a word that was fresh as the read began and is old at its end: the writer is asked again, and gets the state.
+/// Guards against a report that was fresh at the start of a prefill and is old at its end: the decode server is probed
+/// again, and gets the state.
 #[test]
-fn a_cold_writer_is_asked_again_when_a_read_has_ended() {
-    let ends: Vec<End> = (1..=40).map(|seed| play(&mut cold(seed), 1)).collect();
-    // Of three writers most routers trust one with a word.
-    assert!(ends.iter().filter(|e| **e == End::Served).count() >= 30, "{ends:?}");
+fn a_starting_decode_server_is_probed_again_at_the_end_of_a_prefill() {
+    let endings: Vec<Ending> =
+        (1..=40).map(|seed| play(&mut router_with_starting_decode_servers(seed), 1)).collect();
+    // Of three decode servers most routers go by the report of one.
+    assert!(endings.iter().filter(|ending| **ending == Ending::Served).count() >= 30, "{endings:?}");
 }
 
-/// With no writer listed, or all of them ejected, nothing is read either; a trial goes on from time to time, or the router
-/// would never hear that they are back.
+/// With no decode server listed, or all of them ejected, no prefill runs either; a trial goes on from time to time, or the
+/// router would never learn that they are back.
 #[test]
-fn with_no_writer_at_all_trials_alone_are_read() {
-    let mut rig = cold(1);
-    let gone = WRITERS
-        .iter()
-        .zip(0..)
-        .map(|(id, zone)| ServerEntry { state: ServerState::Terminated, ..member(*id, 1, zone) });
-    rig.give(Event::ServerList { update: ListUpdate::Delta, servers: gone.collect() });
-    let (mut read, mut unsent) = (0, 0);
+fn without_decode_servers_only_trials_are_prefilled() {
+    let mut router = router_with_starting_decode_servers(1);
+    let terminated = |(id, zone): (&u64, u32)| ServerEntry {
+        state: ServerState::Terminated,
+        ..server_entry(*id, DECODE, zone)
+    };
+    router.update_servers(ListUpdate::Delta, DECODE_SERVERS.iter().zip(0..).map(terminated).collect());
+    let (mut prefills, mut rejections) = (0, 0);
     for id in 1..=200 {
-        rig.now += 50.0;
-        let actions = rig.request_seen(ask(id));
-        read += usize::from(sent(&actions).is_some());
-        unsent += usize::from(refused(&actions));
+        router.now += 50.0;
+        let actions = router.submit_to_idle(sample_request(id));
+        prefills += usize::from(sent_to(&actions).is_some());
+        rejections += usize::from(is_rejected(&actions));
     }
-    assert!((1..=4).contains(&read) && read + unsent == 200, "read {read}, refused {unsent} in 10 s");
+    assert!(
+        (1..=4).contains(&prefills) && prefills + rejections == 200,
+        "{prefills} prefills, {rejections} rejected in 10 s"
+    );
 }
 
-/// Guards the panic threshold: where most writers look bad by resets alone, the cause is not theirs, and reading goes on.
+/// Guards the panic threshold: where most decode servers look bad by resets alone, the fault is elsewhere, and prefills go
+/// on.
 #[test]
-fn writers_that_only_look_bad_are_read_for() {
-    let mut rig = Rig::seeded(1, Settings { router_count: ROUTERS, ..settings() }, fleet());
-    let bad = |rig: &Rig| WRITERS.iter().all(|w| rig.router.is_avoided(ServerId(*w)));
+fn prefills_go_on_for_decode_servers_that_only_look_bad() {
+    let settings = Settings { router_count: ROUTERS, ..settings() };
+    let mut router = TestRouter::seeded(1, settings, sample_servers());
+    let all_ejected =
+        |router: &TestRouter| DECODE_SERVERS.iter().all(|id| router.inner.is_avoided(ServerId(*id)));
     let mut id = 0;
-    while !bad(&rig) {
+    while !all_ejected(&router) {
         id += 1;
-        assert!(id < 100, "writers are not ejected by resets");
-        rig.now += 1.0;
-        let reader = sent(&rig.request_seen(ask(id))).expect("a read");
-        let read = rig.outcome(id, 0, reader, AttemptStatus::Prefilled);
-        let writer = sent(&rig.answered(read)).expect("a writer");
-        rig.outcome(id, 1, writer, AttemptStatus::Reset);
-        rig.give(Event::ClientDisconnected { id: RequestId(id) });
+        assert!(id < 100, "decode servers are not ejected by resets");
+        router.now += 1.0;
+        let prefill_server = sent_to(&router.submit_to_idle(sample_request(id))).expect("a prefill");
+        let actions = router.outcome(id, 0, prefill_server, AttemptStatus::Prefilled);
+        let decode_server = sent_to(&router.answer_probes_as_idle(actions)).expect("a decode server");
+        router.outcome(id, 1, decode_server, AttemptStatus::Reset);
+        router.disconnect(id);
     }
-    assert!(sent(&rig.request_seen(ask(1_000))).is_some_and(|to| READERS.contains(&to)));
+    let server = sent_to(&router.submit_to_idle(sample_request(1_000)));
+    assert!(server.is_some_and(|id| PREFILL_SERVERS.contains(&id)));
 }
 
-/// Guards against refusing what a writer could take by the end of its hold: where reads are short and credit grows fast, a
-/// request that comes before the credit is read for it.
+/// Guards against rejecting what a decode server could take by the end of its lease: where prefills are short and credit
+/// grows fast, a request that comes before the credit is prefilled for it.
 #[test]
-fn what_there_will_be_credit_for_in_time_is_read() {
-    let mut seen = [0; 3];
+fn a_prefill_runs_when_there_will_be_credit_within_its_lease() {
+    let mut endings = Endings::default();
     for seed in 1..=20 {
-        let mut rig = Rig::seeded(seed, Settings { router_count: 6, ..settings() }, fleet());
+        let settings = Settings { router_count: 6, ..settings() };
+        let mut router = TestRouter::seeded(seed, settings, sample_servers());
         for id in 1..=60 {
-            rig.now += 20.0;
-            play(&mut rig, id);
+            router.now += 20.0;
+            play(&mut router, id);
         }
-        let cold = |id: &u64| ServerEntry { started: Some(rig.now), ..member(*id, 1, 0) };
-        let writers = WRITERS.iter().map(cold).collect();
-        rig.give(Event::ServerList { update: ListUpdate::Delta, servers: writers });
+        let started = Some(router.now);
+        let starting = |id: &u64| ServerEntry { started, ..server_entry(*id, DECODE, 0) };
+        router.update_servers(ListUpdate::Delta, DECODE_SERVERS.iter().map(starting).collect());
         for id in 61..=90 {
-            rig.now += 20.0;
-            seen[play(&mut rig, id) as usize] += 1;
+            router.now += 20.0;
+            endings.count(play(&mut router, id));
         }
     }
-    let [served, unsent, in_vain] = seen;
-    assert!(served >= 500, "served {served}, refused unsent {unsent}, in vain {in_vain}");
+    assert!(endings.served >= 500, "{endings:?}");
 }
 
-/// Guards against reading for one send again and again: what is being read takes the credit first.
+/// Guards against several prefills for the same send: those that run already use the credit first.
 #[test]
-fn what_is_read_already_takes_the_credit_first() {
+fn running_prefills_use_the_credit_first() {
     for seed in 1..=40 {
-        let mut rig = cold(seed);
-        let reads = (1..=12).filter(|id| sent(&rig.request_seen(ask(*id))).is_some()).count();
-        assert!(reads <= WRITERS.len(), "{reads} reads for {} writers", WRITERS.len());
+        let mut router = router_with_starting_decode_servers(seed);
+        let is_sent = |id: &u64| sent_to(&router.submit_to_idle(sample_request(*id))).is_some();
+        let prefills = (1..=12).filter(is_sent).count();
+        let servers = DECODE_SERVERS.len();
+        assert!(prefills <= servers, "{prefills} prefills for {servers} decode servers");
     }
 }
--- a/crates/router/tests/large_fleet.rs
+++ b/crates/router/tests/large_fleet.rs
@@ -116,7 +116,7 @@
 /// Five cells of four readers and four writers.
 fn listed() -> Vec<ServerEntry> {
     let servers = (0..SERVERS).flat_map(|n| {
-        let at = |id, kind| ServerEntry { cell: (n / 4) as u32, ..member(id, kind, 0) };
+        let at = |id, kind| ServerEntry { cell: (n / 4) as u32, ..server_entry(id, kind, 0) };
         [at(100 + n, 0), at(200 + n, 1)]
     });
     servers.collect()
@@ -198,7 +198,12 @@
                 self.came.insert(request, self.now);
                 let prefix = Some((self.beginning)(request));
                 let (prompt, shared) = (PROMPT as f64, SHARED as f64);
-                let ask = Request { prefix, prompt_tokens: prompt, prefix_tokens: shared, ..ask(request) };
+                let ask = Request {
+                    prefix,
+                    prompt_tokens: prompt,
+                    prefix_tokens: shared,
+                    ..sample_request(request)
+                };
                 self.give(router, Event::Request(ask));
             }
             What::Timer { key } => self.give(router, Event::Timer { key }),
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -1,4 +1,8 @@
-//! The five rules on random legal event orders, with fixed seeds, and their boundaries on short scripts.
+//! The five rules on random legal event orders, with fixed seeds; determinism; and input that makes no sense.
+//!
+//! 1. A request gets one final answer, in time. 2. What may have run is repeated or rejected only where its class allows
+//!    it. 3. A draining or terminated server gets nothing new. 5. No state is kept beyond its lease. Rule 4 (slow start) has
+//!    `slow_start` and `slow_start_trickle`.
 
 mod common;
 
@@ -7,143 +11,172 @@
 use common::*;
 use glenrail_router::*;
 
-/// A small fixed random source for the test's own draws.
-struct Draw(u64);
+/// Time after its deadline within which a request must be answered (ms), as in the sample settings.
+const ANSWER_GRACE: Millis = 8.0;
+/// Longest lease of a state (ms), as in the sample settings.
+const LEASE_LIMIT: Millis = 500.0;
+/// Time in which a repeat with an idempotency key is recognised (ms), as in the sample settings.
+const IDEMPOTENCY_WINDOW: Millis = 2_000.0;
 
-impl Draw {
-    fn below(&mut self, n: u64) -> u64 {
+/// A linear congruential generator for the test's own draws.
+struct Draws(u64);
+
+impl Draws {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % n
+        (self.0 >> 33) % limit
     }
 }
 
-/// What the world knows of one request.
-struct Known {
+struct KnownAttempt {
+    server: u64,
+    in_flight: bool,
+    may_have_run: bool,
+}
+
+/// What the environment knows of one request.
+struct KnownRequest {
     class: u32,
     deadline: Millis,
     answers: u32,
-    over: bool,
-    streaming: bool,
-    /// Server, still out, whether it may have run.
-    attempts: Vec<(u64, bool, bool)>,
-    ran: Option<(u32, Millis)>,
-    held: bool,
+    is_closed: bool,
+    is_streaming: bool,
+    attempts: Vec<KnownAttempt>,
+    /// Zone and send time of the first attempt that may have run.
+    possible_execution: Option<(u32, Millis)>,
+    has_state: bool,
     idle_since: Millis,
 }
 
-struct World {
-    rig: Rig,
-    draw: Draw,
-    known: BTreeMap<u64, Known>,
+impl KnownRequest {
+    fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
+    }
+}
+
+/// Servers, clients and discovery around one router, which check the rules at each step.
+struct Environment {
+    router: TestRouter,
+    draws: Draws,
+    requests: BTreeMap<u64, KnownRequest>,
     timers: Vec<(Millis, u64)>,
-    off: BTreeMap<u64, bool>,
+    /// Servers that are listed as draining or terminated.
+    not_ready: BTreeMap<u64, bool>,
 }
 
+/// Zone of a sample server.
 fn zone_of(server: u64) -> u32 {
     (server % 10 - 1) as u32
 }
 
-impl World {
-    fn act(&mut self, actions: Vec<Action>) {
-        let now = self.rig.now;
+fn is_decode_server(server: u64) -> bool {
+    server > 20
+}
+
+impl Environment {
+    fn apply(&mut self, actions: Vec<Action>) {
+        let now = self.router.now;
         for action in actions {
             match action {
-                Action::Send { id, server, .. } => self.sent(id.0, server.0),
-                Action::Reject { id, .. } => self.answer(id.0, true),
-                Action::Fail { id, .. } => self.answer(id.0, false),
+                Action::Send { id, server, .. } => self.on_send(id.0, server.0),
+                Action::Reject { id, .. } => self.on_answer(id.0, true),
+                Action::Fail { id, .. } => self.on_answer(id.0, false),
                 Action::Release { id } => {
-                    if let Some(k) = self.known.get_mut(&id.0) {
-                        k.held = k.held && k.attempts.iter().any(|a| a.1);
+                    if let Some(request) = self.requests.get_mut(&id.0) {
+                        request.has_state = request.has_state && request.has_attempt_in_flight();
                     }
                 }
                 Action::Timer { at, key, .. } => self.timers.push((at.max(now + 1.0), key)),
                 Action::Cancel { id, attempt } => {
-                    assert!((attempt as usize) < self.known[&id.0].attempts.len());
+                    assert!((attempt as usize) < self.requests[&id.0].attempts.len());
                 }
                 _ => {}
             }
         }
     }
 
-    fn sent(&mut self, id: u64, server: u64) {
-        assert!(
-            !self.off.get(&server).copied().unwrap_or(false),
-            "rule 3: sent to a server that drains or is gone"
-        );
-        let now = self.rig.now;
-        let k = self.known.get_mut(&id).expect("a known request");
-        assert!(!k.over, "rule 1: sent after the end");
-        assert!(k.attempts.iter().all(|a| !a.1), "no second copies are made");
-        if k.class == 2 {
-            assert!(k.attempts.iter().all(|a| !a.2), "rule 2: unsafe, and may have run");
+    fn on_send(&mut self, id: u64, server: u64) {
+        let is_not_ready = self.not_ready.get(&server).copied().unwrap_or(false);
+        assert!(!is_not_ready, "rule 3: sent to a server that is draining or terminated");
+        let now = self.router.now;
+        let request = self.requests.get_mut(&id).expect("a known request");
+        assert!(!request.is_closed, "rule 1: sent after the end");
+        assert!(!request.has_attempt_in_flight(), "no hedged requests are sent");
+        if request.class == NON_IDEMPOTENT {
+            let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
+            assert!(!may_have_run, "rule 2: not idempotent, and may have run");
         }
-        if let (1, Some((zone, at))) = (k.class, k.ran) {
-            assert!(zone == zone_of(server) && now < at + 2_000.0, "rule 2: keyed, group or window");
+        if let (IDEMPOTENCY_KEY, Some((zone, sent_at))) = (request.class, request.possible_execution) {
+            let is_recognised = zone == zone_of(server) && now < sent_at + IDEMPOTENCY_WINDOW;
+            assert!(is_recognised, "rule 2: idempotency key, scope or window");
         }
-        k.attempts.push((server, true, server > 20));
-        if server > 20 && k.ran.is_none() {
-            k.ran = Some((zone_of(server), now));
+        let may_have_run = is_decode_server(server);
+        request.attempts.push(KnownAttempt { server, in_flight: true, may_have_run });
+        if may_have_run && request.possible_execution.is_none() {
+            request.possible_execution = Some((zone_of(server), now));
         }
     }
 
-    fn answer(&mut self, id: u64, refusal: bool) {
-        let now = self.rig.now;
-        let k = self.known.get_mut(&id).expect("a known request");
-        assert!(!k.over && !k.streaming, "rule 1: one final answer");
-        assert!(now <= k.deadline + 8.0, "rule 1: in time");
-        let may_have_run = k.attempts.iter().any(|a| a.2 || a.1);
-        assert!(!(refusal && k.class > 0 && may_have_run), "rule 2: refused what may have run");
-        k.answers += 1;
-        k.over = true;
+    fn on_answer(&mut self, id: u64, is_rejection: bool) {
+        let now = self.router.now;
+        let request = self.requests.get_mut(&id).expect("a known request");
+        assert!(!request.is_closed && !request.is_streaming, "rule 1: one final answer");
+        assert!(now <= request.deadline + ANSWER_GRACE, "rule 1: in time");
+        let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run || attempt.in_flight);
+        let is_unsafe_rejection = is_rejection && request.class > IDEMPOTENT && may_have_run;
+        assert!(!is_unsafe_rejection, "rule 2: rejected what may have run");
+        request.answers += 1;
+        request.is_closed = true;
     }
 
-    fn settle(&mut self, id: u64, n: usize, status: AttemptStatus) {
-        let now = self.rig.now;
-        let k = self.known.get_mut(&id).expect("known");
-        let server = k.attempts[n].0;
-        let proves = matches!(
+    fn end_attempt(&mut self, id: u64, index: usize, status: AttemptStatus) {
+        let now = self.router.now;
+        let request = self.requests.get_mut(&id).expect("known");
+        let server = request.attempts[index].server;
+        let proves_not_run = matches!(
             status,
             AttemptStatus::Rejected | AttemptStatus::ConnectFailed | AttemptStatus::Prefilled
         );
-        k.attempts[n].1 = false;
-        k.attempts[n].2 = server > 20 && !proves;
-        if proves && !k.attempts.iter().any(|a| a.2) {
-            k.ran = None;
+        request.attempts[index].in_flight = false;
+        request.attempts[index].may_have_run = is_decode_server(server) && !proves_not_run;
+        if proves_not_run && !request.attempts.iter().any(|attempt| attempt.may_have_run) {
+            request.possible_execution = None;
         }
-        k.idle_since = now;
-        k.held |= status == AttemptStatus::Prefilled;
-        if k.streaming || status == AttemptStatus::Served {
-            k.answers += u32::from(!k.over);
-            k.over = true;
-            k.held = false;
+        request.idle_since = now;
+        request.has_state |= status == AttemptStatus::Prefilled;
+        if request.is_streaming || status == AttemptStatus::Served {
+            request.answers += u32::from(!request.is_closed);
+            request.is_closed = true;
+            request.has_state = false;
         }
-        let closed = k.over;
-        let note = if status == AttemptStatus::Rejected { self.draw.below(2) as f64 } else { 700.0 };
+        let closed = request.is_closed;
+        let note = if status == AttemptStatus::Rejected { self.draws.below(2) as f64 } else { 700.0 };
+        let memory_share = Some(self.draws.below(120) as f64 / 100.0);
         let outcome = AttemptOutcome {
             id: RequestId(id),
-            attempt: n as u32,
+            attempt: index as u32,
             server: ServerId(server),
             status,
             elapsed: 30.0,
             note,
             closed,
             delivered: status.may_have_arrived(),
-            report: Some(LoadReport {
-                memory_share: Some(self.draw.below(120) as f64 / 100.0),
-                ..LoadReport::default()
-            }),
+            report: Some(LoadReport { memory_share, ..LoadReport::default() }),
         };
-        let actions = self.rig.give(Event::Outcome(outcome));
-        self.act(actions);
+        let actions = self.router.handle(Event::Outcome(outcome));
+        self.apply(actions);
     }
 
-    fn move_on(&mut self, id: u64) {
-        let k = &self.known[&id];
-        let Some(n) = k.attempts.iter().position(|a| a.1) else { return };
-        let (server, over, streaming) = (k.attempts[n].0, k.over, k.streaming);
-        if streaming {
-            let end = if self.draw.below(8) == 0 { AttemptStatus::Reset } else { AttemptStatus::Served };
-            return self.settle(id, n, end);
+    /// Brings the attempt in flight of a request one step further: a failure, the end of its stage, or its first token.
+    fn progress(&mut self, id: u64) {
+        let request = &self.requests[&id];
+        let Some(index) = request.attempts.iter().position(|attempt| attempt.in_flight) else { return };
+        let server = request.attempts[index].server;
+        let (is_closed, is_streaming) = (request.is_closed, request.is_streaming);
+        if is_streaming {
+            let breaks = self.draws.below(8) == 0;
+            let status = if breaks { AttemptStatus::Reset } else { AttemptStatus::Served };
+            return self.end_attempt(id, index, status);
         }
         let faults = [
             AttemptStatus::Error,
@@ -154,314 +187,180 @@
             AttemptStatus::Cancelled,
             AttemptStatus::MalformedResponse,
         ];
-        if self.draw.below(3) == 0 {
-            let status = faults[self.draw.below(7) as usize];
-            self.settle(id, n, status);
-        } else if server < 20 {
-            self.settle(id, n, AttemptStatus::Prefilled);
-        } else if !over {
-            let k = self.known.get_mut(&id).expect("known");
-            (k.streaming, k.held) = (true, false);
-            let server = ServerId(server);
-            let first = Event::FirstToken { id: RequestId(id), attempt: n as u32, server, elapsed: 20.0 };
-            let actions = self.rig.give(first);
-            self.act(actions);
+        if self.draws.below(3) == 0 {
+            let status = faults[self.draws.below(7) as usize];
+            self.end_attempt(id, index, status);
+        } else if !is_decode_server(server) {
+            self.end_attempt(id, index, AttemptStatus::Prefilled);
+        } else if !is_closed {
+            let request = self.requests.get_mut(&id).expect("known");
+            request.is_streaming = true;
+            request.has_state = false;
+            let actions = self.router.first_token(id, index as u32, server, 20.0);
+            self.apply(actions);
         }
     }
 
-    fn shuffle_list(&mut self) {
-        let all = fleet();
-        let mut m = all[self.draw.below(6) as usize].clone();
-        m.state =
-            [ServerState::Ready, ServerState::Draining, ServerState::Terminated][self.draw.below(3) as usize];
-        m.started = (self.draw.below(2) == 0).then_some(self.rig.now);
-        self.off.insert(m.server.0, m.state != ServerState::Ready);
-        let actions = self.rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![m] });
-        self.act(actions);
+    /// Changes the listed state of a server.
+    fn change_list(&mut self) {
+        let mut entry = sample_servers()[self.draws.below(6) as usize].clone();
+        let states = [ServerState::Ready, ServerState::Draining, ServerState::Terminated];
+        entry.state = states[self.draws.below(3) as usize];
+        entry.started = (self.draws.below(2) == 0).then_some(self.router.now);
+        self.not_ready.insert(entry.server.0, entry.state != ServerState::Ready);
+        let actions = self.router.update_servers(ListUpdate::Delta, vec![entry]);
+        self.apply(actions);
     }
 
     fn check(&self) {
-        for (id, k) in &self.known {
-            assert!(k.over || k.streaming || self.rig.now <= k.deadline + 8.0, "rule 1: {id} not answered");
-            let idle = k.attempts.iter().all(|a| !a.1);
-            assert!(!(k.held && idle && self.rig.now > k.idle_since + 500.0), "rule 5: {id} pinned");
+        let now = self.router.now;
+        for (id, request) in &self.requests {
+            let is_answered = request.is_closed || request.is_streaming;
+            assert!(is_answered || now <= request.deadline + ANSWER_GRACE, "rule 1: {id} not answered");
+            let is_leased = request.has_state && !request.has_attempt_in_flight();
+            assert!(!(is_leased && now > request.idle_since + LEASE_LIMIT), "rule 5: {id} beyond its lease");
         }
     }
 
+    /// Runs for nine seconds, and returns how many requests got one answer.
     fn run(seed: u64) -> u32 {
-        let mut rig = Rig { router: Router::new(seed, settings()), now: 0.0 };
-        let first = rig.give(Event::ServerList { update: ListUpdate::Full, servers: fleet() });
-        let mut w =
-            World { rig, draw: Draw(seed), known: BTreeMap::new(), timers: vec![], off: BTreeMap::new() };
-        w.act(first);
+        let mut router = TestRouter { inner: Router::new(seed, settings()), now: 0.0 };
+        let actions = router.update_servers(ListUpdate::Full, sample_servers());
+        let mut environment = Environment {
+            router,
+            draws: Draws(seed),
+            requests: BTreeMap::new(),
+            timers: vec![],
+            not_ready: BTreeMap::new(),
+        };
+        environment.apply(actions);
         for step in 1..9_000u64 {
-            w.rig.now = step as f64;
-            let due: Vec<u64> = w.timers.iter().filter(|t| t.0 <= w.rig.now).map(|t| t.1).collect();
-            w.timers.retain(|t| t.0 > step as f64);
-            for key in due {
-                let actions = w.rig.timer(key);
-                w.act(actions);
-            }
-            if step < 4_000 && w.draw.below(20) == 0 {
-                w.arrive(step);
-            }
-            let open: Vec<u64> =
-                w.known.iter().filter(|(_, k)| k.attempts.iter().any(|a| a.1)).map(|(id, _)| *id).collect();
-            if !open.is_empty() && w.draw.below(4) == 0 {
-                let id = open[w.draw.below(open.len() as u64) as usize];
-                w.move_on(id);
-            }
-            match w.draw.below(400) {
-                0 => w.shuffle_list(),
-                1 => w.client_leaves(),
-                _ => {}
-            }
-            w.check();
+            environment.step(step);
         }
-        w.known.values().filter(|k| k.answers == 1).count() as u32
+        environment.requests.values().filter(|request| request.answers == 1).count() as u32
+    }
+
+    /// One millisecond.
+    fn step(&mut self, step: u64) {
+        self.router.now = step as f64;
+        let now = self.router.now;
+        let due: Vec<u64> = self.timers.iter().filter(|timer| timer.0 <= now).map(|timer| timer.1).collect();
+        self.timers.retain(|timer| timer.0 > now);
+        for key in due {
+            let actions = self.router.fire_timer(key);
+            self.apply(actions);
+        }
+        if step < 4_000 && self.draws.below(20) == 0 {
+            self.arrive(step);
+        }
+        let in_flight = self.requests.iter().filter(|(_, request)| request.has_attempt_in_flight());
+        let in_flight: Vec<u64> = in_flight.map(|(id, _)| *id).collect();
+        if !in_flight.is_empty() && self.draws.below(4) == 0 {
+            let id = in_flight[self.draws.below(in_flight.len() as u64) as usize];
+            self.progress(id);
+        }
+        match self.draws.below(400) {
+            0 => self.change_list(),
+            1 => self.disconnect_client(),
+            _ => {}
+        }
+        self.check();
     }
 
     fn arrive(&mut self, id: u64) {
-        let class = self.draw.below(3) as u32;
-        let patience = 200.0 + self.draw.below(3_000) as f64;
-        let known = Known {
+        let class = self.draws.below(3) as u32;
+        let client_timeout = 200.0 + self.draws.below(3_000) as f64;
+        let request = KnownRequest {
             class,
-            deadline: self.rig.now + patience,
+            deadline: self.router.now + client_timeout,
             answers: 0,
-            over: false,
-            streaming: false,
+            is_closed: false,
+            is_streaming: false,
             attempts: vec![],
-            ran: None,
-            held: false,
-            idle_since: self.rig.now,
+            possible_execution: None,
+            has_state: false,
+            idle_since: self.router.now,
         };
-        self.known.insert(id, known);
-        let prefix = Some(self.draw.below(5));
-        let actions = self.rig.request(Request { class, client_timeout: patience, prefix, ..ask(id) });
-        self.act(actions);
+        self.requests.insert(id, request);
+        let prefix = Some(self.draws.below(5));
+        let actions = self.router.submit(Request { class, client_timeout, prefix, ..sample_request(id) });
+        self.apply(actions);
     }
 
-    fn client_leaves(&mut self) {
-        let Some((id, k)) = self.known.iter_mut().find(|(_, k)| !k.over && !k.streaming) else { return };
-        k.over = true;
-        let id = RequestId(*id);
-        let actions = self.rig.give(Event::ClientDisconnected { id });
-        self.act(actions);
+    /// The client of the oldest unanswered request disconnects.
+    fn disconnect_client(&mut self) {
+        let mut requests = self.requests.iter_mut();
+        let unanswered = requests.find(|(_, request)| !request.is_closed && !request.is_streaming);
+        let Some((id, request)) = unanswered else { return };
+        request.is_closed = true;
+        let actions = self.router.disconnect(*id);
+        self.apply(actions);
     }
 }
 
 #[test]
 fn the_rules_hold_on_random_event_orders() {
     for seed in 1..=24 {
-        assert!(World::run(seed) > 50, "most requests end by an answer");
+        assert!(Environment::run(seed) > 50, "most requests end by an answer");
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let play = || {
-        let mut rig = Rig::plain();
-        (1..200).map(|p| rig.request(Request { prefix: Some(p % 9), ..ask(p) })).collect::<Vec<_>>()
+        let mut router = TestRouter::with_defaults();
+        (1..200).map(|id| router.submit(request_with_prefix(id, id % 9))).collect::<Vec<_>>()
     };
     assert_eq!(play(), play());
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_not_refused_or_repeated() {
-    for status in [AttemptStatus::Error, AttemptStatus::Reset, AttemptStatus::Timeout] {
-        let mut rig = Rig::plain();
-        let home = rig.read_at(Request { class: 2, ..ask(1) });
-        let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
-        let actions = rig.outcome(1, 1, writer, status);
-        assert_eq!(sent(&actions), None);
-        assert!(!refused(&actions));
-        // At once, and so is its state: nobody may take it any more.
-        assert!(failed(&actions) && released(&actions), "{actions:?}");
-    }
-}
-
-#[test]
-fn an_unsafe_request_that_was_turned_away_goes_to_another_writer() {
-    let mut rig = Rig::plain();
-    let home = rig.read_at(Request { class: 2, ..ask(1) });
-    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
-    let next = sent(&rig.outcome(1, 1, writer, AttemptStatus::Rejected)).expect("another writer");
-    assert_ne!(next, writer);
-}
-
-/// Guards orders against being failed for good, and nobody trying again, where no writer was ever reached.
-#[test]
-fn an_unsafe_request_that_two_writers_never_took_is_still_to_be_had() {
-    let mut rig = Rig::plain();
-    let home = rig.read_at(Request { class: 2, ..ask(1) });
-    let mut at = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled));
-    for attempt in 1..3 {
-        let writer = at.expect("a writer");
-        rig.now += 30.0;
-        at = sent(&rig.outcome(1, attempt, writer, AttemptStatus::ConnectFailed));
-    }
-    // A third writer is tried, and when none is left the request is refused, not failed.
-    let third = at.expect("a third writer");
-    rig.now += 30.0;
-    let mut end = rig.outcome(1, 3, third, AttemptStatus::ConnectFailed);
-    end.extend(rig.at(3_999.0).timer(1 << 1));
-    assert!(refused(&end) && !failed(&end), "{end:?}");
-}
-
-#[test]
-fn a_keyed_request_is_repeated_only_in_its_zone() {
-    let mut rig = Rig::plain();
-    let home = rig.read_at(Request { class: 1, ..ask(1) });
-    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
-    let next = sent(&rig.outcome(1, 1, writer, AttemptStatus::Error));
-    assert!(next.is_none_or(|n| zone_of(n) == zone_of(writer)));
-}
-
-/// Guards a client that may ask again against waiting for a repeat that its class does not allow any more.
-#[test]
-fn a_keyed_request_whose_window_has_passed_is_answered_at_once() {
-    let mut rig = Rig::plain();
-    let home = rig.read_at(Request { class: 1, ..ask(1) });
-    let writer = sent(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)).expect("a write");
-    rig.now += 2_001.0;
-    let end = rig.outcome(1, 1, writer, AttemptStatus::Reset);
-    assert!(failed(&end) && released(&end), "{end:?}");
-}
-
-/// Guards a request that waits for a server against standing still: its timer may come a rounding before its time.
-#[test]
-fn a_step_whose_timer_comes_a_rounding_early_is_not_lost() {
-    let mut rig = Rig::new(settings(), vec![member(11, 0, 0)]);
-    assert_eq!(rig.read_at(ask(1)), 11);
-    let waits = rig.outcome(1, 0, 11, AttemptStatus::Prefilled);
-    let step = |actions: &[Action]| timers(actions).into_iter().find(|t| t.1 == 1 << 1 | 1);
-    let (at, key) = step(&waits).expect("a timer for its next step");
-    let next = rig.at(at - 1e-7).timer(key);
-    assert!(step(&next).is_some(), "{next:?}");
-}
-
-#[test]
-fn draining_and_gone_servers_get_nothing() {
+fn draining_and_terminated_servers_get_nothing() {
     for state in [ServerState::Draining, ServerState::Terminated] {
-        let mut rig = Rig::plain();
-        let home = rig.read_at(ask(1));
-        rig.outcome(1, 0, home, AttemptStatus::Prefilled);
-        let off = ServerEntry { state, ..member(home, 0, zone_of(home)) };
-        rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![off] });
-        assert_ne!(rig.read_at(ask(2)), home);
+        let mut router = TestRouter::with_defaults();
+        let preferred = router.prefill_server_for(sample_request(1));
+        router.outcome(1, 0, preferred, AttemptStatus::Prefilled);
+        let not_ready = ServerEntry { state, ..server_entry(preferred, PREFILL, zone_of(preferred)) };
+        router.update_servers(ListUpdate::Delta, vec![not_ready]);
+        assert_ne!(router.prefill_server_for(sample_request(2)), preferred);
     }
 }
 
 #[test]
-fn a_state_left_by_a_request_that_ended_is_let_go() {
-    let mut rig = Rig::plain();
-    let home = rig.read_at(ask(1));
-    rig.give(Event::ClientDisconnected { id: RequestId(1) });
-    assert!(released(&rig.outcome(1, 0, home, AttemptStatus::Prefilled)));
-}
-
-#[test]
-fn nonsense_is_survived() {
-    let mut odd = settings();
-    odd.router_count = 0;
-    odd.tick_interval = f64::NAN;
-    odd.rules.lease_limit = -1.0;
-    odd.rules.slow_start_window = f64::INFINITY;
-    odd.kinds.truncate(1);
-    odd.limits.max_attempts = 0;
-    for settings in [odd, settings()] {
-        let mut rig = Rig::new(settings, fleet());
-        rig.give(Event::Timer { key: u64::MAX });
-        rig.give(Event::ClientDisconnected { id: RequestId(99) });
-        rig.outcome(99, 7, 5, AttemptStatus::Served);
-        rig.give(Event::FirstToken { id: RequestId(1), attempt: 9, server: ServerId(1), elapsed: f64::NAN });
-        rig.give(Event::Gossip { from: 9, bytes: vec![1, 2] });
-        rig.memory(77, f64::NAN);
-        let zero = Request {
+fn invalid_input_is_survived() {
+    let mut invalid = settings();
+    invalid.router_count = 0;
+    invalid.tick_interval = f64::NAN;
+    invalid.rules.lease_limit = -1.0;
+    invalid.rules.slow_start_window = f64::INFINITY;
+    invalid.kinds.truncate(1);
+    invalid.limits.max_attempts = 0;
+    for settings in [invalid, settings()] {
+        let mut router = TestRouter::new(settings, sample_servers());
+        router.fire_timer(u64::MAX);
+        router.disconnect(99);
+        router.outcome(99, 7, 5, AttemptStatus::Served);
+        router.first_token(1, 9, 1, f64::NAN);
+        router.handle(Event::Gossip { from: 9, bytes: vec![1, 2] });
+        router.report_memory(77, f64::NAN);
+        let invalid_request = Request {
             prompt_tokens: f64::NAN,
             max_tokens: -5.0,
             client_timeout: f64::NEG_INFINITY,
-            ..ask(1)
+            ..sample_request(1)
         };
-        rig.request(zero);
-        rig.request(Request { class: 44, ..ask(2) });
-        let repeated = rig.request(ask(3));
-        rig.request(ask(3));
-        if let Some(to) = sent(&repeated) {
-            rig.outcome(3, 0, to, AttemptStatus::Prefilled);
-            rig.outcome(3, 0, to, AttemptStatus::Prefilled);
+        router.submit(invalid_request);
+        router.submit(Request { class: 44, ..sample_request(2) });
+        let actions = router.submit(sample_request(3));
+        router.submit(sample_request(3));
+        if let Some(server) = sent_to(&actions) {
+            router.outcome(3, 0, server, AttemptStatus::Prefilled);
+            router.outcome(3, 0, server, AttemptStatus::Prefilled);
         }
-        rig.at(f64::NAN).request(ask(4));
-        let weightless = ServerEntry { weight: 0.0, kind: 9, started: Some(f64::NAN), ..member(50, 0, 0) };
-        rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![weightless] });
-        rig.give(Event::ServerList { update: ListUpdate::Full, servers: vec![] });
+        router.at_time(f64::NAN).submit(sample_request(4));
+        let weightless =
+            ServerEntry { weight: 0.0, kind: 9, started: Some(f64::NAN), ..server_entry(50, PREFILL, 0) };
+        router.update_servers(ListUpdate::Delta, vec![weightless]);
+        router.update_servers(ListUpdate::Full, vec![]);
     }
 }
-
-#[test]
-fn a_cold_server_alone_in_its_role_gets_no_burst() {
-    // The warm mixed servers drain and finish; what they carried must not count as carried by nobody.
-    let mut members = vec![member(31, 2, 0), member(32, 2, 0)];
-    let mut rig = Rig::new(settings(), members.clone());
-    for id in 0..200 {
-        rig.now = id as f64 * 50.0;
-        let Some(to) = sent(&rig.request(Request { prefix: Some(id), ..ask(id) })) else { continue };
-        if id == 150 {
-            members.iter_mut().for_each(|m| m.state = ServerState::Draining);
-            rig.give(Event::ServerList { update: ListUpdate::Delta, servers: members.clone() });
-        }
-        let server = ServerId(to);
-        rig.give(Event::FirstToken { id: RequestId(id), attempt: 0, server, elapsed: 20.0 });
-        rig.outcome(id, 0, to, AttemptStatus::Served);
-    }
-    let cold = ServerEntry { started: Some(rig.now), ..member(33, 2, 0) };
-    rig.give(Event::ServerList { update: ListUpdate::Delta, servers: vec![cold] });
-    let start = rig.now;
-    let mut sends = 0;
-    for id in 200..300 {
-        rig.now = start + (id - 200) as f64 * 15.0;
-        sends += u32::from(sent(&rig.request(Request { prefix: Some(id), ..ask(id) })) == Some(33));
-    }
-    // One of two warm servers carried 10 a second; cold at 0.3, three times that for 1.5 s is 13.
-    assert!((1..=13).contains(&sends), "{sends} sends in 1.5 s");
-}
-
-#[test]
-fn a_refused_connection_does_not_burn_every_attempt_at_once() {
-    let mut rig = Rig::new(settings(), vec![member(11, 0, 0), member(21, 1, 0)]);
-    assert_eq!(rig.read_at(ask(1)), 11);
-    let mut attempts = 1;
-    while sent(&rig.outcome(1, attempts - 1, 11, AttemptStatus::ConnectFailed)).is_some() {
-        attempts += 1;
-    }
-    assert_eq!(attempts, 1);
-}
-
-/// Guards rule 5: an attempt that did not connect was never out, so the time of the state that waits runs from the end
-/// of its read. Seen on days on which engines are cut off: read, 250 ms and 250 ms without a connection, then a pause.
-#[test]
-fn the_time_of_a_held_state_runs_on_while_no_connection_comes_up() {
-    a_held_state_waits_through(AttemptStatus::ConnectFailed);
-}
-
-/// The same of an attempt that was called back while it was dialled: it costs no retry and stops no clock.
-#[test]
-fn an_attempt_that_was_not_sent_costs_no_retry_and_stops_no_clock() {
-    a_held_state_waits_through(AttemptStatus::NotSent);
-}
-
-/// Two writes of a held state end so, 250 ms and 460 ms after its read.
-fn a_held_state_waits_through(end: AttemptStatus) {
-    let members = vec![member(11, 0, 0), member(21, 1, 0), member(22, 1, 0), member(23, 1, 0)];
-    let mut rig = Rig::new(settings(), members);
-    assert_eq!(rig.read_at(ask(1)), 11);
-    let first = sent(&rig.outcome(1, 0, 11, AttemptStatus::Prefilled)).expect("a writer");
-    let read = rig.now;
-    rig.now = read + 250.0;
-    let second = sent(&rig.outcome(1, 1, first, end)).expect("another writer");
-    rig.now = read + 460.0;
-    let late = rig.outcome(1, 2, second, end);
-    // Let go, and read anew.
-    assert!(late.contains(&Action::Release { id: RequestId(1) }), "{late:?}");
-    assert_eq!(sent(&late), Some(11));
-}
--- a/crates/router/tests/shedding_trials.rs
+++ b/crates/router/tests/shedding_trials.rs
@@ -1,5 +1,5 @@
-//! One router that has seen its servers very late: it goes on trying them, so that it hears when that is over, and turns
-//! away no more than what comes between two tries. Simulated time, fixed seeds, no sockets.
+//! Trials under load shedding: a router whose servers were late goes on trying them, so that it learns when that is over,
+//! and rejects no more than what comes between two trials. Simulated time, fixed seeds, no sockets.
 
 mod common;
 
@@ -8,150 +8,170 @@
 use common::*;
 use glenrail_router::*;
 
-/// A router may not turn away so many requests over so long (ms) with no attempt between.
-const MOST: usize = 15;
-const LONGEST: u64 = 4_000;
+/// A router may not reject so many requests ...
+const MAX_REJECTIONS: usize = 15;
+/// ... over so long (ms) with no attempt between.
+const MAX_TIME_WITHOUT_ATTEMPT: u64 = 4_000;
+/// End of a run (ms).
 const END: u64 = 30_000;
-/// Until then (ms) the servers of one role take so long.
+/// Until then (ms) ...
 const LATE_UNTIL: u64 = 6_000;
-const LATE: u64 = 3_500;
+/// ... an attempt at the servers of one role takes so long (ms); otherwise this.
+const LATE_TIME: u64 = 3_500;
+const USUAL_TIME: u64 = 60;
+/// Time of a stream after its first token (ms).
+const STREAM_TIME: u64 = 400;
 
-enum What {
-    Arrives(u64),
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+struct SentAttempt {
+    id: u64,
+    attempt: u32,
+    server: u64,
+    sent_at: u64,
+}
+
+enum Occurrence {
+    Arrival(u64),
     Timer(u64),
-    Reads(u64, u32, u64, u64),
-    Begins(u64, u32, u64, u64),
-    Ends(u64, u32, u64, u64),
-    Probed(u64),
+    Prefilled(SentAttempt),
+    FirstToken(SentAttempt),
+    Served(SentAttempt),
+    ProbeAnswer(u64),
 }
 
-/// One router before three readers and three writers.
-struct World {
+/// One router before three prefill servers and three decode servers.
+struct Simulation {
     router: Router,
-    /// What is to come, in order.
-    agenda: BTreeMap<(u64, u64), What>,
-    events: u64,
+    /// What is to come, by time and order.
+    agenda: BTreeMap<(u64, u64), Occurrence>,
+    occurrences: u64,
     attempts: BTreeMap<u64, u32>,
-    late: Role,
-    /// When it last sent anything, and what it has turned away since.
-    sent: u64,
-    refused: usize,
-    /// The longest time without an attempt in which all that came was turned away.
-    worst: u64,
+    late_role: Role,
+    /// When anything was last sent, and what has been rejected since.
+    last_sent_at: u64,
+    rejected_since: usize,
+    /// The longest time without an attempt in which so many requests were rejected.
+    longest_without_attempt: u64,
 }
 
-impl World {
-    /// Requests come every `gap` ms.
-    fn run(seed: u64, settings: Settings, late: Role, gap: u64) -> World {
-        let mut world = World {
+impl Simulation {
+    /// Requests come every `interval` ms.
+    fn run(seed: u64, settings: Settings, late_role: Role, interval: u64) -> Simulation {
+        let mut simulation = Simulation {
             router: Router::new(seed, settings),
             agenda: BTreeMap::new(),
-            events: 0,
+            occurrences: 0,
             attempts: BTreeMap::new(),
-            late,
-            sent: 0,
-            refused: 0,
-            worst: 0,
+            late_role,
+            last_sent_at: 0,
+            rejected_since: 0,
+            longest_without_attempt: 0,
         };
-        let listed = Event::ServerList { update: ListUpdate::Full, servers: fleet() };
-        world.router.handle(0.0, listed, &mut Vec::new());
-        (0..END / gap).for_each(|n| world.push(n * gap, What::Arrives(n + 1)));
-        while let Some(((now, _), what)) = world.agenda.pop_first() {
+        let list = Event::ServerList { update: ListUpdate::Full, servers: sample_servers() };
+        simulation.router.handle(0.0, list, &mut Vec::new());
+        for index in 0..END / interval {
+            simulation.schedule(index * interval, Occurrence::Arrival(index + 1));
+        }
+        while let Some(((now, _), occurrence)) = simulation.agenda.pop_first() {
             if now > END {
                 break;
             }
-            let event = world.event(now, what);
-            let mut out = Vec::new();
-            world.router.handle(now as f64, event, &mut out);
-            out.into_iter().for_each(|action| world.act(now, action));
+            let event = simulation.event(now, occurrence);
+            let mut actions = Vec::new();
+            simulation.router.handle(now as f64, event, &mut actions);
+            actions.into_iter().for_each(|action| simulation.apply(now, action));
         }
-        world
+        simulation
     }
 
-    fn push(&mut self, at: u64, what: What) {
-        self.events += 1;
-        self.agenda.insert((at, self.events), what);
+    fn schedule(&mut self, time: u64, occurrence: Occurrence) {
+        self.occurrences += 1;
+        self.agenda.insert((time, self.occurrences), occurrence);
     }
 
-    fn event(&mut self, now: u64, what: What) -> Event {
-        let outcome = |id, attempt, server, status, sent: u64| {
-            Event::Outcome(AttemptOutcome {
-                id: RequestId(id),
-                attempt,
-                server: ServerId(server),
-                status,
-                elapsed: (now - sent) as f64,
-                note: 0.0,
-                closed: status == AttemptStatus::Served,
-                delivered: status.may_have_arrived(),
-                report: None,
-            })
-        };
-        match what {
-            What::Arrives(id) => Event::Request(Request { prefix: Some(id % 11), ..ask(id) }),
-            What::Timer(key) => Event::Timer { key },
-            What::Reads(id, attempt, server, sent) => {
-                outcome(id, attempt, server, AttemptStatus::Prefilled, sent)
-            }
-            What::Begins(id, attempt, server, sent) => {
-                self.push(now + 400, What::Ends(id, attempt, server, sent));
-                let elapsed = (now - sent) as f64;
+    fn event(&mut self, now: u64, occurrence: Occurrence) -> Event {
+        match occurrence {
+            Occurrence::Arrival(id) => Event::Request(request_with_prefix(id, id % 11)),
+            Occurrence::Timer(key) => Event::Timer { key },
+            Occurrence::Prefilled(sent) => outcome(now, sent, AttemptStatus::Prefilled),
+            Occurrence::FirstToken(sent) => {
+                self.schedule(now + STREAM_TIME, Occurrence::Served(sent));
+                let SentAttempt { id, attempt, server, sent_at } = sent;
+                let elapsed = (now - sent_at) as f64;
                 Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
             }
-            What::Ends(id, attempt, server, sent) => {
-                outcome(id, attempt, server, AttemptStatus::Served, sent)
-            }
-            What::Probed(server) => {
+            Occurrence::Served(sent) => outcome(now, sent, AttemptStatus::Served),
+            Occurrence::ProbeAnswer(server) => {
                 let report = Some(LoadReport { in_flight: Some(1.0), ..LoadReport::default() });
-                Event::ProbeResult {
-                    server: ServerId(server),
-                    status: AttemptStatus::Served,
-                    elapsed: 1.0,
-                    report,
-                }
+                let (server, status) = (ServerId(server), AttemptStatus::Served);
+                Event::ProbeResult { server, status, elapsed: 1.0, report }
             }
         }
     }
 
-    fn act(&mut self, now: u64, action: Action) {
+    fn apply(&mut self, now: u64, action: Action) {
         match action {
-            Action::Send { id, server, .. } => {
-                let attempt = self.attempts.entry(id.0).or_default();
-                let n = std::mem::replace(attempt, *attempt + 1);
-                let reads = READERS.contains(&server.0);
-                let role = if reads { Role::Prefill } else { Role::Decode };
-                let takes = if now < LATE_UNTIL && role == self.late { LATE } else { 60 };
-                let what = if reads { What::Reads } else { What::Begins };
-                self.push(now + takes, what(id.0, n, server.0, now));
-                (self.sent, self.refused) = (now, 0);
-            }
+            Action::Send { id, server, .. } => self.send(now, id.0, server.0),
             Action::Reject { .. } => {
-                self.refused += 1;
-                if self.refused >= MOST {
-                    self.worst = self.worst.max(now - self.sent);
+                self.rejected_since += 1;
+                if self.rejected_since >= MAX_REJECTIONS {
+                    let without_attempt = now - self.last_sent_at;
+                    self.longest_without_attempt = self.longest_without_attempt.max(without_attempt);
                 }
             }
-            Action::Timer { at, key, .. } => self.push(at.ceil() as u64, What::Timer(key)),
-            Action::Probe { server } => self.push(now + 2, What::Probed(server.0)),
+            Action::Timer { at, key, .. } => self.schedule(at.ceil() as u64, Occurrence::Timer(key)),
+            Action::Probe { server } => self.schedule(now + 2, Occurrence::ProbeAnswer(server.0)),
             _ => {}
         }
     }
+
+    fn send(&mut self, now: u64, id: u64, server: u64) {
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let sent = SentAttempt { id, attempt, server, sent_at: now };
+        let (role, occurrence) = match PREFILL_SERVERS.contains(&server) {
+            true => (Role::Prefill, Occurrence::Prefilled(sent)),
+            false => (Role::Decode, Occurrence::FirstToken(sent)),
+        };
+        let is_late = now < LATE_UNTIL && role == self.late_role;
+        self.schedule(now + if is_late { LATE_TIME } else { USUAL_TIME }, occurrence);
+        self.last_sent_at = now;
+        self.rejected_since = 0;
+    }
+}
+
+fn outcome(now: u64, sent: SentAttempt, status: AttemptStatus) -> Event {
+    Event::Outcome(AttemptOutcome {
+        id: RequestId(sent.id),
+        attempt: sent.attempt,
+        server: ServerId(sent.server),
+        status,
+        elapsed: (now - sent.sent_at) as f64,
+        note: 0.0,
+        closed: status == AttemptStatus::Served,
+        delivered: status.may_have_arrived(),
+        report: None,
+    })
 }
 
-/// Guards a gateway against refusing by what it learned when its servers were late: nothing that it does not send can teach
-/// it better.
+/// Guards a gateway against rejecting by what it learned when its servers were late: nothing that it does not send can
+/// teach it better.
 #[test]
-fn a_router_that_saw_late_servers_goes_on_trying_them() {
-    for late in [Role::Prefill, Role::Decode] {
-        for (routers, probes) in [(3, false), (3, true), (300, false), (300, true)] {
+fn a_router_whose_servers_were_late_goes_on_trying_them() {
+    for late_role in [Role::Prefill, Role::Decode] {
+        for (router_count, probes) in [(3, false), (3, true), (300, false), (300, true)] {
             let limits = Limits { probes, ..settings().limits };
-            let settings = Settings { router_count: routers, limits, ..settings() };
+            let settings = Settings { router_count, limits, ..settings() };
             for seed in 1..=5 {
-                for gap in [50, 200] {
-                    let world = World::run(seed, settings.clone(), late, gap);
-                    let told =
-                        format!("{late:?} late, {routers} routers, probes {probes}, seed {seed}, gap {gap}");
-                    assert!(world.worst <= LONGEST, "{told}: nothing was sent for {} ms", world.worst);
+                for interval in [50, 200] {
+                    let simulation = Simulation::run(seed, settings.clone(), late_role, interval);
+                    let case = format!(
+                        "{late_role:?} late, {router_count} routers, probes {probes}, seed {seed}, interval {interval}"
+                    );
+                    let longest = simulation.longest_without_attempt;
+                    assert!(longest <= MAX_TIME_WITHOUT_ATTEMPT, "{case}: nothing was sent for {longest} ms");
                 }
             }
         }
--- a/crates/router/tests/slow_start/simulation.rs
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -206,7 +206,7 @@
         self.asked += 1;
         let router = (self.unit() * self.unit() * self.day.routers as f64) as usize;
         let prefix = if self.unit() < self.day.hot { self.hot } else { 1_000 + (self.unit() * 400.0) as u64 };
-        self.give(router, Event::Request(Request { prefix: Some(prefix), ..ask(n) }));
+        self.give(router, Event::Request(Request { prefix: Some(prefix), ..sample_request(n) }));
         let (from, times) = self.day.burst;
         let since = (self.now - STARTED) / 1_000.0 - from;
         let times = if (0.0..2.0).contains(&since) { times } else { 1.0 };
--- a/crates/router/tests/slow_start/simulation/starts.rs
+++ b/crates/router/tests/slow_start/simulation/starts.rs
@@ -22,9 +22,9 @@
                 Event::ServerList { update: ListUpdate::Full, servers: members.clone() },
                 &mut actions,
             );
-            let ask = Request { prefix: Some(prefix), ..ask(prefix) };
+            let ask = Request { prefix: Some(prefix), ..sample_request(prefix) };
             router.handle(STARTED, Event::Request(ask), &mut actions);
-            probed(&actions)
+            probed_servers(&actions)
         };
         let cold = |prefix: &u64| looked_at(*prefix).iter().any(|server| starts.contains(server));
         (self.day.seed * 1_000..).find(cold).unwrap_or_default()
@@ -35,7 +35,7 @@
         let line = |(id, s): (&u64, &Server)| {
             let kind = u32::from(!is_reader(*id));
             let started = s.cold.then_some(STARTED);
-            ServerEntry { cell: (*id as u32 % 100) / 4, started, ..member(*id, kind, 0) }
+            ServerEntry { cell: (*id as u32 % 100) / 4, started, ..server_entry(*id, kind, 0) }
         };
         self.servers.iter().map(line).collect()
     }
--- a/crates/router/tests/stored_state.rs
+++ b/crates/router/tests/stored_state.rs
@@ -1,7 +1,7 @@
 //! The bytes of form 1 in which a router passes on what it has learned, against a fixture that an earlier build wrote.
 //!
-//! The export is deterministic for a fixed script. Its decays use the platform's `exp`, so a platform whose
-//! mathematics library rounds otherwise may differ in the last bit of a figure.
+//! The export is deterministic for a fixed script. Its decays use the platform's `exp`, so a platform whose mathematics
+//! library rounds otherwise may differ in the last bit of a figure.
 
 mod common;
 
@@ -9,87 +9,128 @@
 use glenrail_router::*;
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/router-state-form-1.bin");
-const MIXED: u64 = 31;
-/// Words before the homes: the form, the age, the mean prompt, three roles of four figures, two paces of two.
-const FIXED: usize = 3 + 3 * 4 + 2 * 2;
+const MIXED_SERVER: u64 = 31;
+/// Words before the entries of the prefix table: the form, the age, the mean prompt, three roles of four figures, two
+/// service times of two.
+const HEADER_WORDS: usize = 3 + 3 * 4 + 2 * 2;
 
-fn words(bytes: &[u8]) -> Vec<u64> {
-    bytes.chunks_exact(8).map(|b| u64::from_le_bytes(b.try_into().expect("eight bytes"))).collect()
+fn words_of(bytes: &[u8]) -> Vec<u64> {
+    let word = |bytes: &[u8]| u64::from_le_bytes(bytes.try_into().expect("eight bytes"));
+    bytes.chunks_exact(8).map(word).collect()
 }
 
-/// Every third request shares its beginning with no other.
-fn nth(id: u64) -> Request {
+/// Every third request shares its prefix with no other.
+fn scripted_request(id: u64) -> Request {
     let prefix = (!id.is_multiple_of(3)).then_some(id % 5);
-    Request { prefix, prompt_tokens: 1_000.0 + 125.0 * id as f64, ..ask(id) }
+    Request { prefix, prompt_tokens: 1_000.0 + 125.0 * id as f64, ..sample_request(id) }
 }
 
-/// Where the first send goes, once the servers looked at have told their load.
-fn next(rig: &mut Rig, actions: Vec<Action>) -> u64 {
-    sent(&rig.answered(actions)).expect("a send")
+fn serve(router: &mut TestRouter, id: u64, attempt: u32, server: u64) {
+    router.first_token(id, attempt, server, 40.0);
+    router.outcome(id, attempt, server, AttemptStatus::Served);
 }
 
-fn serve(rig: &mut Rig, id: u64, attempt: u32, server: u64) {
-    let (of, server_id) = (RequestId(id), ServerId(server));
-    rig.give(Event::FirstToken { id: of, attempt, server: server_id, elapsed: 40.0 });
-    rig.outcome(id, attempt, server, AttemptStatus::Served);
+/// Serves a request at a prefill server and then a decode server.
+fn serve_in_two_stages(router: &mut TestRouter, id: u64) {
+    let prefill_server = router.prefill_server_for(scripted_request(id));
+    router.now += 50.0;
+    let actions = router.outcome_with(id, 0, prefill_server, AttemptStatus::Prefilled, 500.0, Some(0.25));
+    let actions = router.answer_probes_as_idle(actions);
+    let decode_server = sent_to(&actions).expect("a decode server");
+    router.now += 75.0;
+    serve(router, id, 1, decode_server);
 }
 
-/// A reader, then a writer.
-fn split(rig: &mut Rig, id: u64) {
-    let reader = rig.read_at(nth(id));
-    rig.now += 50.0;
-    let read = rig.outcome_with(id, 0, reader, AttemptStatus::Prefilled, 500.0, Some(0.25));
-    let writer = next(rig, read);
-    rig.now += 75.0;
-    serve(rig, id, 1, writer);
+/// Serves a request at a mixed server alone, for the third role.
+fn serve_at_mixed(router: &mut TestRouter, id: u64) {
+    let server = router.prefill_server_for(scripted_request(id));
+    assert_eq!(server, MIXED_SERVER);
+    router.now += 125.0;
+    serve(router, id, 0, server);
 }
 
-/// A mixed server alone, for the third role.
-fn whole(rig: &mut Rig, id: u64) {
-    let server = rig.read_at(nth(id));
-    assert_eq!(server, MIXED);
-    rig.now += 125.0;
-    serve(rig, id, 0, server);
-}
-
-/// Requests at readers and writers, then at a mixed server that takes their place.
-fn script() -> Rig {
-    let mut rig = Rig::plain();
-    rig.at(1_000.0);
-    (0..30).for_each(|id| split(&mut rig, id));
-    rig.give(Event::ServerList { update: ListUpdate::Full, servers: vec![member(MIXED, 2, 0)] });
-    (30..40).for_each(|id| whole(&mut rig, id));
-    rig.now += 250.0;
-    rig.timer(1 << 52);
-    rig
+/// Requests at prefill and decode servers, then at a mixed server that replaces them.
+fn scripted_router() -> TestRouter {
+    let mut router = TestRouter::with_defaults();
+    router.at_time(1_000.0);
+    (0..30).for_each(|id| serve_in_two_stages(&mut router, id));
+    router.update_servers(ListUpdate::Full, vec![server_entry(MIXED_SERVER, MIXED, 0)]);
+    (30..40).for_each(|id| serve_at_mixed(&mut router, id));
+    router.now += 250.0;
+    router.run_housekeeping();
+    router
 }
 
 /// Guards an upgrade between two builds: what one exports is, to the byte, what the other was built to read.
 #[test]
 fn the_same_script_exports_the_same_bytes() {
-    assert_eq!(words(&script().router.export_state()), words(FIXTURE));
-    assert_eq!(script().router.export_state(), FIXTURE);
+    assert_eq!(words_of(&scripted_router().inner.export_state()), words_of(FIXTURE));
+    assert_eq!(scripted_router().inner.export_state(), FIXTURE);
 }
 
-/// Guards the reading of what an earlier build exported: nothing is lost, reordered or changed by it.
+/// Guards the import of what an earlier build exported: nothing is lost, reordered or changed by it.
 #[test]
-fn a_stored_state_that_is_read_is_exported_again_the_same() {
+fn a_stored_state_that_is_imported_is_exported_again_the_same() {
     let mut router = Router::new(3, settings());
     router.import_state(FIXTURE);
     assert_eq!(router.export_state(), FIXTURE);
 }
 
-/// Guards the two tests above against a fixture that tells next to nothing.
+/// Guards the two tests above against a fixture that holds next to nothing.
 #[test]
-fn the_stored_state_tells_something_in_every_field() {
-    let words = words(FIXTURE);
-    assert_eq!((words[0], FIXTURE.len() % 8, (words.len() - FIXED) % 4), (1, 0, 0));
-    for (at, word) in words[..FIXED].iter().enumerate() {
-        assert_ne!(*word, 0, "word {at}");
+fn the_stored_state_has_a_value_in_every_field() {
+    let words = words_of(FIXTURE);
+    assert_eq!((words[0], FIXTURE.len() % 8, (words.len() - HEADER_WORDS) % 4), (1, 0, 0));
+    for (index, word) in words[..HEADER_WORDS].iter().enumerate() {
+        assert_ne!(*word, 0, "word {index}");
     }
-    let homes: Vec<&[u64]> = words[FIXED..].chunks_exact(4).collect();
+    let entries: Vec<&[u64]> = words[HEADER_WORDS..].chunks_exact(4).collect();
     for kind in [0, 1] {
-        assert!(homes.iter().filter(|home| home[0] == kind).count() > 3, "kind {kind}");
+        assert!(entries.iter().filter(|entry| entry[0] == kind).count() > 3, "kind {kind}");
+    }
+    assert!(entries.len() > 30, "{} entries", entries.len());
+}
+
+/// Sends to a server in slow start, of 120 requests at a router that has imported this state.
+fn sends_to_starting_server(state: &[u8]) -> u32 {
+    let mut router = TestRouter::with_defaults();
+    router.inner.import_state(state);
+    let starting = ServerEntry { started: Some(0.0), ..server_entry(14, PREFILL, 0) };
+    router.update_servers(ListUpdate::Delta, vec![starting]);
+    let mut sends = 0;
+    for id in 0..120 {
+        router.at_time(id as f64 * 25.0);
+        if let Some(server) = sent_to(&router.submit(request_with_prefix(1_000 + id, id))) {
+            sends += u32::from(server == 14);
+            router.outcome(1_000 + id, 0, server, AttemptStatus::Cancelled);
+        }
+        router.disconnect(1_000 + id);
+    }
+    sends
+}
+
+/// Guards an upgrade: a router that takes over from another knows how much a server in slow start may be sent and where
+/// sessions are cached, at any time of its own clock; bytes that are no such state change nothing and break nothing.
+#[test]
+fn what_a_router_has_learned_is_passed_on() {
+    let mut old = TestRouter::with_defaults();
+    let mut last_prefill_server = 0;
+    for id in 0..400 {
+        old.at_time(id as f64 * 25.0);
+        last_prefill_server = old.prefill_server_for(sample_request(id));
+        let decode_server = old.decode_server_after(id, last_prefill_server);
+        old.outcome(id, 1, decode_server, AttemptStatus::Served);
+    }
+    let state = old.inner.export_state();
+    let (with_state, without) = (sends_to_starting_server(&state), sends_to_starting_server(&[]));
+    assert!(with_state > 2 * without && with_state < 80, "{with_state} with, {without} without the state");
+    let mut new = TestRouter::with_defaults();
+    new.inner.import_state(&state);
+    let same_session = Request { session: 1_399, prefix: None, ..sample_request(5_000) };
+    assert_eq!(new.prefill_server_for(same_session), last_prefill_server);
+    for noise in [&state[..20], &state[1..], &[0xff; 4_000][..], &[1; 24][..]] {
+        let mut router = TestRouter::with_defaults();
+        router.inner.import_state(noise);
+        router.prefill_server_for(sample_request(1));
     }
-    assert!(homes.len() > 30, "{} homes", homes.len());
 }
--- a/crates/router/tests/timeout_detection.rs
+++ b/crates/router/tests/timeout_detection.rs
@@ -1,69 +1,182 @@
-//! When a server that gives no sign of life is taken for silent, and when it is only busy.
+//! Outlier detection by time-out: which servers are unresponsive, which are only busy, and which attempts are lost.
 
 mod common;
 
 use common::*;
 use glenrail_router::*;
 
-/// The class that does not mind to wait behind a long prompt.
+/// The class of [`router_with_known_service_time`] that may wait behind a long prompt.
 const PATIENT: u32 = 1;
 
-/// One of so many routers, of which each has learned that a token takes a tenth of a millisecond to read.
-fn taught(routers: u32) -> Rig {
-    let mut settings = Settings { router_count: routers, ..settings() };
+/// One of so many routers, which has measured that a token takes a tenth of a millisecond to prefill.
+fn router_with_known_service_time(router_count: u32) -> TestRouter {
+    let mut settings = Settings { router_count, ..settings() };
     settings.classes.iter_mut().for_each(|class| class.latency_objective_per_1000_tokens = 200.0);
     settings.classes[PATIENT as usize].latency_objective = 10_000.0;
-    let mut rig = Rig::new(settings, fleet());
+    let mut router = TestRouter::new(settings, sample_servers());
     for id in 100..140 {
-        rig.at(rig.now + 300.0);
-        let home = rig.read_at(ask(id));
-        let actions = rig.give(Event::Outcome(AttemptOutcome {
-            id: RequestId(id),
-            attempt: 0,
-            server: ServerId(home),
-            status: AttemptStatus::Prefilled,
-            elapsed: 250.0,
-            note: 0.0,
-            closed: false,
-            delivered: true,
-            report: None,
-        }));
-        rig.give(Event::ClientDisconnected { id: RequestId(id) });
-        rig.outcome(id, 1, sent(&actions).expect("a write"), AttemptStatus::Cancelled);
+        router.at_time(router.now + 300.0);
+        let prefill_server = router.prefill_server_for(sample_request(id));
+        let actions = router.prefilled_after(id, prefill_server, 250.0);
+        router.disconnect(id);
+        let decode_server = sent_to(&actions).expect("a decode server");
+        router.outcome(id, 1, decode_server, AttemptStatus::Cancelled);
     }
-    rig
+    router
 }
 
-/// When the only attempt of this request is called back, from now on, if it is within so many milliseconds.
-fn called_back(rig: &mut Rig, id: u64, within: u32) -> Option<Millis> {
-    let from = rig.now;
-    (1..within / 100).map(|tick| f64::from(tick) * 100.0).find(|after| {
-        rig.at(from + after).timer(1 << 52).contains(&Action::Cancel { id: RequestId(id), attempt: 0 })
-    })
+/// After what time from now on the first attempt of a request is cancelled, if within so many milliseconds.
+fn cancelled_after(router: &mut TestRouter, id: u64, within: u32) -> Option<Millis> {
+    let start = router.now;
+    let cancel = Action::Cancel { id: RequestId(id), attempt: 0 };
+    let mut ticks = (1..within / 100).map(|tick| f64::from(tick) * 100.0);
+    ticks.find(|elapsed| router.at_time(start + elapsed).run_housekeeping().contains(&cancel))
 }
 
-/// Guards against reading a long prompt in vain: the reader works through it and says nothing for longer than an idle one
-/// may, and a router that calls it back has it read from the start elsewhere, to be called back there.
+/// Guards against a long prefill in vain: the server works on it without a sign of life for longer than an idle one may,
+/// and a router that cancels it has it started over elsewhere, to be cancelled there.
 #[test]
-fn a_long_prompt_is_not_called_back_while_it_is_read() {
-    for routers in [2, 300] {
-        let mut rig = taught(routers);
-        let long = Request { prompt_tokens: 40_000.0, prefix: None, client_timeout: 20_000.0, ..ask(1) };
-        rig.read_at(long);
-        let after = called_back(&mut rig, 1, 20_000).expect("a hung reader is found out all the same");
-        assert!((8_000.0..14_000.0).contains(&after), "{routers} routers: called back after {after} ms");
+fn a_long_prefill_is_not_cancelled_while_it_runs() {
+    for router_count in [2, 300] {
+        let mut router = router_with_known_service_time(router_count);
+        let long =
+            Request { prompt_tokens: 40_000.0, prefix: None, client_timeout: 20_000.0, ..sample_request(1) };
+        router.prefill_server_for(long);
+        let elapsed = cancelled_after(&mut router, 1, 20_000).expect("a hung server is still detected");
+        assert!(
+            (8_000.0..14_000.0).contains(&elapsed),
+            "{router_count} routers: cancelled after {elapsed} ms"
+        );
     }
 }
 
-/// What came first is read first: a short prompt behind a long one is no more a sign of silence.
+/// Prefills run in order: a short prompt behind a long one is no more a sign that the server hangs.
 #[test]
-fn a_short_prompt_behind_a_long_one_does_not_have_it_called_back() {
-    let mut rig = taught(300);
-    let long = Request { prompt_tokens: 40_000.0, prefix: None, client_timeout: 20_000.0, ..ask(1) };
-    let home = rig.read_at(long.clone());
-    rig.at(rig.now + 10.0);
+fn a_short_prompt_behind_a_long_prefill_does_not_have_it_cancelled() {
+    let mut router = router_with_known_service_time(300);
+    let long =
+        Request { prompt_tokens: 40_000.0, prefix: None, client_timeout: 20_000.0, ..sample_request(1) };
+    let server = router.prefill_server_for(long.clone());
+    router.at_time(router.now + 10.0);
     let short = Request { id: RequestId(2), prompt_tokens: 500.0, class: PATIENT, ..long };
-    assert_eq!(rig.read_at(short), home, "a session stays at its reader");
-    let after = called_back(&mut rig, 1, 20_000).expect("a hung reader is found out all the same");
-    assert!(after > 8_000.0, "called back after {after} ms");
+    assert_eq!(router.prefill_server_for(short), server, "a session stays at its server");
+    let elapsed = cancelled_after(&mut router, 1, 20_000).expect("a hung server is still detected");
+    assert!(elapsed > 8_000.0, "cancelled after {elapsed} ms");
+}
+
+/// Guards against one lost request that looks like a queue: a prefill that later ones overtake is cancelled and retried
+/// elsewhere, that of a non-idempotent request too, and the server goes on with its work.
+#[test]
+fn an_overtaken_prefill_is_cancelled_and_its_server_stays() {
+    for class in [IDEMPOTENT, NON_IDEMPOTENT] {
+        let mut router = TestRouter::with_defaults();
+        let preferred = router.prefill_server_for(Request { class, ..sample_request(1) });
+        let (mut cancelled_at, mut id) = (None, 1);
+        for tick in 1..40 {
+            router.at_time(f64::from(tick) * 100.0);
+            id += 1;
+            let actions = router.submit(sample_request(id));
+            assert!(!is_rejected(&actions), "the lost prefill is no queue");
+            let server = sent_to(&actions).expect("a send");
+            router.at_time(router.now + 50.0);
+            let decode_server = router.decode_server_after(id, server);
+            router.outcome(id, 1, decode_server, AttemptStatus::Served);
+            if router.run_housekeeping().contains(&Action::Cancel { id: RequestId(1), attempt: 0 }) {
+                cancelled_at = cancelled_at.or(Some(router.now));
+                let actions = router.outcome(1, 0, preferred, AttemptStatus::Cancelled);
+                assert_ne!(sent_to(&actions).expect("a retry"), preferred);
+                break;
+            }
+        }
+        let cancelled_at = cancelled_at.expect("cancelled");
+        assert!((300.0..1_000.0).contains(&cancelled_at), "in time for another prefill: {cancelled_at}");
+        assert!(!router.inner.is_avoided(ServerId(preferred)));
+    }
+}
+
+/// Guards what must be left alone: a prefill that nothing overtakes, and a non-idempotent request at its decode server,
+/// which may have begun though later streams there did so before it.
+#[test]
+fn slow_attempts_and_non_idempotent_ones_are_not_cancelled() {
+    let servers = vec![server_entry(11, PREFILL, 0), server_entry(21, DECODE, 0)];
+    let mut router = TestRouter::new(settings(), servers);
+    router.prefill_server_for(Request { class: NON_IDEMPOTENT, ..sample_request(1) });
+    assert_eq!(router.decode_server_after(1, 11), 21);
+    let cancels = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Cancel { .. }));
+    for id in 2..12 {
+        router.at_time(id as f64 * 100.0);
+        router.prefill_server_for(sample_request(id));
+        router.outcome(id, 0, 11, AttemptStatus::Prefilled);
+        router.first_token(id, 1, 21, 20.0);
+        assert!(!cancels(&router.run_housekeeping()), "the non-idempotent request");
+    }
+    router.prefill_server_for(sample_request(20));
+    for tick in 12..30 {
+        router.at_time(f64::from(tick) * 100.0);
+        assert!(!cancels(&router.run_housekeeping()), "the prefill");
+    }
+}
+
+#[test]
+fn an_unresponsive_server_is_avoided_and_its_prefills_are_cancelled() {
+    let mut router = TestRouter::with_defaults();
+    let preferred = router.prefill_server_for(sample_request(1));
+    let mut cancelled = false;
+    for tick in 1..60 {
+        router.at_time(f64::from(tick) * 100.0);
+        let actions = router.run_housekeeping();
+        cancelled |= actions.contains(&Action::Cancel { id: RequestId(1), attempt: 0 });
+        if cancelled {
+            break;
+        }
+    }
+    assert!(cancelled && router.now < 4_000.0, "in time for a retry");
+    let retry = sent_to(&router.outcome(1, 0, preferred, AttemptStatus::Cancelled)).expect("a retry");
+    assert_ne!(retry, preferred);
+}
+
+/// Guards the detection of a dead server where deadlines are short beside objectives: it is unresponsive before its
+/// attempts have timed out, which does not count against it.
+#[test]
+fn an_unresponsive_server_is_ejected_before_a_short_deadline() {
+    let class =
+        RequestClass { latency_objective: 1_500.0, deadline: 2_000.0, ..settings().classes[0].clone() };
+    let mut router = TestRouter::new(Settings { classes: vec![class], ..settings() }, sample_servers());
+    // Long after the list, which was a sign of life.
+    router.at_time(10_000.0);
+    let preferred = router.prefill_server_for(Request { client_timeout: 2_000.0, ..sample_request(1) });
+    let mut ejected_at = None;
+    for tick in 1..20 {
+        router.at_time(10_000.0 + f64::from(tick) * 100.0).run_housekeeping();
+        let is_avoided = router.inner.is_avoided(ServerId(preferred));
+        ejected_at = ejected_at.or(is_avoided.then_some(router.now));
+    }
+    assert!(ejected_at.is_some_and(|time| time > 11_000.0), "{ejected_at:?}");
+}
+
+/// Guards a server that has restarted against the silence of its old process: it is not ejected for work that it never
+/// got, and a prefill that was lost with the old process is cancelled in time for another.
+#[test]
+fn a_restarted_server_is_not_ejected_for_the_waits_of_its_old_process() {
+    let mut router = TestRouter::with_defaults();
+    let preferred = router.prefill_server_for(sample_request(1));
+    let listed =
+        sample_servers().into_iter().find(|entry| entry.server.0 == preferred).expect("it is listed");
+    router.at_time(100.0);
+    let restarted = ServerEntry { started: Some(90.0), ..listed };
+    router.update_servers(ListUpdate::Delta, vec![restarted]);
+    let mut cancelled_at = None;
+    for tick in 2..60 {
+        router.at_time(f64::from(tick) * 100.0);
+        let actions = router.run_housekeeping();
+        assert!(!router.inner.is_avoided(ServerId(preferred)), "at {}", router.now);
+        if cancelled_at.is_none() && actions.contains(&Action::Cancel { id: RequestId(1), attempt: 0 }) {
+            cancelled_at = Some(router.now);
+            let retry = sent_to(&router.outcome(1, 0, preferred, AttemptStatus::Cancelled)).expect("a retry");
+            assert_ne!(retry, preferred);
+            router.disconnect(1);
+            router.outcome(1, 1, retry, AttemptStatus::Cancelled);
+        }
+    }
+    assert!(cancelled_at.is_some_and(|time| time < 1_000.0), "{cancelled_at:?}");
 }
--- a/crates/router/tests/without_load_reports.rs
+++ b/crates/router/tests/without_load_reports.rs
@@ -1,5 +1,5 @@
-//! A few routers that are told nothing of the servers' load and may not ask: what they go by is what became of their own
-//! requests. Simulated time, fixed seeds, no sockets.
+//! A few routers that get no load reports and may not probe: they go by the outcomes of their own requests. Simulated
+//! time, fixed seeds, no sockets.
 
 mod common;
 
@@ -9,225 +9,253 @@
 use common::*;
 use glenrail_router::*;
 
-/// Reads go on, and cost their server, when they have been called back.
-/// A mixed server takes so long (ms) for a thousand tokens that it reads, one prompt after the other, and then streams.
-const READ_PER_K: u64 = 50;
-const STREAM: u64 = 400;
-const ENGINES: u64 = 5;
+/// A mixed server takes so long (ms) for the prefill of a thousand tokens, one prompt after the other, and then streams.
+/// A prefill goes on, and costs its server, when it has been cancelled.
+const PREFILL_PER_1000_TOKENS: u64 = 50;
+const STREAM_TIME: u64 = 400;
+const SERVERS: u64 = 5;
 const ROUTERS: u64 = 3;
-const SLOW: u64 = 8;
+/// The slow server takes so many times as long.
+const SLOWNESS: u64 = 8;
+/// End of a run (ms).
+const END: u64 = 60_000;
+/// A first token after this time is late (ms).
+const OBJECTIVE: Millis = 1_000.0;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    Arrives { request: u64 },
+enum Occurrence {
+    Arrival { id: u64 },
     Timer { key: u64 },
-    Begins { id: u64, attempt: u32, server: u64 },
-    Ends { id: u64, attempt: u32, server: u64 },
+    FirstToken { id: u64, attempt: u32, server: u64 },
+    Served { id: u64, attempt: u32, server: u64 },
 }
 
-/// What became of the requests: first tokens after the aim, refusals, all; by class.
+/// What became of the requests of a class.
 #[derive(Default, Debug, Clone, Copy)]
-struct Tally {
+struct Results {
     late: u32,
-    refused: u32,
-    all: u32,
+    rejected: u32,
+    total: u32,
 }
 
-struct World {
+struct MixedServer {
+    /// When the prefills that it has are done.
+    busy_until: u64,
+    slowness: u64,
+}
+
+struct Simulation {
     routers: Vec<Router>,
-    /// When each server will have read what it has in hand, and how many times as long it takes.
-    busy: BTreeMap<u64, (u64, u64)>,
-    heap: BinaryHeap<Reverse<(u64, u64, u64, What)>>,
+    servers: BTreeMap<u64, MixedServer>,
+    /// Time, order, router and what happens.
+    agenda: BinaryHeap<Reverse<(u64, u64, u64, Occurrence)>>,
     now: u64,
-    events: u64,
-    asked: BTreeMap<u64, Request>,
+    occurrences: u64,
+    requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<u64, u32>,
-    at: BTreeMap<u64, u64>,
-    tally: BTreeMap<u32, Tally>,
+    arrived_at: BTreeMap<u64, u64>,
+    /// By class.
+    results: BTreeMap<u32, Results>,
 }
 
-impl World {
-    fn new(slow: Option<u64>) -> World {
-        let limits = Limits { probes: false, ..settings().limits };
-        World::with(slow, Settings { limits, ..settings() })
+impl Simulation {
+    fn new(slow_server: Option<u64>) -> Simulation {
+        Simulation::with_settings(slow_server, settings_without_probes())
     }
 
-    fn with(slow: Option<u64>, settings: Settings) -> World {
+    fn with_settings(slow_server: Option<u64>, settings: Settings) -> Simulation {
         let settings = Settings { router_count: ROUTERS as u32, ..settings };
-        let mut routers: Vec<Router> = (0..ROUTERS).map(|n| Router::new(n + 1, settings.clone())).collect();
-        let members: Vec<ServerEntry> = (1..=ENGINES).map(|id| member(id, 2, 0)).collect();
-        let listed = Event::ServerList { update: ListUpdate::Full, servers: members };
-        routers.iter_mut().for_each(|r| r.handle(0.0, listed.clone(), &mut Vec::new()));
-        let times = |id| if slow == Some(id) { SLOW } else { 1 };
-        World {
+        let mut routers: Vec<Router> =
+            (0..ROUTERS).map(|index| Router::new(index + 1, settings.clone())).collect();
+        let servers: Vec<ServerEntry> = (1..=SERVERS).map(|id| server_entry(id, MIXED, 0)).collect();
+        let list = Event::ServerList { update: ListUpdate::Full, servers };
+        routers.iter_mut().for_each(|router| router.handle(0.0, list.clone(), &mut Vec::new()));
+        let slowness = |id| if slow_server == Some(id) { SLOWNESS } else { 1 };
+        let server = |id| (id, MixedServer { busy_until: 0, slowness: slowness(id) });
+        Simulation {
             routers,
-            busy: (1..=ENGINES).map(|id| (id, (0, times(id)))).collect(),
-            heap: BinaryHeap::new(),
+            servers: (1..=SERVERS).map(server).collect(),
+            agenda: BinaryHeap::new(),
             now: 0,
-            events: 0,
-            asked: BTreeMap::new(),
+            occurrences: 0,
+            requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            at: BTreeMap::new(),
-            tally: BTreeMap::new(),
+            arrived_at: BTreeMap::new(),
+            results: BTreeMap::new(),
         }
     }
 
-    fn push(&mut self, at: u64, router: u64, what: What) {
-        self.events += 1;
-        self.heap.push(Reverse((at, self.events, router, what)));
+    fn schedule(&mut self, time: u64, router: u64, occurrence: Occurrence) {
+        self.occurrences += 1;
+        self.agenda.push(Reverse((time, self.occurrences, router, occurrence)));
     }
 
-    fn arrives(&mut self, at: u64, request: Request) {
+    fn arrive(&mut self, time: u64, request: Request) {
         let (id, router) = (request.id.0, request.id.0 % ROUTERS);
-        self.asked.insert(id, request);
-        self.push(at, router, What::Arrives { request: id });
+        self.requests.insert(id, request);
+        self.schedule(time, router, Occurrence::Arrival { id });
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((at, _, router, what))) = self.heap.pop() {
-            if at > 60_000 {
+        while let Some(Reverse((time, _, router, occurrence))) = self.agenda.pop() {
+            if time > END {
                 return;
             }
-            self.now = at;
-            let event = match what {
-                What::Arrives { request } => {
-                    let ask = self.asked[&request].clone();
-                    self.at.insert(request, at);
-                    self.tally.entry(ask.class).or_default().all += 1;
-                    Event::Request(ask)
-                }
-                What::Timer { key } => Event::Timer { key },
-                What::Begins { id, attempt, server } => {
-                    self.push(at + STREAM, router, What::Ends { id, attempt, server });
-                    let elapsed = (at - self.at[&id]) as f64;
-                    if elapsed > 1_000.0 {
-                        self.tally.entry(self.asked[&id].class).or_default().late += 1;
-                    }
-                    Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
+            self.now = time;
+            let event = self.event(router, occurrence);
+            let mut actions = Vec::new();
+            self.routers[router as usize].handle(time as f64, event, &mut actions);
+            actions.into_iter().for_each(|action| self.apply(router, action));
+        }
+    }
+
+    fn event(&mut self, router: u64, occurrence: Occurrence) -> Event {
+        let now = self.now;
+        match occurrence {
+            Occurrence::Arrival { id } => {
+                let request = self.requests[&id].clone();
+                self.arrived_at.insert(id, now);
+                self.results.entry(request.class).or_default().total += 1;
+                Event::Request(request)
+            }
+            Occurrence::Timer { key } => Event::Timer { key },
+            Occurrence::FirstToken { id, attempt, server } => {
+                self.schedule(now + STREAM_TIME, router, Occurrence::Served { id, attempt, server });
+                let elapsed = (now - self.arrived_at[&id]) as f64;
+                if elapsed > OBJECTIVE {
+                    self.results_of(id).late += 1;
                 }
-                What::Ends { id, attempt, server } => Event::Outcome(AttemptOutcome {
-                    id: RequestId(id),
-                    attempt,
-                    server: ServerId(server),
-                    status: AttemptStatus::Served,
-                    elapsed: (at - self.at[&id]) as f64,
-                    note: 0.0,
-                    closed: true,
-                    delivered: true,
-                    report: None,
-                }),
-            };
-            let mut out = Vec::new();
-            self.routers[router as usize].handle(at as f64, event, &mut out);
-            out.into_iter().for_each(|action| self.act(router, action));
+                Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
+            }
+            Occurrence::Served { id, attempt, server } => Event::Outcome(AttemptOutcome {
+                id: RequestId(id),
+                attempt,
+                server: ServerId(server),
+                status: AttemptStatus::Served,
+                elapsed: (now - self.arrived_at[&id]) as f64,
+                note: 0.0,
+                closed: true,
+                delivered: true,
+                report: None,
+            }),
         }
     }
 
-    fn act(&mut self, router: u64, action: Action) {
+    fn results_of(&mut self, id: u64) -> &mut Results {
+        self.results.entry(self.requests[&id].class).or_default()
+    }
+
+    fn apply(&mut self, router: u64, action: Action) {
         match action {
-            Action::Send { id, server, .. } => {
-                let attempt = self.attempts.entry(id.0).or_default();
-                let n = *attempt;
-                *attempt += 1;
-                let (busy, times) = self.busy[&server.0];
-                let reads = (self.asked[&id.0].prompt_tokens as u64) * READ_PER_K * times / 1_000;
-                let done = busy.max(self.now) + reads;
-                self.busy.insert(server.0, (done, times));
-                self.push(done, router, What::Begins { id: id.0, attempt: n, server: server.0 });
-            }
-            Action::Reject { id, .. } => {
-                self.tally.entry(self.asked[&id.0].class).or_default().refused += 1;
+            Action::Send { id, server, .. } => self.send(router, id.0, server.0),
+            Action::Reject { id, .. } => self.results_of(id.0).rejected += 1,
+            Action::Timer { at, key, .. } => {
+                self.schedule(at.ceil() as u64, router, Occurrence::Timer { key });
             }
-            Action::Timer { at, key, .. } => self.push(at.ceil() as u64, router, What::Timer { key }),
             _ => {}
         }
     }
+
+    fn send(&mut self, router: u64, id: u64, server: u64) {
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let target = self.servers.get_mut(&server).expect("a listed server");
+        let prompt_tokens = self.requests[&id].prompt_tokens as u64;
+        let prefill_time = prompt_tokens * PREFILL_PER_1000_TOKENS * target.slowness / 1_000;
+        let done = target.busy_until.max(self.now) + prefill_time;
+        target.busy_until = done;
+        self.schedule(done, router, Occurrence::FirstToken { id, attempt, server });
+    }
 }
 
-fn request(id: u64, class: u32, prompt_tokens: f64, prefix: u64) -> Request {
-    Request { class, prompt_tokens, prefix: Some(prefix), session: 10_000 + id, ..ask(id) }
+fn settings_without_probes() -> Settings {
+    let limits = Limits { probes: false, ..settings().limits };
+    Settings { limits, ..settings() }
+}
+
+fn sized_request(id: u64, class: u32, prompt_tokens: f64, prefix: u64) -> Request {
+    Request { class, prompt_tokens, prefix: Some(prefix), session: 10_000 + id, ..sample_request(id) }
 }
 
-/// One of five mixed servers is eight times slower; nobody says so. What has its home there is read elsewhere, not refused:
-/// the others have room for all.
+/// One of five mixed servers is eight times slower, and nothing reports it. What prefers it is served elsewhere, not
+/// rejected: the others have capacity for all.
 #[test]
-fn a_slow_home_gives_way_instead_of_having_its_requests_refused() {
-    for slow in 1..=ENGINES {
-        let mut world = World::new(Some(slow));
-        (0..600).for_each(|n| world.arrives(50 * n, request(n, 0, 2_000.0, n % 11)));
-        world.run();
-        let t = world.tally[&0];
-        assert!(t.refused <= 6 && t.late <= 30, "server {slow}: {t:?}");
+fn requests_that_prefer_a_slow_server_are_served_elsewhere_instead_of_rejected() {
+    for slow_server in 1..=SERVERS {
+        let mut simulation = Simulation::new(Some(slow_server));
+        (0..600).for_each(|id| simulation.arrive(50 * id, sized_request(id, 0, 2_000.0, id % 11)));
+        simulation.run();
+        let results = simulation.results[&0];
+        assert!(results.rejected <= 6 && results.late <= 30, "server {slow_server}: {results:?}");
     }
 }
 
-/// A whole restarted router's clients come at once, all for one beginning: what this router has just sent counts at once,
-/// before any outcome tells of it.
+/// All clients of a restarted router come at once, with one prefix: what this router has just sent counts at once, before
+/// any outcome shows it.
 #[test]
-fn what_comes_at_once_is_not_all_sent_to_one_server() {
-    let mut world = World::new(None);
-    (0..60).for_each(|n| world.arrives(100 * n, request(n, 0, 2_000.0, n % 11)));
-    (0..16).for_each(|n| world.arrives(8_000 + n, request(3 * n + 999, 0, 3_000.0, 5)));
-    world.run();
-    let t = world.tally[&0];
-    assert!(t.late + t.refused <= 2, "{t:?}");
+fn a_burst_with_one_prefix_is_not_all_sent_to_one_server() {
+    let mut simulation = Simulation::new(None);
+    (0..60).for_each(|id| simulation.arrive(100 * id, sized_request(id, 0, 2_000.0, id % 11)));
+    (0..16).for_each(|n| simulation.arrive(8_000 + n, sized_request(3 * n + 999, 0, 3_000.0, 5)));
+    simulation.run();
+    let results = simulation.results[&0];
+    assert!(results.late + results.rejected <= 2, "{results:?}");
 }
 
-/// One class's prompts are twenty times longer for twenty seconds, a twentieth of all: the other class keeps being served.
+/// One class's prompts are twenty times longer for twenty seconds, a twentieth of all: the other class is still served.
 #[test]
 fn long_prompts_of_one_class_leave_the_other_its_servers() {
-    let mut world = World::new(None);
-    for n in 0..600 {
-        let long = n % 20 == 0 && (100..500).contains(&n);
-        let tokens = if long { 20_000.0 } else { 1_000.0 };
-        world.arrives(50 * n, request(n, u32::from(n % 20 == 0), tokens, n % 11));
+    let mut simulation = Simulation::new(None);
+    for id in 0..600 {
+        let is_long = id % 20 == 0 && (100..500).contains(&id);
+        let prompt_tokens = if is_long { 20_000.0 } else { 1_000.0 };
+        let class = u32::from(id % 20 == 0);
+        simulation.arrive(50 * id, sized_request(id, class, prompt_tokens, id % 11));
     }
-    world.run();
-    let t = world.tally[&0];
-    assert!(f64::from(t.late + t.refused) < 0.05 * f64::from(t.all), "{t:?}");
+    simulation.run();
+    let results = simulation.results[&0];
+    let lost = f64::from(results.late + results.rejected);
+    assert!(lost < 0.05 * f64::from(results.total), "{results:?}");
 }
 
-/// Writers that report nothing keep first tokens waiting: states go to a mixed server while that lasts, and not before.
+/// Decode servers that report nothing keep first tokens waiting: states go to a mixed server while that lasts, and not
+/// before.
 #[test]
-fn states_go_to_a_mixed_server_while_all_writers_are_seen_to_be_waited_for() {
-    for (first, mixed) in [(20.0, false), (1_200.0, true)] {
-        let limits = Limits { probes: false, ..settings().limits };
-        let members = fleet().into_iter().chain([member(31, 2, 0)]).collect();
-        let mut rig = Rig::new(Settings { limits, ..settings() }, members);
+fn states_go_to_a_mixed_server_while_all_decode_servers_have_waits() {
+    for (first_token, expect_mixed) in [(20.0, false), (1_200.0, true)] {
+        let servers = sample_servers().into_iter().chain([server_entry(31, MIXED, 0)]).collect();
+        let mut router = TestRouter::new(settings_without_probes(), servers);
         let mut at_mixed = 0;
         for id in 1..60 {
-            rig.at(id as f64 * 40.0);
-            let Some(reader) = sent(&rig.request(ask(id))).filter(|to| READERS.contains(to)) else {
-                continue;
-            };
-            let writer = sent(&rig.outcome(id, 0, reader, AttemptStatus::Prefilled)).expect("a writer");
-            at_mixed += u32::from(writer == 31);
-            let server = ServerId(writer);
-            rig.give(Event::FirstToken { id: RequestId(id), attempt: 1, server, elapsed: first });
-            rig.outcome(id, 1, writer, AttemptStatus::Served);
+            router.at_time(id as f64 * 40.0);
+            let server = sent_to(&router.submit(sample_request(id)));
+            let Some(prefill_server) = server.filter(|id| PREFILL_SERVERS.contains(id)) else { continue };
+            let decode_server = router.decode_server_after(id, prefill_server);
+            at_mixed += u32::from(decode_server == 31);
+            router.first_token(id, 1, decode_server, first_token);
+            router.outcome(id, 1, decode_server, AttemptStatus::Served);
         }
-        assert_eq!(
-            at_mixed > 0,
-            mixed,
-            "{at_mixed} states at the mixed server, first token after {first} ms"
-        );
+        let case = format!("{at_mixed} states at the mixed server, first token after {first_token} ms");
+        assert_eq!(at_mixed > 0, expect_mixed, "{case}");
     }
 }
 
-/// A tenant at five times its share beside two within theirs, where the servers cannot bear it all: it alone is refused.
+/// A tenant at five times its quota beside two within theirs, where the servers cannot bear it all: it alone is rejected.
 #[test]
-fn a_tenant_far_over_its_share_does_not_take_the_others_places() {
+fn a_tenant_far_over_its_quota_does_not_use_the_others_capacity() {
     let tenants = [2.0, 20.0, 20.0].map(|allowance_per_s| Tenant { allowance_per_s }).to_vec();
-    let limits = Limits { probes: false, ..settings().limits };
-    let mut world = World::with(None, Settings { tenants, limits, ..settings() });
-    // Ten a second of the first, ten of the two others together; the servers read some fourteen of these in a second.
+    let settings = Settings { tenants, ..settings_without_probes() };
+    let mut simulation = Simulation::with_settings(None, settings);
+    // Ten a second of the first, ten of the two others together; the servers do some fourteen of these in a second.
     for n in 0..800 {
         let tenant = if n % 2 == 0 { 0 } else { 1 + (n / 2 % 2) as u32 };
         let class = u32::from(tenant > 0);
-        world.arrives(50 * n, Request { tenant, ..request(n * 7 + n % 3, class, 7_000.0, n % 11) });
+        let request = sized_request(n * 7 + n % 3, class, 7_000.0, n % 11);
+        simulation.arrive(50 * n, Request { tenant, ..request });
     }
-    world.run();
-    let (over, within) = (world.tally[&0], world.tally[&1]);
-    let lost = |t: Tally| f64::from(t.late + t.refused) / f64::from(t.all);
+    simulation.run();
+    let (over, within) = (simulation.results[&0], simulation.results[&1]);
+    let lost = |results: Results| f64::from(results.late + results.rejected) / f64::from(results.total);
     assert!(lost(within) < 0.25 && lost(over) > 2.0 * lost(within), "{over:?} {within:?}");
 }
