--- a/crates/router/tests/slow_start/main.rs
+++ b/crates/router/tests/slow_start/main.rs
@@ -1,6 +1,6 @@
-//! What all routers together send to servers that have just started stays under what makes one fall over, though none
-//! sees the others: few routers and many, with and without looks, bursts, hot beginnings, words that come late, routers
-//! begun anew, and a zone that returns. Simulated time, fixed seeds, no sockets.
+//! What all routers together send to servers that have just started stays below what overloads one, though none sees the
+//! others: few routers and many, with and without probes, bursts, popular prefixes, late load reports, restarted routers,
+//! and a zone that returns. Simulated time, fixed seeds, no sockets.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -9,118 +9,114 @@
 
 use proptest::prelude::*;
 use scenario::*;
-use simulation::*;
+use simulation::{Peaks, Simulation};
 
-/// The highest share of the limit at any cold reader and any cold writer.
-fn worst(day: Day) -> (f64, f64) {
-    let play = Play::of(day).run();
-    (play.pressed(true), play.pressed(false))
+/// Asserts that what was sent to a starting server in any window stays under the bound N of the settings and
+/// 2 x root of N + 2.
+fn assert_below_limit(scenario: Scenario, case: &str) {
+    let Peaks { prefill, decode } = Simulation::new(scenario).run();
+    assert!(prefill < 1.0 && decode < 1.0, "{case}: {prefill} {decode}");
 }
 
-/// Every kind of day with so many routers, with probes and without: what is sent to a cold server in any window stays
-/// under what the settings allow it then, N, and 2 x root of N + 2. Fixed seeds: the bound leaves room for chance, and
-/// chance may use it up once in thousands of days.
-fn every_day_holds(routers: usize, seeds: std::ops::Range<u64>) {
-    for (seed, (n, (name, day))) in
-        seeds.flat_map(|seed| days().into_iter().enumerate().map(move |d| (seed, d)))
-    {
-        let (rules, a_second) =
-            (RULES[(seed as usize + n) % 3], 1.0 + (1.7 * (seed as f64 + n as f64)) % 5.0);
-        let day = sized(
-            routers,
-            Day { seed, rules, a_second, probes: (seed + n as u64 / 3).is_multiple_of(2), ..day },
-        );
-        let (readers, writers) = worst(day);
-        assert!(readers < 1.0 && writers < 1.0, "{name}, {routers} routers, {seed}: {readers} {writers}");
+/// Every kind of scenario with so many routers, with probes and without. Fixed seeds: the limit leaves room for chance, and
+/// chance may use it up once in thousands of runs.
+fn every_scenario_stays_below_the_limit(routers: usize, seeds: std::ops::Range<u64>) {
+    for seed in seeds {
+        for (index, (name, scenario)) in scenarios().into_iter().enumerate() {
+            let rules = RULES[(seed as usize + index) % 3];
+            let rate_per_s = 1.0 + (1.7 * (seed as f64 + index as f64)) % 5.0;
+            let probes = (seed + index as u64 / 3).is_multiple_of(2);
+            let scenario = Scenario { seed, rules, rate_per_s, probes, ..scenario };
+            assert_below_limit(sized(routers, scenario), &format!("{name}, {routers} routers, {seed}"));
+        }
     }
 }
 
 #[test]
-fn three_routers_keep_cold_engines_up() {
-    every_day_holds(3, 0..6);
+fn three_routers_do_not_overload_starting_servers() {
+    every_scenario_stays_below_the_limit(3, 0..6);
 }
 
 #[test]
-fn four_routers_keep_cold_engines_up() {
-    every_day_holds(4, 0..6);
+fn four_routers_do_not_overload_starting_servers() {
+    every_scenario_stays_below_the_limit(4, 0..6);
 }
 
 #[test]
-fn twenty_routers_keep_cold_engines_up() {
-    every_day_holds(20, 0..4);
+fn twenty_routers_do_not_overload_starting_servers() {
+    every_scenario_stays_below_the_limit(20, 0..4);
 }
 
 #[test]
-fn thirty_routers_keep_cold_engines_up() {
-    every_day_holds(30, 0..4);
+fn thirty_routers_do_not_overload_starting_servers() {
+    every_scenario_stays_below_the_limit(30, 0..4);
 }
 
 #[test]
-fn a_hundred_routers_keep_cold_engines_up() {
-    every_day_holds(100, 0..2);
+fn a_hundred_routers_do_not_overload_starting_servers() {
+    every_scenario_stays_below_the_limit(100, 0..2);
 }
 
 #[test]
-fn three_hundred_routers_keep_cold_engines_up() {
-    every_day_holds(300, 0..2);
+fn three_hundred_routers_do_not_overload_starting_servers() {
+    every_scenario_stays_below_the_limit(300, 0..2);
 }
 
-/// Guards the share of routers that may go by one old word: a quarter of what is asked for begins alike, a cold server is
-/// its first home, and reports are as old as the deployments make them.
+/// Guards the share of routers that may go by one old load report: a quarter of all requests have the same prefix, a
+/// starting server is its first preferred server, and reports are as old as the deployments make them.
 #[test]
-fn a_hot_beginning_whose_home_is_cold_does_not_push_it_over() {
-    for (routers, servers, cold, a_second, seed) in
+fn a_popular_prefix_does_not_overload_its_starting_server() {
+    for (routers, servers, starting, rate_per_s, seed) in
         [(30, 16, 3, 3.0, 1), (100, 24, 4, 10.0, 14), (100, 24, 4, 10.0, 16)]
     {
-        let (readers, writers) = worst(Day { routers, servers, cold, a_second, seed, ..HOT });
-        assert!(readers < 1.0 && writers < 1.0, "{routers}, {seed}: {readers} {writers}");
+        let scenario = Scenario { routers, servers, starting, rate_per_s, seed, ..POPULAR_PREFIX };
+        assert_below_limit(scenario, &format!("{routers}, {seed}"));
     }
 }
 
-/// The hard case: 300 routers are told of eight cold engines of each role at once, and in the same second a third of
-/// them begin anew and forget what they have sent; reports as old as the deployments make them, a quarter of what is asked
-/// for begins alike, and half as much again comes for two seconds.
+/// The hard case: 300 routers learn of eight starting servers of each role at once, and in the same second a third of them
+/// restart and forget what they have sent; reports are as old as the deployments make them, a quarter of all requests have
+/// the same prefix, and half as much traffic again comes for two seconds.
 #[test]
-fn three_hundred_routers_keep_eight_cold_engines_up_though_a_third_begin_anew() {
-    let day = Day { hot: 0.25, refresh: 640.0, look: 210.0, anew: A_THIRD_ANEW, ..DAY };
-    let (readers, writers) = worst(day);
-    assert!(readers < 1.0 && writers < 1.0, "{readers} {writers}");
+fn three_hundred_routers_do_not_overload_eight_starting_servers_though_a_third_restart() {
+    assert_below_limit(Scenario { router_restarts: A_THIRD_RESTARTS, ..POPULAR_PREFIX }, "a third restarts");
 }
 
-/// Plays days of a hundred routers on reports that are up to a second old, each with its seed, cold servers and hot share.
-fn late(days: &[(u64, usize, f64)]) {
-    for &(seed, cold, hot) in days {
-        let few = Day { routers: 100, servers: 24, cold, ..DAY };
-        let day = Day { a_second: 10.0, refresh: 1_000.0, hot, seed, ..few };
-        let (readers, writers) = worst(day);
-        assert!(readers < 1.0 && writers < 1.0, "{seed}: {readers} {writers}");
-    }
+/// Runs a hundred routers on load reports that are up to a second old.
+fn assert_below_limit_on_late_reports(seed: u64, starting: usize, popular_share: f64) {
+    let fleet = Scenario { routers: 100, servers: 24, starting, ..BASE };
+    let scenario = Scenario { rate_per_s: 10.0, report_interval: 1_000.0, popular_share, seed, ..fleet };
+    assert_below_limit(scenario, &format!("{seed}"));
 }
 
-/// Guards against routers that all go by one old word: a cell's to its cold writer.
+/// Guards against routers that all go by one old load report: those of a cell, at its starting decode server.
 #[test]
-fn words_that_come_late_keep_cold_engines_up() {
-    late(&[(1, 8, 0.0), (8, 8, 0.0)]);
+fn late_load_reports_do_not_overload_starting_servers() {
+    assert_below_limit_on_late_reports(1, 8, 0.0);
+    assert_below_limit_on_late_reports(8, 8, 0.0);
 }
 
-/// The same of those with a hot beginning, to its cold home.
+/// The same for those with a popular prefix, at its preferred server that starts.
 #[test]
-fn words_that_come_late_keep_a_hot_beginnings_home_up() {
-    late(&[(2, 4, 0.25), (4, 4, 0.25)]);
+fn late_load_reports_do_not_overload_the_starting_server_of_a_popular_prefix() {
+    assert_below_limit_on_late_reports(2, 4, 0.25);
+    assert_below_limit_on_late_reports(4, 4, 0.25);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(12))]
 
-    /// Three routers that may not look, as one of the deployments has: whenever the burst comes and how large it is, and
-    /// whichever of them begin anew.
+    /// Three routers that may not probe, as one of the deployments has: whenever a burst comes and however large it is,
+    /// and whichever of them restart.
     #[test]
-    fn few_routers_keep_cold_engines_up_by_their_credit(
-        seed in 1u64..1_000_000, from in 0.0..6.0f64, times in 1.0..8.0f64, anew: bool, a_second in 2.0..20.0f64,
+    fn few_routers_do_not_overload_starting_servers_by_their_credit(
+        seed in 1u64..1_000_000, start in 0.0..6.0f64, factor in 1.0..8.0f64, restart: bool, rate_per_s in 2.0..20.0f64,
     ) {
-        let anew = if anew { Anew { from, ..A_THIRD_ANEW } } else { NONE_ANEW };
-        let (burst, few) = ((from, times), Day { routers: 3, servers: 10, cold: 2, probes: false, ..DAY });
-        let (readers, writers) = worst(Day { burst, anew, a_second, seed, ..few });
-        prop_assert!(readers < 1.0 && writers < 1.0, "{readers} {writers}");
+        let router_restarts = if restart { RouterRestarts { start, ..A_THIRD_RESTARTS } } else { NO_RESTARTS };
+        let burst = Burst { start, factor };
+        let few = Scenario { routers: 3, servers: 10, starting: 2, probes: false, ..BASE };
+        let scenario = Scenario { burst, router_restarts, rate_per_s, seed, ..few };
+        let Peaks { prefill, decode } = Simulation::new(scenario).run();
+        prop_assert!(prefill < 1.0 && decode < 1.0, "{prefill} {decode}");
     }
 }
--- a/crates/router/tests/slow_start/scenario.rs
+++ b/crates/router/tests/slow_start/scenario.rs
@@ -1,89 +1,115 @@
-//! A day of the cold servers: who is there, what is asked for, and what goes wrong.
+//! Scenarios of servers that start: how many routers and servers, what traffic, and what goes wrong.
 
-/// Routers that begin anew: this share of them, within so long (s), so many times, one round after the other.
+/// Routers that restart: this share of them, within so long, in so many rounds one after the other.
 #[derive(Clone, Copy)]
-pub struct Anew {
-    /// After the start of the cold servers (s).
-    pub from: f64,
+pub struct RouterRestarts {
+    /// Begin of the first round, in seconds after the start of the servers.
+    pub start: f64,
+    /// Share of all routers that restart in each round.
     pub share: f64,
+    /// Length of a round, in seconds.
     pub within: f64,
     pub rounds: usize,
 }
 
-pub const NONE_ANEW: Anew = Anew { from: 0.0, share: 0.0, within: 1.0, rounds: 0 };
-pub const A_THIRD_ANEW: Anew = Anew { share: 1.0 / 3.0, rounds: 1, ..NONE_ANEW };
-pub const ALL_ANEW: Anew = Anew { share: 1.0, rounds: 1, ..NONE_ANEW };
+pub const NO_RESTARTS: RouterRestarts = RouterRestarts { start: 0.0, share: 0.0, within: 1.0, rounds: 0 };
+pub const A_THIRD_RESTARTS: RouterRestarts = RouterRestarts { share: 1.0 / 3.0, rounds: 1, ..NO_RESTARTS };
+pub const ALL_RESTART: RouterRestarts = RouterRestarts { share: 1.0, rounds: 1, ..NO_RESTARTS };
 
-/// One day: who is there, what is asked for, and how late words are.
+/// More traffic for two seconds.
 #[derive(Clone, Copy)]
-pub struct Day {
+pub struct Burst {
+    /// Its begin, in seconds after the start of the servers.
+    pub start: f64,
+    /// The traffic is so many times the usual.
+    pub factor: f64,
+}
+
+/// The settings that bound slow start.
+#[derive(Clone, Copy)]
+pub struct SlowStartRules {
+    pub overload_multiple: f64,
+    /// In milliseconds.
+    pub overload_window: f64,
+    pub initial_share: f64,
+}
+
+/// One scenario.
+#[derive(Clone, Copy)]
+pub struct Scenario {
     pub routers: usize,
-    /// Readers, and as many writers; so many of each start anew.
+    /// Prefill servers, and as many decode servers.
     pub servers: usize,
-    pub cold: usize,
+    /// How many of each role start during the run.
+    pub starting: usize,
     pub probes: bool,
-    /// What a warm server can do a second, and the share of what all can do that is asked for.
-    pub a_second: f64,
-    pub asked: f64,
-    /// Times as much is asked for from then on (s after the start), for two seconds.
-    pub burst: (f64, f64),
-    /// The share of requests with one and the same beginning.
-    pub hot: f64,
-    /// A report is refreshed so often, and a look takes so long at the most (ms).
-    pub refresh: f64,
-    pub look: f64,
-    pub anew: Anew,
-    /// The cold servers are a zone that was away, and what each router still keeps of connections to it is dead.
-    pub zone: bool,
-    /// The settings' multiple, window and share that a cold server begins with.
-    pub rules: (f64, f64, f64),
+    /// Requests a second that a server completes at full capacity.
+    pub rate_per_s: f64,
+    /// Traffic, as a share of what all servers can do.
+    pub utilization: f64,
+    pub burst: Burst,
+    /// Share of requests with one and the same prefix.
+    pub popular_share: f64,
+    /// Interval at which a load report is renewed (ms).
+    pub report_interval: f64,
+    /// Longest time that the answer to a probe takes (ms).
+    pub probe_time: f64,
+    pub router_restarts: RouterRestarts,
+    /// The starting servers are a zone that was unreachable, and each router's open connections to it are dead.
+    pub zone_returns: bool,
+    pub rules: SlowStartRules,
     pub seed: u64,
 }
 
-pub const DAY: Day = Day {
+pub const BASE: Scenario = Scenario {
     routers: 300,
     servers: 48,
-    cold: 8,
+    starting: 8,
     probes: true,
-    a_second: 3.0,
-    asked: 0.7,
-    burst: (1.0, 1.5),
-    hot: 0.0,
-    refresh: 300.0,
-    look: 120.0,
-    anew: NONE_ANEW,
-    zone: false,
-    rules: (2.5, 1_500.0, 0.27),
+    rate_per_s: 3.0,
+    utilization: 0.7,
+    burst: Burst { start: 1.0, factor: 1.5 },
+    popular_share: 0.0,
+    report_interval: 300.0,
+    probe_time: 120.0,
+    router_restarts: NO_RESTARTS,
+    zone_returns: false,
+    rules: RULES[0],
     seed: 1,
 };
 
-/// The settings' multiple, window and share to begin with: two of the deployments', and a third's.
-pub const RULES: [(f64, f64, f64); 3] = [(2.5, 1_500.0, 0.27), (4.0, 2_000.0, 0.26), (4.0, 3_000.0, 0.31)];
-/// Reports as old as the deployments make them.
-pub const OLD: Day = Day { refresh: 640.0, look: 210.0, ..DAY };
-pub const HOT: Day = Day { hot: 0.25, ..OLD };
+/// The rules of two of the deployments, and a third's.
+pub const RULES: [SlowStartRules; 3] = [
+    SlowStartRules { overload_multiple: 2.5, overload_window: 1_500.0, initial_share: 0.27 },
+    SlowStartRules { overload_multiple: 4.0, overload_window: 2_000.0, initial_share: 0.26 },
+    SlowStartRules { overload_multiple: 4.0, overload_window: 3_000.0, initial_share: 0.31 },
+];
+/// Load reports as old as the deployments make them.
+pub const OLD_REPORTS: Scenario = Scenario { report_interval: 640.0, probe_time: 210.0, ..BASE };
+pub const POPULAR_PREFIX: Scenario = Scenario { popular_share: 0.25, ..OLD_REPORTS };
 
-/// A fleet of so many routers before as many servers as they would have, a sixth of them cold, or half where a zone returns.
-pub fn sized(routers: usize, day: Day) -> Day {
+/// A fleet of so many routers with as many servers as they would have. A sixth of them start, or half where a zone returns.
+pub fn sized(routers: usize, scenario: Scenario) -> Scenario {
     let servers = match routers {
         0..10 => 8,
         10..25 => 12,
         25..50 => 18,
         _ => 24,
     };
-    Day { routers, servers, cold: if day.zone { servers / 2 } else { servers / 6 }, ..day }
+    let starting = if scenario.zone_returns { servers / 2 } else { servers / 6 };
+    Scenario { routers, servers, starting, ..scenario }
 }
 
-pub fn days() -> Vec<(&'static str, Day)> {
-    // 97 in a hundred begin anew within 1.5 s, and again, and again.
-    let again = Anew { share: 0.97, within: 1.5, rounds: 4, ..NONE_ANEW };
+/// Every kind of scenario, by name.
+pub fn scenarios() -> Vec<(&'static str, Scenario)> {
+    let repeated = RouterRestarts { share: 0.97, within: 1.5, rounds: 4, ..NO_RESTARTS };
     vec![
-        ("quiet", OLD),
-        ("rush", Day { burst: (1.0, 2.5), ..OLD }),
-        ("hot", HOT),
-        ("a third anew", Day { anew: A_THIRD_ANEW, ..OLD }),
-        ("all anew", Day { anew: ALL_ANEW, ..OLD }),
-        ("anew again and again", Day { anew: again, ..OLD }),
-        ("zone", Day { zone: true, ..OLD }),
+        ("quiet", OLD_REPORTS),
+        ("burst", Scenario { burst: Burst { start: 1.0, factor: 2.5 }, ..OLD_REPORTS }),
+        ("popular prefix", POPULAR_PREFIX),
+        ("a third restarts", Scenario { router_restarts: A_THIRD_RESTARTS, ..OLD_REPORTS }),
+        ("all restart", Scenario { router_restarts: ALL_RESTART, ..OLD_REPORTS }),
+        ("repeated restarts", Scenario { router_restarts: repeated, ..OLD_REPORTS }),
+        ("zone returns", Scenario { zone_returns: true, ..OLD_REPORTS }),
     ]
 }
--- a/crates/router/tests/slow_start/simulation.rs
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -1,5 +1,5 @@
-//! The world that the cold days are played in: routers that see nothing of each other, servers that report late, some of
-//! which start anew. Simulated time, fixed seeds.
+//! The environment that the scenarios run in: routers that see nothing of each other, and servers that report late, some of
+//! which start during the run. Simulated time, fixed seeds.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -11,94 +11,118 @@
 
 mod starts;
 
-/// The cold servers start then (ms), and what was sent to them is counted up to the end.
+/// The starting servers start then (ms) ...
 const STARTED: f64 = 6_000.0;
+/// ... and what is sent to them is counted up to here.
 const END: f64 = 14_000.0;
-/// A zone that returns was away for so long before (ms); who calls it then waits so long.
-const AWAY: f64 = 5_000.0;
-const DIAL: f64 = 250.0;
-/// A stream takes so long on a warm writer (ms).
-const STREAM: f64 = 2_000.0;
+/// A zone that returns was unreachable for so long before (ms) ...
+const UNREACHABLE_TIME: f64 = 5_000.0;
+/// ... and a connection to it then fails after so long.
+const CONNECT_TIMEOUT: f64 = 250.0;
+/// Time of a stream at a decode server at full capacity (ms).
+const STREAM_TIME: f64 = 2_000.0;
+/// Time from a stream's begin to its first token (ms).
+const FIRST_TOKEN_TIME: f64 = 20.0;
+/// Decode servers have identifiers from here on.
+const FIRST_DECODE_SERVER: u64 = 1_000;
 
-enum What {
-    Arrives,
-    Start,
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+struct SentAttempt {
+    id: u64,
+    attempt: u32,
+    server: u64,
+}
+
+enum Occurrence {
+    Arrival,
+    ServersStart,
+    ZoneUnreachable,
     Timer(u64),
-    Told { server: u64, report: LoadReport },
-    Done { id: u64, attempt: u32, server: u64, first: bool },
-    Refuses { id: u64, attempt: u32, server: u64, reset: bool },
-    NotTold { server: u64 },
-    Away,
-    Restart,
+    ProbeAnswer {
+        server: u64,
+        report: LoadReport,
+    },
+    ProbeFailed {
+        server: u64,
+    },
+    FirstToken(SentAttempt),
+    /// The end of a prefill or of a stream.
+    Completed(SentAttempt),
+    Failed(SentAttempt, AttemptStatus),
+    RouterRestart,
 }
 
 #[derive(Default)]
 struct Server {
+    /// When each request that it has will be done.
     ends: Vec<f64>,
-    told: (f64, f64),
-    cold: bool,
-    away: bool,
+    /// Requests in flight by its last report, and when that was made.
+    reported_load: f64,
+    reported_at: f64,
+    is_starting: bool,
+    is_unreachable: bool,
+    /// When it was sent a request, each.
     sent: Vec<f64>,
 }
 
-pub struct Play {
-    day: Day,
+/// The most that was sent to any starting server of a role in any window, as a share of the limit.
+pub struct Peaks {
+    pub prefill: f64,
+    pub decode: f64,
+}
+
+pub struct Simulation {
+    scenario: Scenario,
     settings: Settings,
     routers: Vec<Router>,
     servers: BTreeMap<u64, Server>,
-    heap: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, (usize, What)>,
+    /// Time (microseconds) and number of each occurrence to come.
+    agenda: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Router and occurrence, by number.
+    occurrences: BTreeMap<u64, (usize, Occurrence)>,
+    occurrence_count: u64,
     now: f64,
-    events: u64,
-    tries: BTreeMap<u64, u32>,
+    attempts: BTreeMap<u64, u32>,
     random: u64,
-    asked: u64,
-    /// The beginning that is hot.
-    hot: u64,
-    /// Routers whose kept connection to a server is dead without their knowing.
-    stale: BTreeSet<(usize, u64)>,
+    request_count: u64,
+    popular_prefix: u64,
+    /// Routers whose open connection to a server is dead without their knowing.
+    dead_connections: BTreeSet<(usize, u64)>,
 }
 
-fn is_reader(server: u64) -> bool {
-    server < 1_000
+fn is_prefill_server(server: u64) -> bool {
+    server < FIRST_DECODE_SERVER
 }
 
-impl Play {
-    pub fn of(day: Day) -> Play {
-        let (fall_multiple, fall, cold_from) = day.rules;
-        let mut settings = Settings { router_count: day.routers as u32, ..settings() };
-        settings.limits.probes = day.probes;
-        settings.rules = Rules {
-            overload_multiple: fall_multiple,
-            overload_window: fall,
-            slow_start_initial_share: cold_from,
-            slow_start_window: 13_000.0,
-            ..settings.rules
-        };
-        let ids = (0..day.servers as u64).flat_map(|n| [100 + n, 1_100 + n]);
-        let mut play = Play {
-            day,
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Simulation {
+        let ids = (0..scenario.servers as u64).flat_map(|n| [100 + n, 1_100 + n]);
+        let mut simulation = Simulation {
+            scenario,
+            settings: scenario_settings(&scenario),
             routers: Vec::new(),
             servers: ids.map(|id| (id, Server::default())).collect(),
-            heap: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            agenda: BinaryHeap::new(),
+            occurrences: BTreeMap::new(),
+            occurrence_count: 0,
             now: 0.0,
-            events: 0,
-            tries: BTreeMap::new(),
-            random: day.seed * 7_919 + 1,
-            asked: 0,
-            hot: 0,
-            stale: BTreeSet::new(),
-            settings,
+            attempts: BTreeMap::new(),
+            random: scenario.seed * 7_919 + 1,
+            request_count: 0,
+            popular_prefix: 0,
+            dead_connections: BTreeSet::new(),
         };
-        play.hot = play.cold_home();
-        for router in 0..day.routers {
-            play.routers.push(Router::new(router as u64 + 1, play.settings.clone()));
-            play.give(router, Event::ServerList { update: ListUpdate::Full, servers: play.list() });
+        simulation.popular_prefix = simulation.prefix_of_starting_server();
+        for router in 0..scenario.routers {
+            simulation.routers.push(Router::new(router as u64 + 1, simulation.settings.clone()));
+            let servers = simulation.server_list();
+            simulation.handle(router, Event::ServerList { update: ListUpdate::Full, servers });
         }
-        play
+        simulation
     }
 
+    /// The next random number, uniform in [0, 1).
     fn unit(&mut self) -> f64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -106,193 +130,235 @@
         (self.random >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn warmth(&self, from: f64) -> f64 {
+    /// Share of its capacity that a starting server has.
+    fn capacity_share(&self, time: f64) -> f64 {
         let rules = &self.settings.rules;
-        (rules.slow_start_initial_share
-            + (1.0 - rules.slow_start_initial_share) * (from - STARTED) / rules.slow_start_window)
-            .min(1.0)
+        let growth = 1.0 - rules.slow_start_initial_share;
+        let share = rules.slow_start_initial_share + growth * (time - STARTED) / rules.slow_start_window;
+        share.min(1.0)
     }
 
-    fn at(&mut self, when: f64, router: usize, what: What) {
-        self.events += 1;
-        self.heap.push(Reverse(((when * 1_000.0) as u64, self.events)));
-        self.what.insert(self.events, (router, what));
+    fn schedule(&mut self, time: f64, router: usize, occurrence: Occurrence) {
+        self.occurrence_count += 1;
+        self.agenda.push(Reverse(((time * 1_000.0) as u64, self.occurrence_count)));
+        self.occurrences.insert(self.occurrence_count, (router, occurrence));
     }
 
-    pub fn run(mut self) -> Play {
-        self.at(0.0, 0, What::Arrives);
-        if self.day.zone {
-            self.at(STARTED - AWAY, 0, What::Away);
+    pub fn run(mut self) -> Peaks {
+        self.schedule(0.0, 0, Occurrence::Arrival);
+        if self.scenario.zone_returns {
+            self.schedule(STARTED - UNREACHABLE_TIME, 0, Occurrence::ZoneUnreachable);
         }
-        self.at(STARTED, 0, What::Start);
-        while let Some(Reverse((when, event))) = self.heap.pop() {
-            self.now = when as f64 / 1_000.0;
+        self.schedule(STARTED, 0, Occurrence::ServersStart);
+        while let Some(Reverse((time, number))) = self.agenda.pop() {
+            self.now = time as f64 / 1_000.0;
             if self.now > END {
                 break;
             }
-            if let Some((router, what)) = self.what.remove(&event) {
-                self.happen(router, what);
+            if let Some((router, occurrence)) = self.occurrences.remove(&number) {
+                self.happen(router, occurrence);
             }
         }
-        self
+        Peaks { prefill: self.peak(Role::Prefill), decode: self.peak(Role::Decode) }
     }
 
-    fn happen(&mut self, router: usize, what: What) {
-        match what {
-            What::Arrives => self.arrives(),
-            What::Away => self.leave(),
-            What::Start => self.start(),
-            What::NotTold { server } => {
+    fn happen(&mut self, router: usize, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Arrival => self.arrive(),
+            Occurrence::ZoneUnreachable => self.disconnect_zone(),
+            Occurrence::ServersStart => self.start_servers(),
+            Occurrence::Timer(key) => self.handle(router, Event::Timer { key }),
+            Occurrence::ProbeFailed { server } => {
                 let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
-                self.give(router, Event::ProbeResult { server, status, elapsed: DIAL, report: None });
+                let elapsed = CONNECT_TIMEOUT;
+                self.handle(router, Event::ProbeResult { server, status, elapsed, report: None });
             }
-            What::Refuses { id, attempt, server, reset } => {
-                let status = if reset { AttemptStatus::Reset } else { AttemptStatus::ConnectFailed };
-                let (id, server, elapsed) = (RequestId(id), ServerId(server), 1.0);
-                let outcome = AttemptOutcome {
-                    id,
-                    attempt,
-                    server,
-                    status,
-                    elapsed,
-                    note: 0.0,
-                    closed: false,
-                    delivered: status.may_have_arrived(),
-                    report: None,
-                };
-                self.give(router, Event::Outcome(outcome));
+            Occurrence::ProbeAnswer { server, report } => {
+                let (server, status) = (ServerId(server), AttemptStatus::Served);
+                let report = Some(report);
+                self.handle(router, Event::ProbeResult { server, status, elapsed: 10.0, report });
             }
-            What::Timer(key) => self.give(router, Event::Timer { key }),
-            What::Told { server, report } => {
-                let (server, report) = (ServerId(server), Some(report));
-                self.give(
-                    router,
-                    Event::ProbeResult { server, status: AttemptStatus::Served, elapsed: 10.0, report },
-                );
+            Occurrence::FirstToken(sent) => {
+                self.report(sent.server);
+                let (id, server) = (RequestId(sent.id), ServerId(sent.server));
+                let attempt = sent.attempt;
+                let elapsed = FIRST_TOKEN_TIME;
+                self.handle(router, Event::FirstToken { id, attempt, server, elapsed });
             }
-            What::Done { id, attempt, server, first } => {
-                let report = Some(self.report(server));
-                let (id, server) = (RequestId(id), ServerId(server));
-                if first {
-                    return self.give(router, Event::FirstToken { id, attempt, server, elapsed: 20.0 });
-                }
-                let status =
-                    if is_reader(server.0) { AttemptStatus::Prefilled } else { AttemptStatus::Served };
-                let closed = status == AttemptStatus::Served;
-                let outcome = AttemptOutcome {
-                    id,
-                    attempt,
-                    server,
-                    status,
-                    elapsed: 50.0,
-                    note: 0.0,
-                    closed,
-                    delivered: true,
-                    report,
+            Occurrence::Completed(sent) => {
+                let report = Some(self.report(sent.server));
+                let status = match is_prefill_server(sent.server) {
+                    true => AttemptStatus::Prefilled,
+                    false => AttemptStatus::Served,
                 };
-                self.give(router, Event::Outcome(outcome));
+                self.end_attempt(router, sent, status, 50.0, report);
             }
-            What::Restart => {
+            Occurrence::Failed(sent, status) => self.end_attempt(router, sent, status, 1.0, None),
+            Occurrence::RouterRestart => {
                 let seed = (self.unit() * 1e9) as u64 + 1;
                 self.routers[router] = Router::new(seed, self.settings.clone());
-                self.give(router, Event::ServerList { update: ListUpdate::Cached, servers: self.list() });
+                let servers = self.server_list();
+                self.handle(router, Event::ServerList { update: ListUpdate::Cached, servers });
             }
         }
     }
 
+    fn end_attempt(
+        &mut self, router: usize, sent: SentAttempt, status: AttemptStatus, elapsed: f64,
+        report: Option<LoadReport>,
+    ) {
+        let outcome = AttemptOutcome {
+            id: RequestId(sent.id),
+            attempt: sent.attempt,
+            server: ServerId(sent.server),
+            status,
+            elapsed,
+            note: 0.0,
+            closed: status == AttemptStatus::Served,
+            delivered: status.may_have_arrived(),
+            report,
+        };
+        self.handle(router, Event::Outcome(outcome));
+    }
+
     /// A request at a router, some of which get several times as many as others; then the next one.
-    fn arrives(&mut self) {
-        let n = self.asked;
-        self.asked += 1;
-        let router = (self.unit() * self.unit() * self.day.routers as f64) as usize;
-        let prefix = if self.unit() < self.day.hot { self.hot } else { 1_000 + (self.unit() * 400.0) as u64 };
-        self.give(router, Event::Request(Request { prefix: Some(prefix), ..sample_request(n) }));
-        let (from, times) = self.day.burst;
-        let since = (self.now - STARTED) / 1_000.0 - from;
-        let times = if (0.0..2.0).contains(&since) { times } else { 1.0 };
-        let a_second = self.day.asked * self.day.a_second * self.day.servers as f64 * times;
-        let gap = -(1.0 - self.unit()).ln() * 1_000.0 / a_second;
-        self.at(self.now + gap, 0, What::Arrives);
+    fn arrive(&mut self) {
+        let id = self.request_count;
+        self.request_count += 1;
+        let router = (self.unit() * self.unit() * self.scenario.routers as f64) as usize;
+        let is_popular = self.unit() < self.scenario.popular_share;
+        let prefix = if is_popular { self.popular_prefix } else { 1_000 + (self.unit() * 400.0) as u64 };
+        self.handle(router, Event::Request(request_with_prefix(id, prefix)));
+        let Scenario { utilization, rate_per_s, servers, burst, .. } = self.scenario;
+        let since_burst = (self.now - STARTED) / 1_000.0 - burst.start;
+        let factor = if (0.0..2.0).contains(&since_burst) { burst.factor } else { 1.0 };
+        let requests_per_s = utilization * rate_per_s * servers as f64 * factor;
+        let interval = -(1.0 - self.unit()).ln() * 1_000.0 / requests_per_s;
+        self.schedule(self.now + interval, 0, Occurrence::Arrival);
+    }
+
+    /// Requests that a decode server streams at a time.
+    fn stream_slots(&self) -> f64 {
+        self.scenario.rate_per_s * STREAM_TIME / 1_000.0
     }
 
-    fn report(&mut self, server: u64) -> LoadReport {
-        let (now, slots) = (self.now, self.day.a_second * STREAM / 1_000.0);
-        let Some(s) = self.servers.get_mut(&server) else { return LoadReport::default() };
-        s.ends.retain(|end| *end > now);
-        if now >= s.told.1 + self.day.refresh {
-            s.told = (s.ends.len() as f64, now);
+    /// A server's load report: its load when the report was last renewed.
+    fn report(&mut self, id: u64) -> LoadReport {
+        let (now, slots) = (self.now, self.stream_slots());
+        let Some(server) = self.servers.get_mut(&id) else { return LoadReport::default() };
+        server.ends.retain(|end| *end > now);
+        if now >= server.reported_at + self.scenario.report_interval {
+            server.reported_load = server.ends.len() as f64;
+            server.reported_at = now;
         }
-        let memory = if is_reader(server) { 0.1 } else { (s.told.0 / slots).min(1.0) };
-        LoadReport { in_flight: Some(s.told.0), memory_share: Some(memory), ..LoadReport::default() }
+        let load = server.reported_load;
+        let memory_share = if is_prefill_server(id) { 0.1 } else { (load / slots).min(1.0) };
+        LoadReport { in_flight: Some(load), memory_share: Some(memory_share), ..LoadReport::default() }
     }
 
-    fn give(&mut self, router: usize, event: Event) {
+    fn handle(&mut self, router: usize, event: Event) {
         let mut actions = Vec::new();
         self.routers[router].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => self.send(router, id.0, server.0),
-                Action::Probe { server } if self.servers.get(&server.0).is_some_and(|s| s.away) => {
-                    self.at(self.now + DIAL, router, What::NotTold { server: server.0 });
-                }
-                Action::Probe { server } if self.stale.remove(&(router, server.0)) => {
-                    self.at(self.now + 1.0, router, What::NotTold { server: server.0 });
-                }
-                Action::Probe { server } => {
-                    // Made on its half way, and told at its end.
-                    let report = self.report(server.0);
-                    let at = self.now + 5.0 + self.day.look * self.unit();
-                    self.at(at, router, What::Told { server: server.0, report });
-                }
-                Action::Timer { at, key, .. } => self.at(at, router, What::Timer(key)),
+                Action::Probe { server } => self.probe(router, server.0),
+                Action::Timer { at, key, .. } => self.schedule(at, router, Occurrence::Timer(key)),
                 _ => {}
             }
         }
     }
 
+    fn is_unreachable(&self, server: u64) -> bool {
+        self.servers.get(&server).is_some_and(|server| server.is_unreachable)
+    }
+
+    fn probe(&mut self, router: usize, server: u64) {
+        if self.is_unreachable(server) {
+            return self.schedule(self.now + CONNECT_TIMEOUT, router, Occurrence::ProbeFailed { server });
+        }
+        if self.dead_connections.remove(&(router, server)) {
+            return self.schedule(self.now + 1.0, router, Occurrence::ProbeFailed { server });
+        }
+        // The report is made now, and arrives at the end.
+        let report = self.report(server);
+        let answer_time = self.now + 5.0 + self.scenario.probe_time * self.unit();
+        self.schedule(answer_time, router, Occurrence::ProbeAnswer { server, report });
+    }
+
     fn send(&mut self, router: usize, id: u64, server: u64) {
-        let next = self.tries.entry(id).or_default();
-        let attempt = std::mem::replace(next, *next + 1);
-        if self.servers.get(&server).is_some_and(|s| s.away) {
-            return self.at(self.now + DIAL, router, What::Refuses { id, attempt, server, reset: false });
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let sent = SentAttempt { id, attempt, server };
+        if self.is_unreachable(server) {
+            let failed = Occurrence::Failed(sent, AttemptStatus::ConnectFailed);
+            return self.schedule(self.now + CONNECT_TIMEOUT, router, failed);
         }
-        if self.stale.remove(&(router, server)) {
-            return self.at(self.now + 1.0, router, What::Refuses { id, attempt, server, reset: true });
+        if self.dead_connections.remove(&(router, server)) {
+            let failed = Occurrence::Failed(sent, AttemptStatus::Reset);
+            return self.schedule(self.now + 1.0, router, failed);
         }
-        let cold = self.servers.get(&server).is_some_and(|s| s.cold);
-        let warmth = if cold { self.warmth(self.now) } else { 1.0 };
-        let (now, a_second) = (self.now, self.day.a_second);
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.sent.push(now);
-        s.ends.retain(|end| *end > now);
-        s.ends.sort_by(f64::total_cmp);
-        if is_reader(server) {
-            let end = s.ends.last().copied().unwrap_or(now) + 1_000.0 / a_second / warmth;
-            s.ends.push(end);
-            return self.at(end, router, What::Done { id, attempt, server, first: false });
+        self.serve(router, sent);
+    }
+
+    /// Schedules the events of an attempt that reaches its server.
+    fn serve(&mut self, router: usize, sent: SentAttempt) {
+        let (now, rate_per_s, slots) = (self.now, self.scenario.rate_per_s, self.stream_slots() as usize);
+        let is_starting = self.servers.get(&sent.server).is_some_and(|server| server.is_starting);
+        let capacity_share = if is_starting { self.capacity_share(now) } else { 1.0 };
+        let Some(server) = self.servers.get_mut(&sent.server) else { return };
+        server.sent.push(now);
+        server.ends.retain(|end| *end > now);
+        server.ends.sort_by(f64::total_cmp);
+        if is_prefill_server(sent.server) {
+            let end = server.ends.last().copied().unwrap_or(now) + 1_000.0 / rate_per_s / capacity_share;
+            server.ends.push(end);
+            return self.schedule(end, router, Occurrence::Completed(sent));
         }
-        let slots = (a_second * STREAM / 1_000.0) as usize;
-        let free = s.ends.len().checked_sub(slots).map_or(now, |n| s.ends[n]);
-        let end = free + STREAM / warmth;
-        s.ends.push(end);
-        self.at(free + 20.0, router, What::Done { id, attempt, server, first: true });
-        self.at(end, router, What::Done { id, attempt, server, first: false });
+        let begin = server.ends.len().checked_sub(slots).map_or(now, |index| server.ends[index]);
+        let end = begin + STREAM_TIME / capacity_share;
+        server.ends.push(end);
+        self.schedule(begin + FIRST_TOKEN_TIME, router, Occurrence::FirstToken(sent));
+        self.schedule(end, router, Occurrence::Completed(sent));
     }
 
-    /// The most that was sent to a cold server of this role in any window, by the limit: what the settings allow it at the
-    /// window's beginning, and twice its root and two for chance.
-    pub fn pressed(&self, readers: bool) -> f64 {
+    /// The most that was sent to a starting server of this role in any window, as a share of the limit: what the settings
+    /// allow it at the window's begin, and twice the root of that and two for chance.
+    fn peak(&self, role: Role) -> f64 {
+        let mut peak = 0.0f64;
+        for (id, server) in &self.servers {
+            if is_prefill_server(*id) != (role == Role::Prefill) || !server.is_starting {
+                continue;
+            }
+            let starts = server.sent.iter().filter(|time| **time >= STARTED);
+            peak = starts.map(|start| self.share_of_limit(&server.sent, *start)).fold(peak, f64::max);
+        }
+        peak
+    }
+
+    fn share_of_limit(&self, sent: &[f64], start: f64) -> f64 {
         let rules = &self.settings.rules;
-        let cold = self.servers.iter().filter(|(id, s)| is_reader(**id) == readers && s.cold);
-        let window = |sent: &[f64], from: f64| {
-            let within =
-                sent.iter().filter(|at| (from..from + rules.overload_window).contains(*at)).count() as f64;
-            let n = rules.overload_multiple * self.warmth(from) * self.day.a_second * rules.overload_window
-                / 1_000.0;
-            within / (n + 2.0 * n.sqrt() + 2.0)
-        };
-        let all = cold.flat_map(|(_, s)| s.sent.iter().map(move |at| (s, *at)));
-        let since = all.filter(|(_, at)| *at >= STARTED);
-        since.map(|(s, from)| window(&s.sent, from)).fold(0.0, f64::max)
+        let window = start..start + rules.overload_window;
+        let sent_within = sent.iter().filter(|time| window.contains(*time)).count() as f64;
+        let bound = rules.overload_multiple
+            * self.capacity_share(start)
+            * self.scenario.rate_per_s
+            * rules.overload_window
+            / 1_000.0;
+        sent_within / (bound + 2.0 * bound.sqrt() + 2.0)
     }
 }
+
+fn scenario_settings(scenario: &Scenario) -> Settings {
+    let mut settings = Settings { router_count: scenario.routers as u32, ..settings() };
+    settings.limits.probes = scenario.probes;
+    settings.rules = Rules {
+        overload_multiple: scenario.rules.overload_multiple,
+        overload_window: scenario.rules.overload_window,
+        slow_start_initial_share: scenario.rules.initial_share,
+        slow_start_window: 13_000.0,
+        ..settings.rules
+    };
+    settings
+}
--- a/crates/router/tests/slow_start/simulation/starts.rs
+++ b/crates/router/tests/slow_start/simulation/starts.rs
@@ -1,83 +1,90 @@
-//! The servers that start, and what all routers are told of them.
+//! The servers that start, and what the routers learn of them.
 
 use std::collections::BTreeSet;
 
 use glenrail_router::*;
 
-use super::*;
+use super::{is_prefill_server, Occurrence, Server, Simulation, STARTED};
+use crate::common::{probed_servers, request_with_prefix, server_entry, DECODE, PREFILL};
+use crate::scenario::RouterRestarts;
 
-impl Play {
-    /// A beginning whose first home, in the order that all routers share, will be one of the servers that start.
-    pub(super) fn cold_home(&self) -> u64 {
-        let starts = self.starting();
+impl Simulation {
+    /// A prefix whose first preferred server, in the order that all routers share, will be one of the starting servers.
+    pub(super) fn prefix_of_starting_server(&self) -> u64 {
+        let starting = self.starting_servers();
         let mut settings = Settings { router_count: 300, ..self.settings.clone() };
         settings.limits.probes = true;
-        let cold =
-            |m: ServerEntry| ServerEntry { started: starts.contains(&m.server.0).then_some(STARTED), ..m };
-        let members: Vec<ServerEntry> = self.list().into_iter().map(cold).collect();
-        let looked_at = |prefix: u64| {
-            let (mut router, mut actions) = (Router::new(1, settings.clone()), Vec::new());
-            router.handle(
-                STARTED,
-                Event::ServerList { update: ListUpdate::Full, servers: members.clone() },
-                &mut actions,
-            );
-            let ask = Request { prefix: Some(prefix), ..sample_request(prefix) };
-            router.handle(STARTED, Event::Request(ask), &mut actions);
+        let started = |entry: ServerEntry| ServerEntry {
+            started: starting.contains(&entry.server.0).then_some(STARTED),
+            ..entry
+        };
+        let servers: Vec<ServerEntry> = self.server_list().into_iter().map(started).collect();
+        let probed_for = |prefix: u64| {
+            let mut router = Router::new(1, settings.clone());
+            let mut actions = Vec::new();
+            let list = Event::ServerList { update: ListUpdate::Full, servers: servers.clone() };
+            router.handle(STARTED, list, &mut actions);
+            router.handle(STARTED, Event::Request(request_with_prefix(prefix, prefix)), &mut actions);
             probed_servers(&actions)
         };
-        let cold = |prefix: &u64| looked_at(*prefix).iter().any(|server| starts.contains(server));
-        (self.day.seed * 1_000..).find(cold).unwrap_or_default()
+        let prefers_starting =
+            |prefix: &u64| probed_for(*prefix).iter().any(|server| starting.contains(server));
+        (self.scenario.seed * 1_000..).find(prefers_starting).unwrap_or_default()
     }
 
-    /// Cells of four readers and four writers, as a list tells of them now.
-    pub(super) fn list(&self) -> Vec<ServerEntry> {
-        let line = |(id, s): (&u64, &Server)| {
-            let kind = u32::from(!is_reader(*id));
-            let started = s.cold.then_some(STARTED);
+    /// The server list as it is now: cells of four prefill servers and four decode servers.
+    pub(super) fn server_list(&self) -> Vec<ServerEntry> {
+        let entry = |(id, server): (&u64, &Server)| {
+            let kind = if is_prefill_server(*id) { PREFILL } else { DECODE };
+            let started = server.is_starting.then_some(STARTED);
             ServerEntry { cell: (*id as u32 % 100) / 4, started, ..server_entry(*id, kind, 0) }
         };
-        self.servers.iter().map(line).collect()
+        self.servers.iter().map(entry).collect()
     }
 
-    /// Some engines are new and cold, and all routers are told at once.
-    pub(super) fn start(&mut self) {
-        let starts = self.starting();
-        for (id, s) in self.servers.iter_mut().filter(|s| starts.contains(s.0)) {
-            (s.cold, s.away) = (true, false);
-            if self.day.zone {
-                s.ends.clear();
-                self.stale.extend((0..self.day.routers).map(|router| (router, *id)));
+    /// Some servers start, all routers learn of it at once, and some routers restart.
+    pub(super) fn start_servers(&mut self) {
+        let starting = self.starting_servers();
+        for (id, server) in self.servers.iter_mut().filter(|(id, _)| starting.contains(id)) {
+            server.is_starting = true;
+            server.is_unreachable = false;
+            if self.scenario.zone_returns {
+                server.ends.clear();
+                self.dead_connections.extend((0..self.scenario.routers).map(|router| (router, *id)));
             }
         }
-        for router in 0..self.day.routers {
-            let members = self.list().into_iter().filter(|m| m.started.is_some()).collect();
-            self.give(router, Event::ServerList { update: ListUpdate::Delta, servers: members });
+        for router in 0..self.scenario.routers {
+            let servers = self.server_list().into_iter().filter(|entry| entry.started.is_some()).collect();
+            self.handle(router, Event::ServerList { update: ListUpdate::Delta, servers });
         }
-        let Anew { from, share, within, rounds } = self.day.anew;
+        let RouterRestarts { start, share, within, rounds } = self.scenario.router_restarts;
         for round in 0..rounds {
-            for router in 0..self.day.routers {
+            for router in 0..self.scenario.routers {
                 if self.unit() < share {
-                    let at = from + within * (round as f64 + self.unit());
-                    self.at(STARTED + 1_000.0 * at, router, What::Restart);
+                    let seconds = start + within * (round as f64 + self.unit());
+                    self.schedule(STARTED + 1_000.0 * seconds, router, Occurrence::RouterRestart);
                 }
             }
         }
     }
 
-    /// The servers that start: a zone's, or spread evenly.
-    pub(super) fn starting(&self) -> BTreeSet<u64> {
-        let (cold, every) = (self.day.cold as u64, (self.day.servers / self.day.cold) as u64);
-        let starts =
-            |id: &u64| if self.day.zone { id % 100 < cold } else { (id % 100).is_multiple_of(every) };
-        self.servers.keys().copied().filter(starts).collect()
+    /// The servers that start: those of a zone, or some of each role spread evenly.
+    pub(super) fn starting_servers(&self) -> BTreeSet<u64> {
+        let count = self.scenario.starting as u64;
+        let every = (self.scenario.servers / self.scenario.starting) as u64;
+        let is_starting = |id: &u64| match self.scenario.zone_returns {
+            true => id % 100 < count,
+            false => (id % 100).is_multiple_of(every),
+        };
+        self.servers.keys().copied().filter(is_starting).collect()
     }
 
-    /// The zone is gone: it answers nobody, and no connection to it comes up.
-    pub(super) fn leave(&mut self) {
-        for id in self.starting() {
-            if let Some(s) = self.servers.get_mut(&id) {
-                (s.away, s.ends) = (true, Vec::new());
+    /// The zone becomes unreachable: it answers nobody, and no connection to it is established.
+    pub(super) fn disconnect_zone(&mut self) {
+        for id in self.starting_servers() {
+            if let Some(server) = self.servers.get_mut(&id) {
+                server.is_unreachable = true;
+                server.ends.clear();
             }
         }
     }
