--- a/crates/router/tests/large_fleet.rs
+++ b/crates/router/tests/large_fleet/main.rs
@@ -1,6 +1,7 @@
 //! Many routers in one process that see nothing of each other, against servers that report late: what is harmless when
 //! one does it and harmful when all do. Simulated time, a fixed seed, no sockets.
 
+#[path = "../common/mod.rs"]
 mod common;
 
 use std::cmp::Reverse;
