--- /dev/null
+++ b/crates/router/tests/decode_capacity.rs
@@ -0,0 +1,179 @@
+//! One of many routers while every decode server is in slow start: it runs no prefill whose state no decode server would
+//! take, and probes those again whose report was old at the end of a prefill. No sockets, no clock but the events'.
+
+mod common;
+
+use common::*;
+use glenrail_router::*;
+
+const ROUTERS: u32 = 32;
+/// A prefill takes longer (ms) than the report of a server in slow start counts.
+const PREFILL_TIME: Millis = 400.0;
+
+/// How a request ended.
+#[derive(Debug, PartialEq, Eq, Clone, Copy)]
+enum Ending {
+    Served,
+    /// Rejected before it was sent.
+    RejectedUnsent,
+    /// Rejected after its prefill: no decode server took its state.
+    RejectedAfterPrefill,
+}
+
+/// How many requests ended in each way.
+#[derive(Debug, Default)]
+struct Endings {
+    served: u32,
+    rejected_unsent: u32,
+    rejected_after_prefill: u32,
+}
+
+impl Endings {
+    fn count(&mut self, ending: Ending) {
+        match ending {
+            Ending::Served => self.served += 1,
+            Ending::RejectedUnsent => self.rejected_unsent += 1,
+            Ending::RejectedAfterPrefill => self.rejected_after_prefill += 1,
+        }
+    }
+}
+
+/// A router of many that has just learned that all decode servers are new.
+fn router_with_starting_decode_servers(seed: u64) -> TestRouter {
+    let started = |entry: ServerEntry| match DECODE_SERVERS.contains(&entry.server.0) {
+        true => ServerEntry { started: Some(0.0), ..entry },
+        false => entry,
+    };
+    let servers = sample_servers().into_iter().map(started).collect();
+    TestRouter::seeded(seed, Settings { router_count: ROUTERS, ..settings() }, servers)
+}
+
+/// Plays one request to its end, alone.
+fn play(router: &mut TestRouter, id: u64) -> Ending {
+    let actions = router.submit_to_idle(sample_request(id));
+    let Some(prefill_server) = sent_to(&actions) else {
+        assert!(is_rejected(&actions), "neither sent nor rejected: {actions:?}");
+        return Ending::RejectedUnsent;
+    };
+    assert!(PREFILL_SERVERS.contains(&prefill_server));
+    router.now += PREFILL_TIME;
+    let mut actions = router.outcome(id, 0, prefill_server, AttemptStatus::Prefilled);
+    loop {
+        actions = router.answer_probes_as_idle(actions);
+        if let Some(decode_server) = sent_to(&actions) {
+            assert!(DECODE_SERVERS.contains(&decode_server));
+            router.first_token(id, 1, decode_server, 20.0);
+            router.outcome(id, 1, decode_server, AttemptStatus::Served);
+            return Ending::Served;
+        }
+        if is_rejected(&actions) {
+            return Ending::RejectedAfterPrefill;
+        }
+        let timers = timers_set(&actions);
+        let (due, key) = timers.into_iter().find(|timer| timer.1 == step_timer(id)).expect("another step");
+        actions = router.at_time(due).fire_timer(key);
+    }
+}
+
+/// Guards the time of prefill servers: a prefill for no decode server is in vain, and delays those that wait behind it.
+#[test]
+fn no_prefill_runs_whose_state_no_decode_server_would_take() {
+    let mut endings = Endings::default();
+    for seed in 1..=40 {
+        let mut router = router_with_starting_decode_servers(seed);
+        (1..=12).for_each(|id| endings.count(play(&mut router, id)));
+    }
+    assert!(endings.served > 0 && endings.rejected_unsent > 0, "{endings:?}");
+    assert_eq!(endings.rejected_after_prefill, 0, "{endings:?}");
+}
+
+/// Guards against a report that was fresh at the start of a prefill and is old at its end: the decode server is probed
+/// again, and gets the state.
+#[test]
+fn a_starting_decode_server_is_probed_again_at_the_end_of_a_prefill() {
+    let endings: Vec<Ending> =
+        (1..=40).map(|seed| play(&mut router_with_starting_decode_servers(seed), 1)).collect();
+    // Of three decode servers most routers go by the report of one.
+    assert!(endings.iter().filter(|ending| **ending == Ending::Served).count() >= 30, "{endings:?}");
+}
+
+/// With no decode server listed, or all of them ejected, no prefill runs either; a trial goes on from time to time, or the
+/// router would never learn that they are back.
+#[test]
+fn without_decode_servers_only_trials_are_prefilled() {
+    let mut router = router_with_starting_decode_servers(1);
+    let terminated = |(id, zone): (&u64, u32)| ServerEntry {
+        state: ServerState::Terminated,
+        ..server_entry(*id, DECODE, zone)
+    };
+    router.update_servers(ListUpdate::Delta, DECODE_SERVERS.iter().zip(0..).map(terminated).collect());
+    let (mut prefills, mut rejections) = (0, 0);
+    for id in 1..=200 {
+        router.now += 50.0;
+        let actions = router.submit_to_idle(sample_request(id));
+        prefills += usize::from(sent_to(&actions).is_some());
+        rejections += usize::from(is_rejected(&actions));
+    }
+    assert!(
+        (1..=4).contains(&prefills) && prefills + rejections == 200,
+        "{prefills} prefills, {rejections} rejected in 10 s"
+    );
+}
+
+/// Guards the panic threshold: where most decode servers look bad by resets alone, the fault is elsewhere, and prefills go
+/// on.
+#[test]
+fn prefills_go_on_for_decode_servers_that_only_look_bad() {
+    let settings = Settings { router_count: ROUTERS, ..settings() };
+    let mut router = TestRouter::seeded(1, settings, sample_servers());
+    let all_ejected =
+        |router: &TestRouter| DECODE_SERVERS.iter().all(|id| router.inner.is_avoided(ServerId(*id)));
+    let mut id = 0;
+    while !all_ejected(&router) {
+        id += 1;
+        assert!(id < 100, "decode servers are not ejected by resets");
+        router.now += 1.0;
+        let prefill_server = sent_to(&router.submit_to_idle(sample_request(id))).expect("a prefill");
+        let actions = router.outcome(id, 0, prefill_server, AttemptStatus::Prefilled);
+        let decode_server = sent_to(&router.answer_probes_as_idle(actions)).expect("a decode server");
+        router.outcome(id, 1, decode_server, AttemptStatus::Reset);
+        router.disconnect(id);
+    }
+    let server = sent_to(&router.submit_to_idle(sample_request(1_000)));
+    assert!(server.is_some_and(|id| PREFILL_SERVERS.contains(&id)));
+}
+
+/// Guards against rejecting what a decode server could take by the end of its lease: where prefills are short and credit
+/// grows fast, a request that comes before the credit is prefilled for it.
+#[test]
+fn a_prefill_runs_when_there_will_be_credit_within_its_lease() {
+    let mut endings = Endings::default();
+    for seed in 1..=20 {
+        let settings = Settings { router_count: 6, ..settings() };
+        let mut router = TestRouter::seeded(seed, settings, sample_servers());
+        for id in 1..=60 {
+            router.now += 20.0;
+            play(&mut router, id);
+        }
+        let started = Some(router.now);
+        let starting = |id: &u64| ServerEntry { started, ..server_entry(*id, DECODE, 0) };
+        router.update_servers(ListUpdate::Delta, DECODE_SERVERS.iter().map(starting).collect());
+        for id in 61..=90 {
+            router.now += 20.0;
+            endings.count(play(&mut router, id));
+        }
+    }
+    assert!(endings.served >= 500, "{endings:?}");
+}
+
+/// Guards against several prefills for the same send: those that run already use the credit first.
+#[test]
+fn running_prefills_use_the_credit_first() {
+    for seed in 1..=40 {
+        let mut router = router_with_starting_decode_servers(seed);
+        let is_sent = |id: &u64| sent_to(&router.submit_to_idle(sample_request(*id))).is_some();
+        let prefills = (1..=12).filter(is_sent).count();
+        let servers = DECODE_SERVERS.len();
+        assert!(prefills <= servers, "{prefills} prefills for {servers} decode servers");
+    }
+}
--- /dev/null
+++ b/crates/router/tests/shedding_trials.rs
@@ -0,0 +1,179 @@
+//! Trials under load shedding: a router whose servers were late goes on trying them, so that it learns when that is over,
+//! and rejects no more than what comes between two trials. Simulated time, fixed seeds, no sockets.
+
+mod common;
+
+use std::collections::BTreeMap;
+
+use common::*;
+use glenrail_router::*;
+
+/// A router may not reject so many requests ...
+const MAX_REJECTIONS: usize = 15;
+/// ... over so long (ms) with no attempt between.
+const MAX_TIME_WITHOUT_ATTEMPT: u64 = 4_000;
+/// End of a run (ms).
+const END: u64 = 30_000;
+/// Until then (ms) ...
+const LATE_UNTIL: u64 = 6_000;
+/// ... an attempt at the servers of one role takes so long (ms); otherwise this.
+const LATE_TIME: u64 = 3_500;
+const USUAL_TIME: u64 = 60;
+/// Time of a stream after its first token (ms).
+const STREAM_TIME: u64 = 400;
+
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+struct SentAttempt {
+    id: u64,
+    attempt: u32,
+    server: u64,
+    sent_at: u64,
+}
+
+enum Occurrence {
+    Arrival(u64),
+    Timer(u64),
+    Prefilled(SentAttempt),
+    FirstToken(SentAttempt),
+    Served(SentAttempt),
+    ProbeAnswer(u64),
+}
+
+/// One router before three prefill servers and three decode servers.
+struct Simulation {
+    router: Router,
+    /// What is to come, by time and order.
+    agenda: BTreeMap<(u64, u64), Occurrence>,
+    occurrences: u64,
+    attempts: BTreeMap<u64, u32>,
+    late_role: Role,
+    /// When anything was last sent, and what has been rejected since.
+    last_sent_at: u64,
+    rejected_since: usize,
+    /// The longest time without an attempt in which so many requests were rejected.
+    longest_without_attempt: u64,
+}
+
+impl Simulation {
+    /// Requests come every `interval` ms.
+    fn run(seed: u64, settings: Settings, late_role: Role, interval: u64) -> Simulation {
+        let mut simulation = Simulation {
+            router: Router::new(seed, settings),
+            agenda: BTreeMap::new(),
+            occurrences: 0,
+            attempts: BTreeMap::new(),
+            late_role,
+            last_sent_at: 0,
+            rejected_since: 0,
+            longest_without_attempt: 0,
+        };
+        let list = Event::ServerList { update: ListUpdate::Full, servers: sample_servers() };
+        simulation.router.handle(0.0, list, &mut Vec::new());
+        for index in 0..END / interval {
+            simulation.schedule(index * interval, Occurrence::Arrival(index + 1));
+        }
+        while let Some(((now, _), occurrence)) = simulation.agenda.pop_first() {
+            if now > END {
+                break;
+            }
+            let event = simulation.event(now, occurrence);
+            let mut actions = Vec::new();
+            simulation.router.handle(now as f64, event, &mut actions);
+            actions.into_iter().for_each(|action| simulation.apply(now, action));
+        }
+        simulation
+    }
+
+    fn schedule(&mut self, time: u64, occurrence: Occurrence) {
+        self.occurrences += 1;
+        self.agenda.insert((time, self.occurrences), occurrence);
+    }
+
+    fn event(&mut self, now: u64, occurrence: Occurrence) -> Event {
+        match occurrence {
+            Occurrence::Arrival(id) => Event::Request(request_with_prefix(id, id % 11)),
+            Occurrence::Timer(key) => Event::Timer { key },
+            Occurrence::Prefilled(sent) => outcome(now, sent, AttemptStatus::Prefilled),
+            Occurrence::FirstToken(sent) => {
+                self.schedule(now + STREAM_TIME, Occurrence::Served(sent));
+                let SentAttempt { id, attempt, server, sent_at } = sent;
+                let elapsed = (now - sent_at) as f64;
+                Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
+            }
+            Occurrence::Served(sent) => outcome(now, sent, AttemptStatus::Served),
+            Occurrence::ProbeAnswer(server) => {
+                let report = Some(LoadReport { in_flight: Some(1.0), ..LoadReport::default() });
+                let (server, status) = (ServerId(server), AttemptStatus::Served);
+                Event::ProbeResult { server, status, elapsed: 1.0, report }
+            }
+        }
+    }
+
+    fn apply(&mut self, now: u64, action: Action) {
+        match action {
+            Action::Send { id, server, .. } => self.send(now, id.0, server.0),
+            Action::Reject { .. } => {
+                self.rejected_since += 1;
+                if self.rejected_since >= MAX_REJECTIONS {
+                    let without_attempt = now - self.last_sent_at;
+                    self.longest_without_attempt = self.longest_without_attempt.max(without_attempt);
+                }
+            }
+            Action::Timer { at, key, .. } => self.schedule(at.ceil() as u64, Occurrence::Timer(key)),
+            Action::Probe { server } => self.schedule(now + 2, Occurrence::ProbeAnswer(server.0)),
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, now: u64, id: u64, server: u64) {
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let sent = SentAttempt { id, attempt, server, sent_at: now };
+        let (role, occurrence) = match PREFILL_SERVERS.contains(&server) {
+            true => (Role::Prefill, Occurrence::Prefilled(sent)),
+            false => (Role::Decode, Occurrence::FirstToken(sent)),
+        };
+        let is_late = now < LATE_UNTIL && role == self.late_role;
+        self.schedule(now + if is_late { LATE_TIME } else { USUAL_TIME }, occurrence);
+        self.last_sent_at = now;
+        self.rejected_since = 0;
+    }
+}
+
+fn outcome(now: u64, sent: SentAttempt, status: AttemptStatus) -> Event {
+    Event::Outcome(AttemptOutcome {
+        id: RequestId(sent.id),
+        attempt: sent.attempt,
+        server: ServerId(sent.server),
+        status,
+        elapsed: (now - sent.sent_at) as f64,
+        note: 0.0,
+        closed: status == AttemptStatus::Served,
+        delivered: status.may_have_arrived(),
+        report: None,
+    })
+}
+
+/// Guards a gateway against rejecting by what it learned when its servers were late: nothing that it does not send can
+/// teach it better.
+#[test]
+fn a_router_whose_servers_were_late_goes_on_trying_them() {
+    for late_role in [Role::Prefill, Role::Decode] {
+        for (router_count, probes) in [(3, false), (3, true), (300, false), (300, true)] {
+            let limits = Limits { probes, ..settings().limits };
+            let settings = Settings { router_count, limits, ..settings() };
+            for seed in 1..=5 {
+                for interval in [50, 200] {
+                    let simulation = Simulation::run(seed, settings.clone(), late_role, interval);
+                    let case = format!(
+                        "{late_role:?} late, {router_count} routers, probes {probes}, seed {seed}, interval {interval}"
+                    );
+                    let longest = simulation.longest_without_attempt;
+                    assert!(longest <= MAX_TIME_WITHOUT_ATTEMPT, "{case}: nothing was sent for {longest} ms");
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -0,0 +1,364 @@
+//! The environment that the scenarios run in: routers that see nothing of each other, and servers that report late, some of
+//! which start during the run. Simulated time, fixed seeds.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+
+use glenrail_router::*;
+
+use crate::common::*;
+use crate::scenario::*;
+
+mod starts;
+
+/// The starting servers start then (ms) ...
+const STARTED: f64 = 6_000.0;
+/// ... and what is sent to them is counted up to here.
+const END: f64 = 14_000.0;
+/// A zone that returns was unreachable for so long before (ms) ...
+const UNREACHABLE_TIME: f64 = 5_000.0;
+/// ... and a connection to it then fails after so long.
+const CONNECT_TIMEOUT: f64 = 250.0;
+/// Time of a stream at a decode server at full capacity (ms).
+const STREAM_TIME: f64 = 2_000.0;
+/// Time from a stream's begin to its first token (ms).
+const FIRST_TOKEN_TIME: f64 = 20.0;
+/// Decode servers have identifiers from here on.
+const FIRST_DECODE_SERVER: u64 = 1_000;
+
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+struct SentAttempt {
+    id: u64,
+    attempt: u32,
+    server: u64,
+}
+
+enum Occurrence {
+    Arrival,
+    ServersStart,
+    ZoneUnreachable,
+    Timer(u64),
+    ProbeAnswer {
+        server: u64,
+        report: LoadReport,
+    },
+    ProbeFailed {
+        server: u64,
+    },
+    FirstToken(SentAttempt),
+    /// The end of a prefill or of a stream.
+    Completed(SentAttempt),
+    Failed(SentAttempt, AttemptStatus),
+    RouterRestart,
+}
+
+#[derive(Default)]
+struct Server {
+    /// When each request that it has will be done.
+    ends: Vec<f64>,
+    /// Requests in flight by its last report, and when that was made.
+    reported_load: f64,
+    reported_at: f64,
+    is_starting: bool,
+    is_unreachable: bool,
+    /// When it was sent a request, each.
+    sent: Vec<f64>,
+}
+
+/// The most that was sent to any starting server of a role in any window, as a share of the limit.
+pub struct Peaks {
+    pub prefill: f64,
+    pub decode: f64,
+}
+
+pub struct Simulation {
+    scenario: Scenario,
+    settings: Settings,
+    routers: Vec<Router>,
+    servers: BTreeMap<u64, Server>,
+    /// Time (microseconds) and number of each occurrence to come.
+    agenda: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Router and occurrence, by number.
+    occurrences: BTreeMap<u64, (usize, Occurrence)>,
+    occurrence_count: u64,
+    now: f64,
+    attempts: BTreeMap<u64, u32>,
+    random: u64,
+    request_count: u64,
+    popular_prefix: u64,
+    /// Routers whose open connection to a server is dead without their knowing.
+    dead_connections: BTreeSet<(usize, u64)>,
+}
+
+fn is_prefill_server(server: u64) -> bool {
+    server < FIRST_DECODE_SERVER
+}
+
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Simulation {
+        let ids = (0..scenario.servers as u64).flat_map(|n| [100 + n, 1_100 + n]);
+        let mut simulation = Simulation {
+            scenario,
+            settings: scenario_settings(&scenario),
+            routers: Vec::new(),
+            servers: ids.map(|id| (id, Server::default())).collect(),
+            agenda: BinaryHeap::new(),
+            occurrences: BTreeMap::new(),
+            occurrence_count: 0,
+            now: 0.0,
+            attempts: BTreeMap::new(),
+            random: scenario.seed * 7_919 + 1,
+            request_count: 0,
+            popular_prefix: 0,
+            dead_connections: BTreeSet::new(),
+        };
+        simulation.popular_prefix = simulation.prefix_of_starting_server();
+        for router in 0..scenario.routers {
+            simulation.routers.push(Router::new(router as u64 + 1, simulation.settings.clone()));
+            let servers = simulation.server_list();
+            simulation.handle(router, Event::ServerList { update: ListUpdate::Full, servers });
+        }
+        simulation
+    }
+
+    /// The next random number, uniform in [0, 1).
+    fn unit(&mut self) -> f64 {
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        (self.random >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    /// Share of its capacity that a starting server has.
+    fn capacity_share(&self, time: f64) -> f64 {
+        let rules = &self.settings.rules;
+        let growth = 1.0 - rules.slow_start_initial_share;
+        let share = rules.slow_start_initial_share + growth * (time - STARTED) / rules.slow_start_window;
+        share.min(1.0)
+    }
+
+    fn schedule(&mut self, time: f64, router: usize, occurrence: Occurrence) {
+        self.occurrence_count += 1;
+        self.agenda.push(Reverse(((time * 1_000.0) as u64, self.occurrence_count)));
+        self.occurrences.insert(self.occurrence_count, (router, occurrence));
+    }
+
+    pub fn run(mut self) -> Peaks {
+        self.schedule(0.0, 0, Occurrence::Arrival);
+        if self.scenario.zone_returns {
+            self.schedule(STARTED - UNREACHABLE_TIME, 0, Occurrence::ZoneUnreachable);
+        }
+        self.schedule(STARTED, 0, Occurrence::ServersStart);
+        while let Some(Reverse((time, number))) = self.agenda.pop() {
+            self.now = time as f64 / 1_000.0;
+            if self.now > END {
+                break;
+            }
+            if let Some((router, occurrence)) = self.occurrences.remove(&number) {
+                self.happen(router, occurrence);
+            }
+        }
+        Peaks { prefill: self.peak(Role::Prefill), decode: self.peak(Role::Decode) }
+    }
+
+    fn happen(&mut self, router: usize, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Arrival => self.arrive(),
+            Occurrence::ZoneUnreachable => self.disconnect_zone(),
+            Occurrence::ServersStart => self.start_servers(),
+            Occurrence::Timer(key) => self.handle(router, Event::Timer { key }),
+            Occurrence::ProbeFailed { server } => {
+                let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
+                let elapsed = CONNECT_TIMEOUT;
+                self.handle(router, Event::ProbeResult { server, status, elapsed, report: None });
+            }
+            Occurrence::ProbeAnswer { server, report } => {
+                let (server, status) = (ServerId(server), AttemptStatus::Served);
+                let report = Some(report);
+                self.handle(router, Event::ProbeResult { server, status, elapsed: 10.0, report });
+            }
+            Occurrence::FirstToken(sent) => {
+                self.report(sent.server);
+                let (id, server) = (RequestId(sent.id), ServerId(sent.server));
+                let attempt = sent.attempt;
+                let elapsed = FIRST_TOKEN_TIME;
+                self.handle(router, Event::FirstToken { id, attempt, server, elapsed });
+            }
+            Occurrence::Completed(sent) => {
+                let report = Some(self.report(sent.server));
+                let status = match is_prefill_server(sent.server) {
+                    true => AttemptStatus::Prefilled,
+                    false => AttemptStatus::Served,
+                };
+                self.end_attempt(router, sent, status, 50.0, report);
+            }
+            Occurrence::Failed(sent, status) => self.end_attempt(router, sent, status, 1.0, None),
+            Occurrence::RouterRestart => {
+                let seed = (self.unit() * 1e9) as u64 + 1;
+                self.routers[router] = Router::new(seed, self.settings.clone());
+                let servers = self.server_list();
+                self.handle(router, Event::ServerList { update: ListUpdate::Cached, servers });
+            }
+        }
+    }
+
+    fn end_attempt(
+        &mut self, router: usize, sent: SentAttempt, status: AttemptStatus, elapsed: f64,
+        report: Option<LoadReport>,
+    ) {
+        let outcome = AttemptOutcome {
+            id: RequestId(sent.id),
+            attempt: sent.attempt,
+            server: ServerId(sent.server),
+            status,
+            elapsed,
+            note: 0.0,
+            closed: status == AttemptStatus::Served,
+            delivered: status.may_have_arrived(),
+            report,
+        };
+        self.handle(router, Event::Outcome(outcome));
+    }
+
+    /// A request at a router, some of which get several times as many as others; then the next one.
+    fn arrive(&mut self) {
+        let id = self.request_count;
+        self.request_count += 1;
+        let router = (self.unit() * self.unit() * self.scenario.routers as f64) as usize;
+        let is_popular = self.unit() < self.scenario.popular_share;
+        let prefix = if is_popular { self.popular_prefix } else { 1_000 + (self.unit() * 400.0) as u64 };
+        self.handle(router, Event::Request(request_with_prefix(id, prefix)));
+        let Scenario { utilization, rate_per_s, servers, burst, .. } = self.scenario;
+        let since_burst = (self.now - STARTED) / 1_000.0 - burst.start;
+        let factor = if (0.0..2.0).contains(&since_burst) { burst.factor } else { 1.0 };
+        let requests_per_s = utilization * rate_per_s * servers as f64 * factor;
+        let interval = -(1.0 - self.unit()).ln() * 1_000.0 / requests_per_s;
+        self.schedule(self.now + interval, 0, Occurrence::Arrival);
+    }
+
+    /// Requests that a decode server streams at a time.
+    fn stream_slots(&self) -> f64 {
+        self.scenario.rate_per_s * STREAM_TIME / 1_000.0
+    }
+
+    /// A server's load report: its load when the report was last renewed.
+    fn report(&mut self, id: u64) -> LoadReport {
+        let (now, slots) = (self.now, self.stream_slots());
+        let Some(server) = self.servers.get_mut(&id) else { return LoadReport::default() };
+        server.ends.retain(|end| *end > now);
+        if now >= server.reported_at + self.scenario.report_interval {
+            server.reported_load = server.ends.len() as f64;
+            server.reported_at = now;
+        }
+        let load = server.reported_load;
+        let memory_share = if is_prefill_server(id) { 0.1 } else { (load / slots).min(1.0) };
+        LoadReport { in_flight: Some(load), memory_share: Some(memory_share), ..LoadReport::default() }
+    }
+
+    fn handle(&mut self, router: usize, event: Event) {
+        let mut actions = Vec::new();
+        self.routers[router].handle(self.now, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send { id, server, .. } => self.send(router, id.0, server.0),
+                Action::Probe { server } => self.probe(router, server.0),
+                Action::Timer { at, key, .. } => self.schedule(at, router, Occurrence::Timer(key)),
+                _ => {}
+            }
+        }
+    }
+
+    fn is_unreachable(&self, server: u64) -> bool {
+        self.servers.get(&server).is_some_and(|server| server.is_unreachable)
+    }
+
+    fn probe(&mut self, router: usize, server: u64) {
+        if self.is_unreachable(server) {
+            return self.schedule(self.now + CONNECT_TIMEOUT, router, Occurrence::ProbeFailed { server });
+        }
+        if self.dead_connections.remove(&(router, server)) {
+            return self.schedule(self.now + 1.0, router, Occurrence::ProbeFailed { server });
+        }
+        // The report is made now, and arrives at the end.
+        let report = self.report(server);
+        let answer_time = self.now + 5.0 + self.scenario.probe_time * self.unit();
+        self.schedule(answer_time, router, Occurrence::ProbeAnswer { server, report });
+    }
+
+    fn send(&mut self, router: usize, id: u64, server: u64) {
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let sent = SentAttempt { id, attempt, server };
+        if self.is_unreachable(server) {
+            let failed = Occurrence::Failed(sent, AttemptStatus::ConnectFailed);
+            return self.schedule(self.now + CONNECT_TIMEOUT, router, failed);
+        }
+        if self.dead_connections.remove(&(router, server)) {
+            let failed = Occurrence::Failed(sent, AttemptStatus::Reset);
+            return self.schedule(self.now + 1.0, router, failed);
+        }
+        self.serve(router, sent);
+    }
+
+    /// Schedules the events of an attempt that reaches its server.
+    fn serve(&mut self, router: usize, sent: SentAttempt) {
+        let (now, rate_per_s, slots) = (self.now, self.scenario.rate_per_s, self.stream_slots() as usize);
+        let is_starting = self.servers.get(&sent.server).is_some_and(|server| server.is_starting);
+        let capacity_share = if is_starting { self.capacity_share(now) } else { 1.0 };
+        let Some(server) = self.servers.get_mut(&sent.server) else { return };
+        server.sent.push(now);
+        server.ends.retain(|end| *end > now);
+        server.ends.sort_by(f64::total_cmp);
+        if is_prefill_server(sent.server) {
+            let end = server.ends.last().copied().unwrap_or(now) + 1_000.0 / rate_per_s / capacity_share;
+            server.ends.push(end);
+            return self.schedule(end, router, Occurrence::Completed(sent));
+        }
+        let begin = server.ends.len().checked_sub(slots).map_or(now, |index| server.ends[index]);
+        let end = begin + STREAM_TIME / capacity_share;
+        server.ends.push(end);
+        self.schedule(begin + FIRST_TOKEN_TIME, router, Occurrence::FirstToken(sent));
+        self.schedule(end, router, Occurrence::Completed(sent));
+    }
+
+    /// The most that was sent to a starting server of this role in any window, as a share of the limit: what the settings
+    /// allow it at the window's begin, and twice the root of that and two for chance.
+    fn peak(&self, role: Role) -> f64 {
+        let mut peak = 0.0f64;
+        for (id, server) in &self.servers {
+            if is_prefill_server(*id) != (role == Role::Prefill) || !server.is_starting {
+                continue;
+            }
+            let starts = server.sent.iter().filter(|time| **time >= STARTED);
+            peak = starts.map(|start| self.share_of_limit(&server.sent, *start)).fold(peak, f64::max);
+        }
+        peak
+    }
+
+    fn share_of_limit(&self, sent: &[f64], start: f64) -> f64 {
+        let rules = &self.settings.rules;
+        let window = start..start + rules.overload_window;
+        let sent_within = sent.iter().filter(|time| window.contains(*time)).count() as f64;
+        let bound = rules.overload_multiple
+            * self.capacity_share(start)
+            * self.scenario.rate_per_s
+            * rules.overload_window
+            / 1_000.0;
+        sent_within / (bound + 2.0 * bound.sqrt() + 2.0)
+    }
+}
+
+fn scenario_settings(scenario: &Scenario) -> Settings {
+    let mut settings = Settings { router_count: scenario.routers as u32, ..settings() };
+    settings.limits.probes = scenario.probes;
+    settings.rules = Rules {
+        overload_multiple: scenario.rules.overload_multiple,
+        overload_window: scenario.rules.overload_window,
+        slow_start_initial_share: scenario.rules.initial_share,
+        slow_start_window: 13_000.0,
+        ..settings.rules
+    };
+    settings
+}
--- /dev/null
+++ b/crates/router/tests/without_load_reports.rs
@@ -0,0 +1,261 @@
+//! A few routers that get no load reports and may not probe: they go by the outcomes of their own requests. Simulated
+//! time, fixed seeds, no sockets.
+
+mod common;
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+
+use common::*;
+use glenrail_router::*;
+
+/// A mixed server takes so long (ms) for the prefill of a thousand tokens, one prompt after the other, and then streams.
+/// A prefill goes on, and costs its server, when it has been cancelled.
+const PREFILL_PER_1000_TOKENS: u64 = 50;
+const STREAM_TIME: u64 = 400;
+const SERVERS: u64 = 5;
+const ROUTERS: u64 = 3;
+/// The slow server takes so many times as long.
+const SLOWNESS: u64 = 8;
+/// End of a run (ms).
+const END: u64 = 60_000;
+/// A first token after this time is late (ms).
+const OBJECTIVE: Millis = 1_000.0;
+
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum Occurrence {
+    Arrival { id: u64 },
+    Timer { key: u64 },
+    FirstToken { id: u64, attempt: u32, server: u64 },
+    Served { id: u64, attempt: u32, server: u64 },
+}
+
+/// What became of the requests of a class.
+#[derive(Default, Debug, Clone, Copy)]
+struct Results {
+    late: u32,
+    rejected: u32,
+    total: u32,
+}
+
+struct MixedServer {
+    /// When the prefills that it has are done.
+    busy_until: u64,
+    slowness: u64,
+}
+
+struct Simulation {
+    routers: Vec<Router>,
+    servers: BTreeMap<u64, MixedServer>,
+    /// Time, order, router and what happens.
+    agenda: BinaryHeap<Reverse<(u64, u64, u64, Occurrence)>>,
+    now: u64,
+    occurrences: u64,
+    requests: BTreeMap<u64, Request>,
+    attempts: BTreeMap<u64, u32>,
+    arrived_at: BTreeMap<u64, u64>,
+    /// By class.
+    results: BTreeMap<u32, Results>,
+}
+
+impl Simulation {
+    fn new(slow_server: Option<u64>) -> Simulation {
+        Simulation::with_settings(slow_server, settings_without_probes())
+    }
+
+    fn with_settings(slow_server: Option<u64>, settings: Settings) -> Simulation {
+        let settings = Settings { router_count: ROUTERS as u32, ..settings };
+        let mut routers: Vec<Router> =
+            (0..ROUTERS).map(|index| Router::new(index + 1, settings.clone())).collect();
+        let servers: Vec<ServerEntry> = (1..=SERVERS).map(|id| server_entry(id, MIXED, 0)).collect();
+        let list = Event::ServerList { update: ListUpdate::Full, servers };
+        routers.iter_mut().for_each(|router| router.handle(0.0, list.clone(), &mut Vec::new()));
+        let slowness = |id| if slow_server == Some(id) { SLOWNESS } else { 1 };
+        let server = |id| (id, MixedServer { busy_until: 0, slowness: slowness(id) });
+        Simulation {
+            routers,
+            servers: (1..=SERVERS).map(server).collect(),
+            agenda: BinaryHeap::new(),
+            now: 0,
+            occurrences: 0,
+            requests: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            arrived_at: BTreeMap::new(),
+            results: BTreeMap::new(),
+        }
+    }
+
+    fn schedule(&mut self, time: u64, router: u64, occurrence: Occurrence) {
+        self.occurrences += 1;
+        self.agenda.push(Reverse((time, self.occurrences, router, occurrence)));
+    }
+
+    fn arrive(&mut self, time: u64, request: Request) {
+        let (id, router) = (request.id.0, request.id.0 % ROUTERS);
+        self.requests.insert(id, request);
+        self.schedule(time, router, Occurrence::Arrival { id });
+    }
+
+    fn run(&mut self) {
+        while let Some(Reverse((time, _, router, occurrence))) = self.agenda.pop() {
+            if time > END {
+                return;
+            }
+            self.now = time;
+            let event = self.event(router, occurrence);
+            let mut actions = Vec::new();
+            self.routers[router as usize].handle(time as f64, event, &mut actions);
+            actions.into_iter().for_each(|action| self.apply(router, action));
+        }
+    }
+
+    fn event(&mut self, router: u64, occurrence: Occurrence) -> Event {
+        let now = self.now;
+        match occurrence {
+            Occurrence::Arrival { id } => {
+                let request = self.requests[&id].clone();
+                self.arrived_at.insert(id, now);
+                self.results.entry(request.class).or_default().total += 1;
+                Event::Request(request)
+            }
+            Occurrence::Timer { key } => Event::Timer { key },
+            Occurrence::FirstToken { id, attempt, server } => {
+                self.schedule(now + STREAM_TIME, router, Occurrence::Served { id, attempt, server });
+                let elapsed = (now - self.arrived_at[&id]) as f64;
+                if elapsed > OBJECTIVE {
+                    self.results_of(id).late += 1;
+                }
+                Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
+            }
+            Occurrence::Served { id, attempt, server } => Event::Outcome(AttemptOutcome {
+                id: RequestId(id),
+                attempt,
+                server: ServerId(server),
+                status: AttemptStatus::Served,
+                elapsed: (now - self.arrived_at[&id]) as f64,
+                note: 0.0,
+                closed: true,
+                delivered: true,
+                report: None,
+            }),
+        }
+    }
+
+    fn results_of(&mut self, id: u64) -> &mut Results {
+        self.results.entry(self.requests[&id].class).or_default()
+    }
+
+    fn apply(&mut self, router: u64, action: Action) {
+        match action {
+            Action::Send { id, server, .. } => self.send(router, id.0, server.0),
+            Action::Reject { id, .. } => self.results_of(id.0).rejected += 1,
+            Action::Timer { at, key, .. } => {
+                self.schedule(at.ceil() as u64, router, Occurrence::Timer { key });
+            }
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, router: u64, id: u64, server: u64) {
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let target = self.servers.get_mut(&server).expect("a listed server");
+        let prompt_tokens = self.requests[&id].prompt_tokens as u64;
+        let prefill_time = prompt_tokens * PREFILL_PER_1000_TOKENS * target.slowness / 1_000;
+        let done = target.busy_until.max(self.now) + prefill_time;
+        target.busy_until = done;
+        self.schedule(done, router, Occurrence::FirstToken { id, attempt, server });
+    }
+}
+
+fn settings_without_probes() -> Settings {
+    let limits = Limits { probes: false, ..settings().limits };
+    Settings { limits, ..settings() }
+}
+
+fn sized_request(id: u64, class: u32, prompt_tokens: f64, prefix: u64) -> Request {
+    Request { class, prompt_tokens, prefix: Some(prefix), session: 10_000 + id, ..sample_request(id) }
+}
+
+/// One of five mixed servers is eight times slower, and nothing reports it. What prefers it is served elsewhere, not
+/// rejected: the others have capacity for all.
+#[test]
+fn requests_that_prefer_a_slow_server_are_served_elsewhere_instead_of_rejected() {
+    for slow_server in 1..=SERVERS {
+        let mut simulation = Simulation::new(Some(slow_server));
+        (0..600).for_each(|id| simulation.arrive(50 * id, sized_request(id, 0, 2_000.0, id % 11)));
+        simulation.run();
+        let results = simulation.results[&0];
+        assert!(results.rejected <= 6 && results.late <= 30, "server {slow_server}: {results:?}");
+    }
+}
+
+/// All clients of a restarted router come at once, with one prefix: what this router has just sent counts at once, before
+/// any outcome shows it.
+#[test]
+fn a_burst_with_one_prefix_is_not_all_sent_to_one_server() {
+    let mut simulation = Simulation::new(None);
+    (0..60).for_each(|id| simulation.arrive(100 * id, sized_request(id, 0, 2_000.0, id % 11)));
+    (0..16).for_each(|n| simulation.arrive(8_000 + n, sized_request(3 * n + 999, 0, 3_000.0, 5)));
+    simulation.run();
+    let results = simulation.results[&0];
+    assert!(results.late + results.rejected <= 2, "{results:?}");
+}
+
+/// One class's prompts are twenty times longer for twenty seconds, a twentieth of all: the other class is still served.
+#[test]
+fn long_prompts_of_one_class_leave_the_other_its_servers() {
+    let mut simulation = Simulation::new(None);
+    for id in 0..600 {
+        let is_long = id % 20 == 0 && (100..500).contains(&id);
+        let prompt_tokens = if is_long { 20_000.0 } else { 1_000.0 };
+        let class = u32::from(id % 20 == 0);
+        simulation.arrive(50 * id, sized_request(id, class, prompt_tokens, id % 11));
+    }
+    simulation.run();
+    let results = simulation.results[&0];
+    let lost = f64::from(results.late + results.rejected);
+    assert!(lost < 0.05 * f64::from(results.total), "{results:?}");
+}
+
+/// Decode servers that report nothing keep first tokens waiting: states go to a mixed server while that lasts, and not
+/// before.
+#[test]
+fn states_go_to_a_mixed_server_while_all_decode_servers_have_waits() {
+    for (first_token, expect_mixed) in [(20.0, false), (1_200.0, true)] {
+        let servers = sample_servers().into_iter().chain([server_entry(31, MIXED, 0)]).collect();
+        let mut router = TestRouter::new(settings_without_probes(), servers);
+        let mut at_mixed = 0;
+        for id in 1..60 {
+            router.at_time(id as f64 * 40.0);
+            let server = sent_to(&router.submit(sample_request(id)));
+            let Some(prefill_server) = server.filter(|id| PREFILL_SERVERS.contains(id)) else { continue };
+            let decode_server = router.decode_server_after(id, prefill_server);
+            at_mixed += u32::from(decode_server == 31);
+            router.first_token(id, 1, decode_server, first_token);
+            router.outcome(id, 1, decode_server, AttemptStatus::Served);
+        }
+        let case = format!("{at_mixed} states at the mixed server, first token after {first_token} ms");
+        assert_eq!(at_mixed > 0, expect_mixed, "{case}");
+    }
+}
+
+/// A tenant at five times its quota beside two within theirs, where the servers cannot bear it all: it alone is rejected.
+#[test]
+fn a_tenant_far_over_its_quota_does_not_use_the_others_capacity() {
+    let tenants = [2.0, 20.0, 20.0].map(|allowance_per_s| Tenant { allowance_per_s }).to_vec();
+    let settings = Settings { tenants, ..settings_without_probes() };
+    let mut simulation = Simulation::with_settings(None, settings);
+    // Ten a second of the first, ten of the two others together; the servers do some fourteen of these in a second.
+    for n in 0..800 {
+        let tenant = if n % 2 == 0 { 0 } else { 1 + (n / 2 % 2) as u32 };
+        let class = u32::from(tenant > 0);
+        let request = sized_request(n * 7 + n % 3, class, 7_000.0, n % 11);
+        simulation.arrive(50 * n, Request { tenant, ..request });
+    }
+    simulation.run();
+    let (over, within) = (simulation.results[&0], simulation.results[&1]);
+    let lost = |results: Results| f64::from(results.late + results.rejected) / f64::from(results.total);
+    assert!(lost(within) < 0.25 && lost(over) > 2.0 * lost(within), "{over:?} {within:?}");
+}
