--- a/crates/request-lifecycle/src/watch/mod.rs
+++ b/crates/request-lifecycle/src/watch/mod.rs
@@ -12,13 +12,13 @@
 //! for its turn, and until a call has been answered the whole list is asked for, again and again: an answer to that
 //! can be missed after a moment, where one to a watch may be a whole hold away.
 
-mod pauses;
+mod backoff;
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-pub use pauses::BackoffPolicy;
+pub use backoff::BackoffPolicy;
 
 /// What the next call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
