--- a/crates/request-lifecycle/src/client.rs
+++ b/crates/request-lifecycle/src/client.rs
@@ -1,8 +1,9 @@
-//! A client's connection: where it stands, what may be read of it, how long it may stand there, and when another
-//! process can go on with it.
+//! A client's connection: what may be read from it, how long it may stay where it is, and when another process can
+//! continue it.
 //!
-//! One request at a time passes. Nothing of the next one is let through before the answer to this one is out, so
-//! that whoever closes the connection, or hands it over, knows whether a request is crossing.
+//! One request at a time passes. Nothing of the next one is let through before the response to this one is written, so
+//! that whoever closes the connection or hands it over knows whether a request is crossing. [`Connection`] owns the
+//! state; the driver owns the socket and the clock.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,124 +12,133 @@
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Nothing has come yet.
+    /// Nothing has been received yet.
     New,
-    /// A part of a head has come.
+    /// A part of a request's head has been received.
     Head,
-    /// A request's head is in, its body is not.
+    /// A request's head is complete, its body is not.
     Body,
-    /// The request is in, its answer is not out.
+    /// The request is complete, its response is not.
     Response,
-    /// Kept, with no open request.
+    /// Kept alive, with no open request.
     Idle,
     /// Nothing more is served on it.
     Closing,
-    /// Another process's.
+    /// Another process owns it.
     HandedOver,
 }
 
-/// What a whole head says of its body.
+/// What a complete head says about its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Framing {
-    /// All of it is here already.
+    /// All of it has been received already.
     #[serde(rename = "Here")]
     Complete,
-    /// Its length is told, and some of it is still to come.
+    /// Its length is known, and some of it is still to come.
     #[serde(rename = "Told")]
     KnownLength,
-    /// Its end is found only by reading it; so the connection ends after it.
+    /// Its end is found only by reading it, so the connection closes after it.
     #[serde(rename = "Unknown")]
     UnknownLength,
 }
 
+/// What happens on the connection, or is asked of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Input {
-    /// Some bytes of a head have come.
+    /// The first bytes of a head were read.
     #[serde(rename = "Begun")]
     HeadStarted,
-    /// A head has come whole.
+    /// A complete head was read.
     #[serde(rename = "Head")]
     HeadComplete(Framing),
-    /// What came is no head.
+    /// What was read is no valid head.
     #[serde(rename = "Unreadable")]
     MalformedHead,
-    /// The last byte of a body whose length was told.
+    /// The last byte of a body of known length was read.
     #[serde(rename = "BodyRead")]
     BodyComplete,
-    /// The answer is out, or will never be.
+    /// The response is written, or never will be.
     #[serde(rename = "Answered")]
     ResponseFinished,
-    /// Another process began the answer that is to go on here.
+    /// The connection came from another process, with a response in progress that continues here.
     #[serde(rename = "Resumed")]
     StreamResumed,
-    /// The open answer goes no further here.
+    /// The response in progress can continue in another process.
     #[serde(rename = "Leaves")]
     StreamDetached,
-    /// Another process serves in this one's place, and asks for what it can go on with.
+    /// The successor process asks for the connection.
     #[serde(rename = "Asked")]
     HandOverRequested,
-    /// It has stood where it is for too long.
+    /// The time limit of [`Connection::timeout_kind`] passed.
     #[serde(rename = "Due")]
     TimedOut,
-    /// It has to give way to another client.
+    /// The connection table is full: the connection should make room for another client.
     Evicted,
-    /// The client takes nothing of what is written, or takes it again.
+    /// Whether the client has stopped reading what is written.
     #[serde(rename = "Blocked")]
     WriteBlocked(bool),
-    /// Bytes were read that were not passed on, or none are left.
+    /// Whether bytes of a request were read that have not been passed on.
     #[serde(rename = "Ahead")]
     PipelinedBytes(bool),
 }
 
-/// What is to be done.
+/// What the driver must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
+    /// Nothing.
     #[serde(rename = "Nothing")]
     None,
+    /// Close the connection.
     Close,
-    /// Goes to the other process; `stream`: with its open answer.
+    /// Hand the connection over to the successor process.
     HandOver {
+        /// Whether a response in progress goes with it.
         stream: bool,
     },
 }
 
-/// How long a connection may stand where it stands.
+/// Which time limit applies to a connection where it stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TimeoutKind {
-    /// For its first byte.
+    /// Until the first byte.
     FirstByte,
-    /// For the rest of a head.
+    /// Until the rest of a head.
     PartialHead,
-    /// Between two requests.
+    /// Between two requests (keep-alive).
     Idle,
-    /// For the rest of an answer to be taken.
+    /// Until the client reads the rest of a response.
     WriteStall,
-    /// For what still comes after the end.
+    /// For what the client still sends after the end.
     Linger,
-    /// As long as its request and answer take, which have timers of their own.
+    /// None of its own: the request and its response have timers.
     Request,
 }
 
-/// A fault planted in the machine, for the explorer to show that it finds each.
+/// A fault that the model checker plants, to show that it finds each of them.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Fault {
+    /// A connection with an open request is evicted.
     EvictsOpenRequest,
+    /// A connection is handed over with bytes that were read and not passed on.
     HandsOverHalfHead,
+    /// A connection is handed over before what was written to it has left.
     HandsOverUnwritten,
+    /// A connection is kept alive after a body that was not read to its end.
     KeepsAfterUnread,
 }
 
+/// The state machine of one client connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
     stage: Stage,
-    /// The client does not take what is written.
+    /// The client has stopped reading what is written.
     blocked: bool,
     /// Bytes of a request have been read that the stage does not show yet.
     pipelined_bytes: bool,
     /// The open request is the last on this connection.
     last_request: bool,
-    /// The open answer can go on in another process.
+    /// The response in progress can continue in another process.
     stream_detached: bool,
     #[cfg(feature = "mutants")]
     fault: Option<Fault>,
@@ -149,42 +159,49 @@
 }
 
 impl Connection {
-    /// A connection that stands there, for whoever lists the table's rows.
+    /// A connection in this stage, for listing the rows of the transition table.
     #[cfg(feature = "mutants")]
     pub fn at(stage: Stage) -> Self {
         Connection { stage, ..Connection::default() }
     }
 
+    /// Plants a fault, or removes the one planted.
     #[cfg(feature = "mutants")]
     pub fn plant(&mut self, fault: Option<Fault>) {
         self.fault = fault;
     }
 
+    /// Where the connection stands.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether the connection must end after the open request; so it is when its body was not read to the end.
+    /// Whether the connection must close after the open request. That is also so while its body has not been read to
+    /// the end: nobody knows then where the next request begins.
     pub fn closes_after_response(&self) -> bool {
         self.last_request || self.stage != Stage::Response
     }
 
     /// Whether nothing is lost by closing it now.
     pub fn is_evictable(&self) -> bool {
-        let open = matches!(self.stage, Stage::Body | Stage::Response);
+        let has_open_request = matches!(self.stage, Stage::Body | Stage::Response);
         #[cfg(feature = "mutants")]
-        let open = open && self.fault != Some(Fault::EvictsOpenRequest);
-        !self.blocked && !open
+        let has_open_request = has_open_request && self.fault != Some(Fault::EvictsOpenRequest);
+        !self.blocked && !has_open_request
     }
 
-    /// Whether bytes that come now are a request's, which will be read.
+    /// Whether bytes that arrive now belong to a request, which will be read.
     pub fn awaits_request(&self) -> bool {
         !self.blocked && matches!(self.stage, Stage::New | Stage::Head | Stage::Idle)
     }
 
     /// Whether nothing at all is under way on it, in either direction.
     pub fn is_idle(&self) -> bool {
-        !self.blocked && !self.pipelined_bytes && matches!(self.stage, Stage::New | Stage::Idle)
+        !self.blocked && !self.pipelined_bytes && self.is_between_requests()
+    }
+
+    fn is_between_requests(&self) -> bool {
+        matches!(self.stage, Stage::New | Stage::Idle)
     }
 
     /// Whether bytes have been read that belong to a further request.
@@ -192,20 +209,20 @@
         self.pipelined_bytes
     }
 
-    /// Whether another process can take it as it is: nothing at all is under way on it, in either direction, or
-    /// what went before of its answer is out.
+    /// Whether another process can take it as it is: nothing is in a buffer in either direction, and it is between
+    /// two requests or its response can continue elsewhere.
     pub fn can_hand_over(&self) -> bool {
-        let (quiet, at_rest) =
-            (!self.blocked && !self.pipelined_bytes, matches!(self.stage, Stage::New | Stage::Idle));
+        let buffers_empty = !self.blocked && !self.pipelined_bytes;
         #[cfg(feature = "mutants")]
-        let quiet = match self.fault {
+        let buffers_empty = match self.fault {
             Some(Fault::HandsOverHalfHead) => !self.blocked,
             Some(Fault::HandsOverUnwritten) => !self.pipelined_bytes,
-            _ => quiet,
+            _ => buffers_empty,
         };
-        quiet && (at_rest || self.stream_detached)
+        buffers_empty && (self.is_between_requests() || self.stream_detached)
     }
 
+    /// Which time limit applies now.
     pub fn timeout_kind(&self) -> TimeoutKind {
         match self.stage {
             Stage::Body | Stage::Response | Stage::HandedOver => TimeoutKind::Request,
@@ -217,80 +234,96 @@
         }
     }
 
-    /// The transition table.
+    /// Handles one input and returns what must be done.
+    ///
+    /// # Errors
+    /// An input that cannot occur in the present stage changes nothing.
     pub fn step(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
-        use Stage::*;
-        let next = match (self.stage, input) {
-            (HandedOver, _) => return Err(self.impossible(&input)),
-            (_, Input::WriteBlocked(blocked)) => {
+        if self.stage == Stage::HandedOver {
+            return Err(self.invalid_transition(&input));
+        }
+        match input {
+            Input::HeadStarted
+            | Input::HeadComplete(_)
+            | Input::MalformedHead
+            | Input::BodyComplete
+            | Input::ResponseFinished
+            | Input::StreamResumed
+            | Input::StreamDetached => self.advance(input),
+            Input::HandOverRequested => Ok(self.hand_over()),
+            Input::TimedOut => self.on_timeout(),
+            Input::Evicted if self.is_evictable() => Ok(Effect::Close),
+            Input::Evicted => Ok(Effect::None),
+            Input::WriteBlocked(blocked) => {
                 self.blocked = blocked;
-                return Ok(Effect::None);
-            }
-            (_, Input::PipelinedBytes(ahead)) => {
-                self.pipelined_bytes = ahead;
-                return Ok(Effect::None);
-            }
-            (New | Head | Idle, Input::HeadStarted) => Head,
-            (Head | Idle, Input::HeadComplete(framing)) => {
-                self.last_request = framing == Framing::UnknownLength;
-                if framing == Framing::Complete {
-                    Response
-                } else {
-                    Body
-                }
-            }
-            (Head | Idle, Input::MalformedHead) => Closing,
-            (Body, Input::BodyComplete) => Response,
-            // Answered before its end: what still comes is read and dropped.
-            (Closing, Input::BodyComplete) => Closing,
-            // Of a request that was answered before its body's end, none knows where the next one begins.
-            (Body | Response, Input::ResponseFinished) => {
-                self.stream_detached = false;
-                let ends = self.closes_after_response();
-                #[cfg(feature = "mutants")]
-                let ends = ends && self.fault != Some(Fault::KeepsAfterUnread);
-                if ends {
-                    Closing
-                } else {
-                    Idle
-                }
-            }
-            (New, Input::StreamResumed) => Response,
-            (Response, Input::StreamDetached) => {
-                self.stream_detached = true;
-                Response
+                Ok(Effect::None)
             }
-            (_, Input::HandOverRequested) => {
-                if !self.can_hand_over() {
-                    return Ok(Effect::None);
-                }
-                let stream = self.stage == Response;
-                self.stage = HandedOver;
-                return Ok(Effect::HandOver { stream });
+            Input::PipelinedBytes(pipelined_bytes) => {
+                self.pipelined_bytes = pipelined_bytes;
+                Ok(Effect::None)
             }
-            (Body | Response, Input::TimedOut) => return Err(self.impossible(&input)),
-            (_, Input::TimedOut) => return Ok(Effect::Close),
-            (_, Input::Evicted) => {
-                return Ok(if self.is_evictable() { Effect::Close } else { Effect::None });
-            }
-            (New | Head | Idle, Input::BodyComplete | Input::StreamDetached | Input::ResponseFinished)
-            | (New, Input::HeadComplete(_) | Input::MalformedHead)
-            | (Closing, Input::ResponseFinished)
-            | (
-                Body | Response | Closing,
-                Input::HeadStarted | Input::HeadComplete(_) | Input::MalformedHead,
-            )
-            | (Response, Input::BodyComplete)
-            | (Body | Closing, Input::StreamDetached)
-            | (Head | Body | Response | Idle | Closing, Input::StreamResumed) => {
-                return Err(self.impossible(&input))
-            }
-        };
+        }
+    }
+
+    /// Moves on to the stage that follows.
+    fn advance(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
+        let Some(next) = self.next_stage(input) else { return Err(self.invalid_transition(&input)) };
+        match input {
+            Input::HeadComplete(framing) => self.last_request = framing == Framing::UnknownLength,
+            Input::StreamDetached => self.stream_detached = true,
+            Input::ResponseFinished => self.stream_detached = false,
+            _ => {}
+        }
         self.stage = next;
         Ok(Effect::None)
     }
 
-    fn impossible(&self, input: &Input) -> InvalidTransition {
+    /// The transition table of requests and responses; `None` where the input cannot occur.
+    fn next_stage(&self, input: Input) -> Option<Stage> {
+        match (self.stage, input) {
+            (Stage::New | Stage::Head | Stage::Idle, Input::HeadStarted) => Some(Stage::Head),
+            (Stage::Head | Stage::Idle, Input::HeadComplete(Framing::Complete)) => Some(Stage::Response),
+            (Stage::Head | Stage::Idle, Input::HeadComplete(_)) => Some(Stage::Body),
+            (Stage::Head | Stage::Idle, Input::MalformedHead) => Some(Stage::Closing),
+            (Stage::Body, Input::BodyComplete) => Some(Stage::Response),
+            // The response came before the end of the body: what still arrives is read and dropped.
+            (Stage::Closing, Input::BodyComplete) => Some(Stage::Closing),
+            (Stage::Body | Stage::Response, Input::ResponseFinished) => Some(self.stage_after_response()),
+            (Stage::New, Input::StreamResumed) => Some(Stage::Response),
+            (Stage::Response, Input::StreamDetached) => Some(Stage::Response),
+            _ => None,
+        }
+    }
+
+    fn stage_after_response(&self) -> Stage {
+        let closes = self.closes_after_response();
+        #[cfg(feature = "mutants")]
+        let closes = closes && self.fault != Some(Fault::KeepsAfterUnread);
+        if closes {
+            Stage::Closing
+        } else {
+            Stage::Idle
+        }
+    }
+
+    fn hand_over(&mut self) -> Effect {
+        if !self.can_hand_over() {
+            return Effect::None;
+        }
+        let stream = self.stage == Stage::Response;
+        self.stage = Stage::HandedOver;
+        Effect::HandOver { stream }
+    }
+
+    /// An open request has timers of its own, so that the connection's cannot expire.
+    fn on_timeout(&self) -> Result<Effect, InvalidTransition> {
+        match self.stage {
+            Stage::Body | Stage::Response => Err(self.invalid_transition(&Input::TimedOut)),
+            _ => Ok(Effect::Close),
+        }
+    }
+
+    fn invalid_transition(&self, input: &Input) -> InvalidTransition {
         InvalidTransition::new("client connection", input, self)
     }
 }
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -1,35 +1,45 @@
-//! The machines behind the account's rules: a request with its attempts, a client's connection and a server's
-//! connection. Inputs go in, effects come out; there is no clock, no socket and no task in here.
+//! Sans-I/O state machines of a request with its attempts, of a client's connection, and of a connection to a server;
+//! and two plain schedules: which server to ask for a release, and when to poll discovery.
 //!
-//! What runs in the gateway is what the explorer explores: `gateway/src/core` drives [`request`], the gate of
-//! each client's connection drives [`client`], the engine drives [`server`]. Each transition table is one
-//! `match` in one place, and `docs/lifecycle.md` has it beside the rule that it guards. An input that cannot
-//! come in a state is an [`InvalidTransition`], never a panic, and changes nothing.
+//! Inputs go in, effects come out; there is no clock, no socket and no task in here. What runs in the gateway is what
+//! the model checker explores: `gateway/src/core` drives [`request`], the front drives [`client`], the engine drives
+//! [`server`]. Each transition table stands in one place, and `docs/lifecycle.md` has it beside the rule that it
+//! guards. An input that cannot occur in a state is an [`InvalidTransition`], never a panic, and changes nothing.
 //!
 //! ```
-//! use glenrail_request_lifecycle::request::*;
+//! use glenrail_request_lifecycle::request::{
+//!     Input, Reply, Request, RequestPolicy, RetrySafety, Stage, StreamEnd,
+//! };
 //!
-//! let mut out = Vec::new();
-//! let mut request = Request::new(RequestPolicy { retry_safety: RetrySafety::AtMostOnce, max_attempts: 5, cancellation: true }, &mut out);
-//! request.step(Input::Send { server: 1, stage: Stage::Execute, permitted: true }, &mut out)?;
-//! request.step(Input::Replied { attempt: 0, reply: Reply::FirstEvent }, &mut out)?;
-//! request.step(Input::StreamEnded { attempt: 0, end: StreamEnd::Complete }, &mut out)?;
+//! let mut effects = Vec::new();
+//! let policy = RequestPolicy { retry_safety: RetrySafety::AtMostOnce, max_attempts: 5, cancellation: true };
+//! let mut request = Request::new(policy, &mut effects);
+//! request.step(Input::Send { server: 1, stage: Stage::Execute, permitted: true }, &mut effects)?;
+//! request.step(Input::Replied { attempt: 0, reply: Reply::FirstEvent }, &mut effects)?;
+//! request.step(Input::StreamEnded { attempt: 0, end: StreamEnd::Complete }, &mut effects)?;
 //! assert!(request.is_finished());
 //! # Ok::<(), glenrail_request_lifecycle::InvalidTransition>(())
 //! ```
 
+#![deny(missing_docs)]
+
 pub mod client;
 pub mod reach;
 pub mod request;
 pub mod server;
 pub mod watch;
 
-/// An input that cannot come where the machine stands. The machine is as it was before.
+/// An input that cannot occur in the state that the machine is in. The machine is unchanged.
+///
+/// It points to an error of the driver, or to an event that was reported twice; the machine goes on without it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{machine}: {input} cannot come while {state}")]
 pub struct InvalidTransition {
+    /// Which machine: "request", "client connection" or "server connection".
     pub machine: &'static str,
+    /// The input, in its `Debug` form.
     pub input: String,
+    /// The machine's state, in its `Debug` form.
     pub state: String,
 }
 
--- /dev/null
+++ b/crates/request-lifecycle/src/request/attempts.rs
@@ -0,0 +1,255 @@
+//! The attempts of a request: from the router's order to the one outcome of each.
+
+use super::planted_faults::Fault;
+use super::transitions::Unexpected;
+use super::{
+    Attempt, AttemptState, Effect, Effects, Release, Reply, Request, Reservation, ResponseState, RetrySafety,
+    Server, Stage, Status, StreamEnd,
+};
+
+impl Request {
+    fn attempt_state(&self, attempt: usize) -> Option<AttemptState> {
+        self.attempts.get(attempt).map(|attempt| attempt.state)
+    }
+
+    /// Queues the attempt that the router orders, or ends it as not sent if it must not go.
+    pub(super) fn queue_attempt(
+        &mut self, server: Server, stage: Stage, permitted: bool, effects: &mut Effects,
+    ) {
+        let may_start = permitted && self.may_start_attempt(stage);
+        let attempt = self.attempts.len();
+        self.attempts.push(Attempt::new(server, stage));
+        if !may_start {
+            self.end_attempt(attempt, Status::NotSent, effects);
+        }
+    }
+
+    /// The rules for a further attempt: one in flight at a time, none beyond the maximum, none for a closed request,
+    /// and no second run of a request that may have run unless it is idempotent.
+    fn may_start_attempt(&self, stage: Stage) -> bool {
+        let second = self.in_flight() && !self.has_fault(Fault::SecondAttempt);
+        let closed = self.is_closed() && !self.has_fault(Fault::SendsAfterEnd);
+        let runs_again = self.policy.retry_safety == RetrySafety::AtMostOnce
+            && stage == Stage::Execute
+            && self.may_have_executed
+            && !self.has_fault(Fault::RunsOrderTwice);
+        !second && !closed && !runs_again && self.attempts.len() < self.policy.max_attempts
+    }
+
+    /// Starts the attempt that waits, once no release is due or in progress.
+    pub(super) fn start_queued_attempt(&mut self, effects: &mut Effects) {
+        let may_start = self.release == Release::None || self.has_fault(Fault::SendsBeforeRelease);
+        if !may_start {
+            return;
+        }
+        let queued = self.attempts.iter().position(|attempt| attempt.state == AttemptState::Queued);
+        if let Some(attempt) = queued {
+            self.attempts[attempt].state = AttemptState::InFlight;
+            effects.push(Effect::StartAttempt { attempt });
+        }
+    }
+
+    /// Cancels an attempt whose answer has not begun.
+    pub(super) fn cancel_attempt(&mut self, attempt: usize, effects: &mut Effects) {
+        match self.attempt_state(attempt) {
+            // Nothing of it was sent.
+            Some(AttemptState::Queued) => self.end_attempt(attempt, Status::NotSent, effects),
+            Some(AttemptState::InFlight) => {
+                self.attempts[attempt].state = AttemptState::Cancelling;
+                effects.push(Effect::CancelAttempt { attempt });
+            }
+            // Already cancelled or ended; or its answer has begun and belongs to the client.
+            Some(AttemptState::Cancelling | AttemptState::Streaming | AttemptState::Ended(_)) | None => {}
+        }
+    }
+
+    /// Cancels what is in flight and not known to have arrived.
+    pub(super) fn cancel_undelivered(&mut self, effects: &mut Effects) {
+        if self.has_fault(Fault::KeepsUndelivered) {
+            return;
+        }
+        for attempt in 0..self.attempts.len() {
+            let Attempt { state, delivered, .. } = self.attempts[attempt];
+            if state == AttemptState::InFlight && !delivered {
+                self.attempts[attempt].undelivered = true;
+                self.cancel_attempt(attempt, effects);
+            }
+        }
+    }
+
+    /// Cancels everything whose answer has not begun: nobody waits for it any more.
+    pub(super) fn cancel_all(&mut self, effects: &mut Effects) {
+        if self.has_fault(Fault::KeepsCallAfterGone) {
+            return;
+        }
+        for attempt in 0..self.attempts.len() {
+            // A queued attempt is not at a server, so the deployment's setting for cancellation does not concern it.
+            if self.policy.cancellation || self.attempts[attempt].state == AttemptState::Queued {
+                self.cancel_attempt(attempt, effects);
+            }
+        }
+    }
+
+    /// How a cancelled attempt ends.
+    fn cancelled_status(&self, attempt: usize) -> Status {
+        if self.attempts[attempt].undelivered {
+            Status::Undelivered
+        } else {
+            Status::Cancelled
+        }
+    }
+
+    /// Something came back for an attempt.
+    pub(super) fn on_reply(
+        &mut self, attempt: usize, reply: Reply, effects: &mut Effects,
+    ) -> Result<(), Unexpected> {
+        match (self.attempt_state(attempt), reply) {
+            (Some(AttemptState::InFlight), _) => self.on_reply_in_flight(attempt, reply, effects),
+            // The first token crossed the cancellation: the call is about to be dropped, and the attempt ends then.
+            (Some(AttemptState::Cancelling), Reply::FirstEvent) => {}
+            // Nothing of it was written, so it had no effect, and its reservations were unused all the time.
+            (Some(AttemptState::Cancelling), Reply::NotSent) => {
+                self.end_attempt(attempt, Status::NotSent, effects);
+            }
+            // Its call ended by itself before it was dropped.
+            (Some(AttemptState::Cancelling), _) => {
+                self.end_attempt(attempt, self.cancelled_status(attempt), effects);
+            }
+            (Some(AttemptState::Queued | AttemptState::Streaming | AttemptState::Ended(_)) | None, _) => {
+                return Err(Unexpected);
+            }
+        }
+        Ok(())
+    }
+
+    pub(super) fn on_delivered(&mut self, attempt: usize) -> Result<(), Unexpected> {
+        match self.attempt_state(attempt) {
+            Some(AttemptState::InFlight) => self.attempts[attempt].delivered = true,
+            // The sign of delivery crossed the attempt's end.
+            Some(AttemptState::Cancelling | AttemptState::Streaming | AttemptState::Ended(_)) => {}
+            Some(AttemptState::Queued) | None => return Err(Unexpected),
+        }
+        Ok(())
+    }
+
+    pub(super) fn on_stream_ended(
+        &mut self, attempt: usize, end: StreamEnd, effects: &mut Effects,
+    ) -> Result<(), Unexpected> {
+        if self.attempt_state(attempt) != Some(AttemptState::Streaming) {
+            return Err(Unexpected);
+        }
+        if !self.is_closed() {
+            self.response = ResponseState::StreamEnded;
+        }
+        self.end_attempt(attempt, end.status(), effects);
+        Ok(())
+    }
+
+    pub(super) fn on_attempt_timeout(
+        &mut self, attempt: usize, effects: &mut Effects,
+    ) -> Result<(), Unexpected> {
+        if self.attempt_state(attempt) != Some(AttemptState::InFlight) {
+            return Err(Unexpected);
+        }
+        self.end_attempt(attempt, Status::Timeout, effects);
+        Ok(())
+    }
+
+    pub(super) fn on_cancel_completed(
+        &mut self, attempt: usize, effects: &mut Effects,
+    ) -> Result<(), Unexpected> {
+        if self.attempt_state(attempt) != Some(AttemptState::Cancelling) {
+            return Err(Unexpected);
+        }
+        self.end_attempt(attempt, self.cancelled_status(attempt), effects);
+        Ok(())
+    }
+
+    /// What came back either begins the client's answer or ends the attempt.
+    fn on_reply_in_flight(&mut self, attempt: usize, reply: Reply, effects: &mut Effects) {
+        let status = match reply {
+            Reply::FirstEvent => return self.begin_stream(attempt, effects),
+            // It did not run, so it left no reservation.
+            Reply::Unprocessable => {
+                self.respond_unprocessable(effects);
+                Status::NotSent
+            }
+            Reply::Prefilled => Status::Prefilled,
+            Reply::Rejected => Status::Rejected,
+            Reply::Error => Status::Error,
+            Reply::ConnectFailed => Status::ConnectFailed,
+            Reply::Reset => Status::Reset,
+            Reply::MalformedResponse => Status::MalformedResponse,
+            Reply::NotSent => Status::NotSent,
+        };
+        self.end_attempt(attempt, status, effects);
+    }
+
+    /// The attempt's first event is here: its answer is the client's from now on.
+    fn begin_stream(&mut self, attempt: usize, effects: &mut Effects) {
+        if self.response != ResponseState::Pending {
+            // Nobody waits for it. It ends only once it is dropped, so that nothing is released while it runs.
+            self.attempts[attempt].state = AttemptState::Cancelling;
+            effects.push(Effect::CancelAttempt { attempt });
+            return;
+        }
+        self.attempts[attempt].state = AttemptState::Streaming;
+        self.attempts[attempt].delivered = true;
+        self.response = ResponseState::Streaming;
+        self.may_have_executed = true;
+        // The decode server has fetched the KV state, and its own slot is the stream's; a slot elsewhere must still be
+        // released.
+        let server = self.attempts[attempt].server;
+        let slot_elsewhere = matches!(self.reservation, Reservation::Slot(holder) if holder != server);
+        if !slot_elsewhere {
+            self.reservation = Reservation::None;
+        }
+        effects.push(Effect::NotifyFirstToken { attempt });
+        effects.push(Effect::ForwardStream { attempt });
+    }
+
+    /// Ends an attempt and reports its one outcome.
+    fn end_attempt(&mut self, attempt: usize, status: Status, effects: &mut Effects) {
+        let Attempt { stage, state, delivered, .. } = self.attempts[attempt];
+        self.attempts[attempt].state = AttemptState::Ended(status);
+        self.attempts[attempt].delivered = match status {
+            Status::ConnectFailed | Status::NotSent => false,
+            _ => delivered || status.shows_arrival(),
+        };
+        if state != AttemptState::Queued {
+            self.note_left_behind(stage, state, status);
+        }
+        if self.has_fault(Fault::LosesOutcome) && status == Status::Cancelled {
+            return;
+        }
+        effects.push(Effect::NotifyOutcome { attempt, status, closed: self.is_closed() });
+        if self.has_fault(Fault::TwoOutcomes) && status == Status::Timeout {
+            effects.push(Effect::NotifyOutcome { attempt, status, closed: self.is_closed() });
+        }
+    }
+
+    /// Notes what an attempt that was sent may have left at its server; `state` is the one before its end.
+    fn note_left_behind(&mut self, stage: Stage, state: AttemptState, status: Status) {
+        let lost = matches!(
+            status,
+            Status::Cancelled
+                | Status::Undelivered
+                | Status::Reset
+                | Status::MalformedResponse
+                | Status::Timeout
+        );
+        let cut = lost && state != AttemptState::Streaming;
+        // Stays set until a release has waited for it: a call for a slot may have been cut before.
+        self.cut_since_release |= cut;
+        // A prefill may have completed just as its connection was cut. The KV state that it left must be released
+        // before the request is sent again, or that attempt would find it.
+        if cut && stage == Stage::Prefill && !self.has_fault(Fault::ForgetsCutRead) {
+            self.reserve(Reservation::KvState);
+            self.make_release_due();
+        }
+        if status == Status::Prefilled {
+            self.reserve(Reservation::KvState);
+        }
+        self.may_have_executed |= stage == Stage::Execute && status.may_have_run();
+    }
+}
--- /dev/null
+++ b/crates/request-lifecycle/src/request/planted_faults.rs
@@ -0,0 +1,77 @@
+//! Faults that can be planted in the machine, to show that the model checker finds each of them.
+//!
+//! Only the `mutants` feature, which the model checker alone enables, can plant one. In any other build
+//! [`Request::has_fault`] is the constant `false`, and the compiler removes what depends on it.
+
+use serde::{Deserialize, Serialize};
+
+use super::Request;
+
+/// A fault of the machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub enum Fault {
+    /// A second final answer follows the first.
+    AnswersTwice,
+    /// A final answer follows the beginning of a stream.
+    AnswersAfterStream,
+    /// An attempt may start while another is in flight.
+    SecondAttempt,
+    /// A request that may have run is executed again, although it is not idempotent.
+    RunsOrderTwice,
+    /// KV state that a cut-off prefill may have left is not released.
+    ForgetsCutRead,
+    /// Reservations are not released when the request is closed.
+    ForgetsHeldAtEnd,
+    /// A release starts while an attempt is at a server.
+    ReleasesWhileOut,
+    /// An attempt starts before the release ahead of it has ended.
+    SendsBeforeRelease,
+    /// An attempt starts after the request was closed.
+    SendsAfterEnd,
+    /// The outcome of a cancelled attempt is not reported.
+    LosesOutcome,
+    /// The outcome of an attempt that timed out is reported twice.
+    TwoOutcomes,
+    /// The request never finishes.
+    NeverOver,
+    /// The deadline is never armed.
+    NoDeadline,
+    /// The lease limit is never armed.
+    NoPinLimit,
+    /// Attempts go on after the request was closed.
+    KeepsCallAfterGone,
+    /// A slot that a decode server may hold is not released.
+    ForgetsPlace,
+    /// The request finishes before its release has ended.
+    OverTooEarly,
+    /// The deadline stays armed after the request was closed.
+    LeavesTimer,
+    /// The client is told that its request was rejected although it may have run.
+    RefusesWhatMayHaveRun,
+    /// An attempt that was only written counts as delivered.
+    CountsWrittenAsArrived,
+    /// An attempt that was not delivered before the lease limit is not cancelled.
+    KeepsUndelivered,
+}
+
+#[cfg(feature = "mutants")]
+impl Request {
+    /// Plants a fault, or removes the one planted.
+    pub fn plant(&mut self, fault: Option<Fault>) {
+        self.fault = fault;
+    }
+
+    /// Whether this fault is planted.
+    pub(super) fn has_fault(&self, fault: Fault) -> bool {
+        self.fault == Some(fault)
+    }
+}
+
+#[cfg(not(feature = "mutants"))]
+impl Request {
+    /// Whether this fault is planted: never, in a build without the feature.
+    #[inline(always)]
+    pub(super) fn has_fault(&self, _: Fault) -> bool {
+        false
+    }
+}
--- /dev/null
+++ b/crates/request-lifecycle/src/request/timers.rs
@@ -0,0 +1,84 @@
+//! The two timers of a request: its deadline, and the limit of what servers hold for it.
+
+use super::planted_faults::Fault;
+use super::transitions::Unexpected;
+use super::{
+    AttemptState, Effect, Effects, FinalResponse, Release, Request, Reservation, ResponseState, SlotRequest,
+    Timer,
+};
+
+impl Request {
+    pub(super) fn on_timer_expired(&mut self, timer: Timer, effects: &mut Effects) -> Result<(), Unexpected> {
+        if !self.is_armed(timer) {
+            return Err(Unexpected);
+        }
+        match timer {
+            Timer::Deadline => self.on_deadline(effects),
+            Timer::LeaseLimit => self.on_lease_limit(effects),
+        }
+        Ok(())
+    }
+
+    fn on_deadline(&mut self, effects: &mut Effects) {
+        self.deadline_armed = false;
+        if self.response == ResponseState::Pending {
+            self.respond(FinalResponse::DeadlineExceeded, effects);
+            // To the router this is the same as a client that left: nobody waits any more.
+            effects.push(Effect::NotifyClientDisconnected);
+        }
+    }
+
+    /// Whatever is reserved may wait no longer: nothing that would use it is known to have arrived.
+    fn on_lease_limit(&mut self, effects: &mut Effects) {
+        self.lease_armed = false;
+        self.cancel_slot_request(effects);
+        self.cancel_undelivered(effects);
+        self.make_release_due();
+    }
+
+    /// Arms the timers that the present state needs and disarms the others.
+    pub(super) fn update_timers(&mut self, effects: &mut Effects) {
+        let needs_deadline = self.needs_deadline();
+        let needs_lease_limit = self.needs_lease_limit();
+        set_timer(&mut self.deadline_armed, Timer::Deadline, needs_deadline, effects);
+        set_timer(&mut self.lease_armed, Timer::LeaseLimit, needs_lease_limit, effects);
+    }
+
+    /// Armed from the start, until it expires or the answer has begun.
+    fn needs_deadline(&self) -> bool {
+        let waits_for_answer = self.response == ResponseState::Pending || self.has_fault(Fault::LeavesTimer);
+        self.deadline_armed && waits_for_answer && !self.has_fault(Fault::NoDeadline)
+    }
+
+    /// Whether servers may hold something that no delivered attempt uses.
+    fn needs_lease_limit(&self) -> bool {
+        // A call for a slot may have succeeded before its answer is here.
+        let may_be_reserved = self.reservation != Reservation::None || self.slot_request != SlotRequest::None;
+        // An attempt that is only written may never arrive: it neither stops the clock nor may it delay a release for ever.
+        let clock_runs = match self.release {
+            Release::None => !self.is_closed(),
+            Release::Due => self
+                .attempts
+                .iter()
+                .any(|attempt| attempt.state == AttemptState::InFlight && !attempt.delivered),
+            Release::InProgress { .. } => false,
+        };
+        may_be_reserved && !self.has_delivered_attempt() && clock_runs && !self.has_fault(Fault::NoPinLimit)
+    }
+
+    /// Whether an attempt is open that is known to have arrived at its server.
+    fn has_delivered_attempt(&self) -> bool {
+        if self.has_fault(Fault::CountsWrittenAsArrived) {
+            return self.in_flight();
+        }
+        self.attempts.iter().any(|attempt| attempt.is_open() && attempt.delivered)
+    }
+}
+
+fn set_timer(armed: &mut bool, timer: Timer, needed: bool, effects: &mut Effects) {
+    if *armed == needed {
+        return;
+    }
+    *armed = needed;
+    effects.push(if needed { Effect::ArmTimer(timer) } else { Effect::DisarmTimer(timer) });
+}
--- /dev/null
+++ b/crates/request-lifecycle/src/request/transitions.rs
@@ -0,0 +1,72 @@
+//! The transition table of a request.
+//!
+//! An input is handled in two steps: its handler changes the state that it concerns, and [`Request::settle`] then does
+//! what the state reached demands, whichever way it was reached.
+
+use super::planted_faults::Fault;
+use super::{Effect, Effects, Input, Release, Request, SlotRequest};
+use crate::InvalidTransition;
+
+/// The input cannot occur in the state that the request is in. The handler has changed nothing.
+pub(super) struct Unexpected;
+
+impl Request {
+    /// Handles one input and appends what must be done, in order.
+    ///
+    /// # Errors
+    /// An input that cannot occur in the present state changes nothing.
+    pub fn step(&mut self, input: Input, effects: &mut Effects) -> Result<(), InvalidTransition> {
+        self.handle(input, effects).map_err(|Unexpected| InvalidTransition::new("request", &input, self))?;
+        self.settle(effects);
+        Ok(())
+    }
+
+    /// The transition table. Orders and the client's disconnect are possible in any state; a report is possible only
+    /// where its handler expects it.
+    fn handle(&mut self, input: Input, effects: &mut Effects) -> Result<(), Unexpected> {
+        if self.is_finished {
+            return Err(Unexpected);
+        }
+        match input {
+            Input::Send { server, stage, permitted } => {
+                self.queue_attempt(server, stage, permitted, effects);
+            }
+            Input::Cancel { attempt } => self.cancel_attempt(attempt, effects),
+            Input::Release => self.order_release(),
+            Input::Respond(response) => self.respond(response, effects),
+            Input::ReserveSlot { server } => self.request_slot(server, effects),
+            Input::ClientDisconnected => self.abandon(effects),
+            Input::Replied { attempt, reply } => self.on_reply(attempt, reply, effects)?,
+            Input::Delivered { attempt } => self.on_delivered(attempt)?,
+            Input::StreamEnded { attempt, end } => self.on_stream_ended(attempt, end, effects)?,
+            Input::TimedOut { attempt } => self.on_attempt_timeout(attempt, effects)?,
+            Input::CancelCompleted { attempt } => self.on_cancel_completed(attempt, effects)?,
+            Input::SlotAnswered { reserved } => self.on_slot_answered(reserved, effects)?,
+            Input::Released => self.on_released()?,
+            Input::TimerExpired(timer) => self.on_timer_expired(timer, effects)?,
+        }
+        Ok(())
+    }
+
+    /// Does what the state reached demands. The order matters: a release goes before the next attempt.
+    fn settle(&mut self, effects: &mut Effects) {
+        if self.is_closed() {
+            self.release_reservations_of_closed(effects);
+        }
+        self.start_due_release(effects);
+        self.start_queued_attempt(effects);
+        self.update_timers(effects);
+        self.finish_if_nothing_left(effects);
+    }
+
+    fn finish_if_nothing_left(&mut self, effects: &mut Effects) {
+        let closed = self.is_closed() && !self.has_fault(Fault::NeverOver);
+        let releasing = self.release != Release::None;
+        let pending = self.in_flight() || releasing || self.slot_request != SlotRequest::None;
+        let pending = pending && !(self.has_fault(Fault::OverTooEarly) && releasing);
+        if closed && !pending {
+            self.is_finished = true;
+            effects.push(Effect::Finished);
+        }
+    }
+}
--- a/crates/request-lifecycle/src/server.rs
+++ b/crates/request-lifecycle/src/server.rs
@@ -1,7 +1,8 @@
-//! A connection to a server: whether a request may be written to it, and what its end says of the request.
+//! A connection to a server: whether a request may be written to it, and what its end says about the request.
 //!
-//! One request at a time. The one thing that this machine may never get wrong is whether a request's last byte can
-//! have reached its server: before it, the request never ran, after it, it may have.
+//! One request at a time. The one thing that this machine must never get wrong is whether a request's last byte can
+//! have reached its server: before it, the request never ran; after it, the request may have run. [`Connection`] owns
+//! the state; the driver owns the socket and the clock.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,19 +15,21 @@
     Connecting,
     /// Up, with no request on it.
     Idle,
-    /// A request is being written; not all of it is out.
+    /// A request is being written; its last byte is not written yet.
     Writing,
-    /// Its last byte is out; the head of its answer is not here.
+    /// The request is written; the head of its response has not been received.
     AwaitingHead,
-    /// The answer's body comes in.
+    /// The body of the response is being received.
     Streaming,
-    /// The server has closed it, or said what nobody asked for, while it stood idle.
+    /// The server closed it, or sent something unasked, while it was idle.
     Stale,
+    /// Closed, or about to be.
     Closing,
     /// Another process reads on.
     HandedOver,
 }
 
+/// What happens on the connection, or is asked of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Input {
     /// It is up.
@@ -35,75 +38,86 @@
     /// It did not come up.
     #[serde(rename = "Refused")]
     ConnectFailed,
-    /// A request is to be written. `serving`: its server may get something new at this moment.
-    Send { serving: bool },
-    /// Some bytes of the request were handed to the machine.
+    /// A request is to be written.
+    Send {
+        /// Whether its server may receive something new at this moment.
+        serving: bool,
+    },
+    /// Some bytes of the request were passed to the operating system.
     #[serde(rename = "Wrote")]
     BytesWritten,
-    /// So was its last one.
+    /// So was its last byte.
     #[serde(rename = "WroteAll")]
     LastByteWritten,
-    /// The head of the answer has come whole.
+    /// The complete head of the response was received.
     #[serde(rename = "Head")]
     HeadReceived,
-    /// The answer has come to its end.
+    /// The response has come to its end.
     #[serde(rename = "End")]
     ResponseComplete,
-    /// Reading has stopped between two chunks, for another process to go on.
+    /// Reading has stopped between two chunks, for another process to continue.
     #[serde(rename = "Stands")]
     ReadPaused,
-    /// The server closed it, reset it or said what cannot be read.
+    /// The server closed it, reset it or sent something that cannot be parsed.
     #[serde(rename = "Broke")]
     Broken,
-    /// Whoever waited for it gave up, or it has stood idle for too long.
+    /// Whoever waited for it gave up, or it has been idle for too long.
     #[serde(rename = "Dropped")]
     Abandoned,
-    /// The server is to get nothing new.
+    /// The server must receive nothing new (it drains).
     Drained,
 }
 
-/// What is to be done, or what is known.
+/// What the driver must do, or what is known of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
+    /// Nothing.
     #[serde(rename = "Nothing")]
     None,
     /// Write the request.
     Write,
-    /// Not a byte went out, and this connection was an old one: the same request on another is no second attempt.
+    /// Send the same request on another connection: not a byte was written, and this one had been idle in the pool, so
+    /// that is no second attempt.
     Replace,
-    /// Nothing of the request can have run.
+    /// The request cannot have run.
     NeverRan,
     /// The request may have run.
     MayHaveRun,
-    /// The server must get nothing: nothing was written, and the connection is closed.
+    /// The server must receive nothing: nothing was written, and the connection is closed.
     #[serde(rename = "KeptBack")]
     Withheld,
-    /// Take it for the next request.
+    /// Return it to the pool for the next request.
     #[serde(rename = "Keep")]
     Reuse,
+    /// Close it.
     Close,
-    /// The open answer goes on elsewhere.
+    /// The open response continues in another process.
     HandOver,
 }
 
-/// A fault planted in the machine, for the explorer to show that it finds each.
+/// A fault that the model checker plants, to show that it finds each of them.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Fault {
+    /// A request is written to a server that drains.
     WritesToDrained,
+    /// A request is sent on another connection after a part of it was written.
     ReplacesAfterByte,
+    /// A request that was written completely is said never to have run.
     CallsSentNeverRan,
+    /// A connection to a server that drains returns to the pool.
     KeepsDrained,
 }
 
+/// The state machine of one connection to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
     stage: Stage,
     /// It has carried a request before this one.
     used: bool,
-    /// A byte of the open request is out.
+    /// A byte of the open request is written.
     has_written: bool,
-    /// Its server is to get nothing new.
+    /// Its server must receive nothing new.
     drained: bool,
     #[cfg(feature = "mutants")]
     fault: Option<Fault>,
@@ -123,107 +137,133 @@
 }
 
 impl Connection {
-    /// A connection that stands there, for whoever lists the table's rows.
+    /// A connection in this stage, for listing the rows of the transition table.
     #[cfg(feature = "mutants")]
     pub fn at(stage: Stage) -> Self {
         Connection { stage, ..Connection::default() }
     }
 
+    /// Plants a fault, or removes the one planted.
     #[cfg(feature = "mutants")]
     pub fn plant(&mut self, fault: Option<Fault>) {
         self.fault = fault;
     }
 
+    /// Where the connection stands.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether a byte of the open request is out.
+    /// Whether a byte of the open request is written.
     pub fn has_written(&self) -> bool {
         self.has_written
     }
 
-    /// The transition table.
+    /// Handles one input and returns what must be done.
+    ///
+    /// # Errors
+    /// An input that cannot occur in the present stage changes nothing.
     pub fn step(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
-        use Stage::*;
-        #[cfg(feature = "mutants")]
-        let planted = self.fault;
-        let (next, effect) = match (self.stage, input) {
-            (Stale | Closing | HandedOver, _) => return self.ended(input),
-            (Connecting, Input::Connected) => (Idle, Effect::None),
-            (Connecting, Input::ConnectFailed | Input::Broken) => (Closing, Effect::NeverRan),
-            // Connecting takes time: what was told meanwhile counts at the first byte.
-            (Idle, Input::Send { serving }) => {
-                let may = serving && !self.drained;
-                #[cfg(feature = "mutants")]
-                let may = may || planted == Some(Fault::WritesToDrained);
-                if may {
-                    self.has_written = false;
-                    (Writing, Effect::Write)
-                } else {
-                    (Closing, Effect::Withheld)
-                }
-            }
-            (Idle, Input::Broken) => (Stale, Effect::Close),
-            (Writing, Input::BytesWritten) => {
-                self.has_written = true;
-                (Writing, Effect::None)
-            }
-            (Writing, Input::LastByteWritten) => {
-                self.has_written = true;
-                (AwaitingHead, Effect::None)
-            }
-            (Writing, Input::Broken) => {
-                let replace = self.used && !self.has_written;
-                #[cfg(feature = "mutants")]
-                let replace = replace || self.used && planted == Some(Fault::ReplacesAfterByte);
-                (Closing, if replace { Effect::Replace } else { Effect::NeverRan })
-            }
-            // Answered before its end was written: the server has made up its mind.
-            (Writing | AwaitingHead, Input::HeadReceived) => (Streaming, Effect::None),
-            (AwaitingHead | Streaming, Input::Broken) => {
-                let ran = Effect::MayHaveRun;
-                #[cfg(feature = "mutants")]
-                let ran = if planted == Some(Fault::CallsSentNeverRan) { Effect::NeverRan } else { ran };
-                (Closing, ran)
-            }
-            (Streaming, Input::ResponseComplete) => {
-                let keep = !self.drained;
-                #[cfg(feature = "mutants")]
-                let keep = keep || planted == Some(Fault::KeepsDrained);
-                (self.used, self.has_written) = (true, false);
-                if keep {
-                    (Idle, Effect::Reuse)
-                } else {
-                    (Closing, Effect::Close)
-                }
-            }
-            (Streaming, Input::ReadPaused) => (HandedOver, Effect::HandOver),
-            (_, Input::Abandoned) => (Closing, Effect::Close),
-            // What stands idle is closed; a request under way may end.
-            (stage, Input::Drained) => {
-                self.drained = true;
-                match stage {
-                    Idle => (Closing, Effect::Close),
-                    _ => (stage, Effect::None),
-                }
-            }
-            _ => return Err(self.impossible(&input)),
+        let Some((next, effect)) = self.transition(input) else {
+            return Err(InvalidTransition::new("server connection", &input, self));
         };
+        self.record(input, effect);
         self.stage = next;
         Ok(effect)
     }
 
-    /// After its end, what was on its way may still come, and changes nothing.
-    fn ended(&self, input: Input) -> Result<Effect, InvalidTransition> {
-        match (self.stage, input) {
-            (Stage::Stale, Input::Send { .. }) => Ok(Effect::Replace),
-            (_, Input::Abandoned | Input::Drained | Input::Broken) => Ok(Effect::None),
-            _ => Err(self.impossible(&input)),
+    /// The transition table; `None` where the input cannot occur.
+    fn transition(&self, input: Input) -> Option<(Stage, Effect)> {
+        let row = match (self.stage, input) {
+            (Stage::Stale, Input::Send { .. }) => (Stage::Stale, Effect::Replace),
+            // After its end, what was on its way may still arrive, and changes nothing.
+            (
+                Stage::Stale | Stage::Closing | Stage::HandedOver,
+                Input::Abandoned | Input::Drained | Input::Broken,
+            ) => (self.stage, Effect::None),
+            (Stage::Stale | Stage::Closing | Stage::HandedOver, _) => return None,
+            (Stage::Connecting, Input::Connected) => (Stage::Idle, Effect::None),
+            (Stage::Connecting, Input::ConnectFailed | Input::Broken) => (Stage::Closing, Effect::NeverRan),
+            (Stage::Idle, Input::Send { serving }) => self.on_send(serving),
+            (Stage::Idle, Input::Broken) => (Stage::Stale, Effect::Close),
+            (Stage::Writing, Input::BytesWritten) => (Stage::Writing, Effect::None),
+            (Stage::Writing, Input::LastByteWritten) => (Stage::AwaitingHead, Effect::None),
+            (Stage::Writing, Input::Broken) => (Stage::Closing, self.lost_while_writing()),
+            // A response before the request's last byte: the server has decided without the rest.
+            (Stage::Writing | Stage::AwaitingHead, Input::HeadReceived) => (Stage::Streaming, Effect::None),
+            (Stage::AwaitingHead | Stage::Streaming, Input::Broken) => {
+                (Stage::Closing, self.lost_after_write())
+            }
+            (Stage::Streaming, Input::ResponseComplete) => self.on_response_complete(),
+            (Stage::Streaming, Input::ReadPaused) => (Stage::HandedOver, Effect::HandOver),
+            (_, Input::Abandoned) => (Stage::Closing, Effect::Close),
+            // An idle connection is closed; a request in progress may end.
+            (Stage::Idle, Input::Drained) => (Stage::Closing, Effect::Close),
+            (_, Input::Drained) => (self.stage, Effect::None),
+            _ => return None,
+        };
+        Some(row)
+    }
+
+    /// Notes what the input shows beyond the stage. Called before the stage changes.
+    fn record(&mut self, input: Input, effect: Effect) {
+        match input {
+            Input::Send { .. } if effect == Effect::Write => self.has_written = false,
+            Input::BytesWritten | Input::LastByteWritten => self.has_written = true,
+            Input::ResponseComplete => {
+                self.used = true;
+                self.has_written = false;
+            }
+            Input::Drained if !self.has_ended() => self.drained = true,
+            _ => {}
         }
     }
 
-    fn impossible(&self, input: &Input) -> InvalidTransition {
-        InvalidTransition::new("server connection", input, self)
+    fn has_ended(&self) -> bool {
+        matches!(self.stage, Stage::Stale | Stage::Closing | Stage::HandedOver)
+    }
+
+    /// Connecting takes time, so whether the server drains is decided here, at the first byte.
+    fn on_send(&self, serving: bool) -> (Stage, Effect) {
+        let permitted = serving && !self.drained;
+        #[cfg(feature = "mutants")]
+        let permitted = permitted || self.fault == Some(Fault::WritesToDrained);
+        if permitted {
+            (Stage::Writing, Effect::Write)
+        } else {
+            (Stage::Closing, Effect::Withheld)
+        }
+    }
+
+    /// The connection broke before the last byte of the request was written.
+    fn lost_while_writing(&self) -> Effect {
+        let replace = self.used && !self.has_written;
+        #[cfg(feature = "mutants")]
+        let replace = replace || self.used && self.fault == Some(Fault::ReplacesAfterByte);
+        if replace {
+            Effect::Replace
+        } else {
+            Effect::NeverRan
+        }
+    }
+
+    /// The connection broke after the last byte of the request was written.
+    fn lost_after_write(&self) -> Effect {
+        #[cfg(feature = "mutants")]
+        if self.fault == Some(Fault::CallsSentNeverRan) {
+            return Effect::NeverRan;
+        }
+        Effect::MayHaveRun
+    }
+
+    fn on_response_complete(&self) -> (Stage, Effect) {
+        let reuse = !self.drained;
+        #[cfg(feature = "mutants")]
+        let reuse = reuse || self.fault == Some(Fault::KeepsDrained);
+        if reuse {
+            (Stage::Idle, Effect::Reuse)
+        } else {
+            (Stage::Closing, Effect::Close)
+        }
     }
 }
--- a/crates/request-lifecycle/src/watch/mod.rs
+++ b/crates/request-lifecycle/src/watch/mod.rs
@@ -1,16 +1,20 @@
-//! When discovery is called: a watch that holds goes on at once; one that fails is tried again after a pause.
+//! The polling schedule of discovery: a poll that was answered is followed by the next at once, one that failed by a
+//! backoff.
 //!
-//! Discovery is one service for all gateways: calls wait in turn there, and one that has waited for too long has cost
-//! it as much as one that it answers. Gateways start together. Where all call in one moment, and call again as soon as
-//! they were turned away, each call keeps the others out for good. So each gateway draws its own moment, from a seed that no
-//! two share, out of a time that gives every gateway its turn, and draws from twice the time whenever it is turned away again.
-//! But what discovery has counts as told some seconds after it could be reached, whatever became of the calls between: a
-//! call that failed, the pause after it and the next answer come out of one time, for as long as all gateways fit into it.
+//! Discovery is one service for all gateways. Polls queue there, and one that has waited for too long has cost discovery
+//! as much as one that it answers. Gateways start together: if all polled in the same moment, and again as soon as they
+//! were rejected, each poll would keep the others out for good. So each gateway draws its own moment, from a seed that
+//! no two share, out of a round that gives every gateway its turn, and draws from twice the time whenever it is rejected
+//! again. But what discovery has counts as known some seconds after it could be reached, whatever happened to the polls
+//! in between: a poll that failed, the backoff after it and the next answer must fit into that freshness limit together,
+//! for as long as all gateways fit into it.
 //!
-//! Where lists are pushed, calls go to an agent on the gateway's own machine, which answers at once and at no cost, but
-//! is silent while discovery is down; and what it has counts as told whether or not anybody asks. So there nothing waits
-//! for its turn, and until a call has been answered the whole list is asked for, again and again: an answer to that
-//! can be missed after a moment, where one to a watch may be a whole hold away.
+//! Where lists are pushed, polls go to an agent on the gateway's own machine, which answers at once and at no cost, but
+//! is silent while discovery is down; and what it has counts as known whether or not anybody polls. So nothing waits for
+//! its turn there, and until a poll has been answered the full list is requested repeatedly: a missing answer to that is
+//! noticed after a moment, one to a poll for changes only after a whole hold.
+//!
+//! [`PollSchedule`] owns the failures counted and the random draws; the caller owns the clock and makes the calls.
 
 mod backoff;
 
@@ -18,140 +22,183 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use backoff::BackoffPolicy;
+pub use self::backoff::BackoffPolicy;
+
+/// The mean backoff doubles at most so many times.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// What the next call asks for.
+/// What the next poll requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Poll {
-    /// The whole list; its answer must have begun within this time.
-    FullList { within: Duration },
-    /// Changes to the version known, for which the call may be held; its answer must have begun within this time.
-    Changes { hold: Duration, within: Duration },
+    /// The full list.
+    FullList {
+        /// The answer must have begun within this time.
+        within: Duration,
+    },
+    /// Changes since the version known; discovery may hold the poll until there are some.
+    Changes {
+        /// How long discovery may hold the poll.
+        hold: Duration,
+        /// The answer must have begun within this time, the hold included.
+        within: Duration,
+    },
 }
 
-/// The bounds of one call: one that reaches any of them is given up.
+/// The time limits of one poll, which is given up when it reaches any of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Its answer must have begun, the time to connect included.
+    /// Until its answer has begun, the time to connect included.
     pub first_byte: Duration,
-    /// Each part of its answer must come so soon after the one before.
+    /// Between one part of its answer and the next.
     pub between_parts: Duration,
-    /// It must have ended, whatever has come.
+    /// Until its answer is complete.
     pub total: Duration,
 }
 
-/// Why a call brought no list.
+/// Why a poll brought no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PollFailure {
-    /// It broke, was not answered in time, or could not be read.
+    /// Its connection broke, it was not answered in time, or its answer could not be parsed.
     Lost,
-    /// Discovery has too much to do; it may say how long it wants to be left alone.
+    /// Discovery is overloaded; it may say how long the gateway should wait (`Retry-After`).
     Throttled(Option<Duration>),
 }
 
-/// A watch of discovery, as far as its calls are concerned.
+/// The schedule of one gateway's polls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PollSchedule {
-    pauses: BackoffPolicy,
-    /// Calls that failed since the last one that was answered.
-    poll_failed: u32,
-    /// Of these, calls that were turned away.
-    turned_away: u32,
-    /// The last call was answered, by the place that is asked now.
-    current: bool,
-    /// The place that is asked now is a new one, and has answered no call yet.
+    policy: BackoffPolicy,
+    /// Polls that failed since the last one that was answered.
+    failures: u32,
+    /// Of these, polls that discovery rejected because it is overloaded.
+    throttled: u32,
+    /// The last poll was answered, by the present address.
+    is_current: bool,
+    /// Discovery has a new address, which has not answered any poll yet.
     address_changed: bool,
+    /// State of the random number generator, never zero.
     random: u64,
 }
 
+/// How the mean backoff grows: it begins at `initial_mean` and doubles with each earlier failure of the same kind.
+struct Growth {
+    initial_mean: Duration,
+    doublings: u32,
+    max_mean: Duration,
+}
+
 impl PollSchedule {
-    /// The calls of one gateway; no two may have the same seed.
-    pub fn new(pauses: BackoffPolicy, seed: u64) -> Self {
+    /// The schedule of one gateway; no two gateways may have the same seed.
+    pub fn new(policy: BackoffPolicy, seed: u64) -> Self {
         let random = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-        PollSchedule {
-            pauses,
-            poll_failed: 0,
-            turned_away: 0,
-            current: false,
-            address_changed: false,
-            random,
-        }
+        PollSchedule { policy, failures: 0, throttled: 0, is_current: false, address_changed: false, random }
     }
 
-    /// Calls that failed since the last one that was answered.
+    /// Polls that failed since the last one that was answered.
     pub fn failures(&self) -> u32 {
-        self.poll_failed
+        self.failures
     }
 
-    /// The pause before the first call of a gateway that can serve by an older list.
+    /// How long a gateway that can already serve by an older list waits before its first poll.
     pub fn initial_delay(&mut self) -> Duration {
-        self.pauses.round.mul_f64(self.unit())
+        self.policy.round.mul_f64(self.next_unit())
     }
 
-    /// What the next call asks for; `known`: there is a version that changes can be told from.
+    /// What the next poll requests; `known` says whether there is a version since which changes can be requested.
     pub fn next_poll(&self, known: bool) -> Poll {
-        let BackoffPolicy { hold, answer_grace: late, full_list_timeout: at_once, .. } = self.pauses;
-        match at_once {
-            Some(within) if !self.current => Poll::FullList { within },
-            _ if known => Poll::Changes { hold, within: hold + late },
-            _ => Poll::FullList { within: (hold + late).min(self.pauses.longest_call(self.address_changed)) },
+        let BackoffPolicy { hold, answer_grace, full_list_timeout, .. } = self.policy;
+        match full_list_timeout {
+            Some(within) if !self.is_current => Poll::FullList { within },
+            _ if known => Poll::Changes { hold, within: hold + answer_grace },
+            _ => {
+                let max_duration = self.policy.max_poll_duration(self.address_changed);
+                Poll::FullList { within: (hold + answer_grace).min(max_duration) }
+            }
         }
     }
 
-    /// How long the call for this may take.
-    pub fn limits(&self, ask: Poll) -> Limits {
-        let BackoffPolicy { answer_grace: late, full_list_timeout: at_once, .. } = self.pauses;
-        let (Poll::FullList { within } | Poll::Changes { within, .. }) = ask;
-        match at_once {
-            // An agent that stops in the middle of an answer has fallen silent; a long list may still come in parts.
-            Some(part) => Limits { first_byte: within, between_parts: part, total: within + late },
-            None => Limits { first_byte: within, between_parts: late, total: within },
+    /// The time limits of this poll.
+    pub fn limits(&self, poll: Poll) -> Limits {
+        let BackoffPolicy { answer_grace, full_list_timeout, .. } = self.policy;
+        let (Poll::FullList { within } | Poll::Changes { within, .. }) = poll;
+        match full_list_timeout {
+            // An agent that stops in the middle of an answer has become unresponsive; a long list may come in parts.
+            Some(between_parts) => Limits { first_byte: within, between_parts, total: within + answer_grace },
+            None => Limits { first_byte: within, between_parts: answer_grace, total: within },
         }
     }
 
-    /// A call was answered: the next one follows at once, and nothing is held against discovery.
+    /// A poll was answered: the next one follows at once, and earlier failures are forgotten.
     pub fn poll_succeeded(&mut self) {
-        (self.poll_failed, self.turned_away, self.current, self.address_changed) = (0, 0, true, false);
+        self.reset_failures();
+        self.is_current = true;
+        self.address_changed = false;
     }
 
-    /// Discovery has another address: nothing is held against that one.
+    /// Discovery has another address: failures of the former one do not count for it.
     pub fn address_changed(&mut self) {
-        (self.poll_failed, self.turned_away, self.current, self.address_changed) = (0, 0, false, true);
+        self.reset_failures();
+        self.is_current = false;
+        self.address_changed = true;
+    }
+
+    fn reset_failures(&mut self) {
+        self.failures = 0;
+        self.throttled = 0;
     }
 
-    /// A call failed that took so long: the pause before the next one, from half the mean to one and a half times it. All
-    /// that passes until the next call has its answer comes out of one time, so that what discovery has when it can be
-    /// reached again is here before it counts as told. Only where so many gateways ask that discovery cannot answer all of
-    /// them in that time do those that are turned away again wait longer.
+    /// Notes that a poll failed after `took`, and returns the backoff before the next one.
+    ///
+    /// It is drawn between half its mean and one and a half times its mean. The failed poll, the backoff and the next
+    /// answer fit into the freshness limit together, so that what discovery has when it can be reached again is here
+    /// before it counts as known. Only where so many gateways poll that discovery cannot answer all of them in that time
+    /// does a gateway that is rejected again wait longer.
     pub fn poll_failed(&mut self, why: PollFailure, took: Duration) -> Duration {
-        let (lost, away) = (self.poll_failed - self.turned_away, self.turned_away);
-        (self.poll_failed, self.current) = (self.poll_failed.saturating_add(1), false);
-        let BackoffPolicy { initial_backoff: first, max_backoff: most, round, longest_round, .. } =
-            self.pauses;
-        let room = self.pauses.max_mean_backoff(self.address_changed, took);
-        let all_in_time = longest_round <= self.pauses.max_mean_backoff(false, Duration::ZERO);
-        let (least, doublings, most) = match why {
-            PollFailure::Lost => (first, lost, most.min(room)),
-            PollFailure::Throttled(_) => {
-                self.turned_away = self.turned_away.saturating_add(1);
-                let most = if away == 0 || all_in_time { room } else { longest_round.max(room) };
-                (round, away, most)
+        let Growth { initial_mean, doublings, max_mean } = self.growth(why, took);
+        self.failures = self.failures.saturating_add(1);
+        if matches!(why, PollFailure::Throttled(_)) {
+            self.throttled = self.throttled.saturating_add(1);
+        }
+        self.is_current = false;
+        let factor = 1 << doublings.min(MAX_DOUBLINGS);
+        let mean = initial_mean.saturating_mul(factor).min(max_mean);
+        let backoff = mean.mul_f64(0.5 + self.next_unit());
+        match why {
+            PollFailure::Throttled(Some(retry_after)) => {
+                // Gateways that were told the same Retry-After must not poll in the same moment.
+                let spread = retry_after.min(max_mean).mul_f64(1.0 + self.next_unit() / 2.0);
+                backoff.max(spread)
             }
-        };
-        let most = most.max(first);
-        let pause =
-            least.max(first).saturating_mul(1 << doublings.min(16)).min(most).mul_f64(0.5 + self.unit());
+            PollFailure::Throttled(None) | PollFailure::Lost => backoff,
+        }
+    }
+
+    /// How the mean backoff grows with failures of this kind, by the failures before this one.
+    fn growth(&self, why: PollFailure, took: Duration) -> Growth {
+        let BackoffPolicy { initial_backoff, max_backoff, round, longest_round, .. } = self.policy;
+        let max_in_time = self.policy.max_mean_backoff(self.address_changed, took);
         match why {
-            // Whoever is told the same time must not come back in the same moment.
-            PollFailure::Throttled(Some(wanted)) => {
-                pause.max(wanted.min(most).mul_f64(1.0 + self.unit() / 2.0))
+            PollFailure::Lost => Growth {
+                initial_mean: initial_backoff,
+                doublings: self.failures - self.throttled,
+                max_mean: max_backoff.min(max_in_time).max(initial_backoff),
+            },
+            PollFailure::Throttled(_) => {
+                // Whether discovery has time for all gateways within the freshness limit, however often it rejects them.
+                let all_fit = longest_round <= self.policy.max_mean_backoff(false, Duration::ZERO);
+                let must_be_in_time = self.throttled == 0 || all_fit;
+                let max_mean = if must_be_in_time { max_in_time } else { longest_round.max(max_in_time) };
+                Growth {
+                    initial_mean: round.max(initial_backoff),
+                    doublings: self.throttled,
+                    max_mean: max_mean.max(initial_backoff),
+                }
             }
-            _ => pause,
         }
     }
 
-    /// The next number in [0, 1) (xorshift).
-    fn unit(&mut self) -> f64 {
+    /// The next random number in [0, 1) (xorshift64).
+    fn next_unit(&mut self) -> f64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
