--- a/model-checker/src/client.rs
+++ b/model-checker/src/client.rs
@@ -4,7 +4,7 @@
 use glenrail_request_lifecycle::client::{Connection, Effect, Fault, Framing, Input, Stage, TimeoutKind};
 use serde::{Deserialize, Serialize};
 
-use crate::cover;
+use crate::coverage as cover;
 use crate::rules::Rule;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod check;
 pub mod client;
 pub mod corners;
-pub mod cover;
+pub mod coverage;
 pub mod request;
 pub mod rules;
 pub mod server;
--- a/model-checker/src/request.rs
+++ b/model-checker/src/request/mod.rs
@@ -13,7 +13,7 @@
 use glenrail_request_lifecycle::InvalidTransition;
 use serde::{Deserialize, Serialize};
 
-use crate::cover;
+use crate::coverage as cover;
 use crate::rules::Rule;
 
 /// What a world has, and how much may happen in it.
