--- a/model-checker/src/check.rs
+++ b/model-checker/src/check.rs
@@ -8,7 +8,7 @@
 use stateright::{Checker, HasDiscoveries, Model};
 
 use crate::rules::Rule;
-use crate::world::{Explored, Setting, ENDS, HOLDS};
+use crate::scenario::{Explored, Setting, ENDS, HOLDS};
 use crate::{budget, client, request, server};
 
 /// What exploring one world gave.
--- a/model-checker/src/lib.rs
+++ b/model-checker/src/lib.rs
@@ -9,6 +9,6 @@
 pub mod coverage;
 pub mod request;
 pub mod rules;
+pub mod scenario;
 pub mod server;
 pub mod trace;
-pub mod world;
--- a/model-checker/src/main.rs
+++ b/model-checker/src/main.rs
@@ -6,7 +6,7 @@
 use anyhow::Result;
 use clap::{Parser, Subcommand};
 use glenrail_model_checker::check::{self, Case, Explore, Mutant, Reach};
-use glenrail_model_checker::world::Setting;
+use glenrail_model_checker::scenario::Setting;
 use glenrail_model_checker::{client, corners, coverage as cover, server, trace};
 
 /// Explores the machines of requests and connections.
--- a/model-checker/src/trace.rs
+++ b/model-checker/src/trace.rs
@@ -11,7 +11,7 @@
 
 use crate::request::Log;
 use crate::rules::Rule;
-use crate::world::{Named, Setting};
+use crate::scenario::{Named, Setting};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Head {
--- a/model-checker/tests/stored_traces.rs
+++ b/model-checker/tests/stored_traces.rs
@@ -2,8 +2,8 @@
 
 use std::path::{Path, PathBuf};
 
+use glenrail_model_checker::scenario::{Named, Setting};
 use glenrail_model_checker::trace::{self, Head};
-use glenrail_model_checker::world::{Named, Setting};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
