--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -544,7 +544,5 @@
     }
 }
 
-#[cfg(test)]
-mod replay;
 #[cfg(test)]
 mod tests;
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -1,6 +1,7 @@
 //! The core on paused time, with a scripted service in the place of the servers.
 
 mod leases;
+mod replay;
 mod stored;
 
 use std::cell::Cell;
--- a/gateway/src/core/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use tokio::task::yield_now;
 
-use super::tests::{paused, settings};
+use super::super::effects;
 use super::*;
 
 /// A router that orders nothing by itself and notes what it is told.
@@ -307,7 +307,7 @@
         .iter()
         .filter_map(|e| match e {
             Effect::NotifyOutcome { attempt, status, closed } => {
-                Some((*attempt as u32, super::effects::told(*status), *closed))
+                Some((*attempt as u32, effects::told(*status), *closed))
             }
             _ => None,
         })
