--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -1,153 +1,117 @@
-//! One attempt's call, and a probe's: sent once, and what becomes of it fed back.
+//! The call of one attempt: sent once, and its result fed to the request's machine.
 
-use std::future::pending;
+use futures_util::stream::StreamExt;
+use glenrail_request_lifecycle::request::{AttemptState, Input, Reply as MachineReply, StreamEnd};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{timeout_at, Instant};
+use tower::ServiceExt;
 
-use tokio::time::sleep_until;
-
-use super::*;
+use super::forwarding::{forward_remaining, send_part, Frames, StreamSummary};
+use super::request_state::ServerReport;
+use super::{Core, DecisionPolicy, Upstream};
+use crate::exchange::{CancelToken, ResponseHead, ResponsePart};
+use crate::upstream::{Call, CallError, Frame, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Sends an attempt once and feeds the machine with what becomes of it.
-    pub(super) async fn attempt(
-        &self, id: u64, attempt: usize, call: Call, until: Instant, cancelled: oneshot::Receiver<()>,
+    /// Sends an attempt once and feeds the machine with its result.
+    pub(super) async fn run_attempt(
+        &self, id: u64, attempt: usize, call: Call, deadline: Instant, cancelled: oneshot::Receiver<()>,
     ) {
-        if until <= Instant::now() {
-            // What was to be let go before took all its time.
-            return self.step(id, Input::Replied { attempt, reply: request::Reply::NotSent });
+        if deadline <= Instant::now() {
+            // The release that the attempt waited for used up all its time.
+            return self.step(id, Input::Replied { attempt, reply: MachineReply::NotSent });
         }
-        let Call::Attempt { cancel_token: wanted, server, .. } = &call else { return };
-        let (wanted, server) = (wanted.clone(), *server);
+        let Call::Attempt { cancel_token, server, .. } = &call else { return };
+        let (cancel_token, server) = (cancel_token.clone(), *server);
         let call = self.upstream.clone().oneshot(call);
-        let replied = async {
+        let reply = async {
             tokio::select! {
                 biased;
-                reply = timeout_at(until, call) => reply,
-                never = self.shows_arrival(id, attempt, server, &wanted) => match never {},
+                reply = timeout_at(deadline, call) => reply,
+                never = self.confirm_delivery(id, attempt, server, &cancel_token) => match never {},
             }
         };
         let reply = tokio::select! {
             biased;
-            // Called back while it was dialled, it never was out: the time of what is held for it has run on.
-            _ = cancelled => return self.step(id, match wanted.is_written() {
-                true => Input::CancelCompleted { attempt },
-                false => Input::Replied { attempt, reply: request::Reply::NotSent },
-            }),
-            reply = replied => reply,
-        };
-        let Ok(reply) = reply else { return self.step(id, Input::TimedOut { attempt }) };
-        let (reply, note, report) = match reply {
-            Ok(Reply::Response { head, mut frames }) => {
-                let Some(Ok(Frame::Data(first))) = frames.next().await else {
-                    return self.step(id, Input::Replied { attempt, reply: request::Reply::Reset });
-                };
-                self.step(id, Input::Replied { attempt, reply: request::Reply::FirstEvent });
-                let Some(pieces) = self.passes(id, attempt) else {
-                    drop(frames);
-                    return self.step(id, Input::CancelCompleted { attempt });
-                };
-                let passed = match pass(&pieces, ResponsePart::Head(head, first)).await {
-                    true => rest(&pieces, frames).await,
-                    false => request::StreamEnd::ClientStalled.into(),
-                };
-                return self.passed(id, attempt, passed);
-            }
-            Ok(Reply::Prefilled { cached_tokens: kept, report }) => (request::Reply::Prefilled, kept, report),
-            Ok(Reply::Rejected { state_missing: no_state, report }) => {
-                (request::Reply::Rejected, f64::from(u8::from(no_state)), report)
-            }
-            Ok(Reply::Unprocessable { report }) => (request::Reply::Unprocessable, 0.0, report),
-            Ok(Reply::Error { report }) => (request::Reply::Error, 0.0, report),
-            Ok(_) => (request::Reply::Error, 0.0, None),
-            Err(CallError::ConnectFailed) => (request::Reply::ConnectFailed, 0.0, None),
-            Err(CallError::Reset) => (request::Reply::Reset, 0.0, None),
-            Err(CallError::MalformedResponse) => (request::Reply::MalformedResponse, 0.0, None),
-            Err(CallError::NotSent) => (request::Reply::NotSent, 0.0, None),
+            _ = cancelled => return self.step(id, cancelled_input(attempt, &cancel_token)),
+            reply = reply => reply,
         };
-        self.keep(id, attempt, note, report);
-        self.step(id, Input::Replied { attempt, reply });
-    }
-
-    /// Asks for a sign that an attempt has arrived, for as long as something waits for that; never ends. Its own answer may take
-    /// any time, and what was written onto a way that has fallen silent never arrives, with no error.
-    async fn shows_arrival(
-        &self, id: u64, attempt: usize, server: ServerId, wanted: &CancelToken,
-    ) -> Infallible {
-        loop {
-            let written = wanted.first_byte_written().await;
-            let Some(at) = self.ask_arrival_at(id, written) else { return pending().await };
-            sleep_until(at).await;
-            // Meanwhile it may have gone to another connection.
-            if wanted.first_byte_at() != Some(written) {
-                continue;
-            }
-            if !self.waits_for_arrival(id) {
-                // A place may come to be held later.
-                let pause = self.inner.borrow().pin_limit.mul_f64(ARRIVAL_ASKED);
-                sleep(pause).await;
-                continue;
+        match reply {
+            Err(_) => self.step(id, Input::TimedOut { attempt }),
+            Ok(Ok(Reply::Response { head, frames })) => {
+                self.forward_response(id, attempt, head, frames).await;
             }
-            if self.check(server).await {
-                self.has_arrived(id, attempt);
-                return pending().await;
+            Ok(reply) => {
+                let (reply, report) = machine_reply(reply);
+                self.store_report(id, attempt, report);
+                self.step(id, Input::Replied { attempt, reply });
             }
-            sleep(ARRIVAL_AGAIN).await;
         }
     }
 
-    /// A sign shows that an attempt has come to its server.
-    fn has_arrived(&self, id: u64, attempt: usize) {
-        {
-            let mut inner = self.inner.borrow_mut();
-            let now = inner.clock.now();
-            if let Some(job) = inner.jobs.get_mut(&id) {
-                job.told.shown_to_arrive(attempt, now);
-            }
-        }
-        self.step(id, Input::Delivered { attempt });
-    }
-
-    /// Whether something is held whose time runs on until an attempt is known to have arrived.
-    fn waits_for_arrival(&self, id: u64) -> bool {
-        self.inner.borrow().jobs.get(&id).is_some_and(|job| job.machine.is_armed(request::Timer::LeaseLimit))
+    /// Forwards a response to the client once its first event is there, if the machine has chosen this attempt for that.
+    async fn forward_response(&self, id: u64, attempt: usize, head: ResponseHead, mut frames: Frames) {
+        let Some(Ok(Frame::Data(first))) = frames.next().await else {
+            return self.step(id, Input::Replied { attempt, reply: MachineReply::Reset });
+        };
+        self.step(id, Input::Replied { attempt, reply: MachineReply::FirstEvent });
+        let Some(client) = self.client_of(id, attempt) else {
+            drop(frames);
+            return self.step(id, Input::CancelCompleted { attempt });
+        };
+        let summary = match send_part(&client, ResponsePart::Head(head, first)).await {
+            true => forward_remaining(&client, frames).await,
+            false => StreamEnd::ClientStalled.into(),
+        };
+        let StreamSummary { end, cached_tokens, load } = summary;
+        self.store_report(id, attempt, ServerReport { note: cached_tokens, load });
+        self.step(id, Input::StreamEnded { attempt, end });
     }
 
-    fn ask_arrival_at(&self, id: u64, written: Instant) -> Option<Instant> {
+    /// The way to the client, if the machine streams this attempt's response to it.
+    fn client_of(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<ResponsePart>> {
         let inner = self.inner.borrow();
-        inner.jobs.get(&id).map(|job| job.ask_arrival_at(written, inner.pin_limit))
+        let request = inner.requests.get(&id)?;
+        match request.machine.attempts()[attempt].state {
+            AttemptState::Streaming => request.response.clone(),
+            _ => None,
+        }
     }
 
-    /// Where the answer of this attempt goes, if the machine has made it the client's.
-    fn passes(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<ResponsePart>> {
-        let inner = self.inner.borrow();
-        let job = inner.jobs.get(&id)?;
-        (job.machine.attempts()[attempt].state == AttemptState::Streaming).then(|| job.pieces.clone())?
+    /// Stores what a server reported besides its reply, for the attempt's outcome.
+    fn store_report(&self, id: u64, attempt: usize, report: ServerReport) {
+        if let Some(request) = self.inner.borrow_mut().requests.get_mut(&id) {
+            request.calls[attempt].report = report;
+        }
     }
+}
 
-    fn passed(&self, id: u64, attempt: usize, passed: Passed) {
-        let Passed { end, kept, report } = passed;
-        self.keep(id, attempt, kept, report);
-        self.step(id, Input::StreamEnded { attempt, end });
+/// What the machine is fed when an attempt was cancelled.
+fn cancelled_input(attempt: usize, cancel_token: &CancelToken) -> Input {
+    if cancel_token.is_written() {
+        return Input::CancelCompleted { attempt };
     }
+    // Cancelled while it was connecting, it was never in flight: the time of its lease has not stopped.
+    Input::Replied { attempt, reply: MachineReply::NotSent }
+}
 
-    /// What a server said beside its reply, for the attempt's outcome.
-    fn keep(&self, id: u64, attempt: usize, note: f64, report: Option<LoadReport>) {
-        if let Some(job) = self.inner.borrow_mut().jobs.get_mut(&id) {
-            (job.sent[attempt].note, job.sent[attempt].report) = (note, report);
+/// The result of a call that began no response, in the machine's terms, and what the server reported with it.
+fn machine_reply(reply: Result<Reply, CallError>) -> (MachineReply, ServerReport) {
+    let report = |load| ServerReport { note: 0.0, load };
+    match reply {
+        Ok(Reply::Prefilled { cached_tokens, report: load }) => {
+            (MachineReply::Prefilled, ServerReport { note: cached_tokens, load })
         }
-    }
-
-    pub(super) async fn probe(&self, server: ServerId) {
-        let sent = Instant::now();
-        let (status, report) = match self.upstream.clone().oneshot(Call::Probe { server }).await {
-            Ok(Reply::Probed { healthy: true, report }) => (AttemptStatus::Served, report),
-            Ok(Reply::Probed { report, .. }) => (AttemptStatus::Error, report),
-            Ok(_) | Err(CallError::NotSent | CallError::ConnectFailed) => {
-                (AttemptStatus::ConnectFailed, None)
-            }
-            Err(CallError::Reset) => (AttemptStatus::Reset, None),
-            Err(CallError::MalformedResponse) => (AttemptStatus::MalformedResponse, None),
-        };
-        let elapsed = sent.elapsed().as_secs_f64() * 1000.0;
-        self.dispatch(Event::ProbeResult { server, status, elapsed, report });
+        Ok(Reply::Rejected { state_missing, report: load }) => {
+            let note = f64::from(u8::from(state_missing));
+            (MachineReply::Rejected, ServerReport { note, load })
+        }
+        Ok(Reply::Unprocessable { report: load }) => (MachineReply::Unprocessable, report(load)),
+        Ok(Reply::Error { report: load }) => (MachineReply::Error, report(load)),
+        Ok(_) => (MachineReply::Error, ServerReport::default()),
+        Err(CallError::ConnectFailed) => (MachineReply::ConnectFailed, ServerReport::default()),
+        Err(CallError::Reset) => (MachineReply::Reset, ServerReport::default()),
+        Err(CallError::MalformedResponse) => (MachineReply::MalformedResponse, ServerReport::default()),
+        Err(CallError::NotSent) => (MachineReply::NotSent, ServerReport::default()),
     }
 }
--- a/gateway/src/core/clock.rs
+++ b/gateway/src/core/clock.rs
@@ -1,11 +1,14 @@
-//! The module's clock, and milliseconds as durations.
+//! The router's clock, and milliseconds as durations.
 
 use std::time::Duration;
 
 use glenrail_router::Millis;
 use tokio::time::Instant;
 
-/// Milliseconds since this process began, beside the machine's clock at that time.
+/// Longest duration that a number of milliseconds is turned into: one hour.
+const MAX_DURATION: Millis = 3.6e6;
+
+/// Milliseconds since this process began, and the wall clock's time at that moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -13,31 +16,41 @@
 }
 
 impl Clock {
+    /// A clock that begins now, when the wall clock shows `unix` since the Unix epoch.
     pub fn new(unix: Duration) -> Self {
         Clock { start: Instant::now(), unix_ms: unix.as_secs_f64() * 1000.0 }
     }
+
+    /// Milliseconds since this clock began.
     pub fn now(&self) -> Millis {
         self.at(Instant::now())
     }
-    pub fn at(&self, when: Instant) -> Millis {
-        when.saturating_duration_since(self.start).as_secs_f64() * 1000.0
+
+    /// What this clock shows at an instant; 0 for any before it began.
+    pub fn at(&self, instant: Instant) -> Millis {
+        instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
-    /// A time on the machine's clock; it lies before this clock's zero for what began before this process.
-    pub fn of_unix(&self, ms: f64) -> Millis {
-        ms - self.unix_ms
+
+    /// What this clock shows at a time of the wall clock, in Unix milliseconds; negative for what was before this process.
+    pub fn of_unix(&self, unix_ms: f64) -> Millis {
+        unix_ms - self.unix_ms
     }
-    /// What the machine's clock shows at this time.
-    pub fn unix(&self, at: Millis) -> Millis {
-        at + self.unix_ms
+
+    /// What the wall clock shows at a time of this clock, in Unix milliseconds.
+    pub fn unix(&self, time: Millis) -> Millis {
+        time + self.unix_ms
     }
-    /// What lies ahead is cut to the range of durations, never what lies behind: a process may run for days.
-    pub(super) fn instant(&self, at: Millis) -> Instant {
+
+    /// The instant at which this clock shows `time`. Only the part that is still ahead is limited to the range of
+    /// [`duration`], never the part that has passed: a process may run for days.
+    pub(super) fn instant(&self, time: Millis) -> Instant {
         let now = Instant::now();
-        now + duration(at - self.at(now))
+        now + duration(time - self.at(now))
     }
 }
 
-/// Milliseconds as a duration; what is negative, not a number or beyond an hour is cut to that range.
-pub fn duration(ms: Millis) -> Duration {
-    Duration::from_secs_f64(if ms.is_finite() { ms.clamp(0.0, 3.6e6) / 1000.0 } else { 0.0 })
+/// Milliseconds as a duration, limited to between 0 and one hour; 0 for what is not a finite number.
+pub fn duration(milliseconds: Millis) -> Duration {
+    let limited = if milliseconds.is_finite() { milliseconds.clamp(0.0, MAX_DURATION) / 1000.0 } else { 0.0 };
+    Duration::from_secs_f64(limited)
 }
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -1,204 +1,219 @@
-//! What a request's machine says is to be done, carried out.
+//! Carries out the effects of a request's machine: each has one function.
 
-use super::*;
+use glenrail_request_lifecycle::request::{Effect, FinalResponse, Input, Stage, Status};
+use glenrail_router::{AttemptOutcome, AttemptStatus, Event, RequestId, ServerId};
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+use tower::ServiceExt;
+
+use super::timing::CANCEL_PROPAGATION_DELAY;
+use super::{Core, DecisionPolicy, Upstream};
+use crate::exchange::{CancelToken, Failure, ResponsePart};
 use crate::invariants;
+use crate::log;
+use crate::upstream::{Call, CallError, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
+    /// Carries out one effect; nothing if the request has finished.
     pub(super) fn carry_out(&self, id: u64, effect: Effect) {
-        let mut inner = self.inner.borrow_mut();
-        let inner = &mut *inner;
-        let Some(job) = inner.jobs.get_mut(&id) else { return };
         match effect {
-            Effect::StartAttempt { attempt } => {
-                let (cancel, cancelled) = oneshot::channel();
-                job.sent[attempt].cancel = Some(cancel);
-                invariants::check_start(&job.machine, attempt, &job.payload.request_id);
-                let server = ServerId(job.machine.attempts()[attempt].server);
-                // While no connection comes up, the time of what is held runs on, and that in which it may be repeated.
-                let held = job.written_by(inner.pin_limit);
-                let confirm = held.is_some() && inner.settings.limits.probes;
-                let by = [held, job.repeat_by()].into_iter().flatten().min();
-                let connect = by.map(|until| until.saturating_duration_since(Instant::now()));
-                let (core, payload, until) = (self.clone(), job.payload.clone(), job.sent[attempt].until);
-                let wanted = job.pieces.as_ref().map_or_else(CancelToken::default, CancelToken::for_response);
-                job.sent[attempt].wanted = wanted.clone();
-                let call = Call::Attempt {
-                    server,
-                    payload,
-                    deadline: until,
-                    connect_timeout: connect,
-                    verify_connection: confirm,
-                    cancel_token: wanted,
-                };
-                spawn_local(async move { core.attempt(id, attempt, call, until, cancelled).await });
-            }
-            Effect::CancelAttempt { attempt } => job.sent[attempt].cancel = None,
+            Effect::StartAttempt { attempt } => self.start_attempt(id, attempt),
+            Effect::CancelAttempt { attempt } => self.cancel_attempt(id, attempt),
             Effect::Release { after_cut } => {
-                let (core, call) = (self.clone(), Call::Release { payload: job.payload.clone() });
-                let held_since = job.unclaimed_since;
-                job.told.release_ordered(inner.clock.at(held_since), inner.clock.now());
-                // By then servers let go by themselves, and the process may want to end.
-                let until = job.deadline.max(Instant::now() + inner.pin_limit * RELEASE_LIMITS);
-                spawn_local(async move {
-                    if after_cut {
-                        sleep(AFTER_CUT).await;
-                    }
-                    while core.upstream.clone().oneshot(call.clone()).await.is_err() {
-                        if Instant::now() >= until {
-                            log!("a lease could not be let go: no server took the call");
-                            break;
-                        }
-                        sleep(RELEASE_AGAIN).await;
-                    }
-                    core.released(id, held_since);
-                });
-            }
-            Effect::RequestSlot { server } => {
-                if !job.machine.has_reservation() {
-                    job.unclaimed_since = Instant::now();
-                }
-                let call = Call::ReserveSlot { server: ServerId(server), payload: job.payload.clone() };
-                let (core, call) = (self.clone(), self.upstream.clone().oneshot(call));
-                let task = spawn_local(async move {
-                    let held = match call.await {
-                        Ok(Reply::SlotReserved(held)) => held,
-                        // Nothing of it reached the server.
-                        Err(CallError::ConnectFailed | CallError::NotSent) => Some(false),
-                        _ => None,
-                    };
-                    core.step(id, Input::SlotAnswered { reserved: held });
-                });
-                job.place = Some(task.abort_handle());
-            }
-            Effect::CancelSlotRequest => {
-                if let Some(place) = job.place.take() {
-                    place.abort();
-                }
-            }
-            Effect::Respond(last) => {
-                let piece = match last {
-                    FinalResponse::Rejected => ResponsePart::Rejected(job.retry_after),
-                    FinalResponse::Failed => ResponsePart::Failed(Failure::Upstream),
-                    FinalResponse::DeadlineExceeded => ResponsePart::Failed(Failure::DeadlineExceeded),
-                    FinalResponse::Unprocessable => ResponsePart::Failed(Failure::Unprocessable),
-                };
-                if let Some(pieces) = &job.pieces {
-                    // Nothing was passed on before, so there is room.
-                    let _ = pieces.try_send(piece);
-                }
+                self.start_release(id, after_cut.then_some(CANCEL_PROPAGATION_DELAY));
             }
-            // The task that brought it passes it on.
+            Effect::RequestSlot { server } => self.request_slot(id, ServerId(server)),
+            Effect::CancelSlotRequest => self.cancel_slot_request(id),
+            Effect::Respond(response) => self.respond(id, response),
+            // The attempt's own task forwards it.
             Effect::ForwardStream { .. } => {}
-            Effect::NotifyFirstToken { attempt } => {
-                let (server, elapsed) =
-                    (ServerId(job.machine.attempts()[attempt].server), job.elapsed(attempt));
-                job.told.first(attempt, inner.clock.now());
-                let (id, attempt) = (RequestId(id), attempt as u32);
-                inner.queue.push_back(Event::FirstToken { id, attempt, server, elapsed });
-            }
+            Effect::NotifyFirstToken { attempt } => self.notify_first_token(id, attempt),
             Effect::NotifyOutcome { attempt, status, closed } => {
-                if status == request::Status::Undelivered {
-                    let server = job.machine.attempts()[attempt].server;
-                    log!(
-                        "request {}: no sign that it arrived at server {server:x}; called back",
-                        job.payload.request_id
-                    );
-                }
-                let arrived = job.machine.attempts()[attempt].delivered;
-                // What a read that was cut may have left is held from now on.
-                let reads = job.machine.attempts()[attempt].stage == Stage::Prefill;
-                if arrived || reads && job.sent[attempt].wanted.is_written() {
-                    job.unclaimed_since = Instant::now();
-                }
-                if let Some(written) = job.sent[attempt].wanted.first_byte_at() {
-                    job.told.written(attempt, inner.clock.at(written));
-                }
-                let outcome = AttemptOutcome {
-                    id: RequestId(id),
-                    attempt: attempt as u32,
-                    server: ServerId(job.machine.attempts()[attempt].server),
-                    status: told(status),
-                    elapsed: job.elapsed(attempt),
-                    note: job.sent[attempt].note,
-                    closed,
-                    delivered: arrived,
-                    report: job.sent[attempt].report.take(),
-                };
-                let AttemptOutcome { status, note, report, .. } = outcome;
-                job.told.ended(attempt, status, note, report, inner.clock.now());
-                inner.queue.push_back(Event::Outcome(outcome));
-            }
-            Effect::NotifyClientDisconnected => {
-                inner.queue.push_back(Event::ClientDisconnected { id: RequestId(id) })
-            }
-            Effect::NotifySlot { server, reserved: held } => {
-                let attempt = job.sent.len().saturating_sub(1) as u32;
-                let (id, server) = (RequestId(id), ServerId(server));
-                inner.queue.push_back(Event::SlotReservation { id, attempt, server, reserved: held });
-            }
-            Effect::ArmTimer(timer) => {
-                let at = match timer {
-                    request::Timer::Deadline => job.deadline + GUARD,
-                    // From when the holding began: what has not arrived since then was never out.
-                    request::Timer::LeaseLimit => job.unclaimed_since + inner.pin_limit.mul_f64(PIN_USED),
-                };
-                let key = inner.timers.arm(at, Due::Request(id, timer));
-                job.timers.push((Due::Request(id, timer), key));
-                self.wind(inner);
-            }
-            Effect::DisarmTimer(timer) => {
-                let due = Due::Request(id, timer);
-                if let Some(at) = job.timers.iter().position(|t| t.0 == due) {
-                    inner.timers.disarm(&job.timers.swap_remove(at).1);
-                }
-            }
-            Effect::Finished => {
-                if let Some(job) = inner.jobs.remove(&id) {
-                    job.watch.abort();
-                    job.timers.iter().for_each(|(_, key)| inner.timers.disarm(key));
-                    inner.names.remove(&job.payload.request_id);
-                    inner.ended = Some(job.payload.request_id.as_str().into());
-                    invariants::check_end(&job.machine, &job.payload.request_id);
-                    for read in job.given_up() {
-                        spawn_local(self.clone().follow_up(read));
-                    }
-                    let story = job.told.end(&job.machine, inner.clock.now());
-                    log!("{}{story}", glenrail_access_log::LINE_PREFIX);
-                }
+                self.notify_outcome(id, attempt, status, closed);
             }
+            Effect::NotifyClientDisconnected => self.notify_client_disconnected(id),
+            Effect::NotifySlot { server, reserved } => self.notify_slot(id, ServerId(server), reserved),
+            Effect::ArmTimer(timer) => self.arm_request_timer(id, timer),
+            Effect::DisarmTimer(timer) => self.disarm_request_timer(id, timer),
+            Effect::Finished => self.finish(id),
         }
     }
-}
 
-impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// A release of what has been held since then has come to its end.
-    fn released(&self, id: u64, held_since: Instant) {
-        {
-            let mut inner = self.inner.borrow_mut();
-            let now = inner.clock.now();
-            let pin_limit = inner.pin_limit;
-            if let Some(job) = inner.jobs.get_mut(&id) {
-                job.told.release_done(now);
-                invariants::check_held(held_since.elapsed(), pin_limit, &job.payload.request_id);
-            }
+    /// Starts the task of an attempt that the machine has permitted.
+    fn start_attempt(&self, id: u64, attempt: usize) {
+        let mut inner = self.inner.borrow_mut();
+        let inner = &mut *inner;
+        let Some(request) = inner.requests.get_mut(&id) else { return };
+        let (cancel, cancelled) = oneshot::channel();
+        request.calls[attempt].cancel = Some(cancel);
+        invariants::check_start(&request.machine, attempt, &request.payload.request_id);
+        // While no connection can be opened, the lease's time runs on, and so does the time in which a retry is allowed.
+        let lease_deadline = request.lease_write_deadline(inner.lease_limit);
+        let write_deadline = [lease_deadline, request.retry_deadline()].into_iter().flatten().min();
+        let connect_timeout =
+            write_deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
+        let deadline = request.calls[attempt].deadline;
+        let cancel_token =
+            request.response.as_ref().map_or_else(CancelToken::default, CancelToken::for_response);
+        request.calls[attempt].cancel_token = cancel_token.clone();
+        let call = Call::Attempt {
+            server: ServerId(request.machine.attempts()[attempt].server),
+            payload: request.payload.clone(),
+            deadline,
+            connect_timeout,
+            verify_connection: lease_deadline.is_some() && inner.settings.limits.probes,
+            cancel_token,
+        };
+        let core = self.clone();
+        spawn_local(async move { core.run_attempt(id, attempt, call, deadline, cancelled).await });
+    }
+
+    fn cancel_attempt(&self, id: u64, attempt: usize) {
+        if let Some(request) = self.inner.borrow_mut().requests.get_mut(&id) {
+            request.calls[attempt].cancel = None;
+        }
+    }
+
+    /// Asks a server to reserve a slot for the request.
+    fn request_slot(&self, id: u64, server: ServerId) {
+        let mut inner = self.inner.borrow_mut();
+        let Some(request) = inner.requests.get_mut(&id) else { return };
+        if !request.machine.has_reservation() {
+            request.unclaimed_since = Instant::now();
+        }
+        let call = Call::ReserveSlot { server, payload: request.payload.clone() };
+        let (core, reply) = (self.clone(), self.upstream.clone().oneshot(call));
+        let task = spawn_local(async move {
+            let reserved = match reply.await {
+                Ok(Reply::SlotReserved(reserved)) => reserved,
+                // Nothing of it reached the server.
+                Err(CallError::ConnectFailed | CallError::NotSent) => Some(false),
+                _ => None,
+            };
+            core.step(id, Input::SlotAnswered { reserved });
+        });
+        request.slot_request = Some(task.abort_handle());
+    }
+
+    fn cancel_slot_request(&self, id: u64) {
+        let mut inner = self.inner.borrow_mut();
+        let Some(request) = inner.requests.get_mut(&id) else { return };
+        if let Some(slot_request) = request.slot_request.take() {
+            slot_request.abort();
+        }
+    }
+
+    /// Gives the client a final answer in place of a server's.
+    fn respond(&self, id: u64, response: FinalResponse) {
+        let inner = self.inner.borrow();
+        let Some(request) = inner.requests.get(&id) else { return };
+        let part = match response {
+            FinalResponse::Rejected => ResponsePart::Rejected(request.retry_after),
+            FinalResponse::Failed => ResponsePart::Failed(Failure::Upstream),
+            FinalResponse::DeadlineExceeded => ResponsePart::Failed(Failure::DeadlineExceeded),
+            FinalResponse::Unprocessable => ResponsePart::Failed(Failure::Unprocessable),
+        };
+        if let Some(client) = &request.response {
+            // Nothing was forwarded before, so the channel has capacity.
+            let _ = client.try_send(part);
+        }
+    }
+
+    fn notify_first_token(&self, id: u64, attempt: usize) {
+        let mut inner = self.inner.borrow_mut();
+        let inner = &mut *inner;
+        let Some(request) = inner.requests.get_mut(&id) else { return };
+        let server = ServerId(request.machine.attempts()[attempt].server);
+        let elapsed = request.calls[attempt].elapsed();
+        request.record.first_token(attempt, inner.clock.now());
+        let (id, attempt) = (RequestId(id), attempt as u32);
+        inner.events.push_back(Event::FirstToken { id, attempt, server, elapsed });
+    }
+
+    /// Records the outcome of an attempt and reports it to the router; `closed`: its request's answer has ended.
+    fn notify_outcome(&self, id: u64, attempt: usize, status: Status, closed: bool) {
+        let mut inner = self.inner.borrow_mut();
+        let inner = &mut *inner;
+        let Some(request) = inner.requests.get_mut(&id) else { return };
+        let state = &request.machine.attempts()[attempt];
+        let call = &mut request.calls[attempt];
+        let server = ServerId(state.server);
+        if status == Status::Undelivered {
+            let name = &request.payload.request_id;
+            log!("request {name}: no sign that it arrived at server {:x}; called back", server.0);
+        }
+        // The lease of what a cancelled prefill may have left begins now.
+        let may_have_left_state = state.stage == Stage::Prefill && call.cancel_token.is_written();
+        if state.delivered || may_have_left_state {
+            request.unclaimed_since = Instant::now();
+        }
+        if let Some(written) = call.cancel_token.first_byte_at() {
+            request.record.first_byte_written(attempt, inner.clock.at(written));
+        }
+        let outcome = AttemptOutcome {
+            id: RequestId(id),
+            attempt: attempt as u32,
+            server,
+            status: router_status(status),
+            elapsed: call.elapsed(),
+            note: call.report.note,
+            closed,
+            delivered: state.delivered,
+            report: call.report.load.take(),
+        };
+        request.record.attempt_ended(&outcome, inner.clock.now());
+        inner.events.push_back(Event::Outcome(outcome));
+    }
+
+    fn notify_client_disconnected(&self, id: u64) {
+        let mut inner = self.inner.borrow_mut();
+        if inner.requests.contains_key(&id) {
+            inner.events.push_back(Event::ClientDisconnected { id: RequestId(id) });
+        }
+    }
+
+    fn notify_slot(&self, id: u64, server: ServerId, reserved: bool) {
+        let mut inner = self.inner.borrow_mut();
+        let Some(request) = inner.requests.get(&id) else { return };
+        let attempt = request.calls.len().saturating_sub(1) as u32;
+        inner.events.push_back(Event::SlotReservation { id: RequestId(id), attempt, server, reserved });
+    }
+
+    /// Removes a request of which nothing is in flight any more, and writes its line to the access log.
+    fn finish(&self, id: u64) {
+        let mut inner = self.inner.borrow_mut();
+        let inner = &mut *inner;
+        let Some(request) = inner.requests.remove(&id) else { return };
+        request.disconnect_watch.abort();
+        for (_, key) in &request.timers {
+            inner.timers.disarm(key);
+        }
+        let name = &request.payload.request_id;
+        inner.ids_by_name.remove(name);
+        inner.last_finished = Some(name.as_str().into());
+        invariants::check_end(&request.machine, name);
+        for prefill in request.unconfirmed_prefills() {
+            spawn_local(self.clone().release_orphaned_state(prefill));
         }
-        self.step(id, Input::Released);
+        let record = request.record.finish(&request.machine, inner.clock.now());
+        log!("{}{record}", glenrail_access_log::LINE_PREFIX);
     }
 }
 
-/// An outcome in the router's terms.
-pub(super) fn told(status: request::Status) -> AttemptStatus {
+/// The status of an attempt in the router's terms.
+pub(super) fn router_status(status: Status) -> AttemptStatus {
     match status {
-        request::Status::Served => AttemptStatus::Served,
-        request::Status::Prefilled => AttemptStatus::Prefilled,
-        request::Status::Error => AttemptStatus::Error,
-        request::Status::Rejected => AttemptStatus::Rejected,
-        request::Status::Timeout => AttemptStatus::Timeout,
-        request::Status::ConnectFailed => AttemptStatus::ConnectFailed,
-        request::Status::Reset => AttemptStatus::Reset,
-        request::Status::MalformedResponse => AttemptStatus::MalformedResponse,
-        request::Status::Cancelled => AttemptStatus::Cancelled,
-        request::Status::Undelivered => AttemptStatus::Undelivered,
-        request::Status::NotSent => AttemptStatus::NotSent,
+        Status::Served => AttemptStatus::Served,
+        Status::Prefilled => AttemptStatus::Prefilled,
+        Status::Error => AttemptStatus::Error,
+        Status::Rejected => AttemptStatus::Rejected,
+        Status::Timeout => AttemptStatus::Timeout,
+        Status::ConnectFailed => AttemptStatus::ConnectFailed,
+        Status::Reset => AttemptStatus::Reset,
+        Status::MalformedResponse => AttemptStatus::MalformedResponse,
+        Status::Cancelled => AttemptStatus::Cancelled,
+        Status::Undelivered => AttemptStatus::Undelivered,
+        Status::NotSent => AttemptStatus::NotSent,
     }
 }
--- a/gateway/src/core/forwarding.rs
+++ b/gateway/src/core/forwarding.rs
@@ -1,61 +1,65 @@
-//! Passing an answer on to its client, piece by piece.
+//! Forwarding of a response to its client, part by part.
 
 use std::time::Duration;
 
 use futures_util::stream::{LocalBoxStream, StreamExt};
 use glenrail_request_lifecycle::request::StreamEnd;
+use glenrail_router::LoadReport;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use glenrail_router::LoadReport;
-
 use crate::exchange::{self, ClientSide, ResponsePart};
 use crate::log;
 use crate::upstream::{CallError, Frame};
 
+/// The frames of a response that is streamed.
 pub type Frames = LocalBoxStream<'static, Result<Frame, CallError>>;
 
-/// A stream without a whole event for so long is taken for dead, so that its client's connection ends within the
-/// 5 s that the platform's rules give. Its writer may have put the answer back into its queue, so no less.
-const SILENT: Duration = Duration::from_millis(4_600);
-/// A client that takes nothing of its stream for so long has lost it.
-const STALLED: Duration = Duration::from_secs(30);
+/// A stream without a complete event for so long is taken for dead, so that its client's connection ends within the 5 s
+/// of the platform's rules. A decode server may have queued the request again, so the timeout is no shorter.
+const EVENT_IDLE_TIMEOUT: Duration = Duration::from_millis(4_600);
+
+/// A client that reads nothing of its stream for so long has lost it.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a stream ended, and what its server said at the end.
-pub struct Passed {
+/// How a stream ended, and what its server reported at the end.
+pub struct StreamSummary {
+    /// Why nothing more is forwarded.
     pub end: StreamEnd,
-    pub kept: f64,
-    pub report: Option<LoadReport>,
+    /// Prompt tokens that the server found in its cache.
+    pub cached_tokens: f64,
+    /// The server's load.
+    pub load: Option<LoadReport>,
 }
 
-impl From<StreamEnd> for Passed {
+impl From<StreamEnd> for StreamSummary {
     fn from(end: StreamEnd) -> Self {
-        Passed { end, kept: 0.0, report: None }
+        StreamSummary { end, cached_tokens: 0.0, load: None }
     }
 }
 
-/// Passes an answer on after its first piece, to its end.
-pub async fn rest(pieces: &mpsc::Sender<ResponsePart>, mut frames: Frames) -> Passed {
+/// Forwards what follows the first part of a response, to its end.
+pub async fn forward_remaining(client: &mpsc::Sender<ResponsePart>, mut frames: Frames) -> StreamSummary {
     loop {
         let frame = tokio::select! {
             biased;
-            frame = timeout(SILENT, frames.next()) => frame,
-            () = pieces.closed() => return StreamEnd::ClientStalled.into(),
+            frame = timeout(EVENT_IDLE_TIMEOUT, frames.next()) => frame,
+            () = client.closed() => return StreamEnd::ClientStalled.into(),
         };
         match frame {
             Ok(Some(Ok(Frame::Data(bytes)))) => {
-                if !pass(pieces, ResponsePart::Chunk(bytes)).await {
+                if !send_part(client, ResponsePart::Chunk(bytes)).await {
                     return StreamEnd::ClientStalled.into();
                 }
             }
-            Ok(Some(Ok(Frame::HandedOver(rest)))) => {
-                pass(pieces, ResponsePart::HandedOver(rest)).await;
+            Ok(Some(Ok(Frame::HandedOver(remainder)))) => {
+                send_part(client, ResponsePart::HandedOver(remainder)).await;
                 return StreamEnd::HandedOver.into();
             }
-            Ok(Some(Ok(Frame::End { cached_tokens: kept, report }))) => {
-                pass(pieces, ResponsePart::End).await;
-                return Passed { end: StreamEnd::Complete, kept, report };
+            Ok(Some(Ok(Frame::End { cached_tokens, report }))) => {
+                send_part(client, ResponsePart::End).await;
+                return StreamSummary { end: StreamEnd::Complete, cached_tokens, load: report };
             }
             Ok(Some(Err(CallError::MalformedResponse))) => return StreamEnd::MalformedResponse.into(),
             Ok(Some(Err(_)) | None) => return StreamEnd::Reset.into(),
@@ -67,16 +71,16 @@
     }
 }
 
-/// Goes on with an answer that another process began. No request of the router belongs to it any more.
+/// Continues a response that the predecessor process began; it belongs to no request of this process's router.
 pub fn resume(frames: Frames) -> ClientSide {
-    let (client, pieces) = exchange::response_channel();
+    let (client, response) = exchange::response_channel();
     spawn_local(async move {
-        rest(&pieces, frames).await;
+        forward_remaining(&response, frames).await;
     });
     client
 }
 
-/// Whether the client took the piece.
-pub async fn pass(pieces: &mpsc::Sender<ResponsePart>, piece: ResponsePart) -> bool {
-    matches!(timeout(STALLED, pieces.send(piece)).await, Ok(Ok(())))
+/// Whether the client accepted the part in time.
+pub async fn send_part(client: &mpsc::Sender<ResponsePart>, part: ResponsePart) -> bool {
+    matches!(timeout(CLIENT_STALL_TIMEOUT, client.send(part)).await, Ok(Ok(())))
 }
--- a/gateway/src/core/orphaned_state.rs
+++ b/gateway/src/core/orphaned_state.rs
@@ -1,58 +1,62 @@
-//! Reads that were given up and whose server may not know it: a close that is handed to the machine may never arrive, and a
-//! read that goes on to its end leaves a state that no release has met.
+//! Prefills that were cancelled and whose servers may not know it: a close may never be delivered, and a prefill that
+//! runs to its end leaves state that no release has met.
 
-use super::*;
+use std::rc::Rc;
 
-/// While the server gives no sign, what it may have come to hold is let go again after this share of the pin limit.
-const AGAIN: f64 = 0.4;
+use glenrail_request_lifecycle::request::{AttemptState, Stage, Status};
+use glenrail_router::ServerId;
+use tokio::time::{sleep, Instant};
+use tower::ServiceExt;
 
-/// A read that was given up on an open connection.
-pub(super) struct GivenUp {
+use super::request_state::RequestState;
+use super::timing::{CANCEL_PROPAGATION_DELAY, ORPHAN_RELEASE_RETRY_SHARE};
+use super::{Core, DecisionPolicy, Upstream};
+use crate::exchange::Payload;
+use crate::upstream::Call;
+
+/// A prefill that was cancelled on an open connection.
+pub(super) struct UnconfirmedPrefill {
     server: ServerId,
     payload: Rc<Payload>,
-    /// What its server was told: it does no work for it later.
-    until: Instant,
+    /// The deadline that its server was given: it does no work for the prefill later.
+    deadline: Instant,
 }
 
 impl RequestState {
-    /// The reads of a request at its end of which nobody can say that their servers have seen the close.
-    pub(super) fn given_up(&self) -> Vec<GivenUp> {
-        let unseen = |status| {
-            matches!(
-                status,
-                request::Status::Cancelled | request::Status::Timeout | request::Status::Undelivered
-            )
-        };
-        let attempts = self.machine.attempts().iter().zip(&self.sent);
-        let given_up = attempts.filter(|(attempt, sent)| {
-            let closed_here = matches!(attempt.state, AttemptState::Ended(status) if unseen(status));
-            attempt.stage == Stage::Prefill && closed_here && sent.wanted.is_written()
-        });
-        let told = |(attempt, sent): (&request::Attempt, &AttemptCall)| GivenUp {
-            server: ServerId(attempt.server),
-            payload: self.payload.clone(),
-            until: sent.until,
-        };
-        given_up.map(told).collect()
+    /// The prefills of a finished request whose servers may not have seen the cancellation.
+    pub(super) fn unconfirmed_prefills(&self) -> Vec<UnconfirmedPrefill> {
+        let mut prefills = Vec::new();
+        for (attempt, call) in self.machine.attempts().iter().zip(&self.calls) {
+            let AttemptState::Ended(status) = attempt.state else { continue };
+            let was_cancelled = matches!(status, Status::Cancelled | Status::Timeout | Status::Undelivered);
+            if attempt.stage == Stage::Prefill && was_cancelled && call.cancel_token.is_written() {
+                prefills.push(UnconfirmedPrefill {
+                    server: ServerId(attempt.server),
+                    payload: self.payload.clone(),
+                    deadline: call.deadline,
+                });
+            }
+        }
+        prefills
     }
 }
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Lets go of what such a read may come to hold, until its server gives a sign: what passes then, the close has passed
-    /// before.
-    pub(super) async fn follow_up(self, read: GivenUp) {
-        let pause = self.inner.borrow().pin_limit.mul_f64(AGAIN);
+    /// Releases what such a prefill may have left until its server responds: what reaches the server then was preceded by
+    /// the cancellation.
+    pub(super) async fn release_orphaned_state(self, prefill: UnconfirmedPrefill) {
+        let retry_pause = self.inner.borrow().lease_limit.mul_f64(ORPHAN_RELEASE_RETRY_SHARE);
         loop {
-            let seen = self.check(read.server).await;
-            sleep(if seen { AFTER_CUT } else { pause }).await;
-            // A request of the same name would lose what it holds.
-            if self.inner.borrow().names.contains_key(&read.payload.request_id) {
+            let reachable = self.is_reachable(prefill.server).await;
+            sleep(if reachable { CANCEL_PROPAGATION_DELAY } else { retry_pause }).await;
+            // A later request of the same name would lose its lease.
+            if self.inner.borrow().ids_by_name.contains_key(&prefill.payload.request_id) {
                 return;
             }
-            let call = Call::Release { payload: read.payload.clone() };
-            // Nobody may be reachable; the next round asks again.
+            let call = Call::Release { payload: prefill.payload.clone() };
+            // No server may be reachable; the next round tries again.
             let _ = self.upstream.clone().oneshot(call).await;
-            if seen || Instant::now() >= read.until {
+            if reachable || Instant::now() >= prefill.deadline {
                 return;
             }
         }
--- /dev/null
+++ b/gateway/src/core/probe.rs
@@ -0,0 +1,26 @@
+//! Probes that the router orders.
+
+use glenrail_router::{AttemptStatus, Event, ServerId};
+use tokio::time::Instant;
+use tower::ServiceExt;
+
+use super::{Core, DecisionPolicy, Upstream};
+use crate::upstream::{Call, CallError, Reply};
+
+impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
+    /// Probes a server once and reports the result to the router.
+    pub(super) async fn probe(&self, server: ServerId) {
+        let sent = Instant::now();
+        let (status, report) = match self.upstream.clone().oneshot(Call::Probe { server }).await {
+            Ok(Reply::Probed { healthy: true, report }) => (AttemptStatus::Served, report),
+            Ok(Reply::Probed { report, .. }) => (AttemptStatus::Error, report),
+            Ok(_) | Err(CallError::NotSent | CallError::ConnectFailed) => {
+                (AttemptStatus::ConnectFailed, None)
+            }
+            Err(CallError::Reset) => (AttemptStatus::Reset, None),
+            Err(CallError::MalformedResponse) => (AttemptStatus::MalformedResponse, None),
+        };
+        let elapsed = sent.elapsed().as_secs_f64() * 1000.0;
+        self.dispatch(Event::ProbeResult { server, status, elapsed, report });
+    }
+}
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -1,65 +1,104 @@
-//! What the core keeps of one request beside its machine.
+//! What the core stores of one request and of its attempts besides the request's state machine.
 
-use super::*;
+use std::rc::Rc;
+use std::time::Duration;
 
-/// What the core keeps of one attempt beside its machine.
+use glenrail_request_lifecycle::request::{Attempt, Request as Machine};
+use glenrail_router::{LoadReport, Millis};
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+use tokio_util::time::delay_queue::Key;
+
+use super::request_record::RecordBuilder;
+use super::timers::TimerPurpose;
+use super::timing::{DELIVERY_CHECK_SHARE, LATEST_DELIVERY_CHECK_SHARE, LATEST_WRITE_SHARE};
+use crate::exchange::{CancelToken, Payload, ResponsePart};
+
+/// The call of one attempt, from the router's order on; attempts that the machine never starts have one too.
 pub(super) struct AttemptCall {
-    pub at: Instant,
-    pub until: Instant,
-    /// Tells when its first byte went out.
-    pub wanted: CancelToken,
-    /// Dropping it calls the attempt back.
+    /// When the router ordered it.
+    pub ordered_at: Instant,
+    /// When it times out.
+    pub deadline: Instant,
+    /// Says when its first byte was written.
+    pub cancel_token: CancelToken,
+    /// Dropping this cancels the attempt.
     pub cancel: Option<oneshot::Sender<()>>,
+    /// What its server reported besides the reply.
+    pub report: ServerReport,
+}
+
+/// What a server reported besides its reply.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ServerReport {
+    /// The [`note`](glenrail_router::AttemptOutcome::note) of the attempt's outcome: tokens found in the cache, or 1.0
+    /// if the server rejected an attempt since the state that it claimed is not there.
     pub note: f64,
-    pub report: Option<LoadReport>,
+    pub load: Option<LoadReport>,
+}
+
+impl AttemptCall {
+    pub fn new(ordered_at: Instant, deadline: Instant) -> Self {
+        let (cancel_token, report) = (CancelToken::default(), ServerReport::default());
+        AttemptCall { ordered_at, deadline, cancel_token, cancel: None, report }
+    }
+
+    /// Milliseconds since the router ordered the attempt.
+    pub fn elapsed(&self) -> Millis {
+        self.ordered_at.elapsed().as_secs_f64() * 1000.0
+    }
 }
 
-/// What the core keeps of one request beside its machine.
+/// What the core stores of one request besides its machine.
 pub(super) struct RequestState {
-    pub machine: request::Request,
+    pub machine: Machine,
     pub payload: Rc<Payload>,
-    /// Gone once the client is owed nothing more.
-    pub pieces: Option<mpsc::Sender<ResponsePart>>,
-    pub watch: AbortHandle,
+    /// The way to the client; `None` once the client is owed nothing more.
+    pub response: Option<mpsc::Sender<ResponsePart>>,
+    /// Waits for the client's disconnection.
+    pub disconnect_watch: AbortHandle,
     pub deadline: Instant,
-    pub sent: Vec<AttemptCall>,
-    /// Since when what is held waits for an attempt to take it. Of one that is not known to have arrived, that time ran on.
+    /// One for each attempt of the machine, in the same order.
+    pub calls: Vec<AttemptCall>,
+    /// Since when the request's lease waits for an attempt to claim it; an attempt that is not known to have been delivered
+    /// does not stop that time.
     pub unclaimed_since: Instant,
-    pub place: Option<AbortHandle>,
+    /// The call that asks for a slot, while it is in flight.
+    pub slot_request: Option<AbortHandle>,
+    /// What a rejected client is told to wait.
     pub retry_after: Duration,
-    /// For so long after the first attempt that may have run it may be repeated; `None`: for ever, or never.
-    pub window: Option<Duration>,
-    /// It may be refused whatever became of it.
-    pub safe: bool,
-    pub timers: Vec<(Due, Key)>,
-    pub told: RecordBuilder,
+    /// For so long after the first attempt that may have run the request may be retried; `None`: without limit, or never.
+    pub idempotency_window: Option<Duration>,
+    /// Whether retrying is harmless whatever became of the request.
+    pub is_idempotent: bool,
+    /// The armed timers that belong to the request.
+    pub timers: Vec<(TimerPurpose, Key)>,
+    pub record: RecordBuilder,
 }
 
 impl RequestState {
-    /// Rule 2: whether a refusal would be true.
-    pub fn may_refuse(&self) -> bool {
-        self.safe || !self.machine.may_have_run()
+    /// Whether the request may be rejected, which tells the client that trying again is harmless.
+    pub fn may_reject(&self) -> bool {
+        self.is_idempotent || !self.machine.may_have_run()
     }
 
-    /// Rule 2: until when a further attempt may be written, once one may have run.
-    pub fn repeat_by(&self) -> Option<Instant> {
-        let first = self.machine.attempts().iter().position(request::Attempt::may_have_run)?;
-        Some(self.sent[first].at + self.window?)
+    /// Until when a further attempt may be written, once one may have run.
+    pub fn retry_deadline(&self) -> Option<Instant> {
+        let first = self.machine.attempts().iter().position(Attempt::may_have_run)?;
+        Some(self.calls[first].ordered_at + self.idempotency_window?)
     }
 
-    /// When a sign of its arrival is asked for after an attempt was written; what is held may not wait for long.
-    pub fn ask_arrival_at(&self, written: Instant, pin_limit: Duration) -> Instant {
-        let usual = written + pin_limit.mul_f64(ARRIVAL_ASKED);
-        let latest = self.unclaimed_since + pin_limit.mul_f64(ARRIVAL_ASKED_LATEST);
+    /// When the delivery of an attempt that was written at `written` is first checked; a lease may not wait for long.
+    pub fn delivery_check_at(&self, written: Instant, lease_limit: Duration) -> Instant {
+        let usual = written + lease_limit.mul_f64(DELIVERY_CHECK_SHARE);
+        let latest = self.unclaimed_since + lease_limit.mul_f64(LATEST_DELIVERY_CHECK_SHARE);
         usual.min(latest).max(written)
     }
 
-    /// By when an attempt for which something is held must be written, so that there is time to hear whether it arrived.
-    pub fn written_by(&self, pin_limit: Duration) -> Option<Instant> {
-        self.machine.has_reservation().then(|| self.unclaimed_since + pin_limit.mul_f64(WRITTEN_BY))
-    }
-
-    pub fn elapsed(&self, attempt: usize) -> Millis {
-        self.sent[attempt].at.elapsed().as_secs_f64() * 1000.0
+    /// By when an attempt that claims a lease must be written, so that there is time to check its delivery; `None` without
+    /// a lease.
+    pub fn lease_write_deadline(&self, lease_limit: Duration) -> Option<Instant> {
+        self.machine.has_reservation().then(|| self.unclaimed_since + lease_limit.mul_f64(LATEST_WRITE_SHARE))
     }
 }
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -1,20 +1,26 @@
 //! The core on paused time, with a scripted service in the place of the servers.
 
 mod leases;
+mod records;
 mod replay;
 mod stored;
 
 use std::cell::Cell;
 
 use bytes::Bytes;
-use futures_util::stream;
+use futures_util::stream::{self, StreamExt};
+use glenrail_request_lifecycle::request::{Effect, Stage};
+use glenrail_router::{AttemptOutcome, AttemptStatus, RejectReason};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
-use tokio::time::timeout;
+use tokio::time::{sleep, timeout, Instant};
 
+use super::timing::{CANCEL_PROPAGATION_DELAY, DEADLINE_GUARD, DELIVERY_CHECK_SHARE};
 use super::*;
-use crate::exchange::{Request, ResponseHead};
+use crate::exchange::{Failure, Payload, Request, ResponseHead, ResponsePart};
+use crate::upstream::Frame;
 
 const READERS: [u64; 2] = [11, 12];
 const WRITERS: [u64; 2] = [21, 22];
--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -128,7 +128,7 @@
                 let timeout = if self.short.contains(&self.sends) { SHORT } else { 0.0 };
                 self.sends += 1;
                 self.core.execute(Action::Send { id, server: ServerId(server), timeout });
-                self.core.run();
+                self.core.process_events();
             }
             Input::Cancel { attempt } => self.order(Action::Cancel { id, attempt: attempt as u32 }),
             Input::Release => self.order(Action::Release { id }),
@@ -140,7 +140,7 @@
             Input::ClientDisconnected => drop(self.client.take()),
             Input::Delivered { .. } => {
                 self.servers.0.borrow_mut().signs = true;
-                sleep(duration(500.0 * ARRIVAL_ASKED)).await;
+                sleep(duration(500.0 * DELIVERY_CHECK_SHARE)).await;
                 self.servers.0.borrow_mut().signs = false;
             }
             Input::Replied { attempt, reply } => self.reply(attempt, reply),
@@ -168,13 +168,13 @@
                 _ = place.map(|place| place.send(held));
             }
             Input::Released => {
-                sleep(AFTER_CUT + Duration::from_millis(2)).await;
+                sleep(CANCEL_PROPAGATION_DELAY + Duration::from_millis(2)).await;
                 let release = self.servers.0.borrow_mut().release.take();
                 release.expect("a release is under way").send(()).expect("and waited for");
             }
             Input::TimerExpired(Timer::LeaseLimit) => sleep(Duration::from_millis(470)).await,
             Input::TimerExpired(Timer::Deadline) => {
-                tokio::time::sleep_until(self.began + duration(PATIENCE) + GUARD * 2).await;
+                tokio::time::sleep_until(self.began + duration(PATIENCE) + DEADLINE_GUARD * 2).await;
             }
         }
         settle().await;
@@ -182,7 +182,7 @@
 
     fn order(&self, action: Action) {
         self.core.execute(action);
-        self.core.run();
+        self.core.process_events();
     }
 
     fn member(&self, server: u64) -> ServerEntry {
@@ -290,7 +290,7 @@
         play.feed(*input).await;
     }
     // A release that waits for a cut to be seen goes out a little later.
-    sleep(AFTER_CUT * 2).await;
+    sleep(CANCEL_PROPAGATION_DELAY * 2).await;
     settle().await;
     let effects: Vec<Effect> = fed.iter().flat_map(|f| f.1.iter().copied()).collect();
     let wanted: Vec<&str> = effects
@@ -307,7 +307,7 @@
         .iter()
         .filter_map(|e| match e {
             Effect::NotifyOutcome { attempt, status, closed } => {
-                Some((*attempt as u32, effects::told(*status), *closed))
+                Some((*attempt as u32, effects::router_status(*status), *closed))
             }
             _ => None,
         })
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -5,9 +5,10 @@
 use glenrail_request_lifecycle::request::{
     Reply as Said, Request as Machine, ResponseState, StreamEnd, Timer,
 };
+use glenrail_router::LoadReport;
 use serde::{Deserialize, Serialize};
 
-use super::super::request_record::RecordBuilder;
+use super::super::request_record::{AttemptStart, RecordBuilder};
 use super::*;
 
 const TRACES: &str = include_str!("fixtures/machine-traces.jsonl");
@@ -211,30 +212,55 @@
     RecordBuilder::new(&ask, "00ff00ff00ff00ff", &settings(), 1_000.0, 1_750_000_000_000.25)
 }
 
+fn outcome(attempt: u32, status: AttemptStatus, note: f64, report: Option<LoadReport>) -> AttemptOutcome {
+    AttemptOutcome {
+        id: RequestId(1),
+        attempt,
+        server: ServerId(READERS[0]),
+        status,
+        elapsed: 0.0,
+        note,
+        closed: false,
+        delivered: false,
+        report,
+    }
+}
+
 /// A read of which all is told, and a write of which nothing is.
 fn line_of_status(status: AttemptStatus, machine: &Machine) -> RequestRecord {
     let mut told = begun(1);
-    told.sent(READERS[0], Stage::Prefill, Some((1, 4)), true, 1_000.25);
-    told.written(0, 1_000.5);
-    told.shown_to_arrive(0, 1_012.0);
-    told.first(0, 1_040.125);
-    let report =
-        glenrail_router::LoadReport { in_flight: Some(3.0), memory_share: Some(0.625), ..Default::default() };
-    told.ended(0, status, 1_500.0, Some(report), 1_100.0);
-    told.release_ordered(1_100.0, 1_200.5);
-    told.release_done(1_240.0);
-    told.sent(WRITERS[0], Stage::Execute, None, false, 1_250.0);
-    told.ended(1, status, 0.0, None, 1_300.0);
-    told.release_ordered(1_300.0, 1_301.0);
-    told.closed(1_302.0);
-    told.end(machine, 1_400.0)
+    told.attempt_started(AttemptStart {
+        server: READERS[0],
+        stage: Stage::Prefill,
+        location: Some((1, 4)),
+        is_slow_start: true,
+        at: 1_000.25,
+    });
+    told.first_byte_written(0, 1_000.5);
+    told.delivered(0, 1_012.0);
+    told.first_token(0, 1_040.125);
+    let report = LoadReport { in_flight: Some(3.0), memory_share: Some(0.625), ..Default::default() };
+    told.attempt_ended(&outcome(0, status, 1_500.0, Some(report)), 1_100.0);
+    told.release_started(1_100.0, 1_200.5);
+    told.release_finished(1_240.0);
+    told.attempt_started(AttemptStart {
+        server: WRITERS[0],
+        stage: Stage::Execute,
+        location: None,
+        is_slow_start: false,
+        at: 1_250.0,
+    });
+    told.attempt_ended(&outcome(1, status, 0.0, None), 1_300.0);
+    told.release_started(1_300.0, 1_301.0);
+    told.client_answered(1_302.0);
+    told.finish(machine, 1_400.0)
 }
 
 fn line_of_reason(reason: RejectReason, machine: &Machine) -> RequestRecord {
     let mut told = begun(0);
-    told.why(reason);
-    told.why(RejectReason::LoadShed);
-    told.end(machine, 1_050.0)
+    told.reject_reason(reason);
+    told.reject_reason(RejectReason::LoadShed);
+    told.finish(machine, 1_050.0)
 }
 
 /// One line for each outcome of an attempt, each reason, and each way in which a request ends.
@@ -243,7 +269,8 @@
     assert_eq!(refused.response(), ResponseState::Final(FinalResponse::Rejected));
     let by_status = STATUSES.iter().map(|status| line_of_status(*status, &refused));
     let by_reason = REASONS.iter().map(|reason| line_of_reason(*reason, &refused));
-    let by_end = script().into_iter().map(|(terms, inputs)| begun(2).end(&play(terms, &inputs).0, 1_500.0));
+    let by_end =
+        script().into_iter().map(|(terms, inputs)| begun(2).finish(&play(terms, &inputs).0, 1_500.0));
     by_status.chain(by_reason).chain(by_end).map(|story| format!("{LINE_PREFIX}{story}")).collect()
 }
 
