--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -1,95 +1,143 @@
-//! Every kept trace of a request, played against the real core on paused time: the router's orders are the trace's,
-//! and scripted stand-ins answer when it says. What goes out and what the router is told must be the machine's words.
+//! Replays every recorded trace of a request against the real core on paused time: the router's actions are the trace's,
+//! and scripted servers reply when the trace says. The calls, and what the router is told, must be the machine's.
 
 use std::path::{Path, PathBuf};
 
 use futures_util::stream;
-use glenrail_request_lifecycle::request::{Reply as Said, StreamEnd, Timer};
+use glenrail_request_lifecycle::request::{Reply as MachineReply, StreamEnd, Timer};
 use serde::Deserialize;
 use tokio::task::yield_now;
+use tokio::time::sleep_until;
 
-use super::super::effects;
+use super::super::effects::router_status;
 use super::*;
 
-/// A router that orders nothing by itself and notes what it is told.
+/// How long the client of a trace waits.
+const CLIENT_TIMEOUT: Millis = 10_000.0;
+/// Timeout of an attempt that is to time out, before its lease does.
+const SHORT_TIMEOUT: Millis = 300.0;
+/// Longer than a stream may be idle.
+const IDLE: Duration = Duration::from_secs(5);
+/// Longer than a lease may be unclaimed, from the moment at which the trace goes on.
+const LEASE_TIMEOUT: Duration = Duration::from_millis(470);
+
+/// A policy that decides nothing and records its events.
 #[derive(Clone, Default)]
-struct Puppet(Rc<RefCell<Vec<Event>>>);
+struct RecordingPolicy(Rc<RefCell<Vec<Event>>>);
 
-impl DecisionPolicy for Puppet {
+impl DecisionPolicy for RecordingPolicy {
     fn handle(&mut self, _: Millis, event: Event, _: &mut Vec<Action>) {
         self.0.borrow_mut().push(event);
     }
 }
 
-/// Stand-ins that answer when they are told to.
+impl RecordingPolicy {
+    fn outcomes(&self) -> Vec<RecordedOutcome> {
+        let mut outcomes = Vec::new();
+        for event in self.0.borrow().iter() {
+            if let Event::Outcome(AttemptOutcome { attempt, status, closed, .. }) = event {
+                let (attempt, status, closed) = (*attempt, *status, *closed);
+                outcomes.push(RecordedOutcome { attempt, status, closed });
+            }
+        }
+        outcomes
+    }
+}
+
+#[derive(Debug, PartialEq)]
+struct RecordedOutcome {
+    attempt: u32,
+    status: AttemptStatus,
+    closed: bool,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum StartedCall {
+    Attempt,
+    Release,
+    SlotRequest,
+}
+
+/// Servers whose replies the replay sends.
 #[derive(Clone, Default)]
-struct Servers(Rc<RefCell<Asked>>);
+struct ReplayServers(Rc<RefCell<PendingCalls>>);
 
 #[derive(Default)]
-struct Asked {
-    /// What came, in order.
-    calls: Vec<&'static str>,
+struct PendingCalls {
+    /// Every call, in order.
+    started: Vec<StartedCall>,
     attempts: Vec<oneshot::Sender<Result<Reply, CallError>>>,
     release: Option<oneshot::Sender<()>>,
-    place: Option<oneshot::Sender<Option<bool>>>,
-    /// Servers give signs.
-    signs: bool,
-    out: usize,
-    most_out: usize,
+    slot_request: Option<oneshot::Sender<Option<bool>>>,
+    /// Whether servers answer the check whether they can be reached.
+    is_reachable: bool,
+    in_flight: usize,
+    max_in_flight: usize,
 }
 
-struct Out(Servers);
+struct AttemptInFlight(ReplayServers);
 
-impl Drop for Out {
+impl AttemptInFlight {
+    fn new(servers: ReplayServers) -> Self {
+        {
+            let mut pending = servers.0.borrow_mut();
+            pending.in_flight += 1;
+            pending.max_in_flight = pending.max_in_flight.max(pending.in_flight);
+        }
+        AttemptInFlight(servers)
+    }
+}
+
+impl Drop for AttemptInFlight {
     fn drop(&mut self) {
-        self.0 .0.borrow_mut().out -= 1;
+        self.0 .0.borrow_mut().in_flight -= 1;
     }
 }
 
-impl Servers {
+impl ReplayServers {
     async fn answer(self, call: Call) -> Result<Reply, CallError> {
         match call {
-            Call::Attempt { cancel_token: wanted, .. } => {
-                wanted.set_written(true);
-                let (tell, told) = oneshot::channel();
-                {
-                    let mut asked = self.0.borrow_mut();
-                    asked.calls.push("attempt");
-                    asked.attempts.push(tell);
-                    asked.out += 1;
-                    asked.most_out = asked.most_out.max(asked.out);
-                }
-                let out = Out(self.clone());
-                let reply = told.await.unwrap_or(Err(CallError::Reset))?;
-                Ok(match reply {
-                    Reply::Response { head, frames } => {
-                        let frames = frames.inspect(move |_| _ = &out).boxed_local();
-                        Reply::Response { head, frames }
-                    }
-                    reply => reply,
-                })
+            Call::Attempt { cancel_token, .. } => {
+                cancel_token.set_written(true);
+                self.attempt().await
             }
             Call::Release { .. } => {
-                let (tell, told) = oneshot::channel();
-                self.0.borrow_mut().calls.push("release");
-                self.0.borrow_mut().release = Some(tell);
-                told.await.map(|()| Reply::Done).map_err(|_| CallError::ConnectFailed)
+                let (reply, replied) = oneshot::channel();
+                self.0.borrow_mut().started.push(StartedCall::Release);
+                self.0.borrow_mut().release = Some(reply);
+                replied.await.map(|()| Reply::Done).map_err(|_| CallError::ConnectFailed)
             }
             Call::ReserveSlot { .. } => {
-                let (tell, told) = oneshot::channel();
-                self.0.borrow_mut().calls.push("place");
-                self.0.borrow_mut().place = Some(tell);
-                told.await.map(Reply::SlotReserved).map_err(|_| CallError::Reset)
+                let (reply, replied) = oneshot::channel();
+                self.0.borrow_mut().started.push(StartedCall::SlotRequest);
+                self.0.borrow_mut().slot_request = Some(reply);
+                replied.await.map(Reply::SlotReserved).map_err(|_| CallError::Reset)
             }
-            Call::VerifyReachable { .. } if self.0.borrow().signs => Ok(Reply::Done),
+            Call::VerifyReachable { .. } if self.0.borrow().is_reachable => Ok(Reply::Done),
             Call::VerifyReachable { .. } => Err(CallError::ConnectFailed),
             _ => Ok(Reply::Done),
         }
     }
+
+    async fn attempt(self) -> Result<Reply, CallError> {
+        let (reply, replied) = oneshot::channel();
+        self.0.borrow_mut().started.push(StartedCall::Attempt);
+        self.0.borrow_mut().attempts.push(reply);
+        let in_flight = AttemptInFlight::new(self);
+        let reply = replied.await.unwrap_or(Err(CallError::Reset))?;
+        Ok(match reply {
+            Reply::Response { head, frames } => {
+                let frames = frames.inspect(move |_| _ = &in_flight).boxed_local();
+                Reply::Response { head, frames }
+            }
+            reply => reply,
+        })
+    }
 }
 
+/// The first line of a trace.
 #[derive(Deserialize)]
-struct Head {
+struct TraceHead {
     world: String,
     #[serde(default)]
     readers: u64,
@@ -100,15 +148,89 @@
     cancel: bool,
 }
 
+/// Each later line.
 #[derive(Deserialize)]
-struct Line {
+struct TraceLine {
     #[serde(default)]
     fed: Vec<(Input, Vec<Effect>)>,
 }
 
-const PATIENCE: Millis = 10_000.0;
-/// The time of an attempt that is to run out of it, before what is held runs out of its own.
-const SHORT: Millis = 300.0;
+/// A trace of one request: each input of its machine, and the effects that followed.
+struct Trace {
+    head: TraceHead,
+    steps: Vec<(Input, Vec<Effect>)>,
+}
+
+impl Trace {
+    /// The trace in this file; `None` if it is of something else than a request.
+    fn read(path: &Path) -> Option<Trace> {
+        let text = std::fs::read_to_string(path).expect("a trace");
+        let mut lines = text.lines();
+        let head: TraceHead = serde_json::from_str(lines.next().expect("a head")).expect("a head");
+        if head.world != "request" {
+            return None;
+        }
+        let parse = |line| serde_json::from_str::<TraceLine>(line).expect("a line");
+        Some(Trace { head, steps: lines.flat_map(|line| parse(line).fed).collect() })
+    }
+
+    fn effects(&self) -> impl Iterator<Item = Effect> + '_ {
+        self.steps.iter().flat_map(|(_, effects)| effects.iter().copied())
+    }
+
+    /// Attempts that time out.
+    fn timed_out(&self) -> Vec<usize> {
+        let timed_out = |input: &Input| match input {
+            Input::TimedOut { attempt } => Some(*attempt),
+            _ => None,
+        };
+        self.steps.iter().filter_map(|(input, _)| timed_out(input)).collect()
+    }
+
+    fn calls(&self) -> Vec<StartedCall> {
+        let call = |effect| match effect {
+            Effect::StartAttempt { .. } => Some(StartedCall::Attempt),
+            Effect::Release { .. } => Some(StartedCall::Release),
+            Effect::RequestSlot { .. } => Some(StartedCall::SlotRequest),
+            _ => None,
+        };
+        self.effects().filter_map(call).collect()
+    }
+
+    fn outcomes(&self) -> Vec<RecordedOutcome> {
+        let outcome = |effect| match effect {
+            Effect::NotifyOutcome { attempt, status, closed } => {
+                Some(RecordedOutcome { attempt: attempt as u32, status: router_status(status), closed })
+            }
+            _ => None,
+        };
+        self.effects().filter_map(outcome).collect()
+    }
+
+    fn final_response(&self) -> Option<FinalResponse> {
+        self.effects().find_map(|effect| match effect {
+            Effect::Respond(response) => Some(response),
+            _ => None,
+        })
+    }
+}
+
+/// A replay under way.
+struct Replay<U> {
+    core: Core<U, RecordingPolicy>,
+    policy: RecordingPolicy,
+    servers: ReplayServers,
+    client: Option<ClientSide>,
+    streams: HashMap<usize, mpsc::UnboundedSender<Result<Frame, CallError>>>,
+    /// Attempts that are to time out.
+    timed_out: Vec<usize>,
+    /// Attempts that were started, in order.
+    started: Vec<usize>,
+    /// Attempts that the router has ordered.
+    ordered: usize,
+    prefill_servers: u64,
+    began: Instant,
+}
 
 async fn settle() {
     for _ in 0..50 {
@@ -116,236 +238,211 @@
     }
 }
 
-impl<U: Upstream> PlayOn<U> {
+/// A core with the servers of a trace and its one request.
+fn begin(trace: &Trace) -> Replay<impl Upstream> {
+    let (policy, servers) = (RecordingPolicy::default(), ReplayServers::default());
+    let service = tower::service_fn({
+        let servers = servers.clone();
+        move |call| servers.clone().answer(call)
+    });
+    let mut settings = settings();
+    settings.limits.cancellation = trace.head.cancel;
+    let clock = Clock::new(Duration::from_secs(1_000_000));
+    let core = Core::with_policy(policy.clone(), settings, clock, service);
+    let mut replay = Replay {
+        core,
+        policy,
+        servers,
+        client: None,
+        streams: HashMap::new(),
+        timed_out: trace.timed_out(),
+        started: Vec::new(),
+        ordered: 0,
+        prefill_servers: trace.head.readers,
+        began: Instant::now(),
+    };
+    let servers = 0..trace.head.readers + trace.head.writers;
+    let entries = servers.map(|server| replay.entry(server)).collect();
+    replay.core.update_servers(ListUpdate::Full, entries);
+    let class = u32::from(trace.head.repeat == Some(RetrySafety::AtMostOnce));
+    let client_timeout = CLIENT_TIMEOUT;
+    let routing = glenrail_router::Request { class, client_timeout, ..glenrail_router::Request::default() };
+    let payload = Payload { request_id: "ffffffffffffffff".into(), ..Payload::default() };
+    let request = Request { routing, arrived: replay.began, payload: Rc::new(payload) };
+    replay.client = Some(replay.core.submit(request));
+    replay
+}
+
+impl<U: Upstream> Replay<U> {
+    /// Brings about one input of the machine.
     async fn feed(&mut self, input: Input) {
         let id = RequestId(1);
         match input {
-            Input::Send { server, permitted: may, .. } => {
-                if !may {
-                    let gone = ServerEntry { state: ServerState::Draining, ..self.member(server) };
-                    self.core.update_servers(ListUpdate::Delta, vec![gone]);
-                }
-                let timeout = if self.short.contains(&self.sends) { SHORT } else { 0.0 };
-                self.sends += 1;
-                self.core.execute(Action::Send { id, server: ServerId(server), timeout });
-                self.core.process_events();
-            }
-            Input::Cancel { attempt } => self.order(Action::Cancel { id, attempt: attempt as u32 }),
-            Input::Release => self.order(Action::Release { id }),
+            Input::Send { server, permitted, .. } => self.send(id, server, permitted),
+            Input::Cancel { attempt } => self.execute(Action::Cancel { id, attempt: attempt as u32 }),
+            Input::Release => self.execute(Action::Release { id }),
             Input::Respond(FinalResponse::Rejected) => {
-                self.order(Action::Reject { id, retry_after: 5.0, reason: RejectReason::NoServerAvailable })
+                let reason = RejectReason::NoServerAvailable;
+                self.execute(Action::Reject { id, retry_after: 5.0, reason });
             }
-            Input::Respond(_) => self.order(Action::Fail { id, reason: RejectReason::NoServerAvailable }),
-            Input::ReserveSlot { server } => self.order(Action::ReserveSlot { id, server: ServerId(server) }),
-            Input::ClientDisconnected => drop(self.client.take()),
-            Input::Delivered { .. } => {
-                self.servers.0.borrow_mut().signs = true;
-                sleep(duration(500.0 * DELIVERY_CHECK_SHARE)).await;
-                self.servers.0.borrow_mut().signs = false;
+            Input::Respond(_) => {
+                self.execute(Action::Fail { id, reason: RejectReason::NoServerAvailable });
             }
-            Input::Replied { attempt, reply } => self.reply(attempt, reply),
-            Input::StreamEnded { attempt, end } => {
-                let frame = match end {
-                    StreamEnd::Complete => Some(Ok(Frame::End { cached_tokens: 0.0, report: None })),
-                    StreamEnd::HandedOver => Some(Ok(Frame::HandedOver(rest_of_a_stream()))),
-                    StreamEnd::Reset => Some(Err(CallError::Reset)),
-                    StreamEnd::MalformedResponse => Some(Err(CallError::MalformedResponse)),
-                    StreamEnd::IdleTimeout => None,
-                    StreamEnd::ClientStalled => {
-                        drop(self.client.take());
-                        None
-                    }
-                };
-                match frame {
-                    Some(frame) => _ = self.streams[&attempt].send(frame),
-                    None => sleep(Duration::from_secs(5)).await,
-                }
+            Input::ReserveSlot { server } => {
+                self.execute(Action::ReserveSlot { id, server: ServerId(server) });
             }
-            Input::TimedOut { .. } => sleep(duration(SHORT + 5.0)).await,
+            Input::ClientDisconnected => drop(self.client.take()),
+            Input::Delivered { .. } => self.confirm_delivery().await,
+            Input::Replied { attempt, reply } => self.reply(attempt, reply),
+            Input::StreamEnded { attempt, end } => self.end_stream(attempt, end).await,
+            Input::TimedOut { .. } => sleep(duration(SHORT_TIMEOUT + 5.0)).await,
             Input::CancelCompleted { .. } => {}
-            Input::SlotAnswered { reserved: held } => {
-                let place = self.servers.0.borrow_mut().place.take();
-                _ = place.map(|place| place.send(held));
+            Input::SlotAnswered { reserved } => {
+                let slot_request = self.servers.0.borrow_mut().slot_request.take();
+                _ = slot_request.map(|slot_request| slot_request.send(reserved));
             }
-            Input::Released => {
-                sleep(CANCEL_PROPAGATION_DELAY + Duration::from_millis(2)).await;
-                let release = self.servers.0.borrow_mut().release.take();
-                release.expect("a release is under way").send(()).expect("and waited for");
-            }
-            Input::TimerExpired(Timer::LeaseLimit) => sleep(Duration::from_millis(470)).await,
+            Input::Released => self.accept_release().await,
+            Input::TimerExpired(Timer::LeaseLimit) => sleep(LEASE_TIMEOUT).await,
             Input::TimerExpired(Timer::Deadline) => {
-                tokio::time::sleep_until(self.began + duration(PATIENCE) + DEADLINE_GUARD * 2).await;
+                sleep_until(self.began + duration(CLIENT_TIMEOUT) + DEADLINE_GUARD * 2).await;
             }
         }
         settle().await;
     }
 
-    fn order(&self, action: Action) {
+    fn execute(&self, action: Action) {
         self.core.execute(action);
         self.core.process_events();
     }
 
-    fn member(&self, server: u64) -> ServerEntry {
-        let kind = u32::from(server >= self.readers);
+    /// Orders an attempt; one that is not permitted goes to a server that is draining.
+    fn send(&mut self, id: RequestId, server: u64, permitted: bool) {
+        if !permitted {
+            let draining = ServerEntry { state: ServerState::Draining, ..self.entry(server) };
+            self.core.update_servers(ListUpdate::Delta, vec![draining]);
+        }
+        let timeout = if self.timed_out.contains(&self.ordered) { SHORT_TIMEOUT } else { 0.0 };
+        self.ordered += 1;
+        self.execute(Action::Send { id, server: ServerId(server), timeout });
+    }
+
+    fn entry(&self, server: u64) -> ServerEntry {
+        let kind = u32::from(server >= self.prefill_servers);
         ServerEntry { server: ServerId(server), kind, weight: 1.0, ..ServerEntry::default() }
     }
 
-    fn reply(&mut self, attempt: usize, reply: Said) {
-        let said = match reply {
-            Said::Prefilled => Ok(Reply::Prefilled { cached_tokens: 0.0, report: None }),
-            Said::FirstEvent => {
-                let (tell, mut told) = mpsc::unbounded_channel();
-                self.streams.insert(attempt, tell);
-                let first = stream::iter([Ok(Frame::Data("data: x\n\n".into()))]);
-                let frames = first.chain(stream::poll_fn(move |cx| told.poll_recv(cx))).boxed_local();
-                Ok(Reply::Response { head: exchange::ResponseHead::default(), frames })
+    async fn confirm_delivery(&self) {
+        self.servers.0.borrow_mut().is_reachable = true;
+        sleep(duration(500.0 * DELIVERY_CHECK_SHARE)).await;
+        self.servers.0.borrow_mut().is_reachable = false;
+    }
+
+    async fn accept_release(&self) {
+        sleep(CANCEL_PROPAGATION_DELAY + Duration::from_millis(2)).await;
+        let release = self.servers.0.borrow_mut().release.take();
+        release.expect("a release is in flight").send(()).expect("and awaited");
+    }
+
+    fn reply(&mut self, attempt: usize, reply: MachineReply) {
+        let reply = match reply {
+            MachineReply::Prefilled => Ok(Reply::Prefilled { cached_tokens: 0.0, report: None }),
+            MachineReply::FirstEvent => Ok(self.begin_stream(attempt)),
+            MachineReply::Rejected => Ok(Reply::Rejected { state_missing: false, report: None }),
+            MachineReply::Unprocessable => Ok(Reply::Unprocessable { report: None }),
+            MachineReply::Error => Ok(Reply::Error { report: None }),
+            MachineReply::ConnectFailed => Err(CallError::ConnectFailed),
+            MachineReply::Reset => Err(CallError::Reset),
+            MachineReply::MalformedResponse => Err(CallError::MalformedResponse),
+            MachineReply::NotSent => Err(CallError::NotSent),
+        };
+        // An attempt that was not permitted never called.
+        let call = self.started.iter().position(|started| *started == attempt).expect("it was sent");
+        let answered = oneshot::channel().0;
+        let sender = std::mem::replace(&mut self.servers.0.borrow_mut().attempts[call], answered);
+        // One that was cancelled just before is not awaited any more.
+        let _ = sender.send(reply);
+    }
+
+    fn begin_stream(&mut self, attempt: usize) -> Reply {
+        let (frames, mut sent) = mpsc::unbounded_channel();
+        self.streams.insert(attempt, frames);
+        let first = stream::iter([Ok(Frame::Data("data: x\n\n".into()))]);
+        let frames = first.chain(stream::poll_fn(move |context| sent.poll_recv(context))).boxed_local();
+        Reply::Response { head: ResponseHead::default(), frames }
+    }
+
+    async fn end_stream(&mut self, attempt: usize, end: StreamEnd) {
+        let frame = match end {
+            StreamEnd::Complete => Some(Ok(Frame::End { cached_tokens: 0.0, report: None })),
+            StreamEnd::HandedOver => Some(Ok(Frame::HandedOver(stream_remainder()))),
+            StreamEnd::Reset => Some(Err(CallError::Reset)),
+            StreamEnd::MalformedResponse => Some(Err(CallError::MalformedResponse)),
+            StreamEnd::IdleTimeout => None,
+            StreamEnd::ClientStalled => {
+                drop(self.client.take());
+                None
             }
-            Said::Rejected => Ok(Reply::Rejected { state_missing: false, report: None }),
-            Said::Unprocessable => Ok(Reply::Unprocessable { report: None }),
-            Said::Error => Ok(Reply::Error { report: None }),
-            Said::ConnectFailed => Err(CallError::ConnectFailed),
-            Said::Reset => Err(CallError::Reset),
-            Said::MalformedResponse => Err(CallError::MalformedResponse),
-            Said::NotSent => Err(CallError::NotSent),
         };
-        // An attempt that was kept back never called.
-        let call = self.started.iter().position(|a| *a == attempt).expect("it was sent");
-        let tell = std::mem::replace(&mut self.servers.0.borrow_mut().attempts[call], oneshot::channel().0);
-        // One that was called back just before is not waited for any more.
-        let _ = tell.send(said);
+        match frame {
+            Some(frame) => _ = self.streams[&attempt].send(frame),
+            None => sleep(IDLE).await,
+        }
     }
-}
 
-struct PlayOn<U> {
-    core: Core<U, Puppet>,
-    servers: Servers,
-    client: Option<ClientSide>,
-    streams: HashMap<usize, mpsc::UnboundedSender<Result<Frame, CallError>>>,
-    /// Attempts that are to run out of time.
-    short: Vec<usize>,
-    /// Attempts that were sent, in order.
-    started: Vec<usize>,
-    sends: usize,
-    readers: u64,
-    began: Instant,
+    /// Compares what has happened with the trace.
+    async fn check(&mut self, trace: &Trace, name: &str) {
+        assert_eq!(self.servers.0.borrow().started, trace.calls(), "{name}: calls");
+        assert_eq!(self.policy.outcomes(), trace.outcomes(), "{name}: outcomes that the router was told");
+        assert!(self.servers.0.borrow().max_in_flight <= 1, "{name}: two attempts at once");
+        let is_finished = trace.effects().any(|effect| effect == Effect::Finished);
+        assert_eq!(self.core.is_idle(), is_finished, "{name}: requests left");
+        let Some(mut client) = self.client.take() else { return };
+        let response = trace.final_response();
+        let first = client.next_part().await;
+        let is_same = match response {
+            Some(FinalResponse::Rejected) => matches!(first, Some(ResponsePart::Rejected(_))),
+            Some(_) => matches!(first, Some(ResponsePart::Failed(_))),
+            None => matches!(first, Some(ResponsePart::Head(..))),
+        };
+        assert!(is_same, "{name}: {response:?} and yet {first:?}");
+    }
 }
 
-fn rest_of_a_stream() -> exchange::StreamRemainder {
+fn stream_remainder() -> exchange::StreamRemainder {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let socket =
-        std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let address = listener.local_addr().expect("an address");
+    let socket = std::net::TcpStream::connect(address).expect("a connection");
     exchange::StreamRemainder { socket, read_ahead: Vec::new() }
 }
 
-async fn play(path: &Path) -> bool {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).expect("a trace");
-    let mut lines = text.lines();
-    let head: Head = serde_json::from_str(lines.next().expect("a head")).expect("a head");
-    if head.world != "request" {
-        return false;
-    }
-    let fed: Vec<(Input, Vec<Effect>)> =
-        lines.flat_map(|line| serde_json::from_str::<Line>(line).expect("a line").fed).collect();
-    let (told, servers) = (Puppet::default(), Servers::default());
-    let service = tower::service_fn({
-        let servers = servers.clone();
-        move |call| servers.clone().answer(call)
-    });
-    let mut settings = settings();
-    settings.limits.cancellation = head.cancel;
-    let core = Core::with_policy(told.clone(), settings, Clock::new(Duration::from_secs(1_000_000)), service);
-    let class = u32::from(head.repeat == Some(RetrySafety::AtMostOnce));
-    let began = Instant::now();
-    let mut play = PlayOn {
-        core: core.clone(),
-        servers: servers.clone(),
-        client: None,
-        streams: HashMap::new(),
-        short: fed
-            .iter()
-            .filter_map(|f| if let Input::TimedOut { attempt } = f.0 { Some(attempt) } else { None })
-            .collect(),
-        started: Vec::new(),
-        sends: 0,
-        readers: head.readers,
-        began,
-    };
-    core.update_servers(ListUpdate::Full, (0..head.readers + head.writers).map(|s| play.member(s)).collect());
-    let ask =
-        glenrail_router::Request { class, client_timeout: PATIENCE, ..glenrail_router::Request::default() };
-    let payload = Payload { request_id: "ffffffffffffffff".into(), ..Payload::default() };
-    play.client =
-        Some(core.submit(exchange::Request { routing: ask, arrived: began, payload: Rc::new(payload) }));
+/// Replays a trace of a request; false for a trace of something else.
+async fn replay(path: &Path) -> bool {
+    let Some(trace) = Trace::read(path) else { return false };
+    let mut replay = begin(&trace);
     settle().await;
-    for (input, effects) in &fed {
-        let starts = effects.iter().filter_map(|e| {
-            if let Effect::StartAttempt { attempt } = e {
-                Some(*attempt)
-            } else {
-                None
+    for (input, effects) in &trace.steps {
+        for effect in effects {
+            if let Effect::StartAttempt { attempt } = effect {
+                replay.started.push(*attempt);
             }
-        });
-        play.started.extend(starts);
-        play.feed(*input).await;
+        }
+        replay.feed(*input).await;
     }
-    // A release that waits for a cut to be seen goes out a little later.
+    // A release that waits for a cancellation to be seen starts a little later.
     sleep(CANCEL_PROPAGATION_DELAY * 2).await;
     settle().await;
-    let effects: Vec<Effect> = fed.iter().flat_map(|f| f.1.iter().copied()).collect();
-    let wanted: Vec<&str> = effects
-        .iter()
-        .filter_map(|e| match e {
-            Effect::StartAttempt { .. } => Some("attempt"),
-            Effect::Release { .. } => Some("release"),
-            Effect::RequestSlot { .. } => Some("place"),
-            _ => None,
-        })
-        .collect();
-    assert_eq!(servers.0.borrow().calls, wanted, "{name}: what went out");
-    let outcomes: Vec<(u32, AttemptStatus, bool)> = effects
-        .iter()
-        .filter_map(|e| match e {
-            Effect::NotifyOutcome { attempt, status, closed } => {
-                Some((*attempt as u32, effects::router_status(*status), *closed))
-            }
-            _ => None,
-        })
-        .collect();
-    let heard: Vec<(u32, AttemptStatus, bool)> = told
-        .0
-        .borrow()
-        .iter()
-        .filter_map(|e| match e {
-            Event::Outcome(o) => Some((o.attempt, o.status, o.closed)),
-            _ => None,
-        })
-        .collect();
-    assert_eq!(heard, outcomes, "{name}: what the router was told");
-    assert!(servers.0.borrow().most_out <= 1, "{name}: two attempts at once");
-    assert_eq!(core.is_idle(), effects.contains(&Effect::Finished), "{name}: what is left");
-    if let Some(mut client) = play.client.take() {
-        let said =
-            effects.iter().find_map(|e| if let Effect::Respond(last) = e { Some(*last) } else { None });
-        let first = client.next_part().await;
-        let same = match said {
-            Some(FinalResponse::Rejected) => matches!(first, Some(ResponsePart::Rejected(_))),
-            Some(_) => matches!(first, Some(ResponsePart::Failed(_))),
-            None => matches!(first, Some(ResponsePart::Head(..))),
-        };
-        assert!(same, "{name}: {said:?} and yet {first:?}");
-    }
+    replay.check(&trace, &path.display().to_string()).await;
     true
 }
 
-/// Guards the driver: what the explorer found right in the machines must be right in what runs.
+/// Guards the driver: what the model checker found right in the machines must be right in what runs.
 #[test]
-fn kept_traces_are_the_same_in_the_real_core() {
+fn recorded_traces_replay_the_same_in_the_real_core() {
     let folder: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("../model-checker/traces");
-    let mut played = 0;
+    let mut replayed = 0;
     for file in std::fs::read_dir(folder).expect("the traces") {
         let path = file.expect("a file").path();
-        played += u32::from(paused(async { play(&path).await }));
+        replayed += u32::from(paused(async { replay(&path).await }));
     }
-    assert!(played >= 12, "{played} traces");
+    assert!(replayed >= 12, "{replayed} traces");
 }
