--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -1,170 +1,170 @@
-//! What is held while attempts come to nothing: its time, its release, and the time in which a request may be repeated.
+//! Leases and retries while attempts fail: the time of an unclaimed lease, its release, and the time in which a request
+//! may be retried.
 
 use super::*;
 
-/// A router that sends each request to one reader and then to one writer, calls the write back after so long, and then
-/// forgets the request.
-struct CallsBack {
+/// Timeout of every attempt that the policies below order, in milliseconds.
+const ATTEMPT_TIMEOUT: Millis = 5_000.0;
+
+fn send(id: RequestId, server: u64) -> Action {
+    Action::Send { id, server: ServerId(server), timeout: ATTEMPT_TIMEOUT }
+}
+
+/// A script in which prefills succeed after 20 ms, and decodes do this after a delay in milliseconds.
+fn prefilled_then(delay: u64, decode: ScriptedReply) -> ScriptedServers {
+    ScriptedServers::new(move |_, server| match PREFILL_SERVERS.contains(&server.0) {
+        true => (20, ScriptedReply::Prefilled),
+        false => (delay, decode.clone()),
+    })
+}
+
+/// A policy that sends each request to one prefill server and then to one decode server, cancels the decode after a
+/// time, and then forgets the request.
+struct CancelsDecode {
     after: Millis,
-    told: Rc<RefCell<Vec<AttemptStatus>>>,
+    outcomes: Rc<RefCell<Vec<AttemptStatus>>>,
 }
 
-impl DecisionPolicy for CallsBack {
-    fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+impl DecisionPolicy for CancelsDecode {
+    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Request(ask) => {
-                out.push(Action::Send { id: ask.id, server: ServerId(READERS[0]), timeout: 5_000.0 });
-            }
-            Event::Outcome(o) => {
-                self.told.borrow_mut().push(o.status);
-                if o.status == AttemptStatus::Prefilled {
-                    out.push(Action::Send { id: o.id, server: ServerId(WRITERS[0]), timeout: 5_000.0 });
-                    out.push(Action::Timer { at: now + self.after, key: o.id.0, request: Some(o.id) });
+            Event::Request(request) => actions.push(send(request.id, PREFILL_SERVERS[0])),
+            Event::Outcome(AttemptOutcome { id, status, .. }) => {
+                self.outcomes.borrow_mut().push(status);
+                if status == AttemptStatus::Prefilled {
+                    actions.push(send(id, DECODE_SERVERS[0]));
+                    actions.push(Action::Timer { at: now + self.after, key: id.0, request: Some(id) });
                 }
             }
-            Event::Timer { key } => out.push(Action::Cancel { id: RequestId(key), attempt: 1 }),
+            Event::Timer { key } => actions.push(Action::Cancel { id: RequestId(key), attempt: 1 }),
             _ => {}
         }
     }
 }
 
-/// Plays a request whose write is called back after 250 ms, and gives what the router was told, and how long after the read
-/// its state was let go.
-fn called_back(write: Does) -> (Vec<AttemptStatus>, Duration) {
+/// Runs a request whose decode is cancelled after 250 ms: the outcomes that the router was told, and how long after the
+/// prefill its lease was released.
+fn run_cancelled_decode(decode: ScriptedReply) -> (Vec<AttemptStatus>, Duration) {
     paused(async move {
-        let servers = Servers::new(move |_, server| match READERS.contains(&server.0) {
-            true => (20, Does::Read),
-            false => (0, write.clone()),
-        });
-        let (scripted, told) = (servers.clone(), Rc::default());
-        let service = tower::service_fn(move |call| scripted.clone().answer(call));
-        let router = CallsBack { after: 250.0, told: Rc::clone(&told) };
-        let core = Core::with_policy(router, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
-        let member =
-            |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
-        core.update_servers(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
+        let servers = prefilled_then(0, decode);
+        let outcomes: Rc<RefCell<Vec<AttemptStatus>>> = Rc::default();
+        let policy = CancelsDecode { after: 250.0, outcomes: outcomes.clone() };
+        let core = core_with_policy(&servers, policy);
         let _client = core.submit(request(0, 10_000.0));
         sleep(Duration::from_millis(20)).await;
-        let read = Instant::now();
-        while !servers.calls.borrow().iter().any(|c| c.0 == "release") {
-            sleep(Duration::from_millis(1)).await;
-        }
-        let told = told.borrow().clone();
-        (told, read.elapsed())
+        let prefilled = Instant::now();
+        wait_for_call(&servers, CallKind::Release).await;
+        let outcomes = outcomes.borrow().clone();
+        (outcomes, prefilled.elapsed())
     })
 }
 
-/// Guards rule 5 against a clock that begins anew: a write that is called back while it is dialled never was out, so the
-/// state waits since its read has ended.
+/// Guards rule 5 against a lease that begins anew: a decode that is cancelled while it is connecting was never in flight,
+/// so the state is unclaimed since its prefill has ended.
 #[test]
-fn a_write_called_back_while_it_is_dialled_stops_no_clock() {
-    let (told, after) = called_back(Does::Dial);
-    assert_eq!(told, [AttemptStatus::Prefilled, AttemptStatus::NotSent]);
-    assert!((455..=475).contains(&after.as_millis()), "{after:?}");
-    // One that was written was out: from its end on there is the whole time, and 25 ms for the cut to be seen.
-    let (told, after) = called_back(Does::Nothing);
-    assert_eq!(told, [AttemptStatus::Prefilled, AttemptStatus::Cancelled]);
-    assert!((705..=745).contains(&after.as_millis()), "{after:?}");
+fn a_decode_cancelled_while_connecting_does_not_extend_its_lease() {
+    let (outcomes, released_after) = run_cancelled_decode(ScriptedReply::NoConnection);
+    assert_eq!(outcomes, [AttemptStatus::Prefilled, AttemptStatus::NotSent]);
+    assert!((455..=475).contains(&released_after.as_millis()), "{released_after:?}");
+    // One that was written was in flight: from its end on there is the whole limit, and 25 ms for the server to see the
+    // cancellation.
+    let (outcomes, released_after) = run_cancelled_decode(ScriptedReply::NoReply);
+    assert_eq!(outcomes, [AttemptStatus::Prefilled, AttemptStatus::Cancelled]);
+    assert!((705..=745).contains(&released_after.as_millis()), "{released_after:?}");
 }
 
-/// Guards rule 5 while nobody can be reached: a release that no server took is tried again until one takes it, and the
-/// request is not sent again before.
+/// Guards rule 5 while no server can be reached: a release that none accepted is retried until one does, and the request
+/// is not sent again before.
 #[test]
-fn a_release_that_nobody_took_is_tried_again() {
+fn a_release_that_no_server_accepted_is_retried() {
     paused(async {
-        let script = |n: usize, server: ServerId| match READERS.contains(&server.0) {
-            true => (20, if n == 0 { Does::Fail(CallError::Reset) } else { Does::Read }),
-            false => (20, Does::Stream),
-        };
-        let servers = Servers::new(script);
-        servers.lose_releases.set(3);
+        let servers = ScriptedServers::new(|number, server| match number {
+            0 => (20, ScriptedReply::Fail(CallError::Reset)),
+            _ => two_stages(number, server),
+        });
+        servers.releases_to_lose.set(3);
         let core = core(&servers);
-        let pieces = all(core.submit(request(1, 12_000.0))).await;
-        assert_eq!(pieces.last(), Some(&Some(ResponsePart::End)));
-        let calls: Vec<&str> = servers.calls.borrow().iter().map(|c| c.0).collect();
-        let whole = ["attempt", "release", "release", "release", "release", "released", "attempt", "attempt"];
-        assert_eq!(calls, whole);
+        let parts = response_parts(core.submit(request(1, 12_000.0))).await;
+        assert_eq!(parts.last(), Some(&Some(ResponsePart::End)));
+        let expected = [
+            CallKind::Attempt,
+            CallKind::Release,
+            CallKind::Release,
+            CallKind::Release,
+            CallKind::Release,
+            CallKind::ReleaseAccepted,
+            CallKind::Attempt,
+            CallKind::Attempt,
+        ];
+        assert_eq!(servers.call_kinds(), expected);
     });
 }
 
-/// Guards the end of a process, and of a request's name: where no release is ever taken it is given up in time.
+/// Guards the end of a process, and of the use of a request's id: a release that no server ever accepts is given up in
+/// time.
 #[test]
-fn a_release_that_nobody_ever_takes_is_given_up() {
+fn a_release_that_no_server_ever_accepts_is_given_up() {
     paused(async {
-        let servers = Servers::new(|_, _| (20, Does::Fail(CallError::Reset)));
-        servers.lose_releases.set(usize::MAX);
+        let servers = ScriptedServers::new(|_, _| (20, ScriptedReply::Fail(CallError::Reset)));
+        servers.releases_to_lose.set(usize::MAX);
         let (core, begun) = (core(&servers), Instant::now());
         let client = core.submit(request(1, 3_000.0));
-        until_called(&servers, "attempt").await;
+        wait_for_call(&servers, CallKind::Attempt).await;
         drop(client);
-        settled(&core).await;
-        assert!(servers.calls.borrow().iter().filter(|c| c.0 == "release").count() > 10);
+        wait_until_idle(&core).await;
+        assert!(servers.count(CallKind::Release) > 10);
         assert!(begun.elapsed() < Duration::from_millis(3_200), "{:?}", begun.elapsed());
     });
 }
 
-/// Guards rule 2 where a class may be repeated for 300 ms: while the dial lasts, that time runs on.
+/// Guards rule 2 where a class may be retried for 300 ms: while a connection is opened, that time runs on.
 #[test]
-fn a_repeat_is_not_written_after_its_window() {
+fn a_retry_is_not_written_after_its_idempotency_window() {
     paused(async {
-        // The first write is reset after 200 ms; 100 ms are left.
-        let script = |_: usize, server: ServerId| match READERS.contains(&server.0) {
-            true => (20, Does::Read),
-            false => (200, Does::Fail(CallError::Reset)),
-        };
-        let servers = Servers::new(script);
+        // The first decode is reset after 200 ms; 100 ms are left.
+        let servers = prefilled_then(200, ScriptedReply::Fail(CallError::Reset));
         let core = core(&servers);
         let _client = core.submit(request(2, 12_000.0));
         sleep(Duration::from_millis(230)).await;
-        let connects: Vec<_> = servers.connects.borrow().iter().map(|c| c.map(|c| c.as_millis())).collect();
-        assert_eq!(connects, [None, Some(400), Some(100)]);
-        // Later than that it may not be sent at all: it is failed at once, and its state let go.
+        assert_eq!(servers.connect_timeouts_ms(), [None, Some(400), Some(100)]);
+        // Later than that it may not be sent at all: it fails at once, and its lease is released.
         sleep(Duration::from_millis(280)).await;
-        assert_eq!(servers.attempts(&WRITERS), 2);
+        assert_eq!(servers.attempts(&DECODE_SERVERS), 2);
         assert!(core.is_idle(), "{:?}", servers.calls.borrow());
     });
 }
 
-/// A router that writes again as soon as a write was reset, and first lets go of what is held.
-struct WritesAgain;
+/// A policy that retries a decode as soon as it was reset, after a release.
+struct RetriesDecode;
 
-impl DecisionPolicy for WritesAgain {
-    fn handle(&mut self, _: Millis, event: Event, out: &mut Vec<Action>) {
-        let send = |id, server| Action::Send { id, server: ServerId(server), timeout: 5_000.0 };
+impl DecisionPolicy for RetriesDecode {
+    fn handle(&mut self, _: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Request(ask) => out.push(send(ask.id, READERS[0])),
-            Event::Outcome(o) if o.status == AttemptStatus::Prefilled => out.push(send(o.id, WRITERS[0])),
-            Event::Outcome(o) if o.status == AttemptStatus::Reset => {
-                out.extend([Action::Release { id: o.id }, send(o.id, WRITERS[0])]);
+            Event::Request(request) => actions.push(send(request.id, PREFILL_SERVERS[0])),
+            Event::Outcome(AttemptOutcome { id, status: AttemptStatus::Prefilled, .. }) => {
+                actions.push(send(id, DECODE_SERVERS[0]));
+            }
+            Event::Outcome(AttemptOutcome { id, status: AttemptStatus::Reset, .. }) => {
+                actions.extend([Action::Release { id }, send(id, DECODE_SERVERS[0])]);
             }
             _ => {}
         }
     }
 }
 
-/// Guards rule 2 where a repeat is ordered within its window and waits for a release until after it: no time is left in which
-/// it may be written, on whatever connection.
+/// Guards rule 2 where a retry is ordered within its window and waits for a release until after it: no time is left in
+/// which it may be written, on whatever connection.
 #[test]
-fn a_repeat_that_waits_for_a_release_is_not_written_after_its_window() {
+fn a_retry_that_waits_for_a_release_is_not_written_after_its_idempotency_window() {
     paused(async {
-        let script = |_: usize, server: ServerId| match READERS.contains(&server.0) {
-            true => (20, Does::Read),
-            false => (200, Does::Fail(CallError::Reset)),
-        };
-        let servers = Servers::new(script);
-        // Three calls of 40 ms that nobody takes, and pauses between them; 100 ms of the window are left.
-        servers.lose_releases.set(3);
-        let scripted = servers.clone();
-        let service = tower::service_fn(move |call| scripted.clone().answer(call));
-        let core =
-            Core::with_policy(WritesAgain, settings(), Clock::new(Duration::from_secs(1_000_000)), service);
-        let member =
-            |id, kind| ServerEntry { server: ServerId(id), kind, weight: 1.0, ..ServerEntry::default() };
-        core.update_servers(ListUpdate::Full, vec![member(READERS[0], 0), member(WRITERS[0], 1)]);
+        let servers = prefilled_then(200, ScriptedReply::Fail(CallError::Reset));
+        // Three calls of 40 ms that no server accepts, and pauses between them; 100 ms of the window are left.
+        servers.releases_to_lose.set(3);
+        let core = core_with_policy(&servers, RetriesDecode);
         let _client = core.submit(request(2, 12_000.0));
-        while servers.attempts(&WRITERS) < 2 {
+        while servers.attempts(&DECODE_SERVERS) < 2 {
             sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(servers.connects.borrow().last(), Some(&Some(Duration::ZERO)));
+        assert_eq!(servers.connect_timeouts.borrow().last(), Some(&Some(Duration::ZERO)));
     });
 }
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -3,7 +3,7 @@
 
 use glenrail_access_log::{RequestRecord, LINE_PREFIX};
 use glenrail_request_lifecycle::request::{
-    Reply as Said, Request as Machine, ResponseState, StreamEnd, Timer,
+    Reply as MachineReply, Request as Machine, ResponseState, StreamEnd, Timer,
 };
 use glenrail_router::LoadReport;
 use serde::{Deserialize, Serialize};
@@ -12,44 +12,53 @@
 use super::*;
 
 const TRACES: &str = include_str!("fixtures/machine-traces.jsonl");
-const LINES: &str = include_str!("fixtures/request-lines.txt");
+const RECORDS: &str = include_str!("fixtures/request-lines.txt");
 
-/// What a machine was fed and what it answered; `fed` is as the explorer's traces have it.
+/// The inputs of a machine, each with the effects that followed, as the model checker's traces have them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Trace {
-    terms: RequestPolicy,
-    fed: Vec<(Input, Vec<Effect>)>,
+    #[serde(rename = "terms")]
+    policy: RequestPolicy,
+    #[serde(rename = "fed")]
+    steps: Vec<(Input, Vec<Effect>)>,
 }
 
-const FREELY: RequestPolicy =
+const IDEMPOTENT: RequestPolicy =
     RequestPolicy { retry_safety: RetrySafety::Idempotent, max_attempts: 5, cancellation: true };
-const NEVER: RequestPolicy = RequestPolicy { retry_safety: RetrySafety::AtMostOnce, ..FREELY };
-const KEEPS_CALLS: RequestPolicy = RequestPolicy { cancellation: false, ..FREELY };
+const AT_MOST_ONCE: RequestPolicy = RequestPolicy { retry_safety: RetrySafety::AtMostOnce, ..IDEMPOTENT };
+const WITHOUT_CANCELLATION: RequestPolicy = RequestPolicy { cancellation: false, ..IDEMPOTENT };
 
-fn reads() -> Input {
-    Input::Send { server: READERS[0], stage: Stage::Prefill, permitted: true }
+fn prefill() -> Input {
+    Input::Send { server: PREFILL_SERVERS[0], stage: Stage::Prefill, permitted: true }
 }
-fn runs() -> Input {
-    Input::Send { server: WRITERS[0], stage: Stage::Execute, permitted: true }
+fn execute() -> Input {
+    Input::Send { server: DECODE_SERVERS[0], stage: Stage::Execute, permitted: true }
 }
-fn hold() -> Input {
-    Input::ReserveSlot { server: WRITERS[1] }
+fn reserve_slot() -> Input {
+    Input::ReserveSlot { server: DECODE_SERVERS[1] }
 }
-fn replied(attempt: usize, reply: Said) -> Input {
+fn replied(attempt: usize, reply: MachineReply) -> Input {
     Input::Replied { attempt, reply }
 }
 fn stream_ended(end: StreamEnd) -> Input {
     Input::StreamEnded { attempt: 0, end }
 }
 const CANCEL: Input = Input::Cancel { attempt: 0 };
-const DROPPED: Input = Input::CancelCompleted { attempt: 0 };
+const CANCEL_COMPLETED: Input = Input::CancelCompleted { attempt: 0 };
 const FAILED: Input = Input::Respond(FinalResponse::Failed);
 
-/// A read and a write, each arrived.
+/// A prefill that was delivered, and a decode.
 fn served() -> Vec<Input> {
     let end = Input::StreamEnded { attempt: 1, end: StreamEnd::Complete };
-    let arrived = Input::Delivered { attempt: 0 };
-    vec![reads(), arrived, replied(0, Said::Prefilled), runs(), replied(1, Said::FirstEvent), end]
+    let delivered = Input::Delivered { attempt: 0 };
+    vec![
+        prefill(),
+        delivered,
+        replied(0, MachineReply::Prefilled),
+        execute(),
+        replied(1, MachineReply::FirstEvent),
+        end,
+    ]
 }
 
 /// A stream for each way in which one ends.
@@ -62,83 +71,95 @@
         StreamEnd::IdleTimeout,
         StreamEnd::ClientStalled,
     ];
-    ends.into_iter().map(|end| vec![runs(), replied(0, Said::FirstEvent), stream_ended(end)])
+    ends.into_iter().map(|end| vec![execute(), replied(0, MachineReply::FirstEvent), stream_ended(end)])
 }
 
-/// A write for each reply that ends it before a stream begins and leaves the request open.
-fn write_replies() -> impl Iterator<Item = Vec<Input>> {
+/// A decode for each reply that ends it before a stream begins and leaves the request open.
+fn decode_replies() -> impl Iterator<Item = Vec<Input>> {
     let replies = [
-        Said::Rejected,
-        Said::Error,
-        Said::ConnectFailed,
-        Said::Reset,
-        Said::MalformedResponse,
-        Said::NotSent,
+        MachineReply::Rejected,
+        MachineReply::Error,
+        MachineReply::ConnectFailed,
+        MachineReply::Reset,
+        MachineReply::MalformedResponse,
+        MachineReply::NotSent,
     ];
-    replies.into_iter().map(|reply| vec![runs(), replied(0, reply), FAILED])
+    replies.into_iter().map(|reply| vec![execute(), replied(0, reply), FAILED])
 }
 
-/// A place asked for beside a read, for each answer of the writer, and one that is given up.
-fn places() -> impl Iterator<Item = Vec<Input>> {
-    let (read, refuse) = (replied(0, Said::Prefilled), Input::Respond(FinalResponse::Rejected));
-    let answered = move |held| {
+/// A slot requested during a prefill, for each answer of the decode server, and one that is cancelled.
+fn slot_requests() -> impl Iterator<Item = Vec<Input>> {
+    let (prefilled, reject) = (replied(0, MachineReply::Prefilled), Input::Respond(FinalResponse::Rejected));
+    let answered = move |reserved| {
         vec![
-            reads(),
-            hold(),
-            Input::SlotAnswered { reserved: held },
-            read,
+            prefill(),
+            reserve_slot(),
+            Input::SlotAnswered { reserved },
+            prefilled,
             Input::Release,
             Input::Released,
-            refuse,
+            reject,
         ]
     };
-    let given_up = vec![reads(), hold(), Input::ClientDisconnected, DROPPED, Input::Released];
-    [Some(true), Some(false), None].into_iter().map(answered).chain([given_up])
+    let cancelled =
+        vec![prefill(), reserve_slot(), Input::ClientDisconnected, CANCEL_COMPLETED, Input::Released];
+    [Some(true), Some(false), None].into_iter().map(answered).chain([cancelled])
 }
 
-/// Attempts and requests that run out of time, or are called back.
-fn endings() -> Vec<Vec<Input>> {
+/// Attempts and requests that time out, or are cancelled.
+fn timeouts_and_cancellations() -> Vec<Vec<Input>> {
     let undelivered = Input::CancelCompleted { attempt: 1 };
-    let (pin, deadline) = (Input::TimerExpired(Timer::LeaseLimit), Input::TimerExpired(Timer::Deadline));
+    let (lease_limit, deadline) =
+        (Input::TimerExpired(Timer::LeaseLimit), Input::TimerExpired(Timer::Deadline));
     vec![
-        vec![runs(), replied(0, Said::Unprocessable)],
+        vec![execute(), replied(0, MachineReply::Unprocessable)],
         vec![Input::Send { server: 11, stage: Stage::Prefill, permitted: false }, FAILED],
-        vec![reads(), CANCEL, DROPPED, Input::Released, FAILED],
-        vec![runs(), Input::TimedOut { attempt: 0 }, FAILED],
-        vec![reads(), replied(0, Said::Prefilled), runs(), pin, undelivered, Input::Released, FAILED],
+        vec![prefill(), CANCEL, CANCEL_COMPLETED, Input::Released, FAILED],
+        vec![execute(), Input::TimedOut { attempt: 0 }, FAILED],
+        vec![
+            prefill(),
+            replied(0, MachineReply::Prefilled),
+            execute(),
+            lease_limit,
+            undelivered,
+            Input::Released,
+            FAILED,
+        ],
         vec![deadline],
     ]
 }
 
 fn script() -> Vec<(RequestPolicy, Vec<Input>)> {
-    let all = [served()].into_iter().chain(streams()).chain(write_replies()).chain(places());
-    let freely = all.chain(endings()).map(|inputs| (FREELY, inputs));
-    let refuse = Input::Respond(FinalResponse::Rejected);
-    let not_again = (NEVER, vec![runs(), replied(0, Said::Reset), runs(), refuse]);
-    let left = (KEEPS_CALLS, vec![runs(), Input::ClientDisconnected, replied(0, Said::Error)]);
-    freely.chain([not_again, left]).collect()
+    let inputs = [served()].into_iter().chain(streams()).chain(decode_replies()).chain(slot_requests());
+    let idempotent = inputs.chain(timeouts_and_cancellations()).map(|inputs| (IDEMPOTENT, inputs));
+    let reject = Input::Respond(FinalResponse::Rejected);
+    let not_retried = (AT_MOST_ONCE, vec![execute(), replied(0, MachineReply::Reset), execute(), reject]);
+    let disconnected =
+        (WITHOUT_CANCELLATION, vec![execute(), Input::ClientDisconnected, replied(0, MachineReply::Error)]);
+    idempotent.chain([not_retried, disconnected]).collect()
 }
 
-fn play(terms: RequestPolicy, inputs: &[Input]) -> (Machine, Trace) {
-    let mut machine = Machine::new(terms, &mut Vec::new());
-    let step = |input: &Input| {
+fn run_machine(policy: RequestPolicy, inputs: &[Input]) -> (Machine, Trace) {
+    let mut machine = Machine::new(policy, &mut Vec::new());
+    let mut steps = Vec::new();
+    for input in inputs {
         let mut effects = Vec::new();
-        machine.step(*input, &mut effects).unwrap_or_else(|e| panic!("{input:?} of {inputs:?}: {e}"));
-        (*input, effects)
-    };
-    let fed = inputs.iter().map(step).collect();
-    (machine, Trace { terms, fed })
+        let result = machine.step(*input, &mut effects);
+        result.unwrap_or_else(|invalid| panic!("{input:?} of {inputs:?}: {invalid}"));
+        steps.push((*input, effects));
+    }
+    (machine, Trace { policy, steps })
 }
 
-fn written(trace: &Trace) -> String {
+fn to_line(trace: &Trace) -> String {
     serde_json::to_string(trace).expect("a line")
 }
 
-/// Guards the words of kept traces: what the machine is fed and what it answers is written as it was, to the byte.
+/// Guards the stored form of traces: inputs and effects are written as they were, to the byte.
 #[test]
 fn the_same_inputs_leave_the_same_traces() {
     let traces: Vec<String> =
-        script().iter().map(|(terms, inputs)| written(&play(*terms, inputs).1)).collect();
+        script().iter().map(|(policy, inputs)| to_line(&run_machine(*policy, inputs).1)).collect();
     assert_eq!(traces, TRACES.lines().collect::<Vec<_>>());
 }
 
@@ -147,17 +168,17 @@
 fn a_stored_trace_replays_and_is_written_again_the_same() {
     for line in TRACES.lines() {
         let trace: Trace = serde_json::from_str(line).expect("a trace");
-        let inputs: Vec<Input> = trace.fed.iter().map(|fed| fed.0).collect();
-        let (machine, replayed) = play(trace.terms, &inputs);
+        let inputs: Vec<Input> = trace.steps.iter().map(|step| step.0).collect();
+        let (machine, replayed) = run_machine(trace.policy, &inputs);
         assert!(machine.is_finished(), "{line}");
         assert_eq!(replayed, trace);
-        assert_eq!(written(&trace), line);
+        assert_eq!(to_line(&trace), line);
     }
 }
 
-/// Guards the two tests above against traces that leave out what can be fed or answered.
+/// Guards the two tests above against traces that leave out an input or an effect.
 #[test]
-fn the_stored_traces_hold_every_word() {
+fn the_stored_traces_contain_every_input_and_effect() {
     let inputs =
         "Send Cancel Release Answer Hold ClientGone Arrived Replied StreamEnded TimedOut Dropped Placed \
         Released Due";
@@ -167,9 +188,9 @@
     let replies = "Read Begins Declined Unfit Error Connect Reset Spoilt NotSent";
     let statuses = "Served Read Error Declined Timeout Connect Reset Spoilt Cancelled Undelivered NotSent";
     let others = "Whole Moved Silent Untaken Refused Failed Deadline Pin Run Freely Never";
-    for word in [inputs, effects, replies, statuses, others].iter().flat_map(|words| words.split_whitespace())
-    {
-        assert!(TRACES.contains(&format!("\"{word}\"")), "{word}");
+    let names = [inputs, effects, replies, statuses, others];
+    for name in names.iter().flat_map(|names| names.split_whitespace()) {
+        assert!(TRACES.contains(&format!("\"{name}\"")), "{name}");
     }
     let releases = [r#"{"Release":{"after_cut":true}}"#, r#"{"Release":{"after_cut":false}}"#];
     assert!(releases.iter().all(|release| TRACES.contains(release)));
@@ -198,8 +219,8 @@
     RejectReason::DeadlineExceeded,
 ];
 
-fn begun(class: u32) -> RecordBuilder {
-    let ask = glenrail_router::Request {
+fn record_of(class: u32) -> RecordBuilder {
+    let routing = glenrail_router::Request {
         id: RequestId(1),
         class,
         tenant: 2,
@@ -209,14 +230,14 @@
         prefix_tokens: 1_500.0,
         ..glenrail_router::Request::default()
     };
-    RecordBuilder::new(&ask, "00ff00ff00ff00ff", &settings(), 1_000.0, 1_750_000_000_000.25)
+    RecordBuilder::new(&routing, "00ff00ff00ff00ff", &settings(), 1_000.0, 1_750_000_000_000.25)
 }
 
 fn outcome(attempt: u32, status: AttemptStatus, note: f64, report: Option<LoadReport>) -> AttemptOutcome {
     AttemptOutcome {
         id: RequestId(1),
         attempt,
-        server: ServerId(READERS[0]),
+        server: ServerId(PREFILL_SERVERS[0]),
         status,
         elapsed: 0.0,
         note,
@@ -226,68 +247,69 @@
     }
 }
 
-/// A read of which all is told, and a write of which nothing is.
-fn line_of_status(status: AttemptStatus, machine: &Machine) -> RequestRecord {
-    let mut told = begun(1);
-    told.attempt_started(AttemptStart {
-        server: READERS[0],
+/// A prefill with every field of its record, and a decode with none.
+fn record_of_status(status: AttemptStatus, machine: &Machine) -> RequestRecord {
+    let mut builder = record_of(1);
+    builder.attempt_started(AttemptStart {
+        server: PREFILL_SERVERS[0],
         stage: Stage::Prefill,
         location: Some((1, 4)),
         is_slow_start: true,
         at: 1_000.25,
     });
-    told.first_byte_written(0, 1_000.5);
-    told.delivered(0, 1_012.0);
-    told.first_token(0, 1_040.125);
+    builder.first_byte_written(0, 1_000.5);
+    builder.delivered(0, 1_012.0);
+    builder.first_token(0, 1_040.125);
     let report = LoadReport { in_flight: Some(3.0), memory_share: Some(0.625), ..Default::default() };
-    told.attempt_ended(&outcome(0, status, 1_500.0, Some(report)), 1_100.0);
-    told.release_started(1_100.0, 1_200.5);
-    told.release_finished(1_240.0);
-    told.attempt_started(AttemptStart {
-        server: WRITERS[0],
+    builder.attempt_ended(&outcome(0, status, 1_500.0, Some(report)), 1_100.0);
+    builder.release_started(1_100.0, 1_200.5);
+    builder.release_finished(1_240.0);
+    builder.attempt_started(AttemptStart {
+        server: DECODE_SERVERS[0],
         stage: Stage::Execute,
         location: None,
         is_slow_start: false,
         at: 1_250.0,
     });
-    told.attempt_ended(&outcome(1, status, 0.0, None), 1_300.0);
-    told.release_started(1_300.0, 1_301.0);
-    told.client_answered(1_302.0);
-    told.finish(machine, 1_400.0)
+    builder.attempt_ended(&outcome(1, status, 0.0, None), 1_300.0);
+    builder.release_started(1_300.0, 1_301.0);
+    builder.client_answered(1_302.0);
+    builder.finish(machine, 1_400.0)
 }
 
-fn line_of_reason(reason: RejectReason, machine: &Machine) -> RequestRecord {
-    let mut told = begun(0);
-    told.reject_reason(reason);
-    told.reject_reason(RejectReason::LoadShed);
-    told.finish(machine, 1_050.0)
+fn record_of_reason(reason: RejectReason, machine: &Machine) -> RequestRecord {
+    let mut builder = record_of(0);
+    builder.reject_reason(reason);
+    builder.reject_reason(RejectReason::LoadShed);
+    builder.finish(machine, 1_050.0)
 }
 
 /// One line for each outcome of an attempt, each reason, and each way in which a request ends.
-fn lines() -> Vec<String> {
-    let (refused, _) = play(FREELY, &[Input::Respond(FinalResponse::Rejected)]);
-    assert_eq!(refused.response(), ResponseState::Final(FinalResponse::Rejected));
-    let by_status = STATUSES.iter().map(|status| line_of_status(*status, &refused));
-    let by_reason = REASONS.iter().map(|reason| line_of_reason(*reason, &refused));
-    let by_end =
-        script().into_iter().map(|(terms, inputs)| begun(2).finish(&play(terms, &inputs).0, 1_500.0));
-    by_status.chain(by_reason).chain(by_end).map(|story| format!("{LINE_PREFIX}{story}")).collect()
+fn record_lines() -> Vec<String> {
+    let (rejected, _) = run_machine(IDEMPOTENT, &[Input::Respond(FinalResponse::Rejected)]);
+    assert_eq!(rejected.response(), ResponseState::Final(FinalResponse::Rejected));
+    let by_status = STATUSES.iter().map(|status| record_of_status(*status, &rejected));
+    let by_reason = REASONS.iter().map(|reason| record_of_reason(*reason, &rejected));
+    let by_end = script()
+        .into_iter()
+        .map(|(policy, inputs)| record_of(2).finish(&run_machine(policy, &inputs).0, 1_500.0));
+    by_status.chain(by_reason).chain(by_end).map(|record| format!("{LINE_PREFIX}{record}")).collect()
 }
 
-/// Guards the log against a type that is called otherwise: outcomes, reasons and ends keep their words in it.
+/// Guards the access log against renamed types: outcomes and reasons keep their spelling in it.
 #[test]
 fn log_lines_are_written_as_they_were() {
-    assert_eq!(lines(), LINES.lines().collect::<Vec<_>>());
-    for end in ["served", "cut", "refused", "failed", "left"] {
-        assert!(LINES.contains(&format!(r#""end":"{end}""#)), "{end}");
+    assert_eq!(record_lines(), RECORDS.lines().collect::<Vec<_>>());
+    for outcome in ["served", "cut", "refused", "failed", "left"] {
+        assert!(RECORDS.contains(&format!(r#""end":"{outcome}""#)), "{outcome}");
     }
 }
 
 /// Guards the reading of logs that an earlier build has left.
 #[test]
 fn a_stored_log_line_is_read_and_written_again_the_same() {
-    for line in LINES.lines() {
-        let story = RequestRecord::parse_line(line).expect("a story");
-        assert_eq!(format!("{LINE_PREFIX}{story}"), line);
+    for line in RECORDS.lines() {
+        let record = RequestRecord::parse_line(line).expect("a record");
+        assert_eq!(format!("{LINE_PREFIX}{record}"), line);
     }
 }
