--- a/gateway/src/core/release.rs
+++ b/gateway/src/core/release.rs
@@ -68,7 +68,7 @@
             if let Some(request) = inner.requests.get_mut(&id) {
                 request.record.release_finished(now);
                 let name = &request.payload.request_id;
-                invariants::check_held(unclaimed_since.elapsed(), lease_limit, name);
+                invariants::check_lease_time(unclaimed_since.elapsed(), lease_limit, name);
             }
         }
         self.step(id, Input::Released);
--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -72,7 +72,7 @@
         let elapsed = start.elapsed();
         assert!(elapsed <= Duration::from_millis(916), "{elapsed:?}");
         assert!(elapsed >= Duration::from_millis(880), "{elapsed:?}");
-        let timeouts = servers.attempt_timeouts.borrow();
+        let timeouts = servers.attempt_timeouts.borrow().clone();
         assert!(timeouts.iter().all(|timeout| *timeout <= Duration::from_millis(900)));
         wait_until_idle(&core).await;
         assert_eq!(servers.in_flight.get(), 0);
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -44,7 +44,7 @@
 use self::stream::{broken, Next, Stream};
 use crate::budget::Budget;
 use crate::exchange::{CancelToken, Payload, ResponseHead, StreamRemainder};
-use crate::invariants::TOLD_AGE;
+use crate::invariants::MAX_STATED_DEADLINE_AGE;
 use crate::log;
 use crate::upstream::{Call, CallError, Frame, Reply};
 
@@ -331,7 +331,7 @@
             let (out, told) = (wanted.clone(), Instant::now());
             let clear = move || {
                 // What it says of the time that is left was true when it was made up.
-                let true_still = told.elapsed() <= TOLD_AGE;
+                let true_still = told.elapsed() <= MAX_STATED_DEADLINE_AGE;
                 let clear = true_still && out.is_active() && engine.may_get(server, &peer, what);
                 out.set_written(clear);
                 clear
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,8 +1,10 @@
-//! Where client side and server side meet: one request in, one answer out in pieces.
+//! The exchange of one request and its response, in parts, between the front and the core.
 //!
-//! The front holds the [`ClientSide`], the core the [`ServerSide`]; neither knows more of the other. Dropping
-//! the client side says that the client has gone; dropping the server side without [`Piece::End`] says that the
-//! answer broke off.
+//! The front owns the [`ClientSide`], the core the [`ServerSide`]; neither knows more of the other. Dropping the client
+//! side says that the client has disconnected; dropping the server side before [`ResponsePart::End`] says that the response
+//! was aborted.
+
+#![deny(missing_docs)]
 
 use std::future::poll_fn;
 use std::net::TcpStream;
@@ -16,33 +18,42 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Pieces that may wait for a slow client before its stream is no longer read. Each may be as large as an event.
+/// Response parts that may be queued for a slow client before its stream is no longer read. Each may be as large as an
+/// event.
 const MAX_QUEUED_PARTS: usize = 8;
 
-/// What is passed on unchanged to whichever server is tried.
+/// The part of a request that is forwarded unchanged to every server that is tried.
 #[derive(Debug, Default)]
 pub struct Payload {
-    /// The request's name outside this process.
+    /// The request's id outside this process.
     pub request_id: String,
+    /// The client's method.
     pub method: Method,
+    /// The client's request target.
     pub uri: Uri,
+    /// The client's headers.
     pub headers: HeaderMap,
+    /// The client's body.
     pub body: Bytes,
-    /// The answer is one document: it begins only once all of it is there, so a break can still be repeated.
+    /// The response is one document: it begins only once it is complete, so that a broken attempt can still be retried.
     pub buffer_response: bool,
 }
 
-/// A request as the core takes it: the fields that decisions need, and the bytes.
+/// A request as the core accepts it: the fields that decisions need, and the bytes.
 #[derive(Debug)]
 pub struct Request {
-    /// Its `id` is given by the core.
+    /// What the router decides by; the core sets its `id`.
     pub routing: glenrail_router::Request,
+    /// When it arrived at this process.
     pub arrived: Instant,
+    /// What is forwarded.
     pub payload: Rc<Payload>,
 }
 
-/// Whether anybody still waits for an answer, asked in the moment before something is begun for it: the task that hears of
-/// a client's going may have its turn only after the one that begins, and not every deployment lets attempts be called back.
+/// Whether an attempt is still needed, and whether it was written; shared by the core and the connection that writes it.
+///
+/// It is asked immediately before the first byte is written: the task that observes the client's disconnection may run only
+/// after the one that writes, and not every deployment allows the cancellation of attempts.
 #[derive(Clone, Debug, Default)]
 pub struct CancelToken {
     parts: Option<mpsc::WeakSender<ResponsePart>>,
@@ -50,27 +61,29 @@
 }
 
 impl CancelToken {
-    pub fn for_response(pieces: &mpsc::Sender<ResponsePart>) -> Self {
-        CancelToken { parts: Some(pieces.downgrade()), first_byte_at: Rc::default() }
+    /// A token for an attempt whose response goes to this channel.
+    pub fn for_response(parts: &mpsc::Sender<ResponsePart>) -> Self {
+        CancelToken { parts: Some(parts.downgrade()), first_byte_at: Rc::default() }
     }
 
-    /// Nobody does once the client's side is dropped, or the answer was given.
+    /// Whether the attempt is still needed: neither has the client's side been dropped nor was the request answered.
     pub fn is_active(&self) -> bool {
-        let Some(pieces) = &self.parts else { return true };
-        pieces.upgrade().is_some_and(|pieces| !pieces.is_closed())
+        let Some(parts) = &self.parts else { return true };
+        parts.upgrade().is_some_and(|parts| !parts.is_closed())
     }
 
-    /// Whether a byte of its attempt is out, or about to be: one given up before that never was at its server.
+    /// Whether a byte of the attempt was written, or is about to be: one that is cancelled before that never reached its
+    /// server.
     pub fn is_written(&self) -> bool {
         self.first_byte_at().is_some()
     }
 
-    /// When its first byte went out.
+    /// When the first byte was written.
     pub fn first_byte_at(&self) -> Option<Instant> {
         *self.first_byte_at.borrow()
     }
 
-    /// Until its first byte has gone out; gives when that was.
+    /// Waits until the first byte has been written, and returns when that was.
     pub async fn first_byte_written(&self) -> Instant {
         loop {
             if let Some(written) = self.first_byte_at() {
@@ -82,120 +95,135 @@
         }
     }
 
-    pub fn set_written(&self, out: bool) {
-        self.first_byte_at.send_replace(out.then(Instant::now));
+    /// Says that the first byte is written now, or that none was, since the connection is replaced.
+    pub fn set_written(&self, is_written: bool) {
+        self.first_byte_at.send_replace(is_written.then(Instant::now));
     }
 }
 
+/// Status and headers of a response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseHead {
+    /// The server's status.
     pub status: StatusCode,
+    /// The server's headers.
     pub headers: HeaderMap,
 }
 
-/// Why a request failed for good.
+/// Why a request has finally failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its time ran out.
+    /// Its deadline has passed.
     DeadlineExceeded,
-    /// The servers tried did not answer it.
+    /// No server that was tried answered it.
     Upstream,
     /// A server says that the fault is the request's own.
     Unprocessable,
-    /// A request of this name is open.
+    /// A request of the same id has not finished.
     DuplicateRequestId,
 }
 
-/// The rest of an answer, for another process to go on with: the server's connection, between two chunks of its body,
-/// and what has been read of it beyond that.
+/// The remainder of a response, for the successor process: the server's connection, between two chunks of its body, and
+/// what has been read of it beyond that.
 #[derive(Debug)]
 pub struct StreamRemainder {
+    /// The connection to the server.
     pub socket: TcpStream,
+    /// Bytes that were read and not forwarded.
     pub read_ahead: Vec<u8>,
 }
 
-/// The same connection at the same place.
+/// The same connection at the same position.
 impl PartialEq for StreamRemainder {
     fn eq(&self, other: &Self) -> bool {
         self.socket.as_raw_fd() == other.socket.as_raw_fd() && self.read_ahead == other.read_ahead
     }
 }
 
+/// One part of a response, in the order in which the client gets them.
 #[derive(Debug, PartialEq)]
 pub enum ResponsePart {
+    /// The head, and the first bytes of the body.
     Head(ResponseHead, Bytes),
+    /// Further bytes of the body.
     Chunk(Bytes),
+    /// The response is complete.
     End,
-    /// Another process goes on from here.
+    /// The successor process continues from here.
     HandedOver(StreamRemainder),
-    /// Final: trying again is harmless, after this time.
+    /// In place of a response: a retry is harmless, after this time.
     Rejected(Duration),
-    /// Final, promising nothing.
+    /// In place of a response, with no promise about a retry.
     Failed(Failure),
 }
 
-/// How an answer ended, for whoever watches it.
+/// How a response ended, for its observer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
-    /// To its end, or to where another process went on.
+    /// It is complete, or the successor process continues it.
     Completed,
+    /// The request was rejected.
     Rejected,
+    /// The request failed.
     Failed,
-    /// The stream broke, or the client went away.
+    /// The stream broke, or the client disconnected.
     Aborted,
 }
 
 type Observer = Box<dyn FnOnce(ResponseOutcome)>;
 
+/// The front's side: the response of one request.
 pub struct ClientSide {
     parts: mpsc::Receiver<ResponsePart>,
     observer: Option<Observer>,
 }
 
 impl ClientSide {
-    /// An answer that is a refusal from the start.
-    pub fn rejected(after: Duration) -> Self {
-        ClientSide::with_only_part(ResponsePart::Rejected(after))
+    /// The response to a request that is rejected before it reaches the core.
+    pub fn rejected(retry_after: Duration) -> Self {
+        ClientSide::with_only_part(ResponsePart::Rejected(retry_after))
     }
 
-    pub fn failed(why: Failure) -> Self {
-        ClientSide::with_only_part(ResponsePart::Failed(why))
+    /// The response to a request that fails before it is admitted.
+    pub fn failed(failure: Failure) -> Self {
+        ClientSide::with_only_part(ResponsePart::Failed(failure))
     }
 
-    fn with_only_part(piece: ResponsePart) -> Self {
-        let (tx, pieces) = mpsc::channel(1);
-        let _ = tx.try_send(piece);
-        ClientSide { parts: pieces, observer: None }
+    fn with_only_part(part: ResponsePart) -> Self {
+        let (sender, parts) = mpsc::channel(1);
+        let _ = sender.try_send(part);
+        ClientSide { parts, observer: None }
     }
 
-    /// Has this called once, when the answer ends.
+    /// Calls `observer` once, when the response ends.
     pub fn observe(&mut self, observer: impl FnOnce(ResponseOutcome) + 'static) {
         self.observer = Some(Box::new(observer));
     }
 
-    /// The next piece; `None` where the answer broke off.
-    pub fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<ResponsePart>> {
-        let piece = ready!(self.parts.poll_recv(cx));
-        let ended = match &piece {
+    /// The next part; `None` where the response was aborted.
+    pub fn poll_part(&mut self, context: &mut Context<'_>) -> Poll<Option<ResponsePart>> {
+        let part = ready!(self.parts.poll_recv(context));
+        let outcome = match &part {
             Some(ResponsePart::End | ResponsePart::HandedOver(_)) => Some(ResponseOutcome::Completed),
             Some(ResponsePart::Rejected(_)) => Some(ResponseOutcome::Rejected),
             Some(ResponsePart::Failed(_)) => Some(ResponseOutcome::Failed),
             None => Some(ResponseOutcome::Aborted),
             _ => None,
         };
-        if let Some(ended) = ended {
-            self.notify_observer(ended);
+        if let Some(outcome) = outcome {
+            self.notify_observer(outcome);
         }
-        Poll::Ready(piece)
+        Poll::Ready(part)
     }
 
+    /// The next part, as [`ClientSide::poll_part`] has it.
     pub async fn next_part(&mut self) -> Option<ResponsePart> {
-        poll_fn(|cx| self.poll_part(cx)).await
+        poll_fn(|context| self.poll_part(context)).await
     }
 
-    fn notify_observer(&mut self, ended: ResponseOutcome) {
+    fn notify_observer(&mut self, outcome: ResponseOutcome) {
         if let Some(observer) = self.observer.take() {
-            observer(ended);
+            observer(outcome);
         }
     }
 }
@@ -206,18 +234,22 @@
     }
 }
 
+/// The core's side: the request, and the way to its client.
 pub struct ServerSide {
+    /// The request.
     pub request: Request,
+    /// Where the parts of the response go.
     pub parts: mpsc::Sender<ResponsePart>,
 }
 
-/// The two ends of an answer alone, for one that another process began.
+/// The two ends of a response without a request, for one that the predecessor process began.
 pub fn response_channel() -> (ClientSide, mpsc::Sender<ResponsePart>) {
-    let (tx, pieces) = mpsc::channel(MAX_QUEUED_PARTS);
-    (ClientSide { parts: pieces, observer: None }, tx)
+    let (sender, parts) = mpsc::channel(MAX_QUEUED_PARTS);
+    (ClientSide { parts, observer: None }, sender)
 }
 
+/// The two sides of the exchange of this request.
 pub fn exchange_pair(request: Request) -> (ClientSide, ServerSide) {
-    let (client, pieces) = response_channel();
-    (client, ServerSide { request, parts: pieces })
+    let (client, parts) = response_channel();
+    (client, ServerSide { request, parts })
 }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -1,5 +1,9 @@
-//! What the core asks of the servers, in terms of no wire. The engine client answers these calls as a tower
-//! service; tests put stand-ins in its place.
+//! The calls that the core makes to servers, in terms of no wire format.
+//!
+//! The engine answers these calls as a tower service; tests use scripted services in its place. The core owns the decision
+//! whether anything is retried: each call is carried out once.
+
+#![deny(missing_docs)]
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,96 +15,128 @@
 
 use crate::exchange::{CancelToken, Payload, ResponseHead, StreamRemainder};
 
+/// One call to a server, or to any server that can be reached.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Sends the request once; the core waits `until` then for its answer to begin, and the server is told what is left of
-    /// that. What must be on a connection sooner, as a state waits for it, has `connect` for that.
+    /// Sends the request once.
     Attempt {
+        /// Where it is sent.
         server: ServerId,
+        /// What is sent.
         payload: Rc<Payload>,
+        /// Until when the core waits for the response to begin; the server is told how much of that is left.
         deadline: Instant,
+        /// By when the attempt must have a connection, if that is sooner, since a lease waits for it.
         connect_timeout: Option<Duration>,
-        /// Its connection has to have answered something a moment before: a state waits for it, and what is written onto a
-        /// connection that has fallen silent never arrives.
+        /// Whether the connection must have answered a probe immediately before: a lease waits for the attempt, and what is
+        /// written onto a connection that has fallen silent is never delivered.
         verify_connection: bool,
-        /// Not a first byte goes out once nobody wants it.
+        /// No first byte is written once this is not active any more.
         cancel_token: CancelToken,
     },
-    /// Lets go of every lease held for the request, at any server that runs.
+    /// Releases every lease held for the request, at any server that runs.
     Release {
+        /// The request.
         payload: Rc<Payload>,
     },
+    /// Reserves a slot for the request.
     ReserveSlot {
+        /// Where it is reserved.
         server: ServerId,
+        /// The request.
         payload: Rc<Payload>,
     },
+    /// Asks a server for its load.
     Probe {
+        /// The server.
         server: ServerId,
     },
-    /// Asks for a sign that this server, and the way to it, is well at this moment, or fails soon.
+    /// Verifies that a server, and the network path to it, responds now; fails soon otherwise.
     VerifyReachable {
+        /// The server.
         server: ServerId,
-        /// A request that has wholly finished_request: where no server may be probed, its release is a call that changes nothing and is
-        /// answered.
+        /// The id of a request that has finished: where no server may be probed, its release is a call that changes nothing
+        /// and is answered.
         finished_request: Option<Rc<str>>,
     },
+    /// Closes the idle connections to a server.
     CloseIdle {
+        /// The server.
         server: ServerId,
     },
 }
 
+/// The result of a call that was answered.
 pub enum Reply {
-    /// The prompt was read, with so many of its tokens found kept.
+    /// The prefill is complete.
     Prefilled {
+        /// Prompt tokens that the server found in its cache.
         cached_tokens: f64,
+        /// The server's load.
         report: Option<LoadReport>,
     },
-    /// The answer begins; the first frame is there already.
+    /// The response begins; its first frame has already come.
     Response {
+        /// The server's status and headers.
         head: ResponseHead,
+        /// The body.
         frames: LocalBoxStream<'static, Result<Frame, CallError>>,
     },
-    /// Turned away, so it never ran.
+    /// The server rejected the attempt, so it never ran.
     Rejected {
+        /// Whether it did since the state that the attempt was to claim is not there.
         state_missing: bool,
+        /// The server's load.
         report: Option<LoadReport>,
     },
+    /// The server failed; the attempt may have run.
     Error {
+        /// The server's load.
         report: Option<LoadReport>,
     },
-    /// Turned away for a fault of its own, which every server would find.
+    /// The server rejected the request for a fault of its own, which every server would find.
     Unprocessable {
+        /// The server's load.
         report: Option<LoadReport>,
     },
-    /// Held, not held, or not known.
+    /// Whether the slot was reserved; `None` if the server does not know.
     SlotReserved(Option<bool>),
+    /// The server answered a probe.
     Probed {
+        /// Whether it called itself well.
         healthy: bool,
+        /// The server's load.
         report: Option<LoadReport>,
     },
+    /// The call was carried out, and has nothing to return.
     Done,
 }
 
+/// One frame of a response's body.
 #[derive(Debug)]
 pub enum Frame {
+    /// Complete events, or a part of a document.
     Data(Bytes),
-    /// Another process goes on from here.
+    /// The successor process continues from here.
     HandedOver(StreamRemainder),
+    /// The response is complete.
     End {
+        /// Prompt tokens that the server found in its cache.
         cached_tokens: f64,
+        /// The server's load.
         report: Option<LoadReport>,
     },
 }
 
-/// How a call ended that got no answer.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// Nothing of it can have run: its last byte was never written.
+    /// It cannot have run: its last byte was never written.
     ConnectFailed,
-    /// It may have run.
+    /// The connection ended; it may have run.
     Reset,
-    /// What came back could not be read; it may have run.
+    /// The answer could not be read; it may have run.
     MalformedResponse,
-    /// Kept back: the server had to get nothing new.
+    /// It was not sent: the server must receive nothing new, the call is not needed any more, or its time was over.
     NotSent,
 }
