--- a/gateway/src/engine/stream.rs
+++ b/gateway/src/engine/event_stream.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use super::events::{Events, Spoilt};
-use super::reply::Tail;
+use super::response_fields::Tail;
 use super::response_reader::Tap;
 use crate::upstream::CallError;
 
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -4,15 +4,15 @@
 //! is ever sent again here, because whether to repeat is the module's decision.
 
 mod connection;
-mod endpoints;
+mod event_stream;
 mod events;
 mod liveness;
 mod release;
-mod reply;
 mod requests;
+mod response_fields;
 mod response_reader;
-mod resume;
-mod stream;
+mod resumed_stream;
+mod server_table;
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -35,13 +35,13 @@
 use tower::Service;
 
 use self::connection::{Connection, Peer, Verdict};
-pub use self::endpoints::ServerAddress;
-use self::endpoints::ServerTable;
+use self::event_stream::{broken, Next, Stream};
 use self::events::Events;
 use self::liveness::Unconfirmed;
-use self::reply::Tail;
 use self::requests::{attempt_request, lease_request, load_request, tell_left};
-use self::stream::{broken, Next, Stream};
+use self::response_fields::Tail;
+pub use self::server_table::ServerAddress;
+use self::server_table::ServerTable;
 use crate::budget::Budget;
 use crate::exchange::{CancelToken, Payload, ResponseHead, StreamRemainder};
 use crate::invariants::MAX_STATED_DEADLINE_AGE;
@@ -169,7 +169,7 @@
     /// Goes on with a stream that another process began.
     pub fn resume(&self, rest: StreamRemainder) -> LocalBoxStream<'static, Result<Frame, CallError>> {
         let slot = self.0.slots.clone().try_acquire_owned().ok();
-        resume::resume(rest, slot, self.0.moving.subscribe())
+        resumed_stream::resume(rest, slot, self.0.moving.subscribe())
     }
 
     /// Attempts whose last byte was handed to the machine.
@@ -366,9 +366,9 @@
         let (response, connection) = self.ask(server, asked).await?;
         let (parts, body) = response.into_parts();
         let head = ResponseHead { status: parts.status, headers: parts.headers };
-        let report = reply::report_of(&head.headers);
+        let report = response_fields::report_of(&head.headers);
         if head.status == StatusCode::OK && !whole {
-            if !reply::is_events(&head) {
+            if !response_fields::is_events(&head) {
                 log!("an answer of server {:x} is no stream of events", server.0);
                 return Err(CallError::MalformedResponse);
             }
@@ -411,9 +411,9 @@
             };
         };
         self.keep(server, connection);
-        let turned_away = reply::turned_away(&head, self.0.limits.public_api);
+        let turned_away = response_fields::turned_away(&head, self.0.limits.public_api);
         Ok(match head.status.as_u16() {
-            202 => Reply::Prefilled { cached_tokens: reply::kept(&body), report },
+            202 => Reply::Prefilled { cached_tokens: response_fields::kept(&body), report },
             410 if turned_away => Reply::Rejected { state_missing: true, report },
             429 | 503 | 504 if turned_away => Reply::Rejected { state_missing: false, report },
             status if status == 200 || (self.0.limits.public_api && (400..500).contains(&status)) => {
@@ -470,8 +470,8 @@
             self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
         }
         let (head, body) = answer.map_err(|_| CallError::Reset)??;
-        let report = reply::report_of(&head.headers);
-        let report = report.or_else(|| std::str::from_utf8(&body).ok().and_then(reply::report));
+        let report = response_fields::report_of(&head.headers);
+        let report = report.or_else(|| std::str::from_utf8(&body).ok().and_then(response_fields::report));
         Ok(Reply::Probed { healthy: head.status == StatusCode::OK, report })
     }
 
