--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -1,32 +1,38 @@
-//! The one way to write a log line: [`log!`], rate-limited for each place that calls it.
+//! The only way to write a log line: [`log!`], rate-limited for each place in the code that calls it.
+
+#![deny(missing_docs)]
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
 /// Lines that one place may write in one period.
-const LINES: u32 = 5;
+const LINES_PER_PERIOD: u32 = 5;
+
+/// The period of the rate limit.
 const PERIOD: Duration = Duration::from_secs(5);
 
-/// Counts the lines of one place in the program.
+/// The rate limit of one place in the code.
 pub struct Limit {
-    since: Cell<Option<Instant>>,
+    period_start: Cell<Option<Instant>>,
+    /// Lines of this period, those left out included.
     lines: Cell<u32>,
 }
 
 impl Limit {
+    /// A limit that has counted no lines.
     pub const fn new() -> Self {
-        Limit { since: Cell::new(None), lines: Cell::new(0) }
+        Limit { period_start: Cell::new(None), lines: Cell::new(0) }
     }
 
-    /// Whether a line may be written now, and how many were left out in the period before.
+    /// Counts a line; if it may be written now, returns how many were left out in the period before.
     pub fn pass(&self, now: Instant) -> Option<u32> {
-        let mut missed = 0;
-        if self.since.get().is_none_or(|s| now.duration_since(s) >= PERIOD) {
-            missed = self.lines.replace(0).saturating_sub(LINES);
-            self.since.set(Some(now));
+        let mut left_out = 0;
+        if self.period_start.get().is_none_or(|start| now.duration_since(start) >= PERIOD) {
+            left_out = self.lines.replace(0).saturating_sub(LINES_PER_PERIOD);
+            self.period_start.set(Some(now));
         }
         self.lines.set(self.lines.get().saturating_add(1));
-        (self.lines.get() <= LINES).then_some(missed)
+        (self.lines.get() <= LINES_PER_PERIOD).then_some(left_out)
     }
 }
 
@@ -36,41 +42,29 @@
     }
 }
 
-/// Writes one line to standard error, if its limit lets it pass.
-pub fn line(limit: &Limit, words: std::fmt::Arguments) {
-    if let Some(missed) = limit.pass(Instant::now()) {
-        write(missed, words);
+/// Writes one line to standard error, if its limit allows that.
+pub fn line(limit: &Limit, text: std::fmt::Arguments) {
+    if let Some(left_out) = limit.pass(Instant::now()) {
+        write(left_out, text);
     }
 }
 
-/// Writes one line to standard error, and how many like it were left out before.
-pub fn write(missed: u32, words: std::fmt::Arguments) {
-    let more = if missed > 0 { format!(" ({missed} like it left out)") } else { String::new() };
-    eprintln!("glenrail: {words}{more}");
+/// Writes one line to standard error, and how many lines like it were left out before.
+pub fn write(left_out: u32, text: std::fmt::Arguments) {
+    let suffix = if left_out > 0 { format!(" ({left_out} like it left out)") } else { String::new() };
+    eprintln!("glenrail: {text}{suffix}");
 }
 
 /// Writes one line to standard error, at most five in five seconds from each place that calls it.
 #[macro_export]
 macro_rules! log {
-    ($($words:tt)*) => {{
+    ($($text:tt)*) => {{
         thread_local! { static LIMIT: $crate::log::Limit = const { $crate::log::Limit::new() }; }
-        if let Some(missed) = LIMIT.with(|l| l.pass(std::time::Instant::now())) {
-            $crate::log::write(missed, format_args!($($words)*));
+        if let Some(left_out) = LIMIT.with(|limit| limit.pass(std::time::Instant::now())) {
+            $crate::log::write(left_out, format_args!($($text)*));
         }
     }};
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a flood of lines filling memory, where the log is kept.
-    #[test]
-    fn a_place_is_limited_and_says_later_what_it_left_out() {
-        let (limit, start) = (Limit::new(), Instant::now());
-        let passed = (0..20).filter(|_| limit.pass(start).is_some()).count();
-        assert_eq!(passed, LINES as usize);
-        assert_eq!(limit.pass(start + PERIOD), Some(20 - LINES));
-        assert_eq!(limit.pass(start + 2 * PERIOD), Some(0));
-    }
-}
+mod tests;
--- /dev/null
+++ b/gateway/src/log/tests.rs
@@ -0,0 +1,13 @@
+//! The rate limit of log lines.
+
+use super::*;
+
+/// Guards against a flood of lines that fills the storage of the log.
+#[test]
+fn a_place_is_limited_and_reports_later_what_it_left_out() {
+    let (limit, start) = (Limit::new(), Instant::now());
+    let written = (0..20).filter(|_| limit.pass(start).is_some()).count();
+    assert_eq!(written, LINES_PER_PERIOD as usize);
+    assert_eq!(limit.pass(start + PERIOD), Some(20 - LINES_PER_PERIOD));
+    assert_eq!(limit.pass(start + 2 * PERIOD), Some(0));
+}
