--- a/gateway/src/chunk_position.rs
+++ b/gateway/src/chunk_position.rs
@@ -1,115 +1,108 @@
-//! The framing of a chunked body: where in it a reader stands, and what of it is data.
+//! The framing of a chunked body: the position of a reader in it, and which bytes are data.
 
 /// The framing cannot be read.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Unreadable;
+pub struct MalformedFraming;
 
-/// Largest chunk that is believed.
-const CHUNK: u64 = 1 << 31;
+/// Largest chunk that is believed, in bytes.
+const MAX_CHUNK: u64 = 1 << 31;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum At {
+enum State {
     /// Before a chunk.
     #[default]
-    Start,
+    ChunkStart,
+    /// In the digits of a chunk's size, which are this so far.
     Size(u64),
-    /// Past the digits of this size, in the rest of its line.
-    Line(u64),
+    /// Past the digits of this size, in the remainder of its line.
+    SizeLine(u64),
+    /// In a chunk's data, of which so many bytes are left.
     Data(u64),
     /// Between a chunk's data and the end of its line.
-    After,
-    /// Behind the last chunk; whether the line so far is empty.
-    Trailer(bool),
+    DataEnd,
+    /// After the last chunk, in a trailer line that is empty so far.
+    EmptyTrailer,
+    /// After the last chunk, in a trailer line that is not empty.
+    Trailer,
+    /// After the body.
     End,
 }
 
+/// How far a reader goes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadUntil {
+    /// To the end of the body.
+    EndOfBody,
+    /// To the end of the current chunk; nowhere between two chunks.
+    EndOfChunk,
+}
+
+/// The position of a reader in a chunked body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ChunkPosition(At);
+pub struct ChunkPosition(State);
 
 impl ChunkPosition {
     /// Whether the next byte begins a chunk.
-    pub fn between(&self) -> bool {
-        self.0 == At::Start
+    pub fn is_between_chunks(&self) -> bool {
+        self.0 == State::ChunkStart
     }
 
-    /// Whether the body is over.
-    pub fn ended(&self) -> bool {
-        self.0 == At::End
+    /// Whether the body has ended.
+    pub fn is_ended(&self) -> bool {
+        self.0 == State::End
     }
 
-    /// Reads on over these bytes and gives out what is data, as far as the body goes, or only as far as to the end of
-    /// the chunk that is being read. Says how many bytes that was.
+    /// Reads these bytes as far as `until`, and calls `data` with what is data. Returns how many bytes were read.
     pub fn read(
-        &mut self, bytes: &[u8], one: bool, mut data: impl FnMut(&[u8]),
-    ) -> Result<usize, Unreadable> {
-        let mut at = 0;
-        while at < bytes.len() && !self.ended() && !(one && self.between()) {
-            let byte = bytes[at];
-            let digit = char::from(byte).to_digit(16).map(u64::from);
-            self.0 = match (self.0, byte) {
-                (At::Data(left), _) => {
-                    let here = left.min((bytes.len() - at) as u64);
-                    data(&bytes[at..at + here as usize]);
-                    at += here as usize;
-                    self.0 = if here == left { At::After } else { At::Data(left - here) };
-                    continue;
-                }
-                (At::Start, _) => At::Size(digit.ok_or(Unreadable)?),
-                (At::Size(size), _) if digit.is_some() => {
-                    At::Size(size * 16 + digit.filter(|_| size < CHUNK).ok_or(Unreadable)?)
-                }
-                (At::Size(0) | At::Line(0), b'\n') => At::Trailer(true),
-                (At::Size(size) | At::Line(size), b'\n') => At::Data(size),
-                (At::Size(size), b'\r' | b';' | b' ' | b'\t') | (At::Line(size), _) => At::Line(size),
-                (At::After, b'\n') => At::Start,
-                (At::After, b'\r') => At::After,
-                (At::Trailer(true), b'\n') => At::End,
-                (At::Trailer(_), b'\n') => At::Trailer(true),
-                (At::Trailer(empty), b'\r') => At::Trailer(empty),
-                (At::Trailer(_), _) => At::Trailer(false),
-                (At::Size(_) | At::After | At::End, _) => return Err(Unreadable),
-            };
-            at += 1;
+        &mut self, bytes: &[u8], until: ReadUntil, mut data: impl FnMut(&[u8]),
+    ) -> Result<usize, MalformedFraming> {
+        let mut read = 0;
+        while read < bytes.len() && !self.is_ended() {
+            if until == ReadUntil::EndOfChunk && self.is_between_chunks() {
+                break;
+            }
+            if let State::Data(left) = self.0 {
+                let available = left.min((bytes.len() - read) as u64);
+                let end = read + available as usize;
+                data(&bytes[read..end]);
+                read = end;
+                self.0 = if available == left { State::DataEnd } else { State::Data(left - available) };
+            } else {
+                self.0 = self.0.after(bytes[read])?;
+                read += 1;
+            }
         }
-        Ok(at)
+        Ok(read)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const BODY: &[u8] =
-        b"5\r\nhello\r\n1a;x=\"y\"\r\nabcdefghijklmnopqrstuvwxyz\r\n0\r\nMore: yes\r\n\r\nnext";
-
-    proptest! {
-        /// Guards a body however it is cut, and wherever its reader stops between two chunks: all of its data comes,
-        /// once, and nothing of what follows it.
-        #[test]
-        fn data_comes_once_however_it_is_cut(cuts in prop::collection::vec((1usize..9, any::<bool>()), 120)) {
-            let (mut chunks, mut data, mut rest) = (ChunkPosition::default(), Vec::new(), BODY);
-            for (cut, one) in cuts {
-                let n = cut.min(rest.len());
-                let fresh = one && chunks.between();
-                let read = chunks.read(&rest[..n], one, |d| data.extend_from_slice(d)).expect("a body");
-                prop_assert!(read == n || chunks.ended() || one && chunks.between());
-                prop_assert!(!fresh || read == 0);
-                rest = &rest[read..];
+impl State {
+    /// The state after one byte of framing.
+    fn after(self, byte: u8) -> Result<State, MalformedFraming> {
+        let digit = char::from(byte).to_digit(16).map(u64::from);
+        Ok(match (self, byte) {
+            (State::ChunkStart, _) => State::Size(digit.ok_or(MalformedFraming)?),
+            (State::Size(size), _) if digit.is_some() => {
+                let digit = digit.filter(|_| size < MAX_CHUNK).ok_or(MalformedFraming)?;
+                State::Size(size * 16 + digit)
             }
-            while !chunks.ended() {
-                let read = chunks.read(rest, false, |d| data.extend_from_slice(d)).expect("a body");
-                rest = &rest[read..];
+            (State::Size(0) | State::SizeLine(0), b'\n') => State::EmptyTrailer,
+            (State::Size(size) | State::SizeLine(size), b'\n') => State::Data(size),
+            (State::Size(size), b'\r' | b';' | b' ' | b'\t') | (State::SizeLine(size), _) => {
+                State::SizeLine(size)
             }
-            prop_assert_eq!(&data[..], b"helloabcdefghijklmnopqrstuvwxyz");
-            prop_assert_eq!(rest, b"next");
-        }
-    }
-
-    #[test]
-    fn what_is_no_size_is_found_out() {
-        for bad in [&b"x"[..], b"5x", b"ffffffffffff\r\n", b"1\r\nab", b"\r\n"] {
-            assert_eq!(ChunkPosition::default().read(bad, false, |_| {}), Err(Unreadable), "{bad:?}");
-        }
+            (State::DataEnd, b'\n') => State::ChunkStart,
+            (State::DataEnd, b'\r') => State::DataEnd,
+            (State::EmptyTrailer, b'\n') => State::End,
+            (State::Trailer, b'\n') => State::EmptyTrailer,
+            (State::EmptyTrailer | State::Trailer, b'\r') => self,
+            (State::EmptyTrailer | State::Trailer, _) => State::Trailer,
+            (State::Size(_) | State::DataEnd | State::Data(_) | State::End, _) => {
+                return Err(MalformedFraming)
+            }
+        })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/gateway/src/chunk_position/tests.rs
@@ -0,0 +1,45 @@
+//! Chunked bodies, in whatever pieces they are read.
+
+use proptest::prelude::*;
+
+use super::*;
+
+const BODY: &[u8] = b"5\r\nhello\r\n1a;x=\"y\"\r\nabcdefghijklmnopqrstuvwxyz\r\n0\r\nMore: yes\r\n\r\nnext";
+
+fn until() -> impl Strategy<Value = ReadUntil> {
+    prop_oneof![Just(ReadUntil::EndOfBody), Just(ReadUntil::EndOfChunk)]
+}
+
+proptest! {
+    /// Guards a body in whatever pieces it comes, and wherever its reader pauses between two chunks: all of its data is
+    /// read, once, and nothing of what follows it.
+    #[test]
+    fn data_is_read_once_in_whatever_pieces(pieces in prop::collection::vec((1usize..9, until()), 120)) {
+        let (mut position, mut data, mut remaining) = (ChunkPosition::default(), Vec::new(), BODY);
+        for (length, until) in pieces {
+            let length = length.min(remaining.len());
+            let is_paused = until == ReadUntil::EndOfChunk && position.is_between_chunks();
+            let read = position.read(&remaining[..length], until, |part| data.extend_from_slice(part));
+            let read = read.expect("a body");
+            let pauses = until == ReadUntil::EndOfChunk && position.is_between_chunks();
+            prop_assert!(read == length || position.is_ended() || pauses);
+            prop_assert!(!is_paused || read == 0);
+            remaining = &remaining[read..];
+        }
+        while !position.is_ended() {
+            let read = position.read(remaining, ReadUntil::EndOfBody, |part| data.extend_from_slice(part));
+            remaining = &remaining[read.expect("a body")..];
+        }
+        prop_assert_eq!(&data[..], b"helloabcdefghijklmnopqrstuvwxyz");
+        prop_assert_eq!(remaining, b"next");
+    }
+}
+
+/// Guards against bytes after a chunk, or before one, that are no framing.
+#[test]
+fn malformed_framing_is_found() {
+    for malformed in [&b"x"[..], b"5x", b"ffffffffffff\r\n", b"1\r\nab", b"\r\n"] {
+        let read = ChunkPosition::default().read(malformed, ReadUntil::EndOfBody, |_| {});
+        assert_eq!(read, Err(MalformedFraming), "{malformed:?}");
+    }
+}
--- a/gateway/src/counted_socket.rs
+++ b/gateway/src/counted_socket.rs
@@ -1,8 +1,9 @@
-//! A socket that counts what it has taken, shared by whoever needs it beside hyper.
+//! A socket that counts the bytes that it has written; hyper reads and writes one clone of it, its owner asks another.
 
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::mem::MaybeUninit;
+use std::net::Shutdown;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
@@ -12,16 +13,19 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// What is counted once so many bytes have been handed over.
-struct Due(u64, Rc<Cell<u64>>);
+/// A counter that is incremented once so many bytes have been written in all.
+struct PendingCount {
+    written: u64,
+    count: Rc<Cell<u64>>,
+}
 
-/// Whether bytes have come that nobody has read; the end of what the other side sends is none.
+/// Whether bytes have come that were not read; the end of the peer's sending is none.
 pub fn has_unread(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     matches!(SockRef::from(socket).peek(&mut byte), Ok(1..))
 }
 
-/// Until the other side has ended its sending, whether or not what it sent before has been read.
+/// Waits until the peer has ended its sending, whether or not what it sent before has been read.
 pub async fn read_closed(socket: &TcpStream) {
     // An end counts for this interest too; bytes do not, and urgent ones are not sent here.
     while socket.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
@@ -29,19 +33,22 @@
     }
 }
 
+/// A socket that counts what it has written. A clone is the same socket.
 #[derive(Clone)]
 pub struct CountedSocket {
+    /// The socket itself.
     pub socket: Rc<TcpStream>,
     written: Rc<Cell<u64>>,
-    due: Rc<RefCell<Option<Due>>>,
+    pending_count: Rc<RefCell<Option<PendingCount>>>,
 }
 
 impl CountedSocket {
+    /// Counts what this socket writes from now on.
     pub fn new(socket: TcpStream) -> Self {
-        CountedSocket { socket: Rc::new(socket), written: Rc::default(), due: Rc::default() }
+        CountedSocket { socket: Rc::new(socket), written: Rc::default(), pending_count: Rc::default() }
     }
 
-    /// Bytes handed to the machine so far.
+    /// Bytes handed to the kernel so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
@@ -50,69 +57,76 @@
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&*self.socket).peek(&mut byte);
-        matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Counts one as soon as so many more bytes have been handed over.
+    /// Adds one to `count` as soon as so many more bytes have been handed to the kernel.
     pub fn count_after(&self, bytes: u64, count: Rc<Cell<u64>>) {
-        self.due.replace(Some(Due(self.written() + bytes, count)));
+        let pending = PendingCount { written: self.written() + bytes, count };
+        self.pending_count.replace(Some(pending));
     }
 
-    fn wrote(&self, bytes: usize) {
+    fn add_written(&self, bytes: usize) {
         self.written.set(self.written.get() + bytes as u64);
-        let due = self.due.borrow_mut().take_if(|Due(at, _)| *at <= self.written.get());
-        if let Some(Due(_, count)) = due {
-            count.set(count.get() + 1);
+        let mut pending = self.pending_count.borrow_mut();
+        if let Some(reached) = pending.take_if(|pending| pending.written <= self.written.get()) {
+            reached.count.set(reached.count.get() + 1);
         }
     }
 
-    fn poll_out(
-        &self, cx: &mut Context<'_>, write: impl Fn() -> io::Result<usize>,
+    fn poll_counted_write(
+        &self, context: &mut Context<'_>, write: impl Fn() -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.socket.poll_write_ready(cx))?;
+            ready!(self.socket.poll_write_ready(context))?;
             match write() {
-                Ok(n) => {
-                    self.wrote(n);
-                    return Poll::Ready(Ok(n));
+                Ok(bytes) => {
+                    self.add_written(bytes);
+                    return Poll::Ready(Ok(bytes));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
 impl AsyncRead for CountedSocket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
-            ready!(self.socket.poll_read_ready(cx))?;
-            // Straight into what is not initialized: clearing it cost as much as parsing what came.
-            match self.socket.try_read_buf(buf) {
+            ready!(self.socket.poll_read_ready(context))?;
+            // Into memory that is not initialized: clearing it cost as much as parsing what came.
+            match self.socket.try_read_buf(buffer) {
                 Ok(_) => return Poll::Ready(Ok(())),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
 impl AsyncWrite for CountedSocket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_out(cx, || self.socket.try_write(buf))
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_counted_write(context, || self.socket.try_write(bytes))
     }
+
     fn poll_write_vectored(
-        self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>],
+        self: Pin<&mut Self>, context: &mut Context<'_>, slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_out(cx, || self.socket.try_write_vectored(bufs))
+        self.poll_counted_write(context, || self.socket.try_write_vectored(slices))
     }
+
     fn is_write_vectored(&self) -> bool {
         true
     }
+
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
+
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(SockRef::from(&*self.socket).shutdown(std::net::Shutdown::Write))
+        Poll::Ready(SockRef::from(&*self.socket).shutdown(Shutdown::Write))
     }
 }
--- /dev/null
+++ b/gateway/src/engine/attempt.rs
@@ -0,0 +1,183 @@
+//! Attempts: a request is sent once, and its response is streamed or buffered.
+
+use std::future::Future;
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures_util::stream::{iter, once, try_unfold, StreamExt};
+use glenrail_router::{LoadReport, ServerId};
+use http::StatusCode;
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use tokio::time::timeout;
+
+use super::connection::Connection;
+use super::event_stream::{broken_response, EventStream, StreamStep};
+use super::response_fields::{cached_tokens, is_event_stream, is_rejection, load_report_of};
+use super::server_request::ServerRequest;
+use super::Engine;
+use crate::exchange::{Payload, ResponseHead};
+use crate::log;
+use crate::upstream::{CallError, Frame, Reply};
+
+/// Most bytes of a response that is buffered until it is complete.
+const MAX_BUFFERED_BODY: usize = 16 << 20;
+
+/// On the platform an engine writes the head of its response together with its first event, or with all of a short
+/// response. What has not come so long after the head is malformed: a response without an end would use up its request's
+/// whole time.
+const BODY_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// How the response of an attempt is forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ResponseMode {
+    /// Event by event.
+    Streamed,
+    /// As one document, once it is complete.
+    Buffered,
+}
+
+impl ResponseMode {
+    pub fn of(payload: &Payload) -> Self {
+        match payload.buffer_response {
+            true => ResponseMode::Buffered,
+            false => ResponseMode::Streamed,
+        }
+    }
+}
+
+impl Engine {
+    /// Sends an attempt once, and returns what its response amounts to.
+    pub(super) async fn attempt(
+        &self, server: ServerId, request: &ServerRequest, mode: ResponseMode,
+    ) -> Result<Reply, CallError> {
+        let (response, connection) = self.send(server, request).await?;
+        let (parts, body) = response.into_parts();
+        let head = ResponseHead { status: parts.status, headers: parts.headers };
+        if head.status == StatusCode::OK && mode == ResponseMode::Streamed {
+            self.streamed_reply(server, head, body, connection).await
+        } else {
+            self.buffered_reply(server, head, body, connection, mode).await
+        }
+    }
+
+    /// A stream whose first event is there.
+    async fn streamed_reply(
+        &self, server: ServerId, head: ResponseHead, body: Incoming, connection: Connection,
+    ) -> Result<Reply, CallError> {
+        if !is_event_stream(&head) {
+            log!("an answer of server {:x} is no stream of events", server.0);
+            return Err(CallError::MalformedResponse);
+        }
+        let report = load_report_of(&head.headers);
+        // From here on the connection is dropped, so closed, unless the stream comes to its end.
+        let handing_over = self.0.handing_over.subscribe();
+        let mut stream = EventStream::new(body, connection.tap.clone(), handing_over);
+        let first = match self.within_body_timeout(ResponseMode::Streamed, stream.next()).await?? {
+            StreamStep::Events(first) => first,
+            StreamStep::End | StreamStep::Paused => return Err(CallError::Reset),
+        };
+        let open = OpenStream { engine: self.clone(), server, report, stream, connection };
+        let following = try_unfold(Some(open), |open| async move {
+            match open {
+                Some(open) => open.next_frame().await.map(Some),
+                None => Ok(None),
+            }
+        });
+        let frames = once(async { Ok(Frame::Data(first)) }).chain(following).boxed_local();
+        Ok(Reply::Response { head, frames })
+    }
+
+    /// The reply to a response that is read to its end before it is forwarded.
+    async fn buffered_reply(
+        &self, server: ServerId, head: ResponseHead, body: Incoming, connection: Connection,
+        mode: ResponseMode,
+    ) -> Result<Reply, CallError> {
+        let report = load_report_of(&head.headers);
+        let Some(body) = self.within_body_timeout(mode, self.buffer(body)).await?? else {
+            log!("an answer of server {:x} is too large to be kept whole", server.0);
+            return match head.status {
+                // The prefill has ended well, so the server holds a state all the same.
+                StatusCode::ACCEPTED => Err(CallError::MalformedResponse),
+                _ => Ok(Reply::Error { report }),
+            };
+        };
+        self.recycle(server, connection);
+        Ok(self.reply_of(head, body, report))
+    }
+
+    /// What a complete response amounts to.
+    fn reply_of(&self, head: ResponseHead, body: Bytes, report: Option<LoadReport>) -> Reply {
+        let public_api = self.0.limits.public_api;
+        let is_rejection = is_rejection(&head, public_api);
+        match head.status.as_u16() {
+            202 => Reply::Prefilled { cached_tokens: cached_tokens(&body), report },
+            410 if is_rejection => Reply::Rejected { state_missing: true, report },
+            429 | 503 | 504 if is_rejection => Reply::Rejected { state_missing: false, report },
+            status if status == 200 || (public_api && (400..500).contains(&status)) => {
+                let end = Frame::End { cached_tokens: 0.0, report };
+                let frames = iter([Ok(Frame::Data(body)), Ok(end)]).boxed_local();
+                Reply::Response { head, frames }
+            }
+            400..=499 => Reply::Unprocessable { report },
+            _ => Reply::Error { report },
+        }
+    }
+
+    /// Waits for what has to follow a head at once; a public API has its own pace, and so has a document.
+    async fn within_body_timeout<T>(
+        &self, mode: ResponseMode, awaited: impl Future<Output = T>,
+    ) -> Result<T, CallError> {
+        if mode == ResponseMode::Buffered || self.0.limits.public_api {
+            return Ok(awaited.await);
+        }
+        timeout(BODY_TIMEOUT, awaited).await.map_err(|_| {
+            log!("an answer did not go on after its head");
+            CallError::MalformedResponse
+        })
+    }
+
+    /// A complete body; `None` where it is too large or the budget is used up.
+    async fn buffer(&self, mut body: Incoming) -> Result<Option<Bytes>, CallError> {
+        let mut bytes = Vec::new();
+        let mut claim = self.0.buffer_budget.claim(0).ok_or(CallError::Reset)?;
+        while let Some(frame) = body.frame().await {
+            let frame = frame.map_err(|error| broken_response(&error))?;
+            let Ok(data) = frame.into_data() else { continue };
+            if bytes.len() + data.len() > MAX_BUFFERED_BODY || !claim.grow(data.len()) {
+                return Ok(None);
+            }
+            bytes.extend_from_slice(&data);
+        }
+        Ok(Some(claim.hold(bytes.into())))
+    }
+}
+
+/// A stream whose first events were forwarded.
+struct OpenStream {
+    engine: Engine,
+    server: ServerId,
+    /// The load that the head reported.
+    report: Option<LoadReport>,
+    stream: EventStream,
+    connection: Connection,
+}
+
+impl OpenStream {
+    /// The next frame, and the stream again unless that was its last frame.
+    async fn next_frame(mut self) -> Result<(Frame, Option<OpenStream>), CallError> {
+        match self.stream.next().await? {
+            StreamStep::Events(events) => Ok((Frame::Data(events), Some(self))),
+            StreamStep::Paused => {
+                let remainder = self.connection.into_remainder().map_err(|_| CallError::Reset)?;
+                Ok((Frame::HandedOver(remainder), None))
+            }
+            StreamStep::End => {
+                self.engine.recycle(self.server, self.connection);
+                let tail = &self.stream.tail;
+                let report = tail.load_report().or(self.report);
+                Ok((Frame::End { cached_tokens: tail.cached_tokens(), report }, None))
+            }
+        }
+    }
+}
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -1,8 +1,9 @@
-//! One connection to a server, with what hyper does not tell: how much of a request was written, and whether
-//! the other side has closed it while it stood idle.
+//! One connection to a server, with what hyper does not report: how much of a request was written, and whether the server
+//! has closed the connection while it was idle.
 
 use std::cell::Cell;
 use std::io;
+use std::net::Shutdown;
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
@@ -18,154 +19,170 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::{spawn_local, AbortHandle};
 
-use super::response_reader::{Gate, ResponseReader, Tap};
+use super::body_tap::BodyTap;
+use super::response_reader::ResponseReader;
+use super::write_gate::WriteGate;
 use crate::counted_socket::CountedSocket;
 use crate::exchange::StreamRemainder;
 use crate::log;
 
-/// Most bytes read at once, more than the largest head. A piece of a stream is not larger, unless one event is: hyper's own
-/// bound of 400 kB, times the pieces that wait for a slow client, was 7 MB a stream.
-const READ: usize = 32 << 10;
+/// Most bytes read at once, more than the largest head. A part of a stream is not larger, unless one event is: hyper's own
+/// limit of 400 kB, times the parts that are queued for a slow client, was 7 MB a stream.
+const READ_BUFFER: usize = 32 << 10;
 
-/// How a request that got no answer ended.
-pub enum Verdict {
-    /// Not a byte went out: another connection may carry the same attempt.
+/// Why a request got no response.
+pub enum SendFailure {
+    /// Not a byte was written: another connection may carry the same request.
     Replace,
-    /// Not a byte went out, and none may.
-    KeptBack,
+    /// Not a byte was written, and none may be.
+    Withheld,
+    /// The request was not written completely, so it never ran.
     NeverRan,
+    /// The request may have run.
     MayHaveRun(hyper::Error),
 }
 
-/// Where a connection leads: the address, and the start of the server that the list gave for it then.
+/// Where a connection leads.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Peer {
-    pub dial: String,
-    pub born: u64,
+    /// Host and port.
+    pub address: String,
+    /// When the server had last started, by the list of that time; Unix milliseconds.
+    pub started_ms: u64,
 }
 
+/// A connection to a server; dropping it closes it.
 pub struct Connection {
+    /// Where it leads.
     pub peer: Peer,
     machine: server::Connection,
+    /// hyper's end, for requests.
     pub sender: SendRequest<Full<Bytes>>,
-    wire: CountedSocket,
-    gate: Rc<Gate>,
-    awaited: Rc<Cell<bool>>,
-    /// The body of the answer under way, as it is read.
-    pub tap: Rc<Tap>,
+    socket: CountedSocket,
+    gate: Rc<WriteGate>,
+    awaiting_head: Rc<Cell<bool>>,
+    /// The body of the current response, as it is read.
+    pub tap: Rc<BodyTap>,
     task: AbortHandle,
     _slot: OwnedSemaphorePermit,
 }
 
 impl Connection {
+    /// Opens a connection, which occupies the slot for as long as it is open.
     pub async fn open(peer: Peer, slot: OwnedSemaphorePermit) -> io::Result<Connection> {
-        let socket = TcpStream::connect(&peer.dial).await?;
+        let socket = TcpStream::connect(&peer.address).await?;
         socket.set_nodelay(true)?;
-        let (wire, awaited) = (CountedSocket::new(socket), Rc::new(Cell::new(false)));
-        let (gate, tap) = (Rc::new(Gate::default()), Rc::new(Tap::default()));
-        let inlet = ResponseReader::new(wire.clone(), gate.clone(), awaited.clone(), tap.clone());
-        let (sender, connection) = Builder::new()
-            .max_buf_size(READ)
-            .handshake(TokioIo::new(inlet))
-            .await
-            .map_err(io::Error::other)?;
+        let socket = CountedSocket::new(socket);
+        let awaiting_head = Rc::new(Cell::new(false));
+        let gate = Rc::new(WriteGate::default());
+        let tap = Rc::new(BodyTap::default());
+        let reader = ResponseReader::new(socket.clone(), gate.clone(), awaiting_head.clone(), tap.clone());
+        let handshake = Builder::new().max_buf_size(READ_BUFFER).handshake(TokioIo::new(reader));
+        let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let task = spawn_local(async move {
-            // Whoever waits for the answer is told of the error.
+            // The task that awaits the response gets the error.
             let _ = connection.await;
         });
         let mut machine = server::Connection::default();
         step(&mut machine, Input::Connected);
         let task = task.abort_handle();
-        Ok(Connection { peer, machine, sender, wire, gate, awaited, tap, task, _slot: slot })
+        Ok(Connection { peer, machine, sender, socket, gate, awaiting_head, tap, task, _slot: slot })
     }
 
-    /// Whether a request may be written; `serving`: its server may get something new at this moment.
-    pub fn may_write(&mut self, serving: bool) -> bool {
-        step(&mut self.machine, Input::Send { serving }) == Effect::Write
+    /// Whether a request may be written; `may_receive`: whether the server may receive it now.
+    pub fn may_write(&mut self, may_receive: bool) -> bool {
+        step(&mut self.machine, Input::Send { serving: may_receive }) == Effect::Write
     }
 
-    /// Sends a request, if it is `clear` to be sent as its first byte goes out; its answer is the next thing that the
-    /// server may say.
+    /// Sends a request, if `is_clear` when its first byte is written; its response is the next thing that the server may
+    /// send.
     pub async fn send(
-        &mut self, request: Request<Bytes>, clear: impl Fn() -> bool + 'static,
-    ) -> Result<Response<Incoming>, Verdict> {
-        let (before, length) = (self.wire.written(), length(&request));
-        self.gate.set(clear);
-        self.awaited.set(true);
-        let answer = self.sender.send_request(request.map(Full::new)).await;
-        let out = self.wire.written() - before;
-        if out > 0 {
-            step(&mut self.machine, if out < length { Input::BytesWritten } else { Input::LastByteWritten });
+        &mut self, request: Request<Bytes>, is_clear: impl Fn() -> bool + 'static,
+    ) -> Result<Response<Incoming>, SendFailure> {
+        let (written_before, length) = (self.socket.written(), encoded_length(&request));
+        self.gate.arm(is_clear);
+        self.awaiting_head.set(true);
+        let response = self.sender.send_request(request.map(Full::new)).await;
+        let written = self.socket.written() - written_before;
+        if written > 0 {
+            let input = if written < length { Input::BytesWritten } else { Input::LastByteWritten };
+            step(&mut self.machine, input);
         }
-        let e = match answer {
+        let error = match response {
             Ok(response) => {
                 step(&mut self.machine, Input::HeadReceived);
                 return Ok(response);
             }
-            Err(e) => e,
+            Err(error) => error,
         };
-        Err(match step(&mut self.machine, Input::Broken) {
-            _ if self.gate.kept_back() => Verdict::KeptBack,
-            Effect::Replace => Verdict::Replace,
-            Effect::NeverRan => Verdict::NeverRan,
-            _ => Verdict::MayHaveRun(e),
+        let effect = step(&mut self.machine, Input::Broken);
+        if self.gate.has_blocked() {
+            return Err(SendFailure::Withheld);
+        }
+        Err(match effect {
+            Effect::Replace => SendFailure::Replace,
+            Effect::NeverRan => SendFailure::NeverRan,
+            _ => SendFailure::MayHaveRun(error),
         })
     }
 
-    /// Its answer has come to its end: whether it may be kept for the next request.
-    pub fn ended(&mut self, serving: bool) -> bool {
-        if !serving {
+    /// The current response is complete; returns whether the connection may be reused.
+    pub fn finish_response(&mut self, is_serving: bool) -> bool {
+        if !is_serving {
             step(&mut self.machine, Input::Drained);
         }
         step(&mut self.machine, Input::ResponseComplete) == Effect::Reuse
     }
 
-    /// Counts one when the request that is sent next has been handed to the machine whole.
-    pub fn count_whole(&self, request: &Request<Bytes>, count: Rc<Cell<u64>>) {
-        self.wire.count_after(length(request), count);
+    /// Adds one to `count` when the request that is sent next has been handed to the kernel completely.
+    pub fn count_when_written(&self, request: &Request<Bytes>, count: Rc<Cell<u64>>) {
+        self.socket.count_after(encoded_length(request), count);
     }
 
-    /// Gives the connection away as it stands; nothing is read of it here any more.
-    pub fn release(mut self) -> io::Result<StreamRemainder> {
-        let socket = self.wire.socket.as_fd().try_clone_to_owned()?;
+    /// Hands the connection over as it is; nothing more is read of it here.
+    pub fn into_remainder(mut self) -> io::Result<StreamRemainder> {
+        let socket = self.socket.socket.as_fd().try_clone_to_owned()?;
         step(&mut self.machine, Input::ReadPaused);
-        Ok(StreamRemainder { socket: socket.into(), read_ahead: self.tap.ahead.take() })
+        Ok(StreamRemainder { socket: socket.into(), read_ahead: self.tap.read_ahead.take() })
     }
 
-    /// Whether an idle connection can still be used: neither closed nor holding bytes that nobody asked for.
-    pub fn lives(&mut self) -> bool {
-        let lives = self.wire.is_quiet() && self.sender.is_ready();
-        if !lives {
+    /// Whether an idle connection can still be used: neither closed nor with bytes that no request was sent for.
+    pub fn is_usable(&mut self) -> bool {
+        let is_usable = self.socket.is_quiet() && self.sender.is_ready();
+        if !is_usable {
             step(&mut self.machine, Input::Broken);
         }
-        lives
+        is_usable
     }
 }
 
-/// Feeds the machine. What it says is impossible is told, and closes the connection by whoever asked.
+/// Feeds the machine. An input that it calls impossible is logged, and has the caller close the connection.
 fn step(machine: &mut server::Connection, input: Input) -> Effect {
-    machine.step(input).unwrap_or_else(|e| {
-        log!("{e}");
+    machine.step(input).unwrap_or_else(|invalid| {
+        log!("{invalid}");
         Effect::Close
     })
 }
 
-/// A connection that is dropped is closed at once, whatever was under way on it: so an attempt is given up.
-/// The socket itself is shut here, since its task ends only at its next turn, and the next attempt of the request
-/// must not find this one still open.
+/// A connection that is dropped is closed at once, whatever it carries: so an attempt is cancelled. The socket itself is
+/// shut down here, since its task ends only when it runs next, and the next attempt of the request must not find this one
+/// still open.
 impl Drop for Connection {
     fn drop(&mut self) {
         if self.machine.stage() != Stage::HandedOver {
-            let _ = SockRef::from(&*self.wire.socket).shutdown(std::net::Shutdown::Both);
+            let _ = SockRef::from(&*self.socket.socket).shutdown(Shutdown::Both);
         }
         self.task.abort();
     }
 }
 
-/// Bytes that a request takes on a connection, as hyper writes it; a test holds this to what it does write.
-pub fn length(request: &Request<Bytes>) -> u64 {
-    let target = request.uri().path_and_query().map_or(1, |p| p.as_str().len());
+/// Bytes of a request on a connection, as hyper writes it; a test compares this with what it does write.
+pub fn encoded_length(request: &Request<Bytes>) -> u64 {
+    let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
-    let headers = request.headers().iter().map(|(n, v)| n.as_str().len() + 2 + v.len() + 2).sum::<usize>();
-    (line + headers + 2 + request.body().len()) as u64
+    let mut headers = 0;
+    for (name, value) in request.headers() {
+        headers += name.as_str().len() + ": ".len() + value.len() + "\r\n".len();
+    }
+    (line + headers + "\r\n".len() + request.body().len()) as u64
 }
--- /dev/null
+++ b/gateway/src/engine/control_calls.rs
@@ -0,0 +1,69 @@
+//! Short calls beside the attempts: probes and slot reservations.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use glenrail_router::ServerId;
+use http::{Method, StatusCode};
+use http_body_util::{BodyExt, Limited};
+use tokio::time::timeout;
+
+use super::requests::{lease_request, load_request};
+use super::response_fields::{load_report, load_report_of};
+use super::server_request::{RequestKind, ServerRequest};
+use super::Engine;
+use crate::exchange::{Payload, ResponseHead};
+use crate::upstream::{CallError, Reply};
+
+/// Most bytes read of a response of which only the outcome counts.
+pub(super) const MAX_SHORT_BODY: usize = 64 << 10;
+
+/// Longest time of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(750);
+
+/// Longest time of a slot reservation: after that the server itself says that it does not know whether the slot is reserved.
+const RESERVATION_TIMEOUT: Duration = Duration::from_millis(600);
+
+impl Engine {
+    /// Sends a request and reads its complete, short response.
+    pub(super) async fn short_call(
+        &self, server: ServerId, request: &ServerRequest,
+    ) -> Result<(ResponseHead, Bytes), CallError> {
+        let (response, connection) = self.send(server, request).await?;
+        let (parts, body) = response.into_parts();
+        let body = Limited::new(body, MAX_SHORT_BODY).collect().await.map_err(|_| CallError::Reset)?;
+        let body = body.to_bytes();
+        self.recycle(server, connection);
+        Ok((ResponseHead { status: parts.status, headers: parts.headers }, body))
+    }
+
+    /// Reserves a slot for a request.
+    pub(super) async fn reserve_slot(&self, server: ServerId, payload: &Payload) -> Result<Reply, CallError> {
+        let request = lease_request(Method::POST, &payload.request_id)?;
+        let request = ServerRequest::new(RequestKind::ReserveSlot, request);
+        let answer = timeout(RESERVATION_TIMEOUT, self.short_call(server, &request)).await;
+        let (head, _) = answer.map_err(|_| CallError::Reset)??;
+        Ok(Reply::SlotReserved(match head.status.as_u16() {
+            200 => Some(true),
+            409 => Some(false),
+            _ => None,
+        }))
+    }
+
+    /// Asks a server for its load.
+    pub(super) async fn probe(&self, server: ServerId) -> Result<Reply, CallError> {
+        let request = ServerRequest::new(RequestKind::Probe, load_request()?);
+        self.0.counts.borrow_mut().probes += 1;
+        self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_sent(now));
+        let answer = timeout(PROBE_TIMEOUT, self.short_call(server, &request)).await;
+        if answer.is_err() {
+            self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+        }
+        let (head, body) = answer.map_err(|_| CallError::Reset)??;
+        let report = match load_report_of(&head.headers) {
+            Some(report) => Some(report),
+            None => std::str::from_utf8(&body).ok().and_then(load_report),
+        };
+        Ok(Reply::Probed { healthy: head.status == StatusCode::OK, report })
+    }
+}
--- a/gateway/src/engine/event_stream.rs
+++ b/gateway/src/engine/event_stream.rs
@@ -1,4 +1,4 @@
-//! The stream of one answer, as it comes in.
+//! The stream of one response, as it is read.
 
 use std::error::Error;
 use std::io;
@@ -9,66 +9,77 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-use super::events::{Events, Spoilt};
-use super::response_fields::Tail;
-use super::response_reader::Tap;
+use super::body_tap::BodyTap;
+use super::events::{EventBuffer, MalformedEvent};
+use super::response_fields::StreamTail;
 use crate::upstream::CallError;
 
-/// A stream of events that is coming in.
-pub(super) struct Stream {
-    pub body: Incoming,
-    pub events: Events,
-    pub tail: Tail,
-    /// Bytes of its body that have come.
-    pub read: u64,
-    pub tap: Rc<Tap>,
-    pub moving: watch::Receiver<bool>,
+/// A stream of events that is being read.
+pub(super) struct EventStream {
+    body: Incoming,
+    events: EventBuffer,
+    /// The last bytes of the stream so far.
+    pub tail: StreamTail,
+    /// Bytes of the body that were read.
+    read: u64,
+    tap: Rc<BodyTap>,
+    /// Whether the stream is to be handed over to the successor process.
+    handing_over: watch::Receiver<bool>,
 }
 
-/// How a stream goes on.
-pub(super) enum Next {
+/// One step of a stream.
+pub(super) enum StreamStep {
+    /// Complete events.
     Events(Bytes),
-    /// Its last chunk has come.
+    /// The last chunk has come.
     End,
-    /// All that was read of it has passed, and reading has stopped for another process to go on.
-    Stands,
+    /// All that was read has been returned, and reading has paused, so that the successor process can continue.
+    Paused,
 }
 
-impl Stream {
-    pub async fn next(&mut self) -> Result<Next, CallError> {
+impl EventStream {
+    /// A stream of which nothing was read.
+    pub fn new(body: Incoming, tap: Rc<BodyTap>, handing_over: watch::Receiver<bool>) -> Self {
+        let (events, tail) = (EventBuffer::default(), StreamTail::default());
+        EventStream { body, events, tail, read: 0, tap, handing_over }
+    }
+
+    /// The next step; nothing follows one that is not events.
+    pub async fn next(&mut self) -> Result<StreamStep, CallError> {
         loop {
             // Between two chunks, but never within an event.
-            let stop = *self.moving.borrow_and_update() && self.events.complete();
-            self.tap.stop(stop);
-            if stop && self.tap.stands(self.read) {
-                return Ok(Next::Stands);
+            let pausing = *self.handing_over.borrow_and_update() && self.events.is_complete();
+            self.tap.set_pausing(pausing);
+            if pausing && self.tap.is_paused_after(self.read) {
+                return Ok(StreamStep::Paused);
             }
             let frame = tokio::select! {
                 biased;
                 frame = self.body.frame() => frame,
                 // The sender lives as long as the engine does.
-                _ = self.moving.changed() => continue,
-                () = self.tap.reached() => continue,
+                _ = self.handing_over.changed() => continue,
+                () = self.tap.paused() => continue,
             };
             let Some(frame) = frame else { break };
-            if let Ok(data) = frame.map_err(|e| broken(&e))?.into_data() {
-                self.read += data.len() as u64;
-                if let Some(whole) = self.events.take(&data).map_err(|Spoilt| CallError::MalformedResponse)? {
-                    self.tail.add(&whole);
-                    return Ok(Next::Events(whole));
-                }
+            let frame = frame.map_err(|error| broken_response(&error))?;
+            let Ok(data) = frame.into_data() else { continue };
+            self.read += data.len() as u64;
+            let events = self.events.push(&data).map_err(|MalformedEvent| CallError::MalformedResponse)?;
+            if let Some(events) = events {
+                self.tail.push(&events);
+                return Ok(StreamStep::Events(events));
             }
         }
-        self.events.complete().then_some(Next::End).ok_or(CallError::MalformedResponse)
+        self.events.is_complete().then_some(StreamStep::End).ok_or(CallError::MalformedResponse)
     }
 }
 
-/// Whether an answer broke off or could not be read. Either way the request may have run.
-pub(super) fn broken(e: &hyper::Error) -> CallError {
-    let io = e.source().and_then(|s| s.downcast_ref::<io::Error>()).map(io::Error::kind);
-    match io {
+/// Whether a response broke off or could not be read. Either way the request may have run.
+pub(super) fn broken_response(error: &hyper::Error) -> CallError {
+    let cause = error.source().and_then(|source| source.downcast_ref::<io::Error>());
+    match cause.map(io::Error::kind) {
         Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput) => CallError::MalformedResponse,
-        _ if e.is_parse() => CallError::MalformedResponse,
+        _ if error.is_parse() => CallError::MalformedResponse,
         _ => CallError::Reset,
     }
 }
--- a/gateway/src/engine/events/mod.rs
+++ b/gateway/src/engine/events/mod.rs
@@ -1,89 +1,116 @@
-//! The events of a stream: only whole ones pass on, unchanged, and what is none is found out at its first bytes.
+//! The events of a stream: only complete ones are passed on, unchanged, and what is no event is found at its first bytes.
 
 use bytes::{Bytes, BytesMut};
 
 /// Most bytes of one event.
-const EVENT: usize = 256 << 10;
+const MAX_EVENT: usize = 256 << 10;
+
+/// The beginnings of the lines of an event.
 const FIELDS: [&[u8]; 5] = [b"data:", b"event:", b"id:", b"retry:", b":"];
 
 /// The bytes are no event, or one without an end.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Spoilt;
+pub struct MalformedEvent;
 
-/// What has come of a stream and was not passed on.
+/// The bytes of a stream that were not passed on, since their event is not complete.
 #[derive(Default)]
-pub struct Events {
-    held: BytesMut,
-    /// Bytes of `held` that were looked at, and where their last line began.
-    seen: usize,
-    line: usize,
-    /// Bytes of that line that were found to be text.
+pub struct EventBuffer {
+    bytes: BytesMut,
+    /// How many of the bytes were examined.
+    examined: usize,
+    /// Where the last line begins.
+    line_start: usize,
+    /// How many bytes of that line were found to be text.
     text: usize,
-    /// Bytes of `held` up to the end of the last whole event.
-    whole: usize,
-    /// An event with data has passed; a comment alone does not begin an answer.
-    begun: bool,
-    data: bool,
+    /// Where the last complete event ends.
+    events_end: usize,
+    /// Whether an event with data was passed on; a comment alone does not begin a response.
+    has_begun: bool,
+    /// Whether the event that is not complete has data.
+    has_data: bool,
+}
+
+/// Whether a line is complete, or more of it may come.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum LineState {
+    Complete,
+    Partial,
 }
 
-impl Events {
-    /// Of a stream whose first events have passed already.
+impl EventBuffer {
+    /// The buffer of a stream whose first events were passed on already.
     pub fn resumed() -> Self {
-        Events { begun: true, ..Events::default() }
+        EventBuffer { has_begun: true, ..EventBuffer::default() }
     }
 
-    /// Takes in bytes and gives back the events that are whole now.
-    pub fn take(&mut self, bytes: &Bytes) -> Result<Option<Bytes>, Spoilt> {
-        self.held.extend_from_slice(bytes);
-        while let Some(n) = self.held[self.seen..].iter().position(|b| *b == b'\n') {
-            let line = &self.held[self.line..self.seen + n];
-            let line = line.strip_suffix(b"\r").unwrap_or(line);
-            check(line, self.text, true)?;
-            self.data |= line.starts_with(b"data:");
-            self.seen += n + 1;
-            (self.line, self.text) = (self.seen, 0);
-            if line.is_empty() {
-                self.whole = self.seen;
-                self.begun |= std::mem::take(&mut self.data);
-            }
+    /// Adds bytes, and returns the events that are complete now.
+    pub fn push(&mut self, bytes: &Bytes) -> Result<Option<Bytes>, MalformedEvent> {
+        self.bytes.extend_from_slice(bytes);
+        while let Some(length) = self.bytes[self.examined..].iter().position(|byte| *byte == b'\n') {
+            self.end_line(self.examined + length)?;
         }
-        self.text = check(&self.held[self.line..], self.text, false)?;
-        self.seen = self.held.len();
-        if self.held.len() - self.whole > EVENT || !self.begun && self.held.len() > EVENT {
-            return Err(Spoilt);
+        self.text = check_line(&self.bytes[self.line_start..], self.text, LineState::Partial)?;
+        self.examined = self.bytes.len();
+        let incomplete = self.bytes.len() - self.events_end;
+        if incomplete > MAX_EVENT || !self.has_begun && self.bytes.len() > MAX_EVENT {
+            return Err(MalformedEvent);
         }
-        if self.whole == 0 || !self.begun {
+        if self.events_end == 0 || !self.has_begun {
             return Ok(None);
         }
-        let events = self.held.split_to(self.whole).freeze();
-        (self.seen, self.line, self.whole) = (self.seen - events.len(), self.line - events.len(), 0);
+        let events = self.bytes.split_to(self.events_end).freeze();
+        self.examined -= events.len();
+        self.line_start -= events.len();
+        self.events_end = 0;
         Ok(Some(events))
     }
 
+    /// Examines the line that ends with the line feed at `end`.
+    fn end_line(&mut self, end: usize) -> Result<(), MalformedEvent> {
+        let line = &self.bytes[self.line_start..end];
+        let line = line.strip_suffix(b"\r").unwrap_or(line);
+        check_line(line, self.text, LineState::Complete)?;
+        self.has_data |= line.starts_with(b"data:");
+        let is_event_end = line.is_empty();
+        self.examined = end + 1;
+        self.line_start = self.examined;
+        self.text = 0;
+        if is_event_end {
+            self.events_end = self.examined;
+            self.has_begun |= std::mem::take(&mut self.has_data);
+        }
+        Ok(())
+    }
+
     /// Whether the stream may end here.
-    pub fn complete(&self) -> bool {
-        self.begun && self.held.is_empty()
+    pub fn is_complete(&self) -> bool {
+        self.has_begun && self.bytes.is_empty()
     }
 }
 
-/// A line is empty or has the name of a field in front, and is text; of one that goes on, what is there must fit. Its first
-/// `known` bytes were found to be text before: a long line in small pieces is looked at once, since whatever this thread
-/// does for one stream all others wait for. Gives how many are known now.
-fn check(line: &[u8], known: usize, ended: bool) -> Result<usize, Spoilt> {
-    let fits = |field: &&[u8]| line.starts_with(field) || !ended && field.starts_with(line);
-    let rest = if ended { line } else { line.strip_suffix(b"\r").unwrap_or(line) };
+/// Checks that a line is empty, or begins with the name of a field and is text; of a partial line, what is there must fit.
+///
+/// Its first `known` bytes were found to be text before: a long line in small pieces is examined once, since all other
+/// streams wait for what this thread does for one. Returns how many bytes are known now.
+fn check_line(line: &[u8], known: usize, state: LineState) -> Result<usize, MalformedEvent> {
+    let is_partial = state == LineState::Partial;
+    // The end of a partial line may be the first half of its line ending.
+    let content = if is_partial { line.strip_suffix(b"\r").unwrap_or(line) } else { line };
     let text = match std::str::from_utf8(&line[known..]) {
         Ok(_) => Some(line.len()),
         // A character may be cut where the line goes on.
-        Err(e) => (!ended && e.error_len().is_none()).then_some(known + e.valid_up_to()),
+        Err(error) => (is_partial && error.error_len().is_none()).then_some(known + error.valid_up_to()),
     };
-    let control = |b: &u8| b.is_ascii_control() && *b != b'\t';
-    let fine = FIELDS.iter().any(fits) && !rest[known..].iter().any(control);
+    if content.is_empty() {
+        return Ok(0);
+    }
+    let fits = |field: &&[u8]| line.starts_with(field) || is_partial && field.starts_with(line);
+    let is_control = |byte: &u8| byte.is_ascii_control() && *byte != b'\t';
     match text {
-        _ if rest.is_empty() => Ok(0),
-        // The end of a line may yet be none.
-        Some(text) if fine => Ok(text.min(rest.len())),
-        _ => Err(Spoilt),
+        Some(text) if FIELDS.iter().any(fits) && !content[known..].iter().any(is_control) => {
+            Ok(text.min(content.len()))
+        }
+        _ => Err(MalformedEvent),
     }
 }
 
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -1,122 +1,140 @@
-//! Signs that a server, and the way to it, is well at this moment.
+//! Verification that a server, and the network path to it, responds now.
 //!
-//! An open connection may fall silent with no error, and bytes that are handed to the machine may never arrive. Before
-//! something that is held is staked on a connection, the connection answers a probe; after that, the server answers one.
+//! An open connection may fall silent with no error, and bytes that were handed to the kernel may never be delivered. Before
+//! an attempt that a lease waits for is written to a connection, the connection answers a probe; after that, the server
+//! answers one.
 
 use std::time::Duration;
 
+use glenrail_router::ServerId;
 use http::Method;
 use http_body_util::{BodyExt, Limited};
 use tokio::time::{timeout, Instant};
 
-use glenrail_router::ServerId;
-
-use super::connection::{Connection, Verdict};
+use super::connection::{Connection, SendFailure};
+use super::control_calls::MAX_SHORT_BODY;
 use super::requests::{lease_request, load_request};
-use super::{Ask, Asked, Engine, BRIEF};
+use super::server_request::{RequestKind, ServerRequest};
+use super::Engine;
 use crate::log;
 use crate::upstream::{CallError, Reply};
 
 /// A server that is well answers a probe within this time.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(80);
-/// A wait that lasted this much longer than it was to says that this process was held up, not that the server is silent.
-const HELD_UP: Duration = Duration::from_millis(30);
-/// Waits that may be repeated since this process was held up.
-const REPEATS: usize = 2;
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
+
+/// A wait that lasted this much longer than it should says that this process was stalled, not that the server is
+/// unresponsive.
+const STALL_THRESHOLD: Duration = Duration::from_millis(30);
+
+/// Waits that may be repeated since this process was stalled.
+const MAX_REPEATED_WAITS: usize = 2;
 
 /// Why a connection is not to be written to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unconfirmed {
+pub(super) enum Unverified {
     /// It has ended.
     Broken,
-    /// It stands, and gave no answer.
-    Silent,
+    /// It is open, and gave no answer.
+    Unresponsive,
     /// The time left was too short for an answer.
     NoTime,
-    /// The server has to get nothing.
-    KeptBack,
+    /// The server must receive nothing.
+    Withheld,
 }
 
-impl From<Unconfirmed> for CallError {
-    fn from(unconfirmed: Unconfirmed) -> CallError {
-        match unconfirmed {
-            // Nothing of a request went out.
-            Unconfirmed::Broken | Unconfirmed::Silent => CallError::ConnectFailed,
-            Unconfirmed::NoTime | Unconfirmed::KeptBack => CallError::NotSent,
+impl From<Unverified> for CallError {
+    fn from(unverified: Unverified) -> CallError {
+        match unverified {
+            // Nothing of a request was written.
+            Unverified::Broken | Unverified::Unresponsive => CallError::ConnectFailed,
+            Unverified::NoTime | Unverified::Withheld => CallError::NotSent,
         }
     }
 }
 
 impl Engine {
-    /// Has this connection answer a probe, by `by`.
-    pub(super) async fn confirm(
-        &self, server: ServerId, connection: &mut Connection, by: Option<Instant>,
-    ) -> Result<(), Unconfirmed> {
+    /// Verifies that this connection answers a probe, by the deadline.
+    pub(super) async fn verify_connection(
+        &self, server: ServerId, connection: &mut Connection, deadline: Option<Instant>,
+    ) -> Result<(), Unverified> {
         self.0.counts.borrow_mut().probes += 1;
-        let left = by.map_or(ANSWERS_WITHIN, |by| by.saturating_duration_since(Instant::now()));
-        let wait = left.min(ANSWERS_WITHIN);
+        let wait = match deadline {
+            Some(deadline) => deadline.saturating_duration_since(Instant::now()).min(ANSWER_TIMEOUT),
+            None => ANSWER_TIMEOUT,
+        };
         let answer = self.probe_on(server, connection);
         tokio::pin!(answer);
-        let mut repeats = REPEATS;
+        let mut repeated_waits = 0;
         loop {
-            let began = Instant::now();
-            match timeout(wait, &mut answer).await {
-                Ok(Ok(())) => {
-                    self.0.places.borrow_mut().note(server, |reach, now| reach.answered(now));
-                    return Ok(());
-                }
-                Ok(Err(unconfirmed)) => return Err(unconfirmed),
-                Err(_) if began.elapsed() > wait + HELD_UP && repeats > 0 => repeats -= 1,
-                Err(_) if wait < ANSWERS_WITHIN / 2 => return Err(Unconfirmed::NoTime),
-                Err(_) => {
-                    self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
-                    log!("a connection to server {:x} stands and is silent", server.0);
-                    // Those that stood beside it are not tried one after the other.
-                    if let Some(place) = self.0.places.borrow_mut().get_mut(server) {
-                        place.idle.clear();
-                    }
-                    return Err(Unconfirmed::Silent);
-                }
+            let started = Instant::now();
+            if let Ok(answer) = timeout(wait, &mut answer).await {
+                answer?;
+                self.0.servers.borrow_mut().record(server, |reachability, now| reachability.answered(now));
+                return Ok(());
             }
+            let was_stalled = started.elapsed() > wait + STALL_THRESHOLD;
+            if was_stalled && repeated_waits < MAX_REPEATED_WAITS {
+                repeated_waits += 1;
+                continue;
+            }
+            if wait < ANSWER_TIMEOUT / 2 {
+                return Err(Unverified::NoTime);
+            }
+            self.record_unresponsive(server);
+            return Err(Unverified::Unresponsive);
         }
     }
 
-    /// Sends a probe on a connection that is free, and takes in its answer.
-    async fn probe_on(&self, server: ServerId, connection: &mut Connection) -> Result<(), Unconfirmed> {
-        if !connection.may_write(self.may_get(server, &connection.peer, Ask::Probe)) {
-            return Err(Unconfirmed::KeptBack);
+    fn record_unresponsive(&self, server: ServerId) {
+        self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+        log!("a connection to server {:x} stands and is silent", server.0);
+        // The other idle connections to it are not tried one after the other.
+        self.close_idle_of(server);
+    }
+
+    /// Sends a probe on a connection that is free, and reads its response.
+    async fn probe_on(&self, server: ServerId, connection: &mut Connection) -> Result<(), Unverified> {
+        if !connection.may_write(self.may_receive(server, &connection.peer, RequestKind::Probe)) {
+            return Err(Unverified::Withheld);
         }
-        let request = load_request().map_err(|_| Unconfirmed::KeptBack)?;
+        let request = load_request().map_err(|_| Unverified::Withheld)?;
         let response = match connection.send(request, || true).await {
             Ok(response) => response,
-            Err(Verdict::KeptBack) => return Err(Unconfirmed::KeptBack),
-            Err(_) => return Err(Unconfirmed::Broken),
+            Err(SendFailure::Withheld) => return Err(Unverified::Withheld),
+            Err(_) => return Err(Unverified::Broken),
         };
-        let body = Limited::new(response.into_body(), BRIEF).collect().await;
-        let free = body.is_ok() && connection.ended(true) && connection.sender.ready().await.is_ok();
-        free.then_some(()).ok_or(Unconfirmed::Broken)
+        let body = Limited::new(response.into_body(), MAX_SHORT_BODY).collect().await;
+        let is_free =
+            body.is_ok() && connection.finish_response(true) && connection.sender.ready().await.is_ok();
+        is_free.then_some(()).ok_or(Unverified::Broken)
     }
 
-    /// A sign of this server that is younger than this call: an answer, or a new connection where there is nothing to ask.
-    pub(super) async fn check(&self, server: ServerId, ended: Option<&str>) -> Result<Reply, CallError> {
-        let asked = match (self.0.limits.probes, ended) {
-            (true, _) => Some(Asked::aside(Ask::Probe, load_request()?)),
-            (false, Some(name)) => Some(Asked::aside(Ask::Release, lease_request(Method::DELETE, name)?)),
+    /// Verifies that a server responds after this call: to a probe, to the release of a finished request where it may not be
+    /// probed, or to a new connection where there is neither.
+    pub(super) async fn verify_reachable(
+        &self, server: ServerId, finished_request: Option<&str>,
+    ) -> Result<Reply, CallError> {
+        let request = match (self.0.limits.probes, finished_request) {
+            (true, _) => Some(ServerRequest::new(RequestKind::Probe, load_request()?)),
+            (false, Some(name)) => {
+                let request = lease_request(Method::DELETE, name)?;
+                Some(ServerRequest::new(RequestKind::Release, request))
+            }
             (false, None) => None,
         };
-        let checked = async {
-            if let Some(asked) = &asked {
-                self.0.counts.borrow_mut().probes += u64::from(asked.what == Ask::Probe);
-                return self.brief(server, asked).await.map(drop);
+        let verified = async {
+            if let Some(request) = &request {
+                self.0.counts.borrow_mut().probes += u64::from(request.kind == RequestKind::Probe);
+                return self.short_call(server, request).await.map(drop);
             }
-            let connection = self.opened(server, Ask::Probe, None).await?;
-            self.stand_idle(server, connection);
+            let connection = self.open_counted(server, RequestKind::Probe, None).await?;
+            self.add_idle(server, connection);
             Ok(())
         };
-        match timeout(ANSWERS_WITHIN, checked).await {
-            Ok(checked) => checked.map(|()| Reply::Done),
+        match timeout(ANSWER_TIMEOUT, verified).await {
+            Ok(verified) => verified.map(|()| Reply::Done),
             Err(_) => {
-                self.0.places.borrow_mut().note(server, |reach, now| reach.query_lost(now));
+                self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
                 Err(CallError::ConnectFailed)
             }
         }
--- /dev/null
+++ b/gateway/src/engine/pool.rs
@@ -0,0 +1,148 @@
+//! The pool of connections: idle ones are reused, and closed after their idle time.
+
+use std::time::Duration;
+
+use glenrail_router::ServerId;
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::task::spawn_local;
+use tokio::time::{sleep_until, timeout, Instant};
+
+use super::connection::{Connection, Peer};
+use super::server_request::RequestKind;
+use super::Engine;
+use crate::upstream::CallError;
+
+/// A connection whose response has been read is free for the next request within this time, or it is closed.
+const REUSE_TIMEOUT: Duration = Duration::from_millis(100);
+
+impl Engine {
+    /// Whether the list says that a server receives new requests.
+    pub(super) fn is_serving(&self, server: ServerId) -> bool {
+        self.0.servers.borrow().get(server).is_some_and(|record| record.is_serving)
+    }
+
+    /// Whether a server may receive this over a connection that leads there, by what the list says now.
+    pub(super) fn may_receive(&self, server: ServerId, peer: &Peer, kind: RequestKind) -> bool {
+        // Any server that runs accepts a release, also one that has left the list.
+        if kind == RequestKind::Release {
+            return true;
+        }
+        let servers = self.0.servers.borrow();
+        let Some(record) = servers.get(server) else { return false };
+        record.peer.address == peer.address && (record.is_serving || kind.allowed_while_draining())
+    }
+
+    /// An idle connection that can be used.
+    pub(super) fn take_idle(&self, server: ServerId) -> Option<Connection> {
+        let mut servers = self.0.servers.borrow_mut();
+        let record = servers.get_mut(server)?;
+        while let Some((idle_since, mut connection)) = record.idle.pop() {
+            // The task that closes old ones may not have run yet.
+            if idle_since.elapsed() < self.0.limits.idle && connection.is_usable() {
+                return Some(connection);
+            }
+        }
+        None
+    }
+
+    /// Closes the idle connections to a server.
+    pub(super) fn close_idle_of(&self, server: ServerId) {
+        if let Some(record) = self.0.servers.borrow_mut().get_mut(server) {
+            record.idle.clear();
+        }
+    }
+
+    /// Opens a connection for a request of this kind, and counts it.
+    pub(super) async fn open_counted(
+        &self, server: ServerId, kind: RequestKind, deadline: Option<Instant>,
+    ) -> Result<Connection, CallError> {
+        let opened = self.open(server, deadline).await;
+        let mut counts = self.0.counts.borrow_mut();
+        match (&opened, kind) {
+            (Err(_), _) => counts.not_opened += 1,
+            (Ok(_), RequestKind::Attempt) => counts.opened.attempt += 1,
+            (Ok(_), RequestKind::ReserveSlot) => counts.opened.hold += 1,
+            (Ok(_), RequestKind::Probe) => counts.opened.probe += 1,
+            (Ok(_), RequestKind::Release) => counts.opened.release += 1,
+        }
+        opened
+    }
+
+    async fn open(&self, server: ServerId, deadline: Option<Instant>) -> Result<Connection, CallError> {
+        let usual = self.0.limits.connect_timeout;
+        let limit = match deadline {
+            Some(deadline) => usual.min(deadline.saturating_duration_since(Instant::now())),
+            None => usual,
+        };
+        let peer = self.0.servers.borrow().get(server).map(|record| record.peer.clone());
+        let peer = peer.ok_or(CallError::NotSent)?;
+        // Without a slot nothing is known of the server: the lack is here.
+        let slot = self.acquire_slot().ok_or(CallError::NotSent)?;
+        match timeout(limit, Connection::open(peer, slot)).await {
+            Ok(Ok(connection)) => Ok(connection),
+            // So short a time says nothing about the server.
+            Err(_) if limit < usual / 2 => Err(CallError::NotSent),
+            _ => {
+                self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+                Err(CallError::ConnectFailed)
+            }
+        }
+    }
+
+    /// A slot for one more connection; where there is none, all idle connections are closed for it.
+    fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
+        if let Ok(slot) = self.0.connection_slots.clone().try_acquire_owned() {
+            return Some(slot);
+        }
+        self.close_idle();
+        self.0.connection_slots.clone().try_acquire_owned().ok()
+    }
+
+    /// Returns a connection to the pool once its last response has been read.
+    pub(super) fn recycle(&self, server: ServerId, mut connection: Connection) {
+        if !connection.finish_response(self.is_serving(server)) {
+            return;
+        }
+        let engine = self.clone();
+        spawn_local(async move {
+            if timeout(REUSE_TIMEOUT, connection.sender.ready()).await.is_ok_and(|ready| ready.is_ok()) {
+                engine.add_idle(server, connection);
+            }
+        });
+    }
+
+    /// Adds a connection that carries nothing to the pool.
+    pub(super) fn add_idle(&self, server: ServerId, connection: Connection) {
+        {
+            let mut servers = self.0.servers.borrow_mut();
+            let Some(record) = servers.get_mut(server) else { return };
+            // The list may have said meanwhile that the server is at another address now.
+            if !record.is_serving || record.peer != connection.peer {
+                return;
+            }
+            record.idle.push((Instant::now(), connection));
+        }
+        self.reap_idle();
+    }
+
+    /// Closes connections that were idle for too long, for as long as there are any. One task does so for all: one for
+    /// each connection that was returned used memory with rate times idle time.
+    fn reap_idle(&self) {
+        if self.0.is_reaping.replace(true) {
+            return;
+        }
+        let engine = self.clone();
+        spawn_local(async move {
+            let limit = engine.0.limits.idle;
+            loop {
+                let Some(oldest) = engine.0.servers.borrow().oldest_idle() else { break };
+                sleep_until(oldest + limit).await;
+                let now = Instant::now();
+                for record in engine.0.servers.borrow_mut().values_mut() {
+                    record.idle.retain(|(idle_since, _)| *idle_since + limit > now);
+                }
+            }
+            engine.0.is_reaping.set(false);
+        });
+    }
+}
--- a/gateway/src/engine/requests.rs
+++ b/gateway/src/engine/requests.rs
@@ -9,59 +9,73 @@
 use crate::exchange::Payload;
 use crate::upstream::CallError;
 
-const REQ_ID: HeaderName = HeaderName::from_static("req-id");
-const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
+/// The header with the request's id.
+const REQUEST_ID: HeaderName = HeaderName::from_static("req-id");
 
-/// Method, path, query, body and headers as they came; only what belongs to one connection is left out, and the time that
-/// is left ([`tell_left`]).
+/// The header with the time for which the gateway still waits, in seconds.
+const REMAINING_TIME: HeaderName = HeaderName::from_static("req-deadline");
+
+/// The host that a server is addressed by, unless the client names one.
+const HOST: &str = "api.internal";
+
+/// Headers that are not forwarded: they belong to one connection, or the gateway sets them.
+const NOT_FORWARDED: [HeaderName; 8] = [
+    header::CONNECTION,
+    header::TRANSFER_ENCODING,
+    header::CONTENT_LENGTH,
+    header::EXPECT,
+    header::UPGRADE,
+    header::TE,
+    REMAINING_TIME,
+    REQUEST_ID,
+];
+
+/// The request of an attempt: method, path, query, body and headers as they came, without what belongs to one connection;
+/// the time that remains is added last ([`set_remaining_time`]).
 pub(super) fn attempt_request(payload: &Payload) -> Request<Bytes> {
+    let mut request = Request::new(payload.body.clone());
+    *request.method_mut() = payload.method.clone();
+    // A client may name the whole target; a server that is no proxy is asked for path and query.
+    *request.uri_mut() = payload.uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from);
+    *request.headers_mut() = attempt_headers(payload);
+    request
+}
+
+fn attempt_headers(payload: &Payload) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in &payload.headers {
-        let own = [
-            header::CONNECTION,
-            header::TRANSFER_ENCODING,
-            header::CONTENT_LENGTH,
-            header::EXPECT,
-            header::UPGRADE,
-            header::TE,
-            REQ_DEADLINE,
-            REQ_ID,
-        ];
-        if !own.contains(name) && name.as_str() != "keep-alive" {
+        if !NOT_FORWARDED.contains(name) && name.as_str() != "keep-alive" {
             headers.append(name.clone(), value.clone());
         }
     }
-    let number = |n: String| HeaderValue::from_str(&n).unwrap_or(HeaderValue::from_static("0"));
-    headers.insert(header::CONTENT_LENGTH, number(payload.body.len().to_string()));
-    if let Ok(name) = HeaderValue::from_str(&payload.request_id) {
-        headers.insert(REQ_ID, name);
+    let length = payload.body.len().to_string();
+    let length = HeaderValue::from_str(&length).unwrap_or(HeaderValue::from_static("0"));
+    headers.insert(header::CONTENT_LENGTH, length);
+    if let Ok(request_id) = HeaderValue::from_str(&payload.request_id) {
+        headers.insert(REQUEST_ID, request_id);
     }
-    headers.entry(header::HOST).or_insert(HeaderValue::from_static("api.internal"));
-    let mut request = Request::new(payload.body.clone());
-    *request.method_mut() = payload.method.clone();
-    // A client may name the whole target; a server that is no proxy is asked for path and query.
-    *request.uri_mut() = payload.uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from);
-    *request.headers_mut() = headers;
-    request
+    headers.entry(header::HOST).or_insert(HeaderValue::from_static(HOST));
+    headers
 }
 
-/// Says how long the gateway still waits, as the request is about to be written: dialling may take most of that time.
-pub(super) fn tell_left(request: &mut Request<Bytes>, left: Duration) {
-    let left = HeaderValue::from_str(&format!("{:.3}", left.as_secs_f64()));
-    request.headers_mut().extend(left.ok().map(|v| (REQ_DEADLINE, v)));
+/// States for how long the gateway still waits, when the request is about to be written: connecting may take most of that
+/// time.
+pub(super) fn set_remaining_time(request: &mut Request<Bytes>, remaining: Duration) {
+    let seconds = HeaderValue::from_str(&format!("{:.3}", remaining.as_secs_f64()));
+    request.headers_mut().extend(seconds.ok().map(|seconds| (REMAINING_TIME, seconds)));
 }
 
-fn plain_request(method: Method, path: &str) -> Result<Request<Bytes>, CallError> {
-    let request = Request::builder().method(method).uri(path).header(header::HOST, "api.internal");
+fn empty_request(method: Method, path: &str) -> Result<Request<Bytes>, CallError> {
+    let request = Request::builder().method(method).uri(path).header(header::HOST, HOST);
     request.header(header::CONTENT_LENGTH, "0").body(Bytes::new()).map_err(|_| CallError::NotSent)
 }
 
 /// Asks a server for its load: a probe.
 pub(super) fn load_request() -> Result<Request<Bytes>, CallError> {
-    plain_request(Method::GET, "/status/load")
+    empty_request(Method::GET, "/status/load")
 }
 
-/// About what is held for the request of this name.
-pub(super) fn lease_request(method: Method, name: &str) -> Result<Request<Bytes>, CallError> {
-    plain_request(method, &format!("/kv/leases/{name}"))
+/// Reserves (POST) or releases (DELETE) what a server holds for the request of this id.
+pub(super) fn lease_request(method: Method, request_id: &str) -> Result<Request<Bytes>, CallError> {
+    empty_request(method, &format!("/kv/leases/{request_id}"))
 }
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -1,265 +1,216 @@
-//! What a server says, as hyper reads it: the head of an answer passes once it is whole, and the interim answers
-//! in front of it are left out. hyper would take a 101 for an upgrade, and has no bound in time for a head.
+//! What a server sends, as hyper reads it: the head of a response is passed on once it is complete, without the interim
+//! responses before it. hyper would take a 101 for an upgrade, and has no time limit for a head.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::future::Future;
 use std::io;
 use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{ready, Context, Poll, Waker};
+use std::task::{ready, Context, Poll};
 use std::time::Duration;
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::sync::Notify;
 use tokio::time::{sleep, Sleep};
 
-use crate::chunk_position::ChunkPosition;
+use super::body_tap::BodyTap;
+use super::write_gate::WriteGate;
 use crate::counted_socket::CountedSocket;
 
-/// Most bytes of a head, and of all interim answers in front of it.
-const HEAD: usize = 16 << 10;
-const HEADERS: usize = 100;
-/// A head that has begun must be whole so soon.
-const HALF_HEAD: Duration = Duration::from_secs(1);
+/// Most bytes of a head, together with all interim responses before it.
+const MAX_HEAD: usize = 16 << 10;
 
-/// The chunked body of the answer under way, as it passes to hyper: reading can be stopped between two chunks.
-#[derive(Default)]
-pub struct Tap {
-    /// Where the framing stands after all that was passed on; `None` where the body has no chunks.
-    chunks: Cell<Option<ChunkPosition>>,
-    /// Bytes of data among what was passed on.
-    data: Cell<u64>,
-    stop: Cell<bool>,
-    /// Read and not passed on, since reading is to stop.
-    pub ahead: RefCell<Vec<u8>>,
-    stopped: RefCell<Option<Waker>>,
-    /// Told each time that reading stops: the end of a chunk alone brings no data that would tell.
-    reached: Notify,
-}
-
-impl Tap {
-    /// Stops reading when the chunk under way has ended, or goes on.
-    pub fn stop(&self, stop: bool) {
-        if self.stop.replace(stop) && !stop {
-            if let Some(waker) = self.stopped.take() {
-                waker.wake();
-            }
-        }
-    }
-
-    /// Whether reading has stopped between two chunks, with so many bytes of data passed on.
-    pub fn stands(&self, data: u64) -> bool {
-        self.stop.get() && self.data.get() == data && self.between()
-    }
+/// Most headers of a head.
+const MAX_HEADERS: usize = 100;
 
-    /// Until reading has stopped.
-    pub async fn reached(&self) {
-        self.reached.notified().await;
-    }
+/// A head that has begun must be complete within this time.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-    fn between(&self) -> bool {
-        self.chunks.get().is_some_and(|c| c.between())
-    }
-
-    fn begin(&self, chunked: bool) {
-        self.chunks.set(chunked.then(ChunkPosition::default));
-        self.data.set(0);
-        self.stop(false);
-    }
-
-    /// Notes what is passed on of these bytes, and how many they are.
-    fn note(&self, bytes: &[u8]) -> usize {
-        let Some(mut chunks) = self.chunks.get() else { return bytes.len() };
-        let mut data = self.data.get();
-        let read = chunks.read(bytes, self.stop.get(), |d| data += d.len() as u64);
-        self.data.set(data);
-        // What hyper cannot read either is its to tell; the stream is only not to be moved any more.
-        self.chunks.set(read.is_ok().then_some(chunks));
-        match read {
-            Ok(read) if !chunks.ended() => read,
-            _ => bytes.len(),
-        }
-    }
-}
+/// Bytes read at once where they are not read into hyper's buffer.
+const READ_SIZE: usize = 4096;
 
-/// What has to hold in the moment in which the first byte of a request goes out. Whoever sends it asks before, but other
-/// tasks have turns between that and the write, and the network does not wait.
-#[derive(Default)]
-pub struct Gate {
-    clear: RefCell<Option<Box<dyn Fn() -> bool>>>,
-    kept_back: Cell<bool>,
+/// A connection's socket, as hyper reads and writes it.
+pub struct ResponseReader {
+    socket: CountedSocket,
+    gate: Rc<WriteGate>,
+    /// Whether a request was sent, and the head of its response has not come.
+    awaiting_head: Rc<Cell<bool>>,
+    /// Bytes that were read and not passed on.
+    buffered: Vec<u8>,
+    /// How many of the buffered bytes may be passed on.
+    passable: usize,
+    /// Bytes of the interim responses so far.
+    interim: usize,
+    /// The time limit of a head that has begun.
+    head_timeout: Option<Pin<Box<Sleep>>>,
+    tap: Rc<BodyTap>,
 }
 
-impl Gate {
-    /// Has this asked before the next byte goes out.
-    pub fn set(&self, clear: impl Fn() -> bool + 'static) {
-        self.kept_back.set(false);
-        self.clear.replace(Some(Box::new(clear)));
-    }
-
-    /// Whether it said no, so that nothing was written.
-    pub fn kept_back(&self) -> bool {
-        self.kept_back.get()
-    }
-
-    /// `quiet`: the server has said nothing since its last answer, and has not closed.
-    fn check(&self, quiet: impl FnOnce() -> bool) -> io::Result<()> {
-        let clear = self.clear.borrow();
-        let Some(clear) = clear.as_ref() else { return Ok(()) };
-        if !clear() {
-            self.kept_back.set(true);
-            return Err(io::Error::other("not to be sent any more"));
-        }
-        if !quiet() {
-            return Err(io::Error::other("closed, or an answer before its request"));
-        }
-        Ok(())
-    }
+fn malformed(detail: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, detail)
 }
 
-pub struct ResponseReader {
-    wire: CountedSocket,
-    gate: Rc<Gate>,
-    /// A request was sent, and the head of its answer has not come.
-    awaited: Rc<Cell<bool>>,
-    /// Read and not passed on; so many bytes of it may be.
-    ahead: Vec<u8>,
-    cleared: usize,
-    interim: usize,
-    begun: Option<Pin<Box<Sleep>>>,
-    tap: Rc<Tap>,
+/// Whether a response's body is framed in chunks.
+fn is_chunked(response: &httparse::Response<'_, '_>) -> bool {
+    response.headers.iter().any(|header| {
+        header.name.eq_ignore_ascii_case("transfer-encoding") && header.value.eq_ignore_ascii_case(b"chunked")
+    })
 }
 
-fn unreadable(what: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+/// Reads what the socket has, without clearing memory for it.
+fn poll_read_into(
+    socket: &mut CountedSocket, context: &mut Context<'_>, bytes: &mut Vec<u8>,
+) -> Poll<io::Result<usize>> {
+    let mut space = [MaybeUninit::uninit(); READ_SIZE];
+    let mut part = ReadBuf::uninit(&mut space);
+    ready!(Pin::new(socket).poll_read(context, &mut part))?;
+    bytes.extend_from_slice(part.filled());
+    Poll::Ready(Ok(part.filled().len()))
 }
 
 impl ResponseReader {
-    pub fn new(wire: CountedSocket, gate: Rc<Gate>, awaited: Rc<Cell<bool>>, tap: Rc<Tap>) -> Self {
-        ResponseReader { wire, gate, awaited, ahead: Vec::new(), cleared: 0, interim: 0, begun: None, tap }
+    /// A reader of a connection on which no request was sent yet.
+    pub fn new(
+        socket: CountedSocket, gate: Rc<WriteGate>, awaiting_head: Rc<Cell<bool>>, tap: Rc<BodyTap>,
+    ) -> Self {
+        let (buffered, head_timeout) = (Vec::new(), None);
+        ResponseReader { socket, gate, awaiting_head, buffered, passable: 0, interim: 0, head_timeout, tap }
     }
 
-    /// Looks for a final head in what has been read; without one, more has to come.
-    fn examine(&mut self) -> io::Result<bool> {
+    /// Looks for a final head in what is buffered, and drops interim responses; false if more has to come.
+    fn find_head(&mut self) -> io::Result<bool> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut response = httparse::Response::new(&mut headers);
-            match response.parse(&self.ahead) {
+            match response.parse(&self.buffered) {
                 Ok(httparse::Status::Complete(size)) if matches!(response.code, Some(100..=199)) => {
-                    self.ahead.drain(..size);
+                    self.buffered.drain(..size);
                     self.interim += size;
                 }
                 Ok(httparse::Status::Complete(size)) => {
-                    let chunked = |h: &&httparse::Header| {
-                        h.name.eq_ignore_ascii_case("transfer-encoding")
-                            && h.value.eq_ignore_ascii_case(b"chunked")
-                    };
-                    self.tap.begin(response.headers.iter().find(chunked).is_some());
-                    self.tap.note(&self.ahead[size..]);
-                    (self.cleared, self.interim, self.begun) = (self.ahead.len(), 0, None);
-                    self.awaited.set(false);
+                    self.tap.begin(is_chunked(&response));
+                    self.tap.pass_on(&self.buffered[size..]);
+                    self.passable = self.buffered.len();
+                    self.interim = 0;
+                    self.head_timeout = None;
+                    self.awaiting_head.set(false);
                     return Ok(true);
                 }
-                Ok(httparse::Status::Partial) if self.ahead.len() + self.interim < HEAD => return Ok(false),
-                Ok(httparse::Status::Partial) => return Err(unreadable("a head does not end")),
-                Err(_) => return Err(unreadable("no head of an answer")),
+                Ok(httparse::Status::Partial) if self.buffered.len() + self.interim < MAX_HEAD => {
+                    return Ok(false);
+                }
+                Ok(httparse::Status::Partial) => return Err(malformed("a head does not end")),
+                Err(_) => return Err(malformed("no head of an answer")),
             }
         }
     }
-}
 
-impl ResponseReader {
-    /// Writes where the gate lets it; what is out has passed it.
-    fn poll_out(
-        &mut self, write: impl FnOnce(Pin<&mut CountedSocket>) -> Poll<io::Result<usize>>,
-    ) -> Poll<io::Result<usize>> {
-        self.gate.check(|| self.ahead.is_empty() && self.wire.is_quiet())?;
-        let written = write(Pin::new(&mut self.wire));
-        if matches!(written, Poll::Ready(Ok(1..))) {
-            self.gate.clear.take();
+    /// Reads until a final head has come; false at the end of what the server sends.
+    fn poll_head(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
+        loop {
+            let Poll::Ready(read) = poll_read_into(&mut self.socket, context, &mut self.buffered)? else {
+                let has_begun = !self.buffered.is_empty();
+                let Some(timeout) = self.head_timeout.as_mut().filter(|_| has_begun) else {
+                    return Poll::Pending;
+                };
+                ready!(timeout.as_mut().poll(context));
+                return Poll::Ready(Err(malformed("a head does not end in time")));
+            };
+            if read == 0 {
+                return Poll::Ready(Ok(false));
+            }
+            if self.find_head()? {
+                return Poll::Ready(Ok(true));
+            }
+            if self.head_timeout.is_none() {
+                self.head_timeout = Some(Box::pin(sleep(HEAD_TIMEOUT)));
+            }
         }
-        written
     }
 
-    fn poll_body(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    /// Passes buffered bytes on.
+    fn pass_buffered(&mut self, buffer: &mut ReadBuf<'_>) {
+        let count = self.passable.min(buffer.remaining());
+        buffer.put_slice(&self.buffered[..count]);
+        self.buffered.drain(..count);
+        self.passable -= count;
+    }
+
+    /// Reads the body, as far as the tap lets it.
+    fn poll_body(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let tap = self.tap.clone();
-        if tap.stop.get() && tap.between() {
-            tap.stopped.replace(Some(cx.waker().clone()));
-            tap.reached.notify_one();
+        if tap.poll_paused(context) {
             return Poll::Pending;
         }
-        let mut ahead = tap.ahead.borrow_mut();
-        if !tap.stop.get() && ahead.is_empty() {
-            let before = buf.filled().len();
-            ready!(Pin::new(&mut self.wire).poll_read(cx, buf))?;
-            tap.note(&buf.filled()[before..]);
+        let mut read_ahead = tap.read_ahead.borrow_mut();
+        if !tap.is_pausing() && read_ahead.is_empty() {
+            let before = buffer.filled().len();
+            ready!(Pin::new(&mut self.socket).poll_read(context, buffer))?;
+            tap.pass_on(&buffer.filled()[before..]);
             return Poll::Ready(Ok(()));
         }
-        if ahead.is_empty() {
-            let mut space = [MaybeUninit::uninit(); 4096];
-            let mut part = ReadBuf::uninit(&mut space);
-            ready!(Pin::new(&mut self.wire).poll_read(cx, &mut part))?;
-            ahead.extend_from_slice(part.filled());
+        if read_ahead.is_empty() {
+            ready!(poll_read_into(&mut self.socket, context, &mut read_ahead))?;
         }
-        let most = ahead.len().min(buf.remaining());
-        let n = tap.note(&ahead[..most]);
-        buf.put_slice(&ahead[..n]);
-        ahead.drain(..n);
+        let available = read_ahead.len().min(buffer.remaining());
+        let count = tap.pass_on(&read_ahead[..available]);
+        buffer.put_slice(&read_ahead[..count]);
+        read_ahead.drain(..count);
         Poll::Ready(Ok(()))
     }
+
+    /// Writes where the gate lets it; after the first byte it is open.
+    fn poll_gated(
+        &mut self, write: impl FnOnce(Pin<&mut CountedSocket>) -> Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
+        self.gate.check(|| self.buffered.is_empty() && self.socket.is_quiet())?;
+        let written = write(Pin::new(&mut self.socket));
+        if matches!(written, Poll::Ready(Ok(1..))) {
+            self.gate.disarm();
+        }
+        written
+    }
 }
 
 impl AsyncRead for ResponseReader {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let me = self.get_mut();
-        loop {
-            if me.cleared > 0 {
-                let n = me.cleared.min(buf.remaining());
-                buf.put_slice(&me.ahead[..n]);
-                me.ahead.drain(..n);
-                me.cleared -= n;
-                return Poll::Ready(Ok(()));
-            }
-            if !me.awaited.get() {
-                me.ahead = Vec::new();
-                return me.poll_body(cx, buf);
-            }
-            let mut space = [MaybeUninit::uninit(); 4096];
-            let mut part = ReadBuf::uninit(&mut space);
-            if Pin::new(&mut me.wire).poll_read(cx, &mut part)?.is_pending() {
-                let begun = me.begun.as_mut().filter(|_| !me.ahead.is_empty());
-                let Some(begun) = begun else { return Poll::Pending };
-                ready!(begun.as_mut().poll(cx));
-                return Poll::Ready(Err(unreadable("a head does not end in time")));
-            }
-            if part.filled().is_empty() {
-                return Poll::Ready(Ok(()));
-            }
-            me.ahead.extend_from_slice(part.filled());
-            if !me.examine()? && me.begun.is_none() {
-                me.begun = Some(Box::pin(sleep(HALF_HEAD)));
-            }
+    fn poll_read(
+        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let reader = self.get_mut();
+        if reader.passable == 0 && reader.awaiting_head.get() && !ready!(reader.poll_head(context))? {
+            return Poll::Ready(Ok(()));
         }
+        if reader.passable > 0 {
+            reader.pass_buffered(buffer);
+            return Poll::Ready(Ok(()));
+        }
+        reader.buffered = Vec::new();
+        reader.poll_body(context, buffer)
     }
 }
 
 impl AsyncWrite for ResponseReader {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_out(|wire| wire.poll_write(cx, buf))
+    fn poll_write(
+        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.poll_gated(|socket| socket.poll_write(context, bytes))
     }
+
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>, context: &mut Context<'_>, slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_out(|wire| wire.poll_write_vectored(cx, bufs))
+        self.poll_gated(|socket| socket.poll_write_vectored(context, slices))
     }
+
     fn is_write_vectored(&self) -> bool {
-        self.wire.is_write_vectored()
+        self.socket.is_write_vectored()
     }
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.wire).poll_flush(cx)
+
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_flush(context)
     }
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.wire).poll_shutdown(cx)
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_shutdown(context)
     }
 }
--- a/gateway/src/engine/resumed_stream.rs
+++ b/gateway/src/engine/resumed_stream.rs
@@ -1,4 +1,4 @@
-//! The rest of a stream that another process began: its server's connection, read on from between two chunks.
+//! The remainder of a stream that the predecessor process began: its server's connection, read on from between two chunks.
 
 use std::net::Shutdown;
 
@@ -9,27 +9,28 @@
 use tokio::net::TcpStream;
 use tokio::sync::{watch, OwnedSemaphorePermit};
 
-use super::events::{Events, Spoilt};
-use crate::chunk_position::ChunkPosition;
+use super::events::{EventBuffer, MalformedEvent};
+use crate::chunk_position::{ChunkPosition, ReadUntil};
 use crate::exchange::StreamRemainder;
 use crate::upstream::{CallError, Frame};
 
 /// Bytes read at once.
-const READ: usize = 16 << 10;
+const READ_SIZE: usize = 16 << 10;
 
-struct Resumed {
-    /// Gone only once the stream has moved on.
+struct ResumedStream {
+    /// `None` only once the stream was handed over again.
     socket: Option<TcpStream>,
-    /// Read and not yet looked at.
-    ahead: BytesMut,
-    chunks: ChunkPosition,
-    events: Events,
-    moving: watch::Receiver<bool>,
+    /// Bytes that were read and not parsed yet.
+    read_ahead: BytesMut,
+    position: ChunkPosition,
+    events: EventBuffer,
+    /// Whether the stream is to be handed over to the successor process.
+    handing_over: watch::Receiver<bool>,
     _slot: Option<OwnedSemaphorePermit>,
 }
 
-/// Only this process reads the connection now, so it is closed here, whichever copies of it still stand open.
-impl Drop for Resumed {
+/// Only this process reads the connection now, so it is closed here, whichever copies of it are still open.
+impl Drop for ResumedStream {
     fn drop(&mut self) {
         if let Some(socket) = &self.socket {
             let _ = SockRef::from(socket).shutdown(Shutdown::Both);
@@ -37,55 +38,79 @@
     }
 }
 
-impl Resumed {
+impl ResumedStream {
+    /// The next frame; nothing follows one that is not data.
     async fn next(&mut self) -> Result<Frame, CallError> {
         loop {
-            let mut data = BytesMut::new();
-            let read = self.chunks.read(&self.ahead, false, |d| data.extend_from_slice(d));
-            let read = read.map_err(|_| CallError::MalformedResponse)?;
-            let _ = self.ahead.split_to(read);
-            if let Some(whole) =
-                self.events.take(&data.freeze()).map_err(|Spoilt| CallError::MalformedResponse)?
-            {
-                return Ok(Frame::Data(whole));
+            if let Some(frame) = self.parse()? {
+                return Ok(frame);
             }
-            if self.chunks.ended() {
-                let end = Frame::End { cached_tokens: 0.0, report: None };
-                return self.events.complete().then_some(end).ok_or(CallError::MalformedResponse);
+            let can_pause = self.position.is_between_chunks() && self.events.is_complete();
+            if *self.handing_over.borrow_and_update() && can_pause {
+                return self.hand_over();
             }
-            let stands = self.chunks.between() && self.events.complete();
-            if *self.moving.borrow_and_update() && stands {
-                let socket = self.socket.take().and_then(|s| s.into_std().ok()).ok_or(CallError::Reset)?;
-                return Ok(Frame::HandedOver(StreamRemainder { socket, read_ahead: Vec::new() }));
-            }
-            self.ahead.reserve(READ);
+            self.read_ahead.reserve(READ_SIZE);
             let socket = self.socket.as_mut().ok_or(CallError::Reset)?;
             let read = tokio::select! {
-                read = socket.read_buf(&mut self.ahead) => read.map_err(|_| CallError::Reset)?,
+                read = socket.read_buf(&mut self.read_ahead) => read.map_err(|_| CallError::Reset)?,
                 // The sender lives as long as the engine does.
-                _ = self.moving.changed() => continue,
+                _ = self.handing_over.changed() => continue,
             };
             if read == 0 {
                 return Err(CallError::Reset);
             }
         }
     }
+
+    /// The frame that what was read amounts to; `None` if more has to be read.
+    fn parse(&mut self) -> Result<Option<Frame>, CallError> {
+        let mut data = BytesMut::new();
+        let read = self
+            .position
+            .read(&self.read_ahead, ReadUntil::EndOfBody, |part| data.extend_from_slice(part))
+            .map_err(|_| CallError::MalformedResponse)?;
+        let _ = self.read_ahead.split_to(read);
+        let events =
+            self.events.push(&data.freeze()).map_err(|MalformedEvent| CallError::MalformedResponse)?;
+        if let Some(events) = events {
+            return Ok(Some(Frame::Data(events)));
+        }
+        if !self.position.is_ended() {
+            return Ok(None);
+        }
+        if !self.events.is_complete() {
+            return Err(CallError::MalformedResponse);
+        }
+        Ok(Some(Frame::End { cached_tokens: 0.0, report: None }))
+    }
+
+    fn hand_over(&mut self) -> Result<Frame, CallError> {
+        let socket = self.socket.take().ok_or(CallError::Reset)?;
+        let socket = socket.into_std().map_err(|_| CallError::Reset)?;
+        Ok(Frame::HandedOver(StreamRemainder { socket, read_ahead: Vec::new() }))
+    }
 }
 
+/// Continues a stream; its connection occupies `slot` for as long as it is open.
 pub fn resume(
-    rest: StreamRemainder, slot: Option<OwnedSemaphorePermit>, moving: watch::Receiver<bool>,
+    remainder: StreamRemainder, slot: Option<OwnedSemaphorePermit>, handing_over: watch::Receiver<bool>,
 ) -> LocalBoxStream<'static, Result<Frame, CallError>> {
-    let Ok(socket) = TcpStream::from_std(rest.socket) else {
+    let Ok(socket) = TcpStream::from_std(remainder.socket) else {
         return stream::iter([Err(CallError::Reset)]).boxed_local();
     };
-    let (ahead, chunks) = (BytesMut::from(&rest.read_ahead[..]), ChunkPosition::default());
-    let (socket, events) = (Some(socket), Events::resumed());
-    let resumed = Resumed { socket, ahead, chunks, events, moving, _slot: slot };
+    let resumed = ResumedStream {
+        socket: Some(socket),
+        read_ahead: BytesMut::from(&remainder.read_ahead[..]),
+        position: ChunkPosition::default(),
+        events: EventBuffer::resumed(),
+        handing_over,
+        _slot: slot,
+    };
     stream::try_unfold(Some(resumed), |resumed| async move {
         let Some(mut resumed) = resumed else { return Ok(None) };
         let frame = resumed.next().await?;
-        let more = matches!(frame, Frame::Data(_)).then_some(resumed);
-        Ok(Some((frame, more)))
+        let following = matches!(frame, Frame::Data(_)).then_some(resumed);
+        Ok(Some((frame, following)))
     })
     .boxed_local()
 }
--- /dev/null
+++ b/gateway/src/engine/send.rs
@@ -0,0 +1,106 @@
+//! Sending of a request: written once, on an idle connection or a new one.
+
+use glenrail_router::ServerId;
+use http::Response;
+use hyper::body::Incoming;
+use tokio::time::Instant;
+
+use super::connection::{Connection, Peer, SendFailure};
+use super::event_stream::broken_response;
+use super::liveness::Unverified;
+use super::server_request::{RequestKind, ServerRequest};
+use super::Engine;
+use crate::exchange::CancelToken;
+use crate::invariants::MAX_STATED_DEADLINE_AGE;
+use crate::upstream::CallError;
+
+impl Engine {
+    /// Writes a request to a server once and returns the head of the response, and the connection that it comes on.
+    pub(super) async fn send(
+        &self, server: ServerId, request: &ServerRequest,
+    ) -> Result<(Response<Incoming>, Connection), CallError> {
+        loop {
+            // No connection is opened in vain: it costs the server work, and the request time.
+            if !request.cancel_token.is_active()
+                || !(request.kind.allowed_while_draining() || self.is_serving(server))
+            {
+                return Err(CallError::NotSent);
+            }
+            let idle = self.take_idle(server);
+            let is_reused = idle.is_some();
+            self.0.counts.borrow_mut().reused += u64::from(is_reused);
+            let mut connection = match idle {
+                Some(connection) => connection,
+                None => self.open_counted(server, request.kind, request.connect_deadline).await?,
+            };
+            if request.verify_connection {
+                match self.verify_connection(server, &mut connection, request.connect_deadline).await {
+                    Ok(()) => {}
+                    // It was closed while it was idle, which says nothing about its server.
+                    Err(Unverified::Broken) if is_reused => continue,
+                    Err(unverified) => return Err(unverified.into()),
+                }
+            }
+            match self.write(server, request, &mut connection).await {
+                Ok(response) => {
+                    self.0
+                        .servers
+                        .borrow_mut()
+                        .record(server, |reachability, now| reachability.answered(now));
+                    return Ok((response, connection));
+                }
+                // The server closed the idle connection just now, and not a byte was written.
+                Err(SendFailure::Replace) => request.cancel_token.set_written(false),
+                Err(SendFailure::Withheld) => return Err(CallError::NotSent),
+                Err(SendFailure::NeverRan) => return Err(CallError::ConnectFailed),
+                Err(SendFailure::MayHaveRun(error)) => return Err(broken_response(&error)),
+            }
+        }
+    }
+
+    /// Writes a request on this connection, unless the server may not receive it any more.
+    async fn write(
+        &self, server: ServerId, request: &ServerRequest, connection: &mut Connection,
+    ) -> Result<Response<Incoming>, SendFailure> {
+        let kind = request.kind;
+        // Connecting takes time: what the list has said meanwhile counts.
+        if !connection.may_write(self.may_receive(server, &connection.peer, kind)) {
+            return Err(SendFailure::Withheld);
+        }
+        let to_write = request.to_write_now().ok_or(SendFailure::Withheld)?;
+        let gate = FirstByteGate {
+            engine: self.clone(),
+            server,
+            peer: connection.peer.clone(),
+            kind,
+            cancel_token: request.cancel_token.clone(),
+            stated_at: Instant::now(),
+        };
+        if kind == RequestKind::Attempt {
+            connection.count_when_written(&to_write, self.0.attempts_written.clone());
+        }
+        connection.send(to_write, move || gate.pass()).await
+    }
+}
+
+/// What must hold when the first byte of a request is written.
+struct FirstByteGate {
+    engine: Engine,
+    server: ServerId,
+    peer: Peer,
+    kind: RequestKind,
+    cancel_token: CancelToken,
+    /// When the request was given its remaining time.
+    stated_at: Instant,
+}
+
+impl FirstByteGate {
+    /// Whether the first byte may be written now; the token says that it is.
+    fn pass(&self) -> bool {
+        let is_clear = self.stated_at.elapsed() <= MAX_STATED_DEADLINE_AGE
+            && self.cancel_token.is_active()
+            && self.engine.may_receive(self.server, &self.peer, self.kind);
+        self.cancel_token.set_written(is_clear);
+        is_clear
+    }
+}
--- a/gateway/src/engine/server_table.rs
+++ b/gateway/src/engine/server_table.rs
@@ -1,5 +1,4 @@
-//! The servers as the engine client knows them: where each is dialled, what stands idle there, whether it can be
-//! reached.
+//! The servers as the engine knows them: their addresses, the idle connections to them, and whether they can be reached.
 
 use std::collections::BTreeMap;
 
@@ -12,100 +11,118 @@
 /// A server as discovery lists it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerAddress {
+    /// The server.
     pub server: ServerId,
+    /// Host and port.
     pub address: String,
+    /// Whether it receives new requests.
     pub serving: bool,
-    /// Servers are cut off by zones.
+    /// Its zone; servers become unreachable by zones.
     pub zone: u32,
-    /// When it last started, as the list says; 0 for long ago.
+    /// When it last started, in Unix milliseconds, as the list says; 0 for long ago.
     pub started_ms: u64,
 }
 
+/// What the engine knows of one server.
 #[derive(Default)]
 pub(super) struct ServerRecord {
     pub peer: Peer,
-    pub serving: bool,
+    pub is_serving: bool,
     zone: u32,
-    /// Since when each stands idle, the oldest first.
+    /// Idle connections, and since when; the oldest first.
     pub idle: Vec<(Instant, Connection)>,
-    reach: Reachability,
+    reachability: Reachability,
 }
 
+/// All servers of one engine.
 pub(super) struct ServerTable {
-    began: Instant,
-    all: BTreeMap<ServerId, ServerRecord>,
+    created: Instant,
+    servers: BTreeMap<ServerId, ServerRecord>,
 }
 
 impl ServerTable {
     pub fn new() -> Self {
-        ServerTable { began: Instant::now(), all: BTreeMap::new() }
+        ServerTable { created: Instant::now(), servers: BTreeMap::new() }
     }
 
-    /// Takes in a list, or changes to it.
-    pub fn learn(&mut self, whole: bool, changed: &[ServerAddress], gone: &[ServerId]) {
-        if whole {
-            self.all.retain(|id, _| changed.iter().any(|a| a.server == *id));
-        }
-        for id in gone {
-            self.all.remove(id);
+    /// Removes the servers that a complete list lacks.
+    pub fn retain_listed(&mut self, listed: &[ServerAddress]) {
+        self.servers.retain(|id, _| listed.iter().any(|address| address.server == *id));
+    }
+
+    /// Applies changes to the list.
+    pub fn update(&mut self, changed: &[ServerAddress], removed: &[ServerId]) {
+        for id in removed {
+            self.servers.remove(id);
         }
-        for a in changed {
-            let place = self.all.entry(a.server).or_default();
-            let peer = Peer { dial: a.address.clone(), born: a.started_ms };
-            if place.peer.dial != peer.dial {
-                place.reach = Reachability::default();
+        for listed in changed {
+            let record = self.servers.entry(listed.server).or_default();
+            let peer = Peer { address: listed.address.clone(), started_ms: listed.started_ms };
+            if record.peer.address != peer.address {
+                record.reachability = Reachability::default();
             }
-            // What leads to where it was, or to what ran there before it came back, serves no request.
-            if place.peer != peer || !a.serving {
-                place.idle.clear();
+            // A connection to its earlier address, or to the process before its restart, carries no request.
+            if record.peer != peer || !listed.serving {
+                record.idle.clear();
             }
-            (place.peer, place.serving, place.zone) = (peer, a.serving, a.zone);
+            record.peer = peer;
+            record.is_serving = listed.serving;
+            record.zone = listed.zone;
         }
     }
 
     pub fn get(&self, server: ServerId) -> Option<&ServerRecord> {
-        self.all.get(&server)
+        self.servers.get(&server)
     }
 
     pub fn get_mut(&mut self, server: ServerId) -> Option<&mut ServerRecord> {
-        self.all.get_mut(&server)
+        self.servers.get_mut(&server)
     }
 
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut ServerRecord> {
-        self.all.values_mut()
+        self.servers.values_mut()
     }
 
-    /// Since when the connection that has stood longest stands idle.
-    pub fn oldest(&self) -> Option<Instant> {
-        self.all.values().filter_map(|p| p.idle.first().map(|i| i.0)).min()
+    /// Since when the connection that was idle longest is idle.
+    pub fn oldest_idle(&self) -> Option<Instant> {
+        let oldest = |record: &ServerRecord| record.idle.first().map(|(idle_since, _)| *idle_since);
+        self.servers.values().filter_map(oldest).min()
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the table was created.
     pub fn now(&self) -> Millis {
-        self.began.elapsed().as_millis() as Millis
+        self.created.elapsed().as_millis() as Millis
     }
 
-    /// Keeps what a call has shown of a server.
-    pub fn note(&mut self, server: ServerId, what: impl FnOnce(&mut Reachability, Millis)) {
+    /// Records what a call has shown of a server's reachability.
+    pub fn record(&mut self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
         let now = self.now();
-        if let Some(place) = self.all.get_mut(&server) {
-            what(&mut place.reach, now);
+        if let Some(record) = self.servers.get_mut(&server) {
+            event(&mut record.reachability, now);
         }
     }
 
-    /// Those that may be asked to let go of something, in the order in which they are to be asked: any that runs takes it,
-    /// those that drain last.
-    pub fn running(&self) -> Vec<ServerId> {
-        let candidate = |(id, p): (&ServerId, &ServerRecord)| Candidate {
-            server: *id,
-            zone: p.zone,
-            has_idle_connection: !p.idle.is_empty(),
-            reachability: p.reach,
-        };
-        let those = |serving: bool| {
-            let of = self.all.iter().filter(|(_, p)| p.serving == serving);
-            order(&of.map(candidate).collect::<Vec<_>>(), self.now())
-        };
-        [those(true), those(false)].concat()
+    /// The servers that may be asked for a release, in the order in which they are to be asked: any that runs accepts it,
+    /// and those that drain come last.
+    pub fn release_order(&self) -> Vec<ServerId> {
+        let mut servers = self.ordered(true);
+        servers.extend(self.ordered(false));
+        servers
+    }
+
+    /// The servers that receive new requests, or those that do not, the most likely to answer first.
+    fn ordered(&self, is_serving: bool) -> Vec<ServerId> {
+        let mut candidates = Vec::new();
+        for (server, record) in &self.servers {
+            if record.is_serving == is_serving {
+                candidates.push(Candidate {
+                    server: *server,
+                    zone: record.zone,
+                    has_idle_connection: !record.idle.is_empty(),
+                    reachability: record.reachability,
+                });
+            }
+        }
+        order(&candidates, self.now())
     }
 }
