--- /dev/null
+++ b/gateway/src/engine/response_fields.rs
@@ -0,0 +1,104 @@
+//! The few fields of a server's response that decisions need.
+
+use bytes::Bytes;
+use glenrail_router::LoadReport;
+use http::header::{CONTENT_TYPE, RETRY_AFTER};
+use http::HeaderMap;
+
+use crate::exchange::ResponseHead;
+
+/// The media type of a stream of events.
+const EVENT_STREAM: &str = "text/event-stream";
+
+/// The header, and the comment at the end of a stream, with the server's load.
+const LOAD: &str = "srv-load";
+
+/// The header that marks a response as a rejection.
+const REJECTED: &str = "srv-declined";
+
+/// The last events of a stream are within so many bytes of its end.
+const TAIL_SIZE: usize = 2048;
+
+/// Whether the server says that the request never ran there; `public_api` as in
+/// [`EngineLimits`](super::EngineLimits::public_api).
+pub fn is_rejection(head: &ResponseHead, public_api: bool) -> bool {
+    if head.headers.get(REJECTED).is_some_and(|mark| mark == "1") {
+        return true;
+    }
+    let is_public_rejection = match head.status.as_u16() {
+        429 => true,
+        503 => head.headers.contains_key(RETRY_AFTER),
+        _ => false,
+    };
+    public_api && is_public_rejection
+}
+
+/// Whether a response says that it is a stream of events.
+pub fn is_event_stream(head: &ResponseHead) -> bool {
+    let media_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    let prefix = media_type.and_then(|media_type| media_type.get(..EVENT_STREAM.len()));
+    prefix.is_some_and(|prefix| prefix.eq_ignore_ascii_case(EVENT_STREAM))
+}
+
+/// Parses a load report: a word for its form, then `name=value` pairs.
+pub fn load_report(text: &str) -> Option<LoadReport> {
+    let mut pairs: Vec<(&str, f64)> = Vec::new();
+    for pair in text.trim().trim_start_matches("TEXT").split(',') {
+        let Some((name, value)) = pair.split_once('=') else { continue };
+        let Ok(value) = value.trim().parse() else { continue };
+        pairs.push((name.trim(), value));
+    }
+    if pairs.is_empty() {
+        return None;
+    }
+    let find = |name: &str| pairs.iter().find(|pair| pair.0 == name);
+    let value = |name: &str| find(name).map(|pair| pair.1).filter(|value| value.is_finite());
+    Some(glenrail_settings::report(value))
+}
+
+/// The load report in the headers of a response.
+pub fn load_report_of(headers: &HeaderMap) -> Option<LoadReport> {
+    load_report(headers.get(LOAD)?.to_str().ok()?)
+}
+
+/// Prompt tokens that the server found in its cache: the number after the last `"cached_tokens":`, or 0.
+pub fn cached_tokens(body: &[u8]) -> f64 {
+    let text = String::from_utf8_lossy(body);
+    let Some((_, after)) = text.rsplit_once("\"cached_tokens\":") else { return 0.0 };
+    let digits: String = after.trim_start().chars().take_while(char::is_ascii_digit).collect();
+    digits.parse().unwrap_or(0.0)
+}
+
+/// The last bytes of a stream so far.
+#[derive(Default)]
+pub struct StreamTail(Vec<u8>);
+
+impl StreamTail {
+    /// Adds events that were read.
+    pub fn push(&mut self, events: &Bytes) {
+        self.0.extend_from_slice(events);
+        let surplus = self.0.len().saturating_sub(TAIL_SIZE);
+        self.0.drain(..surplus);
+    }
+
+    /// As [`cached_tokens`] has it of a body.
+    pub fn cached_tokens(&self) -> f64 {
+        cached_tokens(&self.0)
+    }
+
+    /// The load report that a stream has as its last comment.
+    pub fn load_report(&self) -> Option<LoadReport> {
+        let text = String::from_utf8_lossy(&self.0);
+        let value = text.lines().rev().find_map(load_comment)?;
+        load_report(value)
+    }
+}
+
+/// The value of a comment line with the server's load.
+fn load_comment(line: &str) -> Option<&str> {
+    let (name, value) = line.strip_prefix(':')?.trim_start().split_once(':')?;
+    name.eq_ignore_ascii_case(LOAD).then_some(value)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/gateway/src/engine/resumed_stream.rs
@@ -0,0 +1,116 @@
+//! The remainder of a stream that the predecessor process began: its server's connection, read on from between two chunks.
+
+use std::net::Shutdown;
+
+use bytes::BytesMut;
+use futures_util::stream::{self, LocalBoxStream, StreamExt};
+use socket2::SockRef;
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+use tokio::sync::{watch, OwnedSemaphorePermit};
+
+use super::events::{EventBuffer, MalformedEvent};
+use crate::chunk_position::{ChunkPosition, ReadUntil};
+use crate::exchange::StreamRemainder;
+use crate::upstream::{CallError, Frame};
+
+/// Bytes read at once.
+const READ_SIZE: usize = 16 << 10;
+
+struct ResumedStream {
+    /// `None` only once the stream was handed over again.
+    socket: Option<TcpStream>,
+    /// Bytes that were read and not parsed yet.
+    read_ahead: BytesMut,
+    position: ChunkPosition,
+    events: EventBuffer,
+    /// Whether the stream is to be handed over to the successor process.
+    handing_over: watch::Receiver<bool>,
+    _slot: Option<OwnedSemaphorePermit>,
+}
+
+/// Only this process reads the connection now, so it is closed here, whichever copies of it are still open.
+impl Drop for ResumedStream {
+    fn drop(&mut self) {
+        if let Some(socket) = &self.socket {
+            let _ = SockRef::from(socket).shutdown(Shutdown::Both);
+        }
+    }
+}
+
+impl ResumedStream {
+    /// The next frame; nothing follows one that is not data.
+    async fn next(&mut self) -> Result<Frame, CallError> {
+        loop {
+            if let Some(frame) = self.parse()? {
+                return Ok(frame);
+            }
+            let can_pause = self.position.is_between_chunks() && self.events.is_complete();
+            if *self.handing_over.borrow_and_update() && can_pause {
+                return self.hand_over();
+            }
+            self.read_ahead.reserve(READ_SIZE);
+            let socket = self.socket.as_mut().ok_or(CallError::Reset)?;
+            let read = tokio::select! {
+                read = socket.read_buf(&mut self.read_ahead) => read.map_err(|_| CallError::Reset)?,
+                // The sender lives as long as the engine does.
+                _ = self.handing_over.changed() => continue,
+            };
+            if read == 0 {
+                return Err(CallError::Reset);
+            }
+        }
+    }
+
+    /// The frame that what was read amounts to; `None` if more has to be read.
+    fn parse(&mut self) -> Result<Option<Frame>, CallError> {
+        let mut data = BytesMut::new();
+        let read = self
+            .position
+            .read(&self.read_ahead, ReadUntil::EndOfBody, |part| data.extend_from_slice(part))
+            .map_err(|_| CallError::MalformedResponse)?;
+        let _ = self.read_ahead.split_to(read);
+        let events =
+            self.events.push(&data.freeze()).map_err(|MalformedEvent| CallError::MalformedResponse)?;
+        if let Some(events) = events {
+            return Ok(Some(Frame::Data(events)));
+        }
+        if !self.position.is_ended() {
+            return Ok(None);
+        }
+        if !self.events.is_complete() {
+            return Err(CallError::MalformedResponse);
+        }
+        Ok(Some(Frame::End { cached_tokens: 0.0, report: None }))
+    }
+
+    fn hand_over(&mut self) -> Result<Frame, CallError> {
+        let socket = self.socket.take().ok_or(CallError::Reset)?;
+        let socket = socket.into_std().map_err(|_| CallError::Reset)?;
+        Ok(Frame::HandedOver(StreamRemainder { socket, read_ahead: Vec::new() }))
+    }
+}
+
+/// Continues a stream; its connection occupies `slot` for as long as it is open.
+pub fn resume(
+    remainder: StreamRemainder, slot: Option<OwnedSemaphorePermit>, handing_over: watch::Receiver<bool>,
+) -> LocalBoxStream<'static, Result<Frame, CallError>> {
+    let Ok(socket) = TcpStream::from_std(remainder.socket) else {
+        return stream::iter([Err(CallError::Reset)]).boxed_local();
+    };
+    let resumed = ResumedStream {
+        socket: Some(socket),
+        read_ahead: BytesMut::from(&remainder.read_ahead[..]),
+        position: ChunkPosition::default(),
+        events: EventBuffer::resumed(),
+        handing_over,
+        _slot: slot,
+    };
+    stream::try_unfold(Some(resumed), |resumed| async move {
+        let Some(mut resumed) = resumed else { return Ok(None) };
+        let frame = resumed.next().await?;
+        let following = matches!(frame, Frame::Data(_)).then_some(resumed);
+        Ok(Some((frame, following)))
+    })
+    .boxed_local()
+}
