--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -182,7 +182,7 @@
             rotation.apply_list(known, ListUpdate::Cached);
         }
         // A second process asks for the whole list, which is answered at once: what it was started with may be old.
-        let from = known.map(|k| k.seq).filter(|_| after.is_none());
+        let from = known.map(|k| k.version).filter(|_| after.is_none());
         let told = Rc::new(Cell::new(false));
         let tally = Rc::new(DiscoveryMetrics::default());
         spawn_local(tell_counts(pool.clone(), tally.clone(), p.prices));
--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -1,4 +1,7 @@
-//! A list of servers as discovery writes it, and how the rest of the gateway is told of it.
+//! The endpoint list as discovery writes it, and how it is applied to the router and the engine client.
+//!
+//! Nothing is stored here: whoever reads a list passes it on. The caller's [`Clock`] turns Unix times into the router's.
+#![deny(missing_docs)]
 
 use std::collections::BTreeMap;
 
@@ -11,77 +14,102 @@
 use crate::engine::{Engine, ServerAddress};
 use crate::log;
 
-/// Words for a server's state; any other means that it is gone.
-const SERVING: &str = "SERVING";
-const DRAINING: &str = "DRAINING";
+/// `health` of a server that accepts new work.
+const HEALTH_SERVING: &str = "SERVING";
+/// `health` of a server that finishes its open requests only. Any other value means that the server has left.
+const HEALTH_DRAINING: &str = "DRAINING";
+/// Kind of a server whose `class` the settings do not name: an index that no kind has.
+const UNKNOWN_KIND: u32 = u32::MAX;
 
+/// A version of the endpoint list, or the changes since an earlier version.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct EndpointList {
-    pub seq: u64,
-    pub whole: bool,
-    #[serde(deserialize_with = "readable")]
-    pub hosts: Vec<Endpoint>,
+    /// The version, which the next poll names.
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether this is the full list; else it holds the changed lines only.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
+    /// The lines that can be used, in order, at most one for each server.
+    #[serde(rename = "hosts", deserialize_with = "usable_lines")]
+    pub endpoints: Vec<Endpoint>,
 }
 
 impl EndpointList {
-    /// Reads a list with any white space in it. A byte that is no text spoils its own line only.
+    /// Parses a list. Bytes that are not UTF-8 are replaced, so that they make only their own line unusable.
     pub fn read(bytes: &[u8]) -> serde_json::Result<EndpointList> {
         serde_json::from_str(&String::from_utf8_lossy(bytes))
     }
 }
 
-/// The lines of a list that can be used, in order. One that cannot be read must not cost the others, and of two lines for
-/// one engine the later holds; both are named in the log.
-fn readable<'de, D: Deserializer<'de>>(lines: D) -> Result<Vec<Endpoint>, D::Error> {
-    let mut hosts: Vec<Endpoint> = Vec::new();
+/// Reads each line on its own: one that cannot be used must not cost the others. Of two lines for one server the later
+/// is used. Both cases are logged.
+fn usable_lines<'de, D: Deserializer<'de>>(lines: D) -> Result<Vec<Endpoint>, D::Error> {
+    let mut endpoints: Vec<Endpoint> = Vec::new();
     for line in Option::<Vec<Box<RawValue>>>::deserialize(lines)?.unwrap_or_default() {
-        match Endpoint::read(&line) {
-            Err(e) => {
+        let endpoint = match Endpoint::read(&line) {
+            Ok(endpoint) => endpoint,
+            Err(error) => {
                 let line = line.get().split_whitespace().collect::<Vec<_>>().join(" ");
-                log!("discovery: a line is left out: {line:.200}: {e}");
-            }
-            Ok(host) => {
-                if let Some(at) = hosts.iter().position(|h| h.host == host.host) {
-                    log!("discovery: {} is listed twice, the later line holds", host.host);
-                    hosts.remove(at);
-                }
-                hosts.push(host);
+                log!("discovery: a line is left out: {line:.200}: {error}");
+                continue;
             }
+        };
+        if let Some(earlier) = endpoints.iter().position(|other| other.host == endpoint.host) {
+            log!("discovery: {} is listed twice, the later line holds", endpoint.host);
+            endpoints.remove(earlier);
         }
+        endpoints.push(endpoint);
     }
-    Ok(hosts)
+    Ok(endpoints)
 }
 
+/// One line of the list: a server, where to reach it and what state it is in.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Endpoint {
+    /// The server's name, the same at every gateway.
     pub host: String,
-    pub dial: String,
-    site: Value,
-    class: Value,
-    block: Value,
+    /// Address and port at which this gateway reaches the server.
+    #[serde(rename = "dial")]
+    pub address: String,
+    #[serde(rename = "site")]
+    zone: Value,
+    #[serde(rename = "class")]
+    kind: Value,
+    #[serde(rename = "block")]
+    cell: Value,
     health: String,
-    share: Option<f64>,
-    pub born_ms: f64,
+    #[serde(rename = "share")]
+    weight: Option<f64>,
+    /// When the server started, in Unix milliseconds; 0 where it is not known.
+    #[serde(rename = "born_ms")]
+    pub started_unix_ms: f64,
 }
 
-/// The deployment's own words, by which a list names zones and kinds.
+/// The deployment's names of zones and kinds, in the order of the settings' indices.
 pub struct SettingsNames {
+    /// Names of zones.
     pub zones: Vec<String>,
+    /// Names of server kinds.
     pub kinds: Vec<String>,
 }
 
-fn index(v: &Value, names: &[String]) -> Option<u32> {
-    match v {
-        Value::String(s) => names.iter().position(|n| n == s).map(|i| i as u32).or_else(|| s.parse().ok()),
-        other => other.as_u64().map(|n| n as u32),
+/// The index that a field stands for: one of `names`, or a number, also written as text.
+fn settings_index(field: &Value, names: &[String]) -> Option<u32> {
+    match field {
+        Value::String(text) => match names.iter().position(|name| name == text) {
+            Some(index) => Some(index as u32),
+            None => text.parse().ok(),
+        },
+        other => other.as_u64().map(|number| number as u32),
     }
 }
 
 /// Why a line cannot be used.
 #[derive(Debug, thiserror::Error)]
-enum Unusable {
+enum UnusableLine {
     #[error("{0}")]
     Unreadable(#[from] serde_json::Error),
     #[error("no name")]
@@ -91,167 +119,125 @@
 }
 
 impl Endpoint {
-    /// Reads a line. A field that is null is as good as left out, and a faulty one spoils the line; but where that line
-    /// says that its server is to get nothing new, this much is taken.
-    fn read(line: &RawValue) -> Result<Endpoint, Unusable> {
-        let raw: BTreeMap<String, Box<RawValue>> = serde_json::from_str(line.get())?;
-        let value = |raw: &RawValue| serde_json::from_str::<Value>(raw.get());
-        let good = raw.iter().filter_map(|(name, raw)| Some((name.clone(), value(raw).ok()?)));
-        let good: Map<String, Value> = good.filter(|(_, v)| !v.is_null()).collect();
-        let word = |name: &str| good.get(name).and_then(Value::as_str).unwrap_or("").to_string();
-        let (host, dial, health) = (word("host"), word("dial"), word("health"));
-        let brief = Endpoint { host, dial, health, ..Endpoint::default() };
-        let fault = raw.values().find_map(|raw| value(raw).err());
-        let read = fault.map_or_else(|| Endpoint::deserialize(Value::Object(good)), Err);
-        let host = match read {
-            Err(e) if brief.health.is_empty() || brief.state() == ServerState::Ready => return Err(e.into()),
-            read => read.unwrap_or(brief),
+    /// Reads a line. A null field counts as left out, and a field with a fault makes the line unusable; but where such a
+    /// line says that its server is to get no new work, that much is used.
+    fn read(line: &RawValue) -> Result<Endpoint, UnusableLine> {
+        let fields: BTreeMap<String, Box<RawValue>> = serde_json::from_str(line.get())?;
+        let mut readable = Map::new();
+        let mut first_fault = None;
+        for (name, raw) in fields {
+            match serde_json::from_str::<Value>(raw.get()) {
+                Ok(Value::Null) => {}
+                Ok(value) => {
+                    readable.insert(name, value);
+                }
+                Err(error) => {
+                    first_fault.get_or_insert(error);
+                }
+            }
+        }
+        let minimal = Endpoint::minimal(&readable);
+        let parsed = match first_fault {
+            Some(error) => Err(error),
+            None => Endpoint::deserialize(Value::Object(readable)),
         };
-        match host.state() {
-            _ if host.host.is_empty() => Err(Unusable::NoName),
-            ServerState::Ready if host.dial.is_empty() => Err(Unusable::NoAddress),
-            _ => Ok(host),
+        let endpoint = match parsed {
+            Ok(endpoint) => endpoint,
+            Err(_) if minimal.forbids_new_work() => minimal,
+            Err(error) => return Err(error.into()),
+        };
+        endpoint.checked()
+    }
+
+    /// Name, address and health of a line, without the rest.
+    fn minimal(fields: &Map<String, Value>) -> Endpoint {
+        let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or("").to_string();
+        Endpoint { host: text("host"), address: text("dial"), health: text("health"), ..Endpoint::default() }
+    }
+
+    /// Whether the line says in so many words that its server drains or has left.
+    fn forbids_new_work(&self) -> bool {
+        !self.health.is_empty() && self.state() != ServerState::Ready
+    }
+
+    fn checked(self) -> Result<Endpoint, UnusableLine> {
+        if self.host.is_empty() {
+            return Err(UnusableLine::NoName);
+        }
+        if self.state() == ServerState::Ready && self.address.is_empty() {
+            return Err(UnusableLine::NoAddress);
         }
+        Ok(self)
     }
+
     /// Whether this line says that the server has left the list.
-    pub fn gone(&self) -> bool {
+    pub fn is_terminated(&self) -> bool {
         self.state() == ServerState::Terminated
     }
+
     fn state(&self) -> ServerState {
         match self.health.as_str() {
-            SERVING => ServerState::Ready,
-            DRAINING => ServerState::Draining,
+            HEALTH_SERVING => ServerState::Ready,
+            HEALTH_DRAINING => ServerState::Draining,
             _ => ServerState::Terminated,
         }
     }
-    /// Says of a listed server that it drains.
-    pub fn drain(&mut self) {
-        if !self.gone() {
-            self.health = DRAINING.into();
+
+    /// Marks a server that has not left as draining.
+    pub fn mark_draining(&mut self) {
+        if !self.is_terminated() {
+            self.health = HEALTH_DRAINING.into();
         }
     }
-    /// The same number at every gateway: it depends on the name, not on where this gateway dials it.
-    fn member(&self, names: &SettingsNames, clock: &Clock) -> ServerEntry {
-        let kind = index(&self.class, &names.kinds);
+
+    /// The line in the router's terms. The server's id depends on its name and not on its address, so it is the same at
+    /// every gateway.
+    fn router_entry(&self, names: &SettingsNames, clock: &Clock) -> ServerEntry {
+        let kind = settings_index(&self.kind, &names.kinds);
         if kind.is_none() {
-            log!("discovery: {} is of no known kind: {}", self.host, self.class);
+            log!("discovery: {} is of no known kind: {}", self.host, self.kind);
         }
         ServerEntry {
             server: glenrail_settings::server_id(&self.host),
-            zone: index(&self.site, &names.zones).unwrap_or(0),
-            cell: index(&self.block, &[]).unwrap_or(0),
-            kind: kind.unwrap_or(u32::MAX),
+            zone: settings_index(&self.zone, &names.zones).unwrap_or(0),
+            cell: settings_index(&self.cell, &[]).unwrap_or(0),
+            kind: kind.unwrap_or(UNKNOWN_KIND),
             state: self.state(),
-            weight: self.share.unwrap_or(1.0),
-            started: (self.born_ms > 0.0).then(|| clock.of_unix(self.born_ms)),
+            weight: self.weight.unwrap_or(1.0),
+            started: (self.started_unix_ms > 0.0).then(|| clock.of_unix(self.started_unix_ms)),
+        }
+    }
+
+    /// Where the engine client reaches the server of this line.
+    fn engine_address(&self, entry: &ServerEntry) -> ServerAddress {
+        ServerAddress {
+            server: entry.server,
+            address: self.address.clone(),
+            serving: entry.state == ServerState::Ready,
+            zone: entry.zone,
+            started_ms: self.started_unix_ms as u64,
         }
     }
 }
 
-/// Gives a list to the engine client and the core.
+/// Applies a list to the engine client and then to the router.
 pub fn apply_list<U: Upstream>(
     list: &EndpointList, scope: ListUpdate, names: &SettingsNames, clock: &Clock, engine: &Engine,
     core: &Core<U>,
 ) {
-    let members: Vec<ServerEntry> = list.hosts.iter().map(|h| h.member(names, clock)).collect();
-    let (mut changed, mut gone) = (Vec::new(), Vec::new());
-    for (host, m) in list.hosts.iter().zip(&members) {
-        match m.state {
-            ServerState::Terminated => gone.push(m.server),
-            state => changed.push(ServerAddress {
-                server: m.server,
-                address: host.dial.clone(),
-                serving: state == ServerState::Ready,
-                zone: m.zone,
-                started_ms: host.born_ms as u64,
-            }),
+    let entries: Vec<ServerEntry> =
+        list.endpoints.iter().map(|endpoint| endpoint.router_entry(names, clock)).collect();
+    let mut changed = Vec::new();
+    let mut terminated = Vec::new();
+    for (endpoint, entry) in list.endpoints.iter().zip(&entries) {
+        match entry.state {
+            ServerState::Terminated => terminated.push(entry.server),
+            _ => changed.push(endpoint.engine_address(entry)),
         }
     }
-    engine.update_servers(scope != ListUpdate::Delta, &changed, &gone);
-    core.update_servers(scope, members);
+    engine.update_servers(scope != ListUpdate::Delta, &changed, &terminated);
+    core.update_servers(scope, entries);
 }
 
 #[cfg(test)]
-mod tests {
-    use std::time::Duration;
-
-    use proptest::prelude::*;
-    use serde_json::json;
-
-    use super::*;
-
-    /// Guards the other lines of a list, indented or not, against one that cannot be read, and a server against standing in
-    /// it twice.
-    #[test]
-    fn a_line_that_cannot_be_read_costs_no_other() {
-        let lines = [
-            &br#"{"host": "s-1", "dial": "127.0.0.1:1", "health": "SERVING"}"#[..],
-            br#"{"host": "s-2", "dial": "127.0.0.1:2", "health": "SERVING", "share": "much"}"#,
-            br#"{"host": "s-3", "health": "SERVING"}"#,
-            br#"{"host": 4, "dial": "127.0.0.1:4"}"#,
-            br#""s-5""#,
-            br#"{"dial": "127.0.0.1:6", "health": "SERVING"}"#,
-            br#"{"host": "s-7", "dial": null, "health": "DELETED"}"#,
-            br#"{"host": "s-8", "dial": "127.0.0.1:8", "health": "SERVING", "born_ms": 1e999}"#,
-            b"{\"host\": \"s-9\", \"dial\": \"\xff\xfe\", \"health\": \"\\ud800\"}",
-            br#"{"host": "s-1", "dial": "127.0.0.1:8", "health": "DRAINING", "born_ms": 1e999}"#,
-            br#"{"host": "s-10", "dial": "127.0.0.1:10", "health": "SERVING", "site": null, "born_ms": null}"#,
-        ];
-        for between in [&b","[..], b",\n    ", b"\r\n\t,\r\n\t"] {
-            let text = [
-                b" {\n  \"seq\": 7,\n  \"whole\": true,\n  \"hosts\": [\n",
-                &lines.join(between)[..],
-                b"]\n}\n",
-            ];
-            let list = EndpointList::read(&text.concat()).expect("a list");
-            let read: Vec<(&str, &str)> = list.hosts.iter().map(|h| (&*h.host, &*h.dial)).collect();
-            assert_eq!((list.seq, list.whole), (7, true));
-            assert_eq!(read, [("s-7", ""), ("s-1", "127.0.0.1:8"), ("s-10", "127.0.0.1:10")]);
-            let states: Vec<ServerState> = list.hosts.iter().map(Endpoint::state).collect();
-            assert_eq!(states, [ServerState::Terminated, ServerState::Draining, ServerState::Ready]);
-        }
-    }
-
-    proptest! {
-        /// Guards every list that can be written: indented or not, with any one line spoilt, all other lines are there.
-        #[test]
-        fn one_spoilt_line_costs_itself_only(
-            names in prop::collection::btree_set("s-[0-9a-f]{8}", 1..20), at: prop::sample::Index, indented: bool,
-            spoilt in prop::sample::select(vec![
-                json!(null), json!(7), json!([]), json!({}), json!({"host": []}),
-                json!({"host": "x", "dial": "127.0.0.1:1", "health": "SERVING", "born_ms": "long ago"}),
-            ]),
-        ) {
-            let names: Vec<String> = names.into_iter().collect();
-            let line = |name: &String| json!({"host": name, "dial": "127.0.0.1:1", "health": "SERVING"});
-            let mut hosts: Vec<Value> = names.iter().map(line).collect();
-            hosts.insert(at.index(hosts.len()), spoilt);
-            let list = json!({"seq": 1, "whole": true, "hosts": hosts});
-            let write = if indented { serde_json::to_vec_pretty } else { serde_json::to_vec };
-            let list = EndpointList::read(&write(&list).expect("a list")).expect("a list");
-            prop_assert_eq!(list.hosts.into_iter().map(|h| h.host).collect::<Vec<_>>(), names);
-        }
-    }
-
-    /// Guards the hash that all gateways must share: a server is its `host`, wherever this gateway dials it.
-    #[test]
-    fn a_server_is_named_by_its_host_and_described_in_the_settings_words() {
-        let names = SettingsNames { zones: vec!["dc".into()], kinds: vec!["read".into(), "write".into()] };
-        let clock = Clock::new(Duration::from_secs(100));
-        let line = |line: &str| {
-            Endpoint::deserialize(serde_json::from_str::<Value>(line).expect("JSON")).expect("a line")
-        };
-        let a = line(
-            r#"{"host": "s-1", "dial": "127.0.0.1:1", "site": "dc", "class": "write", "block": 3, "health": "SERVING",
-                "share": 2.0, "born_ms": 104000}"#,
-        );
-        let b = line(
-            r#"{"host": "s-1", "dial": "127.0.0.1:2", "health": "DRAINING", "class": "other", "new": 1}"#,
-        );
-        let [a, b] = [a, b].map(|host| host.member(&names, &clock));
-        assert_eq!(a.server, b.server);
-        assert_eq!((a.zone, a.kind, a.cell, a.weight, a.state), (0, 1, 3, 2.0, ServerState::Ready));
-        assert_eq!((b.state, b.started, b.kind), (ServerState::Draining, None, u32::MAX));
-        assert!((a.started.expect("a start") - 4_000.0).abs() < 1e-6);
-    }
-}
+mod tests;
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -1,214 +1,188 @@
-//! The calls of discovery: a watch that never pauses for long, over a connection of its own.
+//! The watch of discovery: polls for the endpoint list, one after another, over a connection of its own.
+//!
+//! [`PollSchedule`] decides when to poll and how long a poll may take; this module owns the connection, the version known
+//! and the waits. The clock is tokio's.
+#![deny(missing_docs)]
+
+mod call;
+mod error;
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::Bytes;
-use glenrail_request_lifecycle::watch::{self as calls, BackoffPolicy, Limits, Poll, PollSchedule as Calls};
+use glenrail_request_lifecycle::watch::{BackoffPolicy, Poll, PollSchedule};
 use glenrail_router::{Discovery, ListUpdate, Settings};
-use http::{header, Request, Response, StatusCode};
-use http_body_util::{BodyExt, Empty, Limited};
-use hyper::client::conn::http1::{handshake, SendRequest};
-use hyper_util::rt::TokioIo;
-use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout, Instant};
 
+use self::call::{call, Connection, PolledList};
+use self::error::PollError;
 use super::list::EndpointList;
 use crate::core::duration;
 use crate::log;
 
-/// A list longer than this is taken for a broken one.
-const LIST: usize = 4 << 20;
-/// A connection that does not come up by then is tried anew, of whatever time its call has left.
-const CONNECT: Duration = Duration::from_millis(500);
-
-/// What a place has written just as discovery moves is taken in before the new place is asked: it was told. By then a turn of
-/// the reactor has read what is here.
-const LAST_WORD: Duration = Duration::from_millis(20);
+/// How long a response to the poll under way is still waited for once discovery's address has changed.
+///
+/// What the old address has written by then counts as delivered, so it must be applied. One turn of the reactor reads it.
+const ADDRESS_CHANGE_GRACE: Duration = Duration::from_millis(20);
 
-/// What the watch has cost: calls answered, the lines that came with them, calls that failed.
+/// Counts of the polls since the process began.
 #[derive(Debug, Default)]
 pub struct DiscoveryMetrics {
+    /// Polls that brought a list, or the news that nothing has changed.
     pub answered: Cell<u64>,
+    /// Lines in those lists.
     pub lines: Cell<u64>,
+    /// Polls that failed.
     pub failed: Cell<u64>,
 }
 
-struct Watch {
-    sender: SendRequest<Empty<Bytes>>,
-    task: AbortHandle,
+/// The schedule of this gateway's polls. Gateways must not share a seed, or they poll at the same moments.
+pub fn poll_schedule(settings: &Settings, seed: u64) -> PollSchedule {
+    let backoff = match settings.discovery {
+        Discovery::Push => BackoffPolicy::PUSHED,
+        Discovery::Subscribe => {
+            BackoffPolicy::polled(settings.router_count, duration(settings.rules.discovery_poll_limit))
+        }
+    };
+    PollSchedule::new(backoff, seed)
 }
 
-impl Drop for Watch {
-    fn drop(&mut self) {
-        self.task.abort();
+/// Watches for as long as the process runs, starting from `version` of the list if one is known.
+///
+/// When the address changes, the poll or pause under way is given up, and the full list at the new address replaces what
+/// was known. `apply` is called with each list that says anything.
+pub async fn watch(
+    mut address: watch::Receiver<String>, version: Option<u64>, schedule: PollSchedule,
+    metrics: Rc<DiscoveryMetrics>, apply: impl Fn(&EndpointList, ListUpdate),
+) {
+    let current_address = address.borrow_and_update().clone();
+    let mut watch = Watch {
+        address: current_address,
+        address_updates: address,
+        connection: None,
+        version,
+        schedule,
+        metrics,
+        apply,
+    };
+    watch.wait_for_first_poll().await;
+    loop {
+        watch.poll_once().await;
     }
 }
 
-async fn connect(address: &str) -> Result<Watch, Failed> {
-    let socket =
-        timeout(CONNECT, TcpStream::connect(address)).await.map_err(|_| "no connection in time")??;
-    let (sender, connection) = handshake(TokioIo::new(socket)).await?;
-    let task = spawn_local(async move {
-        // Whoever waits for the answer is told of the error.
-        let _ = connection.await;
-    });
-    Ok(Watch { sender, task: task.abort_handle() })
+struct Watch<F> {
+    /// The address that the connection and the version belong to.
+    address: String,
+    address_updates: watch::Receiver<String>,
+    connection: Option<Connection>,
+    /// Version of the list known.
+    version: Option<u64>,
+    schedule: PollSchedule,
+    metrics: Rc<DiscoveryMetrics>,
+    apply: F,
 }
 
-/// Why a call brought no list, in words and as it is judged.
-struct Failed(String, calls::PollFailure);
+impl<F: Fn(&EndpointList, ListUpdate)> Watch<F> {
+    /// A gateway that has a list can leave discovery to those that have none yet.
+    async fn wait_for_first_poll(&mut self) {
+        let delay = self.schedule.initial_delay();
+        if self.version.is_some() && !delay.is_zero() {
+            self.pause(delay).await;
+        }
+    }
 
-impl<T: ToString> From<T> for Failed {
-    fn from(words: T) -> Self {
-        Failed(words.to_string(), calls::PollFailure::Lost)
+    /// Waits for this time, or until the address changes.
+    async fn pause(&mut self, time: Duration) {
+        tokio::select! {
+            () = sleep(time) => {}
+            // Left as unseen, for `follow_address`.
+            Ok(()) = self.address_updates.changed() => self.address_updates.mark_changed(),
+        }
     }
-}
 
-fn judged<B>(answer: &Response<B>) -> calls::PollFailure {
-    if !matches!(answer.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
-        return calls::PollFailure::Lost;
+    async fn poll_once(&mut self) {
+        self.follow_address();
+        let poll = self.schedule.next_poll(self.version.is_some());
+        let started = Instant::now();
+        let Some(result) = self.call(poll).await else { return };
+        match result.and_then(|polled| checked(polled, poll)) {
+            Ok(polled) => self.poll_succeeded(polled, poll),
+            Err(error) => self.poll_failed(&error, started).await,
+        }
     }
-    let wanted = answer.headers().get(header::RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse().ok());
-    calls::PollFailure::Throttled(wanted.and_then(|seconds: f64| Duration::try_from_secs_f64(seconds).ok()))
-}
 
-/// Whether discovery ends the connection with this answer.
-fn ends<B>(answer: &Response<B>) -> bool {
-    let words = answer.headers().get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
-    words.flat_map(|v| v.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
-}
+    fn follow_address(&mut self) {
+        let address = self.address_updates.borrow_and_update().clone();
+        if address == self.address {
+            return;
+        }
+        log!("discovery: moved to {address}");
+        self.address = address;
+        self.connection = None;
+        self.version = None;
+        self.schedule.address_changed();
+    }
 
-/// Asks on the connection that is open, or on a new one; leaves it open for the next call where it may.
-async fn call(
-    open: Option<Watch>, address: &str, ask: Poll, from: Option<u64>, limits: Limits,
-) -> Result<(Option<Watch>, EndpointList), Failed> {
-    let target = match (ask, from) {
-        (Poll::Changes { hold, .. }, Some(seq)) => {
-            format!("/v1/endpoints?from={seq}&hold_ms={}", hold.as_millis())
+    /// Calls discovery; `None` where its address changed before it answered.
+    async fn call(&mut self, poll: Poll) -> Option<Result<PolledList, PollError>> {
+        let limits = self.schedule.limits(poll);
+        let calling = call(self.connection.take(), &self.address, poll, self.version, limits);
+        tokio::pin!(calling);
+        tokio::select! {
+            biased;
+            Ok(()) = self.address_updates.changed() => match timeout(ADDRESS_CHANGE_GRACE, calling).await {
+                Ok(Ok(polled)) => Some(Ok(polled)),
+                _ => None,
+            },
+            result = &mut calling => Some(result),
         }
-        _ => "/v1/endpoints".to_string(),
-    };
-    let request = Request::get(target).header(header::HOST, address).body(Empty::new());
-    let begins = async {
-        let mut watch = match open {
-            Some(watch) => watch,
-            None => connect(address).await?,
-        };
-        watch.sender.ready().await?;
-        let response = watch.sender.send_request(request?).await?;
-        Ok::<_, Failed>((watch, response))
-    };
-    let whole = async {
-        let (watch, response) =
-            timeout(limits.first_byte, begins).await.map_err(|_| "no answer in time")??;
-        if !response.status().is_success() {
-            return Err(Failed(format!("status {}", response.status()), judged(&response)));
+    }
+
+    fn poll_succeeded(&mut self, polled: PolledList, poll: Poll) {
+        let PolledList { connection, list } = polled;
+        self.connection = connection;
+        if self.schedule.failures() > 0 {
+            log!("discovery: answers again, after {} calls that failed", self.schedule.failures());
         }
-        let ends = ends(&response);
-        let (mut body, mut text) = (Limited::new(response.into_body(), LIST), Vec::new());
-        while let Some(part) =
-            timeout(limits.between_parts, body.frame()).await.map_err(|_| "half an answer")?
-        {
-            text.extend_from_slice(part?.data_ref().map_or(&[], |data| data));
+        self.schedule.poll_succeeded();
+        let lines = list.endpoints.len();
+        self.metrics.answered.set(self.metrics.answered.get() + 1);
+        self.metrics.lines.set(self.metrics.lines.get() + lines as u64);
+        let is_full = is_full(&list, poll);
+        if is_full || lines > 0 {
+            let (kind, scope) =
+                if is_full { ("whole", ListUpdate::Full) } else { ("changes", ListUpdate::Delta) };
+            log!("discovery: version {}, {kind}, {lines} lines", list.version);
+            (self.apply)(&list, scope);
         }
-        Ok(((!ends).then_some(watch), EndpointList::read(&text)?))
-    };
-    timeout(limits.total, whole).await.map_err(|_| "an answer does not end in time")?
-}
+        self.version = Some(list.version);
+    }
 
-/// The calls of a gateway with this seed, one of as many as the settings say.
-pub fn poll_schedule(settings: &Settings, seed: u64) -> Calls {
-    let pauses = match settings.discovery {
-        Discovery::Push => BackoffPolicy::PUSHED,
-        Discovery::Subscribe => {
-            BackoffPolicy::polled(settings.router_count, duration(settings.rules.discovery_poll_limit))
+    async fn poll_failed(&mut self, error: &PollError, started: Instant) {
+        let backoff = self.schedule.poll_failed(error.failure(), started.elapsed());
+        self.metrics.failed.set(self.metrics.failed.get() + 1);
+        let failures = self.schedule.failures();
+        // Polls that fail at once would fill the log.
+        if failures.is_power_of_two() {
+            log!("discovery: {error}; {failures} calls failed; asked again in {} ms", backoff.as_millis());
         }
-    };
-    Calls::new(pauses, seed)
+        self.pause(backoff).await;
+    }
 }
 
-/// Waits so long, or until there is another address to call.
-async fn pause(address: &mut watch::Receiver<String>, time: Duration) {
-    tokio::select! {
-        () = sleep(time) => {}
-        Ok(()) = address.changed() => address.mark_changed(),
-    }
+/// Whether this is the full list: so it says, or so it was polled for.
+fn is_full(list: &EndpointList, poll: Poll) -> bool {
+    list.is_full || matches!(poll, Poll::FullList { .. })
 }
 
-/// Watches for as long as the process runs, from the version of the list that it began with. Where the address
-/// changes, the call under way or the pause is given up at once, and the new place's whole list is the truth about what
-/// is gone.
-pub async fn watch(
-    mut address: watch::Receiver<String>, mut from: Option<u64>, mut calls: Calls,
-    tally: Rc<DiscoveryMetrics>, take: impl Fn(&EndpointList, ListUpdate),
-) {
-    let mut open: Option<Watch> = None;
-    let mut at = address.borrow_and_update().clone();
-    // Whoever has a list can wait for its turn, where it has to.
-    let begin = calls.initial_delay();
-    if from.is_some() && !begin.is_zero() {
-        pause(&mut address, begin).await;
-    }
-    loop {
-        let told = address.borrow_and_update().clone();
-        if told != at {
-            log!("discovery: moved to {told}");
-            (at, open, from) = (told, None, None);
-            calls.address_changed();
-        }
-        let (ask, began) = (calls.next_poll(from.is_some()), Instant::now());
-        let answer = call(open.take(), &at, ask, from, calls.limits(ask));
-        tokio::pin!(answer);
-        let answer = tokio::select! {
-            biased;
-            Ok(()) = address.changed() => match timeout(LAST_WORD, answer).await {
-                Ok(Ok(last)) => Ok(last),
-                _ => continue,
-            },
-            answer = &mut answer => answer,
-        };
-        let whole = |list: &EndpointList| list.whole || matches!(ask, Poll::FullList { .. });
-        let answer = answer.and_then(|(watch, list)| match whole(&list) && list.hosts.is_empty() {
-            // An agent that has been sent nothing yet: the list known is better.
-            true => Err("a whole list with no line that can be used".into()),
-            false => Ok((watch, list)),
-        });
-        match answer {
-            Ok((watch, list)) => {
-                open = watch;
-                if calls.failures() > 0 {
-                    log!("discovery: answers again, after {} calls that failed", calls.failures());
-                }
-                calls.poll_succeeded();
-                tally.answered.set(tally.answered.get() + 1);
-                tally.lines.set(tally.lines.get() + list.hosts.len() as u64);
-                let whole = whole(&list);
-                if whole || !list.hosts.is_empty() {
-                    let (kind, lines) = (if whole { "whole" } else { "changes" }, list.hosts.len());
-                    log!("discovery: version {}, {kind}, {lines} lines", list.seq);
-                    take(&list, if whole { ListUpdate::Full } else { ListUpdate::Delta });
-                }
-                from = Some(list.seq);
-            }
-            Err(Failed(e, why)) => {
-                let time = calls.poll_failed(why, began.elapsed());
-                tally.failed.set(tally.failed.get() + 1);
-                // Calls that come so soon after each other would fill the log.
-                if calls.failures().is_power_of_two() {
-                    log!(
-                        "discovery: {e}; {} calls failed; asked again in {} ms",
-                        calls.failures(),
-                        time.as_millis()
-                    );
-                }
-                pause(&mut address, time).await;
-            }
-        }
+fn checked(polled: PolledList, poll: Poll) -> Result<PolledList, PollError> {
+    if is_full(&polled.list, poll) && polled.list.endpoints.is_empty() {
+        return Err(PollError::NoUsableLine);
     }
+    Ok(polled)
 }
 
 #[cfg(test)]
--- a/gateway/src/discovery/watch/tests.rs
+++ b/gateway/src/discovery/watch/tests.rs
@@ -1,36 +1,45 @@
-//! Who calls when, and how an answer is judged.
+//! When each gateway polls first, and how the status of a response is counted.
 
-use super::*;
+use std::time::Duration;
 
-/// Guards discovery against a hundred gateways that start together: each draws its moment, whoever is turned away comes
-/// back later, and a gateway alone, or where the list is pushed, waits for nothing.
+use glenrail_request_lifecycle::watch::PollFailure;
+use http::{header, Response};
+
+use super::error::status_failure;
+use super::poll_schedule;
+
+/// Protects discovery from a hundred gateways that start together: each draws a delay of its own, and a gateway that is
+/// alone, or whose list is pushed, does not wait.
 #[test]
-fn calls_are_spread_where_discovery_has_to_be_asked() {
+fn first_polls_are_spread_where_discovery_is_polled() {
     let settings = |v: serde_json::Value| glenrail_settings::settings(&v);
-    let asked = |n: u32| {
-        settings(serde_json::json!({"balancers": n, "discovery": "subscribe",
+    let polled = |gateways: u32| {
+        settings(serde_json::json!({"balancers": gateways, "discovery": "subscribe",
         "rules": {"ask-within": 10_000.0}}))
     };
-    let begin = |n: u32, seed| super::poll_schedule(&asked(n), seed).initial_delay();
-    let latest = (1..=100).map(|seed| begin(100, seed)).max().expect("a call");
+    let initial_delay = |gateways: u32, seed| poll_schedule(&polled(gateways), seed).initial_delay();
+    let latest = (1..=100).map(|seed| initial_delay(100, seed)).max().expect("a poll");
     assert!((Duration::from_secs(4)..Duration::from_secs(5)).contains(&latest), "{latest:?}");
-    assert!((1..=100).all(|seed| begin(2, seed) < Duration::from_millis(100)));
-    assert!((1..=300).all(|seed| begin(300, seed) < Duration::from_secs(5)), "before it counts as told");
+    assert!((1..=100).all(|seed| initial_delay(2, seed) < Duration::from_millis(100)));
+    assert!(
+        (1..=300).all(|seed| initial_delay(300, seed) < Duration::from_secs(5)),
+        "before it counts as told"
+    );
     let pushed = settings(serde_json::json!({"balancers": 100, "rules": {"ask-within": 10_000.0}}));
-    assert_eq!(super::poll_schedule(&pushed, 1).initial_delay(), Duration::ZERO);
+    assert_eq!(poll_schedule(&pushed, 1).initial_delay(), Duration::ZERO);
 }
 
 #[test]
-fn an_answer_is_judged_by_its_status() {
-    let judge = |status: u16, after: Option<&str>| {
-        let mut answer = Response::builder().status(status);
-        if let Some(after) = after {
-            answer = answer.header(header::RETRY_AFTER, after);
+fn a_429_or_503_throttles_and_any_other_status_is_a_lost_poll() {
+    let failure = |status: u16, retry_after: Option<&str>| {
+        let mut response = Response::builder().status(status);
+        if let Some(retry_after) = retry_after {
+            response = response.header(header::RETRY_AFTER, retry_after);
         }
-        judged(&answer.body(()).expect("an answer"))
+        status_failure(&response.body(()).expect("a response"))
     };
-    assert_eq!(judge(503, None), calls::PollFailure::Throttled(None));
-    assert_eq!(judge(429, Some("1.5")), calls::PollFailure::Throttled(Some(Duration::from_millis(1_500))));
-    assert_eq!(judge(503, Some("-1")), calls::PollFailure::Throttled(None));
-    assert_eq!(judge(500, Some("1")), calls::PollFailure::Lost);
+    assert_eq!(failure(503, None), PollFailure::Throttled(None));
+    assert_eq!(failure(429, Some("1.5")), PollFailure::Throttled(Some(Duration::from_millis(1_500))));
+    assert_eq!(failure(503, Some("-1")), PollFailure::Throttled(None));
+    assert_eq!(failure(500, Some("1")), PollFailure::Lost);
 }
--- a/gateway/src/maintenance.rs
+++ b/gateway/src/maintenance.rs
@@ -85,10 +85,10 @@
     fn overlaid(&self, host: &Endpoint) -> Endpoint {
         let mut host = host.clone();
         if self.out.contains(&host.host) {
-            host.drain();
+            host.mark_draining();
         }
         // Operators restart what they take out, so it is new from its return on.
-        host.born_ms = host.born_ms.max(self.back.get(&host.host).copied().unwrap_or(0.0));
+        host.started_unix_ms = host.started_unix_ms.max(self.back.get(&host.host).copied().unwrap_or(0.0));
         host
     }
 }
@@ -121,8 +121,8 @@
             if scope != ListUpdate::Delta {
                 state.listed.clear();
             }
-            for host in &list.hosts {
-                if host.gone() {
+            for host in &list.endpoints {
+                if host.is_terminated() {
                     state.listed.remove(&host.host);
                 } else {
                     state.listed.insert(host.host.clone(), host.clone());
@@ -130,13 +130,13 @@
             }
             let State { listed, back, .. } = &mut *state;
             back.retain(|id, _| listed.contains_key(id));
-            list.hosts.iter().map(|h| state.overlaid(h)).collect()
+            list.endpoints.iter().map(|h| state.overlaid(h)).collect()
         };
         self.pass_on(passed_on, scope);
     }
 
     fn pass_on(&self, hosts: Vec<Endpoint>, scope: ListUpdate) {
-        let list = EndpointList { hosts, ..EndpointList::default() };
+        let list = EndpointList { endpoints: hosts, ..EndpointList::default() };
         discovery::apply_list(&list, scope, &self.names, &self.clock, &self.engine, &self.core);
     }
 
