--- /dev/null
+++ b/gateway/src/upgrade/predecessor.rs
@@ -0,0 +1,91 @@
+//! The side of an upgrade that hands over: listeners first, then what the router has learned, then clients' connections.
+
+use std::io;
+use std::os::fd::{AsFd, OwnedFd};
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use tokio::sync::mpsc;
+
+use super::protocol::{UpgradeLink, ALL_LISTENERS_SENT, LISTENER, ROUTING_STATE, SERVING};
+use super::socket_path::publish;
+use super::transferred::TransferredConnection;
+use super::{RoutingStateTransfer, SharedLimits, TransferInboxes};
+use crate::log;
+use crate::shutdown::{Phase, Shutdown};
+
+/// Waits for successors, one after another, for as long as this process runs. `listeners`: copies of the fronts' listening
+/// sockets with the fronts' numbers.
+pub async fn serve_as_predecessor(
+    state: PathBuf, listeners: Vec<(u8, OwnedFd)>, inboxes: Rc<TransferInboxes>,
+    routing_state: RoutingStateTransfer, shutdown: Shutdown, limits: SharedLimits,
+) {
+    let mut had_successor = false;
+    loop {
+        let request = async { publish(&state)?.accept().await };
+        let link = tokio::select! {
+            request = request => match request {
+                Ok((stream, _)) => UpgradeLink::new(stream),
+                Err(e) => return log!("no upgrade is possible: {e}"),
+            },
+            // Nobody accepts any more. Without these copies the system refuses new connections, and a process that is
+            // started now can listen. Only after a successor that died are they kept, for the next successor: what is
+            // in their queue would be lost.
+            () = shutdown.reached(Phase::Closing), if !had_successor => return,
+        };
+        had_successor = true;
+        let _reserved = limits.reserve_half();
+        if let Err(e) = hand_over(&link, &listeners, &inboxes, &routing_state, &shutdown).await {
+            log!("a handing over ended: {e}");
+        }
+    }
+}
+
+/// Hands over to one successor, and returns when that one has ended.
+async fn hand_over(
+    link: &UpgradeLink, listeners: &[(u8, OwnedFd)], inboxes: &TransferInboxes,
+    routing_state: &RoutingStateTransfer, shutdown: &Shutdown,
+) -> io::Result<()> {
+    for (front, listener) in listeners {
+        link.send(LISTENER + front, &[listener.as_fd()]).await?;
+    }
+    link.send(ALL_LISTENERS_SENT, &[]).await?;
+    if link.receive().await?.is_none_or(|frame| frame.tag != SERVING) {
+        return Err(io::Error::other("the other process ended before it served"));
+    }
+    log!("another process has taken over");
+    link.send(ROUTING_STATE, &[]).await?;
+    link.send_block(&(routing_state.export)()).await?;
+    let (successor, mut connections) = mpsc::unbounded_channel();
+    shutdown.set_successor(Some(successor));
+    send_connections(link, &mut connections, inboxes).await;
+    shutdown.set_successor(None);
+    // Never sent, so they are still this process's.
+    while let Ok(connection) = connections.try_recv() {
+        return_to_front(inboxes, connection);
+    }
+    log!("the process that had taken over is gone; this one accepts again");
+    Ok(())
+}
+
+/// Sends connections as they come until the successor has ended.
+async fn send_connections(
+    link: &UpgradeLink, connections: &mut mpsc::UnboundedReceiver<TransferredConnection>,
+    inboxes: &TransferInboxes,
+) {
+    loop {
+        let connection = tokio::select! {
+            biased;
+            Some(connection) = connections.recv() => connection,
+            // The successor sends nothing more: this is its end.
+            _ = link.receive() => return,
+        };
+        if link.send_connection(&connection).await.is_err() {
+            return return_to_front(inboxes, connection);
+        }
+    }
+}
+
+fn return_to_front(inboxes: &TransferInboxes, connection: TransferredConnection) {
+    inboxes.deliver(connection.front, connection.socket, connection.stream);
+}
--- /dev/null
+++ b/gateway/src/upgrade/successor.rs
@@ -0,0 +1,122 @@
+//! The side of an upgrade that takes over: listeners at the start, then clients' connections until the predecessor ends.
+
+use std::io;
+use std::net::{TcpListener, TcpStream};
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::UnixStream;
+use tokio::time::timeout;
+
+use super::protocol::{
+    Frame, UpgradeLink, ALL_LISTENERS_SENT, CONNECTION, LISTENER, ROUTING_STATE, SERVING, STREAM,
+};
+use super::socket_path::{socket_path, SOCKET_NAME};
+use super::transferred::TransferredStream;
+use super::{ReservedHalf, RoutingStateTransfer, TransferInboxes, FRONTS};
+use crate::exchange::StreamRemainder;
+use crate::log;
+use crate::shutdown::{Phase, Shutdown};
+
+/// The predecessor must have sent its listeners by then, or is taken for dead.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// What this process got from its predecessor before it serves.
+pub struct HandoverState {
+    /// Listening sockets by the fronts' numbers.
+    pub listeners: [Option<TcpListener>; FRONTS],
+    /// For [`serve_as_successor`].
+    pub link: UpgradeLink,
+}
+
+/// Requests the listeners of another process at this address; `None` where there is none that hands over.
+pub async fn request_handover(state: &Path) -> Option<HandoverState> {
+    match timeout(HANDOVER_TIMEOUT, receive_listeners(state)).await {
+        Ok(Ok(handover)) => {
+            log!("another process hands over to this one");
+            Some(handover)
+        }
+        // There was none, or the one that was has died.
+        Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => None,
+        Ok(Err(e)) => {
+            log!("no process hands over to this one: {e}");
+            None
+        }
+        Err(_) => {
+            log!("the process at this address does not hand over in time");
+            None
+        }
+    }
+}
+
+async fn receive_listeners(state: &Path) -> io::Result<HandoverState> {
+    let address = socket_path(state, SOCKET_NAME)?;
+    let link = UpgradeLink::new(UnixStream::connect(&address.path).await?);
+    let mut listeners = [None, None];
+    loop {
+        let frame = link.receive().await?;
+        match frame {
+            Some(Frame { tag: ALL_LISTENERS_SENT, .. }) => return Ok(HandoverState { listeners, link }),
+            Some(Frame { tag, descriptors }) if usize::from(tag.wrapping_sub(LISTENER)) < FRONTS => {
+                let front = usize::from(tag - LISTENER);
+                listeners[front] = descriptors.into_iter().next().map(TcpListener::from);
+            }
+            other => {
+                let tag = other.map(|frame| frame.tag);
+                return Err(io::Error::other(format!("unexpected: {tag:?}")));
+            }
+        }
+    }
+}
+
+/// Says that this process serves, then receives the predecessor's connections until that one has ended.
+///
+/// Should this process be told to end meanwhile, the link closes: the predecessor sees that, and accepts again.
+pub async fn serve_as_successor(
+    link: UpgradeLink, inboxes: Rc<TransferInboxes>, routing_state: RoutingStateTransfer, shutdown: Shutdown,
+    half: ReservedHalf,
+) {
+    tokio::select! {
+        ended = receive_connections(&link, &inboxes, &routing_state) => {
+            let cause = ended.err().map_or(String::new(), |error| format!(": {error}"));
+            log!("the other process has ended{cause}");
+        }
+        () = shutdown.reached(Phase::Closing) => {}
+    }
+    drop(half);
+}
+
+async fn receive_connections(
+    link: &UpgradeLink, inboxes: &TransferInboxes, routing_state: &RoutingStateTransfer,
+) -> io::Result<()> {
+    link.send(SERVING, &[]).await?;
+    while let Some(frame) = link.receive().await? {
+        if frame.tag == ROUTING_STATE {
+            (routing_state.import)(&link.receive_block().await?);
+        } else {
+            receive_connection(link, frame, inboxes).await?;
+        }
+    }
+    Ok(())
+}
+
+/// Delivers the connection of this message to its front, with the stream whose blocks follow the message.
+async fn receive_connection(link: &UpgradeLink, frame: Frame, inboxes: &TransferInboxes) -> io::Result<()> {
+    let Frame { tag, descriptors } = frame;
+    let blocks = match tag {
+        STREAM.. => Some((link.receive_block().await?, link.receive_block().await?)),
+        _ => None,
+    };
+    let mut sockets = descriptors.into_iter().map(TcpStream::from);
+    match (sockets.next(), sockets.next(), blocks) {
+        (Some(client), None, None) => inboxes.deliver(tag.wrapping_sub(CONNECTION), client, None),
+        (Some(client), Some(server), Some((read_ahead, class))) => {
+            let class = String::from_utf8(class).ok().filter(|name| !name.is_empty());
+            let remainder = StreamRemainder { socket: server, read_ahead };
+            inboxes.deliver(tag.wrapping_sub(STREAM), client, Some(TransferredStream { remainder, class }));
+        }
+        _ => log!("the other process handed over too little: no descriptor may be left"),
+    }
+    Ok(())
+}
--- a/gateway/src/upgrade/tests/wire_format.rs
+++ b/gateway/src/upgrade/tests/wire_format.rs
@@ -1,19 +1,39 @@
 //! The messages that two processes exchange in an upgrade, compared with those that an earlier build sent: in an update
 //! the old build hands over to the new one.
 
-use std::io::{Read, Write};
-use std::net::{Shutdown as Close, SocketAddr};
+use std::io::{IoSlice, IoSliceMut, Read, Write};
+use std::mem::MaybeUninit;
+use std::net::{Shutdown as Close, SocketAddr, TcpListener, TcpStream};
+use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use std::os::unix::net as blocking;
-use std::time::Instant;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
 
-use super::*;
+use rustix::net::{
+    recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags,
+};
+use tokio::net::UnixStream;
+use tokio::sync::Semaphore;
+
+use crate::budget::Budget;
+use crate::exchange::StreamRemainder;
+use crate::shutdown::Shutdown;
+use crate::upgrade::socket_path::socket_path;
+use crate::upgrade::transferred::{TransferredConnection, TransferredStream};
+use crate::upgrade::{
+    request_handover, serve_as_predecessor, serve_as_successor, RoutingStateTransfer, SharedLimits,
+    TransferInbox, TransferInboxes, UpgradeLink, FRONTS, PLATFORM, SECOND,
+};
 
 const MESSAGES: &str = include_str!("../../../tests/fixtures/upgrade_messages.txt");
 /// The name of the socket in the state directory.
 const SOCKET: &str = "handover";
 /// What the router has learned is opaque to the messages.
 const STATE: [u8; 16] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
-const AHEAD: &[u8] = b"1a\r\nabc";
+const READ_AHEAD: &[u8] = b"1a\r\nabc";
 const CLASS: &str = "interactive";
 /// A test that waits longer than this has failed.
 const LIMIT: Duration = Duration::from_secs(10);
@@ -25,8 +45,8 @@
 const CONNECTIONS: [(&str, u8, Option<Stream>); 5] = [
     ("connection at rest, first front", PLATFORM, None),
     ("connection at rest, second front", SECOND, None),
-    ("stream, first front", PLATFORM, Some((AHEAD, Some(CLASS)))),
-    ("stream, second front", SECOND, Some((AHEAD, Some(CLASS)))),
+    ("stream, first front", PLATFORM, Some((READ_AHEAD, Some(CLASS)))),
+    ("stream, second front", SECOND, Some((READ_AHEAD, Some(CLASS)))),
     ("stream, nothing read ahead, no class", PLATFORM, Some((b"", None))),
 ];
 
@@ -49,10 +69,10 @@
 
     /// Connects as soon as the first process listens.
     fn connect(state: &Path) -> Peer {
-        let (path, _open) = near(state, SOCKET).expect("a path");
+        let address = socket_path(state, SOCKET).expect("a path");
         let began = Instant::now();
         loop {
-            match blocking::UnixStream::connect(&path) {
+            match blocking::UnixStream::connect(&address.path) {
                 Ok(stream) => return Peer::new(stream),
                 Err(e) => assert!(began.elapsed() < LIMIT, "nobody listens: {e}"),
             }
@@ -155,7 +175,7 @@
     state
 }
 
-fn share() -> SharedLimits {
+fn limits() -> SharedLimits {
     let slots = Arc::new(Semaphore::new(10));
     SharedLimits { slots, connections: 10, budget: Budget::new(100), bodies: 100 }
 }
@@ -165,22 +185,23 @@
     CONNECTIONS.iter().map(|_| [connection(), connection()]).collect()
 }
 
-/// Hands the connections over once the other process has taken over.
-async fn give(sockets: Vec<[TcpStream; 2]>, shutdown: &Shutdown) {
-    let mut heirs = shutdown.successor_updates();
-    let heir = heirs.wait_for(Option::is_some).await.expect("an heir").clone().expect("an heir");
+/// Transfers the connections once the other process has taken over.
+async fn transfer_connections(sockets: Vec<[TcpStream; 2]>, shutdown: &Shutdown) {
+    let mut updates = shutdown.successor_updates();
+    let successor = updates.wait_for(Option::is_some).await.expect("a successor").clone();
+    let successor = successor.expect("a successor");
     for ((_, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sockets) {
-        let moved = |(ahead, class): Stream| TransferredStream {
-            remainder: StreamRemainder { socket: server, read_ahead: ahead.to_vec() },
+        let transferred = |(read_ahead, class): Stream| TransferredStream {
+            remainder: StreamRemainder { socket: server, read_ahead: read_ahead.to_vec() },
             class: class.map(String::from),
         };
-        let handed = TransferredConnection {
+        let connection = TransferredConnection {
             front,
             socket: client,
-            stream: stream.map(moved),
+            stream: stream.map(transferred),
             guard: shutdown.guard(),
         };
-        assert!(heir.send(handed).is_ok());
+        assert!(successor.send(connection).is_ok());
     }
 }
 
@@ -211,18 +232,19 @@
     let (near, _far): (Vec<_>, Vec<_>) =
         sockets().into_iter().map(|[[c, c_far], [s, s_far]]| ([c, s], [c_far, s_far])).unzip();
     let connections: Vec<[Ends; 2]> = near.iter().map(|pair| pair.each_ref().map(ends)).collect();
-    let place = state.clone();
+    let directory = state.clone();
     let peer = tokio::task::spawn_blocking(move || {
-        receive_all(Peer::connect(&place), [first_at, second_at], recorded, &connections);
+        receive_all(Peer::connect(&directory), [first_at, second_at], recorded, &connections);
     });
-    let handing = serve_as_predecessor(state.clone(), listeners, inboxes, learned, shutdown.clone(), share());
-    let giving = async {
-        give(near, &shutdown).await;
+    let handing_over =
+        serve_as_predecessor(state.clone(), listeners, inboxes, learned, shutdown.clone(), limits());
+    let transferring = async {
+        transfer_connections(near, &shutdown).await;
         std::future::pending::<()>().await;
     };
     tokio::select! {
-        () = handing => panic!("it hands over for as long as it runs"),
-        () = giving => {}
+        () = handing_over => panic!("it hands over for as long as it runs"),
+        () = transferring => {}
         checked = peer => checked.expect("all is as recorded"),
     }
     std::fs::remove_dir_all(state).expect("removed");
@@ -239,8 +261,8 @@
 #[tokio::test]
 async fn the_second_process_reads_the_recorded_listeners() {
     let state = state("listeners");
-    let (path, _open) = near(&state, SOCKET).expect("a path");
-    let socket = blocking::UnixListener::bind(path).expect("a socket");
+    let address = socket_path(&state, SOCKET).expect("a path");
+    let socket = blocking::UnixListener::bind(&address.path).expect("a socket");
     let ((first, first_at), (second, second_at)) = (listener(), listener());
     let peer = tokio::task::spawn_blocking(move || {
         let peer = Peer::accept(&socket);
@@ -249,10 +271,10 @@
         peer.send("all listeners sent", &[]);
         peer.end();
     });
-    let estate = request_handover(&state).await.expect("another process");
-    let at = estate.listeners.map(|l| l.expect("a listener").local_addr().expect("an address"));
-    assert_eq!(at, [first_at, second_at]);
-    drop(estate.link);
+    let handover = request_handover(&state).await.expect("another process");
+    let addresses = handover.listeners.map(|l| l.expect("a listener").local_addr().expect("an address"));
+    assert_eq!(addresses, [first_at, second_at]);
+    drop(handover.link);
     peer.await.expect("nothing is sent before the second process serves");
     std::fs::remove_dir_all(state).expect("removed");
 }
@@ -261,7 +283,7 @@
 fn linked() -> (UpgradeLink, Peer) {
     let (ours, theirs) = blocking::UnixStream::pair().expect("a pair");
     ours.set_nonblocking(true).expect("not blocking");
-    (UpgradeLink(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
+    (UpgradeLink::new(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
 }
 
 /// What a connection that came in is, in the terms of `CONNECTIONS`.
@@ -289,17 +311,17 @@
         peer.end();
     });
     let (inboxes, mut inbox) = TransferInboxes::new();
-    let taken = Rc::new(std::cell::RefCell::new(Vec::new()));
-    let take = {
-        let taken = taken.clone();
-        Rc::new(move |bytes: &[u8]| taken.borrow_mut().push(bytes.to_vec()))
+    let imported = Rc::new(std::cell::RefCell::new(Vec::new()));
+    let import = {
+        let imported = imported.clone();
+        Rc::new(move |bytes: &[u8]| imported.borrow_mut().push(bytes.to_vec()))
     };
-    let learned = RoutingStateTransfer { export: Rc::new(Vec::new), import: take };
-    serve_as_successor(link, inboxes, learned, Shutdown::default(), share().reserve_half()).await;
+    let learned = RoutingStateTransfer { export: Rc::new(Vec::new), import };
+    serve_as_successor(link, inboxes, learned, Shutdown::default(), limits().reserve_half()).await;
     peer.await.expect("all is as recorded");
-    assert_eq!(*taken.borrow(), [STATE.to_vec(), Vec::new()]);
+    assert_eq!(*imported.borrow(), [STATE.to_vec(), Vec::new()]);
     for ((name, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sent) {
-        let stream = stream.map(|(ahead, class)| (server, ahead.to_vec(), class.map(String::from)));
+        let stream = stream.map(|(read_ahead, class)| (server, read_ahead.to_vec(), class.map(String::from)));
         assert_eq!(arrived(&mut inbox[usize::from(front)]), (client, stream), "{name}");
     }
     assert!(inbox.iter_mut().all(|inbox| inbox.try_recv().is_err()), "nothing else has come");
--- a/gateway/src/upgrade/transferred.rs
+++ b/gateway/src/upgrade/transferred.rs
@@ -1,4 +1,8 @@
-//! What one process hands over to another that has taken over from it, and the count of what it still waits for.
+//! What a process transfers to its successor, and the count of the connections that it still waits for.
+//!
+//! Fronts send idle connections into the [`Successor`] channel of `Shutdown`; the successor's fronts receive them from
+//! their [`TransferInbox`].
+#![deny(missing_docs)]
 
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -6,57 +10,92 @@
 
 use tokio::sync::{mpsc, Notify};
 
+use super::FRONTS;
 use crate::exchange::StreamRemainder;
 
-/// The rest of a stream that goes on in the other process, and the class that it counts for.
+/// A stream in flight: what goes on in the other process.
 pub struct TransferredStream {
+    /// The server's socket, and what was read from it ahead of the client.
     pub remainder: StreamRemainder,
+    /// The class that the request counts for at its end.
     pub class: Option<String>,
 }
 
-/// A client's connection on its way to the other process: at rest, or with a stream under way.
+/// A client's connection on its way to the other process: idle, or with a stream in flight.
 pub struct TransferredConnection {
+    /// Number of its front.
     pub front: u8,
+    /// The client's socket.
     pub socket: TcpStream,
+    /// The stream in flight, if any.
     pub stream: Option<TransferredStream>,
-    /// The process that hands it over waits for it until it is sent.
+    /// The process does not end before the connection is sent.
     pub guard: ConnectionGuard,
 }
 
-/// Where connections at rest go once another process has taken over.
+/// The way to a successor, for as long as there is one.
 pub type Successor = mpsc::UnboundedSender<TransferredConnection>;
 
+/// Where a front receives the connections that another process transfers.
+pub type TransferInbox = mpsc::UnboundedReceiver<(TcpStream, Option<TransferredStream>)>;
+
+/// The sending ends of the fronts' inboxes, by the fronts' numbers.
+pub struct TransferInboxes([mpsc::UnboundedSender<(TcpStream, Option<TransferredStream>)>; FRONTS]);
+
+impl TransferInboxes {
+    /// The inboxes of all fronts, and their receiving ends.
+    pub fn new() -> (Rc<Self>, [TransferInbox; FRONTS]) {
+        let (platform_sender, platform_inbox) = mpsc::unbounded_channel();
+        let (second_sender, second_inbox) = mpsc::unbounded_channel();
+        let inboxes = TransferInboxes([platform_sender, second_sender]);
+        (Rc::new(inboxes), [platform_inbox, second_inbox])
+    }
+
+    /// Sends a connection to a front. Where that front does not run here, the connection is closed.
+    pub(super) fn deliver(&self, front: u8, socket: TcpStream, stream: Option<TransferredStream>) {
+        if let Some(inbox) = self.0.get(usize::from(front)) {
+            let _ = inbox.send((socket, stream));
+        }
+    }
+}
+
 /// The connections that a process waits for before it ends.
 #[derive(Clone, Default)]
-pub struct OpenConnections(Rc<(Cell<usize>, Notify)>);
+pub struct OpenConnections(Rc<OpenCount>);
+
+#[derive(Default)]
+struct OpenCount {
+    count: Cell<usize>,
+    closed: Notify,
+}
 
-/// One of them.
+/// One open connection; dropped when it has closed or been transferred.
 pub struct ConnectionGuard(OpenConnections);
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let (count, changed) = &*self.0 .0;
-        count.set(count.get() - 1);
-        changed.notify_waiters();
+        let open = &self.0 .0;
+        open.count.set(open.count.get() - 1);
+        open.closed.notify_waiters();
     }
 }
 
 impl OpenConnections {
+    /// Counts one more connection.
     pub fn guard(&self) -> ConnectionGuard {
-        let (count, _) = &*self.0;
-        count.set(count.get() + 1);
+        self.0.count.set(self.0.count.get() + 1);
         ConnectionGuard(self.clone())
     }
 
-    /// Until none is left.
+    /// Waits until no connection is open.
     pub async fn drained(&self) {
-        let (count, empty) = &*self.0;
         loop {
-            let changed = empty.notified();
-            if count.get() == 0 {
+            // Before the count is read: a close in between wakes this one.
+            let closed = self.0.closed.notified();
+            if self.0.count.get() == 0 {
                 return;
             }
-            changed.await;
+            closed.await;
         }
     }
 }
