--- a/gateway/src/admin.rs
+++ b/gateway/src/admin.rs
@@ -56,6 +56,13 @@
     answer
 }
 
+fn order_status(error: &OrderError) -> StatusCode {
+    match error {
+        OrderError::UnknownServer => StatusCode::NOT_FOUND,
+        OrderError::NoStore | OrderError::NotPersisted(_) => StatusCode::INTERNAL_SERVER_ERROR,
+    }
+}
+
 impl<U: Upstream> AdminFront<U> {
     pub fn new(desk: AdminContext<U>) -> Self {
         AdminFront(Rc::new(desk))
@@ -98,10 +105,7 @@
         };
         match done {
             Ok(()) => word(StatusCode::OK, &format!("{id}: {order}")),
-            Err(OrderError::UnknownServer) => word(StatusCode::NOT_FOUND, &format!("{id}: no such engine")),
-            Err(OrderError::NotPersisted(why)) => {
-                word(StatusCode::INTERNAL_SERVER_ERROR, &format!("{id}: the order cannot be kept: {why}"))
-            }
+            Err(error) => word(order_status(&error), &format!("{id}: {error}")),
         }
     }
 
--- a/gateway/src/maintenance/mod.rs
+++ b/gateway/src/maintenance/mod.rs
@@ -1,98 +1,120 @@
-//! Servers that operators have taken out of rotation: an overlay between discovery's list and those who read it. Such
-//! a server is passed on as draining, whatever the list says, until the order is taken back.
+//! Maintenance mode: servers that operators have taken out of rotation.
+//!
+//! An overlay between discovery's list and those who read it: such a server is passed on as draining, whatever the list
+//! says, until operators put it back. The orders are on disk ([`OrderStore`]), where all processes of this gateway see
+//! them; this module owns the list as discovery gave it. Times are Unix times of the machine's clock.
+#![deny(missing_docs)]
+
+mod orders;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
-use std::fs::DirBuilder;
 use std::io;
-use std::os::unix::fs::DirBuilderExt;
-use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use glenrail_router::ListUpdate;
-use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use tokio::time::sleep;
 
+pub use self::orders::OrderStore;
 use crate::core::{Clock, Core, Upstream};
 use crate::discovery::{self, Endpoint, EndpointList, SettingsNames};
 use crate::engine::Engine;
 use crate::log;
 
-/// Orders given to another process of this gateway are seen within this time.
-const LOOK: Duration = Duration::from_millis(200);
-/// Names of servers keep these characters in the names of their files.
-const PLAIN: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
-/// Longest name of a server that an order is taken for: its file's name must fit.
-const NAME: usize = 80;
-
-/// Orders on disk, one empty file for each server that is out: each file appears and goes at once, so processes that
-/// share the directory have nothing to merge.
-#[derive(Clone, Debug)]
-pub struct OrderStore(PathBuf);
-
-impl OrderStore {
-    /// The orders of this state directory, which is made if need be. Nobody else may give orders there, or take over.
-    pub fn open(state: &Path) -> io::Result<Self> {
-        let dir = state.join("offline");
-        DirBuilder::new().recursive(true).mode(0o700).create(&dir)?;
-        Ok(OrderStore(dir))
-    }
-
-    fn file(&self, id: &str) -> PathBuf {
-        self.0.join(utf8_percent_encode(id, PLAIN).to_string())
-    }
+/// Orders given to another process of this gateway take effect here within this time.
+const SYNC_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest name of a server, in bytes, that an order is accepted for: its file's name must fit.
+const MAX_SERVER_NAME: usize = 80;
 
-    fn put(&self, id: &str) -> io::Result<()> {
-        std::fs::File::create(self.file(id)).map(|_| ())
-    }
+/// Why an order was not carried out.
+#[derive(Debug, thiserror::Error)]
+pub enum OrderError {
+    /// Discovery lists no such server, and no order stands for it.
+    #[error("no such engine")]
+    UnknownServer,
+    /// The state directory could not be opened at the start, so no order can be stored.
+    #[error("the order cannot be kept: no place to keep orders")]
+    NoStore,
+    /// The order could not be stored, so it was not carried out either.
+    #[error("the order cannot be kept: {0}")]
+    NotPersisted(#[from] io::Error),
+}
 
-    fn remove(&self, id: &str) -> io::Result<()> {
-        match std::fs::remove_file(self.file(id)) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
-            other => other,
+impl PartialEq for OrderError {
+    fn eq(&self, other: &Self) -> bool {
+        match (self, other) {
+            (OrderError::UnknownServer, OrderError::UnknownServer) => true,
+            (OrderError::NoStore, OrderError::NoStore) => true,
+            (OrderError::NotPersisted(left), OrderError::NotPersisted(right)) => left.kind() == right.kind(),
+            _ => false,
         }
     }
-
-    fn all(&self) -> io::Result<BTreeSet<String>> {
-        let names = std::fs::read_dir(&self.0)?.map(|entry| Ok(entry?.file_name()));
-        let names = names.collect::<io::Result<Vec<_>>>()?;
-        let name =
-            |n: &std::ffi::OsString| percent_decode_str(n.to_str()?).decode_utf8().ok().map(String::from);
-        Ok(names.iter().filter_map(name).collect())
-    }
 }
 
-/// Why an order was not taken.
-#[derive(Debug, PartialEq, Eq)]
-pub enum OrderError {
-    /// Nobody has this id.
-    UnknownServer,
-    /// It could not be kept, so it was not carried out either.
-    NotPersisted(String),
+impl Eq for OrderError {}
+
+/// What operators order for a server.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Order {
+    /// Out of rotation: it finishes what it has and gets no new work.
+    Offline,
+    /// Back in rotation.
+    Online,
 }
 
 #[derive(Default)]
 struct State {
-    /// What discovery lists at present.
+    /// What discovery lists at present, by the servers' names.
     listed: BTreeMap<String, Endpoint>,
-    out: BTreeSet<String>,
-    /// When servers came back, in Unix milliseconds.
-    back: BTreeMap<String, f64>,
+    /// Servers that are out of rotation, listed or not.
+    offline: BTreeSet<String>,
+    /// When listed servers were put back, in Unix milliseconds.
+    returned_unix_ms: BTreeMap<String, f64>,
 }
 
 impl State {
     /// The line of a server as it is passed on.
-    fn overlaid(&self, host: &Endpoint) -> Endpoint {
-        let mut host = host.clone();
-        if self.out.contains(&host.host) {
-            host.mark_draining();
+    fn overlaid(&self, endpoint: &Endpoint) -> Endpoint {
+        let mut endpoint = endpoint.clone();
+        if self.offline.contains(&endpoint.host) {
+            endpoint.mark_draining();
         }
-        // Operators restart what they take out, so it is new from its return on.
-        host.started_unix_ms = host.started_unix_ms.max(self.back.get(&host.host).copied().unwrap_or(0.0));
-        host
+        // Operators restart what they take out, so it counts as started at its return.
+        let returned = self.returned_unix_ms.get(&endpoint.host).copied().unwrap_or(0.0);
+        endpoint.started_unix_ms = endpoint.started_unix_ms.max(returned);
+        endpoint
+    }
+
+    fn record_listed(&mut self, list: &EndpointList, scope: ListUpdate) {
+        if scope != ListUpdate::Delta {
+            self.listed.clear();
+        }
+        for endpoint in &list.endpoints {
+            if endpoint.is_terminated() {
+                self.listed.remove(&endpoint.host);
+            } else {
+                self.listed.insert(endpoint.host.clone(), endpoint.clone());
+            }
+        }
+        let listed = &self.listed;
+        self.returned_unix_ms.retain(|server, _| listed.contains_key(server));
+    }
+
+    /// Notes an order; false where the server was in that state already.
+    fn record_order(&mut self, server: &str, order: Order) -> bool {
+        let changed = match order {
+            Order::Offline => self.offline.insert(server.into()),
+            Order::Online => self.offline.remove(server),
+        };
+        if changed && order == Order::Online && self.listed.contains_key(server) {
+            let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            self.returned_unix_ms.insert(server.into(), now.as_secs_f64() * 1000.0);
+        }
+        changed
     }
 }
 
+/// The overlay in front of one pool's router and engine client.
 pub struct Maintenance<U> {
     names: SettingsNames,
     clock: Clock,
@@ -103,109 +125,103 @@
 }
 
 impl<U: Upstream> Maintenance<U> {
-    /// Without a place for orders none is taken. Those that stand there hold from the first list on.
+    /// Orders that stand in the store take effect from the first list on. Without a store, orders are refused.
     pub fn new(
         names: SettingsNames, clock: Clock, engine: Engine, core: Core<U>, orders: Option<OrderStore>,
     ) -> Self {
         let mut state = State::default();
-        if let Some(Err(e)) = orders.as_ref().map(|o| o.all().map(|out| state.out = out)) {
-            log!("orders cannot be read: {e}");
+        if let Some(orders) = &orders {
+            match orders.servers() {
+                Ok(servers) => state.offline = servers,
+                Err(e) => log!("orders cannot be read: {e}"),
+            }
         }
         Maintenance { names, clock, engine, core, orders, state: RefCell::new(state) }
     }
 
-    /// Takes a list, or changes to it, from discovery.
+    /// Applies a list from discovery, or changes to it, under the orders that stand.
     pub fn apply_list(&self, list: &EndpointList, scope: ListUpdate) {
-        let passed_on = {
+        let overlaid = {
             let mut state = self.state.borrow_mut();
-            if scope != ListUpdate::Delta {
-                state.listed.clear();
-            }
-            for host in &list.endpoints {
-                if host.is_terminated() {
-                    state.listed.remove(&host.host);
-                } else {
-                    state.listed.insert(host.host.clone(), host.clone());
-                }
-            }
-            let State { listed, back, .. } = &mut *state;
-            back.retain(|id, _| listed.contains_key(id));
-            list.endpoints.iter().map(|h| state.overlaid(h)).collect()
+            state.record_listed(list, scope);
+            list.endpoints.iter().map(|endpoint| state.overlaid(endpoint)).collect()
         };
-        self.pass_on(passed_on, scope);
+        self.pass_on(overlaid, scope);
     }
 
-    fn pass_on(&self, hosts: Vec<Endpoint>, scope: ListUpdate) {
-        let list = EndpointList { endpoints: hosts, ..EndpointList::default() };
+    fn pass_on(&self, endpoints: Vec<Endpoint>, scope: ListUpdate) {
+        let list = EndpointList { endpoints, ..EndpointList::default() };
         discovery::apply_list(&list, scope, &self.names, &self.clock, &self.engine, &self.core);
     }
 
-    /// Servers that discovery lists.
+    /// Number of servers that discovery lists.
     pub fn listed(&self) -> usize {
         self.state.borrow().listed.len()
     }
 
-    /// Takes a server out. Twice is as good as once.
+    /// Takes a server out of rotation. Idempotent.
     pub fn offline(&self, id: &str) -> Result<(), OrderError> {
-        self.order(id, true)
+        self.carry_out(id, Order::Offline)
     }
 
-    /// Puts a server back, whether or not it is listed at present.
+    /// Puts a server back into rotation, whether or not it is listed at present. Idempotent while it is listed.
     pub fn online(&self, id: &str) -> Result<(), OrderError> {
-        self.order(id, false)
+        self.carry_out(id, Order::Online)
     }
 
-    fn order(&self, id: &str, out: bool) -> Result<(), OrderError> {
+    fn carry_out(&self, server: &str, order: Order) -> Result<(), OrderError> {
         self.sync_orders();
-        let known = {
-            let state = self.state.borrow();
-            state.listed.contains_key(id) || state.out.contains(id)
-        };
-        if !known || id.len() > NAME {
+        if !self.is_known(server) || server.len() > MAX_SERVER_NAME {
             return Err(OrderError::UnknownServer);
         }
-        let orders =
-            self.orders.as_ref().ok_or(OrderError::NotPersisted("no place to keep orders".into()))?;
-        let kept = if out { orders.put(id) } else { orders.remove(id) };
-        kept.map_err(|e| OrderError::NotPersisted(e.to_string()))?;
-        self.set(id, out);
+        let orders = self.orders.as_ref().ok_or(OrderError::NoStore)?;
+        match order {
+            Order::Offline => orders.add(server)?,
+            Order::Online => orders.remove(server)?,
+        }
+        self.apply_order(server, order);
         Ok(())
     }
 
-    fn set(&self, id: &str, out: bool) {
-        let passed_on = {
+    fn is_known(&self, server: &str) -> bool {
+        let state = self.state.borrow();
+        state.listed.contains_key(server) || state.offline.contains(server)
+    }
+
+    fn apply_order(&self, server: &str, order: Order) {
+        let overlaid = {
             let mut state = self.state.borrow_mut();
-            let changed = if out { state.out.insert(id.into()) } else { state.out.remove(id) };
-            if !changed {
+            if !state.record_order(server, order) {
                 return;
             }
-            if !out && state.listed.contains_key(id) {
-                let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                state.back.insert(id.into(), now.as_secs_f64() * 1000.0);
-            }
-            state.listed.get(id).map(|h| state.overlaid(h))
+            state.listed.get(server).map(|endpoint| state.overlaid(endpoint))
+        };
+        let change = match order {
+            Order::Offline => "taken out by order",
+            Order::Online => "put back by order",
         };
-        log!("server {id} is {}", if out { "taken out by order" } else { "put back by order" });
-        self.pass_on(passed_on.into_iter().collect(), ListUpdate::Delta);
+        log!("server {server} is {change}");
+        self.pass_on(overlaid.into_iter().collect(), ListUpdate::Delta);
     }
 
-    /// Takes over orders that were given to another process.
+    /// Applies orders that were given to another process.
     pub fn sync_orders(&self) {
         let Some(orders) = &self.orders else { return };
-        let told = match orders.all() {
-            Ok(told) => told,
+        let stored = match orders.servers() {
+            Ok(servers) => servers,
             Err(e) => return log!("orders cannot be read: {e}; all stays as it was"),
         };
-        let held = self.state.borrow().out.clone();
-        for id in held.symmetric_difference(&told) {
-            self.set(id, told.contains(id));
+        let applied = self.state.borrow().offline.clone();
+        for server in applied.symmetric_difference(&stored) {
+            let order = if stored.contains(server) { Order::Offline } else { Order::Online };
+            self.apply_order(server, order);
         }
     }
 
-    /// Looks for such orders for as long as the process runs.
+    /// Applies such orders for as long as the process runs.
     pub async fn watch_orders(&self) {
         loop {
-            sleep(LOOK).await;
+            sleep(SYNC_INTERVAL).await;
             self.sync_orders();
         }
     }
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -1,4 +1,16 @@
-//! The end of the process, in steps: serving, leaving (still accepting), closing (no new connections).
+//! Graceful shutdown: the phases of the process's end, taking the gateway out of service, and its successor.
+//!
+//! The platform's times, which the figures here follow:
+//!
+//! - After SIGTERM new connections still come for up to 0.4 s, so the gateway accepts on through [`Phase::Draining`].
+//! - SIGKILL follows no sooner than the longest deadline, counted as 3 s at the most, and 0.7 s after SIGTERM
+//!   ([`kill_delay`]). A request that is unanswered by then is lost.
+//! - What arrives complete more than 0.65 s after SIGTERM is rejected, since it may be lost from 0.7 s on; what still waits
+//!   for its first token 0.4 s before the kill is answered then ([`last_response_delay`]).
+//! - Where a successor serves, it accepts instead, and receives the streams in flight ([`stream_handover_delay`]).
+//!
+//! [`Shutdown`] is the state that all fronts share; the daemon moves it through the phases. The clock is tokio's.
+#![deny(missing_docs)]
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,57 +21,62 @@
 
 use crate::upgrade::transferred::{ConnectionGuard, OpenConnections, Successor};
 
-/// Told to send its clients away, the gateway ends their connections after this time: until then they may move by
-/// themselves, as each answer tells them to.
-const STAY: Duration = Duration::from_millis(1_500);
-/// A connection that comes later may still ask, within this time.
-const ASK: Duration = Duration::from_millis(300);
-/// What comes later than this would still be open when the clients must have gone.
-const LAST_REQUEST: Duration = Duration::from_millis(1_800);
-
-/// What is whole later than this after the process was told to end is refused: the platform's kill may find it
-/// unanswered, which loses it from 0.7 s on.
-const LAST_TAKEN: Duration = Duration::from_millis(650);
-
-/// The platform kills a process that was told to end no sooner than the longest deadline, counted as so much at the most, and a
-/// grace after it told so.
-const MOST_DEADLINE: Duration = Duration::from_secs(3);
-const GRACE: Duration = Duration::from_millis(700);
-/// What still waits is answered so long before, with time to reach its client.
-const BEFORE_KILL: Duration = Duration::from_millis(400);
-
-/// Beside another process, the streams under way go over to it after this part of the time until the kill.
-const LAST_WORDS: f64 = 0.54;
-
-/// When a gateway with these deadlines is killed, from the word to end on.
+/// Out of service, the gateway closes connections after this time. Until then clients may leave by themselves, as each
+/// response tells them to.
+const OUT_OF_SERVICE_GRACE: Duration = Duration::from_millis(1_500);
+/// A connection that is accepted late may still send a request within this time.
+const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(300);
+/// Out of service, a request that arrives later than this is rejected: it would still be open when the clients must have
+/// left.
+const OUT_OF_SERVICE_LAST_REQUEST: Duration = Duration::from_millis(1_800);
+
+/// A request that arrives complete later than this after SIGTERM is rejected: from 0.7 s on the kill may find it
+/// unanswered, which loses it.
+const LAST_REQUEST_AFTER_SIGTERM: Duration = Duration::from_millis(650);
+
+/// The platform's kill waits for the longest deadline, but counts it as this much at the most.
+const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// Time from that deadline to the kill.
+const KILL_GRACE: Duration = Duration::from_millis(700);
+/// What still waits is answered this long before the kill, so that the answer reaches its client.
+const LAST_RESPONSE_BEFORE_KILL: Duration = Duration::from_millis(400);
+
+/// Part of the time until the kill after which streams in flight go over to the successor.
+const STREAM_HANDOVER_SHARE: f64 = 0.54;
+
+/// Time from SIGTERM to the platform's kill, for a gateway with these deadlines.
 pub fn kill_delay(deadlines: impl Iterator<Item = Duration>) -> Duration {
-    deadlines.max().unwrap_or(MOST_DEADLINE).min(MOST_DEADLINE) + GRACE
+    let longest = deadlines.max().unwrap_or(MAX_DEADLINE_BEFORE_KILL);
+    longest.min(MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE
 }
 
-/// When it answers what still waits for its first token: the kill would leave it with none.
+/// Time from SIGTERM until requests that still wait for their first token are answered: the kill would lose them.
 pub fn last_response_delay(kill: Duration) -> Duration {
-    kill - BEFORE_KILL
+    kill - LAST_RESPONSE_BEFORE_KILL
 }
 
-/// How long it goes on with the streams under way where another process serves; then the other one does.
+/// Time from SIGTERM until streams in flight go over to the successor, where there is one.
 pub fn stream_handover_delay(kill: Duration) -> Duration {
-    kill.mul_f64(LAST_WORDS)
+    kill.mul_f64(STREAM_HANDOVER_SHARE)
 }
 
+/// Where the process is on its way to the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
+    /// From the start to SIGTERM.
     Serving,
-    /// Told to end; connections still come and are served.
+    /// After SIGTERM: connections still come and are served.
     Draining,
-    /// Accepting has ended; what was taken is finished.
+    /// Accepting has ended; open requests are finished.
     Closing,
 }
 
+/// The state of the process's end, shared by all that act on it.
 #[derive(Clone)]
 pub struct Shutdown {
-    /// Where connections at rest go, once another process has taken over.
+    /// Where idle connections go, once another process has taken over.
     successor: Rc<watch::Sender<Option<Successor>>>,
-    /// Since when the gateway is out of service, if operators took it out.
+    /// Since when operators have the gateway out of service.
     out_of_service_since: Rc<watch::Sender<Option<Instant>>>,
     phase: Rc<watch::Sender<Phase>>,
     /// When the process was told to end.
@@ -69,13 +86,10 @@
 
 impl Default for Shutdown {
     fn default() -> Self {
-        let phase = Rc::new(watch::Sender::new(Phase::Serving));
-        let away = Rc::new(watch::Sender::new(None));
-        let heir = Rc::new(watch::Sender::new(None));
         Shutdown {
-            successor: heir,
-            out_of_service_since: away,
-            phase,
+            successor: Rc::new(watch::Sender::new(None)),
+            out_of_service_since: Rc::new(watch::Sender::new(None)),
+            phase: Rc::new(watch::Sender::new(Phase::Serving)),
             signalled_at: Rc::default(),
             open_connections: OpenConnections::default(),
         }
@@ -83,87 +97,113 @@
 }
 
 impl Shutdown {
+    /// Goes on to this phase. The first one after [`Phase::Serving`] starts the platform's times.
     pub fn enter(&self, phase: Phase) {
         if phase != Phase::Serving && self.signalled_at.get().is_none() {
             self.signalled_at.set(Some(Instant::now()));
         }
         self.phase.send_replace(phase);
     }
+
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
+
+    /// Waits for this phase or a later one.
     pub async fn reached(&self, phase: Phase) {
-        let mut seen = self.phase.subscribe();
-        // The sender lives as long as `self` does.
-        let _ = seen.wait_for(|p| *p >= phase).await;
+        let mut phases = self.phase.subscribe();
+        // An error would be the sender's end, and `self` has the sender.
+        let _ = phases.wait_for(|current| *current >= phase).await;
     }
-    /// Out of service: clients are sent away. Twice is as good as once.
+
+    /// Takes the gateway out of service: clients are told to leave. Idempotent.
     pub fn take_out_of_service(&self) {
         self.out_of_service_since
             .send_if_modified(|since| since.replace(since.unwrap_or_else(Instant::now)).is_none());
     }
-    /// In service again.
+
+    /// Puts the gateway back in service.
     pub fn return_to_service(&self) {
         self.out_of_service_since.send_replace(None);
     }
-    pub fn out_of_service_since(&self) -> bool {
+
+    fn is_out_of_service(&self) -> bool {
         self.out_of_service_since.borrow().is_some()
     }
-    /// Whether a request that has come now is too late to be taken.
+
+    /// Whether a request that arrives now is too late to be accepted.
     pub fn rejects_new_requests(&self) -> bool {
-        let away = self.out_of_service_since.borrow().is_some_and(|since| since.elapsed() > LAST_REQUEST);
-        // Where another process has taken over, it goes on with what is open here.
-        let ends =
-            self.signalled_at.get().is_some_and(|at| at.elapsed() > LAST_TAKEN) && !self.has_successor();
-        away || ends
+        let out_of_service = self
+            .out_of_service_since
+            .borrow()
+            .is_some_and(|since| since.elapsed() > OUT_OF_SERVICE_LAST_REQUEST);
+        let ends = self.signalled_at.get().is_some_and(|at| at.elapsed() > LAST_REQUEST_AFTER_SIGTERM);
+        // A successor goes on with what is open here.
+        out_of_service || ends && !self.has_successor()
     }
-    /// Whether each answer should tell its client that the connection ends.
+
+    /// Whether each response should tell its client that the connection closes.
     pub fn is_draining(&self) -> bool {
-        self.out_of_service_since() || self.phase() != Phase::Serving && !self.has_successor()
+        self.is_out_of_service() || self.phase() != Phase::Serving && !self.has_successor()
     }
-    /// Until a connection that began at this time has to end, once its open request has.
+
+    /// Waits until a connection accepted at this time has to close as soon as its open request has ended.
     pub async fn connection_must_end(&self, began: Instant) {
         tokio::select! {
             () = self.closing(began) => {}
-            () = self.sent_away(began) => {}
+            () = self.out_of_service_grace_over(began) => {}
         }
     }
-    /// Whoever came in last is on its way with a request: closed without an answer, that one counts as refused.
+
+    /// The last connections to be accepted are about to bring a request, which would count as refused if they closed
+    /// unanswered.
     async fn closing(&self, began: Instant) {
         self.reached(Phase::Closing).await;
-        sleep_until(began + ASK).await;
+        sleep_until(began + FIRST_REQUEST_WAIT).await;
     }
-    async fn sent_away(&self, began: Instant) {
-        let mut away = self.out_of_service_since.subscribe();
+
+    async fn out_of_service_grace_over(&self, began: Instant) {
+        let mut updates = self.out_of_service_since.subscribe();
         loop {
-            let since = *away.borrow_and_update();
+            let since = *updates.borrow_and_update();
             let due = async {
                 match since {
-                    Some(since) => sleep_until((since + STAY).max(began + ASK)).await,
+                    Some(since) => {
+                        sleep_until((since + OUT_OF_SERVICE_GRACE).max(began + FIRST_REQUEST_WAIT)).await;
+                    }
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
                 () = due => return,
-                // The sender lives as long as `self` does.
-                _ = away.changed() => {}
+                // An error would be the sender's end, and `self` has the sender.
+                _ = updates.changed() => {}
             }
         }
     }
-    /// Another process has taken over, or is gone again.
-    pub fn set_successor(&self, heir: Option<Successor>) {
-        self.successor.send_replace(heir);
+
+    /// Notes the process that has taken over, or that it has ended.
+    pub fn set_successor(&self, successor: Option<Successor>) {
+        self.successor.send_replace(successor);
     }
+
+    /// Whether another process has taken over.
     pub fn has_successor(&self) -> bool {
         self.successor.borrow().is_some()
     }
+
+    /// The successor, and each change of it.
     pub fn successor_updates(&self) -> watch::Receiver<Option<Successor>> {
         self.successor.subscribe()
     }
+
+    /// Counts one more connection that the process waits for before it ends.
     pub fn guard(&self) -> ConnectionGuard {
         self.open_connections.guard()
     }
-    /// Until no connection is left.
+
+    /// Waits until no connection is open.
     pub async fn drained(&self) {
         self.open_connections.drained().await;
     }
