--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,33 +1,35 @@
-//! The one place where configuration is read, checked and given its defaults. Every error names the faulty key.
+//! Configuration: the one place where it is read, checked and given its defaults.
+//!
+//! `command` is the command line, `platform` what the platform gives, `front` the second front's file and `one_stage` the
+//! router's settings for that file's pools. Nothing is stored here. Every error names the faulty key.
+#![deny(missing_docs)]
 
 mod command;
 mod front;
+mod one_stage;
 mod platform;
 
-pub use command::{command, Command, Files, USAGE};
-pub use front::{front, front_from, one_stage, Front, Pool, Server};
-pub use platform::{platform, Bounds, Platform};
-
-use std::fmt;
 use std::path::Path;
 
+pub use self::command::{command, Command, Files, USAGE};
+pub use self::front::{front, front_from, Front, Pool, Server};
+pub use self::one_stage::one_stage;
+pub use self::platform::{platform, Bounds, Platform};
+
 /// What is wrong, and at which key.
-#[derive(Debug, PartialEq)]
+#[derive(Debug, PartialEq, thiserror::Error)]
+#[error("configuration: {key}: {what}")]
 pub struct Error {
+    /// The faulty key, option, variable or line.
     pub key: String,
+    /// What is wrong with it.
     pub what: String,
 }
 
-impl fmt::Display for Error {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "configuration: {}: {}", self.key, self.what)
-    }
-}
-
 fn error<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Error> {
     Err(Error { key: key.into(), what: what.into() })
 }
 
 fn read(path: &Path, key: &str) -> Result<String, Error> {
-    std::fs::read_to_string(path).map_err(|e| Error { key: key.into(), what: format!("cannot be read: {e}") })
+    std::fs::read_to_string(path).or_else(|e| error(key, format!("cannot be read: {e}")))
 }
--- a/gateway/src/config/platform/tests.rs
+++ b/gateway/src/config/platform/tests.rs
@@ -1,9 +1,14 @@
-//! The platform's configuration, whole and faulty, and how descriptors are shared out.
+//! The platform's configuration, complete and faulty, and how descriptors are shared out.
 
-use super::*;
-use serde_json::json;
+use std::time::Duration;
 
-fn whole() -> Value {
+use serde_json::{json, Value};
+
+use super::bounds::OWN_DESCRIPTORS;
+use super::{from_json, platform, Bounds};
+use crate::front::server::REFUSING;
+
+fn complete() -> Value {
     json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
         "limits": {"memory_mb": 192, "sockets": 1024},
         "settings": {"services": [{"name": "a", "deadline": 4000.0}], "kinds": ["r"],
@@ -11,16 +16,17 @@
 }
 
 #[test]
-fn the_platforms_configuration_is_read() {
-    let read = from_json(&whole(), &|_| None).expect("a configuration");
+fn a_complete_configuration_is_read_and_defaults_fill_the_rest() {
+    let read = from_json(&complete(), &|_| None).expect("a configuration");
     assert_eq!((read.seed, read.classes[0].as_str()), (0x8c1f_30d2_7a5b_e964, "a"));
     assert_eq!(read.conn_idle, Duration::from_secs(9));
-    let mut least = whole();
+    let mut least = complete();
     least["settings"]["policy-limits"] = Value::Null;
     let least = from_json(&least, &|_| None).expect("a configuration");
     assert_eq!((least.conn_idle, least.settings.limits.max_attempts), (Duration::from_secs(15), 4));
-    let b = read.bounds;
-    assert!(b.client_connections + b.server_connections + 40 <= 1024 && b.bodies <= 64 << 20);
+    let bounds = read.bounds;
+    assert!(bounds.client_connections + bounds.server_connections + 40 <= 1024);
+    assert!(bounds.bodies <= 64 << 20);
 }
 
 #[test]
@@ -38,28 +44,30 @@
         ("settings.services", json!({"domain": {"stage-of-kind": ["read"]}})),
         ("settings.services[0].deadline", json!({"services": [{}], "domain": {"stage-of-kind": ["read"]}})),
     ] {
-        let mut v = whole();
-        v[key.split('.').next().expect("a key")] = value;
-        assert_eq!(from_json(&v, &|_| None).expect_err(key).key, key);
+        let mut json = complete();
+        json[key.split('.').next().expect("a key")] = value;
+        assert_eq!(from_json(&json, &|_| None).expect_err(key).key, key);
     }
-    let only = |n: &str| (n == "EDGE_LISTEN").then(|| "127.0.0.1:1".to_string());
-    assert_eq!(platform(only).expect_err("an error").key, "EDGE_CONFIG");
+    let only_listen = |name: &str| (name == "EDGE_LISTEN").then(|| "127.0.0.1:1".to_string());
+    assert_eq!(platform(only_listen).expect_err("an error").key, "EDGE_CONFIG");
     assert!(platform(|_| None).expect("nothing set").is_none());
 }
 
-/// Guards discovery's call, the operators' address and the listeners: all that clients, engines and operators may hold at
-/// once, refusals included, leaves the process its own descriptors.
+/// All that clients, servers and operators may hold at once, rejections included, leaves the process its own descriptors:
+/// for the poll of discovery, the operators' front and the listeners.
 #[test]
-fn nobody_can_take_the_descriptors_of_the_process_itself() {
+fn connections_leave_the_process_its_own_descriptors() {
     for sockets in [40, 41, 48, 64, 96, 100, 128, 192, 256, 768, 1_024, 4_096] {
-        let b = Bounds::new(sockets, 192);
-        let door = |cap: usize| cap + cap.min(REFUSING) + 1;
-        for second in [0, 1, b.client_connections / 2] {
-            let clients = door(b.client_connections - second) + if second > 0 { door(second) } else { 0 };
-            let held = OWN + clients + b.server_connections + door(b.operators);
-            assert!(held <= sockets, "{sockets}: {held} with {b:?}, {second} of the second front");
+        let bounds = Bounds::new(sockets, 192);
+        let front = |cap: usize| cap + cap.min(REFUSING) + 1;
+        for second in [0, 1, bounds.client_connections / 2] {
+            let second_front = if second > 0 { front(second) } else { 0 };
+            let clients = front(bounds.client_connections - second) + second_front;
+            let used = OWN_DESCRIPTORS + clients + bounds.server_connections + front(bounds.operators);
+            assert!(used <= sockets, "{sockets}: {used} with {bounds:?}, {second} of the second front");
         }
         // And little of what is there is left unused.
-        assert!(b.client_connections * 5 >= sockets - 40 && b.server_connections == b.client_connections);
+        assert!(bounds.client_connections * 5 >= sockets - 40);
+        assert_eq!(bounds.server_connections, bounds.client_connections);
     }
 }
--- /dev/null
+++ b/gateway/src/daemon/counters.rs
@@ -0,0 +1,35 @@
+//! The task that logs what this process has asked of servers and of discovery.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenrail_access_log::counts::{self, Counts, Prices};
+use tokio::time::sleep;
+
+use crate::discovery::DiscoveryMetrics;
+use crate::log;
+use crate::pools::Pool;
+
+/// Counts are logged this often, if they have changed.
+const LOG_INTERVAL: Duration = Duration::from_millis(2_000);
+
+/// Logs the counts of the platform's pool and of discovery for as long as the process runs.
+pub(super) async fn log_counts(pool: Pool, discovery: Rc<DiscoveryMetrics>, prices: Prices) {
+    let since = pool.clock.unix(pool.clock.now()).round();
+    let mut logged = Counts::default();
+    loop {
+        sleep(LOG_INTERVAL).await;
+        let current = Counts {
+            since,
+            lists: discovery.answered.get(),
+            list_lines: discovery.lines.get(),
+            lists_failed: discovery.failed.get(),
+            prices,
+            ..pool.engine.counts()
+        };
+        if current != logged {
+            log!("{}{current}", counts::WORD);
+            logged = current;
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/daemon/signals.rs
@@ -0,0 +1,39 @@
+//! SIGTERM ends the process, SIGHUP has it read its configuration again.
+
+use tokio::signal::unix::{signal, Signal, SignalKind};
+
+use super::error::DaemonError;
+use crate::log;
+
+/// The signals, handled from the start on: one that comes before it is waited for is not lost.
+pub(super) struct Signals {
+    pub(super) terminate: Signal,
+    pub(super) reload: Signal,
+}
+
+impl Signals {
+    pub(super) fn new() -> Result<Self, DaemonError> {
+        let handle = |kind| signal(kind).map_err(DaemonError::Signals);
+        Ok(Signals { terminate: handle(SignalKind::terminate())?, reload: handle(SignalKind::hangup())? })
+    }
+}
+
+/// What each part of the gateway does at SIGHUP, in the order in which the parts started.
+#[derive(Default)]
+pub(super) struct Reloads(Vec<Box<dyn Fn()>>);
+
+impl Reloads {
+    pub(super) fn add(&mut self, reload: impl Fn() + 'static) {
+        self.0.push(Box::new(reload));
+    }
+
+    /// Reloads at each signal for as long as the process runs. While it ends, this changes nothing that matters.
+    pub(super) async fn run(self, mut signal: Signal) {
+        while signal.recv().await.is_some() {
+            log!("told to read the configuration anew");
+            for reload in &self.0 {
+                reload();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/haproxy/reader.rs
@@ -0,0 +1,233 @@
+//! Reads an HAProxy configuration line by line, and chooses the backends that serve the API's parts.
+
+use std::collections::BTreeMap;
+use std::mem::take;
+
+use super::line::{address, milliseconds, no_more, part_by_name, server, tested_part, LeftOutReason, Part};
+use super::{ChosenBackends, LeftOut};
+use crate::config::Server;
+
+/// What a `backend` or `listen` section says, or the `defaults` for them.
+#[derive(Default)]
+pub(super) struct Backend {
+    line: usize,
+    pub(super) servers: Vec<Server>,
+    pub(super) connect_ms: Option<u64>,
+    pub(super) server_ms: Option<u64>,
+}
+
+/// Sections that are understood.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum SectionKind {
+    Global,
+    Defaults,
+    Frontend,
+    Backend,
+    Listen,
+}
+
+impl SectionKind {
+    fn parse(keyword: &str) -> Option<SectionKind> {
+        match keyword {
+            "global" => Some(SectionKind::Global),
+            "defaults" => Some(SectionKind::Defaults),
+            "frontend" => Some(SectionKind::Frontend),
+            "backend" => Some(SectionKind::Backend),
+            "listen" => Some(SectionKind::Listen),
+            _ => None,
+        }
+    }
+
+    fn has_clients(self) -> bool {
+        matches!(self, SectionKind::Frontend | SectionKind::Listen)
+    }
+
+    fn has_servers(self) -> bool {
+        matches!(self, SectionKind::Backend | SectionKind::Listen)
+    }
+}
+
+#[derive(Clone)]
+struct Section {
+    kind: SectionKind,
+    name: String,
+}
+
+struct Bind {
+    line: usize,
+    address: String,
+}
+
+/// A rule that names a backend.
+struct Rule {
+    line: usize,
+    /// The part of the API that the rule's test selects; `None` for the rest.
+    part: Option<Part>,
+    backend: String,
+}
+
+/// What has been read.
+#[derive(Default)]
+pub(super) struct Reader {
+    section: Option<Section>,
+    pub(super) left_out: Vec<LeftOut>,
+    bind: Option<Bind>,
+    pub(super) max_connections: Option<usize>,
+    pub(super) defaults: Backend,
+    pub(super) client_ms: Option<u64>,
+    pub(super) backends: BTreeMap<String, Backend>,
+    /// Named tests of the path.
+    acls: BTreeMap<String, Part>,
+    rules: Vec<Rule>,
+}
+
+impl Reader {
+    /// Reads one line; `line` is its number.
+    pub(super) fn read_line(&mut self, line: usize, text: &str) {
+        let words: Vec<&str> = text.split('#').next().unwrap_or("").split_whitespace().collect();
+        let Some((keyword, values)) = words.split_first() else { return };
+        if let Some(kind) = SectionKind::parse(keyword) {
+            let name = values.first().unwrap_or(&"").to_string();
+            return self.begin_section(line, Section { kind, name });
+        }
+        if let Err(reason) = self.read_setting(line, &words) {
+            self.left_out.push(LeftOut { line, reason });
+        }
+    }
+
+    fn begin_section(&mut self, line: usize, section: Section) {
+        if section.kind.has_servers() {
+            self.backend(&section.name).line = line;
+        }
+        if section.kind == SectionKind::Listen {
+            self.rules.push(Rule { line, part: None, backend: section.name.clone() });
+        }
+        self.section = Some(section);
+    }
+
+    fn backend(&mut self, name: &str) -> &mut Backend {
+        self.backends.entry(name.to_string()).or_default()
+    }
+
+    fn read_setting(&mut self, line: usize, words: &[&str]) -> Result<(), LeftOutReason> {
+        let Some(section) = self.section.clone() else { return Err(LeftOutReason::OutsideSections) };
+        let kind = section.kind;
+        match words {
+            ["bind", listen, more @ ..] if kind.has_clients() => self.read_bind(line, listen, more),
+            ["maxconn", number] if kind != SectionKind::Backend => self.read_max_connections(number),
+            ["mode", "http"] if kind != SectionKind::Global => Ok(()),
+            ["timeout", timer, time] if kind != SectionKind::Global => {
+                self.read_timeout(&section, timer, time)
+            }
+            ["acl", name, test, paths @ ..] if kind.has_clients() => {
+                let part = tested_part(test, paths).ok_or(LeftOutReason::UnknownTest)?;
+                self.acls.insert(name.to_string(), part);
+                Ok(())
+            }
+            ["default_backend", backend] if kind.has_clients() => {
+                self.rules.push(Rule { line, part: None, backend: backend.to_string() });
+                Ok(())
+            }
+            ["use_backend", backend, "if", test @ ..] if kind.has_clients() => {
+                let part = self.part_of_test(test).ok_or(LeftOutReason::UnknownRuleTest)?;
+                self.rules.push(Rule { line, part: Some(part), backend: backend.to_string() });
+                Ok(())
+            }
+            ["server", name, dial, options @ ..] if kind.has_servers() => {
+                let dial = address(dial).ok_or(LeftOutReason::NoServerAddress)?;
+                let (server, left_out) = server(name, dial, options);
+                self.backend(&section.name).servers.push(server);
+                no_more(&left_out)
+            }
+            _ => no_counterpart(words),
+        }
+    }
+
+    fn read_bind(&mut self, line: usize, listen: &str, more: &[&str]) -> Result<(), LeftOutReason> {
+        if let Some(bind) = &self.bind {
+            return Err(LeftOutReason::SecondAddress { first: bind.line });
+        }
+        let address = address(listen).ok_or(LeftOutReason::NoAddress)?;
+        self.bind = Some(Bind { line, address });
+        no_more(more)
+    }
+
+    /// The lowest of all sections counts, as the second front has one limit.
+    fn read_max_connections(&mut self, number: &str) -> Result<(), LeftOutReason> {
+        let number: usize = number.parse().unwrap_or(0);
+        if number == 0 {
+            return Err(LeftOutReason::NoNumber);
+        }
+        self.max_connections = Some(self.max_connections.map_or(number, |lowest| lowest.min(number)));
+        Ok(())
+    }
+
+    fn read_timeout(&mut self, section: &Section, timer: &str, time: &str) -> Result<(), LeftOutReason> {
+        let time_ms = milliseconds(time).ok_or_else(|| LeftOutReason::NoTime(time.to_string()))?;
+        let backend = match section.kind.has_servers() {
+            true => self.backend(&section.name),
+            false => &mut self.defaults,
+        };
+        match timer {
+            "connect" => backend.connect_ms = Some(time_ms),
+            "server" => backend.server_ms = Some(time_ms),
+            "client" => self.client_ms = Some(time_ms),
+            _ => return no_counterpart(&["timeout", timer, time]),
+        }
+        Ok(())
+    }
+
+    /// The part that a rule's test selects: a test in braces, or the name of one.
+    fn part_of_test(&self, test: &[&str]) -> Option<Part> {
+        match test {
+            ["{", test, paths @ .., "}"] => tested_part(test, paths),
+            [acl] => self.acls.get(*acl).copied(),
+            _ => None,
+        }
+    }
+
+    /// The address of the one `bind` line that was converted.
+    pub(super) fn listen_address(&self) -> Option<String> {
+        self.bind.as_ref().map(|bind| bind.address.clone())
+    }
+
+    /// Chooses a backend for each part of the API by the rules, and notes what is not chosen.
+    pub(super) fn choose_backends(&mut self) -> ChosenBackends {
+        let mut chosen = ChosenBackends::default();
+        let mut rules = take(&mut self.rules);
+        // Rules with a test come before the rest, as they do in HAProxy.
+        rules.sort_by_key(|rule| rule.part.is_none());
+        for rule in rules {
+            let line = rule.line;
+            if let Err(reason) = self.follow_rule(rule, &mut chosen) {
+                self.left_out.push(LeftOut { line, reason });
+            }
+        }
+        for (name, backend) in &self.backends {
+            if !chosen.contains(name) {
+                let reason = LeftOutReason::UnusedBackend(name.clone());
+                self.left_out.push(LeftOut { line: backend.line, reason });
+            }
+        }
+        chosen
+    }
+
+    fn follow_rule(&self, rule: Rule, chosen: &mut ChosenBackends) -> Result<(), LeftOutReason> {
+        let Rule { part, backend, .. } = rule;
+        if !self.backends.contains_key(&backend) {
+            return Err(LeftOutReason::NoBackend(backend));
+        }
+        let part = part.unwrap_or_else(|| part_by_name(&backend));
+        match chosen.part(part) {
+            Some(other) if *other != backend => Err(LeftOutReason::PartServed { backend: other.clone() }),
+            slot => {
+                *slot = Some(backend);
+                Ok(())
+            }
+        }
+    }
+}
+
+fn no_counterpart(words: &[&str]) -> Result<(), LeftOutReason> {
+    Err(LeftOutReason::NoCounterpart(words.join(" ")))
+}
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,10 +1,24 @@
+//! The `glenrail` program: its command line and its exit code.
+
 use std::process::ExitCode;
 
 use glenrail::config::{self, Command};
-use glenrail::{daemon, haproxy};
+use glenrail::daemon::{self, DaemonError};
+use glenrail::haproxy::{self, ImportError};
+
+/// Why the program ends with a failure.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error(transparent)]
+    CommandLine(#[from] config::Error),
+    #[error(transparent)]
+    Import(#[from] ImportError),
+    #[error(transparent)]
+    Daemon(#[from] DaemonError),
+}
 
-fn run() -> Result<(), String> {
-    match config::command(std::env::args().skip(1)).map_err(|e| e.to_string())? {
+fn run() -> Result<(), ProgramError> {
+    match config::command(std::env::args().skip(1))? {
         Command::Help => print!("{}", config::USAGE),
         Command::Import(path) => haproxy::import(&path)?,
         Command::Serve(files) => daemon::run(files)?,
@@ -15,8 +29,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("glenrail: {message}");
+        Err(error) => {
+            eprintln!("glenrail: {error}");
             ExitCode::FAILURE
         }
     }
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -1,18 +1,20 @@
-//! Plug-ins: a Rhai script that is asked about each request before the module sees it, and told how it ended.
+//! Plug-ins: a Rhai script that is called for each request before it is routed, and again with its outcome.
 //!
-//! A script may let a request pass, refuse it or annotate it. It has no way to send, repeat or delay one: what
-//! it may use is bounded, and nothing of the gateway is in its reach. A script that fails is logged, and the
-//! request goes on as if there were none.
+//! A script may let a request pass, reject it or annotate it. It cannot send, repeat or delay one: the operations and the
+//! memory of a call are bounded, and the script has no access to the gateway. A script that fails is logged, and the
+//! request goes on as if there were none. [`Plugin`] is immutable; a call has no state beyond the request.
+#![deny(missing_docs)]
 
 use std::convert::Infallible;
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
 
 use futures_util::future::LocalBoxFuture;
 use http::{HeaderName, HeaderValue};
-use rhai::{CallFnOptions, Dynamic, Engine, EvalAltResult, Map, Scope, AST};
+use rhai::{CallFnOptions, Dynamic, Engine, EvalAltResult, Map, ParseError, Scope, AST};
 use tokio::time::Instant;
 use tower::{Service, ServiceExt};
 
@@ -20,76 +22,119 @@
 use crate::log;
 
 /// Operations that one call of a hook may take: some milliseconds at most.
-const OPERATIONS: u64 = 20_000;
-const TEXT: usize = 16 << 10;
-const ITEMS: usize = 1_000;
+const MAX_OPERATIONS: u64 = 20_000;
+/// Nested calls of functions in one call of a hook.
+const MAX_CALL_LEVELS: usize = 16;
+/// Nesting of an expression, in the script and in its functions.
+const MAX_EXPRESSION_DEPTH: usize = 32;
+/// Longest text that a script may build, in bytes.
+const MAX_TEXT_BYTES: usize = 16 << 10;
+/// Most items of an array or a map.
+const MAX_ITEMS: usize = 1_000;
 /// Notes that one request may be given.
-const NOTES: usize = 16;
+const MAX_NOTES: usize = 16;
+/// What a client rejected by a script is told to wait before it tries again.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// The hook that is called before a request is routed.
+const REQUEST_HOOK: &str = "on_request";
+/// The hook that is called when a response has ended.
+const RESPONSE_HOOK: &str = "on_answer";
+/// The error of a script that calls `sleep`.
 const NO_SLEEP: &str = "a hook cannot sleep";
-/// A client refused by a script is told to come back after this time.
-const COME_BACK: Duration = Duration::from_secs(1);
 
+/// Why a script cannot be used at all.
+#[derive(Debug, thiserror::Error)]
+pub enum PluginError {
+    /// The file cannot be read.
+    #[error("configuration: --plugin: {}: {error}", path.display())]
+    Unreadable {
+        /// The file after `--plugin`.
+        path: PathBuf,
+        /// Why it cannot be read.
+        error: io::Error,
+    },
+    /// The file is no script that could be called.
+    #[error("configuration: --plugin: {}: {error}", path.display())]
+    Script {
+        /// The file after `--plugin`.
+        path: PathBuf,
+        /// What is wrong with its text.
+        error: ScriptError,
+    },
+}
+
+/// What is wrong with a script's text.
+#[derive(Debug, thiserror::Error)]
+pub enum ScriptError {
+    /// It is not Rhai, or uses what is switched off.
+    #[error("{0}")]
+    Syntax(#[from] ParseError),
+    /// It would never be called.
+    #[error("neither on_request(request) nor on_answer(answer) is defined")]
+    NoHook,
+}
+
+/// A compiled script.
 pub struct Plugin {
     engine: Engine,
     script: AST,
-    asks: bool,
-    tells: bool,
+    has_request_hook: bool,
+    has_response_hook: bool,
 }
 
+/// What a script decides about a request.
 #[derive(Debug, PartialEq)]
 pub enum Verdict {
-    /// It goes on, with these notes for the server.
+    /// The request goes on, with these notes for the server.
     Pass(Vec<(String, String)>),
+    /// The request is rejected, for this reason.
     Refuse(String),
 }
 
 impl Plugin {
-    pub fn load(path: &Path) -> Result<Self, String> {
-        let text = std::fs::read_to_string(path);
-        let text = text.map_err(|e| format!("configuration: --plugin: {}: {e}", path.display()))?;
-        Plugin::compile(&text).map_err(|e| format!("configuration: --plugin: {}: {e}", path.display()))
+    /// Reads and compiles the file after `--plugin`.
+    pub fn load(path: &Path) -> Result<Self, PluginError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| PluginError::Unreadable { path: path.into(), error })?;
+        Plugin::compile(&text).map_err(|error| PluginError::Script { path: path.into(), error })
     }
 
-    pub fn compile(text: &str) -> Result<Self, String> {
-        let mut engine = Engine::new();
-        engine.set_max_operations(OPERATIONS).set_max_call_levels(16).set_max_expr_depths(32, 32);
-        engine.set_max_string_size(TEXT).set_max_array_size(ITEMS).set_max_map_size(ITEMS);
-        // A hook may not hold a request up, nor run what it made up.
-        engine.disable_symbol("eval");
-        engine.register_fn("sleep", |_: i64| -> Result<(), Box<EvalAltResult>> { Err(NO_SLEEP.into()) });
-        engine.register_fn("sleep", |_: f64| -> Result<(), Box<EvalAltResult>> { Err(NO_SLEEP.into()) });
-        engine.on_print(|words| log!("plugin: {words}"));
-        engine.on_debug(|words, _, _| log!("plugin: {words}"));
-        let script = engine.compile(text).map_err(|e| e.to_string())?;
-        let has = |name: &str| script.iter_functions().any(|f| f.name == name && f.params.len() == 1);
-        let (asks, tells) = (has("on_request"), has("on_answer"));
-        if !asks && !tells {
-            return Err("neither on_request(request) nor on_answer(answer) is defined".into());
+    /// Compiles a script's text.
+    pub fn compile(text: &str) -> Result<Self, ScriptError> {
+        let engine = bounded_engine();
+        let script = engine.compile(text)?;
+        let has_hook =
+            |name: &str| script.iter_functions().any(|hook| hook.name == name && hook.params.len() == 1);
+        let (has_request_hook, has_response_hook) = (has_hook(REQUEST_HOOK), has_hook(RESPONSE_HOOK));
+        if !has_request_hook && !has_response_hook {
+            return Err(ScriptError::NoHook);
         }
-        Ok(Plugin { asks, tells, engine, script })
+        Ok(Plugin { has_request_hook, has_response_hook, engine, script })
     }
 
     fn call(&self, hook: &str, about: Map) -> Option<Dynamic> {
         let options = CallFnOptions::new().eval_ast(false);
-        let about = (Dynamic::from_map(about),);
-        let result = self.engine.call_fn_with_options(options, &mut Scope::new(), &self.script, hook, about);
+        let arguments = (Dynamic::from_map(about),);
+        let result =
+            self.engine.call_fn_with_options(options, &mut Scope::new(), &self.script, hook, arguments);
         result.map_err(|e| log!("plugin: {hook} failed: {e}")).ok()
     }
 
-    /// What the script says of a request; a fault, or an answer that makes no sense, lets it pass.
+    /// The script's verdict on a request. A script that fails, or returns what makes no sense, lets it pass.
     pub fn ask(&self, about: Map) -> Verdict {
-        let Some(said) = self.asks.then(|| self.call("on_request", about)).flatten() else {
+        let result = self.has_request_hook.then(|| self.call(REQUEST_HOOK, about)).flatten();
+        let Some(result) = result else {
             return Verdict::Pass(vec![]);
         };
-        if said.is_string() {
-            return Verdict::Refuse(said.into_string().unwrap_or_default());
+        if result.is_string() {
+            return Verdict::Refuse(result.into_string().unwrap_or_default());
         }
-        if said.as_bool() == Ok(false) {
+        if result.as_bool() == Ok(false) {
             return Verdict::Refuse("no reason given".into());
         }
-        let notes = said.try_cast::<Map>().unwrap_or_default();
-        let notes = notes.into_iter().take(NOTES).map(|(name, value)| (name.to_string(), value.to_string()));
-        Verdict::Pass(notes.collect())
+        let notes = result.try_cast::<Map>().unwrap_or_default().into_iter().take(MAX_NOTES);
+        Verdict::Pass(notes.map(|(name, value)| (name.to_string(), value.to_string())).collect())
     }
 
     /// The layer in front of a core.
@@ -98,21 +143,39 @@
     }
 }
 
+/// An engine whose scripts can neither take long nor wait nor run text that they made up.
+fn bounded_engine() -> Engine {
+    let mut engine = Engine::new();
+    engine
+        .set_max_operations(MAX_OPERATIONS)
+        .set_max_call_levels(MAX_CALL_LEVELS)
+        .set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
+    engine.set_max_string_size(MAX_TEXT_BYTES).set_max_array_size(MAX_ITEMS).set_max_map_size(MAX_ITEMS);
+    engine.disable_symbol("eval");
+    engine.register_fn("sleep", |_: i64| -> Result<(), Box<EvalAltResult>> { Err(NO_SLEEP.into()) });
+    engine.register_fn("sleep", |_: f64| -> Result<(), Box<EvalAltResult>> { Err(NO_SLEEP.into()) });
+    engine.on_print(|text| log!("plugin: {text}"));
+    engine.on_debug(|text, _, _| log!("plugin: {text}"));
+    engine
+}
+
+/// A request as scripts see it. The keys are the scripts' interface.
 fn describe(request: &Request) -> Map {
-    let (ask, payload) = (&request.routing, &request.payload);
-    let text = |t: &str| Dynamic::from(t.to_string());
+    let (routing, payload) = (&request.routing, &request.payload);
+    let text = |value: &str| Dynamic::from(value.to_string());
     Map::from_iter([
         ("name".into(), text(&payload.request_id)),
         ("path".into(), text(payload.uri.path())),
-        ("class".into(), Dynamic::from(i64::from(ask.class))),
-        ("session".into(), text(&format!("{:016x}", ask.session))),
-        ("prompt_tokens".into(), Dynamic::from(ask.prompt_tokens)),
-        ("max_tokens".into(), Dynamic::from(ask.max_tokens)),
-        ("deadline_ms".into(), Dynamic::from(ask.client_timeout)),
+        ("class".into(), Dynamic::from(i64::from(routing.class))),
+        ("session".into(), text(&format!("{:016x}", routing.session))),
+        ("prompt_tokens".into(), Dynamic::from(routing.prompt_tokens)),
+        ("max_tokens".into(), Dynamic::from(routing.max_tokens)),
+        ("deadline_ms".into(), Dynamic::from(routing.client_timeout)),
         ("body_bytes".into(), Dynamic::from(payload.body.len() as i64)),
     ])
 }
 
+/// A service behind a plug-in.
 #[derive(Clone)]
 pub struct Hooked<S> {
     plugin: Rc<Plugin>,
@@ -138,28 +201,31 @@
             match plugin.ask(about.clone()) {
                 Verdict::Refuse(reason) => {
                     log!("plugin: refused: {reason}");
-                    return Ok(ClientSide::rejected(COME_BACK));
+                    return Ok(ClientSide::rejected(RETRY_AFTER));
                 }
                 Verdict::Pass(notes) => annotate(&mut request, &notes),
             }
             let started = Instant::now();
-            let mut answer = inner.oneshot(request).await?;
-            if plugin.tells {
-                answer.observe(move |ended| {
-                    let mut about = about;
-                    about.insert("ended".into(), Dynamic::from(word(ended).to_string()));
-                    let elapsed = started.elapsed().as_secs_f64() * 1000.0;
-                    about.insert("elapsed_ms".into(), Dynamic::from(elapsed));
-                    plugin.call("on_answer", about);
-                });
+            let mut response = inner.oneshot(request).await?;
+            if plugin.has_response_hook {
+                response.observe(move |outcome| report_outcome(&plugin, about, started, outcome));
             }
-            Ok(answer)
+            Ok(response)
         })
     }
 }
 
-fn word(ended: ResponseOutcome) -> &'static str {
-    match ended {
+/// Calls the response hook with the request, its outcome and its time.
+fn report_outcome(plugin: &Plugin, mut about: Map, started: Instant, outcome: ResponseOutcome) {
+    about.insert("ended".into(), Dynamic::from(script_label(outcome).to_string()));
+    let elapsed_ms = started.elapsed().as_secs_f64() * 1000.0;
+    about.insert("elapsed_ms".into(), Dynamic::from(elapsed_ms));
+    plugin.call(RESPONSE_HOOK, about);
+}
+
+/// An outcome as scripts see it.
+fn script_label(outcome: ResponseOutcome) -> &'static str {
+    match outcome {
         ResponseOutcome::Completed => "served",
         ResponseOutcome::Rejected => "refused",
         ResponseOutcome::Failed => "failed",
@@ -167,7 +233,7 @@
     }
 }
 
-/// Notes reach the server as headers of their own, so they can change none that the request came with.
+/// Adds notes as headers with a prefix of their own, so that they cannot change one that the request came with.
 fn annotate(request: &mut Request, notes: &[(String, String)]) {
     let Some(payload) = Rc::get_mut(&mut request.payload) else { return };
     for (name, value) in notes {
@@ -182,46 +248,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn ask(script: &str) -> Verdict {
-        let about = Map::from_iter([("prompt_tokens".into(), Dynamic::from(900.0))]);
-        Plugin::compile(script).expect("a script").ask(about)
-    }
-
-    #[test]
-    fn a_script_passes_refuses_and_annotates() {
-        assert_eq!(ask("fn on_request(r) { }"), Verdict::Pass(vec![]));
-        assert_eq!(ask("fn on_request(r) { true }"), Verdict::Pass(vec![]));
-        let long = "fn on_request(r) { if r.prompt_tokens > 500.0 { \"too long\" } }";
-        assert_eq!(ask(long), Verdict::Refuse("too long".into()));
-        let note = Verdict::Pass(vec![("tier".into(), "gold".into())]);
-        assert_eq!(ask("fn on_request(r) { #{ tier: \"gold\" } }"), note);
-    }
-
-    /// Guards against a script that stops the gateway: faults and endless work let the request pass.
-    #[test]
-    fn a_faulty_or_endless_script_lets_the_request_pass() {
-        for script in [
-            "fn on_request(r) { throw \"no\" }",
-            "fn on_request(r) { r.nothing.at_all }",
-            "fn on_request(r) { loop { } }",
-            "fn on_request(r) { on_request(r) }",
-            "fn on_request(r) { let s = \"x\"; loop { s += s; } }",
-        ] {
-            assert_eq!(ask(script), Verdict::Pass(vec![]), "{script}");
-        }
-    }
-
-    /// Guards against a hook that holds requests up.
-    #[test]
-    fn a_script_cannot_sleep_and_must_hold_a_hook() {
-        for script in ["fn on_request(r) { sleep(1); false }", "fn on_request(r) { sleep(0.5); false }"] {
-            assert_eq!(ask(script), Verdict::Pass(vec![]));
-        }
-        assert!(Plugin::compile("fn on_request(r) { eval(\"1\") }").is_err());
-        assert!(Plugin::compile("fn on_request(r) {").is_err());
-        assert!(Plugin::compile("fn other(r) { }").is_err());
-    }
-}
+mod tests;
--- /dev/null
+++ b/gateway/src/pools/inference.rs
@@ -0,0 +1,178 @@
+//! The second front's pools: servers named in its file, or the platform's own for chat.
+
+use std::cell::RefCell;
+use std::hash::{BuildHasher, RandomState};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use glenrail_router::{Idempotency, ListUpdate, Millis, RequestClass, ServerEntry, ServerState};
+use glenrail_settings::server_id;
+use tokio::sync::Semaphore;
+
+use super::Pool;
+use crate::budget::Budget;
+use crate::config;
+use crate::engine::{EngineLimits, ServerAddress};
+use crate::front::inference::{Inference, Target};
+use crate::metrics::RequestMetrics;
+use crate::plugin::Plugin;
+
+/// Index of the one class that a pool from the file has.
+const ONLY_CLASS: u32 = 0;
+
+/// Why the second front's pools cannot be set up.
+#[derive(Debug, thiserror::Error)]
+pub enum PoolError {
+    /// `chat_class` must name one of the platform's classes, or be left out.
+    #[error("configuration: chat_class: the platform has no such class")]
+    UnknownChatClass,
+}
+
+/// The platform's own servers, for chat that comes over the second front.
+pub struct PlatformChat {
+    /// Names of the classes and their deadlines, in the order of the settings.
+    pub names: Vec<(String, Millis)>,
+    /// The classes' settings, in the same order.
+    pub classes: Vec<RequestClass>,
+    /// The platform's pool.
+    pub pool: Pool,
+}
+
+/// The second front, and the pools that its file defines.
+pub struct InferencePools {
+    /// The front.
+    pub front: Inference,
+    embeddings: Option<FilePool>,
+    chat: Option<FilePool>,
+}
+
+impl InferencePools {
+    /// Sets up the front and its pools. Chat goes to the file's servers, else to the platform's if there are any.
+    pub fn new(
+        file: &config::Front, platform: Option<PlatformChat>, plugin: &Option<Rc<Plugin>>,
+        slots: Arc<Semaphore>, budget: Budget, counters: RequestMetrics,
+    ) -> Result<Self, PoolError> {
+        let file_pool = |pool: &config::Pool, default: Idempotency| {
+            FilePool::new(pool, file.max_deadline_ms, default, slots.clone(), budget.clone())
+        };
+        let embeddings = file.embeddings.as_ref().map(|pool| file_pool(pool, Idempotency::Idempotent));
+        let chat = file.chat.as_ref().map(|pool| file_pool(pool, Idempotency::NonIdempotent));
+        let embeddings_target = embeddings.as_ref().map(|pool| pool.target(plugin));
+        let chat_target = match (&chat, platform) {
+            (Some(chat), _) => Some(chat.target(plugin)),
+            (None, Some(platform)) => Some(platform_target(platform, file.chat_class.as_deref(), plugin)?),
+            (None, None) => None,
+        };
+        let front = Inference::new(file, embeddings_target, chat_target, budget, counters);
+        Ok(InferencePools { front, embeddings, chat })
+    }
+
+    /// The pools that the file defines, embeddings first.
+    pub fn pools(&self) -> Vec<Pool> {
+        let file_pools = [&self.embeddings, &self.chat].into_iter().flatten();
+        file_pools.map(|file_pool| file_pool.pool.clone()).collect()
+    }
+
+    /// Applies the servers of a file that has changed. Its other settings apply from the next start on.
+    pub fn reload(&self, file: &config::Front) {
+        for (running, new) in [(&self.embeddings, &file.embeddings), (&self.chat, &file.chat)] {
+            if let (Some(running), Some(new)) = (running, new) {
+                running.reload(new);
+            }
+        }
+    }
+}
+
+/// A pool whose servers stand in the second front's file.
+struct FilePool {
+    pool: Pool,
+    /// The pool's section as it was last applied.
+    applied: RefCell<config::Pool>,
+}
+
+impl FilePool {
+    /// `default`: whether a request that may have run may be sent again, where the file does not say.
+    fn new(
+        section: &config::Pool, max_deadline_ms: u64, default: Idempotency, slots: Arc<Semaphore>,
+        budget: Budget,
+    ) -> Self {
+        let settings = config::one_stage(section, max_deadline_ms as Millis, default);
+        let limits = EngineLimits {
+            connect_timeout: Duration::from_millis(section.connect_ms),
+            probes: false,
+            idle: Duration::from_millis(section.idle_ms),
+            public_api: true,
+        };
+        // Gateways have no seed in this file, and must not all draw alike.
+        let seed = RandomState::new().hash_one("router");
+        let pool = Pool::new(seed, settings, limits, slots, budget);
+        apply_servers(&pool, section, None);
+        FilePool { pool, applied: RefCell::new(section.clone()) }
+    }
+
+    fn reload(&self, section: &config::Pool) {
+        let before = self.applied.replace(section.clone());
+        apply_servers(&self.pool, section, Some(&before));
+    }
+
+    fn target(&self, plugin: &Option<Rc<Plugin>>) -> Target {
+        target(&self.pool, plugin, (ONLY_CLASS, None))
+    }
+}
+
+fn target(pool: &Pool, plugin: &Option<Rc<Plugin>>, class: (u32, Option<String>)) -> Target {
+    let core = pool.core.clone();
+    Target { entry: pool.request_service(plugin), ready: Rc::new(move || core.can_serve()), class }
+}
+
+/// Applies the servers of a file to its pool: first to the engine client, then to the router.
+///
+/// Servers of the first file count as warm. One that is new in a later file, or serves again after a drain, may have just
+/// started, so slow start applies to it.
+fn apply_servers(pool: &Pool, section: &config::Pool, before: Option<&config::Pool>) {
+    let addresses: Vec<ServerAddress> = section.servers.iter().map(server_address).collect();
+    pool.engine.update_servers(true, &addresses, &[]);
+    let entries = section.servers.iter().map(|server| {
+        let returned = before.is_some_and(|before| !serves(before, &server.name));
+        router_entry(server, returned.then(|| pool.clock.now()))
+    });
+    pool.core.update_servers(ListUpdate::Full, entries.collect());
+}
+
+fn serves(section: &config::Pool, name: &str) -> bool {
+    section.servers.iter().any(|server| server.name == name && !server.drain)
+}
+
+fn router_entry(server: &config::Server, started: Option<Millis>) -> ServerEntry {
+    ServerEntry {
+        server: server_id(&server.name),
+        weight: server.weight,
+        started,
+        state: if server.drain { ServerState::Draining } else { ServerState::Ready },
+        ..ServerEntry::default()
+    }
+}
+
+fn server_address(server: &config::Server) -> ServerAddress {
+    ServerAddress {
+        server: server_id(&server.name),
+        address: server.address.clone(),
+        serving: !server.drain,
+        ..ServerAddress::default()
+    }
+}
+
+/// Chat over the platform's servers has the class that the file names, else the first that is not idempotent.
+fn platform_target(
+    platform: PlatformChat, class: Option<&str>, plugin: &Option<Rc<Plugin>>,
+) -> Result<Target, PoolError> {
+    let PlatformChat { names, classes, pool } = platform;
+    let not_idempotent = |class: &RequestClass| class.idempotency == Idempotency::NonIdempotent;
+    let index = match class {
+        Some(name) => names.iter().position(|(class, _)| class == name),
+        None => classes.iter().position(not_idempotent).or(Some(0)),
+    };
+    let index = index.ok_or(PoolError::UnknownChatClass)?;
+    Ok(target(&pool, plugin, (index as u32, Some(names[index].0.clone()))))
+}
