--- a/gateway/src/admin.rs
+++ b/gateway/src/admin.rs
@@ -1,4 +1,8 @@
-//! The operators' front: one call a connection, at an address of its own.
+//! The operators' front: readiness, counters, maintenance orders and service state, at an address of its own.
+//!
+//! One call a connection. [`AdminContext`] is what the calls read and change; the front has no state of its own. The paths,
+//! the texts and the JSON keys are an interface that operators' tools read.
+#![deny(missing_docs)]
 
 use std::rc::Rc;
 
@@ -17,21 +21,30 @@
 use crate::pools::Pool;
 use crate::shutdown::Shutdown;
 
-/// Connections of operators where there are descriptors enough; where more come, the one that has been silent longest gives
-/// way.
+/// Connections of operators where there are descriptors enough. Where more come, the one that has been idle longest is
+/// evicted.
 pub const CONNECTIONS: usize = 8;
 
-/// What operators may ask and order.
+/// What all calls begin with.
+const PATH_PREFIX: &str = "/control/";
+
+/// What operators may read and change.
 pub struct AdminContext<U> {
+    /// Whether this process can serve.
     pub ready: Rc<dyn Fn() -> bool>,
-    pub counters: RequestMetrics,
+    /// Counts of the requests by class.
+    pub metrics: RequestMetrics,
+    /// All pools of this gateway.
     pub pools: Vec<Pool>,
-    pub rotation: Rc<Maintenance<U>>,
+    /// Servers out of rotation.
+    pub maintenance: Rc<Maintenance<U>>,
+    /// Whether the gateway is in service.
     pub shutdown: Shutdown,
-    /// `None`: no file names one.
+    /// The fleet that this gateway is a member of, if it is in one.
     pub fleet: Option<fleet::Handle>,
 }
 
+/// The operators' front.
 pub struct AdminFront<U>(Rc<AdminContext<U>>);
 
 impl<U> Clone for AdminFront<U> {
@@ -40,20 +53,77 @@
     }
 }
 
-fn word(status: StatusCode, what: &str) -> Response<Body> {
-    response(status, format!("{what}\n"))
+/// What operators order for a server.
+#[derive(Clone, Copy)]
+enum Order {
+    Offline,
+    Online,
+}
+
+impl Order {
+    /// As it stands in the path and in the answer.
+    fn name(self) -> &'static str {
+        match self {
+            Order::Offline => "offline",
+            Order::Online => "online",
+        }
+    }
 }
 
-fn shown(figures: &Value) -> Response<Body> {
-    let mut answer = word(StatusCode::OK, &figures.to_string());
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+/// A call, by its path.
+enum Call<'a> {
+    Ready,
+    Counters,
+    FleetMembers(&'a fleet::Handle),
+    OutOfService,
+    InService,
+    /// The server's name is percent-encoded.
+    Order {
+        server: &'a str,
+        order: Order,
+    },
 }
 
-fn only(method: &'static str) -> Response<Body> {
-    let mut answer = word(StatusCode::METHOD_NOT_ALLOWED, &format!("{method} wanted"));
-    answer.headers_mut().insert(ALLOW, HeaderValue::from_static(method));
-    answer
+impl<'a> Call<'a> {
+    fn parse(path: &'a str, fleet: Option<&'a fleet::Handle>) -> Option<Call<'a>> {
+        let segments: Vec<&str> = path.strip_prefix(PATH_PREFIX)?.split('/').collect();
+        match segments[..] {
+            ["ready"] => Some(Call::Ready),
+            ["counters"] => Some(Call::Counters),
+            ["fleet"] => fleet.map(Call::FleetMembers),
+            ["out-of-service"] => Some(Call::OutOfService),
+            ["in-service"] => Some(Call::InService),
+            ["engines", "", _] => None,
+            ["engines", server, "offline"] => Some(Call::Order { server, order: Order::Offline }),
+            ["engines", server, "online"] => Some(Call::Order { server, order: Order::Online }),
+            _ => None,
+        }
+    }
+
+    /// The one method that the call is made with.
+    fn method(&self) -> &'static str {
+        match self {
+            Call::Ready | Call::Counters | Call::FleetMembers(_) => "GET",
+            Call::OutOfService | Call::InService | Call::Order { .. } => "POST",
+        }
+    }
+}
+
+/// One line of text.
+fn text_line(status: StatusCode, text: &str) -> Response<Body> {
+    response(status, format!("{text}\n"))
+}
+
+fn json_line(value: &Value) -> Response<Body> {
+    let mut response = text_line(StatusCode::OK, &value.to_string());
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+}
+
+fn wrong_method(allowed: &'static str) -> Response<Body> {
+    let mut response = text_line(StatusCode::METHOD_NOT_ALLOWED, &format!("{allowed} wanted"));
+    response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
+    response
 }
 
 fn order_status(error: &OrderError) -> StatusCode {
@@ -64,91 +134,85 @@
 }
 
 impl<U: Upstream> AdminFront<U> {
-    pub fn new(desk: AdminContext<U>) -> Self {
-        AdminFront(Rc::new(desk))
+    /// A front for these parts of the gateway.
+    pub fn new(context: AdminContext<U>) -> Self {
+        AdminFront(Rc::new(context))
     }
 
-    fn figures(&self) -> Value {
-        let desk = &self.0;
-        let by_class = |count: fn(&OutcomeCounts) -> u64| -> Map<String, Value> {
-            desk.counters
-                .snapshot()
-                .iter()
-                .map(|(class, counts)| (class.clone(), count(counts).into()))
-                .collect()
-        };
-        let sum = |figure: fn(&Pool) -> usize| desk.pools.iter().map(figure).sum::<usize>();
-        let mut figures = json!({
-            "fulfilled": by_class(|c| c.fulfilled),
-            "throttled": by_class(|c| c.throttled),
-            "faulted": by_class(|c| c.faulted),
-            "relayed": desk.pools.iter().map(|p| p.engine.attempts_written()).sum::<u64>(),
+    fn counters(&self) -> Value {
+        let context = &self.0;
+        let sum = |count: fn(&Pool) -> usize| context.pools.iter().map(count).sum::<usize>();
+        let relayed: u64 = context.pools.iter().map(|pool| pool.engine.attempts_written()).sum();
+        let mut counters = json!({
+            "fulfilled": self.by_class(|counts| counts.fulfilled),
+            "throttled": self.by_class(|counts| counts.throttled),
+            "faulted": self.by_class(|counts| counts.faulted),
+            "relayed": relayed,
             "open_requests": sum(Pool::open_requests),
-            "registry_entries": desk.rotation.listed(),
-            "out_of_rotation": sum(|p| p.core.avoided_servers()),
+            "registry_entries": context.maintenance.listed(),
+            "out_of_rotation": sum(|pool| pool.core.avoided_servers()),
         });
-        figures["invariants_broken"] =
+        counters["invariants_broken"] =
             invariants::counts().map(|(name, count)| (name.to_string(), Value::from(count))).collect();
-        if let Some(fleet) = &desk.fleet {
-            figures["fleet"] = fleet.counters();
+        if let Some(fleet) = &context.fleet {
+            counters["fleet"] = fleet.counters();
         }
-        figures
+        counters
+    }
+
+    fn by_class(&self, count: fn(&OutcomeCounts) -> u64) -> Map<String, Value> {
+        let classes = self.0.metrics.snapshot().into_iter();
+        classes.map(|(class, counts)| (class, count(&counts).into())).collect()
     }
 
-    fn order(&self, id: &str, order: &str) -> Response<Body> {
-        let Ok(id) = percent_decode_str(id).decode_utf8() else {
-            return word(StatusCode::BAD_REQUEST, "the engine's id is not UTF-8");
+    fn order(&self, encoded_server: &str, order: Order) -> Response<Body> {
+        let Ok(server) = percent_decode_str(encoded_server).decode_utf8() else {
+            return text_line(StatusCode::BAD_REQUEST, "the engine's id is not UTF-8");
         };
-        let done = match order {
-            "offline" => self.0.rotation.offline(&id),
-            _ => self.0.rotation.online(&id),
+        let result = match order {
+            Order::Offline => self.0.maintenance.offline(&server),
+            Order::Online => self.0.maintenance.online(&server),
         };
-        match done {
-            Ok(()) => word(StatusCode::OK, &format!("{id}: {order}")),
-            Err(error) => word(order_status(&error), &format!("{id}: {error}")),
+        match result {
+            Ok(()) => text_line(StatusCode::OK, &format!("{server}: {}", order.name())),
+            Err(error) => text_line(order_status(&error), &format!("{server}: {error}")),
         }
     }
 
     fn call(&self, method: &Method, path: &str) -> Response<Body> {
-        let desk = &self.0;
-        let parts: Vec<&str> = path.strip_prefix("/control/").unwrap_or("").split('/').collect();
-        let wanted = match parts[..] {
-            ["ready" | "counters"] => "GET",
-            ["fleet"] if desk.fleet.is_some() => "GET",
-            ["out-of-service" | "in-service"] => "POST",
-            ["engines", id, "offline" | "online"] if !id.is_empty() => "POST",
-            _ => return word(StatusCode::NOT_FOUND, "no such call"),
+        let context = &self.0;
+        let Some(call) = Call::parse(path, context.fleet.as_ref()) else {
+            return text_line(StatusCode::NOT_FOUND, "no such call");
         };
-        if method.as_str() != wanted {
-            return only(wanted);
+        if method.as_str() != call.method() {
+            return wrong_method(call.method());
         }
-        match parts[..] {
-            ["ready"] if (desk.ready)() => word(StatusCode::OK, "ready"),
-            ["ready"] => word(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-            ["counters"] => shown(&self.figures()),
-            ["fleet"] => shown(&desk.fleet.as_ref().map_or(Value::Null, fleet::Handle::members)),
-            ["out-of-service"] => {
-                desk.shutdown.take_out_of_service();
-                word(StatusCode::OK, "out of service")
+        match call {
+            Call::Ready if (context.ready)() => text_line(StatusCode::OK, "ready"),
+            Call::Ready => text_line(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+            Call::Counters => json_line(&self.counters()),
+            Call::FleetMembers(fleet) => json_line(&fleet.members()),
+            Call::OutOfService => {
+                context.shutdown.take_out_of_service();
+                text_line(StatusCode::OK, "out of service")
             }
-            ["in-service"] => {
-                desk.shutdown.return_to_service();
-                word(StatusCode::OK, "in service")
+            Call::InService => {
+                context.shutdown.return_to_service();
+                text_line(StatusCode::OK, "in service")
             }
-            ["engines", id, order] => self.order(id, order),
-            _ => word(StatusCode::NOT_FOUND, "no such call"),
+            Call::Order { server, order } => self.order(server, order),
         }
     }
 }
 
 impl<U: Upstream> Front for AdminFront<U> {
     async fn answer(self, request: Request<Incoming>) -> Response<Body> {
-        let mut answer = self.call(request.method(), request.uri().path());
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-        answer
+        let mut response = self.call(request.method(), request.uri().path());
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
     }
 
-    /// Calls of operators are no requests.
+    /// Operators' calls do not count as requests.
     fn request_counter(&self, _: &Request<Incoming>) -> Option<RequestCounter> {
         None
     }
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -221,9 +221,9 @@
     let AdminPart { listener, ready, maintenance } = admin;
     let front = AdminFront::new(AdminContext {
         ready,
-        counters: context.metrics.clone(),
+        metrics: context.metrics.clone(),
         pools: pools.to_vec(),
-        rotation: maintenance,
+        maintenance,
         shutdown: context.shutdown.clone(),
         fleet: member.cloned(),
     });
--- a/gateway/tests/ops.rs
+++ b/gateway/tests/ops.rs
@@ -60,9 +60,9 @@
     let core = g.pool.core.clone();
     let desk = AdminContext {
         ready: Rc::new(move || core.can_serve()),
-        counters: g.counters.clone(),
+        metrics: g.counters.clone(),
         pools: vec![g.pool.clone()],
-        rotation: rotation.clone(),
+        maintenance: rotation.clone(),
         shutdown: g.shutdown.clone(),
         fleet: None,
     };
