--- a/gateway/src/upgrade/mod.rs
+++ b/gateway/src/upgrade/mod.rs
@@ -28,13 +28,16 @@
 /// How many fronts hand their sockets over.
 pub const FRONTS: usize = 2;
 
+/// Applies a state that was received.
+type ImportState = Rc<dyn Fn(&[u8])>;
+
 /// What the platform's router has learned, on its way from one process to the next. The bytes are opaque here.
 #[derive(Clone)]
 pub struct RoutingStateTransfer {
     /// The state as the predecessor sends it.
     pub export: Rc<dyn Fn() -> Vec<u8>>,
     /// Applies the state that the successor received.
-    pub import: Rc<dyn Fn(&[u8])>,
+    pub import: ImportState,
 }
 
 #[cfg(test)]
