--- a/fault-tests/src/lib.rs
+++ b/fault-tests/src/lib.rs
@@ -15,5 +15,5 @@
 pub mod judge;
 pub mod network;
 pub mod record;
-mod sighting;
+mod attempt_observer;
 pub mod soak;
--- a/fault-tests/src/network.rs
+++ b/fault-tests/src/network.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use crate::record::Records;
-use crate::sighting::Sighting;
+use crate::attempt_observer::Sighting;
 
 /// Connections that may wait to be accepted on a link that is well.
 const BACKLOG: i32 = 128;
