--- a/fault-tests/src/attempt_observer.rs
+++ b/fault-tests/src/attempt_observer.rs
@@ -2,7 +2,7 @@
 
 use crate::record::{Event, Records};
 
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// Where the framing of what a gateway sends stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,12 +16,12 @@
 #[derive(Clone, Debug)]
 struct Attempt {
     request: String,
-    told: Option<f64>,
-    replied: bool,
+    announced_deadline: Option<f64>,
+    response_began: bool,
 }
 
 /// Reads requests as they pass, and records those that carry a request's id.
-pub struct Sighting {
+pub struct AttemptObserver {
     records: Records,
     link: String,
     connection: u64,
@@ -32,9 +32,9 @@
     attempt: Option<Attempt>,
 }
 
-impl Sighting {
-    pub fn new(records: Records, link: &str, connection: u64) -> Sighting {
-        Sighting {
+impl AttemptObserver {
+    pub fn new(records: Records, link: &str, connection: u64) -> AttemptObserver {
+        AttemptObserver {
             records,
             link: link.to_string(),
             connection,
@@ -46,20 +46,20 @@
     }
 
     /// These bytes pass from the gateway.
-    pub fn passes(&mut self, mut bytes: &[u8]) {
+    pub fn bytes_passed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match self.framing {
-                Framing::Head => self.passes_head(bytes),
-                Framing::Body(left) => self.passes_body(bytes, left),
+                Framing::Head => self.head_bytes(bytes),
+                Framing::Body(left) => self.body_bytes(bytes, left),
             };
         }
     }
 
-    fn passes_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+    fn head_bytes<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         self.began.get_or_insert_with(crate::clock::now);
         let before = self.head.len();
         self.head.extend_from_slice(bytes);
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let Ok(httparse::Status::Complete(size)) = request.parse(&self.head) else { return &[] };
         let header = |name: &str| {
@@ -68,19 +68,23 @@
         };
         let length = header("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
         let told = header("req-deadline").and_then(|n| n.parse().ok());
-        let attempt = header("req-id").map(|request| Attempt { request, told, replied: false });
+        let attempt = header("req-id").map(|request| Attempt {
+            request,
+            announced_deadline: told,
+            response_began: false,
+        });
         self.head.clear();
         let began = self.began.take().unwrap_or_else(crate::clock::now);
         if let Some(Attempt { request, .. }) = &attempt {
-            let event = Event::Began { request: request.clone(), connection: self.connection };
-            self.records.push(crate::record::Record { at: began, place: self.link.clone(), event });
+            let event = Event::FirstByte { request: request.clone(), connection: self.connection };
+            self.records.push(crate::record::Record { at: began, source: self.link.clone(), event });
         }
         self.attempt = attempt;
         self.body(length);
         &bytes[size - before..]
     }
 
-    fn passes_body<'a>(&mut self, bytes: &'a [u8], left: usize) -> &'a [u8] {
+    fn body_bytes<'a>(&mut self, bytes: &'a [u8], left: usize) -> &'a [u8] {
         let passed = left.min(bytes.len());
         self.body(left - passed);
         &bytes[passed..]
@@ -89,28 +93,32 @@
     /// So much of a body is left.
     fn body(&mut self, left: usize) {
         self.framing = if left > 0 { Framing::Body(left) } else { Framing::Head };
-        let Some(Attempt { request, told, .. }) = self.attempt.clone().filter(|_| left == 0) else { return };
-        self.add(Event::Written { request, connection: self.connection, told });
+        let Some(Attempt { request, announced_deadline: told, .. }) =
+            self.attempt.clone().filter(|_| left == 0)
+        else {
+            return;
+        };
+        self.record(Event::Written { request, connection: self.connection, announced_deadline: told });
     }
 
     /// Bytes of an answer are given to the gateway.
-    pub fn replies(&mut self) {
-        let Some(attempt) = self.attempt.as_mut().filter(|attempt| !attempt.replied) else { return };
-        attempt.replied = true;
+    pub fn response_began(&mut self) {
+        let Some(attempt) = self.attempt.as_mut().filter(|attempt| !attempt.response_began) else { return };
+        attempt.response_began = true;
         let request = attempt.request.clone();
-        self.add(Event::Replied { request, connection: self.connection });
+        self.record(Event::Replied { request, connection: self.connection });
     }
 
-    fn add(&self, event: Event) {
+    fn record(&self, event: Event) {
         self.records.add(&self.link, event);
     }
 }
 
 /// The gateway has closed the connection, or it was reset.
-impl Drop for Sighting {
+impl Drop for AttemptObserver {
     fn drop(&mut self) {
         if let Some(Attempt { request, .. }) = self.attempt.take() {
-            self.add(Event::Closed { request, connection: self.connection });
+            self.record(Event::Closed { request, connection: self.connection });
         }
     }
 }
--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -18,7 +18,7 @@
 
 /// One request of a client.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     pub id: String,
     pub class: String,
     pub session: u64,
@@ -26,14 +26,14 @@
     /// Whether its class may be repeated.
     pub repeatable: bool,
     /// It closes its connection after so long, whatever has come by then.
-    pub leaves_after: Option<Duration>,
+    pub disconnects_after: Option<Duration>,
 }
 
-impl Ask {
+impl ClientRequest {
     /// A request that waits for its answer.
-    pub fn new(id: impl Into<String>, class: &str, deadline: Duration, repeatable: bool) -> Ask {
+    pub fn new(id: impl Into<String>, class: &str, deadline: Duration, repeatable: bool) -> ClientRequest {
         let (id, class) = (id.into(), class.to_string());
-        Ask { id, class, session: 0, deadline, repeatable, leaves_after: None }
+        ClientRequest { id, class, session: 0, deadline, repeatable, disconnects_after: None }
     }
 
     fn request(&self) -> Request<Full<Bytes>> {
@@ -51,7 +51,9 @@
 }
 
 /// Sends a request, and records what becomes of it; `gateway` names the one asked. Gives the answer's status.
-pub async fn ask(gateway: &str, address: SocketAddr, ask: Ask, records: &Records) -> Option<u16> {
+pub async fn send_request(
+    gateway: &str, address: SocketAddr, ask: ClientRequest, records: &Records,
+) -> Option<u16> {
     let request = ask.id.clone();
     let mut sender = connect(address).await?;
     let (deadline, repeatable) = (ask.deadline.as_secs_f64(), ask.repeatable);
@@ -61,20 +63,20 @@
         let status = response.status().as_u16();
         Some((status, response.collect().await.is_ok()))
     };
-    let waits = ask.leaves_after.unwrap_or(ask.deadline + GRACE);
+    let waits = ask.disconnects_after.unwrap_or(ask.deadline + GRACE);
     let answer = timeout(waits, answered).await;
     drop(sender);
     match answer {
         Ok(Some((status, whole))) => {
-            records.add(gateway, Event::Answered { request, status, whole });
+            records.add(gateway, Event::Answered { request, status, complete: whole });
             Some(status)
         }
         Ok(None) => {
             records.add(gateway, Event::Unanswered { request });
             None
         }
-        Err(_) if ask.leaves_after.is_some() => {
-            records.add(gateway, Event::Left { request });
+        Err(_) if ask.disconnects_after.is_some() => {
+            records.add(gateway, Event::ClientDisconnected { request });
             None
         }
         Err(_) => None,
--- a/fault-tests/src/clock.rs
+++ b/fault-tests/src/clock.rs
@@ -1,4 +1,4 @@
-//! The machine's monotonic clock, which all processes of a trial share.
+//! The machine's monotonic clock, which all processes of a run share.
 
 use rustix::time::{clock_gettime, ClockId};
 
--- a/fault-tests/src/deployment.rs
+++ b/fault-tests/src/deployment.rs
@@ -16,8 +16,8 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-use crate::client::{self, Ask};
-use crate::discovery::Agent;
+use crate::client::{self, ClientRequest};
+use crate::discovery::DiscoveryAgent;
 use crate::engine::Role;
 use crate::network::Link;
 use crate::record::{Event, Record, Records};
@@ -29,11 +29,11 @@
 
 /// Why a deployment does not start.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum DeploymentError {
     #[error("{what}: {why}; the gateway is built with `cargo build` first, the folder has to be writable")]
     Start { what: String, why: io::Error },
     #[error("{0} said nothing in time; its log has the reason")]
-    NotUp(String),
+    NotReady(String),
 }
 
 /// One engine of a deployment.
@@ -42,35 +42,39 @@
     pub name: String,
     pub role: Role,
     /// The least and the most time (ms) that a read, or a writer's first token, takes.
-    pub time: (u64, u64),
+    pub service_time_ms: (u64, u64),
 }
 
 /// What a deployment has.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct DeploymentSpec {
     pub gateways: usize,
     pub engines: Vec<EngineSpec>,
-    pub pin_limit: Duration,
+    pub lease_limit: Duration,
     pub deadline: Duration,
     /// Whether engines may be probed.
     pub probes: bool,
 }
 
-impl Spec {
+impl DeploymentSpec {
     /// So many of each, with the incident's settings: 500 ms for what is held, deadlines of 9 s.
-    pub fn new(gateways: usize, readers: usize, writers: usize) -> Spec {
+    pub fn new(gateways: usize, readers: usize, writers: usize) -> DeploymentSpec {
         let of = |prefix: &'static str, role, count| {
-            (0..count).map(move |n| EngineSpec { name: format!("{prefix}{n}"), role, time: (20, 60) })
+            (0..count).map(move |n| EngineSpec {
+                name: format!("{prefix}{n}"),
+                role,
+                service_time_ms: (20, 60),
+            })
         };
-        let engines = of("r", Role::Reader, readers).chain(of("w", Role::Writer, writers)).collect();
+        let engines = of("r", Role::Prefill, readers).chain(of("w", Role::Decode, writers)).collect();
         let (pin_limit, deadline) = (Duration::from_millis(500), Duration::from_secs(9));
-        Spec { gateways, engines, pin_limit, deadline, probes: true }
+        DeploymentSpec { gateways, engines, lease_limit: pin_limit, deadline, probes: true }
     }
 
     /// With writers whose first token takes this long (ms).
-    pub fn writers_take(mut self, least: u64, most: u64) -> Spec {
-        let writers = self.engines.iter_mut().filter(|e| e.role == Role::Writer);
-        writers.for_each(|engine| engine.time = (least, most));
+    pub fn with_decode_time(mut self, least: u64, most: u64) -> DeploymentSpec {
+        let writers = self.engines.iter_mut().filter(|e| e.role == Role::Decode);
+        writers.for_each(|engine| engine.service_time_ms = (least, most));
         self
     }
 
@@ -81,7 +85,7 @@
             "kinds": ["prompt-side", "answer-side"],
             "services": [class("item-query", "free"), class("order-chat", "single_shot")],
             "domain": {"stage-of-kind": ["read", "write"], "tokens-by-kind": [200_000, 200_000],
-                "pin-limit": self.pin_limit.as_secs_f64() * 1000.0},
+                "pin-limit": self.lease_limit.as_secs_f64() * 1000.0},
             "policy-limits": {"max-attempts": 5, "cancel": true, "dial-timeout": 250.0, "probes": self.probes,
                 "conn-idle": 20_000.0},
             "rules": {"cold": 13_000.0, "cold-from": 0.31, "fall": 3_000.0, "fall-multiple": 4.0,
@@ -98,11 +102,11 @@
 }
 
 impl Process {
-    fn start(command: &mut Command, what: &str) -> Result<Process, Fault> {
+    fn start(command: &mut Command, what: &str) -> Result<Process, DeploymentError> {
         let started = command.kill_on_drop(true).spawn();
-        let child = started.map_err(|why| Fault::Start { what: what.to_string(), why })?;
+        let child = started.map_err(|why| DeploymentError::Start { what: what.to_string(), why })?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        Ok(Process { child, pid: pid.ok_or_else(|| Fault::NotUp(what.to_string()))? })
+        Ok(Process { child, pid: pid.ok_or_else(|| DeploymentError::NotReady(what.to_string()))? })
     }
 
     /// Signals the process, if it still runs.
@@ -133,7 +137,7 @@
     pub name: String,
     pub address: SocketAddr,
     pub process: Process,
-    pub agent: Agent,
+    pub agent: DiscoveryAgent,
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -147,22 +151,25 @@
 
 /// A deployment that runs; its processes end with it.
 pub struct Deployment {
-    pub spec: Spec,
+    pub spec: DeploymentSpec,
     pub engines: Vec<EngineProcess>,
     pub gateways: Vec<GatewayProcess>,
     /// By gateway and engine.
     pub links: BTreeMap<(usize, usize), Link>,
     pub records: Records,
     folder: TempDir,
-    trials: PathBuf,
+    program: PathBuf,
     gateway: PathBuf,
     list_version: u64,
 }
 
 impl Deployment {
-    /// Starts all processes and waits until they are up. `trials` is this crate's own program, `gateway` the gateway's.
-    pub async fn start(spec: Spec, trials: &Path, gateway: &Path) -> Result<Deployment, Fault> {
-        let folder = tempfile::tempdir().map_err(|why| Fault::Start { what: "a folder".into(), why })?;
+    /// Starts all processes and waits until they are up. `program` is this crate's own program, `gateway` the gateway's.
+    pub async fn start(
+        spec: DeploymentSpec, program: &Path, gateway: &Path,
+    ) -> Result<Deployment, DeploymentError> {
+        let folder =
+            tempfile::tempdir().map_err(|why| DeploymentError::Start { what: "a folder".into(), why })?;
         let mut deployment = Deployment {
             spec: spec.clone(),
             engines: Vec::new(),
@@ -170,7 +177,7 @@
             links: BTreeMap::new(),
             records: Records::default(),
             folder,
-            trials: trials.to_path_buf(),
+            program: program.to_path_buf(),
             gateway: gateway.to_path_buf(),
             list_version: 1,
         };
@@ -197,11 +204,16 @@
         self.folder.path().join("states")
     }
 
-    fn start_engine(&self, spec: &EngineSpec, listen: SocketAddr) -> Result<Process, Fault> {
-        let role = if spec.role == Role::Reader { "reader" } else { "writer" };
-        let mut command = Command::new(&self.trials);
+    fn start_engine(&self, spec: &EngineSpec, listen: SocketAddr) -> Result<Process, DeploymentError> {
+        let role = if spec.role == Role::Prefill { "prefill" } else { "decode" };
+        let mut command = Command::new(&self.program);
         command.args(["engine", "--name", &spec.name, "--role", role, "--listen", &listen.to_string()]);
-        command.args(["--least", &spec.time.0.to_string(), "--most", &spec.time.1.to_string()]);
+        command.args([
+            "--least",
+            &spec.service_time_ms.0.to_string(),
+            "--most",
+            &spec.service_time_ms.1.to_string(),
+        ]);
         command.arg("--states").arg(self.states()).stdout(Stdio::piped());
         let mut process = Process::start(&mut command, &spec.name)?;
         let records = self.records.clone();
@@ -219,18 +231,18 @@
         Ok(process)
     }
 
-    async fn engines_up(&self) -> Result<(), Fault> {
+    async fn engines_up(&self) -> Result<(), DeploymentError> {
         for engine in &self.engines {
             until(&engine.spec.name, || std::net::TcpStream::connect(engine.address).is_ok()).await?;
         }
         Ok(())
     }
 
-    fn open_links(&mut self, gateway: usize) -> Result<(), Fault> {
+    fn open_links(&mut self, gateway: usize) -> Result<(), DeploymentError> {
         for (index, engine) in self.engines.iter().enumerate() {
             let name = format!("n{gateway}-{}", engine.spec.name);
             let link = Link::open(&name, engine.address, self.records.clone());
-            let link = link.map_err(|why| Fault::Start { what: name, why })?;
+            let link = link.map_err(|why| DeploymentError::Start { what: name, why })?;
             self.links.insert((gateway, index), link);
         }
         Ok(())
@@ -239,7 +251,7 @@
     /// Discovery's list for one gateway, which reaches each engine by a link of its own.
     fn list(&self, gateway: usize) -> Value {
         let host = |(index, engine): (usize, &EngineProcess)| {
-            let kind = if engine.spec.role == Role::Reader { "prompt-side" } else { "answer-side" };
+            let kind = if engine.spec.role == Role::Prefill { "prompt-side" } else { "answer-side" };
             let health = if engine.draining { "DRAINING" } else { "SERVING" };
             json!({"host": engine.spec.name, "dial": self.links[&(gateway, index)].address, "site": "dc",
                 "class": kind, "block": 0, "health": health, "share": 1.0, "born_ms": engine.born_ms})
@@ -256,11 +268,11 @@
         }
     }
 
-    async fn start_gateway(&mut self, index: usize) -> Result<(), Fault> {
+    async fn start_gateway(&mut self, index: usize) -> Result<(), DeploymentError> {
         let name = format!("n{index}");
-        let start = |why| Fault::Start { what: format!("n{index}"), why };
+        let start = |why| DeploymentError::Start { what: format!("n{index}"), why };
         let list = self.list(index);
-        let agent = Agent::start(list.clone()).await.map_err(start)?;
+        let agent = DiscoveryAgent::start(list.clone()).await.map_err(start)?;
         let address = free_address()?;
         let folder = self.folder.path().join(&name);
         fs::create_dir_all(&folder).map_err(start)?;
@@ -291,7 +303,7 @@
     }
 
     /// Kills an engine and starts it anew at its address, empty.
-    pub fn restart_engine(&mut self, index: usize) -> Result<(), Fault> {
+    pub fn restart_engine(&mut self, index: usize) -> Result<(), DeploymentError> {
         let engine = &self.engines[index];
         engine.process.signal(Signal::KILL);
         self.lose_states(&engine.spec.name);
@@ -310,7 +322,7 @@
             let held_by = fs::read_to_string(state.path()).unwrap_or_default();
             if held_by == reader && fs::remove_file(state.path()).is_ok() {
                 let request = state.file_name().to_string_lossy().into_owned();
-                self.records.add(reader, Event::Lost { request });
+                self.records.add(reader, Event::StateLost { request });
             }
         }
     }
@@ -321,9 +333,9 @@
     }
 
     /// Sends one request to a gateway and waits for its end.
-    pub async fn ask(&self, gateway: usize, ask: Ask) -> Option<u16> {
+    pub async fn send(&self, gateway: usize, ask: ClientRequest) -> Option<u16> {
         let gateway = &self.gateways[gateway];
-        client::ask(&gateway.name, gateway.address, ask, &self.records).await
+        client::send_request(&gateway.name, gateway.address, ask, &self.records).await
     }
 
     /// What the gateways' logs say of a request, or of anything with these words.
@@ -340,16 +352,16 @@
 }
 
 /// An address that is free at this moment, and that the machine gives to no one else soon.
-fn free_address() -> Result<SocketAddr, Fault> {
+fn free_address() -> Result<SocketAddr, DeploymentError> {
     let bound = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    bound.map_err(|why| Fault::Start { what: "an address".into(), why })
+    bound.map_err(|why| DeploymentError::Start { what: "an address".into(), why })
 }
 
-async fn until(what: &str, mut up: impl FnMut() -> bool) -> Result<(), Fault> {
+async fn until(what: &str, mut up: impl FnMut() -> bool) -> Result<(), DeploymentError> {
     let waits = async {
         while !up() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(UP_WITHIN, waits).await.map_err(|_| Fault::NotUp(what.to_string()))
+    timeout(UP_WITHIN, waits).await.map_err(|_| DeploymentError::NotReady(what.to_string()))
 }
--- a/fault-tests/src/discovery.rs
+++ b/fault-tests/src/discovery.rs
@@ -19,15 +19,15 @@
 
 /// An agent that answers for as long as the trial runs.
 #[derive(Clone, Debug)]
-pub struct Agent {
+pub struct DiscoveryAgent {
     pub address: SocketAddr,
     list: watch::Sender<Value>,
 }
 
-impl Agent {
-    pub async fn start(list: Value) -> io::Result<Agent> {
+impl DiscoveryAgent {
+    pub async fn start(list: Value) -> io::Result<DiscoveryAgent> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let agent = Agent { address: listener.local_addr()?, list: watch::Sender::new(list) };
+        let agent = DiscoveryAgent { address: listener.local_addr()?, list: watch::Sender::new(list) };
         let serving = agent.clone();
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
--- a/fault-tests/src/engine.rs
+++ b/fault-tests/src/engine.rs
@@ -37,8 +37,8 @@
 /// What an engine does with prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Role {
-    Reader,
-    Writer,
+    Prefill,
+    Decode,
 }
 
 /// How an engine is started.
@@ -68,7 +68,7 @@
 
 impl Engine {
     fn record(&self, event: Event) {
-        let record = Record { at: clock::now(), place: self.options.name.clone(), event };
+        let record = Record { at: clock::now(), source: self.options.name.clone(), event };
         let Ok(line) = serde_json::to_string(&record) else { return };
         let mut out = io::stdout().lock();
         // Whoever reads it may have ended first.
@@ -106,8 +106,8 @@
             return brief(StatusCode::NOT_FOUND, "");
         };
         match self.options.role {
-            Role::Reader => self.read(id).await,
-            Role::Writer => self.write(id).await,
+            Role::Prefill => self.read(id).await,
+            Role::Decode => self.write(id).await,
         }
     }
 
@@ -119,23 +119,23 @@
     }
 
     async fn read(self: Arc<Self>, id: &str) -> Answer {
-        let mut work = Work::begin(self.clone(), id, Stage::Read);
+        let mut work = Work::begin(self.clone(), id, Stage::Prefill);
         self.works().await;
         if fs::write(self.state(id), &self.options.name).is_ok() {
-            self.record(Event::Held { request: id.into() });
+            self.record(Event::StateLeased { request: id.into() });
         }
-        work.ends(WorkEnd::Answered);
+        work.set_end(WorkEnd::Answered);
         brief(StatusCode::ACCEPTED, r#"{"cached_tokens":0}"#)
     }
 
     async fn write(self: Arc<Self>, id: &str) -> Answer {
-        let mut work = Work::begin(self.clone(), id, Stage::Write);
+        let mut work = Work::begin(self.clone(), id, Stage::Decode);
         self.works().await;
         if fs::remove_file(self.state(id)).is_err() {
-            work.ends(WorkEnd::Declined);
+            work.set_end(WorkEnd::Rejected);
             return declined(StatusCode::GONE);
         }
-        self.record(Event::Claimed { request: id.into() });
+        self.record(Event::StateClaimed { request: id.into() });
         stream(work)
     }
 }
@@ -145,25 +145,25 @@
     engine: Arc<Engine>,
     request: String,
     stage: Stage,
-    how: WorkEnd,
+    end: WorkEnd,
 }
 
 impl Work {
     fn begin(engine: Arc<Engine>, id: &str, stage: Stage) -> Work {
-        engine.record(Event::Taken { request: id.into(), stage });
-        Work { engine, request: id.into(), stage, how: WorkEnd::Dropped }
+        engine.record(Event::Delivered { request: id.into(), stage });
+        Work { engine, request: id.into(), stage, end: WorkEnd::Dropped }
     }
 
     /// What its end is to be recorded as.
-    fn ends(&mut self, how: WorkEnd) {
-        self.how = how;
+    fn set_end(&mut self, how: WorkEnd) {
+        self.end = how;
     }
 }
 
 impl Drop for Work {
     fn drop(&mut self) {
-        let (request, stage, how) = (self.request.clone(), self.stage, self.how);
-        self.engine.record(Event::Ended { request, stage, how });
+        let (request, stage, how) = (self.request.clone(), self.stage, self.end);
+        self.engine.record(Event::Ended { request, stage, end: how });
     }
 }
 
@@ -193,7 +193,7 @@
             sleep(EVENT_PAUSE).await;
         }
         if sender.send(Bytes::from_static(b"data: [DONE]\n\n")).await.is_ok() {
-            work.ends(WorkEnd::Answered);
+            work.set_end(WorkEnd::Answered);
         }
     });
     let frames = futures_of(receiver);
--- a/fault-tests/src/faults.rs
+++ b/fault-tests/src/faults.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rustix::process::Signal;
 
-use crate::deployment::{Deployment, Fault as StartFault};
+use crate::deployment::{Deployment, DeploymentError};
 use crate::engine::Role;
 use crate::network::{Condition, Link};
 
@@ -24,67 +24,69 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// The ways to these engines are silent; those that stood are reset at the end if `resets`.
-    Silent { engines: Vec<usize>, resets: bool },
+    Blackholed { engines: Vec<usize>, resets: bool },
     /// As [`Fault::Silent`], and no new connection comes up.
-    NeverUp { engines: Vec<usize> },
+    Unconnectable { engines: Vec<usize> },
     /// One gateway's way to an engine is silent.
-    SilentWay { gateway: usize, engine: usize },
+    BlackholedLink { gateway: usize, engine: usize },
     /// The connections that stand now are silent for good; new ones are well.
-    SilentConnections { engine: usize },
+    StalledConnections { engine: usize },
     /// The connections that stand now are reset.
     Reset { engine: usize },
     /// What passes to and from an engine is late.
-    Late { engine: usize, delay: Duration },
+    Delayed { engine: usize, delay: Duration },
     /// An engine's process stands still.
-    Stopped { engine: usize },
+    EnginePaused { engine: usize },
     /// An engine is killed and comes back empty.
     Restarted { engine: usize },
     /// An engine drains.
     Drained { engine: usize },
     /// A gateway's process is held up for a moment.
-    HeldUp { gateway: usize },
+    GatewayPaused { gateway: usize },
 }
 
 /// A fault with its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Draw {
+pub struct ScheduledFault {
     pub fault: Fault,
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
-impl Draw {
+impl ScheduledFault {
     /// Draws one for this deployment.
-    pub fn random(deployment: &Deployment, random: &mut StdRng) -> Draw {
+    pub fn random(deployment: &Deployment, random: &mut StdRng) -> ScheduledFault {
         let lasts = Duration::from_millis(random.random_range(LASTS));
         let engine = random.random_range(0..deployment.engines.len());
         let gateway = random.random_range(0..deployment.gateways.len());
         let fault = match random.random_range(0..11) {
-            0 | 1 => Fault::Silent { engines: some_of_a_role(deployment, random), resets: random.random() },
-            2 => Fault::NeverUp { engines: some_of_a_role(deployment, random) },
-            3 => Fault::SilentWay { gateway, engine },
-            4 => Fault::SilentConnections { engine },
+            0 | 1 => {
+                Fault::Blackholed { engines: some_of_a_role(deployment, random), resets: random.random() }
+            }
+            2 => Fault::Unconnectable { engines: some_of_a_role(deployment, random) },
+            3 => Fault::BlackholedLink { gateway, engine },
+            4 => Fault::StalledConnections { engine },
             5 => Fault::Reset { engine },
-            6 => Fault::Late { engine, delay: Duration::from_millis(random.random_range(DELAYS)) },
-            7 => Fault::Stopped { engine },
+            6 => Fault::Delayed { engine, delay: Duration::from_millis(random.random_range(DELAYS)) },
+            7 => Fault::EnginePaused { engine },
             8 => Fault::Restarted { engine },
             9 => Fault::Drained { engine },
-            _ => return Draw { fault: Fault::HeldUp { gateway }, lasts: HELD_UP },
+            _ => return ScheduledFault { fault: Fault::GatewayPaused { gateway }, duration: HELD_UP },
         };
-        Draw { fault, lasts }
+        ScheduledFault { fault, duration: lasts }
     }
 
     /// Has it begin.
-    pub fn begin(&self, deployment: &mut Deployment) -> Result<(), StartFault> {
+    pub fn begin(&self, deployment: &mut Deployment) -> Result<(), DeploymentError> {
         match &self.fault {
-            Fault::Silent { engines, .. } => set(deployment, engines, Condition::Silent),
-            Fault::NeverUp { engines } => set(deployment, engines, Condition::NeverUp),
-            Fault::SilentWay { gateway, engine } => {
-                deployment.links[&(*gateway, *engine)].set(Condition::Silent);
+            Fault::Blackholed { engines, .. } => set(deployment, engines, Condition::Blackholed),
+            Fault::Unconnectable { engines } => set(deployment, engines, Condition::Unconnectable),
+            Fault::BlackholedLink { gateway, engine } => {
+                deployment.links[&(*gateway, *engine)].set(Condition::Blackholed);
             }
-            Fault::SilentConnections { engine } => each(deployment, *engine, Link::silence_open_connections),
+            Fault::StalledConnections { engine } => each(deployment, *engine, Link::stall_open_connections),
             Fault::Reset { engine } => each(deployment, *engine, Link::reset),
-            Fault::Late { engine, delay } => each(deployment, *engine, |link| link.delay(*delay)),
-            Fault::Stopped { engine } => deployment.engines[*engine].process.signal(Signal::STOP),
+            Fault::Delayed { engine, delay } => each(deployment, *engine, |link| link.delay(*delay)),
+            Fault::EnginePaused { engine } => deployment.engines[*engine].process.signal(Signal::STOP),
             Fault::Restarted { engine } => {
                 deployment.restart_engine(*engine)?;
                 deployment.publish();
@@ -93,7 +95,7 @@
                 deployment.engines[*engine].draining = true;
                 deployment.publish();
             }
-            Fault::HeldUp { gateway } => deployment.gateways[*gateway].process.signal(Signal::STOP),
+            Fault::GatewayPaused { gateway } => deployment.gateways[*gateway].process.signal(Signal::STOP),
         }
         Ok(())
     }
@@ -101,24 +103,24 @@
     /// Has it end.
     pub fn end(&self, deployment: &mut Deployment) {
         match &self.fault {
-            Fault::Silent { engines, resets } => {
+            Fault::Blackholed { engines, resets } => {
                 if *resets {
                     engines.iter().for_each(|engine| each(deployment, *engine, Link::reset));
                 }
                 set(deployment, engines, Condition::Open);
             }
-            Fault::NeverUp { engines } => set(deployment, engines, Condition::Open),
-            Fault::SilentWay { gateway, engine } => {
+            Fault::Unconnectable { engines } => set(deployment, engines, Condition::Open),
+            Fault::BlackholedLink { gateway, engine } => {
                 deployment.links[&(*gateway, *engine)].set(Condition::Open);
             }
-            Fault::SilentConnections { .. } | Fault::Reset { .. } | Fault::Restarted { .. } => {}
-            Fault::Late { engine, .. } => each(deployment, *engine, |link| link.delay(Duration::ZERO)),
-            Fault::Stopped { engine } => deployment.engines[*engine].process.signal(Signal::CONT),
+            Fault::StalledConnections { .. } | Fault::Reset { .. } | Fault::Restarted { .. } => {}
+            Fault::Delayed { engine, .. } => each(deployment, *engine, |link| link.delay(Duration::ZERO)),
+            Fault::EnginePaused { engine } => deployment.engines[*engine].process.signal(Signal::CONT),
             Fault::Drained { engine } => {
                 deployment.engines[*engine].draining = false;
                 deployment.publish();
             }
-            Fault::HeldUp { gateway } => deployment.gateways[*gateway].process.signal(Signal::CONT),
+            Fault::GatewayPaused { gateway } => deployment.gateways[*gateway].process.signal(Signal::CONT),
         }
     }
 }
@@ -133,7 +135,7 @@
 
 /// Some engines of one role, of which the others stay well.
 fn some_of_a_role(deployment: &Deployment, random: &mut StdRng) -> Vec<usize> {
-    let role = if random.random_bool(0.5) { Role::Reader } else { Role::Writer };
+    let role = if random.random_bool(0.5) { Role::Prefill } else { Role::Decode };
     let of_role = deployment.engines.iter().enumerate().filter(|(_, engine)| engine.spec.role == role);
     let all: Vec<usize> = of_role.map(|(index, _)| index).collect();
     let most = ((all.len() as f64 * TOGETHER) as usize).max(1);
--- a/fault-tests/src/judge.rs
+++ b/fault-tests/src/judge.rs
@@ -24,19 +24,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// While no attempt has arrived and is out, what is held is taken or let go in time.
-    HeldInTime,
+    LeaseEndsInTime,
     /// No two attempts are out at once.
     OneAttempt,
     /// No attempt begins once its client has left.
     NotAfterClientLeft,
     /// An engine is told at most the time that is left to the client.
-    DeadlineTold,
+    DeadlineAnnounced,
     /// A request that was read gets its answer, in time.
     Answered,
     /// What must not be repeated has its effect at most once.
-    RunsOnce,
+    AtMostOnce,
     /// What is refused, so called harmless to send again, has had no effect.
-    RefusalIsTrue,
+    RejectionIsTrue,
 }
 
 /// An invariant that did not hold.
@@ -63,20 +63,20 @@
     let limit = pin_limit.as_micros() as Micros + HELD_SLACK;
     let mut violations = Vec::new();
     for (request, records) in by_request {
-        let case = Case { request, records, end };
-        violations.extend(case.held_in_time(limit));
+        let case = RequestHistory { request, records, end };
+        violations.extend(case.lease_ends_in_time(limit));
         violations.extend(case.one_attempt());
         violations.extend(case.not_after_client_left());
-        violations.extend(case.deadline_told());
+        violations.extend(case.deadline_announced());
         violations.extend(case.answered());
-        violations.extend(case.runs_once());
+        violations.extend(case.at_most_once());
     }
     violations.sort_by_key(|violation| violation.at);
     violations
 }
 
 /// The records of one request.
-struct Case<'a> {
+struct RequestHistory<'a> {
     request: &'a str,
     records: Vec<&'a Record>,
     end: Micros,
@@ -98,7 +98,7 @@
     }
 }
 
-impl<'a> Case<'a> {
+impl<'a> RequestHistory<'a> {
     fn violation(&self, invariant: Invariant, at: Micros, what: String) -> Violation {
         Violation { invariant, request: self.request.to_string(), at, what }
     }
@@ -114,11 +114,16 @@
         let mut attempts: Vec<Attempt> = Vec::new();
         for record in &self.records {
             match record.event {
-                Event::Began { connection, .. } => {
-                    attempts.push(Attempt { link: &record.place, connection, began: record.at, ended: None });
+                Event::FirstByte { connection, .. } => {
+                    attempts.push(Attempt {
+                        link: &record.source,
+                        connection,
+                        began: record.at,
+                        ended: None,
+                    });
                 }
                 Event::Replied { connection, .. } | Event::Closed { connection, .. } => {
-                    let same = |a: &&mut Attempt| a.link == record.place && a.connection == connection;
+                    let same = |a: &&mut Attempt| a.link == record.source && a.connection == connection;
                     if let Some(attempt) = attempts.iter_mut().rfind(same) {
                         attempt.ended.get_or_insert(record.at);
                     }
@@ -130,11 +135,11 @@
     }
 
     /// When each attempt arrived at a running engine, and when it ceased to be out.
-    fn arrived(&self) -> Vec<(Micros, Micros)> {
+    fn deliveries(&self) -> Vec<(Micros, Micros)> {
         let mut attempts = self.attempts();
         let mut arrived = Vec::new();
-        for record in self.records.iter().filter(|r| matches!(r.event, Event::Taken { .. })) {
-            let here = |a: &Attempt| a.engine() == record.place && a.began <= record.at;
+        for record in self.records.iter().filter(|r| matches!(r.event, Event::Delivered { .. })) {
+            let here = |a: &Attempt| a.engine() == record.source && a.began <= record.at;
             let Some(at) = attempts.iter().position(here) else { continue };
             let attempt = attempts.remove(at);
             arrived.push((record.at, attempt.ended.unwrap_or(Micros::MAX)));
@@ -142,28 +147,28 @@
         arrived
     }
 
-    fn held_in_time(&self, limit: Micros) -> Option<Violation> {
-        let arrived = self.arrived();
+    fn lease_ends_in_time(&self, limit: Micros) -> Option<Violation> {
+        let arrived = self.deliveries();
         let mut since: Option<Micros> = None;
         for record in &self.records {
             let end = match record.event {
-                Event::Held { .. } if since.is_none() => {
+                Event::StateLeased { .. } if since.is_none() => {
                     since = Some(record.at);
                     continue;
                 }
-                Event::Claimed { .. } | Event::Released { .. } | Event::Lost { .. } => record.at,
+                Event::StateClaimed { .. } | Event::Released { .. } | Event::StateLost { .. } => record.at,
                 _ => continue,
             };
             let Some(from) = since.take() else { continue };
-            if let Some(late) = self.too_long(&arrived, from, end, limit) {
+            if let Some(late) = self.too_long_unclaimed(&arrived, from, end, limit) {
                 return Some(late);
             }
         }
-        self.too_long(&arrived, since?, self.end, limit)
+        self.too_long_unclaimed(&arrived, since?, self.end, limit)
     }
 
     /// The longest time between these two moments in which nothing was out, where that is too long.
-    fn too_long(
+    fn too_long_unclaimed(
         &self, arrived: &[(Micros, Micros)], from: Micros, until: Micros, limit: Micros,
     ) -> Option<Violation> {
         let mut out: Vec<(Micros, Micros)> =
@@ -175,7 +180,7 @@
             let waited = begins.saturating_sub(free);
             if waited > limit {
                 let what = format!("held for {} ms with no attempt out", waited / MILLISECOND);
-                return Some(self.violation(Invariant::HeldInTime, free + limit, what));
+                return Some(self.violation(Invariant::LeaseEndsInTime, free + limit, what));
             }
             free = free.max(ends);
         }
@@ -193,19 +198,20 @@
     }
 
     fn not_after_client_left(&self) -> Option<Violation> {
-        let left = self.records.iter().find(|r| matches!(r.event, Event::Left { .. }))?.at;
+        let left = self.records.iter().find(|r| matches!(r.event, Event::ClientDisconnected { .. }))?.at;
         let late = self.attempts().into_iter().find(|a| a.began > left + LEFT_SLACK)?;
         let what = format!("begun on {} {} ms after", late.link, (late.began - left) / MILLISECOND);
         Some(self.violation(Invariant::NotAfterClientLeft, late.began, what))
     }
 
-    fn deadline_told(&self) -> Option<Violation> {
+    fn deadline_announced(&self) -> Option<Violation> {
         let (sent, deadline, _) = self.sent()?;
         self.records.iter().find_map(|record| {
-            let Event::Written { told: Some(told), .. } = record.event else { return None };
+            let Event::Written { announced_deadline: Some(told), .. } = record.event else { return None };
             let left = deadline - (record.at.saturating_sub(sent)) as f64 / 1e6;
-            let what = || format!("told {told:.3} s on {}, left are {left:.3} s", record.place);
-            (told > left + DEADLINE_SLACK).then(|| self.violation(Invariant::DeadlineTold, record.at, what()))
+            let what = || format!("told {told:.3} s on {}, left are {left:.3} s", record.source);
+            (told > left + DEADLINE_SLACK)
+                .then(|| self.violation(Invariant::DeadlineAnnounced, record.at, what()))
         })
     }
 
@@ -213,7 +219,10 @@
         let (sent, deadline, _) = self.sent()?;
         let due = sent + (deadline * 1e6) as Micros + ANSWER_SLACK;
         let end = self.records.iter().find(|r| {
-            matches!(r.event, Event::Answered { .. } | Event::Left { .. } | Event::Unanswered { .. })
+            matches!(
+                r.event,
+                Event::Answered { .. } | Event::ClientDisconnected { .. } | Event::Unanswered { .. }
+            )
         });
         match end.map(|record| (&record.event, record.at)) {
             Some((Event::Unanswered { .. }, at)) => {
@@ -229,32 +238,32 @@
         }
     }
 
-    fn runs_once(&self) -> Option<Violation> {
+    fn at_most_once(&self) -> Option<Violation> {
         let (_, _, repeatable) = self.sent()?;
         let runs: Vec<&&Record> =
-            self.records.iter().filter(|r| matches!(r.event, Event::Claimed { .. })).collect();
+            self.records.iter().filter(|r| matches!(r.event, Event::StateClaimed { .. })).collect();
         if repeatable {
             return None;
         }
         if let Some(second) = runs.get(1) {
-            let what = format!("run again at {}", second.place);
-            return Some(self.violation(Invariant::RunsOnce, second.at, what));
+            let what = format!("run again at {}", second.source);
+            return Some(self.violation(Invariant::AtMostOnce, second.at, what));
         }
         let refused = self.records.iter().find(|r| match r.event {
             Event::Answered { status, .. } => REFUSALS.contains(&status),
             _ => false,
         })?;
         let run = runs.first()?;
-        let what = format!("refused, and run at {}", run.place);
-        Some(self.violation(Invariant::RefusalIsTrue, refused.at, what))
+        let what = format!("refused, and run at {}", run.source);
+        Some(self.violation(Invariant::RejectionIsTrue, refused.at, what))
     }
 }
 
 /// How many attempts of a stage engines took for a request.
-pub fn taken(records: &[Record], request: &str, stage: Stage) -> usize {
+pub fn attempts_delivered(records: &[Record], request: &str, stage: Stage) -> usize {
     let fits = |record: &&Record| {
         record.event.request() == request
-            && matches!(record.event, Event::Taken { stage: of, .. } if of == stage)
+            && matches!(record.event, Event::Delivered { stage: of, .. } if of == stage)
     };
     records.iter().filter(fits).count()
 }
--- a/fault-tests/src/lib.rs
+++ b/fault-tests/src/lib.rs
@@ -1,11 +1,12 @@
-//! Fault trials: real gateways and stand-in engines as processes on loopback, with faults between them, judged by the
+//! Fault tests: real gateways and stand-in engines as processes on loopback, with faults between them, judged by the
 //! platform's rules as invariants.
 //!
 //! - [`deployment`] starts the processes: the built gateway, and [`engine`]s, which are this crate's own program.
-//! - [`network`] is the way between each gateway and each engine: it falls silent, never comes up, resets and delays.
+//! - [`network`] holds the proxies between each gateway and each engine: they blackhole, refuse, reset and delay.
 //! - [`soak`] draws random, overlapping [`faults`] over a deployment under load.
 //! - [`record`] holds what engines, links and clients saw; [`judge`] finds the invariants that did not hold.
 
+mod attempt_observer;
 pub mod client;
 pub mod clock;
 pub mod deployment;
@@ -15,5 +16,4 @@
 pub mod judge;
 pub mod network;
 pub mod record;
-mod attempt_observer;
 pub mod soak;
--- a/fault-tests/src/main.rs
+++ b/fault-tests/src/main.rs
@@ -1,11 +1,11 @@
-//! The program of the fault trials: `soak` plays random faults over real processes; `engine` is one stand-in engine, which
+//! The program of the fault tests: `soak` plays random faults over real processes; `engine` is one stand-in engine, which
 //! a trial starts as a process of its own.
 
 use std::io;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use glenrail_fault_tests::deployment::Fault;
+use glenrail_fault_tests::deployment::DeploymentError;
 use glenrail_fault_tests::{engine, soak};
 
 #[derive(Parser)]
@@ -29,17 +29,17 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Start(#[from] Fault),
+    Start(#[from] DeploymentError),
     #[error("invariants were broken in {0} seeds")]
     Broken(usize),
 }
 
 fn soak(options: &soak::Options) -> Result<(), Failure> {
-    let trials = std::env::current_exe()?;
+    let program = std::env::current_exe()?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
     let mut broken = 0;
     for seed in options.seed..options.seed + options.seeds {
-        let report = runtime.block_on(soak::run(options, seed, &trials))?;
+        let report = runtime.block_on(soak::run(options, seed, &program))?;
         print!("{report}");
         broken += usize::from(!report.passed());
     }
--- a/fault-tests/src/network.rs
+++ b/fault-tests/src/network.rs
@@ -14,8 +14,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
+use crate::attempt_observer::AttemptObserver;
 use crate::record::Records;
-use crate::attempt_observer::Sighting;
 
 /// Connections that may wait to be accepted on a link that is well.
 const BACKLOG: i32 = 128;
@@ -31,16 +31,16 @@
     #[default]
     Open,
     /// Connections stand and come up, and nothing passes either way.
-    Silent,
+    Blackholed,
     /// As [`Condition::Silent`], and no further connection comes up.
-    NeverUp,
+    Unconnectable,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
     condition: Condition,
     /// Connections older than this one are silent for good.
-    silent_below: u64,
+    stalled_below: u64,
     /// Connections older than this one are reset.
     reset_below: u64,
     delay: Duration,
@@ -48,7 +48,7 @@
 
 impl State {
     fn passes(&self, connection: u64) -> bool {
-        self.condition == Condition::Open && connection >= self.silent_below
+        self.condition == Condition::Open && connection >= self.stalled_below
     }
 }
 
@@ -95,15 +95,15 @@
     pub fn set(&self, condition: Condition) {
         self.state.send_modify(|state| state.condition = condition);
         match condition {
-            Condition::NeverUp => self.fill(),
-            Condition::Open | Condition::Silent => self.empty(),
+            Condition::Unconnectable => self.fill(),
+            Condition::Open | Condition::Blackholed => self.empty(),
         }
     }
 
     /// Has every connection that stands now silent for good, with no error.
-    pub fn silence_open_connections(&self) {
+    pub fn stall_open_connections(&self) {
         let next = *self.next.lock().unwrap_or_else(PoisonError::into_inner);
-        self.state.send_modify(|state| state.silent_below = next);
+        self.state.send_modify(|state| state.stalled_below = next);
     }
 
     /// Resets every connection that stands now.
@@ -143,7 +143,7 @@
     async fn accept(self, listener: TcpListener, engine: SocketAddr, records: Records) {
         let mut state = self.state.subscribe();
         loop {
-            let is_up = |state: &State| state.condition != Condition::NeverUp;
+            let is_up = |state: &State| state.condition != Condition::Unconnectable;
             if !is_up(&state.borrow_and_update()) {
                 if state.wait_for(is_up).await.is_err() {
                     return;
@@ -163,7 +163,7 @@
                 *next += 1;
                 *next - 1
             };
-            let sighting = Sighting::new(records.clone(), &self.name, connection);
+            let sighting = AttemptObserver::new(records.clone(), &self.name, connection);
             tokio::spawn(carry(socket, engine, self.state.subscribe(), connection, sighting));
         }
     }
@@ -180,7 +180,7 @@
 /// Carries one connection until either side ends it, or it is reset.
 async fn carry(
     gateway: TcpStream, engine: SocketAddr, state: watch::Receiver<State>, connection: u64,
-    sighting: Sighting,
+    sighting: AttemptObserver,
 ) {
     // Small writes are not held back; where that cannot be set they come later.
     let _ = gateway.set_nodelay(true);
@@ -188,16 +188,16 @@
     let (from_gateway, to_gateway) = gateway.into_split();
     let mut resets = state.clone();
     let (sender, taken) = mpsc::unbounded_channel();
-    let way = Way { state, connection, sighting: Mutex::new(Some(sighting)) };
+    let way = ProxiedConnection { state, connection, observer: Mutex::new(Some(sighting)) };
     let carried = async {
         // What a gateway sends is seen also while the way to the engine is silent.
         let takes = async {
-            take(from_gateway, sender, |bytes| way.sees(|sighting| sighting.passes(bytes))).await;
-            way.forget();
+            take(from_gateway, sender, |bytes| way.observe(|sighting| sighting.bytes_passed(bytes))).await;
+            way.stop_observing();
         };
         let passes = async {
             let waits = !way.passes();
-            match way.dial(engine).await {
+            match way.connect(engine).await {
                 // What waited on a silent way arrives together with its connection's end: an engine drops it.
                 Some(_) if waits && taken.is_closed() => {}
                 Some(upstream) => pass(upstream, to_gateway, taken, &way).await,
@@ -217,7 +217,8 @@
 
 /// Passes bytes both ways between an engine and what a gateway sends.
 async fn pass(
-    upstream: TcpStream, to_gateway: OwnedWriteHalf, taken: mpsc::UnboundedReceiver<Vec<u8>>, way: &Way,
+    upstream: TcpStream, to_gateway: OwnedWriteHalf, taken: mpsc::UnboundedReceiver<Vec<u8>>,
+    way: &ProxiedConnection,
 ) {
     let _ = upstream.set_nodelay(true);
     let (from_engine, to_engine) = upstream.into_split();
@@ -225,7 +226,7 @@
     tokio::join!(
         give(taken, to_engine, way, || {}),
         take(from_engine, sender, |_| {}),
-        give(answered, to_gateway, way, || way.sees(Sighting::replies)),
+        give(answered, to_gateway, way, || way.observe(AttemptObserver::response_began)),
     );
 }
 
@@ -242,11 +243,12 @@
 
 /// Gives on what was taken, and its end, once the link lets it pass; says so each time.
 async fn give(
-    mut taken: mpsc::UnboundedReceiver<Vec<u8>>, mut to: OwnedWriteHalf, way: &Way, gives: impl Fn(),
+    mut taken: mpsc::UnboundedReceiver<Vec<u8>>, mut to: OwnedWriteHalf, way: &ProxiedConnection,
+    gives: impl Fn(),
 ) {
     while let Some(bytes) = taken.recv().await {
         let waited = !way.passes();
-        let Some(delay) = way.open().await else { return };
+        let Some(delay) = way.wait_until_passable().await else { return };
         // What waited on a silent way arrives together with its connection's end: an engine drops it.
         if waited && taken.is_closed() {
             break;
@@ -257,29 +259,29 @@
             return;
         }
     }
-    if way.open().await.is_some() {
+    if way.wait_until_passable().await.is_some() {
         // The other side may have closed first.
         let _ = to.shutdown().await;
     }
 }
 
 /// What a link does with one of its connections.
-struct Way {
+struct ProxiedConnection {
     state: watch::Receiver<State>,
     connection: u64,
     /// What is seen on it; gone once the gateway has closed it.
-    sighting: Mutex<Option<Sighting>>,
+    observer: Mutex<Option<AttemptObserver>>,
 }
 
-impl Way {
-    fn sees(&self, what: impl FnOnce(&mut Sighting)) {
-        if let Some(sighting) = self.sighting.lock().unwrap_or_else(PoisonError::into_inner).as_mut() {
+impl ProxiedConnection {
+    fn observe(&self, what: impl FnOnce(&mut AttemptObserver)) {
+        if let Some(sighting) = self.observer.lock().unwrap_or_else(PoisonError::into_inner).as_mut() {
             what(sighting);
         }
     }
 
-    fn forget(&self) {
-        self.sighting.lock().unwrap_or_else(PoisonError::into_inner).take();
+    fn stop_observing(&self) {
+        self.observer.lock().unwrap_or_else(PoisonError::into_inner).take();
     }
 
     fn passes(&self) -> bool {
@@ -287,14 +289,14 @@
     }
 
     /// Until something may pass; gives how late it comes, or nothing once the link is gone.
-    async fn open(&self) -> Option<Duration> {
+    async fn wait_until_passable(&self) -> Option<Duration> {
         let mut state = self.state.clone();
         let passes = state.wait_for(|state| state.passes(self.connection)).await;
         passes.ok().map(|state| state.delay)
     }
 
-    async fn dial(&self, engine: SocketAddr) -> Option<TcpStream> {
-        self.open().await?;
+    async fn connect(&self, engine: SocketAddr) -> Option<TcpStream> {
+        self.wait_until_passable().await?;
         TcpStream::connect(engine).await.ok()
     }
 }
--- a/fault-tests/src/record.rs
+++ b/fault-tests/src/record.rs
@@ -11,9 +11,9 @@
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
     /// To read the prompt and hold its state.
-    Read,
+    Prefill,
     /// To fetch the state and answer.
-    Write,
+    Decode,
 }
 
 /// How an engine's work on an attempt ended.
@@ -22,7 +22,7 @@
 pub enum WorkEnd {
     Answered,
     /// The state to be written from was gone.
-    Declined,
+    Rejected,
     /// The gateway closed the connection.
     Dropped,
 }
@@ -32,21 +32,21 @@
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
     /// The last byte of an attempt came to an engine that runs.
-    Taken { request: String, stage: Stage },
+    Delivered { request: String, stage: Stage },
     /// A reader holds the state of a request from now on.
-    Held { request: String },
+    StateLeased { request: String },
     /// A writer has fetched the state, and the request has its effect.
-    Claimed { request: String },
+    StateClaimed { request: String },
     /// An engine was told to let go of what is held for a request.
     Released { request: String },
     /// The state is gone with its engine.
-    Lost { request: String },
+    StateLost { request: String },
     /// An engine's work on an attempt has ended.
-    Ended { request: String, stage: Stage, how: WorkEnd },
+    Ended { request: String, stage: Stage, end: WorkEnd },
     /// The first byte of an attempt passed from a gateway onto a link.
-    Began { request: String, connection: u64 },
+    FirstByte { request: String, connection: u64 },
     /// Its last byte did; `told` is the deadline that it named, in seconds.
-    Written { request: String, connection: u64, told: Option<f64> },
+    Written { request: String, connection: u64, announced_deadline: Option<f64> },
     /// The first bytes of its answer were given to the gateway.
     Replied { request: String, connection: u64 },
     /// The connection that carried it was closed by the gateway, or broke.
@@ -54,9 +54,9 @@
     /// A client sent its request; it waits so long for the first token, in seconds.
     Sent { request: String, deadline: f64, repeatable: bool },
     /// A client closed its connection with no answer.
-    Left { request: String },
+    ClientDisconnected { request: String },
     /// A client got its final answer: a status and whether the body came to its end.
-    Answered { request: String, status: u16, whole: bool },
+    Answered { request: String, status: u16, complete: bool },
     /// The gateway closed a client's connection with no answer.
     Unanswered { request: String },
 }
@@ -65,18 +65,18 @@
     /// The request that this is about.
     pub fn request(&self) -> &str {
         match self {
-            Event::Taken { request, .. }
-            | Event::Held { request }
-            | Event::Claimed { request }
+            Event::Delivered { request, .. }
+            | Event::StateLeased { request }
+            | Event::StateClaimed { request }
             | Event::Released { request }
-            | Event::Lost { request }
+            | Event::StateLost { request }
             | Event::Ended { request, .. }
-            | Event::Began { request, .. }
+            | Event::FirstByte { request, .. }
             | Event::Written { request, .. }
             | Event::Replied { request, .. }
             | Event::Closed { request, .. }
             | Event::Sent { request, .. }
-            | Event::Left { request }
+            | Event::ClientDisconnected { request }
             | Event::Answered { request, .. }
             | Event::Unanswered { request } => request,
         }
@@ -88,7 +88,7 @@
 pub struct Record {
     pub at: Micros,
     /// An engine, a link (`gateway-engine`) or a gateway as its clients name it.
-    pub place: String,
+    pub source: String,
     #[serde(flatten)]
     pub event: Event,
 }
@@ -100,7 +100,7 @@
 impl Records {
     /// Adds what happens now.
     pub fn add(&self, place: &str, event: Event) {
-        self.push(Record { at: clock::now(), place: place.to_string(), event });
+        self.push(Record { at: clock::now(), source: place.to_string(), event });
     }
 
     /// Adds what was recorded elsewhere.
--- a/fault-tests/src/soak.rs
+++ b/fault-tests/src/soak.rs
@@ -11,10 +11,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-use crate::client::{self, Ask};
+use crate::client::{self, ClientRequest};
 use crate::clock;
-use crate::deployment::{Deployment, Fault as StartFault, Spec};
-use crate::faults::Draw;
+use crate::deployment::{Deployment, DeploymentError, DeploymentSpec};
+use crate::faults::ScheduledFault;
 use crate::judge::{judge, Violation};
 use crate::record::Records;
 
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Report {
     pub seed: u64,
-    pub draws: Vec<String>,
+    pub faults: Vec<String>,
     pub requests: usize,
     /// Answers by status; 0 where there was none.
     pub statuses: std::collections::BTreeMap<u16, usize>,
@@ -70,12 +70,12 @@
     /// What the gateways' logs say of the first violation's request.
     pub log: Vec<String>,
     /// Invariants that the gateways' own logs say were broken.
-    pub told: Vec<String>,
+    pub reported_violations: Vec<String>,
 }
 
 impl Report {
     pub fn passed(&self) -> bool {
-        self.violations.is_empty() && self.told.is_empty()
+        self.violations.is_empty() && self.reported_violations.is_empty()
     }
 }
 
@@ -86,28 +86,28 @@
             "seed {}: {} requests, {} faults, statuses {:?}, {} violations, {} told by the gateways",
             self.seed,
             self.requests,
-            self.draws.len(),
+            self.faults.len(),
             self.statuses,
             self.violations.len(),
-            self.told.len()
+            self.reported_violations.len()
         )?;
         if self.passed() {
             return Ok(());
         }
-        self.draws.iter().try_for_each(|draw| writeln!(f, "  drawn: {draw}"))?;
+        self.faults.iter().try_for_each(|draw| writeln!(f, "  drawn: {draw}"))?;
         self.violations.iter().try_for_each(|violation| writeln!(f, "  broken: {violation}"))?;
         self.log.iter().try_for_each(|line| writeln!(f, "  log: {line}"))?;
-        self.told.iter().try_for_each(|line| writeln!(f, "  told: {line}"))
+        self.reported_violations.iter().try_for_each(|line| writeln!(f, "  told: {line}"))
     }
 }
 
 /// Plays one seed.
-pub async fn run(options: &Options, seed: u64, trials: &Path) -> Result<Report, StartFault> {
-    let mut spec = Spec::new(options.gateways, options.readers, options.writers);
+pub async fn run(options: &Options, seed: u64, program: &Path) -> Result<Report, DeploymentError> {
+    let mut spec = DeploymentSpec::new(options.gateways, options.readers, options.writers);
     spec.deadline = DEADLINE;
     spec.probes = !options.no_probes;
-    let pin_limit = spec.pin_limit;
-    let deployment = Deployment::start(spec, trials, &options.gateway).await?;
+    let pin_limit = spec.lease_limit;
+    let deployment = Deployment::start(spec, program, &options.gateway).await?;
     let records = deployment.records.clone();
     let gateways: Vec<_> = deployment.gateways.iter().map(|g| (g.name.clone(), g.address)).collect();
     let deployment = Arc::new(RwLock::new(deployment));
@@ -125,26 +125,39 @@
         seen.chain(deployment.log_lines(&violation.request)).collect()
     });
     let told = deployment.log_lines("invariant broken");
-    Ok(Report { seed, draws, requests: statuses.values().sum(), statuses, violations, log, told })
+    Ok(Report {
+        seed,
+        faults: draws,
+        requests: statuses.values().sum(),
+        statuses,
+        violations,
+        log,
+        reported_violations: told,
+    })
 }
 
 /// Draws faults until then, and ends each after its time.
 async fn faults(
     deployment: Arc<RwLock<Deployment>>, seed: u64, until: Instant,
-) -> Result<Vec<String>, StartFault> {
+) -> Result<Vec<String>, DeploymentError> {
     let mut random = StdRng::seed_from_u64(seed);
     let began = Instant::now();
     let (mut draws, mut ends) = (Vec::new(), JoinSet::new());
     while Instant::now() < until {
         sleep(Duration::from_millis(random.random_range(BETWEEN))).await;
         let mut held = deployment.write().await;
-        let draw = Draw::random(&held, &mut random);
+        let draw = ScheduledFault::random(&held, &mut random);
         draw.begin(&mut held)?;
         drop(held);
-        draws.push(format!("{:.3} s {:?} for {:?}", began.elapsed().as_secs_f64(), draw.fault, draw.lasts));
+        draws.push(format!(
+            "{:.3} s {:?} for {:?}",
+            began.elapsed().as_secs_f64(),
+            draw.fault,
+            draw.duration
+        ));
         let deployment = deployment.clone();
         ends.spawn(async move {
-            sleep(draw.lasts).await;
+            sleep(draw.duration).await;
             draw.end(&mut *deployment.write().await);
         });
     }
@@ -167,14 +180,14 @@
         let repeatable = random.random_bool(0.5);
         let class = if repeatable { "item-query" } else { "order-chat" };
         let deadline = DEADLINE.mul_f64(random.random_range(0.5..=1.0));
-        let mut ask = Ask::new(format!("{seed:x}-{number:x}"), class, deadline, repeatable);
+        let mut ask = ClientRequest::new(format!("{seed:x}-{number:x}"), class, deadline, repeatable);
         ask.session = random.random_range(0..200);
         if random.random_bool(LEAVE) {
-            ask.leaves_after = Some(Duration::from_millis(random.random_range(1..=LEAVES_WITHIN)));
+            ask.disconnects_after = Some(Duration::from_millis(random.random_range(1..=LEAVES_WITHIN)));
         }
         let (name, address) = gateways[random.random_range(0..gateways.len())].clone();
         let records = records.clone();
-        asked.spawn(async move { client::ask(&name, address, ask, &records).await });
+        asked.spawn(async move { client::send_request(&name, address, ask, &records).await });
     }
     let mut statuses = std::collections::BTreeMap::new();
     while let Some(status) = asked.join_next().await {
--- a/fault-tests/tests/soak.rs
+++ b/fault-tests/tests/soak.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_short_soak_breaks_no_invariant() {
-    let trials = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
+    let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let options = Options {
         seed: SEED,
         seeds: 1,
@@ -19,10 +19,10 @@
         writers: 12,
         rate: 40.0,
         no_probes: false,
-        gateway: trials.with_file_name("glenrail"),
+        gateway: program.with_file_name("glenrail"),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
-    let report = runtime.expect("a runtime").block_on(run(&options, SEED, trials)).expect("it starts");
+    let report = runtime.expect("a runtime").block_on(run(&options, SEED, program)).expect("it starts");
     assert!(report.requests > 100, "{report}");
     assert!(report.passed(), "{report}");
 }
