--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers of the tests: settings, servers and requests with sensible defaults, and a router to script events for.
+//! Helpers of the tests: settings, servers and requests with sensible defaults, and a router to script events
+//! for.
 #![allow(dead_code)]
 
 use glenrail_router::*;
--- a/crates/router/tests/decode_capacity.rs
+++ b/crates/router/tests/decode_capacity.rs
@@ -1,5 +1,6 @@
-//! One of many routers while every decode server is in slow start: it runs no prefill whose state no decode server would
-//! take, and probes those again whose report was old at the end of a prefill. No sockets, no clock but the events'.
+//! One of many routers while every decode server is in slow start: it runs no prefill whose state no decode
+//! server would take, and probes those again whose report was old at the end of a prefill. No sockets, no
+//! clock but the events'.
 
 mod common;
 
@@ -75,7 +76,8 @@
     }
 }
 
-/// Guards the time of prefill servers: a prefill for no decode server is in vain, and delays those that wait behind it.
+/// Guards the time of prefill servers: a prefill for no decode server is in vain, and delays those that wait
+/// behind it.
 #[test]
 fn no_prefill_runs_whose_state_no_decode_server_would_take() {
     let mut endings = Endings::default();
@@ -87,8 +89,8 @@
     assert_eq!(endings.rejected_after_prefill, 0, "{endings:?}");
 }
 
-/// Guards against a report that was fresh at the start of a prefill and is old at its end: the decode server is probed
-/// again, and gets the state.
+/// Guards against a report that was fresh at the start of a prefill and is old at its end: the decode server
+/// is probed again, and gets the state.
 #[test]
 fn a_starting_decode_server_is_probed_again_at_the_end_of_a_prefill() {
     let endings: Vec<Ending> =
@@ -97,8 +99,8 @@
     assert!(endings.iter().filter(|ending| **ending == Ending::Served).count() >= 30, "{endings:?}");
 }
 
-/// With no decode server listed, or all of them ejected, no prefill runs either; a trial goes on from time to time, or the
-/// router would never learn that they are back.
+/// With no decode server listed, or all of them ejected, no prefill runs either; a trial goes on from time to
+/// time, or the router would never learn that they are back.
 #[test]
 fn without_decode_servers_only_trials_are_prefilled() {
     let mut router = router_with_starting_decode_servers(1);
@@ -120,8 +122,8 @@
     );
 }
 
-/// Guards the panic threshold: where most decode servers look bad by resets alone, the fault is elsewhere, and prefills go
-/// on.
+/// Guards the panic threshold: where most decode servers look bad by resets alone, the fault is elsewhere,
+/// and prefills go on.
 #[test]
 fn prefills_go_on_for_decode_servers_that_only_look_bad() {
     let settings = Settings { router_count: ROUTERS, ..settings() };
@@ -143,8 +145,8 @@
     assert!(server.is_some_and(|id| PREFILL_SERVERS.contains(&id)));
 }
 
-/// Guards against rejecting what a decode server could take by the end of its lease: where prefills are short and credit
-/// grows fast, a request that comes before the credit is prefilled for it.
+/// Guards against rejecting what a decode server could take by the end of its lease: where prefills are short
+/// and credit grows fast, a request that comes before the credit is prefilled for it.
 #[test]
 fn a_prefill_runs_when_there_will_be_credit_within_its_lease() {
     let mut endings = Endings::default();
--- a/crates/router/tests/decode_placement.rs
+++ b/crates/router/tests/decode_placement.rs
@@ -1,5 +1,5 @@
-//! Decode placement: the decode server with the least projected memory, near the prefill server where that costs
-//! little.
+//! Decode placement: the decode server with the least projected memory, near the prefill server where that
+//! costs little.
 
 mod common;
 
--- /dev/null
+++ b/crates/router/tests/large_fleet/simulation.rs
@@ -0,0 +1,350 @@
+//! The environment of the large-fleet tests: sixty routers that see nothing of each other, and servers whose
+//! load reports are late. Simulated time, no randomness but the routers' own.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use glenrail_router::*;
+
+use crate::common::{sample_request, server_entry, settings, DECODE, PREFILL};
+use crate::servers::{DecodeServer, PrefillServer, PREFIX_TOKENS, PROMPT_TOKENS};
+
+pub const ROUTERS: u64 = 60;
+/// Prefill servers, and as many decode servers.
+pub const SERVERS: u64 = 20;
+/// Identifiers of the servers are these and the following.
+pub const FIRST_PREFILL_SERVER: u64 = 100;
+pub const FIRST_DECODE_SERVER: u64 = 200;
+/// Time until a probe is answered (ms).
+const PROBE_TIME: u64 = 10;
+/// Time after which a server that fails at once has answered, and after which a failed connection is noticed
+/// (ms).
+const ERROR_TIME: u64 = 2;
+const CONNECT_FAILURE_TIME: u64 = 1;
+/// Time from a stream's begin to its first token (ms).
+const FIRST_TOKEN_TIME: u64 = 20;
+
+/// An attempt of a request in flight.
+#[derive(Clone, Copy)]
+struct SentAttempt {
+    id: u64,
+    attempt: u32,
+    server: u64,
+}
+
+enum Occurrence {
+    Arrival {
+        id: u64,
+    },
+    Timer {
+        key: u64,
+    },
+    AttemptEnd(SentAttempt, AttemptStatus),
+    /// The first token, and with it the end: nothing is to be learned from the rest of the stream.
+    FirstToken(SentAttempt),
+    ProbeAnswer {
+        server: u64,
+    },
+    ProbeFailed {
+        server: u64,
+    },
+}
+
+/// Connections that a server accepts, and the routers that have one.
+pub struct ConnectionLimit {
+    pub max_routers: usize,
+    pub connected: BTreeSet<u64>,
+}
+
+/// The prefix of a request, by its identifier.
+pub type PrefixOf = fn(u64) -> u64;
+
+pub struct Fleet {
+    routers: Vec<Router>,
+    pub prefill_servers: BTreeMap<u64, PrefillServer>,
+    pub decode_servers: BTreeMap<u64, DecodeServer>,
+    /// Servers that no router can connect to.
+    pub unreachable: BTreeSet<u64>,
+    pub connection_limits: BTreeMap<u64, ConnectionLimit>,
+    /// Router and server of connections that are dead without the router's knowing: the next request on one
+    /// fails.
+    pub dead_connections: BTreeSet<(u64, u64)>,
+    /// Router and occurrence, by time and order.
+    agenda: BTreeMap<(u64, u64), (u64, Occurrence)>,
+    now: u64,
+    occurrences: u64,
+    attempts: BTreeMap<u64, u32>,
+    ended: BTreeSet<(u64, u32)>,
+    /// When each request arrived that counts.
+    pub arrived_at: BTreeMap<u64, u64>,
+    first_token_times: Vec<u64>,
+    pub rejected: usize,
+    pub probes: usize,
+    pub ejections: usize,
+    prefix_of: PrefixOf,
+}
+
+/// The server list: five cells of four prefill servers and four decode servers.
+pub fn server_list() -> Vec<ServerEntry> {
+    let pair = |index| {
+        let entry = |id, kind| ServerEntry { cell: (index / 4) as u32, ..server_entry(id, kind, 0) };
+        [entry(FIRST_PREFILL_SERVER + index, PREFILL), entry(FIRST_DECODE_SERVER + index, DECODE)]
+    };
+    (0..SERVERS).flat_map(pair).collect()
+}
+
+impl Fleet {
+    /// A fleet in which each request arrives at the next router in turn, with the prefix that this function
+    /// names.
+    pub fn new(prefix_of: PrefixOf) -> Fleet {
+        Fleet::with_settings(settings(), prefix_of)
+    }
+
+    pub fn without_probes(prefix_of: PrefixOf) -> Fleet {
+        let limits = Limits { probes: false, ..settings().limits };
+        Fleet::with_settings(Settings { limits, ..settings() }, prefix_of)
+    }
+
+    pub fn with_settings(settings: Settings, prefix_of: PrefixOf) -> Fleet {
+        let settings = Settings { router_count: ROUTERS as u32, ..settings };
+        let prefill_server = |index| (FIRST_PREFILL_SERVER + index, PrefillServer::new(None));
+        let decode_server = |index| (FIRST_DECODE_SERVER + index, DecodeServer::new(None));
+        let mut fleet = Fleet {
+            routers: (0..ROUTERS).map(|index| Router::new(index + 1, settings.clone())).collect(),
+            prefill_servers: (0..SERVERS).map(prefill_server).collect(),
+            decode_servers: (0..SERVERS).map(decode_server).collect(),
+            unreachable: BTreeSet::new(),
+            connection_limits: BTreeMap::new(),
+            dead_connections: BTreeSet::new(),
+            agenda: BTreeMap::new(),
+            now: 0,
+            occurrences: 0,
+            attempts: BTreeMap::new(),
+            ended: BTreeSet::new(),
+            arrived_at: BTreeMap::new(),
+            first_token_times: Vec::new(),
+            rejected: 0,
+            probes: 0,
+            ejections: 0,
+            prefix_of,
+        };
+        fleet.update_all_routers(ListUpdate::Full, &server_list());
+        fleet
+    }
+
+    /// Delivers a server list to every router.
+    pub fn update_all_routers(&mut self, update: ListUpdate, servers: &[ServerEntry]) {
+        for router in 0..ROUTERS {
+            self.update_router(router, update, servers);
+        }
+    }
+
+    pub fn update_router(&mut self, router: u64, update: ListUpdate, servers: &[ServerEntry]) {
+        self.handle(router, Event::ServerList { update, servers: servers.to_vec() });
+    }
+
+    /// The router restarts, with nothing but its list.
+    pub fn restart(&mut self, router: u64) {
+        let settings = Settings { router_count: ROUTERS as u32, ..settings() };
+        self.routers[router as usize] = Router::new(router + 1_000, settings);
+        self.update_router(router, ListUpdate::Full, &server_list());
+    }
+
+    fn schedule(&mut self, time: u64, router: u64, occurrence: Occurrence) {
+        self.occurrences += 1;
+        self.agenda.insert((time, self.occurrences), (router, occurrence));
+    }
+
+    /// Plays so many requests, one every `interval` ms, until nothing of them is left.
+    pub fn play(&mut self, requests: u64, interval: u64) {
+        self.arrive(0..requests, interval);
+        self.run(requests * interval + 10_000);
+    }
+
+    /// Lets requests arrive, the request with identifier n at n times the interval.
+    pub fn arrive(&mut self, ids: std::ops::Range<u64>, interval: u64) {
+        for id in ids {
+            self.schedule(id * interval, id * 7 % ROUTERS, Occurrence::Arrival { id });
+        }
+    }
+
+    /// Runs up to a time (ms).
+    pub fn run(&mut self, end: u64) {
+        while let Some(((time, _), (router, occurrence))) = self.agenda.pop_first() {
+            if time > end {
+                return self.schedule(time, router, occurrence);
+            }
+            self.now = time;
+            self.happen(router, occurrence);
+        }
+    }
+
+    fn happen(&mut self, router: u64, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Arrival { id } => {
+                self.arrived_at.insert(id, self.now);
+                let request = Request {
+                    prefix: Some((self.prefix_of)(id)),
+                    prompt_tokens: PROMPT_TOKENS as f64,
+                    prefix_tokens: PREFIX_TOKENS as f64,
+                    ..sample_request(id)
+                };
+                self.handle(router, Event::Request(request));
+            }
+            Occurrence::Timer { key } => self.handle(router, Event::Timer { key }),
+            Occurrence::AttemptEnd(sent, status) => self.end_attempt(router, sent, status),
+            Occurrence::FirstToken(sent) => {
+                if let Some(arrived_at) = self.arrived_at.get(&sent.id) {
+                    self.first_token_times.push(self.now - arrived_at);
+                }
+                let SentAttempt { id, attempt, server } = sent;
+                let (id, server) = (RequestId(id), ServerId(server));
+                self.handle(router, Event::FirstToken { id, attempt, server, elapsed: 20.0 });
+                self.end_attempt(router, sent, AttemptStatus::Served);
+            }
+            Occurrence::ProbeFailed { server } => {
+                let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
+                self.handle(router, Event::ProbeResult { server, status, elapsed: 1.0, report: None });
+            }
+            Occurrence::ProbeAnswer { server } => {
+                let report = self.report(server);
+                let (server, status) = (ServerId(server), AttemptStatus::Served);
+                self.handle(router, Event::ProbeResult { server, status, elapsed: 10.0, report });
+            }
+        }
+    }
+
+    /// Reports the end of an attempt to its router, unless it had ended before.
+    fn end_attempt(&mut self, router: u64, sent: SentAttempt, status: AttemptStatus) {
+        if !self.ended.insert((sent.id, sent.attempt)) {
+            return;
+        }
+        let report = self.report(sent.server);
+        let outcome = AttemptOutcome {
+            id: RequestId(sent.id),
+            attempt: sent.attempt,
+            server: ServerId(sent.server),
+            status,
+            elapsed: 50.0,
+            note: 0.0,
+            closed: status == AttemptStatus::Served,
+            delivered: status.may_have_arrived(),
+            report,
+        };
+        self.handle(router, Event::Outcome(outcome));
+    }
+
+    /// A server's load report, as it was when it was last renewed.
+    fn report(&mut self, id: u64) -> Option<LoadReport> {
+        let now = self.now;
+        if let Some(server) = self.decode_servers.get_mut(&id) {
+            return Some(server.load_report(now));
+        }
+        self.prefill_servers.get_mut(&id).map(|server| server.load_report(now))
+    }
+
+    fn handle(&mut self, router: u64, event: Event) {
+        let mut actions = Vec::new();
+        self.routers[router as usize].handle(self.now as f64, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send { id, server, timeout } => self.send(router, id.0, server.0, timeout),
+                Action::Cancel { id, attempt } => {
+                    // The end of a cancelled attempt brings no load report, so it names no server.
+                    let sent = SentAttempt { id: id.0, attempt, server: 0 };
+                    self.end_attempt(router, sent, AttemptStatus::Cancelled);
+                }
+                Action::Reject { .. } | Action::Fail { .. } => self.rejected += 1,
+                Action::Log(line) => self.ejections += usize::from(line.starts_with("ejection")),
+                Action::Probe { server } => self.probe(router, server.0),
+                Action::Timer { at, key, .. } => {
+                    self.schedule(at.ceil() as u64, router, Occurrence::Timer { key });
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn probe(&mut self, router: u64, server: u64) {
+        self.probes += 1;
+        let is_unresponsive = self.prefill_servers.get(&server).is_some_and(|server| server.is_unresponsive);
+        if self.dead_connections.remove(&(router, server)) || !self.connects(router, server) {
+            self.schedule(self.now + CONNECT_FAILURE_TIME, router, Occurrence::ProbeFailed { server });
+        } else if !is_unresponsive {
+            self.schedule(self.now + PROBE_TIME, router, Occurrence::ProbeAnswer { server });
+        }
+    }
+
+    fn send(&mut self, router: u64, id: u64, server: u64, timeout: Millis) {
+        let next_attempt = self.attempts.entry(id).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let sent = SentAttempt { id, attempt, server };
+        let timed_out = Occurrence::AttemptEnd(sent, AttemptStatus::Timeout);
+        self.schedule(self.now + timeout.ceil() as u64, router, timed_out);
+        if self.dead_connections.remove(&(router, server)) {
+            let failed = Occurrence::AttemptEnd(sent, AttemptStatus::Error);
+            return self.schedule(self.now + CONNECT_FAILURE_TIME, router, failed);
+        }
+        if !self.connects(router, server) {
+            let failed = Occurrence::AttemptEnd(sent, AttemptStatus::ConnectFailed);
+            return self.schedule(self.now + CONNECT_FAILURE_TIME, router, failed);
+        }
+        if self.decode_servers.contains_key(&server) {
+            self.decode(router, sent);
+        } else {
+            self.prefill(router, sent);
+        }
+    }
+
+    fn decode(&mut self, router: u64, sent: SentAttempt) {
+        let Some(server) = self.decode_servers.get_mut(&sent.server) else { return };
+        let begin = server.accept(self.now);
+        self.schedule(begin + FIRST_TOKEN_TIME, router, Occurrence::FirstToken(sent));
+    }
+
+    fn prefill(&mut self, router: u64, sent: SentAttempt) {
+        let now = self.now;
+        let prefix = (self.prefix_of)(sent.id);
+        let Some(server) = self.prefill_servers.get_mut(&sent.server) else { return };
+        server.sent.push(now);
+        if server.fails_at_once {
+            let failed = Occurrence::AttemptEnd(sent, AttemptStatus::Error);
+            return self.schedule(now + ERROR_TIME, router, failed);
+        }
+        let end = server.accept(prefix, now);
+        if !server.is_unresponsive {
+            self.schedule(end, router, Occurrence::AttemptEnd(sent, AttemptStatus::Prefilled));
+        }
+    }
+
+    /// Whether this router has a connection to the server, or gets one.
+    fn connects(&mut self, router: u64, server: u64) -> bool {
+        let Some(limit) = self.connection_limits.get_mut(&server) else {
+            return !self.unreachable.contains(&server);
+        };
+        if limit.connected.len() < limit.max_routers {
+            limit.connected.insert(router);
+        }
+        limit.connected.contains(&router)
+    }
+
+    /// From now on only requests that are still to come count.
+    pub fn reset_counts(&mut self) {
+        self.arrived_at.clear();
+        self.first_token_times.clear();
+    }
+
+    /// Share of all requests whose first token came within the objective.
+    pub fn share_in_time(&self) -> f64 {
+        let objective = settings().classes[0].latency_objective as u64 + PROMPT_TOKENS * 60 / 1_000;
+        let in_time = self.first_token_times.iter().filter(|time| **time <= objective).count();
+        in_time as f64 / self.arrived_at.len() as f64
+    }
+
+    /// Prefills of the busiest prefill server, as a multiple of the mean.
+    pub fn busiest_prefill_server(&self) -> f64 {
+        let prefills = self.prefill_servers.values().map(|server| server.prefills);
+        let (most, sum) = (prefills.clone().max().unwrap_or(0), prefills.sum::<usize>());
+        most as f64 / (sum.max(1) as f64 / SERVERS as f64)
+    }
+}
--- a/crates/router/tests/load_shedding.rs
+++ b/crates/router/tests/load_shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: requests that can hardly be in time are rejected at once, those of tenants over their quota first.
+//! Load shedding: requests that can hardly be in time are rejected at once, those of tenants over their quota
+//! first.
 
 mod common;
 
@@ -48,8 +49,8 @@
     prefill_server
 }
 
-/// Guards a server from being shut out by one prefill that had waited in its queue: one of many routers has measured one
-/// or two such prefills there and no more.
+/// Guards a server from being shut out by one prefill that had waited in its queue: one of many routers has
+/// measured one or two such prefills there and no more.
 #[test]
 fn one_prefill_that_waited_does_not_cause_rejections_at_an_idle_server() {
     let mut router = TestRouter::in_large_fleet();
@@ -75,8 +76,8 @@
     assert!(returned > 0, "no request went back to the server where one had waited");
 }
 
-/// Guards a fleet whose prefill servers all have more in flight than can be in time: each router knows it from their
-/// load reports, not only once its own requests have waited there.
+/// Guards a fleet whose prefill servers all have more in flight than can be in time: each router knows it
+/// from their load reports, not only once its own requests have waited there.
 #[test]
 fn a_request_late_by_every_load_report_is_rejected_at_once() {
     let mut rejections = [0; 2];
--- a/crates/router/tests/outlier_detection.rs
+++ b/crates/router/tests/outlier_detection.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Guards healthy servers: malformed responses come from any server alike, so a few say nothing about one; many in
-/// a row do.
+/// Guards healthy servers: malformed responses come from any server alike, so a few say nothing about one;
+/// many in a row do.
 #[test]
 fn malformed_responses_eject_only_a_server_that_gives_no_other() {
     let mut router = TestRouter::with_defaults();
@@ -78,7 +78,8 @@
     assert!(panicked);
 }
 
-/// How many of thirty requests are decoded at server 21, which reports to be full, while the others are half full.
+/// How many of thirty requests are decoded at server 21, which reports to be full, while the others are half
+/// full.
 fn decoded_at_full_server(router: &mut TestRouter, first_id: u64) -> u32 {
     let mut at_full_server = 0;
     for id in first_id..first_id + 30 {
--- a/crates/router/tests/overload_diversion.rs
+++ b/crates/router/tests/overload_diversion.rs
@@ -1,5 +1,5 @@
-//! Overload diversion: a preferred server with too much load is passed over, by a router's own counts in a small
-//! fleet and by load probes in a large one.
+//! Overload diversion: a preferred server with too much load is passed over, by a router's own counts in a
+//! small fleet and by load probes in a large one.
 
 mod common;
 
@@ -15,7 +15,8 @@
     assert!((3..=6).any(|id| router.prefill_server_for(sample_request(id)) != preferred));
 }
 
-/// Guards the price of probes over a whole fleet: however long servers are quiet, probes go with the requests.
+/// Guards the price of probes over a whole fleet: however long servers are quiet, probes go with the
+/// requests.
 #[test]
 fn probes_are_earned_by_requests() {
     for (mut router, max_probes) in [(TestRouter::in_large_fleet(), 60), (TestRouter::with_defaults(), 22)] {
@@ -34,8 +35,8 @@
     }
 }
 
-/// Guards a preferred server in a large fleet: nobody's own counts show what all send there, but its load report
-/// does.
+/// Guards a preferred server in a large fleet: nobody's own counts show what all send there, but its load
+/// report does.
 #[test]
 fn in_a_large_fleet_a_preferred_server_is_probed_and_passed_over_when_overloaded() {
     let mut router = TestRouter::in_large_fleet();
--- a/crates/router/tests/request_life_cycle.rs
+++ b/crates/router/tests/request_life_cycle.rs
@@ -1,4 +1,5 @@
-//! Request life cycle: a request is always answered before its deadline, and the server list is kept up to date.
+//! Request life cycle: a request is always answered before its deadline, and the server list is kept up to
+//! date.
 
 mod common;
 
@@ -25,7 +26,8 @@
     assert_eq!(answers, 1);
 }
 
-/// Guards a request that waits for a server against standing still: its timer may fire slightly before its time.
+/// Guards a request that waits for a server against standing still: its timer may fire slightly before its
+/// time.
 #[test]
 fn a_step_timer_that_fires_slightly_early_is_not_lost() {
     let mut router = TestRouter::new(settings(), vec![server_entry(11, PREFILL, 0)]);
--- a/crates/router/tests/retries.rs
+++ b/crates/router/tests/retries.rs
@@ -34,8 +34,8 @@
     assert_ne!(sent_to(&actions).expect("another decode server"), decode_server);
 }
 
-/// Guards non-idempotent requests against a final failure, after which nobody tries again, where no decode server was
-/// ever reached.
+/// Guards non-idempotent requests against a final failure, after which nobody tries again, where no decode
+/// server was ever reached.
 #[test]
 fn a_non_idempotent_request_that_never_connected_is_rejected_not_failed() {
     let mut router = TestRouter::with_defaults();
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -1,8 +1,10 @@
 //! The five rules on random legal event orders, with fixed seeds; determinism; and input that makes no sense.
 //!
-//! 1. A request gets one final answer, in time. 2. What may have run is repeated or rejected only where its class allows
-//!    it. 3. A draining or terminated server gets nothing new. 5. No state is kept beyond its lease. Rule 4 (slow start) has
-//!    `slow_start` and `slow_start_trickle`.
+//! 1. A request gets one final answer, in time.
+//! 2. What may have run is repeated or rejected only where its class allows it.
+//! 3. A draining or terminated server gets nothing new.
+//! 4. All routers together stay within slow start: see `slow_start` and `slow_start_trickle`.
+//! 5. No state is kept beyond its lease.
 
 mod common;
 
@@ -167,7 +169,8 @@
         self.apply(actions);
     }
 
-    /// Brings the attempt in flight of a request one step further: a failure, the end of its stage, or its first token.
+    /// Brings the attempt in flight of a request one step further: a failure, the end of its stage, or its
+    /// first token.
     fn progress(&mut self, id: u64) {
         let request = &self.requests[&id];
         let Some(index) = request.attempts.iter().position(|attempt| attempt.in_flight) else { return };
--- a/crates/router/tests/shedding_trials.rs
+++ b/crates/router/tests/shedding_trials.rs
@@ -1,5 +1,6 @@
-//! Trials under load shedding: a router whose servers were late goes on trying them, so that it learns when that is over,
-//! and rejects no more than what comes between two trials. Simulated time, fixed seeds, no sockets.
+//! Trials under load shedding: a router whose servers were late goes on trying them, so that it learns when
+//! that is over, and rejects no more than what comes between two trials. Simulated time, fixed seeds, no
+//! sockets.
 
 mod common;
 
@@ -156,8 +157,8 @@
     })
 }
 
-/// Guards a gateway against rejecting by what it learned when its servers were late: nothing that it does not send can
-/// teach it better.
+/// Guards a gateway against rejecting by what it learned when its servers were late: nothing that it does not
+/// send can teach it better.
 #[test]
 fn a_router_whose_servers_were_late_goes_on_trying_them() {
     for late_role in [Role::Prefill, Role::Decode] {
--- a/crates/router/tests/slow_start/main.rs
+++ b/crates/router/tests/slow_start/main.rs
@@ -1,6 +1,6 @@
-//! What all routers together send to servers that have just started stays below what overloads one, though none sees the
-//! others: few routers and many, with and without probes, bursts, popular prefixes, late load reports, restarted routers,
-//! and a zone that returns. Simulated time, fixed seeds, no sockets.
+//! What all routers together send to servers that have just started stays below what overloads one, though
+//! none sees the others: few routers and many, with and without probes, bursts, popular prefixes, late load
+//! reports, restarted routers, and a zone that returns. Simulated time, fixed seeds, no sockets.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -18,8 +18,8 @@
     assert!(prefill < 1.0 && decode < 1.0, "{case}: {prefill} {decode}");
 }
 
-/// Every kind of scenario with so many routers, with probes and without. Fixed seeds: the limit leaves room for chance, and
-/// chance may use it up once in thousands of runs.
+/// Every kind of scenario with so many routers, with probes and without. Fixed seeds: the limit leaves room
+/// for chance, and chance may use it up once in thousands of runs.
 fn every_scenario_stays_below_the_limit(routers: usize, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         for (index, (name, scenario)) in scenarios().into_iter().enumerate() {
@@ -62,8 +62,9 @@
     every_scenario_stays_below_the_limit(300, 0..2);
 }
 
-/// Guards the share of routers that may go by one old load report: a quarter of all requests have the same prefix, a
-/// starting server is its first preferred server, and reports are as old as the deployments make them.
+/// Guards the share of routers that may go by one old load report: a quarter of all requests have the same
+/// prefix, a starting server is its first preferred server, and reports are as old as the deployments make
+/// them.
 #[test]
 fn a_popular_prefix_does_not_overload_its_starting_server() {
     for (routers, servers, starting, rate_per_s, seed) in
@@ -74,9 +75,9 @@
     }
 }
 
-/// The hard case: 300 routers learn of eight starting servers of each role at once, and in the same second a third of them
-/// restart and forget what they have sent; reports are as old as the deployments make them, a quarter of all requests have
-/// the same prefix, and half as much traffic again comes for two seconds.
+/// The hard case: 300 routers learn of eight starting servers of each role at once, and in the same second a
+/// third of them restart and forget what they have sent; reports are as old as the deployments make them, a
+/// quarter of all requests have the same prefix, and half as much traffic again comes for two seconds.
 #[test]
 fn three_hundred_routers_do_not_overload_eight_starting_servers_though_a_third_restart() {
     assert_below_limit(Scenario { router_restarts: A_THIRD_RESTARTS, ..POPULAR_PREFIX }, "a third restarts");
@@ -106,8 +107,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(12))]
 
-    /// Three routers that may not probe, as one of the deployments has: whenever a burst comes and however large it is,
-    /// and whichever of them restart.
+    /// Three routers that may not probe, as one of the deployments has: whenever a burst comes and however
+    /// large it is, and whichever of them restart.
     #[test]
     fn few_routers_do_not_overload_starting_servers_by_their_credit(
         seed in 1u64..1_000_000, start in 0.0..6.0f64, factor in 1.0..8.0f64, restart: bool, rate_per_s in 2.0..20.0f64,
--- a/crates/router/tests/slow_start/scenario.rs
+++ b/crates/router/tests/slow_start/scenario.rs
@@ -55,7 +55,8 @@
     /// Longest time that the answer to a probe takes (ms).
     pub probe_time: f64,
     pub router_restarts: RouterRestarts,
-    /// The starting servers are a zone that was unreachable, and each router's open connections to it are dead.
+    /// The starting servers are a zone that was unreachable, and each router's open connections to it are
+    /// dead.
     pub zone_returns: bool,
     pub rules: SlowStartRules,
     pub seed: u64,
@@ -88,7 +89,8 @@
 pub const OLD_REPORTS: Scenario = Scenario { report_interval: 640.0, probe_time: 210.0, ..BASE };
 pub const POPULAR_PREFIX: Scenario = Scenario { popular_share: 0.25, ..OLD_REPORTS };
 
-/// A fleet of so many routers with as many servers as they would have. A sixth of them start, or half where a zone returns.
+/// A fleet of so many routers with as many servers as they would have. A sixth of them start, or half where a
+/// zone returns.
 pub fn sized(routers: usize, scenario: Scenario) -> Scenario {
     let servers = match routers {
         0..10 => 8,
--- a/crates/router/tests/slow_start/simulation.rs
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -1,5 +1,5 @@
-//! The environment that the scenarios run in: routers that see nothing of each other, and servers that report late, some of
-//! which start during the run. Simulated time, fixed seeds.
+//! The environment that the scenarios run in: routers that see nothing of each other, and servers that report
+//! late, some of which start during the run. Simulated time, fixed seeds.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -323,8 +323,8 @@
         self.schedule(end, router, Occurrence::Completed(sent));
     }
 
-    /// The most that was sent to a starting server of this role in any window, as a share of the limit: what the settings
-    /// allow it at the window's begin, and twice the root of that and two for chance.
+    /// The most that was sent to a starting server of this role in any window, as a share of the limit: what
+    /// the settings allow it at the window's begin, and twice the root of that and two for chance.
     fn peak(&self, role: Role) -> f64 {
         let mut peak = 0.0f64;
         for (id, server) in &self.servers {
--- a/crates/router/tests/slow_start/simulation/starts.rs
+++ b/crates/router/tests/slow_start/simulation/starts.rs
@@ -9,7 +9,8 @@
 use crate::scenario::RouterRestarts;
 
 impl Simulation {
-    /// A prefix whose first preferred server, in the order that all routers share, will be one of the starting servers.
+    /// A prefix whose first preferred server, in the order that all routers share, will be one of the
+    /// starting servers.
     pub(super) fn prefix_of_starting_server(&self) -> u64 {
         let starting = self.starting_servers();
         let mut settings = Settings { router_count: 300, ..self.settings.clone() };
--- a/crates/router/tests/slow_start_trickle.rs
+++ b/crates/router/tests/slow_start_trickle.rs
@@ -1,4 +1,5 @@
-//! Slow start of one server: it gets a trickle of requests at first, never a burst. `slow_start` has whole fleets.
+//! Slow start of one server: it gets a trickle of requests at first, never a burst. `slow_start` has whole
+//! fleets.
 
 mod common;
 
@@ -22,8 +23,8 @@
     assert!((1..=20).contains(&sent_to_starting), "got {sent_to_starting} of 200");
 }
 
-/// Where routers cannot probe a starting server for what all of them together send it; `large_fleet` has the case where
-/// they can.
+/// Where routers cannot probe a starting server for what all of them together send it; `large_fleet` has the
+/// case where they can.
 #[test]
 fn the_trickle_to_a_starting_server_is_that_of_all_routers_together() {
     let mut sent_to_starting = 0;
--- a/crates/router/tests/state_leases.rs
+++ b/crates/router/tests/state_leases.rs
@@ -38,14 +38,16 @@
     assert!(is_released(&router.outcome(1, 0, prefill_server, AttemptStatus::Prefilled)));
 }
 
-/// Guards the lease limit: an attempt that did not connect was never sent, so the lease runs from the end of the
-/// prefill. Seen on days on which engines are cut off: prefill, 250 ms and 250 ms without a connection, then a pause.
+/// Guards the lease limit: an attempt that did not connect was never sent, so the lease runs from the end of
+/// the prefill. Seen on days on which engines are cut off: prefill, 250 ms and 250 ms without a connection,
+/// then a pause.
 #[test]
 fn the_lease_runs_on_while_no_connection_is_established() {
     assert_lease_runs_on(AttemptStatus::ConnectFailed);
 }
 
-/// The same for an attempt that was cancelled while it connected: it costs no retry and does not stop the lease.
+/// The same for an attempt that was cancelled while it connected: it costs no retry and does not stop the
+/// lease.
 #[test]
 fn an_attempt_that_was_not_sent_costs_no_retry_and_does_not_stop_the_lease() {
     assert_lease_runs_on(AttemptStatus::NotSent);
--- a/crates/router/tests/stored_state.rs
+++ b/crates/router/tests/stored_state.rs
@@ -1,7 +1,8 @@
-//! The bytes of form 1 in which a router passes on what it has learned, against a fixture that an earlier build wrote.
+//! The bytes of form 1 in which a router passes on what it has learned, against a fixture that an earlier
+//! build wrote.
 //!
-//! The export is deterministic for a fixed script. Its decays use the platform's `exp`, so a platform whose mathematics
-//! library rounds otherwise may differ in the last bit of a figure.
+//! The export is deterministic for a fixed script. Its decays use the platform's `exp`, so a platform whose
+//! mathematics library rounds otherwise may differ in the last bit of a figure.
 
 mod common;
 
@@ -10,8 +11,8 @@
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/router-state-form-1.bin");
 const MIXED_SERVER: u64 = 31;
-/// Words before the entries of the prefix table: the form, the age, the mean prompt, three roles of four figures, two
-/// service times of two.
+/// Words before the entries of the prefix table: the form, the age, the mean prompt, three roles of four
+/// figures, two service times of two.
 const HEADER_WORDS: usize = 3 + 3 * 4 + 2 * 2;
 
 fn words_of(bytes: &[u8]) -> Vec<u64> {
@@ -109,8 +110,9 @@
     sends
 }
 
-/// Guards an upgrade: a router that takes over from another knows how much a server in slow start may be sent and where
-/// sessions are cached, at any time of its own clock; bytes that are no such state change nothing and break nothing.
+/// Guards an upgrade: a router that takes over from another knows how much a server in slow start may be sent
+/// and where sessions are cached, at any time of its own clock; bytes that are no such state change nothing
+/// and break nothing.
 #[test]
 fn what_a_router_has_learned_is_passed_on() {
     let mut old = TestRouter::with_defaults();
--- a/crates/router/tests/timeout_detection.rs
+++ b/crates/router/tests/timeout_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection by time-out: which servers are unresponsive, which are only busy, and which attempts are lost.
+//! Outlier detection by time-out: which servers are unresponsive, which are only busy, and which attempts are
+//! lost.
 
 mod common;
 
@@ -33,8 +34,8 @@
     ticks.find(|elapsed| router.at_time(start + elapsed).run_housekeeping().contains(&cancel))
 }
 
-/// Guards against a long prefill in vain: the server works on it without a sign of life for longer than an idle one may,
-/// and a router that cancels it has it started over elsewhere, to be cancelled there.
+/// Guards against a long prefill in vain: the server works on it without a sign of life for longer than an
+/// idle one may, and a router that cancels it has it started over elsewhere, to be cancelled there.
 #[test]
 fn a_long_prefill_is_not_cancelled_while_it_runs() {
     for router_count in [2, 300] {
@@ -64,8 +65,8 @@
     assert!(elapsed > 8_000.0, "cancelled after {elapsed} ms");
 }
 
-/// Guards against one lost request that looks like a queue: a prefill that later ones overtake is cancelled and retried
-/// elsewhere, that of a non-idempotent request too, and the server goes on with its work.
+/// Guards against one lost request that looks like a queue: a prefill that later ones overtake is cancelled
+/// and retried elsewhere, that of a non-idempotent request too, and the server goes on with its work.
 #[test]
 fn an_overtaken_prefill_is_cancelled_and_its_server_stays() {
     for class in [IDEMPOTENT, NON_IDEMPOTENT] {
@@ -94,8 +95,8 @@
     }
 }
 
-/// Guards what must be left alone: a prefill that nothing overtakes, and a non-idempotent request at its decode server,
-/// which may have begun though later streams there did so before it.
+/// Guards what must be left alone: a prefill that nothing overtakes, and a non-idempotent request at its
+/// decode server, which may have begun though later streams there did so before it.
 #[test]
 fn slow_attempts_and_non_idempotent_ones_are_not_cancelled() {
     let servers = vec![server_entry(11, PREFILL, 0), server_entry(21, DECODE, 0)];
@@ -135,8 +136,8 @@
     assert_ne!(retry, preferred);
 }
 
-/// Guards the detection of a dead server where deadlines are short beside objectives: it is unresponsive before its
-/// attempts have timed out, which does not count against it.
+/// Guards the detection of a dead server where deadlines are short beside objectives: it is unresponsive
+/// before its attempts have timed out, which does not count against it.
 #[test]
 fn an_unresponsive_server_is_ejected_before_a_short_deadline() {
     let class =
@@ -154,8 +155,8 @@
     assert!(ejected_at.is_some_and(|time| time > 11_000.0), "{ejected_at:?}");
 }
 
-/// Guards a server that has restarted against the silence of its old process: it is not ejected for work that it never
-/// got, and a prefill that was lost with the old process is cancelled in time for another.
+/// Guards a server that has restarted against the silence of its old process: it is not ejected for work that
+/// it never got, and a prefill that was lost with the old process is cancelled in time for another.
 #[test]
 fn a_restarted_server_is_not_ejected_for_the_waits_of_its_old_process() {
     let mut router = TestRouter::with_defaults();
--- a/crates/router/tests/without_load_reports.rs
+++ b/crates/router/tests/without_load_reports.rs
@@ -1,5 +1,5 @@
-//! A few routers that get no load reports and may not probe: they go by the outcomes of their own requests. Simulated
-//! time, fixed seeds, no sockets.
+//! A few routers that get no load reports and may not probe: they go by the outcomes of their own requests.
+//! Simulated time, fixed seeds, no sockets.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use common::*;
 use glenrail_router::*;
 
-/// A mixed server takes so long (ms) for the prefill of a thousand tokens, one prompt after the other, and then streams.
-/// A prefill goes on, and costs its server, when it has been cancelled.
+/// A mixed server takes so long (ms) for the prefill of a thousand tokens, one prompt after the other, and
+/// then streams. A prefill goes on, and costs its server, when it has been cancelled.
 const PREFILL_PER_1000_TOKENS: u64 = 50;
 const STREAM_TIME: u64 = 400;
 const SERVERS: u64 = 5;
@@ -178,8 +178,8 @@
     Request { class, prompt_tokens, prefix: Some(prefix), session: 10_000 + id, ..sample_request(id) }
 }
 
-/// One of five mixed servers is eight times slower, and nothing reports it. What prefers it is served elsewhere, not
-/// rejected: the others have capacity for all.
+/// One of five mixed servers is eight times slower, and nothing reports it. What prefers it is served
+/// elsewhere, not rejected: the others have capacity for all.
 #[test]
 fn requests_that_prefer_a_slow_server_are_served_elsewhere_instead_of_rejected() {
     for slow_server in 1..=SERVERS {
@@ -191,8 +191,8 @@
     }
 }
 
-/// All clients of a restarted router come at once, with one prefix: what this router has just sent counts at once, before
-/// any outcome shows it.
+/// All clients of a restarted router come at once, with one prefix: what this router has just sent counts at
+/// once, before any outcome shows it.
 #[test]
 fn a_burst_with_one_prefix_is_not_all_sent_to_one_server() {
     let mut simulation = Simulation::new(None);
@@ -203,7 +203,8 @@
     assert!(results.late + results.rejected <= 2, "{results:?}");
 }
 
-/// One class's prompts are twenty times longer for twenty seconds, a twentieth of all: the other class is still served.
+/// One class's prompts are twenty times longer for twenty seconds, a twentieth of all: the other class is
+/// still served.
 #[test]
 fn long_prompts_of_one_class_leave_the_other_its_servers() {
     let mut simulation = Simulation::new(None);
@@ -219,8 +220,8 @@
     assert!(lost < 0.05 * f64::from(results.total), "{results:?}");
 }
 
-/// Decode servers that report nothing keep first tokens waiting: states go to a mixed server while that lasts, and not
-/// before.
+/// Decode servers that report nothing keep first tokens waiting: states go to a mixed server while that
+/// lasts, and not before.
 #[test]
 fn states_go_to_a_mixed_server_while_all_decode_servers_have_waits() {
     for (first_token, expect_mixed) in [(20.0, false), (1_200.0, true)] {
@@ -241,13 +242,15 @@
     }
 }
 
-/// A tenant at five times its quota beside two within theirs, where the servers cannot bear it all: it alone is rejected.
+/// A tenant at five times its quota beside two within theirs, where the servers cannot bear it all: it alone
+/// is rejected.
 #[test]
 fn a_tenant_far_over_its_quota_does_not_use_the_others_capacity() {
     let tenants = [2.0, 20.0, 20.0].map(|allowance_per_s| Tenant { allowance_per_s }).to_vec();
     let settings = Settings { tenants, ..settings_without_probes() };
     let mut simulation = Simulation::with_settings(None, settings);
-    // Ten a second of the first, ten of the two others together; the servers do some fourteen of these in a second.
+    // Ten a second of the first, ten of the two others together; the servers do some fourteen of these in a
+    // second.
     for n in 0..800 {
         let tenant = if n % 2 == 0 { 0 } else { 1 + (n / 2 % 2) as u32 };
         let class = u32::from(tenant > 0);
