--- a/crates/router/src/fleet_load.rs
+++ b/crates/router/src/fleet_load.rs
@@ -206,7 +206,7 @@
 
 impl LoadKnowledge {
     /// Whether a report is there or can still come.
-    pub fn may_be_known(self, budget: ProbeBudget) -> bool {
+    pub fn can_be_known(self, budget: ProbeBudget) -> bool {
         match self {
             LoadKnowledge::Reported { .. } | LoadKnowledge::Probing => true,
             LoadKnowledge::Unknown => budget == ProbeBudget::Available,
--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -30,9 +30,9 @@
     /// that was probed is not probed again.
     #[test]
     fn the_first_candidate_that_is_not_overloaded_is_chosen(
-        candidates in prop::collection::vec(knowledge(), 1..6), may_probe: bool,
+        candidates in prop::collection::vec(knowledge(), 1..6), can_probe: bool,
     ) {
-        let budget = if may_probe { ProbeBudget::Available } else { ProbeBudget::Exhausted };
+        let budget = if can_probe { ProbeBudget::Available } else { ProbeBudget::Exhausted };
         match next_step(&candidates, budget) {
             NextStep::Send(chosen) => {
                 prop_assert!(chosen < candidates.len());
@@ -50,7 +50,7 @@
                 }
             }
             NextStep::Probe(indices) => {
-                prop_assert!(may_probe && !indices.is_empty());
+                prop_assert!(can_probe && !indices.is_empty());
                 prop_assert!(indices.iter().all(|index| candidates[*index] == LoadKnowledge::Unknown));
             }
             NextStep::Wait => prop_assert!(candidates.contains(&LoadKnowledge::Probing)),
--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Whether a server is full, as far as its reports, or else the waits met there, are trusted.
     fn is_nearly_full(&self, projection: Projection, wait_weight: f64) -> bool {
         let Projection { server, memory_share } = projection;
         let confidence = self.memory_confidence(server);
@@ -85,6 +86,7 @@
         Some(acceptable.next().unwrap_or(best).server)
     }
 
+    /// The lowest projection of the servers at such a location.
     fn lowest(&self, projections: &[Projection], is_near: impl Fn(Location) -> bool) -> Option<Projection> {
         let location = |id| self.servers.get(&id).map(|server| server.entry.location());
         let near = projections.iter().copied().filter(|p| location(p.server).is_some_and(&is_near));
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -5,7 +5,7 @@
 //! counts the rejections. Guards clients from waiting in vain, and prefill servers from work that no decode
 //! server can follow up.
 
-use super::state_leases::USED_LEASE_SHARE;
+use super::slow_start::NO_PREFIX_DEMAND;
 use super::Router;
 use crate::api::{Millis, Role, ServerId};
 use crate::state::{Placement, RequestState, ServerRecord};
@@ -58,10 +58,10 @@
         if !self.probes_before_send() {
             return false;
         }
-        let lease_end = self.now + prefill_time + USED_LEASE_SHARE * self.settings.rules.lease_limit;
+        let lease_end = self.now + prefill_time + self.used_lease_time();
         let sends_left = |server: &ServerRecord| {
-            let now = self.slow_start_allowance(server, 0.0, self.now).sends_left()?;
-            let later = self.slow_start_allowance(server, 0.0, lease_end).sends_left()?;
+            let now = self.slow_start_allowance(server, NO_PREFIX_DEMAND, self.now).sends_left()?;
+            let later = self.slow_start_allowance(server, NO_PREFIX_DEMAND, lease_end).sends_left()?;
             Some(now.max(later))
         };
         let servers = self.servers.values().filter(|s| s.role != Role::Prefill && s.is_reachable(self.now));
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -154,6 +154,7 @@
         }
     }
 
+    /// Takes in a server list, or subscribes again after a pause when discovery failed.
     fn on_server_list(&mut self, update: ListUpdate, entries: Vec<ServerEntry>) {
         if update == ListUpdate::Failed {
             // The previous list stands until then.
@@ -165,6 +166,7 @@
         server_list::apply_update(&mut self.servers, update, entries, kinds, &mut self.random, self.now);
     }
 
+    /// Housekeeping: time-out detection, a due subscription, and probes of quiet servers.
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
         self.schedule_tick(actions);
         self.detect_timeouts(actions);
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -3,6 +3,7 @@
 //! State: [`Health`] in each server's record. Guards requests from servers that fail, and the fleet from
 //! ejecting its servers for a fault that is not theirs.
 
+use super::slow_start::NO_PREFIX_DEMAND;
 use super::state_leases::NOTE_NO_STATE;
 use super::{Router, HOUSEKEEPING_INTERVAL};
 use crate::api::{Action, AttemptOutcome, AttemptStatus, Millis, Role, ServerId, ServerState};
@@ -52,14 +53,15 @@
         // A prefill server in slow start is probed first, which then decides.
         let is_probed_first = stage == Stage::Prefill && self.probes_before_send();
         healthy.retain(|server| {
-            is_probed_first || self.slow_start_allowance(server, 0.0, now).permits_send(server, now)
+            is_probed_first
+                || self.slow_start_allowance(server, NO_PREFIX_DEMAND, now).permits_send(server, now)
         });
         let healthy: Vec<ServerId> = healthy.iter().map(|server| server.entry.server).collect();
         let untried: Vec<ServerId> =
             healthy.iter().copied().filter(|id| !request.has_failed_on(*id, stage)).collect();
         // All have been tried: wait a little, or refused connections would use up every attempt in a moment.
-        let may_try_again = now >= request.idle_since + HOUSEKEEPING_INTERVAL;
-        if untried.is_empty() && may_try_again {
+        let can_try_again = now >= request.idle_since + HOUSEKEEPING_INTERVAL;
+        if untried.is_empty() && can_try_again {
             healthy
         } else {
             untried
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -34,11 +34,13 @@
         self.router.servers.get(&id)
     }
 
+    /// What slow start permits to be sent there for the prefix of the request.
     fn allowance(&self, server: &ServerRecord) -> Allowance {
         let demand_units = self.demand.at_server(server);
         self.router.slow_start_allowance(server, demand_units, self.router.now)
     }
 
+    /// Whether slow start permits the request to be sent there now.
     fn permits_send(&self, id: ServerId) -> bool {
         self.server(id).is_some_and(|server| self.allowance(server).permits_send(server, self.router.now))
     }
@@ -94,7 +96,7 @@
         others.retain(|id| view.permits_send(*id));
         candidates.extend(view.fallback(&others, draw));
         // A server in slow start gets nothing without a load report.
-        candidates.retain(|id| view.permits_send(*id) || view.knowledge(*id).may_be_known(budget));
+        candidates.retain(|id| view.permits_send(*id) || view.knowledge(*id).can_be_known(budget));
         let knowledge: Vec<LoadKnowledge> = candidates.iter().map(|id| view.knowledge(*id)).collect();
         match fleet_load::next_step(&knowledge, budget) {
             NextStep::Send(index) => return candidates.get(index).copied(),
@@ -109,6 +111,7 @@
         None
     }
 
+    /// What the request knows of the candidates, of which the first is preferred.
     fn fleet_view<'a>(
         &'a self, ranked: &[ServerId], candidates: &[ServerId], request: &'a RequestState,
     ) -> FleetView<'a> {
@@ -120,6 +123,7 @@
         FleetView { router: self, request, demand, typical_load: fleet_load::typical_load(loads) }
     }
 
+    /// Sends a probe, and pays for it.
     fn send_probe(&mut self, id: ServerId, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.last_probed_at = self.now;
@@ -168,6 +172,7 @@
         }
     }
 
+    /// Takes in the result of a probe, and continues the requests that waited for it.
     pub(super) fn on_probe_result(
         &mut self, id: ServerId, status: AttemptStatus, report: Option<LoadReport>, actions: &mut Vec<Action>,
     ) {
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -9,8 +9,8 @@
 use super::Router;
 use crate::api::{Action, Millis, RejectReason, Request, RequestId, Role};
 use crate::state::{
-    sanitize, Attempt, DecayingValue, Placement, PossibleExecution, RecentRequests, RequestState, SentWork,
-    Stage, UnreportedStream, REQUEST_RATE_DECAY,
+    sanitize, DecayingValue, Placement, PossibleExecution, RecentRequests, RequestState, SentWork, Stage,
+    UnreportedStream, REQUEST_RATE_DECAY,
 };
 use crate::wait_estimate;
 
@@ -20,10 +20,15 @@
 /// lost.
 const TIMER_TOLERANCE: Millis = 0.5;
 
+/// Clock ticks before its deadline at which a request is answered at the latest.
+const ANSWER_MARGIN_TICKS: f64 = 2.0;
+/// Least time-out of an attempt (ms).
+const MIN_TIMEOUT: Millis = 1.0;
+
 /// What a request does next.
 enum Step {
-    /// Nothing: an attempt is in flight, the request is closed, or a timer is set.
-    Nothing,
+    /// No step: an attempt is in flight, the request is closed, or a timer is set.
+    None,
     /// Send an attempt.
     Send(Placement),
     /// Set a timer to try again.
@@ -33,6 +38,7 @@
 }
 
 impl Router {
+    /// Takes in a request that arrives: rejects one of an unknown class, ignores one that is known already.
     pub(super) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(request.class as usize).cloned() else {
@@ -60,11 +66,16 @@
             ..RequestState::default()
         };
         self.requests.insert(id, state);
-        let answer_by = (deadline - 2.0 * self.settings.tick_interval).max(now);
+        let answer_by = (deadline - self.answer_margin()).max(now);
         actions.push(TimerKey::Deadline(id).set(answer_by));
         self.advance(id, actions);
     }
 
+    /// Time before its deadline at which a request is answered at the latest.
+    fn answer_margin(&self) -> Millis {
+        ANSWER_MARGIN_TICKS * self.settings.tick_interval
+    }
+
     /// Counts a request that arrives, for all requests and for its prefix.
     fn count_request(&mut self, request: &Request) -> RecentRequests {
         let now = self.now;
@@ -84,7 +95,7 @@
         let step = self.next_step(&mut request, actions);
         self.requests.insert(id, request);
         match step {
-            Step::Nothing => {}
+            Step::None => {}
             Step::Send(placement) => self.send_attempt(id, placement, actions),
             Step::RetryLater => {
                 actions.push(TimerKey::NextStep(id).set(self.now + PLACEMENT_RETRY_INTERVAL));
@@ -99,6 +110,7 @@
         }
     }
 
+    /// Decides the next step, and sends the probes that it needs.
     fn next_step(&mut self, request: &mut RequestState, actions: &mut Vec<Action>) -> Step {
         let in_progress = request.closed || request.is_streaming() || request.has_attempt_in_flight();
         let exhausted = request.attempts.len() as u32 >= self.settings.limits.max_attempts;
@@ -113,16 +125,17 @@
             request.step_timer_due = self.now + PLACEMENT_RETRY_INTERVAL;
         }
         match placement {
-            _ if in_progress => Step::Nothing,
+            _ if in_progress => Step::None,
             _ if shed => Step::Abandon(RejectReason::LoadShed),
             Some(placement) => Step::Send(placement),
             None if exhausted => Step::Abandon(RejectReason::AttemptsExhausted),
             None if !self.lease_outlasts_retry(request) => Step::Abandon(RejectReason::NoServerAvailable),
-            None if timer_is_set => Step::Nothing,
+            None if timer_is_set => Step::None,
             None => Step::RetryLater,
         }
     }
 
+    /// Chooses a decode server for a request that has been prefilled, or else a prefill server.
     fn choose_placement(
         &mut self, request: &mut RequestState, actions: &mut Vec<Action>,
     ) -> Option<Placement> {
@@ -134,9 +147,11 @@
         Some(Placement { server, stage: Stage::Decode, cached_tokens: 0.0 })
     }
 
+    /// Sends an attempt, and notes it wherever it counts.
     fn send_attempt(&mut self, id: RequestId, placement: Placement, actions: &mut Vec<Action>) {
         let Placement { server: target, stage, cached_tokens } = placement;
         let now = self.now;
+        let answer_margin = self.answer_margin();
         let credit = self.servers.get(&target).map_or(0.0, |server| self.send_credit(server, now));
         let typical_work = wait_estimate::typical_work(&self.statistics);
         let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&target))
@@ -160,15 +175,8 @@
         }
         // The time-out is the deadline: a retry of slow work that gets on would start it over. Work that does
         // not get on is left to time-out detection.
-        let timeout = (request.deadline - now - 2.0 * self.settings.tick_interval).max(1.0);
-        request.attempts.push(Attempt {
-            server: target,
-            stage,
-            sent_at: now,
-            in_flight: true,
-            work_tokens: tokens,
-            ..Attempt::default()
-        });
+        let timeout = (request.deadline - now - answer_margin).max(MIN_TIMEOUT);
+        request.record_send(target, stage, tokens, now);
         actions.push(Action::Send { id, server: target, timeout });
         self.shedding_trials.record_send(now);
         if stage == Stage::Prefill && self.probes_before_send() {
@@ -176,16 +184,19 @@
         }
     }
 
+    /// The pause before the next step is over.
     pub(super) fn on_step_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.get(&id).is_some_and(RequestState::awaits_first_token) {
             self.advance(id, actions);
         }
     }
 
+    /// The time to answer a request has come.
     pub(super) fn on_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.reject_or_fail(id, RejectReason::DeadlineExceeded, actions);
     }
 
+    /// Takes in the first token of an attempt, which is a success of its server.
     pub(super) fn on_first_token(&mut self, id: RequestId, attempt: u32, elapsed: Millis) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.record_first_token(attempt, self.now) else { return };
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -57,6 +57,7 @@
 }
 
 impl Router {
+    /// Takes in the end of an attempt, and decides what follows.
     pub(super) fn on_outcome(&mut self, outcome: AttemptOutcome, actions: &mut Vec<Action>) {
         self.record_load_report(outcome.server, outcome.report);
         let Some(request) = self.requests.get_mut(&outcome.id) else { return };
--- a/crates/router/src/policy/slow_start.rs
+++ b/crates/router/src/policy/slow_start.rs
@@ -8,6 +8,9 @@
 use crate::slow_start_budget::{self, Allowance};
 use crate::state::ServerRecord;
 
+/// Demand where the requests of no prefix in particular are concerned, in units of capacity.
+pub(super) const NO_PREFIX_DEMAND: f64 = 0.0;
+
 impl Router {
     /// Share of its capacity, from 0 to 1, that a server can be sent at present.
     pub(super) fn capacity_share(&self, server: &ServerRecord) -> f64 {
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -6,11 +6,11 @@
 
 use super::request_steps::PLACEMENT_RETRY_INTERVAL;
 use super::Router;
-use crate::api::{Action, AttemptOutcome, AttemptStatus, RejectReason, RequestId};
+use crate::api::{Action, AttemptOutcome, AttemptStatus, Millis, RejectReason, RequestId};
 use crate::state::RequestState;
 
 /// Share of the lease limit that is used; the rest covers the differences between the clocks.
-pub(super) const USED_LEASE_SHARE: f64 = 0.8;
+const USED_LEASE_SHARE: f64 = 0.8;
 /// A rejection asks for a retry after at most this part of the time left to the deadline.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
 /// [`AttemptOutcome::note`] of a rejection from this on: the decode server found no state to fetch.
@@ -51,7 +51,7 @@
     }
 
     /// Releases a state that a decode attempt has lost or used up. The prefill server may only be cut off
-    /// from the decode server, so it is told in any case.
+    /// from the decode server, so the release is sent in any case.
     pub(super) fn release_lost_state(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
         let is_lost = match outcome.status {
             AttemptStatus::Rejected => outcome.note >= NOTE_NO_STATE,
@@ -78,9 +78,14 @@
         }
     }
 
+    /// How long a prefilled state is kept for a decode server.
+    pub(super) fn used_lease_time(&self) -> Millis {
+        USED_LEASE_SHARE * self.settings.rules.lease_limit
+    }
+
     /// Whether the lease of its state, if it has one, still lasts when the request tries again.
     pub(super) fn lease_outlasts_retry(&self, request: &RequestState) -> bool {
-        let lease_end = request.lease_since + USED_LEASE_SHARE * self.settings.rules.lease_limit;
+        let lease_end = request.lease_since + self.used_lease_time();
         request.prefilled_on.is_none() || self.now + PLACEMENT_RETRY_INTERVAL <= lease_end
     }
 }
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -43,6 +43,7 @@
 }
 
 impl LostAttempts {
+    /// Whether an attempt in flight at this server is lost.
     fn includes(&self, server: &ServerRecord, request: &RequestState, attempt: &Attempt) -> bool {
         let is_overtaken =
             server.pending.get(&request.request.id).is_none_or(|pending| !pending.reflects_queue());
@@ -92,6 +93,7 @@
         );
     }
 
+    /// Servers with an attempt that has waited for too long without any progress there.
     fn unresponsive_servers(&self) -> Vec<ServerId> {
         let objective_of =
             |class: &RequestClass| class.latency_objective.min(class.deadline * MAX_OBJECTIVE_OF_DEADLINE);
@@ -107,8 +109,8 @@
     /// Whether a server has shown no progress with work sent at `sent_at` for longer than `patience`, and for
     /// longer than that work can take.
     fn is_unresponsive_since(&self, server: &ServerRecord, sent_at: Millis, patience: Millis) -> bool {
-        let still_reports = self.now < server.last_heard_at + REPORTING_WITHIN;
-        let factor = if still_reports { REPORTING_PATIENCE } else { 1.0 };
+        let is_reporting = self.now < server.last_heard_at + REPORTING_WITHIN;
+        let factor = if is_reporting { REPORTING_PATIENCE } else { 1.0 };
         let has_waited = |time: Millis| self.now > sent_at.max(server.last_progress_at) + time;
         has_waited(factor * patience)
             && has_waited(wait_estimate::max_busy_time(
--- a/crates/router/src/policy/timer_key.rs
+++ b/crates/router/src/policy/timer_key.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, Millis, RequestId};
 
-/// Key of the housekeeping timer. Request identifiers stay below half of it.
+/// Key of the housekeeping timer. No request may have half of it as its identifier.
 const HOUSEKEEPING_KEY: u64 = 1 << 52;
 
 /// What a timer is for.
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// A server that has just been listed: not probed yet, and taken to be alive.
 fn new_record(entry: ServerEntry, kinds: &[ServerKind], send_credit: f64, now: Millis) -> ServerRecord {
     let kind = kinds.get(entry.kind as usize);
     let memory_tokens = kind.map(|kind| kind.memory_tokens).filter(|tokens| *tokens > 0.0);
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -19,10 +19,11 @@
 const SESSION: u64 = 0;
 const PREFIX: u64 = 1;
 
+/// Appends words in order.
 #[derive(Default)]
-struct Writer(Vec<u8>);
+struct WordWriter(Vec<u8>);
 
-impl Writer {
+impl WordWriter {
     fn word(&mut self, word: u64) {
         self.0.extend_from_slice(&word.to_le_bytes());
     }
@@ -33,11 +34,11 @@
 }
 
 /// Reads words in order; `None` at the end. An incomplete word at the end is ignored.
-struct Reader<'a>(std::slice::ChunksExact<'a, u8>);
+struct WordReader<'a>(std::slice::ChunksExact<'a, u8>);
 
-impl<'a> Reader<'a> {
+impl<'a> WordReader<'a> {
     fn new(bytes: &'a [u8]) -> Self {
-        Reader(bytes.chunks_exact(WORD_SIZE))
+        WordReader(bytes.chunks_exact(WORD_SIZE))
     }
 
     fn word(&mut self) -> Option<u64> {
@@ -59,7 +60,8 @@
 }
 
 impl Header {
-    fn read(reader: &mut Reader, now: Millis) -> Option<Header> {
+    /// The header, if it is complete.
+    fn read(reader: &mut WordReader, now: Millis) -> Option<Header> {
         let age = reader.number()?;
         let mean_prompt_tokens = reader.number()?;
         let mut throughput_by_role = [RoleThroughput::default(); 3];
@@ -81,7 +83,8 @@
     }
 }
 
-fn read_entry(reader: &mut Reader, now: Millis) -> Option<(AffinityKey, AffinityEntry)> {
+/// The next entry of the prefix table, if it is complete.
+fn read_entry(reader: &mut WordReader, now: Millis) -> Option<(AffinityKey, AffinityEntry)> {
     let kind = reader.word()?;
     let key = reader.word()?;
     let server = ServerId(reader.word()?);
@@ -93,7 +96,7 @@
 impl Router {
     /// What this router has learned, for [`Router::import_state`] of another process.
     pub fn export_state(&self) -> Vec<u8> {
-        let mut writer = Writer::default();
+        let mut writer = WordWriter::default();
         writer.word(FORM);
         writer.number(self.now - self.started_at.unwrap_or(self.now));
         writer.number(self.statistics.mean_prompt_tokens);
@@ -126,7 +129,7 @@
     /// ignored.
     pub fn import_state(&mut self, bytes: &[u8]) {
         let now = self.now;
-        let mut reader = Reader::new(bytes);
+        let mut reader = WordReader::new(bytes);
         if reader.word() != Some(FORM) {
             return;
         }
--- a/crates/router/src/state/request_state.rs
+++ b/crates/router/src/state/request_state.rs
@@ -120,6 +120,13 @@
         self.attempts.iter().any(|a| a.in_flight && a.first_token_at.is_some())
     }
 
+    /// Notes that an attempt is sent.
+    pub fn record_send(&mut self, server: ServerId, stage: Stage, work_tokens: f64, now: Millis) {
+        let sent =
+            Attempt { server, stage, sent_at: now, in_flight: true, work_tokens, ..Attempt::default() };
+        self.attempts.push(sent);
+    }
+
     /// Notes the first token of an attempt. Returns the attempt, unless there is no such one in flight.
     pub fn record_first_token(&mut self, attempt: u32, now: Millis) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(attempt as usize).filter(|a| a.in_flight)?;
