--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -41,7 +41,8 @@
                     LoadKnowledge::Reported { is_overloaded: false, .. } | LoadKnowledge::Probing
                 );
                 prop_assert!(!candidates[..chosen].iter().any(would_do));
-                if let LoadKnowledge::Reported { load: chosen_load, is_overloaded: true } = candidates[chosen] {
+                let chosen = candidates[chosen];
+                if let LoadKnowledge::Reported { load: chosen_load, is_overloaded: true } = chosen {
                     let is_less = |candidate: &LoadKnowledge| matches!(
                         candidate,
                         LoadKnowledge::Reported { load, .. } if *load < chosen_load
@@ -78,9 +79,11 @@
     #[test]
     fn more_expensive_probes_are_fewer(a in 0.0..0.1f64, b in 0.0..0.1f64, transfer_price in 0.0..0.1f64) {
         let (low, high) = (a.min(b), a.max(b));
-        prop_assert!(probes_earned(high) <= probes_earned(low) && probes_earned(low) <= MAX_PROBES_PER_REQUEST);
+        prop_assert!(probes_earned(high) <= probes_earned(low));
+        prop_assert!(probes_earned(low) <= MAX_PROBES_PER_REQUEST);
         prop_assert!(probes_earned(high) * high <= PROBE_COST_LIMIT + 1e-9);
-        prop_assert!(decode_servers_to_probe(high, transfer_price) <= decode_servers_to_probe(low, transfer_price));
+        let probed = |probe_price| decode_servers_to_probe(probe_price, transfer_price);
+        prop_assert!(probed(high) <= probed(low));
         prop_assert_eq!((probes_earned(0.003), decode_servers_to_probe(0.003, 0.03)), (4.0, 2));
         prop_assert_eq!((probes_earned(0.012), decode_servers_to_probe(0.012, 0.03)), (1.0, 1));
         prop_assert_eq!(decode_servers_to_probe(a.max(1e-6), 0.0), 0);
@@ -90,7 +93,8 @@
     /// servers.
     #[test]
     fn preferred_servers_grow_with_the_requests_for_a_prefix(
-        same_prefix in 1.0..50.0, more in 0.0..50.0, others in 0.0..200.0, servers in 1usize..200, routers in 1.0..400.0,
+        same_prefix in 1.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
+        servers in 1usize..200, routers in 1.0..400.0,
     ) {
         let fewer_requests = recent_requests(same_prefix, same_prefix + others);
         let more_requests = recent_requests(same_prefix + more, same_prefix + more + others);
@@ -126,7 +130,9 @@
     /// A server with a typical load is not overloaded, give or take the floor; one overloaded server among
     /// few that were heard from does not make its own load the typical one.
     #[test]
-    fn the_typical_load_is_not_an_overload(loads in prop::collection::vec(0.0..60.0, 0..40), high in 10.0..80.0) {
+    fn the_typical_load_is_not_an_overload(
+        loads in prop::collection::vec(0.0..60.0, 0..40), high in 10.0..80.0,
+    ) {
         let typical = typical_load(loads.clone());
         prop_assert!(!is_overloaded(typical, typical) && !is_overloaded(typical + OVERLOAD_FLOOR, typical));
         prop_assert!(is_overloaded(high, typical_load(vec![high])));
@@ -135,7 +141,9 @@
     /// A wait is reckoned from the load that a server reports, by a fresh report only, and only in a large
     /// fleet.
     #[test]
-    fn a_reported_wait_needs_a_fresh_report_and_a_large_fleet(load in 0.0..60.0, more in 0.1..10.0, age in 0.0..2_000.0) {
+    fn a_reported_wait_needs_a_fresh_report_and_a_large_fleet(
+        load in 0.0..60.0, more in 0.1..10.0, age in 0.0..2_000.0,
+    ) {
         let wait = |load, routers| reported_wait(&server_with_load(load), routers, age, 0.1, 900.0);
         prop_assert_eq!(wait(load, 300.0) < wait(load + more, 300.0), age <= LOAD_REPORT_TTL);
         prop_assert_eq!(wait(load, 2.0), 0.0);
@@ -143,7 +151,9 @@
 
     /// A fresh report counts fully, and a very old one not at all.
     #[test]
-    fn a_reported_load_fades_into_the_typical_load(load in 0.0..60.0, typical in 1.0..20.0, age in 0.0..60_000.0) {
+    fn a_reported_load_fades_into_the_typical_load(
+        load in 0.0..60.0, typical in 1.0..20.0, age in 0.0..60_000.0,
+    ) {
         let server = server_with_load(load);
         prop_assert_eq!(estimated_load(&server, 0.0, typical, Phase::WarmedUp), load);
         let later = estimated_load(&server, age, typical, Phase::WarmedUp);
--- a/crates/router/src/slow_start_budget/tests.rs
+++ b/crates/router/src/slow_start_budget/tests.rs
@@ -105,14 +105,16 @@
     fn an_unchanged_load_report_keeps_a_starting_server_from_overload(
         routers in prop::sample::select(vec![20usize, 30, 100, 300]),
         rate_per_s in 1.0..30.0f64, utilization in 0.5..1.0f64,
-        demand in 0.2..20.0f64, estimate_factor in 0.8..1.25f64, idle_time in 0.0..13_000.0f64, seed in 1u64..u64::MAX,
+        demand in 0.2..20.0f64, estimate_factor in 0.8..1.25f64,
+        idle_time in 0.0..13_000.0f64, seed in 1u64..u64::MAX,
         (overload_multiple, overload_window, slow_start_initial_share) in overload_rules(),
     ) {
         let rules = Rules { overload_multiple, overload_window, slow_start_initial_share, ..rules() };
         let peak_rate = utilization * rate_per_s / routers as f64;
         let throughput = RoleThroughput { peak_rate, ..RoleThroughput::default() };
         let mut random = Random::new(seed);
-        let mut views: Vec<ServerRecord> = (0..routers).map(|_| started_server(&mut random, idle_time)).collect();
+        let mut views: Vec<ServerRecord> =
+            (0..routers).map(|_| started_server(&mut random, idle_time)).collect();
         let (mut now, mut sent) = (idle_time, Vec::new());
         while now < idle_time + 12_000.0 {
             now -= (1.0 - random.next_unit()).ln() * 1000.0 / (demand * utilization * rate_per_s);
@@ -146,14 +148,18 @@
 
     /// The load of a server in slow start counts for more, never for less, and that of any other as it is.
     #[test]
-    fn the_load_of_a_starting_server_counts_for_more(load in 0.0..50.0, a in 0.05..1.0f64, b in 0.05..1.0f64) {
+    fn the_load_of_a_starting_server_counts_for_more(
+        load in 0.0..50.0, a in 0.05..1.0f64, b in 0.05..1.0f64,
+    ) {
         prop_assert!(normalized_load(load, a.min(b)) >= normalized_load(load, a.max(b)));
         prop_assert_eq!(normalized_load(load, 1.0), load);
     }
 
     /// A server in slow start gets nothing on an old report, nor on a fresh one where routers do not probe.
     #[test]
-    fn a_starting_server_is_sent_requests_on_a_fresh_report_only(age in 0.0..5_000.0, credit in 0.0..0.99f64) {
+    fn a_starting_server_is_sent_requests_on_a_fresh_report_only(
+        age in 0.0..5_000.0, credit in 0.0..0.99f64,
+    ) {
         let reported_load = Some(ReportedLoad { in_flight: 0.0, reported_at: 0.0 });
         let server = ServerRecord { reported_load, ..ServerRecord::default() };
         let permits_send = |capacity_share, send_credit, report_threshold| {
--- a/crates/router/src/wait_estimate/tests.rs
+++ b/crates/router/src/wait_estimate/tests.rs
@@ -17,10 +17,12 @@
     /// pending.
     #[test]
     fn more_work_never_ends_sooner(
-        own in prop::collection::vec(0.0..20_000.0f64, 0..6), work in 500.0..20_000.0f64, more in 0.0..20_000.0f64,
+        own in prop::collection::vec(0.0..20_000.0f64, 0..6), work in 500.0..20_000.0f64,
+        more in 0.0..20_000.0f64,
         queue_wait in 0.0..5_000.0f64, per_token in 0.01..0.5f64,
     ) {
-        let mut statistics = RoutingStatistics { mean_prompt_tokens: 3_000.0, ..RoutingStatistics::default() };
+        let mut statistics = RoutingStatistics::default();
+        statistics.record_prompt(3_000.0);
         statistics.record_service_time(Stage::Prefill, per_token);
         let busy = pending(own.iter().map(|work| (1_000.0, *work)));
         let busy = ServerRecord { queue_wait, last_progress_at: 1_000.0, ..busy };
@@ -46,7 +48,8 @@
         }
         let server = pending(own.iter().copied());
         let allowed = max_busy_time(&server, &statistics, 3.0, until);
-        let work_before: f64 = own.iter().filter(|(sent_at, _)| *sent_at <= until).map(|(_, work)| work).sum();
+        let sent_before = own.iter().filter(|(sent_at, _)| *sent_at <= until);
+        let work_before: f64 = sent_before.map(|(_, work)| work).sum();
         prop_assert!(allowed.is_finite() && allowed >= work_before * per_token.unwrap_or(0.0));
         prop_assert!(max_busy_time(&server, &statistics, 3.0, until + 1_000.0) >= allowed);
         prop_assert!(work_before == 0.0 || allowed > 0.0, "without a measurement there is still patience");
--- a/crates/router/tests/large_fleet/servers.rs
+++ b/crates/router/tests/large_fleet/servers.rs
@@ -1,4 +1,5 @@
-//! The servers of the large-fleet tests: how long they take, what they report, and how close to overload they came.
+//! The servers of the large-fleet tests: how long they take, what they report, and how close to overload they
+//! came.
 
 use std::collections::BTreeSet;
 
@@ -117,8 +118,8 @@
         self.report.to_load_report()
     }
 
-    /// The most that it was sent in any overload window, as a share of what overloads it; 0 if it did not start
-    /// during the run.
+    /// The most that it was sent in any overload window, as a share of what overloads it; 0 if it did not
+    /// start during the run.
     pub fn peak_share_of_overload(&self) -> f64 {
         let prefill_time = PREFILL_TIME + (PROMPT_TOKENS - PREFIX_TOKENS) * PREFILL_PER_1000_TOKENS / 1_000;
         let rate_per_s = 1_000.0 / prefill_time as f64;
@@ -162,8 +163,8 @@
         self.report.to_load_report()
     }
 
-    /// The most that it was sent in any overload window, as a share of what overloads it; 0 if it did not start
-    /// during the run.
+    /// The most that it was sent in any overload window, as a share of what overloads it; 0 if it did not
+    /// start during the run.
     pub fn peak_share_of_overload(&self) -> f64 {
         let rate_per_s = STREAM_SLOTS as f64 * 1_000.0 / STREAM_TIME as f64;
         self.started.map_or(0.0, |started| peak_share_of_overload(&self.sent, started, rate_per_s))
--- a/crates/router/tests/shedding_trials.rs
+++ b/crates/router/tests/shedding_trials.rs
@@ -169,7 +169,8 @@
                 for interval in [50, 200] {
                     let simulation = Simulation::run(seed, settings.clone(), late_role, interval);
                     let case = format!(
-                        "{late_role:?} late, {router_count} routers, probes {probes}, seed {seed}, interval {interval}"
+                        "{late_role:?} late, {router_count} routers, probes {probes}, seed {seed}, \
+                         interval {interval}"
                     );
                     let longest = simulation.longest_without_attempt;
                     assert!(longest <= MAX_TIME_WITHOUT_ATTEMPT, "{case}: nothing was sent for {longest} ms");
--- a/crates/router/tests/slow_start/main.rs
+++ b/crates/router/tests/slow_start/main.rs
@@ -111,9 +111,11 @@
     /// large it is, and whichever of them restart.
     #[test]
     fn few_routers_do_not_overload_starting_servers_by_their_credit(
-        seed in 1u64..1_000_000, start in 0.0..6.0f64, factor in 1.0..8.0f64, restart: bool, rate_per_s in 2.0..20.0f64,
+        seed in 1u64..1_000_000, start in 0.0..6.0f64, factor in 1.0..8.0f64, restart: bool,
+        rate_per_s in 2.0..20.0f64,
     ) {
-        let router_restarts = if restart { RouterRestarts { start, ..A_THIRD_RESTARTS } } else { NO_RESTARTS };
+        let restarts = RouterRestarts { start, ..A_THIRD_RESTARTS };
+        let router_restarts = if restart { restarts } else { NO_RESTARTS };
         let burst = Burst { start, factor };
         let few = Scenario { routers: 3, servers: 10, starting: 2, probes: false, ..BASE };
         let scenario = Scenario { burst, router_restarts, rate_per_s, seed, ..few };
