--- a/model-checker/src/budget/mod.rs
+++ b/model-checker/src/budget/mod.rs
@@ -1,313 +1,382 @@
-//! The world of a leased budget: the real machines of three members, a network that loses, doubles and reorders,
-//! members that die and return, and clocks that run as far apart as they may.
+//! The world of a leased budget: the real machines of three members, a network that loses, duplicates and reorders
+//! messages, members that die and return, and clocks that run as far apart as they may.
 //!
-//! A cut is a set of messages that are not delivered, and a stopped process is one that is given nothing to do while
-//! time passes: both are among the orders of events without acts of their own. After each act every living member
-//! is asked what it would spend if it woke at this very moment.
+//! A partition is a set of messages that are not delivered, and a stopped process is one that is given nothing to do
+//! while time passes: both are among the orders of events without actions of their own. After each action every living
+//! member is asked what it would spend if it woke at this very moment.
+//!
+//! [`World`] owns all state and the true time, in ticks; `invariants.rs` checks the rules.
+
+mod invariants;
 
 use glenrail_overload::budget::{Budget, Fault, Message, Terms, Units};
-use glenrail_overload::Ms;
+use glenrail_overload::{Ms, PerMille};
 use serde::{Deserialize, Serialize};
 
+use crate::request::Log;
 use crate::rules::Rule;
+use crate::scenario::{AnyScenario, Scenario};
 
+/// Number of members.
 const MEMBERS: u8 = 3;
-/// Two units each, all of which may be lent.
+/// Two units for each member, all of which may be lent.
 const TERMS: Terms =
     Terms { total: 6, seats: 3, seated: true, floor: 0, lease: 300, drift: 2_000, witnesses: 0, burst: 0 };
-/// Each share needs a witness; leases are short, so that few ticks see a share change hands.
+/// Each share needs a witness; leases are short, so that few ticks see a share change its holder.
 const WITNESSED: Terms = Terms { lease: 200, witnesses: 1, ..TERMS };
-/// True milliseconds of a tick, and what each clock makes of it: a fast one, a slow one, a true one; where shares are
-/// witnessed, a fast witness between two that are slow.
+/// True milliseconds of a tick.
 const TICK: Ms = 100;
+/// What each member's clock makes of a tick, in milliseconds: a fast one, a slow one, a true one.
 const RATES: [Ms; 3] = [120, 80, 100];
+/// The same where shares are witnessed: a fast witness between two slow members.
 const WITNESSED_RATES: [Ms; 3] = [120, 80, 80];
+/// What each member's clock shows at its start, times its number from 1, in milliseconds: long enough after zero.
+const CLOCK_OFFSET: Ms = 2_000;
+/// The sender's part of the fleet's traffic as a receiver of its message sees it: all of it, so that
+/// nothing is withheld because the receiver needs it.
+const SENDERS_TRAFFIC: PerMille = 1_000;
 
 /// True milliseconds, rounded up, that a lease may last on the slowest clock.
-fn longest(terms: &Terms) -> Ms {
+fn longest_lease(terms: &Terms) -> Ms {
     terms.lease * 10_000 / (10_000 - Ms::from(terms.drift)) + 1
 }
 
+/// The bounds of the world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Setup {
-    /// Most asks on one path.
+    /// Most requests for a part on one path.
     pub asks: u8,
-    /// Steps of time that have passed before anything is asked, and most that pass then.
+    /// Ticks that have passed before anything is requested.
     pub late: u8,
+    /// Most ticks that pass then.
     pub ticks: u8,
-    /// Most deaths and doubled messages together.
-    pub troubles: u8,
-    /// Whether shares are held by witnesses' words; all begin with one each.
+    /// Most deaths and duplicated messages together.
+    #[serde(rename = "troubles")]
+    pub faults: u8,
+    /// Whether a share is held only with the agreement of witnesses; all members begin with their own.
     pub witnessed: bool,
-    /// Most asks for a share, the own or another's.
-    pub holds: u8,
-    /// The member whose share alone is asked for, all parts and words of others left out; else any.
+    /// Most requests for a share, the member's own or another's.
+    #[serde(rename = "holds")]
+    pub share_requests: u8,
+    /// The member whose share alone is requested, all parts and agreements of others left out; else any.
     pub share: Option<u8>,
+    /// A fault planted in the members' machines.
     pub fault: Option<Fault>,
 }
 
+/// One thing that happens. Members are named by their number. Stored traces have the renamed spellings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Act {
+pub enum Action {
+    /// A member asks another for a part of its share.
     Ask {
+        /// The member that asks.
         from: u8,
+        /// The owner of the share.
         to: u8,
+        /// Units wanted; zero returns what was lent.
         want: u8,
     },
-    /// Asks a voter, itself perhaps, for a share.
-    Hold {
+    /// A member asks a voter, perhaps itself, to agree that it holds a share.
+    #[serde(rename = "Hold")]
+    RequestShare {
+        /// The member that asks.
         from: u8,
+        /// The voter.
         to: u8,
-        estate: u8,
+        /// The owner of the share.
+        #[serde(rename = "estate")]
+        owner: u8,
     },
-    /// A message on the way arrives, by its place among them.
-    Arrives(u8),
-    /// It arrives, and will once more.
-    ArrivesAndStays(u8),
+    /// A message in the network arrives, by its position there.
+    #[serde(rename = "Arrives")]
+    Deliver(u8),
+    /// It arrives, and stays in the network to arrive once more.
+    #[serde(rename = "ArrivesAndStays")]
+    DeliverAndDuplicate(u8),
+    /// True time passes.
     Tick,
-    Dies(u8),
-    /// A new life with an empty memory.
-    Returns(u8),
+    /// A member dies.
+    #[serde(rename = "Dies")]
+    Die(u8),
+    /// It returns as a new incarnation without any state.
+    #[serde(rename = "Returns")]
+    Return(u8),
 }
 
-/// An ask of a life that still runs, as the world remembers it while its lease may last.
+/// A request for a part, remembered while the requesting incarnation runs and the lease may last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Asked {
+struct PartRequest {
     from: u8,
     to: u8,
     want: Units,
     tick: u8,
 }
 
+/// A message in the network: sender, receiver and content. A tuple, since its order is that of the network.
+type Envelope = (u8, u8, Message);
+
+/// A state of the world.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
+    /// The members; none while one is dead.
     members: [Option<Budget>; 3],
-    lives: [u8; 3],
-    net: Vec<(u8, u8, Message)>,
-    asked: Vec<Asked>,
+    incarnations: [u8; 3],
+    network: Vec<Envelope>,
+    part_requests: Vec<PartRequest>,
+    /// True time since the start.
     tick: u8,
+    // What may still happen.
     asks: u8,
     ticks: u8,
-    troubles: u8,
-    holds: u8,
+    faults: u8,
+    share_requests: u8,
     terms: Terms,
     fault: Option<Fault>,
+    /// The first rule that was broken.
     pub violated: Option<Rule>,
 }
 
-/// A member's clock: its own beginning, long enough after its start, and its own rate.
+/// A member's clock: its own beginning, long enough after zero, and its own rate.
 fn clock(terms: &Terms, member: u8, tick: u8) -> Ms {
     let rates = if terms.witnessed() { WITNESSED_RATES } else { RATES };
-    2_000 * (1 + Ms::from(member)) + Ms::from(tick) * rates[usize::from(member)]
+    CLOCK_OFFSET * (1 + Ms::from(member)) + Ms::from(tick) * rates[usize::from(member)]
 }
 
-fn begin(terms: Terms, member: u8, life: u8, at: Ms, fault: Option<Fault>) -> Option<Budget> {
-    // The terms are right, and stay as they are.
-    let mut budget = Budget::new(terms, member.into(), life.into(), at).ok()?;
+fn start_member(terms: Terms, member: u8, incarnation: u8, now: Ms, fault: Option<Fault>) -> Option<Budget> {
+    // The terms are valid, and stay as they are.
+    let mut budget = Budget::new(terms, member.into(), incarnation.into(), now).ok()?;
     budget.plant(fault);
     Some(budget)
 }
 
 impl Setup {
-    pub fn start(&self) -> World {
+    fn start_world(&self) -> World {
         let terms = if self.witnessed { WITNESSED } else { TERMS };
-        let mut world = World {
-            members: [0, 1, 2].map(|n| begin(terms, n, 0, 0, self.fault)),
-            lives: [0; 3],
-            net: Vec::new(),
-            asked: Vec::new(),
+        World {
+            members: [0, 1, 2].map(|member| start_member(terms, member, 0, 0, self.fault)),
+            incarnations: [0; 3],
+            network: Vec::new(),
+            part_requests: Vec::new(),
             tick: 0,
             asks: self.asks,
             ticks: self.ticks,
-            troubles: self.troubles,
-            holds: self.holds,
+            faults: self.faults,
+            share_requests: self.share_requests,
             terms,
             fault: self.fault,
             violated: None,
-        };
-        for n in (0..MEMBERS).filter(|_| self.witnessed) {
-            world.hold(n, (n + 2) % MEMBERS, n);
-            while let Some(message) = world.net.pop() {
-                world.arrives(message);
-            }
+        }
+    }
+
+    fn may_request(&self, owner: u8) -> bool {
+        self.share.is_none_or(|only| only == owner)
+    }
+}
+
+impl Scenario for Setup {
+    type World = World;
+    type Action = Action;
+
+    const TERMINATION_RULE: Rule = Rule::PartsComeBack;
+
+    fn start(&self) -> World {
+        let mut world = self.start_world();
+        if self.witnessed {
+            world.give_each_member_its_share();
         }
         world.tick = self.late;
-        world.tidy();
+        world.normalize();
         world
     }
+
+    fn enabled_actions(&self, world: &World, actions: &mut Vec<Action>) {
+        world.enabled_actions(self, actions);
+    }
+
+    fn apply(&self, world: &mut World, action: Action, _: &mut Log) {
+        world.apply(action);
+    }
+
+    /// Nothing happens by itself but the passing of time.
+    fn is_inevitable(_: &World, action: Action) -> bool {
+        action == Action::Tick
+    }
+
+    fn violated(world: &World) -> Option<Rule> {
+        world.violated
+    }
+
+    fn has_terminated(world: &World) -> bool {
+        world.all_parts_are_back()
+    }
+
+    fn to_any(&self) -> AnyScenario {
+        AnyScenario::Budget(*self)
+    }
 }
 
 impl World {
-    pub fn acts(&self, setup: &Setup, out: &mut Vec<Act>) {
+    fn is_alive(&self, member: u8) -> bool {
+        self.members[usize::from(member)].is_some()
+    }
+
+    /// What a member's clock shows now.
+    fn now(&self, member: u8) -> Ms {
+        clock(&self.terms, member, self.tick)
+    }
+
+    /// Has each member hold its own share before anything else happens.
+    fn give_each_member_its_share(&mut self) {
+        for member in 0..MEMBERS {
+            let witness = (member + 2) % MEMBERS;
+            self.request_share(member, witness, member);
+            while let Some(envelope) = self.network.pop() {
+                self.deliver(envelope);
+            }
+        }
+    }
+
+    fn enabled_actions(&self, setup: &Setup, actions: &mut Vec<Action>) {
         if self.violated.is_some() {
             return;
         }
-        let lives = |n: &u8| self.members[usize::from(*n)].is_some();
-        let asked_for = |share: &u8| setup.share.is_none_or(|only| only == *share);
         if self.asks > 0 {
-            for from in (0..MEMBERS).filter(lives) {
-                for to in (0..MEMBERS).filter(asked_for).filter(|to| *to != from) {
-                    // There is nothing to give back where nothing was asked.
-                    let asked = self.asked.iter().any(|a| (a.from, a.to) == (from, to));
-                    let least = u8::from(!asked);
-                    out.extend((least..=2).map(|want| Act::Ask { from, to, want }));
-                }
-            }
+            self.enabled_asks(setup, actions);
         }
-        if self.holds > 0 {
-            for from in (0..MEMBERS).filter(lives) {
-                for estate in (0..MEMBERS).filter(asked_for) {
-                    let voters = (0..MEMBERS).filter(|to| *to != estate);
-                    out.extend(voters.map(|to| Act::Hold { from, to, estate }));
-                }
-            }
+        if self.share_requests > 0 {
+            self.enabled_share_requests(setup, actions);
         }
-        for n in 0..self.net.len() {
-            if lives(&self.net[n].1) {
-                out.push(Act::Arrives(n as u8));
-                if self.troubles > 0 {
-                    out.push(Act::ArrivesAndStays(n as u8));
+        for (position, (_, to, _)) in self.network.iter().enumerate() {
+            if self.is_alive(*to) {
+                actions.push(Action::Deliver(position as u8));
+                if self.faults > 0 {
+                    actions.push(Action::DeliverAndDuplicate(position as u8));
                 }
             }
         }
         if self.ticks > 0 {
-            out.push(Act::Tick);
+            actions.push(Action::Tick);
         }
-        for n in 0..MEMBERS {
-            if !lives(&n) {
-                out.push(Act::Returns(n));
-            } else if self.troubles > 0 {
-                out.push(Act::Dies(n));
+        for member in 0..MEMBERS {
+            if !self.is_alive(member) {
+                actions.push(Action::Return(member));
+            } else if self.faults > 0 {
+                actions.push(Action::Die(member));
+            }
+        }
+    }
+
+    fn enabled_asks(&self, setup: &Setup, actions: &mut Vec<Action>) {
+        for from in (0..MEMBERS).filter(|from| self.is_alive(*from)) {
+            for to in (0..MEMBERS).filter(|to| setup.may_request(*to) && *to != from) {
+                // Where nothing was requested there is nothing to return.
+                let has_asked =
+                    self.part_requests.iter().any(|request| (request.from, request.to) == (from, to));
+                let min_want = u8::from(!has_asked);
+                actions.extend((min_want..=2).map(|want| Action::Ask { from, to, want }));
+            }
+        }
+    }
+
+    fn enabled_share_requests(&self, setup: &Setup, actions: &mut Vec<Action>) {
+        for from in (0..MEMBERS).filter(|from| self.is_alive(*from)) {
+            for owner in (0..MEMBERS).filter(|owner| setup.may_request(*owner)) {
+                let voters = (0..MEMBERS).filter(|voter| *voter != owner);
+                actions.extend(voters.map(|to| Action::RequestShare { from, to, owner }));
             }
         }
     }
 
-    pub fn apply(&mut self, act: Act) {
-        match act {
-            Act::Ask { from, to, want } => {
+    fn apply(&mut self, action: Action) {
+        match action {
+            Action::Ask { from, to, want } => {
                 self.asks -= 1;
-                let now = clock(&self.terms, from, self.tick);
-                if let Some(member) = &mut self.members[usize::from(from)] {
-                    let ask = member.ask(now, to.into(), want.into());
-                    self.net.push((from, to, Message::Ask(ask)));
-                    self.asked.push(Asked { from, to, want: want.into(), tick: self.tick });
-                }
+                self.ask(from, to, want);
             }
-            Act::Hold { from, to, estate } => {
-                self.holds -= 1;
-                self.hold(from, to, estate);
+            Action::RequestShare { from, to, owner } => {
+                self.share_requests -= 1;
+                self.request_share(from, to, owner);
             }
-            Act::Arrives(n) => {
-                let message = self.net.remove(n.into());
-                self.arrives(message);
+            Action::Deliver(position) => {
+                let envelope = self.network.remove(position.into());
+                self.deliver(envelope);
             }
-            Act::ArrivesAndStays(n) => {
-                self.troubles -= 1;
-                self.arrives(self.net[usize::from(n)]);
+            Action::DeliverAndDuplicate(position) => {
+                self.faults -= 1;
+                self.deliver(self.network[usize::from(position)]);
             }
-            Act::Tick => {
+            Action::Tick => {
                 self.ticks -= 1;
                 self.tick += 1;
             }
-            Act::Dies(n) => {
-                self.troubles -= 1;
-                self.members[usize::from(n)] = None;
-                self.asked.retain(|a| a.from != n);
-            }
-            Act::Returns(n) => {
-                self.lives[usize::from(n)] += 1;
-                let life = self.lives[usize::from(n)];
-                self.members[usize::from(n)] =
-                    begin(self.terms, n, life, clock(&self.terms, n, self.tick), self.fault);
+            Action::Die(member) => {
+                self.faults -= 1;
+                self.members[usize::from(member)] = None;
+                self.part_requests.retain(|request| request.from != member);
             }
+            Action::Return(member) => self.return_member(member),
         }
-        self.tidy();
-        self.look();
+        self.normalize();
+        self.check_invariants();
     }
 
-    fn hold(&mut self, from: u8, to: u8, estate: u8) {
-        let now = clock(&self.terms, from, self.tick);
+    fn ask(&mut self, from: u8, to: u8, want: u8) {
+        let now = self.now(from);
         let Some(member) = &mut self.members[usize::from(from)] else { return };
-        if let Some(hold) = member.hold(now, estate.into(), to.into()) {
-            self.net.push((from, to, Message::Hold(hold)));
-        }
+        let ask = member.ask(now, to.into(), want.into());
+        self.network.push((from, to, Message::Ask(ask)));
+        self.part_requests.push(PartRequest { from, to, want: want.into(), tick: self.tick });
     }
 
-    fn arrives(&mut self, (from, to, message): (u8, u8, Message)) {
-        let now = clock(&self.terms, to, self.tick);
-        let Some(member) = &mut self.members[usize::from(to)] else { return };
-        if let Ok(Some(answer)) = member.hear(now, from.into(), &message, 1_000) {
-            self.net.push((to, from, answer));
+    fn request_share(&mut self, from: u8, to: u8, owner: u8) {
+        let now = self.now(from);
+        let Some(member) = &mut self.members[usize::from(from)] else { return };
+        if let Some(hold) = member.hold(now, owner.into(), to.into()) {
+            self.network.push((from, to, Message::Hold(hold)));
         }
     }
 
-    /// Worlds that behave alike look alike: what has ended is forgotten, and so are grants that a member would
-    /// refuse, since it refuses them from then on.
-    fn tidy(&mut self) {
-        let (tick, terms) = (self.tick, self.terms);
-        for (n, member) in (0..MEMBERS).zip(&mut self.members) {
-            if let Some(member) = member {
-                member.forget_past(clock(&terms, n, tick));
-            }
+    fn deliver(&mut self, (from, to, message): Envelope) {
+        let now = self.now(to);
+        let Some(member) = &mut self.members[usize::from(to)] else { return };
+        if let Ok(Some(answer)) = member.hear(now, from.into(), &message, SENDERS_TRAFFIC) {
+            self.network.push((to, from, answer));
         }
-        let (members, longest) = (&self.members, longest(&self.terms));
-        let matters = |(from, to, message): &(u8, u8, Message)| {
-            if matches!(message, Message::Ask(_) | Message::Hold(_)) {
-                return true;
-            }
-            let member = members[usize::from(*to)].clone();
-            member
-                .is_some_and(|mut m| m.hear(clock(&terms, *to, tick), (*from).into(), message, 1_000).is_ok())
-        };
-        self.net.retain(matters);
-        self.net.sort_unstable();
-        self.asked.retain(|a| Ms::from(tick - a.tick) * TICK < longest);
-        self.asked.sort_unstable();
     }
 
-    fn look(&mut self) {
-        let living = || (0..MEMBERS).filter_map(|n| Some((n, self.members[usize::from(n)].as_ref()?)));
-        let sum: Units = living().map(|(n, member)| member.part(clock(&self.terms, n, self.tick))).sum();
-        let may = |n: u8| -> Units {
-            let of = |to| self.asked.iter().filter(|a| (a.from, a.to) == (n, to)).map(|a| a.want).max();
-            (0..MEMBERS).filter_map(of).sum()
-        };
-        let ended = living().any(|(n, member)| member.borrowed(clock(&self.terms, n, self.tick)) > may(n));
-        let doubled = |estate: u8| {
-            let holds = |n: &u8| {
-                living().any(|(m, b)| m == *n && b.has(clock(&self.terms, m, self.tick), estate.into()))
-            };
-            let lent = |estate: u8| {
-                living().any(|(n, b)| b.borrowed_from(clock(&self.terms, n, self.tick), estate.into()) > 0)
-            };
-            let holders: Vec<u8> = (0..MEMBERS).filter(holds).collect();
-            // Who has inherited something else may lend of that.
-            let other = (0..MEMBERS).any(|other| {
-                let owner = self.members[usize::from(estate)].as_ref();
-                other != estate
-                    && owner.is_some_and(|o| o.has(clock(&self.terms, estate, self.tick), other.into()))
-            });
-            holders.len() > 1 || (holders.iter().any(|h| *h != estate) && !other && lent(estate))
-        };
-        if sum <= self.terms.total && self.terms.witnessed() && (0..MEMBERS).any(doubled) {
-            self.violated = Some(Rule::OneHolderAShare);
-        } else if sum > self.terms.total {
-            self.violated = Some(Rule::SumWithinBudget);
-        } else if ended {
-            self.violated = Some(Rule::EndedNotSpent);
-        }
+    fn return_member(&mut self, member: u8) {
+        let index = usize::from(member);
+        self.incarnations[index] += 1;
+        let incarnation = self.incarnations[index];
+        self.members[index] = start_member(self.terms, member, incarnation, self.now(member), self.fault);
     }
 
-    /// Nothing comes by itself but time.
-    pub fn comes(&self, act: Act) -> bool {
-        act == Act::Tick
+    /// Makes states that behave alike equal: what has expired is forgotten, and so are answers that a member would
+    /// reject, since it rejects them from then on.
+    fn normalize(&mut self) {
+        let (tick, terms) = (self.tick, self.terms);
+        for (member, budget) in (0..MEMBERS).zip(&mut self.members) {
+            if let Some(budget) = budget {
+                budget.forget_past(clock(&terms, member, tick));
+            }
+        }
+        let members = &self.members;
+        self.network.retain(|envelope| is_still_accepted(members, &terms, tick, envelope));
+        self.network.sort_unstable();
+        let longest_lease = longest_lease(&terms);
+        self.part_requests.retain(|request| Ms::from(tick - request.tick) * TICK < longest_lease);
+        self.part_requests.sort_unstable();
     }
+}
 
-    pub fn rests_well(&self) -> bool {
-        // Longer than any lender or voter waits, by any clock.
-        let later = |n| clock(&self.terms, n, self.tick) + 2 * self.terms.wait(self.terms.tenure());
-        // Without anybody's word, what needs a witness is nobody's.
-        let left = if self.terms.witnessed() { 0 } else { self.terms.home() };
-        let mut living = (0..MEMBERS).filter_map(|n| Some((n, self.members[usize::from(n)].as_ref()?)));
-        living.all(|(n, member)| member.part(later(n)) == left)
+/// Whether the message can still have an effect. Requests stay, since they are always answered.
+fn is_still_accepted(
+    members: &[Option<Budget>; 3], terms: &Terms, tick: u8, (from, to, message): &Envelope,
+) -> bool {
+    if matches!(message, Message::Ask(_) | Message::Hold(_)) {
+        return true;
     }
+    let Some(mut receiver) = members[usize::from(*to)].clone() else { return false };
+    let now = clock(terms, *to, tick);
+    receiver.hear(now, (*from).into(), message, SENDERS_TRAFFIC).is_ok()
 }
--- a/model-checker/src/coverage.rs
+++ b/model-checker/src/coverage.rs
@@ -1,4 +1,6 @@
 //! Which rows of the transition tables have been walked. A property says nothing of a row that no world reaches.
+//!
+//! The marks are process-wide, since every world and thread adds to them.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,30 +8,48 @@
 use glenrail_request_lifecycle::request::{AttemptState, Input, Request};
 use glenrail_request_lifecycle::{client, server};
 
-/// A row: where the machine stood, and what came.
+/// A row of a transition table: the state that a machine was in, and the input, both by index.
 type Row = (u8, u8);
 
-const WIDE: usize = 16;
-static REQUEST: [AtomicU64; WIDE] = [const { AtomicU64::new(0) }; WIDE];
-static CLIENT: [AtomicU64; WIDE] = [const { AtomicU64::new(0) }; WIDE];
-static SERVER: [AtomicU64; WIDE] = [const { AtomicU64::new(0) }; WIDE];
-
-fn mark(table: &[AtomicU64; WIDE], (state, input): Row) {
-    let word = &table[usize::from(state)];
-    let bit = 1 << input;
-    // Read first: a row is new once, and a write would make the cores wait for each other.
-    if word.load(Ordering::Relaxed) & bit == 0 {
-        word.fetch_or(bit, Ordering::Relaxed);
+/// Most states that a table can have.
+const MAX_STATES: usize = 16;
+
+/// The rows of one table that have been walked: a bit for each input of each state.
+struct Marks([AtomicU64; MAX_STATES]);
+
+static REQUEST: Marks = Marks::new();
+static CLIENT: Marks = Marks::new();
+static SERVER: Marks = Marks::new();
+
+impl Marks {
+    const fn new() -> Self {
+        Marks([const { AtomicU64::new(0) }; MAX_STATES])
+    }
+
+    fn mark(&self, (state, input): Row) {
+        let inputs = &self.0[usize::from(state)];
+        let bit = 1 << input;
+        // Read first: a row is new only once, and a write would make the cores wait for each other.
+        if inputs.load(Ordering::Relaxed) & bit == 0 {
+            inputs.fetch_or(bit, Ordering::Relaxed);
+        }
     }
-}
 
-fn marked(table: &[AtomicU64; WIDE]) -> BTreeSet<Row> {
-    let bits = |s: usize| (0..64u8).filter(move |b| table[s].load(Ordering::Relaxed) >> b & 1 == 1);
-    (0..WIDE).flat_map(|s| bits(s).map(move |b| (s as u8, b))).collect()
+    fn rows(&self) -> BTreeSet<Row> {
+        let mut rows = BTreeSet::new();
+        for (state, inputs) in self.0.iter().enumerate() {
+            let inputs = inputs.load(Ordering::Relaxed);
+            let marked = (0..u64::BITS as u8).filter(|input| inputs >> input & 1 == 1);
+            rows.extend(marked.map(|input| (state as u8, input)));
+        }
+        rows
+    }
 }
 
-const STEPS: [&str; 7] = ["waiting", "out", "called back", "begun", "ended", "open", "closed"];
-const INPUTS: [&str; 14] = [
+/// States of an attempt, then of a request as a whole, as printed.
+const REQUEST_STATES: [&str; 7] = ["waiting", "out", "called back", "begun", "ended", "open", "closed"];
+/// Inputs of a request, as printed.
+const REQUEST_INPUTS: [&str; 14] = [
     "send",
     "cancel",
     "release",
@@ -46,34 +66,35 @@
     "arrived",
 ];
 
-fn row(machine: &Request, input: &Input) -> Row {
-    let at = |attempt: &usize| match machine.attempts().get(*attempt).map(|a| a.state) {
+/// The row of an input: by the state of its attempt, or of the request where it concerns none.
+fn request_row(machine: &Request, input: &Input) -> Row {
+    let of_attempt = |attempt: &usize| match machine.attempts().get(*attempt).map(|attempt| attempt.state) {
         Some(AttemptState::Queued) => 0,
         Some(AttemptState::InFlight) => 1,
         Some(AttemptState::Cancelling) => 2,
         Some(AttemptState::Streaming) => 3,
         _ => 4,
     };
-    let whole = if machine.is_closed() { 6 } else { 5 };
+    let of_request = if machine.is_closed() { 6 } else { 5 };
     match input {
-        Input::Send { .. } => (whole, 0),
-        Input::Cancel { attempt } => (at(attempt), 1),
-        Input::Release => (whole, 2),
-        Input::Respond(_) => (whole, 3),
-        Input::ReserveSlot { .. } => (whole, 4),
-        Input::ClientDisconnected => (whole, 5),
-        Input::Replied { attempt, .. } => (at(attempt), 6),
-        Input::StreamEnded { attempt, .. } => (at(attempt), 7),
-        Input::TimedOut { attempt } => (at(attempt), 8),
-        Input::CancelCompleted { attempt } => (at(attempt), 9),
-        Input::SlotAnswered { .. } => (whole, 10),
-        Input::Released => (whole, 11),
-        Input::TimerExpired(_) => (whole, 12),
-        Input::Delivered { attempt } => (at(attempt), 13),
+        Input::Send { .. } => (of_request, 0),
+        Input::Cancel { attempt } => (of_attempt(attempt), 1),
+        Input::Release => (of_request, 2),
+        Input::Respond(_) => (of_request, 3),
+        Input::ReserveSlot { .. } => (of_request, 4),
+        Input::ClientDisconnected => (of_request, 5),
+        Input::Replied { attempt, .. } => (of_attempt(attempt), 6),
+        Input::StreamEnded { attempt, .. } => (of_attempt(attempt), 7),
+        Input::TimedOut { attempt } => (of_attempt(attempt), 8),
+        Input::CancelCompleted { attempt } => (of_attempt(attempt), 9),
+        Input::SlotAnswered { .. } => (of_request, 10),
+        Input::Released => (of_request, 11),
+        Input::TimerExpired(_) => (of_request, 12),
+        Input::Delivered { attempt } => (of_attempt(attempt), 13),
     }
 }
 
-/// The rows that the request's table has, and that nothing but the word of `docs/lifecycle.md` lists twice.
+/// The rows of the request's table. They cannot be listed by trying, so they repeat the table of `docs/lifecycle.md`.
 const REQUEST_ROWS: [Row; 25] = [
     (5, 0),
     (6, 0),
@@ -102,121 +123,142 @@
     (1, 13),
 ];
 
-pub fn request(machine: &Request, input: &Input) {
-    mark(&REQUEST, row(machine, input));
+/// Marks the row that the machine of a request is about to walk.
+pub fn mark_request(machine: &Request, input: &Input) {
+    REQUEST.mark(request_row(machine, input));
 }
 
-const CLIENT_STAGES: [client::Stage; 7] = {
-    use client::Stage::*;
-    [New, Head, Body, Response, Idle, Closing, HandedOver]
-};
-
-/// The inputs that are rows; the two flags are noted in every stage alike.
-fn client_inputs() -> Vec<client::Input> {
-    use client::Framing::*;
-    use client::Input::*;
-    vec![
-        HeadStarted,
-        HeadComplete(Complete),
-        HeadComplete(KnownLength),
-        HeadComplete(UnknownLength),
-        MalformedHead,
-        BodyComplete,
-        ResponseFinished,
-        StreamResumed,
-        StreamDetached,
-        HandOverRequested,
-        TimedOut,
-        Evicted,
-    ]
-}
+const CLIENT_STAGES: [client::Stage; 7] = [
+    client::Stage::New,
+    client::Stage::Head,
+    client::Stage::Body,
+    client::Stage::Response,
+    client::Stage::Idle,
+    client::Stage::Closing,
+    client::Stage::HandedOver,
+];
 
-pub fn client(stage: client::Stage, input: client::Input) {
-    if let Some(input) = client_inputs().iter().position(|i| *i == input) {
-        mark(&CLIENT, (stage as u8, input as u8));
+/// The inputs of a client's connection that are rows; the two flags are noted in every stage alike.
+const CLIENT_INPUTS: [client::Input; 12] = [
+    client::Input::HeadStarted,
+    client::Input::HeadComplete(client::Framing::Complete),
+    client::Input::HeadComplete(client::Framing::KnownLength),
+    client::Input::HeadComplete(client::Framing::UnknownLength),
+    client::Input::MalformedHead,
+    client::Input::BodyComplete,
+    client::Input::ResponseFinished,
+    client::Input::StreamResumed,
+    client::Input::StreamDetached,
+    client::Input::HandOverRequested,
+    client::Input::TimedOut,
+    client::Input::Evicted,
+];
+
+/// Marks the row that the machine of a client's connection is about to walk.
+pub fn mark_client(stage: client::Stage, input: client::Input) {
+    if let Some(input) = CLIENT_INPUTS.iter().position(|listed| *listed == input) {
+        CLIENT.mark((stage as u8, input as u8));
     }
 }
 
-const SERVER_STAGES: [server::Stage; 8] = {
-    use server::Stage::*;
-    [Connecting, Idle, Writing, AwaitingHead, Streaming, Stale, Closing, HandedOver]
-};
-
-fn server_inputs() -> Vec<server::Input> {
-    use server::Input::*;
-    vec![
-        Connected,
-        ConnectFailed,
-        Send { serving: true },
-        Send { serving: false },
-        BytesWritten,
-        LastByteWritten,
-        HeadReceived,
-        ResponseComplete,
-        ReadPaused,
-        Broken,
-        Abandoned,
-        Drained,
-    ]
-}
+const SERVER_STAGES: [server::Stage; 8] = [
+    server::Stage::Connecting,
+    server::Stage::Idle,
+    server::Stage::Writing,
+    server::Stage::AwaitingHead,
+    server::Stage::Streaming,
+    server::Stage::Stale,
+    server::Stage::Closing,
+    server::Stage::HandedOver,
+];
+
+/// The inputs of a connection to a server.
+const SERVER_INPUTS: [server::Input; 12] = [
+    server::Input::Connected,
+    server::Input::ConnectFailed,
+    server::Input::Send { serving: true },
+    server::Input::Send { serving: false },
+    server::Input::BytesWritten,
+    server::Input::LastByteWritten,
+    server::Input::HeadReceived,
+    server::Input::ResponseComplete,
+    server::Input::ReadPaused,
+    server::Input::Broken,
+    server::Input::Abandoned,
+    server::Input::Drained,
+];
 
-pub fn server(stage: server::Stage, input: server::Input) {
-    if let Some(input) = server_inputs().iter().position(|i| *i == input) {
-        mark(&SERVER, (stage as u8, input as u8));
+/// Marks the row that the machine of a connection to a server is about to walk.
+pub fn mark_server(stage: server::Stage, input: server::Input) {
+    if let Some(input) = SERVER_INPUTS.iter().position(|listed| *listed == input) {
+        SERVER.mark((stage as u8, input as u8));
     }
 }
 
-/// Rows walked, rows that there are, and those that no world has reached.
+/// How much of one transition table has been walked.
 pub struct Coverage {
+    /// The machine that the table belongs to.
     pub machine: &'static str,
+    /// Number of rows walked.
     pub walked: usize,
+    /// Number of rows in the table.
     pub rows: usize,
+    /// The rows that no world has reached, as printed.
     pub missing: Vec<String>,
 }
 
-/// The rows that a table has: where a machine that stands there takes the input.
-fn rows<S: Copy, I>(
-    stages: &[S], inputs: impl Fn() -> Vec<I>, takes: impl Fn(S, I) -> bool,
+impl Coverage {
+    fn new(
+        machine: &'static str, rows: &BTreeSet<Row>, marks: &Marks, name: impl Fn(usize, usize) -> String,
+    ) -> Self {
+        let walked = marks.rows();
+        let missing = rows
+            .difference(&walked)
+            .map(|(state, input)| name(usize::from(*state), usize::from(*input)))
+            .collect();
+        Coverage { machine, walked: rows.intersection(&walked).count(), rows: rows.len(), missing }
+    }
+}
+
+/// Lists the rows of a table by trying: a row is where a machine in that stage accepts the input.
+fn accepted_rows<S: Copy, I: Copy>(
+    stages: &[S], inputs: &[I], accepts: impl Fn(S, I) -> bool,
 ) -> BTreeSet<Row> {
-    let of = |(s, stage): (usize, &S)| {
-        let stage = *stage;
-        let takes = &takes;
-        let inputs = inputs().into_iter().enumerate();
-        inputs
-            .filter_map(move |(n, input)| takes(stage, input).then_some((s as u8, n as u8)))
-            .collect::<Vec<_>>()
-    };
-    stages.iter().enumerate().flat_map(of).collect()
+    let mut rows = BTreeSet::new();
+    for (state, stage) in stages.iter().enumerate() {
+        for (input_index, input) in inputs.iter().enumerate() {
+            if accepts(*stage, *input) {
+                rows.insert((state as u8, input_index as u8));
+            }
+        }
+    }
+    rows
 }
 
-fn of_client() -> Coverage {
-    let rows =
-        rows(&CLIENT_STAGES, client_inputs, |stage, input| client::Connection::at(stage).step(input).is_ok());
-    let name = |(s, i): &Row| {
-        format!("{:?} with {:?}", CLIENT_STAGES[usize::from(*s)], client_inputs()[usize::from(*i)])
-    };
-    compare("client connection", &rows, &marked(&CLIENT), name)
+fn request_coverage() -> Coverage {
+    let rows = REQUEST_ROWS.into_iter().collect();
+    let name =
+        |state: usize, input: usize| format!("{} with {}", REQUEST_STATES[state], REQUEST_INPUTS[input]);
+    Coverage::new("request", &rows, &REQUEST, name)
 }
 
-fn of_server() -> Coverage {
-    let rows =
-        rows(&SERVER_STAGES, server_inputs, |stage, input| server::Connection::at(stage).step(input).is_ok());
-    let name = |(s, i): &Row| {
-        format!("{:?} with {:?}", SERVER_STAGES[usize::from(*s)], server_inputs()[usize::from(*i)])
-    };
-    compare("server connection", &rows, &marked(&SERVER), name)
+fn client_coverage() -> Coverage {
+    let accepts = |stage, input| client::Connection::at(stage).step(input).is_ok();
+    let rows = accepted_rows(&CLIENT_STAGES, &CLIENT_INPUTS, accepts);
+    let name =
+        |state: usize, input: usize| format!("{:?} with {:?}", CLIENT_STAGES[state], CLIENT_INPUTS[input]);
+    Coverage::new("client connection", &rows, &CLIENT, name)
 }
 
-fn compare(
-    machine: &'static str, rows: &BTreeSet<Row>, walked: &BTreeSet<Row>, name: impl Fn(&Row) -> String,
-) -> Coverage {
-    let missing = rows.difference(walked).map(name).collect();
-    Coverage { machine, walked: rows.intersection(walked).count(), rows: rows.len(), missing }
+fn server_coverage() -> Coverage {
+    let accepts = |stage, input| server::Connection::at(stage).step(input).is_ok();
+    let rows = accepted_rows(&SERVER_STAGES, &SERVER_INPUTS, accepts);
+    let name =
+        |state: usize, input: usize| format!("{:?} with {:?}", SERVER_STAGES[state], SERVER_INPUTS[input]);
+    Coverage::new("server connection", &rows, &SERVER, name)
 }
 
-/// What all worlds explored so far have walked.
-pub fn all() -> [Coverage; 3] {
-    let rows = REQUEST_ROWS.into_iter().collect();
-    let name = |(s, i): &Row| format!("{} with {}", STEPS[usize::from(*s)], INPUTS[usize::from(*i)]);
-    [compare("request", &rows, &marked(&REQUEST), name), of_client(), of_server()]
+/// What all worlds explored so far in this process have walked.
+pub fn walked_so_far() -> [Coverage; 3] {
+    [request_coverage(), client_coverage(), server_coverage()]
 }
--- a/model-checker/src/main.rs
+++ b/model-checker/src/main.rs
@@ -1,13 +1,16 @@
-//! The explorer's command line.
+//! The model checker's command line.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use anyhow::Result;
 use clap::{Parser, Subcommand};
-use glenrail_model_checker::check::{self, Case, Explore, Mutant, Reach};
-use glenrail_model_checker::scenario::Setting;
-use glenrail_model_checker::{client, corners, coverage as cover, server, trace};
+use glenrail_model_checker::cases::{self, Case, Reach};
+use glenrail_model_checker::check::{explore, Counterexample, Exploration};
+use glenrail_model_checker::mutants::{self, Mutant};
+use glenrail_model_checker::rules::Rule;
+use glenrail_model_checker::scenario::Scenario;
+use glenrail_model_checker::{corners, coverage, trace};
 
 /// Explores the machines of requests and connections.
 #[derive(Parser)]
@@ -22,7 +25,7 @@
     /// Explores all worlds; succeeds if every property holds and every row of every table was walked.
     Check {
         /// How far to go.
-        #[arg(long, value_enum, default_value_t = Reach::Whole)]
+        #[arg(long, value_enum, default_value_t = Reach::Full)]
         reach: Reach,
         /// Threads; all cores if left out.
         #[arg(long)]
@@ -47,100 +50,101 @@
 }
 
 fn main() -> Result<ExitCode> {
-    let well = match Options::parse().command {
+    let success = match Options::parse().command {
         Command::Check { reach, threads, traces } => {
             let cores = std::thread::available_parallelism().map_or(1, usize::from);
-            all(reach, threads.unwrap_or(cores), &traces)?
-        }
-        Command::Mutants { traces } => mutants(traces)?,
-        Command::Replay { file } => {
-            let replayed = trace::replay(&file)?;
-            println!("{}", replayed.head.about);
-            println!(
-                "{} steps in the world, {} inputs to the machine alone",
-                replayed.steps, replayed.machine
-            );
-            if let Some(rule) = replayed.broke {
-                println!("breaks {rule:?}: {}", rule.words());
-            }
-            replayed.broke == replayed.head.breaks
+            check(reach, threads.unwrap_or(cores), &traces)?
         }
+        Command::Mutants { traces } => find_mutants(traces.as_deref())?,
+        Command::Replay { file } => replay(&file)?,
         Command::Corners { folder } => corners::write(&folder)?,
     };
-    Ok(if well { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if success { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Peak memory of this process in MB, where the system tells.
-fn peak_mb() -> Option<f64> {
-    let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
-    Some(line.trim().trim_end_matches("kB").trim().parse::<f64>().ok()? / 1024.0)
+/// Explores all worlds, and prints the figures of each and the coverage of all.
+fn check(reach: Reach, threads: usize, traces: &Path) -> Result<bool> {
+    let mut success = check_case(&cases::client_case(), threads, traces)?;
+    success &= check_case(&cases::server_case(), threads, traces)?;
+    for case in cases::budget_cases(reach) {
+        success &= check_case(&case, threads, traces)?;
+    }
+    for case in cases::request_cases(reach) {
+        success &= check_case(&case, threads, traces)?;
+    }
+    for table in coverage::walked_so_far() {
+        println!("{}: {} of {} rows walked", table.machine, table.walked, table.rows);
+        table.missing.iter().for_each(|row| println!("  never: {row}"));
+        success &= table.missing.is_empty();
+    }
+    Ok(success)
 }
 
-fn one<S: Setting>(case: &Case<S>, threads: usize, traces: &std::path::Path) -> Result<bool> {
-    let Explore { states, transitions, depth, took, broken } = check::explore(&case.setup, threads);
-    let (seconds, peak) = (took.as_secs_f64(), peak_mb().unwrap_or(0.0));
+/// Explores one world; a counterexample is printed and written as a trace.
+fn check_case<S: Scenario>(case: &Case<S>, threads: usize, traces: &Path) -> Result<bool> {
+    let Exploration { states, transitions, depth, duration, counterexample } = explore(&case.setup, threads);
+    let (seconds, peak) = (duration.as_secs_f64(), peak_memory_mb().unwrap_or(0.0));
     println!(
         "{}: {states} states, {transitions} transitions, depth {depth}, {seconds:.1} s, peak {peak:.0} MB",
         case.name
     );
-    let Some((rule, acts)) = broken else { return Ok(true) };
+    let Some(Counterexample { rule, actions }) = counterexample else { return Ok(true) };
     let path = traces.join(format!("{rule:?}.jsonl"));
-    trace::write(&case.setup, &acts, &format!("{}: {}", case.name, rule.words()), &path)?;
-    println!("  BROKEN {rule:?}: {} In {} steps: {}", rule.words(), acts.len(), path.display());
-    acts.iter().for_each(|act| println!("    {act:?}"));
+    trace::write(&case.setup, &actions, &format!("{}: {}", case.name, rule.description()), &path)?;
+    println!("  BROKEN {rule:?}: {} In {} steps: {}", rule.description(), actions.len(), path.display());
+    actions.iter().for_each(|action| println!("    {action:?}"));
     Ok(false)
 }
 
-fn all(reach: Reach, threads: usize, traces: &std::path::Path) -> Result<bool> {
-    let mut well = one(&check::clients(), threads, traces)?;
-    well &= one(&check::servers(), threads, traces)?;
-    for case in check::budgets(reach) {
-        well &= one(&case, threads, traces)?;
-    }
-    for case in check::requests(reach) {
-        well &= one(&case, threads, traces)?;
-    }
-    for table in cover::all() {
-        println!("{}: {} of {} rows walked", table.machine, table.walked, table.rows);
-        table.missing.iter().for_each(|row| println!("  never: {row}"));
-        well &= table.missing.is_empty();
-    }
-    Ok(well)
+/// Peak memory of this process in MB, where the system reports it.
+fn peak_memory_mb() -> Option<f64> {
+    let status = std::fs::read_to_string("/proc/self/status").ok()?;
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+    let kilobytes: f64 = peak.trim().trim_end_matches("kB").trim().parse().ok()?;
+    Some(kilobytes / 1024.0)
 }
 
-fn mutants(traces: Option<PathBuf>) -> Result<bool> {
-    let mut well = true;
-    for Mutant { fault, rule } in check::REQUEST_FAULTS {
-        well &= planted(format!("{fault:?}"), *rule, &check::faulty(*fault), &traces)?;
+/// Plants every fault in turn; each must be found.
+fn find_mutants(traces: Option<&Path>) -> Result<bool> {
+    let mut success = true;
+    for Mutant { fault, rule } in mutants::REQUEST_MUTANTS {
+        success &= find_mutant(format!("{fault:?}"), *rule, &mutants::request_setup(*fault), traces)?;
     }
-    for Mutant { fault, rule } in check::SERVER_FAULTS {
-        let setup = server::Setup { fault: Some(*fault), ..check::servers().setup };
-        well &= planted(format!("{fault:?}"), *rule, &setup, &traces)?;
+    for Mutant { fault, rule } in mutants::SERVER_MUTANTS {
+        success &= find_mutant(format!("{fault:?}"), *rule, &mutants::server_setup(*fault), traces)?;
     }
-    for Mutant { fault, rule } in check::CLIENT_FAULTS {
-        let setup = client::Setup { fault: Some(*fault), ..check::clients().setup };
-        well &= planted(format!("{fault:?}"), *rule, &setup, &traces)?;
+    for Mutant { fault, rule } in mutants::CLIENT_MUTANTS {
+        success &= find_mutant(format!("{fault:?}"), *rule, &mutants::client_setup(*fault), traces)?;
     }
-    for Mutant { fault, rule } in check::BUDGET_FAULTS {
-        let setup = check::faulty_budget(*fault);
-        well &= planted(format!("{fault:?}"), *rule, &setup, &traces)?;
+    for Mutant { fault, rule } in mutants::BUDGET_MUTANTS {
+        success &= find_mutant(format!("{fault:?}"), *rule, &mutants::budget_setup(*fault), traces)?;
     }
-    Ok(well)
+    Ok(success)
 }
 
-fn planted<S: Setting>(
-    name: String, rule: glenrail_model_checker::rules::Rule, setup: &S, traces: &Option<PathBuf>,
-) -> Result<bool> {
-    let found = check::explore(setup, 1);
-    let Some((broke, acts)) = found.broken else {
-        println!("{name}: NOT FOUND in {} states", found.states);
+/// Explores a world with a planted fault, with one thread, so that the counterexample is a shortest one.
+fn find_mutant<S: Scenario>(name: String, rule: Rule, setup: &S, traces: Option<&Path>) -> Result<bool> {
+    let exploration = explore(setup, 1);
+    let Some(Counterexample { rule: broken, actions }) = exploration.counterexample else {
+        println!("{name}: NOT FOUND in {} states", exploration.states);
         return Ok(false);
     };
-    let other = if broke == rule { "" } else { " (another than it was planted for)" };
-    println!("{name}: breaks {broke:?}{other} in {} steps, {} states", acts.len(), found.states);
+    let remark = if broken == rule { "" } else { " (another than it was planted for)" };
+    println!("{name}: breaks {broken:?}{remark} in {} steps, {} states", actions.len(), exploration.states);
     if let Some(folder) = traces {
-        trace::write(setup, &acts, &format!("planted fault {name}"), &folder.join(format!("{name}.jsonl")))?;
+        let path = folder.join(format!("{name}.jsonl"));
+        trace::write(setup, &actions, &format!("planted fault {name}"), &path)?;
     }
     Ok(true)
 }
+
+/// Replays a trace; succeeds if it breaks the rule that it names, or none if it names none.
+fn replay(file: &Path) -> Result<bool> {
+    let replay = trace::replay(file)?;
+    println!("{}", replay.header.description);
+    println!("{} steps in the world, {} inputs to the machine alone", replay.steps, replay.machine_inputs);
+    if let Some(rule) = replay.broken {
+        println!("breaks {rule:?}: {}", rule.description());
+    }
+    Ok(replay.broken == replay.header.breaks)
+}
--- /dev/null
+++ b/model-checker/src/mutants.rs
@@ -0,0 +1,116 @@
+//! Faults that are planted in the machines, to show that the checker finds each of them.
+
+use glenrail_overload::budget as budget_machine;
+use glenrail_request_lifecycle::{
+    client as client_machine, request as request_machine, server as server_machine,
+};
+
+use crate::cases::{client_case, server_case, BUDGET_BASE, REQUEST_BASE};
+use crate::rules::Rule;
+use crate::{budget, client, request, server};
+
+/// A planted fault, and the rule that it was planted to break.
+pub struct Mutant<F> {
+    /// The fault.
+    pub fault: F,
+    /// The rule.
+    pub rule: Rule,
+}
+
+macro_rules! mutants {
+    ($(#[$doc:meta])* $name:ident: $fault:ty { $($planted:ident => $rule:ident,)+ }) => {
+        $(#[$doc])*
+        pub const $name: &[Mutant<$fault>] = &[$(Mutant { fault: <$fault>::$planted, rule: Rule::$rule },)+];
+    };
+}
+
+mutants!(
+    /// Faults of the machine of a request.
+    REQUEST_MUTANTS: request_machine::Fault {
+    AnswersTwice => OneFinalAnswer,
+    AnswersAfterStream => OneFinalAnswer,
+    SecondAttempt => NoSecondAttempt,
+    RunsOrderTwice => NeverRunsTwice,
+    ForgetsCutRead => HeldIsLetGo,
+    ForgetsHeldAtEnd => HeldIsLetGo,
+    ForgetsPlace => HeldIsLetGo,
+    NoPinLimit => HeldIsLetGo,
+    ReleasesWhileOut => NoReleaseBesideAttempt,
+    SendsBeforeRelease => NoSendBesideRelease,
+    SendsAfterEnd => NothingAfterEnd,
+    OverTooEarly => NothingAfterEnd,
+    LosesOutcome => OneOutcomePerSend,
+    TwoOutcomes => OneOutcomePerSend,
+    NeverOver => EveryRequestEnds,
+    NoDeadline => EveryRequestEnds,
+    KeepsCallAfterGone => NothingAfterEnd,
+    LeavesTimer => NothingLeftAtRest,
+    RefusesWhatMayHaveRun => RefusalIsTrue,
+    CountsWrittenAsArrived => HeldIsLetGo,
+    KeepsUndelivered => HeldIsLetGo,
+});
+
+mutants!(
+    /// Faults of the machine of a connection to a server.
+    SERVER_MUTANTS: server_machine::Fault {
+    WritesToDrained => NothingToDrained,
+    ReplacesAfterByte => ReplacedUnwritten,
+    CallsSentNeverRan => NeverRanIsTrue,
+    KeepsDrained => DrainedNotKept,
+});
+
+mutants!(
+    /// Faults of the machine of a client's connection.
+    CLIENT_MUTANTS: client_machine::Fault {
+    EvictsOpenRequest => NoCloseAcrossRequest,
+    HandsOverHalfHead => HandedOverClean,
+    HandsOverUnwritten => HandedOverClean,
+    KeepsAfterUnread => NoRequestInBody,
+});
+
+mutants!(
+    /// Faults of the machine of a leased budget.
+    BUDGET_MUTANTS: budget_machine::Fault {
+    CountsFromArrival => EndedNotSpent,
+    WaitsBareLength => SumWithinBudget,
+    ForgetsAtRestart => SumWithinBudget,
+    TakesOldGrant => SumWithinBudget,
+    TrustsOldClock => EndedNotSpent,
+    ForgetsFormerGrant => SumWithinBudget,
+    SpendsLent => SumWithinBudget,
+    KeepsGivenBack => SumWithinBudget,
+    InheritsByTooFew => SumWithinBudget,
+    ForgetsPledge => SumWithinBudget,
+    ForgetsPromise => OneHolderAShare,
+    LendsBeyondTenure => OneHolderAShare,
+});
+
+/// The world in which a request's fault is searched for: small, with a slot only where the fault concerns slots.
+pub fn request_setup(fault: request_machine::Fault) -> request::Setup {
+    let slot_requests = u8::from(fault == request_machine::Fault::ForgetsPlace);
+    request::Setup { request_fault: Some(fault), faults: 2, slot_requests, ..REQUEST_BASE }
+}
+
+/// The world in which a fault of a connection to a server is searched for.
+pub fn server_setup(fault: server_machine::Fault) -> server::Setup {
+    server::Setup { fault: Some(fault), ..server_case().setup }
+}
+
+/// The world in which a fault of a client's connection is searched for.
+pub fn client_setup(fault: client_machine::Fault) -> client::Setup {
+    client::Setup { fault: Some(fault), ..client_case().setup }
+}
+
+/// The world in which a budget's fault is searched for.
+pub fn budget_setup(fault: budget_machine::Fault) -> budget::Setup {
+    use budget_machine::Fault;
+    let owned = budget::Setup { ticks: 5, faults: 1, fault: Some(fault), ..BUDGET_BASE };
+    let witnessed = budget::Setup { asks: 0, faults: 0, witnessed: true, share_requests: 2, ..owned };
+    match fault {
+        Fault::InheritsByTooFew | Fault::ForgetsPledge => witnessed,
+        // A share has just lost its owner, or is about to.
+        Fault::ForgetsPromise => budget::Setup { late: 6, ticks: 0, share_requests: 3, ..witnessed },
+        Fault::LendsBeyondTenure => budget::Setup { late: 4, ticks: 2, asks: 1, share: Some(1), ..witnessed },
+        _ => owned,
+    }
+}
--- /dev/null
+++ b/model-checker/src/request/invariants.rs
@@ -0,0 +1,38 @@
+//! Rules that hold in every state of the world.
+
+use glenrail_request_lifecycle::request::{AttemptState, RetrySafety, Timer};
+
+use super::calls::Call;
+use super::World;
+use crate::rules::Rule;
+
+impl World {
+    pub(super) fn check_invariants(&mut self) {
+        let at_most_once = self.machine.policy().retry_safety == RetrySafety::AtMostOnce;
+        if self.executions > 1 && at_most_once {
+            self.violate(Rule::NeverRunsTwice);
+        }
+        if self.was_rejected && self.executions > 0 && at_most_once {
+            self.violate(Rule::RefusalIsTrue);
+        }
+        let will_be_released =
+            !self.is_finished && (self.is_releasing() || self.armed[Timer::LeaseLimit as usize]);
+        if self.has_unclaimed_reservation() && !will_be_released {
+            self.violate(Rule::HeldIsLetGo);
+        }
+    }
+
+    /// Whether a server holds something while no attempt that has arrived is in flight.
+    pub(super) fn has_unclaimed_reservation(&self) -> bool {
+        let reserved = self.servers.iter().any(|server| server.holds_kv_state || server.holds_slot);
+        reserved && !self.calls.iter().any(Call::has_arrived)
+    }
+
+    /// Whether a release is in progress, or an attempt is being cancelled: that one is dropped at once, and the release
+    /// follows.
+    pub(super) fn is_releasing(&self) -> bool {
+        let is_cancelling =
+            self.machine.attempts().iter().any(|attempt| attempt.state == AttemptState::Cancelling);
+        self.release.is_some() || is_cancelling
+    }
+}
--- a/model-checker/src/rules.rs
+++ b/model-checker/src/rules.rs
@@ -1,69 +1,70 @@
-//! The properties, each with the words that stand beside it in `docs/lifecycle.md`.
+//! The rules that hold in every state of every world, each with its description in words.
 
 use serde::{Deserialize, Serialize};
 
 macro_rules! rules {
-    ($($(#[doc = $words:literal])+ $rule:ident,)+) => {
+    ($($(#[doc = $description:literal])+ $rule:ident,)+) => {
         /// A property that holds in every state of every world.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-        pub enum Rule { $($(#[doc = $words])+ $rule,)+ }
+        pub enum Rule { $($(#[doc = $description])+ $rule,)+ }
 
         impl Rule {
+            /// All rules.
             pub const ALL: &'static [Rule] = &[$(Rule::$rule,)+];
 
-            /// The property in words.
-            pub fn words(self) -> &'static str {
-                match self { $(Rule::$rule => concat!($($words),+).trim_ascii(),)+ }
+            /// The rule in words.
+            pub fn description(self) -> &'static str {
+                match self { $(Rule::$rule => concat!($($description),+).trim_ascii(),)+ }
             }
         }
     };
 }
 
 rules! {
-    /// A client gets one final answer: one refusal or failure, or one stream, and nothing after it.
+    /// A client gets one final answer: one rejection or failure, or one stream, and nothing after it.
     OneFinalAnswer,
     /// While an attempt's connection is open, no other attempt of its request starts.
     NoSecondAttempt,
-    /// What must never be repeated runs at most once, whatever the router orders.
+    /// A request that is not idempotent runs at most once, whatever the router orders.
     NeverRunsTwice,
-    /// What must never be repeated is refused, so called harmless to try again, only if it has not run and will not.
+    /// A request that is not idempotent is rejected, which tells the client that a retry is safe, only if it has not run and will not.
     RefusalIsTrue,
-    /// No first byte of a request goes to a server after the word that it drains or is gone.
+    /// No first byte of a request is written to a server after the notice that it drains or is terminated.
     NothingToDrained,
-    /// While no attempt that has arrived is out, whatever a server holds is being let go, or a timer is armed that lets it go.
+    /// While no attempt that has arrived is in flight, whatever a server holds is being released, or a timer is armed that releases it.
     HeldIsLetGo,
-    /// Nothing is let go at servers while an attempt is out that may need it or leave it.
+    /// Nothing is released at servers while an attempt is in flight that may need it or leave it behind.
     NoReleaseBesideAttempt,
-    /// No attempt starts while a release is under way that could hit what it will hold.
+    /// No attempt starts while a release is in progress that could hit what the attempt will reserve.
     NoSendBesideRelease,
-    /// Nothing is done for a request after its end, and nothing of it is under way then.
+    /// Nothing is done for a request after its end, and nothing of it is in progress then.
     NothingAfterEnd,
-    /// Every request comes to its end, if timers fire and what was sent is answered or cut.
+    /// Every request comes to its end, if timers expire and what was sent is answered or cut off.
     EveryRequestEnds,
     /// At a request's end none of its timers is armed.
     NothingLeftAtRest,
-    /// The router is told one outcome for each send, none twice, and none is missing at the end.
+    /// The router is notified of one outcome for each send, none twice, and none is missing at the end.
     OneOutcomePerSend,
-    /// What is told as never having run has not reached its server whole.
+    /// What is reported as never having run has not reached its server completely.
     NeverRanIsTrue,
-    /// A request goes to another connection by itself only where not a byte of it went out on the first.
+    /// A request moves to another connection by itself only if not a byte of it was written on the first.
     ReplacedUnwritten,
-    /// No connection to a server that is to get nothing new is kept for the next request.
+    /// No connection to a server that must receive nothing new returns to the pool.
     DrainedNotKept,
-    /// A machine turns down no input that the world can bring about.
+    /// A machine rejects no input that the world can bring about.
     NothingImpossible,
     /// No connection of a client is closed or handed over with a request that has been read and not answered.
     NoCloseAcrossRequest,
-    /// A connection is handed over with nothing of a request read, and all that was to be written out.
+    /// A connection is handed over with nothing of a request read, and everything written that was to be written.
     HandedOverClean,
-    /// No request is read from where an earlier one's body may still go on.
+    /// No request is read from where an earlier one's body may still continue.
     NoRequestInBody,
     /// The sum of the parts that members may spend at any moment is at most the fleet's budget.
     SumWithinBudget,
-    /// A share is in one pair of hands: no two hold it at once, and an heir has it only when nothing lent of it is left.
+    /// A share has one holder: no two hold it at once, and a successor has it only when nothing lent of it is left.
     OneHolderAShare,
-    /// A lease that has ended by true time, at the slowest clock that is allowed, is not spent.
+    /// A lease that has expired by true time, at the slowest clock that is allowed, is not spent.
     EndedNotSpent,
-    /// Once all is quiet for the time of a lease, each living member has the whole of its own share again.
+    /// Once nothing happens for the time of a lease, each living member has its own share back completely.
     PartsComeBack,
 }
--- a/model-checker/src/scenario.rs
+++ b/model-checker/src/scenario.rs
@@ -1,5 +1,6 @@
-//! The worlds as one, for the checker and for traces.
+//! What the checker and the traces have in common over all worlds: a start, and what can happen from there.
 
+use std::fmt::Debug;
 use std::hash::Hash;
 
 use serde::de::DeserializeOwned;
@@ -10,154 +11,89 @@
 use crate::rules::Rule;
 use crate::{budget, client, request, server};
 
-/// What may be explored: a start, and what may happen from there.
-pub trait Setting: Clone + Send + Sync + 'static {
-    type World: Clone + Eq + Hash + std::fmt::Debug + Send + Sync;
-    type Act: Copy + PartialEq + std::fmt::Debug + Serialize + DeserializeOwned + Send + Sync;
+/// A world with bounds, small enough to explore.
+pub trait Scenario: Clone + Send + Sync + 'static {
+    /// A state of the world.
+    type World: Clone + Eq + Hash + Debug + Send + Sync;
+    /// One thing that can happen.
+    type Action: Copy + PartialEq + Debug + Serialize + DeserializeOwned + Send + Sync;
 
-    /// The rule that is broken where a world is at rest and not well.
-    const REST: Rule = Rule::EveryRequestEnds;
+    /// The rule that is broken where nothing more can happen in a world that has not terminated.
+    const TERMINATION_RULE: Rule = Rule::EveryRequestEnds;
 
-    fn begin(&self) -> Self::World;
-    fn acts(&self, world: &Self::World, out: &mut Vec<Self::Act>);
-    fn apply(&self, world: &mut Self::World, act: Self::Act, log: &mut Log);
-    /// Whether it comes by itself sooner or later.
-    fn comes(world: &Self::World, act: Self::Act) -> bool;
+    /// The state in which everything begins.
+    fn start(&self) -> Self::World;
+    /// Appends everything that can happen next. The order is part of the figures of the checks.
+    fn enabled_actions(&self, world: &Self::World, actions: &mut Vec<Self::Action>);
+    /// Has the action happen, and appends what the machine of a request was fed to the log.
+    fn apply(&self, world: &mut Self::World, action: Self::Action, log: &mut Log);
+    /// Whether the action happens sooner or later by itself.
+    fn is_inevitable(world: &Self::World, action: Self::Action) -> bool;
+    /// The rule that is broken in this state, if any.
     fn violated(world: &Self::World) -> Option<Rule>;
-    fn rests_well(world: &Self::World) -> bool;
-    fn named(&self) -> Named;
+    /// Whether the world has terminated as it must.
+    fn has_terminated(world: &Self::World) -> bool;
+    /// The scenario as a trace names it.
+    fn to_any(&self) -> AnyScenario;
 }
 
-/// A setting as a trace names it.
+/// A scenario as a trace names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "world", rename_all = "lowercase")]
-pub enum Named {
+pub enum AnyScenario {
+    /// A request with its attempts.
     Request(request::Setup),
+    /// A client's connection.
     Client(client::Setup),
+    /// A connection to a server.
     Server(server::Setup),
+    /// A leased budget of the fleet.
     Budget(budget::Setup),
 }
 
-impl Setting for request::Setup {
-    type World = request::World;
-    type Act = request::Act;
-    fn begin(&self) -> request::World {
-        self.start()
-    }
-    fn acts(&self, world: &request::World, out: &mut Vec<request::Act>) {
-        world.acts(self, out);
-    }
-    fn apply(&self, world: &mut request::World, act: request::Act, log: &mut Log) {
-        world.apply(self, act, log);
-    }
-    fn comes(world: &request::World, act: request::Act) -> bool {
-        world.comes(act)
-    }
-    fn violated(world: &request::World) -> Option<Rule> {
-        world.violated
-    }
-    fn rests_well(world: &request::World) -> bool {
-        world.rests_well()
-    }
-    fn named(&self) -> Named {
-        Named::Request(*self)
-    }
-}
-
-macro_rules! setting {
-    ($world:ident, $name:ident) => {
-        impl Setting for $world::Setup {
-            type World = $world::World;
-            type Act = $world::Act;
-            fn begin(&self) -> $world::World {
-                self.start()
-            }
-            fn acts(&self, world: &$world::World, out: &mut Vec<$world::Act>) {
-                world.acts(out);
-            }
-            fn apply(&self, world: &mut $world::World, act: $world::Act, _: &mut Log) {
-                world.apply(act);
-            }
-            fn comes(world: &$world::World, act: $world::Act) -> bool {
-                world.comes(act)
-            }
-            fn violated(world: &$world::World) -> Option<Rule> {
-                world.violated
-            }
-            fn rests_well(world: &$world::World) -> bool {
-                world.rests_well()
-            }
-            fn named(&self) -> Named {
-                Named::$name(*self)
-            }
-        }
-    };
-}
-setting!(client, Client);
-setting!(server, Server);
-
-impl Setting for budget::Setup {
-    type World = budget::World;
-    type Act = budget::Act;
-    const REST: Rule = Rule::PartsComeBack;
-
-    fn begin(&self) -> budget::World {
-        self.start()
-    }
-    fn acts(&self, world: &budget::World, out: &mut Vec<budget::Act>) {
-        world.acts(self, out);
-    }
-    fn apply(&self, world: &mut budget::World, act: budget::Act, _: &mut Log) {
-        world.apply(act);
-    }
-    fn comes(world: &budget::World, act: budget::Act) -> bool {
-        world.comes(act)
-    }
-    fn violated(world: &budget::World) -> Option<Rule> {
-        world.violated
-    }
-    fn rests_well(world: &budget::World) -> bool {
-        world.rests_well()
-    }
-    fn named(&self) -> Named {
-        Named::Budget(*self)
-    }
-}
-
-/// A setting as the checker takes it.
+/// A scenario in the form that the checker explores.
 #[derive(Clone)]
-pub struct Explored<S>(pub S);
+pub struct CheckedModel<S>(pub S);
 
-pub const HOLDS: &str = "every rule holds";
-pub const ENDS: &str = "every path comes to rest";
+/// Name of the property that no rule is broken in any state.
+pub const SAFETY: &str = "every rule holds";
+/// Name of the property that every path terminates.
+pub const TERMINATION: &str = "every path comes to rest";
 
-impl<S: Setting> Model for Explored<S> {
+impl<S: Scenario> Model for CheckedModel<S> {
     type State = S::World;
-    type Action = S::Act;
+    type Action = S::Action;
 
     fn init_states(&self) -> Vec<S::World> {
-        vec![self.0.begin()]
+        vec![self.0.start()]
     }
-    fn actions(&self, world: &S::World, out: &mut Vec<S::Act>) {
-        self.0.acts(world, out);
+
+    fn actions(&self, world: &S::World, actions: &mut Vec<S::Action>) {
+        self.0.enabled_actions(world, actions);
     }
-    fn next_state(&self, world: &S::World, act: S::Act) -> Option<S::World> {
+
+    fn next_state(&self, world: &S::World, action: S::Action) -> Option<S::World> {
         let mut next = world.clone();
-        self.0.apply(&mut next, act, &mut Vec::new());
+        self.0.apply(&mut next, action, &mut Vec::new());
         Some(next)
     }
+
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(HOLDS, |_, world| S::violated(world).is_none()),
-            // Each path is finite, since every act uses something up: where nothing more comes by itself, whatever
-            // was to come to its end must have.
-            Property::always(ENDS, |model: &Self, world| {
-                let mut acts = Vec::new();
-                model.0.acts(world, &mut acts);
-                acts.iter().any(|act| S::comes(world, *act))
-                    || S::violated(world).is_some()
-                    || S::rests_well(world)
-            }),
+            Property::always(SAFETY, |_, world| S::violated(world).is_none()),
+            // Each path is finite, since every action uses something up. So where nothing inevitable is left, whatever
+            // had to come to its end must have done so.
+            Property::always(TERMINATION, |model: &Self, world| model.terminates_or_goes_on(world)),
         ]
     }
 }
+
+impl<S: Scenario> CheckedModel<S> {
+    fn terminates_or_goes_on(&self, world: &S::World) -> bool {
+        let mut actions = Vec::new();
+        self.0.enabled_actions(world, &mut actions);
+        actions.iter().any(|action| S::is_inevitable(world, *action))
+            || S::violated(world).is_some()
+            || S::has_terminated(world)
+    }
+}
--- a/model-checker/tests/explore.rs
+++ b/model-checker/tests/explore.rs
@@ -1,71 +1,86 @@
-//! The explorer on worlds small enough for a test, and every kept trace.
+//! The checker on worlds small enough for a test, and every stored trace.
 
 use std::path::{Path, PathBuf};
 
-use glenrail_model_checker::check::{self, explore};
+use glenrail_model_checker::cases::{self, Reach};
+use glenrail_model_checker::check::{explore, Counterexample};
+use glenrail_model_checker::mutants;
 use glenrail_model_checker::rules::Rule;
-use glenrail_model_checker::{budget, client, corners, request, server, trace};
+use glenrail_model_checker::scenario::Scenario;
+use glenrail_model_checker::{budget, corners, request, trace};
 use glenrail_overload::budget as budget_machine;
 
 fn traces() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("traces")
 }
 
-/// Guards the explorer itself: a checker that finds nothing has to be one that could.
+fn every_rule_holds<S: Scenario>(setup: &S) -> bool {
+    explore(setup, 2).counterexample.is_none()
+}
+
+fn broken_rule<S: Scenario>(setup: &S) -> Option<Rule> {
+    explore(setup, 1).counterexample.map(|counterexample| counterexample.rule)
+}
+
+/// Guards the checker itself: one that finds nothing has to be one that could.
 #[test]
 fn small_worlds_hold_and_planted_faults_are_found() {
-    let setup = request::Setup { troubles: 1, sends: 1, ..check::faulty(check::REQUEST_FAULTS[0].fault) };
-    let sound = request::Setup { fault: None, ..setup };
-    assert!(explore(&sound, 2).broken.is_none());
-    let (rule, acts) = explore(&setup, 1).broken.expect("the planted fault is found");
-    assert!(rule == Rule::OneFinalAnswer && acts.len() < 6, "{rule:?} in {acts:?}");
-    assert!(explore(&check::clients().setup, 2).broken.is_none());
-    assert!(explore(&check::servers().setup, 2).broken.is_none());
-    for mutant in check::SERVER_FAULTS {
-        let setup = server::Setup { fault: Some(mutant.fault), ..check::servers().setup };
-        assert_eq!(explore(&setup, 1).broken.map(|b| b.0), Some(mutant.rule), "{:?}", mutant.fault);
+    let fault = mutants::REQUEST_MUTANTS[0].fault;
+    let faulty = request::Setup { faults: 1, sends: 1, ..mutants::request_setup(fault) };
+    let sound = request::Setup { request_fault: None, ..faulty };
+    assert!(every_rule_holds(&sound));
+    let Counterexample { rule, actions } =
+        explore(&faulty, 1).counterexample.expect("the planted fault is found");
+    assert!(rule == Rule::OneFinalAnswer && actions.len() < 6, "{rule:?} in {actions:?}");
+    assert!(every_rule_holds(&cases::client_case().setup));
+    assert!(every_rule_holds(&cases::server_case().setup));
+    for mutant in mutants::SERVER_MUTANTS {
+        let broken = broken_rule(&mutants::server_setup(mutant.fault));
+        assert_eq!(broken, Some(mutant.rule), "{:?}", mutant.fault);
     }
-    for mutant in check::CLIENT_FAULTS {
-        let setup = client::Setup { fault: Some(mutant.fault), ..check::clients().setup };
-        assert_eq!(explore(&setup, 1).broken.map(|b| b.0), Some(mutant.rule), "{:?}", mutant.fault);
+    for mutant in mutants::CLIENT_MUTANTS {
+        let broken = broken_rule(&mutants::client_setup(mutant.fault));
+        assert_eq!(broken, Some(mutant.rule), "{:?}", mutant.fault);
     }
-    let sound =
-        budget::Setup { asks: 1, ticks: 4, troubles: 1, ..check::budgets(check::Reach::Quick)[0].setup };
-    assert!(explore(&sound, 2).broken.is_none());
-    let spends_lent = check::BUDGET_FAULTS.iter().find(|m| m.fault == budget_machine::Fault::SpendsLent);
-    let mutant = spends_lent.expect("it is planted");
-    let setup = budget::Setup { fault: Some(mutant.fault), ..sound };
-    assert_eq!(explore(&setup, 1).broken.map(|b| b.0), Some(mutant.rule));
+    let base = cases::budget_cases(Reach::Quick)[0].setup;
+    let sound = budget::Setup { asks: 1, ticks: 4, faults: 1, ..base };
+    assert!(every_rule_holds(&sound));
+    let spends_lent = budget_machine::Fault::SpendsLent;
+    let mutant = mutants::BUDGET_MUTANTS.iter().find(|mutant| mutant.fault == spends_lent);
+    let mutant = mutant.expect("it is planted");
+    let faulty = budget::Setup { fault: Some(mutant.fault), ..sound };
+    assert_eq!(broken_rule(&faulty), Some(mutant.rule));
 }
 
-/// Guards the corners that must be explored, and the counterexamples that were mended: each is a path of its world
-/// still, the machine alone says the same again, and no rule breaks.
+/// Guards the corners that must be explored, and the counterexamples that were fixed: each is still a path of its
+/// world, the machine alone answers the same again, and no rule is broken.
 #[test]
-fn kept_traces_replay_and_break_nothing() {
-    let mut kept: Vec<String> = std::fs::read_dir(traces())
+fn stored_traces_replay_and_break_no_rule() {
+    let mut stored: Vec<String> = std::fs::read_dir(traces())
         .expect("the traces")
-        .map(|f| f.expect("a file").file_name().into_string().expect("a name"))
+        .map(|file| file.expect("a file").file_name().into_string().expect("a name"))
         .collect();
-    kept.sort();
-    let mut named: Vec<String> = corners::all().iter().map(|c| format!("{}.jsonl", c.name)).collect();
-    named.extend(corners::of_client().iter().map(|c| format!("{}.jsonl", c.0)));
+    stored.sort();
+    let mut named: Vec<String> =
+        corners::request_corners().iter().map(|corner| format!("{}.jsonl", corner.name)).collect();
+    named.extend(corners::client_corners().iter().map(|corner| format!("{}.jsonl", corner.name)));
     named.sort();
-    assert_eq!(kept, named, "`glenrail-model-checker corners model-checker/traces` writes them");
-    for name in kept {
-        let replayed = trace::replay(&traces().join(&name)).unwrap_or_else(|e| panic!("{name}: {e:#}"));
-        assert_eq!((replayed.broke, replayed.steps > 3), (None, true), "{name}");
+    assert_eq!(stored, named, "`glenrail-model-checker corners model-checker/traces` writes them");
+    for name in stored {
+        let replay = trace::replay(&traces().join(&name)).unwrap_or_else(|error| panic!("{name}: {error:#}"));
+        assert_eq!((replay.broken, replay.steps > 3), (None, true), "{name}");
     }
 }
 
-/// Guards traces from a machine that has changed under them: one that no longer fits is told, not played.
+/// Guards against traces from a machine that has changed since: one that no longer fits is reported, not replayed.
 #[test]
-fn a_trace_that_does_not_fit_is_told_by_its_line() {
+fn trace_that_does_not_fit_is_reported_by_its_line() {
     let text = std::fs::read_to_string(traces().join("cancel-at-first-token.jsonl")).expect("a trace");
     let mut lines: Vec<&str> = text.lines().collect();
     lines.remove(2);
     let path = std::env::temp_dir().join(format!("glenrail-trace-{}.jsonl", std::process::id()));
     std::fs::write(&path, lines.join("\n")).expect("written");
-    let told = trace::replay(&path).expect_err("a step is missing").to_string();
+    let error = trace::replay(&path).expect_err("a step is missing").to_string();
     std::fs::remove_file(&path).expect("removed");
-    assert!(told.starts_with("line 3"), "{told}");
+    assert!(error.starts_with("line 3"), "{error}");
 }
--- a/model-checker/tests/stored_traces.rs
+++ b/model-checker/tests/stored_traces.rs
@@ -1,54 +1,57 @@
-//! Every kept trace is read and written again to the same bytes.
+//! Every stored trace is read and written again to the same bytes.
 
 use std::path::{Path, PathBuf};
 
-use glenrail_model_checker::scenario::{Named, Setting};
-use glenrail_model_checker::trace::{self, Head};
+use glenrail_model_checker::scenario::{AnyScenario, Scenario};
+use glenrail_model_checker::trace::{self, Header};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
 struct Step<A> {
-    act: A,
+    #[serde(rename = "act")]
+    action: A,
 }
 
-/// The kept traces, in the order of their names.
-fn kept() -> Vec<PathBuf> {
+/// The stored traces, in the order of their names.
+fn stored_traces() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
     let files = std::fs::read_dir(folder).expect("the traces");
-    let mut kept: Vec<PathBuf> = files.map(|file| file.expect("a file").path()).collect();
-    kept.sort();
-    kept
+    let mut traces: Vec<PathBuf> = files.map(|file| file.expect("a file").path()).collect();
+    traces.sort();
+    traces
 }
 
-/// Reads the acts of a trace in the words of its world, and gives what is written of them.
-fn written_again<S: Setting>(setting: &S, lines: &[&str], about: &str, to: &Path) -> String {
-    let act = |line: &&str| serde_json::from_str::<Step<S::Act>>(line).expect("a line").act;
-    let acts: Vec<S::Act> = lines.iter().map(act).collect();
-    trace::write(setting, &acts, about, to).expect("written");
-    std::fs::read_to_string(to).expect("read again")
+/// Reads the actions of a trace in the types of its world, and returns what is written of them.
+fn rewrite_in<S: Scenario>(scenario: &S, steps: &[&str], description: &str, path: &Path) -> String {
+    let actions: Vec<S::Action> = steps
+        .iter()
+        .map(|line| serde_json::from_str::<Step<S::Action>>(line).expect("a line").action)
+        .collect();
+    trace::write(scenario, &actions, description, path).expect("written");
+    std::fs::read_to_string(path).expect("read again")
 }
 
-fn again(text: &str, to: &Path) -> String {
+fn rewrite(text: &str, path: &Path) -> String {
     let lines: Vec<&str> = text.lines().collect();
-    let head: Head = serde_json::from_str(lines[0]).expect("a head");
-    let (lines, about) = (&lines[1..], head.about.as_str());
-    match head.world {
-        Named::Request(setup) => written_again(&setup, lines, about, to),
-        Named::Client(setup) => written_again(&setup, lines, about, to),
-        Named::Server(setup) => written_again(&setup, lines, about, to),
-        Named::Budget(setup) => written_again(&setup, lines, about, to),
+    let header: Header = serde_json::from_str(lines[0]).expect("a header");
+    let (steps, description) = (&lines[1..], header.description.as_str());
+    match header.world {
+        AnyScenario::Request(setup) => rewrite_in(&setup, steps, description, path),
+        AnyScenario::Client(setup) => rewrite_in(&setup, steps, description, path),
+        AnyScenario::Server(setup) => rewrite_in(&setup, steps, description, path),
+        AnyScenario::Budget(setup) => rewrite_in(&setup, steps, description, path),
     }
 }
 
-/// Guards the words of kept traces: settings, acts, inputs and effects are read and written as they were.
+/// Guards the spellings of stored traces: setups, actions, inputs and effects are read and written as they were.
 #[test]
-fn each_kept_trace_is_written_again_to_the_same_bytes() {
-    let kept = kept();
-    assert!(kept.len() >= 18, "{} traces", kept.len());
-    for path in kept {
-        let text = std::fs::read_to_string(&path).expect("a trace");
-        let name = path.file_name().expect("a name");
-        let to = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        assert_eq!(again(&text, &to), text, "{}", path.display());
+fn stored_traces_are_written_again_to_the_same_bytes() {
+    let traces = stored_traces();
+    assert!(traces.len() >= 18, "{} traces", traces.len());
+    for trace in traces {
+        let text = std::fs::read_to_string(&trace).expect("a trace");
+        let name = trace.file_name().expect("a name");
+        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        assert_eq!(rewrite(&text, &path), text, "{}", trace.display());
     }
 }
