--- a/crates/request-lifecycle/src/client/mod.rs
+++ b/crates/request-lifecycle/src/client/mod.rs
@@ -5,8 +5,14 @@
 //! that whoever closes the connection or hands it over knows whether a request is crossing. [`Connection`] owns the
 //! state; the driver owns the socket and the clock.
 
+mod planted_faults;
+
 use serde::{Deserialize, Serialize};
 
+#[cfg(not(feature = "mutants"))]
+use self::planted_faults::Fault;
+#[cfg(feature = "mutants")]
+pub use self::planted_faults::Fault;
 use crate::InvalidTransition;
 
 /// Where a connection stands.
@@ -114,20 +120,6 @@
     Request,
 }
 
-/// A fault that the model checker plants, to show that it finds each of them.
-#[cfg(feature = "mutants")]
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Fault {
-    /// A connection with an open request is evicted.
-    EvictsOpenRequest,
-    /// A connection is handed over with bytes that were read and not passed on.
-    HandsOverHalfHead,
-    /// A connection is handed over before what was written to it has left.
-    HandsOverUnwritten,
-    /// A connection is kept alive after a body that was not read to its end.
-    KeepsAfterUnread,
-}
-
 /// The state machine of one client connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
@@ -165,12 +157,6 @@
         Connection { stage, ..Connection::default() }
     }
 
-    /// Plants a fault, or removes the one planted.
-    #[cfg(feature = "mutants")]
-    pub fn plant(&mut self, fault: Option<Fault>) {
-        self.fault = fault;
-    }
-
     /// Where the connection stands.
     pub fn stage(&self) -> Stage {
         self.stage
@@ -185,9 +171,7 @@
     /// Whether nothing is lost by closing it now.
     pub fn is_evictable(&self) -> bool {
         let has_open_request = matches!(self.stage, Stage::Body | Stage::Response);
-        #[cfg(feature = "mutants")]
-        let has_open_request = has_open_request && self.fault != Some(Fault::EvictsOpenRequest);
-        !self.blocked && !has_open_request
+        !self.blocked && (!has_open_request || self.has_fault(Fault::EvictsOpenRequest))
     }
 
     /// Whether bytes that arrive now belong to a request, which will be read.
@@ -212,13 +196,9 @@
     /// Whether another process can take it as it is: nothing is in a buffer in either direction, and it is between
     /// two requests or its response can continue elsewhere.
     pub fn can_hand_over(&self) -> bool {
-        let buffers_empty = !self.blocked && !self.pipelined_bytes;
-        #[cfg(feature = "mutants")]
-        let buffers_empty = match self.fault {
-            Some(Fault::HandsOverHalfHead) => !self.blocked,
-            Some(Fault::HandsOverUnwritten) => !self.pipelined_bytes,
-            _ => buffers_empty,
-        };
+        let nothing_unwritten = !self.blocked || self.has_fault(Fault::HandsOverUnwritten);
+        let nothing_unread = !self.pipelined_bytes || self.has_fault(Fault::HandsOverHalfHead);
+        let buffers_empty = nothing_unwritten && nothing_unread;
         buffers_empty && (self.is_between_requests() || self.stream_detached)
     }
 
@@ -296,10 +276,7 @@
     }
 
     fn stage_after_response(&self) -> Stage {
-        let closes = self.closes_after_response();
-        #[cfg(feature = "mutants")]
-        let closes = closes && self.fault != Some(Fault::KeepsAfterUnread);
-        if closes {
+        if self.closes_after_response() && !self.has_fault(Fault::KeepsAfterUnread) {
             Stage::Closing
         } else {
             Stage::Idle
--- a/crates/request-lifecycle/src/server/mod.rs
+++ b/crates/request-lifecycle/src/server/mod.rs
@@ -4,8 +4,14 @@
 //! have reached its server: before it, the request never ran; after it, the request may have run. [`Connection`] owns
 //! the state; the driver owns the socket and the clock.
 
+mod planted_faults;
+
 use serde::{Deserialize, Serialize};
 
+#[cfg(not(feature = "mutants"))]
+use self::planted_faults::Fault;
+#[cfg(feature = "mutants")]
+pub use self::planted_faults::Fault;
 use crate::InvalidTransition;
 
 /// Where a connection stands.
@@ -95,20 +101,6 @@
     HandOver,
 }
 
-/// A fault that the model checker plants, to show that it finds each of them.
-#[cfg(feature = "mutants")]
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Fault {
-    /// A request is written to a server that drains.
-    WritesToDrained,
-    /// A request is sent on another connection after a part of it was written.
-    ReplacesAfterByte,
-    /// A request that was written completely is said never to have run.
-    CallsSentNeverRan,
-    /// A connection to a server that drains returns to the pool.
-    KeepsDrained,
-}
-
 /// The state machine of one connection to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
@@ -143,12 +135,6 @@
         Connection { stage, ..Connection::default() }
     }
 
-    /// Plants a fault, or removes the one planted.
-    #[cfg(feature = "mutants")]
-    pub fn plant(&mut self, fault: Option<Fault>) {
-        self.fault = fault;
-    }
-
     /// Where the connection stands.
     pub fn stage(&self) -> Stage {
         self.stage
@@ -226,9 +212,7 @@
     /// Connecting takes time, so whether the server drains is decided here, at the first byte.
     fn on_send(&self, serving: bool) -> (Stage, Effect) {
         let permitted = serving && !self.drained;
-        #[cfg(feature = "mutants")]
-        let permitted = permitted || self.fault == Some(Fault::WritesToDrained);
-        if permitted {
+        if permitted || self.has_fault(Fault::WritesToDrained) {
             (Stage::Writing, Effect::Write)
         } else {
             (Stage::Closing, Effect::Withheld)
@@ -237,10 +221,8 @@
 
     /// The connection broke before the last byte of the request was written.
     fn lost_while_writing(&self) -> Effect {
-        let replace = self.used && !self.has_written;
-        #[cfg(feature = "mutants")]
-        let replace = replace || self.used && self.fault == Some(Fault::ReplacesAfterByte);
-        if replace {
+        let nothing_written = !self.has_written || self.has_fault(Fault::ReplacesAfterByte);
+        if self.used && nothing_written {
             Effect::Replace
         } else {
             Effect::NeverRan
@@ -249,18 +231,15 @@
 
     /// The connection broke after the last byte of the request was written.
     fn lost_after_write(&self) -> Effect {
-        #[cfg(feature = "mutants")]
-        if self.fault == Some(Fault::CallsSentNeverRan) {
-            return Effect::NeverRan;
+        if self.has_fault(Fault::CallsSentNeverRan) {
+            Effect::NeverRan
+        } else {
+            Effect::MayHaveRun
         }
-        Effect::MayHaveRun
     }
 
     fn on_response_complete(&self) -> (Stage, Effect) {
-        let reuse = !self.drained;
-        #[cfg(feature = "mutants")]
-        let reuse = reuse || self.fault == Some(Fault::KeepsDrained);
-        if reuse {
+        if !self.drained || self.has_fault(Fault::KeepsDrained) {
             (Stage::Idle, Effect::Reuse)
         } else {
             (Stage::Closing, Effect::Close)
--- a/crates/request-lifecycle/src/watch/backoff.rs
+++ b/crates/request-lifecycle/src/watch/backoff.rs
@@ -23,6 +23,15 @@
 /// A backoff is drawn between half its mean and so many times its mean.
 const MAX_JITTER: f64 = 1.5;
 
+/// How long discovery has been at its present address, as far as limits depend on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Address {
+    /// It has answered a poll there, or never moved.
+    Established,
+    /// It has just moved there, and has not answered any poll yet.
+    JustMoved,
+}
+
 /// How backoff is drawn, and how long polls may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BackoffPolicy {
@@ -82,23 +91,22 @@
     }
 
     /// The longest mean backoff after a poll that took so long, if the next poll is to be answered in time.
-    pub(super) fn max_mean_backoff(&self, moved: bool, poll_duration: Duration) -> Duration {
-        self.freshness_limit(moved).saturating_sub(ANSWER_TIME + poll_duration).div_f64(MAX_JITTER)
+    pub(super) fn max_mean_backoff(&self, address: Address, poll_duration: Duration) -> Duration {
+        self.freshness_limit(address).saturating_sub(ANSWER_TIME + poll_duration).div_f64(MAX_JITTER)
     }
 
     /// How long a poll may take so that the shortest backoff still fits after it.
-    pub(super) fn max_poll_duration(&self, moved: bool) -> Duration {
-        self.freshness_limit(moved)
+    pub(super) fn max_poll_duration(&self, address: Address) -> Duration {
+        self.freshness_limit(address)
             .saturating_sub(ANSWER_TIME + self.initial_backoff.mul_f64(MAX_JITTER))
             .max(self.answer_grace)
     }
 
-    fn freshness_limit(&self, moved: bool) -> Duration {
-        let (usual, after_move) = self.freshness_limit;
-        if moved {
-            after_move
-        } else {
-            usual
+    fn freshness_limit(&self, address: Address) -> Duration {
+        let (established, just_moved) = self.freshness_limit;
+        match address {
+            Address::Established => established,
+            Address::JustMoved => just_moved,
         }
     }
 }
--- a/crates/request-lifecycle/src/watch/mod.rs
+++ b/crates/request-lifecycle/src/watch/mod.rs
@@ -22,6 +22,7 @@
 
 use serde::{Deserialize, Serialize};
 
+use self::backoff::Address;
 pub use self::backoff::BackoffPolicy;
 
 /// The mean backoff doubles at most so many times.
@@ -111,7 +112,7 @@
             Some(within) if !self.is_current => Poll::FullList { within },
             _ if known => Poll::Changes { hold, within: hold + answer_grace },
             _ => {
-                let max_duration = self.policy.max_poll_duration(self.address_changed);
+                let max_duration = self.policy.max_poll_duration(self.address());
                 Poll::FullList { within: (hold + answer_grace).min(max_duration) }
             }
         }
@@ -142,6 +143,14 @@
         self.address_changed = true;
     }
 
+    fn address(&self) -> Address {
+        if self.address_changed {
+            Address::JustMoved
+        } else {
+            Address::Established
+        }
+    }
+
     fn reset_failures(&mut self) {
         self.failures = 0;
         self.throttled = 0;
@@ -176,7 +185,7 @@
     /// How the mean backoff grows with failures of this kind, by the failures before this one.
     fn growth(&self, why: PollFailure, took: Duration) -> Growth {
         let BackoffPolicy { initial_backoff, max_backoff, round, longest_round, .. } = self.policy;
-        let max_in_time = self.policy.max_mean_backoff(self.address_changed, took);
+        let max_in_time = self.policy.max_mean_backoff(self.address(), took);
         match why {
             PollFailure::Lost => Growth {
                 initial_mean: initial_backoff,
@@ -185,7 +194,8 @@
             },
             PollFailure::Throttled(_) => {
                 // Whether discovery has time for all gateways within the freshness limit, however often it rejects them.
-                let all_fit = longest_round <= self.policy.max_mean_backoff(false, Duration::ZERO);
+                let all_fit =
+                    longest_round <= self.policy.max_mean_backoff(Address::Established, Duration::ZERO);
                 let must_be_in_time = self.throttled == 0 || all_fit;
                 let max_mean = if must_be_in_time { max_in_time } else { longest_round.max(max_in_time) };
                 Growth {
