--- a/gateway/tests/broken_responses.rs
+++ b/gateway/tests/broken_responses.rs
@@ -16,7 +16,7 @@
 /// Guards the client from half an answer that looks like a whole one, and a class that may not be repeated from a second
 /// run, wherever an engine's answer is cut, by an end and by a reset.
 #[test]
-fn a_cut_answer_is_one_failure() {
+fn a_broken_response_is_one_failure() {
     let cuts = [
         ("HTTP/1.1 200 OK\r\ncontent-ty", false),
         (&format!("{OPENING}1"), false),
@@ -53,7 +53,7 @@
 /// Guards a stream that its engine has finished: its rest, which came while the gateway did not run, passes on to its end,
 /// though the engine has closed or reset the connection since.
 #[test]
-fn a_finished_stream_passes_on_to_its_end() {
+fn a_finished_stream_is_forwarded_to_its_end() {
     for resets in [false, true] {
         let (go, told) = channel();
         let told = Mutex::new(told);
@@ -97,7 +97,7 @@
 /// Guards a request's time from an answer without an end: a reader's short answer, a writer's error and its first event
 /// that do not go on after their head are given up soon, and the request is served elsewhere long before its deadline.
 #[test]
-fn an_answer_that_never_ends_does_not_take_the_requests_time() {
+fn a_response_that_never_ends_does_not_use_up_the_deadline() {
     let half_read = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached".to_string();
     let half_error = "HTTP/1.1 500 Error\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n".to_string();
     let half_event = format!("{OPENING}9\r\ndata: a");
@@ -123,7 +123,7 @@
 /// byte is out, another connection takes the request, once; closed behind its last byte it may have run, so it is sent again
 /// only where it may be repeated.
 #[test]
-fn a_kept_connection_that_closes_at_a_request_loses_and_doubles_nothing() {
+fn an_idle_connection_that_closes_at_a_request_loses_and_duplicates_nothing() {
     for (class, closes_first) in [("chat", true), ("chat", false), ("order", true), ("order", false)] {
         let (go, told) = channel();
         let told = Arc::new(Mutex::new(told));
@@ -161,7 +161,7 @@
 
 /// Guards a request whose engine's connection comes up a second late: it goes out there, once.
 #[test]
-fn a_connection_that_comes_up_late_is_used() {
+fn a_connection_that_opens_late_is_used() {
     let mut late = Full::start();
     let writer = Engine::start(|_, line| if line.starts_with("DELETE") { EMPTY } else { EVENTS }.into());
     let program = Program::start("late", &[late.address()], &[writer.address], true);
--- a/gateway/tests/client_disconnects.rs
+++ b/gateway/tests/client_disconnects.rs
@@ -42,7 +42,7 @@
 /// Guards the engine from a request whose connection came up just as its client went: also where the deployment lets no
 /// attempt be called back, since nothing of it is out yet.
 #[test]
-fn a_client_that_goes_during_the_dial_is_not_sent_on() {
+fn a_request_whose_client_disconnects_while_connecting_is_not_sent() {
     for cancel in [true, false] {
         both_orders(|going, first| {
             let mut reader = Full::start();
@@ -109,19 +109,19 @@
 
 /// Guards the writer: the state that was read for a client that has gone is let go, and nothing is written for it.
 #[test]
-fn a_client_that_goes_as_its_read_ends_is_not_sent_on() {
+fn a_request_whose_client_disconnects_as_its_prefill_ends_is_not_decoded() {
     no_further_attempt(READ, true);
 }
 
 /// Guards the retry of what was turned away.
 #[test]
-fn a_client_that_goes_just_before_a_retry_is_not_sent_on() {
+fn a_request_whose_client_disconnects_before_a_retry_is_not_retried() {
     no_further_attempt(DECLINED, false);
 }
 
 /// Guards the head of the queue: a request that was read together with its client's going is never begun.
 #[test]
-fn a_client_that_has_gone_when_its_request_is_read_is_not_sent_on() {
+fn a_request_whose_client_has_disconnected_when_it_is_read_is_not_sent() {
     both_orders(|going, kept| {
         let reader = Engine::start(|_, line| if line.starts_with("DELETE") { EMPTY } else { READ }.into());
         let writer = Engine::start(release);
@@ -139,7 +139,7 @@
 /// Guards the queue: a client that goes while no server is there for its request is not sent on when one comes, in the same
 /// wake-up or later.
 #[test]
-fn a_client_that_goes_while_queued_is_not_sent_on() {
+fn a_request_whose_client_disconnects_while_queued_is_not_sent() {
     for (going, seen) in GOINGS.into_iter().flat_map(|going| [(going, false), (going, true)]) {
         run(async {
             let reader = StandIn::start(|_, _| read()).await;
@@ -167,7 +167,7 @@
 
 /// Guards a stream whose first event comes as its client goes: nothing further is sent, and its connection is closed.
 #[test]
-fn a_client_that_goes_at_the_first_token_ends_its_attempt() {
+fn a_client_that_disconnects_at_the_first_token_cancels_its_attempt() {
     both_orders(|going, first| {
         let reader = Engine::start(|_, line| if line.starts_with("DELETE") { EMPTY } else { READ }.into());
         let (writer, at_barrier, go) = held_back(
--- a/gateway/tests/connect_timeouts.rs
+++ b/gateway/tests/connect_timeouts.rs
@@ -26,7 +26,7 @@
 /// Guards both kinds of class where no connection to one of two writers ever comes up: each request is answered by the other,
 /// once.
 #[test]
-fn a_writer_that_never_comes_up_costs_no_request() {
+fn an_unreachable_decode_server_costs_no_request() {
     const REQUESTS: usize = 24;
     let (lost, reader, writer) = (Full::start(), reader(), writer());
     let program = program("never-writer", reader.address, &[lost.address(), writer.address]);
@@ -45,7 +45,7 @@
 
 /// Guards the only engine of its role, of whose connections one never came up: its request is served over the next one.
 #[test]
-fn an_engine_is_used_again_after_a_connection_that_never_came_up() {
+fn an_engine_is_used_again_after_a_connect_timeout() {
     let (mut late, writer) = (Full::start(), writer());
     let program = program("never-once", late.address(), &[writer.address]);
     let client = Client::ask(program.front, "a1");
--- a/gateway/tests/connection_verification.rs
+++ b/gateway/tests/connection_verification.rs
@@ -42,7 +42,7 @@
 
 /// Guards the order: the probe is answered first, on the very connection that the write goes out on.
 #[test]
-fn a_write_goes_out_on_a_connection_that_has_just_answered() {
+fn an_attempt_is_written_on_a_connection_that_has_just_answered() {
     run(async {
         let server = StandIn::start(|_, seen| match seen.method.as_str() {
             "GET" => Act::Answer(answer(200, &[], "")),
@@ -58,7 +58,7 @@
 
 /// Guards a state from a connection that stands and is silent: nothing of the request goes out, so it never ran.
 #[test]
-fn nothing_goes_out_on_a_connection_that_is_silent() {
+fn nothing_is_written_on_an_unresponsive_connection() {
     run(async {
         let server = StandIn::start(|_, _| Act::Silence).await;
         let (engine, began) = (before(&server), Instant::now());
@@ -72,7 +72,7 @@
 
 /// Guards a server's good name: too little time for an answer says nothing of it.
 #[test]
-fn too_short_a_time_says_nothing_of_a_server() {
+fn too_short_a_time_says_nothing_about_a_server() {
     run(async {
         let server = StandIn::start(|_, _| Act::Silence).await;
         let engine = before(&server);
@@ -82,7 +82,7 @@
 
 /// Guards a request whose kept connection was closed by its server: another connection carries it.
 #[test]
-fn a_kept_connection_that_has_ended_is_replaced() {
+fn an_idle_connection_that_has_ended_is_replaced() {
     run(async {
         let closes = Rc::new(Cell::new(false));
         let server = StandIn::start({
@@ -105,7 +105,7 @@
 
 /// Guards the sign of arrival where nothing may be probed: the release of a request that has ended is answered.
 #[test]
-fn a_sign_is_an_answer_and_not_an_open_connection() {
+fn an_answer_and_not_an_open_connection_shows_that_a_server_is_reachable() {
     run(async {
         let answers = Rc::new(Cell::new(true));
         let server = StandIn::start({
--- a/gateway/tests/engine.rs
+++ b/gateway/tests/engine.rs
@@ -21,7 +21,7 @@
 
 /// Guards the limit on memory: an answer that is to be kept whole and does not fit is no answer.
 #[test]
-fn an_answer_too_large_to_be_kept_is_an_error() {
+fn a_response_too_large_to_buffer_is_an_error() {
     run(async {
         let big = |n: usize| vec![b'x'; if n == 0 { (1 << 20) + 1 } else { 1 << 20 }];
         let server = StandIn::start(move |n, _| Act::Answer(answer(200, &[], big(n)))).await;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_request_passes_on_unchanged_and_its_stream_comes_back_unchanged() {
+fn a_request_and_its_stream_are_forwarded_unchanged() {
     run(async {
         let server = StandIn::start(|_, _| stream()).await;
         let engine = engine(AGES, 8);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn each_answer_is_the_outcome_that_the_protocol_says() {
+fn each_response_has_the_outcome_of_the_protocol() {
     let declined = [("srv-declined", "1")];
     type Fits = fn(&Result<Reply, CallError>) -> bool;
     type Case<'a> = (u16, &'a [(&'a str, &'a str)], Fits);
@@ -122,7 +122,7 @@
 /// Guards rule 2: a request that was written whole is never written again by the client library, and its break
 /// is told apart from a connection that never took it.
 #[test]
-fn a_break_after_the_last_byte_is_a_reset_and_is_not_sent_again() {
+fn a_break_after_the_last_byte_is_a_reset_and_is_not_retried() {
     run(async {
         for body in ["", "{}", &"x".repeat(200 << 10)] {
             let server = StandIn::start(|n, _| if n == 0 { read() } else { Act::Break }).await;
@@ -144,7 +144,7 @@
 
 /// Guards the rule on drains: a server that is told to drain while a connection is opened gets no first byte.
 #[test]
-fn a_drain_told_during_the_connect_stops_the_send() {
+fn a_drain_while_connecting_stops_the_attempt() {
     run(async {
         let server = StandIn::start(|_, _| read()).await;
         let engine = engine(AGES, 8);
@@ -165,7 +165,7 @@
 /// connections, one that accepts them and never reads, and a zone of which all say nothing. One after the other, 100 ms
 /// each, five silent ones would take all the time there is.
 #[test]
-fn a_release_goes_on_to_a_server_that_answers() {
+fn a_release_continues_to_a_server_that_answers() {
     run(async {
         let (_dead, dead_at) = reserved();
         let silent = StandIn::start(|_, _| Act::Silence).await;
@@ -212,7 +212,7 @@
 
 /// Guards against a reset where a kept connection was closed by the server without a word.
 #[test]
-fn a_kept_connection_that_was_closed_is_replaced() {
+fn an_idle_connection_that_was_closed_is_replaced() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let dial = listener.local_addr().expect("an address").to_string();
@@ -242,7 +242,7 @@
 
 /// Guards rule 2: an attempt that is given up is closed before the next one can start, not a turn later.
 #[test]
-fn an_attempt_given_up_is_closed_at_once() {
+fn a_cancelled_attempt_is_closed_at_once() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let dial = listener.local_addr().expect("an address").to_string();
@@ -367,7 +367,7 @@
 /// Guards the client from a stream that is spoilt: before its first event it is a failed attempt that may have
 /// run, after that a broken answer of which only whole events were passed on; and its connection is not used again.
 #[test]
-fn a_spoilt_stream_is_told_apart_and_its_connection_dropped() {
+fn a_malformed_stream_is_recognised_and_its_connection_dropped() {
     let noise = "5\r\n\u{1}\u{2}\u{3}\u{4}\u{5}\r\n";
     for opening in [
         "nonsense\r\n\r\n".to_string(),
@@ -418,7 +418,7 @@
 /// Guards good answers that come with more: interim answers in front, also one that hyper takes for an upgrade, a
 /// load report that cannot be read, and a second answer behind, after which the connection is not used again.
 #[test]
-fn a_good_answer_with_more_than_belongs_to_it_is_kept() {
+fn a_good_response_with_surplus_bytes_is_accepted() {
     let good = format!("{OPENING}{EVENT}0\r\n\r\n");
     let odd = good.replace("content-type", "srv-load: TEXT inflight=\u{e9}, x0=, =\r\ncontent-type");
     for (front, answer, behind, kept) in [
@@ -471,7 +471,7 @@
     /// Guards streams at an upgrade: whatever their pieces, their chunks and the moment at which they go over, or go
     /// over twice, all of their events pass, once and in order.
     #[test]
-    fn a_stream_that_goes_over_is_whole(
+    fn a_stream_that_is_handed_over_is_complete(
         lengths in prop::collection::vec(1usize..90, 2..6),
         chunks in prop::collection::vec(1usize..40, 1..6),
         (first, second) in (0usize..6, 0usize..6),
--- a/gateway/tests/engine_floods.rs
+++ b/gateway/tests/engine_floods.rs
@@ -73,7 +73,7 @@
 /// Guards every event from the ones around it: a flood of small ones, and one as large as a body may be, in small chunks
 /// and in one, come whole and soon; one of 1 MB is none of this protocol, and ends its stream at once, not whole.
 #[test]
-fn small_and_large_events_come_soon() {
+fn small_and_large_events_arrive_soon() {
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let large = |n: usize| format!("data: {}\n\n", "x".repeat(n));
     let most = large((256 << 10) - 16);
--- a/gateway/tests/events.rs
+++ b/gateway/tests/events.rs
@@ -27,7 +27,7 @@
 /// ones, some in one piece with half of the next, and a large one; beside it a client takes nothing of a stream that
 /// is as large, and stalls nobody.
 #[test]
-fn each_event_passes_on_before_the_next_is_written() {
+fn each_event_is_forwarded_before_the_next_is_written() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let (writer, mut tell) = told(2).await;
@@ -62,7 +62,7 @@
 /// Guards events that have come whole, the first with the answer's head included, from a break that comes in the same
 /// wake-up: they pass on, and then the connection ends without the last chunk.
 #[test]
-fn an_event_beside_its_streams_break_passes_on() {
+fn an_event_just_before_its_stream_breaks_is_forwarded() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let program: Rc<OnceCell<Program>> = Rc::default();
--- a/gateway/tests/first_byte.rs
+++ b/gateway/tests/first_byte.rs
@@ -84,7 +84,7 @@
 /// its first half, and an end, which come after the connection was found alive and before the first byte is out. The
 /// request goes to a new connection, once, whether it may be repeated or not.
 #[test]
-fn what_comes_just_before_the_first_byte_is_no_answer_to_it() {
+fn bytes_received_before_the_first_byte_are_no_response() {
     let second = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":9}";
     let all = [(second, false), (&second[..20], false), ("", true), (second, true)];
     for ((says, ends), crowd) in all.into_iter().flat_map(|case| [(case, 0), (case, 500)]) {
@@ -120,7 +120,7 @@
 /// Guards the rule on drains, and a server that is gone or now stands somewhere else, also on a kept connection: what is
 /// told after the choice counts at the first byte.
 #[test]
-fn what_the_list_says_before_the_first_byte_holds() {
+fn a_list_update_before_the_first_byte_is_obeyed() {
     let other = TcpListener::bind("127.0.0.1:0").expect("a port");
     for change in 0..3 {
         run(async {
@@ -147,7 +147,7 @@
 
 /// Guards an engine from the request of a client that has gone, on a kept connection and a new one.
 #[test]
-fn a_request_that_nobody_waits_for_gets_no_first_byte() {
+fn a_cancelled_request_gets_no_first_byte() {
     for fresh in [false, true] {
         run(async {
             let server = ByHand::start().await;
@@ -181,7 +181,7 @@
 /// Guards what has to be written sooner than its deadline, a repeat within its window and a state within its limit: a kept
 /// connection needs no dial, and is not written to later either.
 #[test]
-fn a_request_whose_time_to_be_written_is_over_gets_no_first_byte() {
+fn a_request_past_its_write_deadline_gets_no_first_byte() {
     run(async {
         let server = ByHand::start().await;
         let call = Call::Attempt {
@@ -202,7 +202,7 @@
 /// Guards a name that moves to another address while a request is on a connection to the old one, and one whose server
 /// comes back at the same address: what led to the former life carries nothing for the new one.
 #[test]
-fn a_connection_to_a_former_life_is_not_kept() {
+fn a_connection_to_a_server_before_its_restart_is_not_reused() {
     run(async {
         let later = || answer(202, &[], "{}");
         let old = StandIn::start(move |_, _| Act::Later(Duration::from_millis(50), later())).await;
@@ -236,7 +236,7 @@
 
 /// Guards against a request on a connection that has stood idle for too long, where whoever closes it has not had a turn.
 #[test]
-fn a_connection_that_is_too_old_is_not_used() {
+fn a_connection_past_its_idle_timeout_is_not_reused() {
     run(async {
         let server = StandIn::start(|_, _| read()).await;
         let idle = Duration::from_millis(100);
--- a/gateway/tests/idempotency.rs
+++ b/gateway/tests/idempotency.rs
@@ -33,7 +33,7 @@
 /// Guards a class against the effect of another: both ways round, one that is free is repeated and one that runs once is
 /// failed.
 #[test]
-fn effects_are_those_of_the_settings() {
+fn idempotency_is_that_of_the_settings() {
     for (swapped, [free, once]) in [(false, ["chat", "order"]), (true, ["order", "chat"])] {
         let change = |settings: &mut Value| {
             if swapped {
@@ -50,7 +50,7 @@
 /// Guards the window for repeats: a class that may be repeated for so long is, and not a moment after. Whoever waits then is
 /// refused only where all engines discard a repeat, as it may come again.
 #[test]
-fn a_window_is_that_of_the_settings() {
+fn an_idempotency_window_is_that_of_the_settings() {
     let (again, refused, failed) = ((200, 2), (503, 1), (502, 1));
     let cases = [
         (20_000.0, "all", again),
--- a/gateway/tests/leases.rs
+++ b/gateway/tests/leases.rs
@@ -40,7 +40,7 @@
 
 /// Guards rule 5 while all that is listed drains: any server that runs takes a release, those that drain after the others.
 #[test]
-fn servers_that_drain_are_asked_to_let_go_last() {
+fn draining_servers_are_asked_for_a_release_last() {
     run(async {
         let taken = || StandIn::start(|_, _| Act::Answer(answer(204, &[], "")));
         let (drains, serves) = (taken().await, taken().await);
@@ -58,7 +58,7 @@
 /// Guards rule 5: a read whose answer cannot be kept here has ended well all the same, so its outcome must not be one after
 /// which nothing is let go.
 #[test]
-fn a_read_whose_answer_does_not_fit_is_told_as_lost() {
+fn a_prefill_whose_response_exceeds_the_budget_is_malformed() {
     run(async {
         let server = StandIn::start(|_, _| read()).await;
         let engine = engine(4);
--- a/gateway/tests/remaining_time.rs
+++ b/gateway/tests/remaining_time.rs
@@ -36,7 +36,7 @@
 /// Guards an engine from work for a client that has gone by then: the time of the dial is taken off, at the first attempt and
 /// at the one that follows a reader's "full".
 #[test]
-fn an_attempt_tells_what_is_left_behind_its_dial() {
+fn an_attempt_states_the_time_that_remains_after_connecting() {
     let mut reader = Full::start();
     let writer = Engine::start(|_, line| if line.starts_with("DELETE") { EMPTY } else { EVENTS }.into());
     let program = Program::start("time-left", &[reader.address()], &[writer.address], true);
