--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -141,7 +141,7 @@
         let server = ServerId(state.server);
         if status == Status::Undelivered {
             let name = &request.payload.request_id;
-            log!("request {name}: no sign that it arrived at server {:x}; called back", server.0);
+            log!("request {name}: its delivery to server {:x} was not confirmed; cancelled", server.0);
         }
         // The lease of what a cancelled prefill may have left begins now.
         let may_have_left_state = state.stage == Stage::Prefill && call.cancel_token.is_written();
--- a/gateway/src/core/release.rs
+++ b/gateway/src/core/release.rs
@@ -51,7 +51,7 @@
         }
         while self.upstream.clone().oneshot(release.call.clone()).await.is_err() {
             if Instant::now() >= release.give_up_at {
-                log!("a lease could not be let go: no server took the call");
+                log!("a lease could not be released: no server accepted the call");
                 break;
             }
             sleep(RELEASE_RETRY_DELAY).await;
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -66,7 +66,7 @@
     pub unclaimed_since: Instant,
     /// The call that asks for a slot, while it is in flight.
     pub slot_request: Option<AbortHandle>,
-    /// What a rejected client is told to wait.
+    /// The Retry-After of a rejection.
     pub retry_after: Duration,
     /// For so long after the first attempt that may have run the request may be retried; `None`: without limit, or never.
     pub idempotency_window: Option<Duration>,
--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -25,7 +25,7 @@
 
 /// On the platform an engine writes the head of its response together with its first event, or with all of a short
 /// response. What has not come so long after the head is malformed: a response without an end would use up its request's
-/// whole time.
+/// entire deadline.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How the response of an attempt is forwarded.
@@ -66,7 +66,7 @@
         &self, server: ServerId, head: ResponseHead, body: Incoming, connection: Connection,
     ) -> Result<Reply, CallError> {
         if !is_event_stream(&head) {
-            log!("an answer of server {:x} is no stream of events", server.0);
+            log!("a response of server {:x} is no event stream", server.0);
             return Err(CallError::MalformedResponse);
         }
         let report = load_report_of(&head.headers);
@@ -95,7 +95,7 @@
     ) -> Result<Reply, CallError> {
         let report = load_report_of(&head.headers);
         let Some(body) = self.within_body_timeout(mode, self.buffer(body)).await?? else {
-            log!("an answer of server {:x} is too large to be kept whole", server.0);
+            log!("a response of server {:x} is too large to buffer", server.0);
             return match head.status {
                 // The prefill has ended well, so the server holds a state all the same.
                 StatusCode::ACCEPTED => Err(CallError::MalformedResponse),
@@ -132,7 +132,7 @@
             return Ok(awaited.await);
         }
         timeout(BODY_TIMEOUT, awaited).await.map_err(|_| {
-            log!("an answer did not go on after its head");
+            log!("a response did not continue after its head");
             CallError::MalformedResponse
         })
     }
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -1,4 +1,4 @@
-//! Short calls beside the attempts: probes and slot reservations.
+//! Short calls other than attempts: probes and slot reservations.
 
 use std::time::Duration;
 
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -87,7 +87,7 @@
 
     fn record_unresponsive(&self, server: ServerId) {
         self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
-        log!("a connection to server {:x} stands and is silent", server.0);
+        log!("a connection to server {:x} is open and unresponsive", server.0);
         // The other idle connections to it are not tried one after the other.
         self.close_idle_of(server);
     }
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -63,7 +63,7 @@
         &self, server: ServerId, request: &ServerRequest, connection: &mut Connection,
     ) -> Result<Response<Incoming>, SendFailure> {
         let kind = request.kind;
-        // Connecting takes time: what the list has said meanwhile counts.
+        // Connecting takes time: the list as it is now counts.
         if !connection.may_write(self.may_receive(server, &connection.peer, kind)) {
             return Err(SendFailure::Withheld);
         }
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -79,7 +79,7 @@
     let others = || machine.attempts().iter().enumerate().filter(move |(other, _)| *other != attempt);
     let is_concurrent = others().any(|(_, other)| other.is_open());
     check(!is_concurrent, Invariant::OneAttempt, request, || {
-        format!("attempt {attempt} starts beside another")
+        format!("attempt {attempt} starts while another is in flight")
     });
     let is_repeated = machine.policy().retry_safety == RetrySafety::AtMostOnce
         && machine.attempts()[attempt].stage == Stage::Execute
@@ -95,13 +95,13 @@
 /// Checks a lease that was unclaimed for `unclaimed` when a server had released it.
 pub fn check_lease_time(unclaimed: Duration, lease_limit: Duration, request: &str) {
     let holds = unclaimed <= lease_limit + LEASE_LIMIT_TOLERANCE;
-    check(holds, Invariant::LeaseInTime, request, || format!("let go after {} ms", unclaimed.as_millis()));
+    check(holds, Invariant::LeaseInTime, request, || format!("released after {} ms", unclaimed.as_millis()));
 }
 
 /// Checks a request that has finished.
 pub fn check_end(machine: &Request, request: &str) {
     let is_unanswered = matches!(machine.response(), ResponseState::Pending | ResponseState::Streaming);
-    check(!is_unanswered, Invariant::Answered, request, || "it ends with no answer".into());
+    check(!is_unanswered, Invariant::Answered, request, || "it finished without an answer".into());
 }
 
 /// The name and the violations of each invariant, for the operators.
