--- a/gateway/tests/admin.rs
+++ b/gateway/tests/admin.rs
@@ -154,7 +154,7 @@
 /// Guards an engine in the operators' hands: nothing new goes there, whatever discovery lists, even if it leaves the
 /// list and returns; a second process of this gateway holds to it too; back online it serves, as one just started.
 #[test]
-fn a_server_taken_out_gets_nothing_until_it_is_put_back() {
+fn an_offline_server_gets_no_work_until_it_is_back_online() {
     run(async {
         let (reader, writer) = (StandIn::start(|_, _| read()).await, StandIn::start(|_, _| stream()).await);
         let spare = StandIn::start(|_, _| stream()).await;
@@ -215,7 +215,7 @@
 
 /// Guards against a yes that a restart would forget: an order that cannot be kept is not taken.
 #[test]
-fn an_order_that_cannot_be_kept_gets_a_no() {
+fn an_order_that_cannot_be_stored_is_refused() {
     run(async {
         let (reader, writer) = (StandIn::start(|_, _| read()).await, StandIn::start(|_, _| stream()).await);
         let o = operated("lost", &[&reader, &writer], 50).await;
@@ -233,7 +233,7 @@
 
 /// Guards those who call by hand: each mistake has its own answer, and each answer ends its connection.
 #[test]
-fn a_wrong_call_is_told_apart() {
+fn each_mistaken_call_has_its_own_status() {
     run(async {
         let (reader, writer) = (StandIn::start(|_, _| read()).await, StandIn::start(|_, _| stream()).await);
         let o = operated("wrong", &[&reader, &writer], 50).await;
@@ -263,7 +263,7 @@
 
 /// Guards the way in for operators: callers that connect and say nothing, or half a call, give way to one who asks.
 #[test]
-fn silent_callers_do_not_delay_the_others() {
+fn idle_callers_do_not_delay_the_others() {
     run(async {
         let (reader, writer) = (StandIn::start(|_, _| read()).await, StandIn::start(|_, _| stream()).await);
         let o = operated("silent", &[&reader, &writer], 50).await;
@@ -286,7 +286,7 @@
 /// closes what stands idle before the clients must be gone; an older stream ends in peace. Back in service all is as
 /// before.
 #[test]
-fn out_of_service_clients_are_sent_away() {
+fn out_of_service_connections_close_after_their_grace() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let writer = StandIn::start(|_, seen| match seen.id.as_str() {
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -109,7 +109,7 @@
 /// Guards a new configuration: the watch moves at once though the old place's call hangs, asks the new one for its
 /// whole list, and takes that as the truth; in the meantime the old list serves on.
 #[test]
-fn a_moved_discovery_is_asked_for_its_whole_list() {
+fn a_new_discovery_address_is_polled_for_the_full_list() {
     run(async {
         let server = StandIn::start(|_, _| read()).await;
         let (old, new) = (StandIn::start(|_, _| Act::Silence).await, {
@@ -153,7 +153,7 @@
 /// Guards a new process: what it was started with may be old, and what its agent has counts as told from its first moment
 /// on. So the whole list is asked for at once, and a server that drains by it gets nothing new.
 #[test]
-fn a_new_process_asks_for_the_whole_list_at_once() {
+fn a_new_process_polls_for_the_full_list_at_once() {
     run(async {
         let (reader, writers) = servers().await;
         let g = gateway(&[&reader], &[&writers[0], &writers[1]], None, 50).await;
@@ -173,7 +173,7 @@
 /// Guards a watch as one and the same: its next call must come within 200 ms of the last answer, lists to take or not. Half
 /// of the calls may be held up by whatever else the machine does.
 #[test]
-fn the_next_call_follows_an_answer_at_once() {
+fn the_next_poll_follows_a_response_at_once() {
     run(async {
         let (reader, writers) = servers().await;
         let g = gateway(&[&reader], &[&writers[0], &writers[1]], None, 50).await;
@@ -198,7 +198,7 @@
 
 /// Guards an agent that has been sent nothing yet: the list known serves on until there is another.
 #[test]
-fn a_list_of_nobody_takes_nobody_away() {
+fn an_empty_list_removes_no_server() {
     run(async {
         let (reader, writers) = servers().await;
         let list = listed(71, &reader, &writers, None);
@@ -219,7 +219,7 @@
 /// Guards the hard case of the account: a watch falls silent while a server is drained. It is opened anew well before
 /// what it missed counts as told (6 s), and from then on nothing new goes there.
 #[test]
-fn a_watch_that_falls_silent_during_a_drain_is_opened_anew() {
+fn a_watch_that_stalls_during_a_drain_is_reopened() {
     run(async {
         let (reader, writers) = servers().await;
         let g = gateway(&[&reader], &[&writers[0], &writers[1]], None, 50).await;
@@ -249,7 +249,7 @@
 /// Guards the first moments after an outage: what the agent has counts as told as soon as it speaks again, and it does
 /// not remember the calls that it left unanswered.
 #[test]
-fn after_an_outage_the_list_is_here_at_once() {
+fn after_an_outage_the_list_is_applied_at_once() {
     run(async {
         let (reader, writers) = servers().await;
         let first = listed(5, &reader, &writers, None);
@@ -278,7 +278,7 @@
 /// Guards a new configuration that comes while the old place is left alone: the new one is asked at once, and not after
 /// the pause that the old one wanted.
 #[test]
-fn a_move_of_discovery_ends_a_pause() {
+fn an_address_change_ends_a_backoff() {
     run(async {
         let (reader, writers) = servers().await;
         let full = || Act::Answer(answer(503, &[("retry-after", "20")], ""));
@@ -302,7 +302,7 @@
 
 /// Guards against a list that trickles: its call is given up for another.
 #[test]
-fn a_list_that_trickles_is_asked_for_anew() {
+fn a_list_that_trickles_is_polled_again() {
     run(async {
         let (reader, writers) = servers().await;
         let list = listed(5, &reader, &writers, None);
--- a/gateway/tests/discovery_faults.rs
+++ b/gateway/tests/discovery_faults.rs
@@ -122,7 +122,7 @@
 
 /// Guards a drain some time after a reset: the watch that was opened anew hears of it at once.
 #[test]
-fn a_drain_after_a_reset_is_heard_of_at_once() {
+fn a_drain_after_a_reset_applies_at_once() {
     run(async {
         let (engines, agent, gateway, at, usual) = started("after-reset", PUSHED).await;
         let calls = agent.calls.borrow().len();
@@ -187,7 +187,7 @@
 /// Guards drains that have to be kept within 250 ms: an agent that stops in the middle of an answer has fallen silent, and
 /// is asked anew as soon as one that says nothing at all.
 #[test]
-fn an_agent_that_stops_in_its_answers_is_asked_anew_at_once() {
+fn an_agent_that_stalls_mid_response_is_polled_again_at_once() {
     run(async {
         let engines = Engines::start().await;
         let list = engines.list(6, Some(0)).to_string();
@@ -242,7 +242,7 @@
 /// Guards a new configuration whose discovery fails its first call in some way, while the old one is silent: its list is
 /// here before it counts as told.
 #[test]
-fn a_new_place_that_fails_its_first_call() {
+fn a_new_address_that_fails_its_first_poll() {
     for mode in [PUSHED, ASKED] {
         for fault in [At::Refused, At::Silent, At::Half, At::TurnedAway] {
             run(async {
@@ -275,7 +275,7 @@
 /// Guards a new place against the old one's last word, which comes in the very wake-up of the signal: the new place's
 /// list holds, whichever was first.
 #[test]
-fn a_new_place_and_the_old_ones_last_word_in_one_wake_up() {
+fn a_new_address_and_the_old_ones_last_response_in_one_wake_up() {
     for first in ["signal", "list"] {
         run(async {
             let (engines, old, gateway, at, usual) = started(&format!("last-word-{first}"), PUSHED).await;
@@ -303,7 +303,7 @@
 /// Guards a drain that the old place had written before the signal was taken in, both in one wake-up: it was told, so it holds
 /// for as long as the new place says nothing; then the new place's list does.
 #[test]
-fn a_drain_told_just_as_discovery_moves_is_kept_until_the_new_place_speaks() {
+fn a_drain_seen_as_the_address_changes_holds_until_the_new_one_answers() {
     for (mode, first) in [(PUSHED, "signal"), (PUSHED, "list"), (ASKED, "signal"), (ASKED, "list")] {
         run(async {
             let (engines, old, gateway, at, usual) =
@@ -335,7 +335,7 @@
 /// Guards whoever asked for changes and is told the whole list: who does not stand in it is gone, whether it drained before or
 /// not, and a request in the same wake-up is served by who is left.
 #[test]
-fn a_whole_list_where_changes_were_expected() {
+fn a_full_list_where_changes_were_expected() {
     for mode in [PUSHED, ASKED] {
         for first in ["list", "request"] {
             run(async {
--- a/gateway/tests/draining_servers.rs
+++ b/gateway/tests/draining_servers.rs
@@ -24,7 +24,7 @@
 /// It gets nothing, also if it never goes; what was read is let go; and once it is back under its name, at its old address
 /// or another, the next request is served there.
 #[test]
-fn a_writer_that_leaves_between_read_and_write_gets_nothing() {
+fn a_decode_server_that_drains_after_the_prefill_gets_no_work() {
     for (gone, moves) in [(false, false), (false, true), (true, false), (true, true)] {
         run(async {
             let go = Rc::new(Cell::new(false));
--- a/gateway/tests/graceful_shutdown.rs
+++ b/gateway/tests/graceful_shutdown.rs
@@ -46,7 +46,7 @@
 /// queue, half a head, half a body, and a body above the bound, whose refusal must not be reset away. Each has its
 /// final answer and then an end in good order; a second SIGTERM changes nothing.
 #[test]
-fn what_comes_beside_sigterm_is_answered() {
+fn requests_arriving_with_sigterm_are_answered() {
     for signal_first in [false, true] {
         run(async {
             let reader = StandIn::start(|_, _| read()).await;
@@ -102,7 +102,7 @@
 
 /// Guards a stream whose engine is done: its last event and its end lie unread as SIGTERM comes, and pass on to the end.
 #[test]
-fn a_last_event_beside_sigterm_passes_on() {
+fn a_last_event_arriving_with_sigterm_is_passed_on() {
     for signal_first in [false, true] {
         run(async {
             let reader = StandIn::start(|_, _| read()).await;
@@ -139,7 +139,7 @@
 /// Guards what comes beside the end of accepting: resting connections end just then, and a request that lies unread on
 /// one, or behind a request whose stream is under way, is served.
 #[test]
-fn what_comes_beside_the_end_of_accepting_is_answered() {
+fn requests_arriving_as_accepting_ends_are_answered() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let (tell, told) = mpsc::unbounded_channel();
@@ -201,7 +201,7 @@
 /// Guards a client that sends again on a connection that has just been ended, by SIGTERM or by its time: it sees an end
 /// in good order, for it to send the request once more elsewhere; it stays unread, and no engine sees it.
 #[test]
-fn what_comes_after_the_end_is_the_clients_to_send_again() {
+fn a_request_after_the_connection_closed_stays_unread() {
     for told_to_end in [true, false] {
         run(async {
             let reader = StandIn::start(|_, _| read()).await;
@@ -253,7 +253,7 @@
 /// Guards the answer within the time that is left: what comes whole so late after SIGTERM that the kill may find it
 /// unanswered is refused at once, and goes to no engine.
 #[test]
-fn what_is_whole_too_late_is_refused() {
+fn a_request_complete_too_late_is_rejected() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let writer = StandIn::start(|_, _| stream()).await;
@@ -286,7 +286,7 @@
 /// than 3 s, would leave it with no answer, and its client with a connection that broke. One that may not be repeated is failed
 /// while anything of it is out, a read too; all others are refused; each before its own deadline, and the process ends by itself.
 #[test]
-fn what_still_waits_is_answered_before_the_kill() {
+fn waiting_requests_are_answered_before_the_kill() {
     run(async {
         let reader = StandIn::start(|_, seen| match seen.id.as_str() {
             "read" | "read-order" => Act::Silence,
--- a/gateway/tests/idle_connections.rs
+++ b/gateway/tests/idle_connections.rs
@@ -25,7 +25,7 @@
 /// Guards memory from rate times idle time: a task for each time that a connection was kept slept out its whole idle
 /// time, which held some 80 MB at 13,000 requests a second and 10 s.
 #[test]
-fn a_connection_that_is_kept_often_costs_no_more_than_once() {
+fn a_connection_that_is_reused_often_costs_no_more_memory() {
     run(async {
         let server = StandIn::start(|_, _| Act::Answer(answer(202, &[], r#"{"cached_tokens":4}"#))).await;
         let idle = Duration::from_secs(3_600);
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -103,7 +103,7 @@
 /// after it; a new configuration moves discovery on SIGHUP and a faulty one changes nothing; SIGTERM in the middle
 /// of a stream neither cuts it nor makes an error of the end, whatever SIGHUP comes after it.
 #[test]
-fn the_platforms_gateway_serves_and_ends_in_good_order() {
+fn the_platforms_gateway_serves_and_shuts_down_gracefully() {
     use common::{answer, ask, post, read, run, stream, until, Act, StandIn, STREAM};
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
@@ -182,7 +182,7 @@
 
 /// Guards the planned end: SIGTERM lets the program finish and end by itself, without an error.
 #[test]
-fn sigterm_ends_the_program_in_good_order() {
+fn sigterm_shuts_the_program_down_gracefully() {
     let text = "listen = '127.0.0.1:0'\n[chat]\nservers = [{ name = 'c', dial = '127.0.0.1:1' }]\n";
     let front = file("sigterm.toml", text);
     let mut command = Command::new(env!("CARGO_BIN_EXE_glenrail"));
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -63,7 +63,7 @@
 
 /// Guards a restart by the list known, and one without any as soon as discovery answers.
 #[test]
-fn a_process_is_ready_though_clients_fill_its_door() {
+fn a_process_is_ready_though_clients_use_all_its_connections() {
     run(async {
         let engines = Engines::start().await;
         let (socket, down) = reserved();
@@ -90,7 +90,7 @@
 
 /// Guards `/ready` against a door of which every place has an open request: whoever asks is not refused like a client.
 #[test]
-fn a_process_is_ready_though_requests_fill_its_door() {
+fn a_process_is_ready_though_requests_use_all_its_connections() {
     run(async {
         let mut engines = Engines::start().await;
         let silent = Rc::new(Cell::new(0));
--- a/gateway/tests/restart_slow_start.rs
+++ b/gateway/tests/restart_slow_start.rs
@@ -178,12 +178,12 @@
 
 /// Guards the sum where nobody can be asked, so that each gateway's credit alone holds it.
 #[test]
-fn ten_processes_anew_keep_the_cold_budget_by_their_credit() {
+fn ten_restarted_gateways_keep_the_slow_start_budget_by_credit() {
     cold_budget_is_kept("budget-credit", false);
 }
 
 /// The same where a cold server's own word lets a gateway send before it has a whole send of credit.
 #[test]
-fn ten_processes_anew_keep_the_cold_budget_by_the_word() {
+fn ten_restarted_gateways_keep_the_slow_start_budget_by_probes() {
     cold_budget_is_kept("budget-word", true);
 }
--- a/gateway/tests/settings.rs
+++ b/gateway/tests/settings.rs
@@ -37,7 +37,7 @@
 
 /// Guards against a gateway that starts with what it cannot mean: a place, the value there, the key that is told.
 #[test]
-fn a_fault_ends_the_program_and_its_key_is_told() {
+fn a_fault_ends_the_program_and_its_key_is_named() {
     let s = "settings.services";
     let cases = [
         ("limits", json!(5), "limits"),
@@ -113,7 +113,7 @@
 
 /// Guards the defaults: what is left out serves, under names that only just come in a header.
 #[test]
-fn what_is_left_out_has_a_default_that_serves() {
+fn settings_left_out_have_defaults_that_serve() {
     const ODD: &str = "item \"query\"/%,=;:<b> 100%";
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
@@ -267,7 +267,7 @@
     /// Whatever a configuration holds, it is read or a key is told; what is read the router bears, and each request has its
     /// one answer by its time. The simulator's adapter takes settings without a check: there, too, nothing ends the module.
     #[test]
-    fn any_configuration_is_read_or_told_and_then_borne(v in mutated(), seed in any::<u64>(), fates in drive::fates()) {
+    fn any_configuration_serves_or_its_fault_is_named(v in mutated(), seed in any::<u64>(), fates in drive::fates()) {
         let path = file(&format!("mutated_{}", std::process::id()), &v.to_string());
         if let Some(settings) = v.get("settings") {
             drive::requests(glenrail_settings::settings(settings), seed, &fates, false);
--- a/gateway/tests/shutdown_under_load.rs
+++ b/gateway/tests/shutdown_under_load.rs
@@ -69,7 +69,7 @@
 /// Guards every request in a planned end: 20 connections that are kept go on sending, some with streams under way that
 /// take longer than the gateway accepts, and each request gets its whole answer, up to the end of its connection.
 #[test]
-fn kept_connections_that_go_on_sending_lose_nothing() {
+fn busy_connections_lose_no_request_in_a_shutdown() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let writer = StandIn::start(|n, _| match n % 3 {
@@ -95,7 +95,7 @@
 /// Guards a connection that comes into the machine's queue just as accepting ends, on a machine that then has no time for
 /// this process: it is taken and answered before the process counts itself as ended.
 #[test]
-fn the_end_waits_for_what_the_queue_holds() {
+fn shutdown_waits_for_the_accept_queue() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let writer = StandIn::start(|_, _| stream()).await;
@@ -125,7 +125,7 @@
 /// connection or just behind it, one on a kept connection, and one of which the first half of a head is here. Closed
 /// without an answer, the first count as refused, and nobody can say of the last whether it was read.
 #[test]
-fn a_request_that_came_before_the_end_is_answered() {
+fn a_request_received_before_shutdown_is_answered() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
         let writer = StandIn::start(|_, _| stream()).await;
--- a/gateway/tests/upgrade.rs
+++ b/gateway/tests/upgrade.rs
@@ -290,7 +290,7 @@
 
 /// Guards the first process from a second one that dies before or after it serves: the first goes on, or again.
 #[test]
-fn a_second_process_that_dies_gives_all_back() {
+fn a_successor_that_dies_returns_all_connections() {
     run(async {
         let (reader, writer) = (StandIn::start(|_, _| read()).await, StandIn::start(|_, _| stream()).await);
         let hosts = json!([host("r", "prompt-side", &reader), host("w", "answer-side", &writer)]);
