--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration: the one place where it is read, checked and given its defaults.
+//! Configuration: read, checked and given its defaults here and nowhere else.
 //!
 //! `command` is the command line, `platform` what the platform gives, `front` the second front's file and `one_stage` the
 //! router's settings for that file's pools. Nothing is stored here. Every error names the faulty key.
--- a/gateway/src/daemon/counters.rs
+++ b/gateway/src/daemon/counters.rs
@@ -1,4 +1,4 @@
-//! The task that logs what this process has asked of servers and of discovery.
+//! The task that logs how many calls this process has made to servers and to discovery.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -1,7 +1,7 @@
 //! The daemon: reads the configuration, assembles the parts and runs them on one thread until the process ends.
 //!
 //! `platform`, `inference` and the operators' front are the parts; `handover` is the process's part in upgrades, `exit` its
-//! end. [`Context`] is what the parts share; the state is in them. The clock is tokio's.
+//! end. `Context` is what the parts share; the state is in them. The clock is tokio's.
 #![deny(missing_docs)]
 
 mod counters;
@@ -13,7 +13,7 @@
 mod platform;
 mod signals;
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -112,14 +112,8 @@
     let Configuration { platform, second, plugin, fleet } = configuration;
     let bounds = platform.as_ref().map_or_else(Bounds::default, |platform| platform.bounds);
     let delays = ShutdownDelays::new(platform.as_ref());
-    let limits = SharedLimits {
-        slots: Arc::new(Semaphore::new(bounds.server_connections)),
-        connections: bounds.server_connections,
-        budget: Budget::new(bounds.bodies),
-        bodies: bounds.bodies,
-    };
-    let state = platform.as_ref().filter(|platform| platform.ops.is_some());
-    let state = state.map(|platform| platform.state.clone());
+    let limits = shared_limits(&bounds);
+    let state = state_directory(platform.as_ref());
     let (handover, inheritance) = Handover::request(state, limits.clone()).await;
     let context = Context {
         slots: limits.slots,
@@ -150,15 +144,38 @@
     let _idle_handover = handover.start(listeners, hooks, &context.shutdown);
     spawn_local(reloads.run(signals.reload));
     signals.terminate.recv().await;
+    shut_down(&context.shutdown, &pools, &delays, member).await;
+    Ok(())
+}
+
+/// The planned end, from SIGTERM on.
+async fn shut_down(
+    shutdown: &Shutdown, pools: &[Pool], delays: &ShutdownDelays, member: Option<fleet::Handle>,
+) {
     if let Some(delay) = delays.last_response {
-        spawn_local(exit::answer_pending(pools.clone(), delay));
+        spawn_local(exit::answer_pending(pools.to_vec(), delay));
     }
-    leave(&context.shutdown, &pools, delays.stream_handover).await;
+    leave(shutdown, pools, delays.stream_handover).await;
     // Last: until here this process serves, and the fleet must count on it.
     if let Some(member) = member {
         member.leave();
     }
-    Ok(())
+}
+
+/// The limits that count across an upgrade, unshared at first.
+fn shared_limits(bounds: &Bounds) -> SharedLimits {
+    SharedLimits {
+        slots: Arc::new(Semaphore::new(bounds.server_connections)),
+        connections: bounds.server_connections,
+        budget: Budget::new(bounds.bodies),
+        bodies: bounds.bodies,
+    }
+}
+
+/// Where processes at the same address meet. Only operators run a second one, so without their front there is none.
+fn state_directory(platform: Option<&config::Platform>) -> Option<PathBuf> {
+    let platform = platform.filter(|platform| platform.ops.is_some())?;
+    Some(platform.state.clone())
 }
 
 /// Times from SIGTERM on, by the deadlines of the platform's classes.
--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -175,7 +175,7 @@
     let listener = listen(at, None).await?;
     let (core, shutdown, accepting) =
         (pool.core.clone(), context.shutdown.clone(), context.accepting.clone());
-    // Of the process, and whether or not clients are told to leave.
+    // Of the process, also while clients are asked to leave.
     let ready = move || *accepting.borrow() && shutdown.phase() == Phase::Serving && core.can_serve();
     let watched = maintenance.clone();
     spawn_local(async move { watched.watch_orders().await });
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -33,7 +33,7 @@
 const MAX_ITEMS: usize = 1_000;
 /// Notes that one request may be given.
 const MAX_NOTES: usize = 16;
-/// What a client rejected by a script is told to wait before it tries again.
+/// `Retry-After` of a request that a script rejects.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The hook that is called before a request is routed.
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -79,7 +79,7 @@
     /// Since when operators have the gateway out of service.
     out_of_service_since: Rc<watch::Sender<Option<Instant>>>,
     phase: Rc<watch::Sender<Phase>>,
-    /// When the process was told to end.
+    /// When SIGTERM came.
     signalled_at: Rc<Cell<Option<Instant>>>,
     open_connections: OpenConnections,
 }
@@ -117,7 +117,7 @@
         let _ = phases.wait_for(|current| *current >= phase).await;
     }
 
-    /// Takes the gateway out of service: clients are told to leave. Idempotent.
+    /// Takes the gateway out of service: each response asks its client to leave. Idempotent.
     pub fn take_out_of_service(&self) {
         self.out_of_service_since
             .send_if_modified(|since| since.replace(since.unwrap_or_else(Instant::now)).is_none());
--- a/gateway/src/upgrade/successor.rs
+++ b/gateway/src/upgrade/successor.rs
@@ -72,7 +72,7 @@
 
 /// Says that this process serves, then receives the predecessor's connections until that one has ended.
 ///
-/// Should this process be told to end meanwhile, the link closes: the predecessor sees that, and accepts again.
+/// Should this process get SIGTERM meanwhile, the link closes: the predecessor sees that, and accepts again.
 pub async fn serve_as_successor(
     link: UpgradeLink, inboxes: Rc<TransferInboxes>, routing_state: RoutingStateTransfer, shutdown: Shutdown,
     half: ReservedHalf,
