--- a/gateway/src/daemon/inference.rs
+++ b/gateway/src/daemon/inference.rs
@@ -26,8 +26,8 @@
     context: &Context, parts: &mut Parts,
 ) -> Result<(), DaemonError> {
     let FrontFile { front: file, path } = file;
-    let at = ListenAddress { address: &file.listen, key: "listen", front: "second" };
-    let listener = listen(at, inherited.listener).await?;
+    let listen_address = ListenAddress { address: &file.listen, key: "listen", front: "second" };
+    let listener = listen(listen_address, inherited.listener).await?;
     parts.listeners.add(upgrade::SECOND, &listener)?;
     let (slots, budget, metrics) = (context.slots.clone(), context.budget.clone(), context.metrics.clone());
     let inference = InferencePools::new(&file, platform, &context.plugin, slots, budget, metrics)?;
--- a/gateway/src/daemon/listeners.rs
+++ b/gateway/src/daemon/listeners.rs
@@ -20,9 +20,9 @@
 
 /// Listens at an address, or goes on with the predecessor's listener if that one is there already.
 pub(super) async fn listen(
-    at: ListenAddress<'_>, inherited: Option<std::net::TcpListener>,
+    listen_address: ListenAddress<'_>, inherited: Option<std::net::TcpListener>,
 ) -> Result<TcpListener, DaemonError> {
-    let ListenAddress { address, key, front } = at;
+    let ListenAddress { address, key, front } = listen_address;
     let failed = |error: io::Error| DaemonError::Listen { key, address: address.to_string(), error };
     let listener = match inherited.filter(|listener| serves_address(listener, address)) {
         Some(listener) => TcpListener::from_std(listener).map_err(failed)?,
--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -58,8 +58,8 @@
     parts: &mut Parts,
 ) -> Result<PlatformPart, DaemonError> {
     let address = platform.listen.to_string();
-    let at = ListenAddress { address: &address, key: "listen", front: "platform" };
-    let listener = listen(at, inherited.listener).await?;
+    let listen_address = ListenAddress { address: &address, key: "listen", front: "platform" };
+    let listener = listen(listen_address, inherited.listener).await?;
     parts.listeners.add(upgrade::PLATFORM, &listener)?;
     let pool = pool(&platform, context);
     parts.pools.push(pool.clone());
@@ -171,8 +171,8 @@
     address: SocketAddr, pool: &Pool, maintenance: &Rc<Maintenance<Engine>>, context: &Context,
 ) -> Result<AdminPart, DaemonError> {
     let address = address.to_string();
-    let at = ListenAddress { address: &address, key: "ops", front: "operators'" };
-    let listener = listen(at, None).await?;
+    let listen_address = ListenAddress { address: &address, key: "ops", front: "operators'" };
+    let listener = listen(listen_address, None).await?;
     let (core, shutdown, accepting) =
         (pool.core.clone(), context.shutdown.clone(), context.accepting.clone());
     // Of the process, also while clients are asked to leave.
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -89,7 +89,7 @@
     /// The request goes on, with these notes for the server.
     Pass(Vec<(String, String)>),
     /// The request is rejected, for this reason.
-    Refuse(String),
+    Reject(String),
 }
 
 impl Plugin {
@@ -122,16 +122,16 @@
     }
 
     /// The script's verdict on a request. A script that fails, or returns what makes no sense, lets it pass.
-    pub fn ask(&self, about: Map) -> Verdict {
+    pub fn verdict(&self, about: Map) -> Verdict {
         let result = self.has_request_hook.then(|| self.call(REQUEST_HOOK, about)).flatten();
         let Some(result) = result else {
             return Verdict::Pass(vec![]);
         };
         if result.is_string() {
-            return Verdict::Refuse(result.into_string().unwrap_or_default());
+            return Verdict::Reject(result.into_string().unwrap_or_default());
         }
         if result.as_bool() == Ok(false) {
-            return Verdict::Refuse("no reason given".into());
+            return Verdict::Reject("no reason given".into());
         }
         let notes = result.try_cast::<Map>().unwrap_or_default().into_iter().take(MAX_NOTES);
         Verdict::Pass(notes.map(|(name, value)| (name.to_string(), value.to_string())).collect())
@@ -198,8 +198,8 @@
         let (plugin, inner) = (self.plugin.clone(), self.inner.clone());
         Box::pin(async move {
             let about = describe(&request);
-            match plugin.ask(about.clone()) {
-                Verdict::Refuse(reason) => {
+            match plugin.verdict(about.clone()) {
+                Verdict::Reject(reason) => {
                     log!("plugin: refused: {reason}");
                     return Ok(ClientSide::rejected(RETRY_AFTER));
                 }
--- a/gateway/src/plugin/tests.rs
+++ b/gateway/src/plugin/tests.rs
@@ -6,7 +6,7 @@
 
 fn verdict(script: &str) -> Verdict {
     let about = Map::from_iter([("prompt_tokens".into(), Dynamic::from(900.0))]);
-    Plugin::compile(script).expect("a script").ask(about)
+    Plugin::compile(script).expect("a script").verdict(about)
 }
 
 #[test]
@@ -14,7 +14,7 @@
     assert_eq!(verdict("fn on_request(r) { }"), Verdict::Pass(vec![]));
     assert_eq!(verdict("fn on_request(r) { true }"), Verdict::Pass(vec![]));
     let long = "fn on_request(r) { if r.prompt_tokens > 500.0 { \"too long\" } }";
-    assert_eq!(verdict(long), Verdict::Refuse("too long".into()));
+    assert_eq!(verdict(long), Verdict::Reject("too long".into()));
     let note = Verdict::Pass(vec![("tier".into(), "gold".into())]);
     assert_eq!(verdict("fn on_request(r) { #{ tier: \"gold\" } }"), note);
 }
