--- a/gateway/src/daemon/exit.rs
+++ b/gateway/src/daemon/exit.rs
@@ -18,7 +18,7 @@
 ///
 /// Where a successor serves, streams in flight go over to it `stream_handover_delay` after the beginning.
 pub async fn leave(shutdown: &Shutdown, pools: &[Pool], stream_handover_delay: Duration) {
-    log!("told to end");
+    log!("SIGTERM: draining");
     shutdown.enter(Phase::Draining);
     // With a successor, connections come to that one.
     if shutdown.has_successor() {
@@ -36,7 +36,7 @@
     for pool in pools {
         pool.engine.close_idle();
     }
-    log!("ended");
+    log!("shut down");
 }
 
 async fn hand_over_streams(shutdown: Shutdown, pools: Vec<Pool>, delay: Duration) {
--- a/gateway/src/daemon/inference.rs
+++ b/gateway/src/daemon/inference.rs
@@ -46,7 +46,7 @@
     spawn_local(server::serve(front_listener, front, max_connections, context.shutdown.clone()));
     parts.reloads.add(move || match config::front(&path) {
         Ok(file) => inference.reload(&file),
-        Err(e) => log!("{e}; the servers stay as they were"),
+        Err(e) => log!("{e}; the servers are unchanged"),
     });
     Ok(())
 }
--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -121,9 +121,9 @@
 /// Without a directory for them, orders are denied; all else works.
 fn maintenance(platform: &config::Platform, pool: &Pool) -> Maintenance<Engine> {
     let names = SettingsNames { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
-    let orders = platform
-        .ops
-        .and_then(|_| OrderStore::open(&platform.state).map_err(|e| log!("no place for orders: {e}")).ok());
+    let orders = platform.ops.and_then(|_| {
+        OrderStore::open(&platform.state).map_err(|e| log!("maintenance orders are off: {e}")).ok()
+    });
     Maintenance::new(names, pool.clock, pool.engine.clone(), pool.core.clone(), orders)
 }
 
@@ -162,7 +162,7 @@
             address.send_if_modified(|current| replace(current, new.discovery.clone()) != new.discovery);
         }
         Ok(None) => {}
-        Err(e) => log!("{e}; all stays as it was"),
+        Err(e) => log!("{e}; the configuration is unchanged"),
     }
 }
 
--- a/gateway/src/daemon/signals.rs
+++ b/gateway/src/daemon/signals.rs
@@ -30,7 +30,7 @@
     /// Reloads at each signal for as long as the process runs. While it ends, this changes nothing that matters.
     pub(super) async fn run(self, mut signal: Signal) {
         while signal.recv().await.is_some() {
-            log!("told to read the configuration anew");
+            log!("SIGHUP: reloading the configuration");
             for reload in &self.0 {
                 reload();
             }
--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -52,12 +52,12 @@
             Ok(endpoint) => endpoint,
             Err(error) => {
                 let line = line.get().split_whitespace().collect::<Vec<_>>().join(" ");
-                log!("discovery: a line is left out: {line:.200}: {error}");
+                log!("discovery: skipped a malformed endpoint: {line:.200}: {error}");
                 continue;
             }
         };
         if let Some(earlier) = endpoints.iter().position(|other| other.host == endpoint.host) {
-            log!("discovery: {} is listed twice, the later line holds", endpoint.host);
+            log!("discovery: {} is listed twice, the later entry is used", endpoint.host);
             endpoints.remove(earlier);
         }
         endpoints.push(endpoint);
@@ -195,7 +195,7 @@
     fn router_entry(&self, names: &SettingsNames, clock: &Clock) -> ServerEntry {
         let kind = settings_index(&self.kind, &names.kinds);
         if kind.is_none() {
-            log!("discovery: {} is of no known kind: {}", self.host, self.kind);
+            log!("discovery: {} has an unknown kind: {}", self.host, self.kind);
         }
         ServerEntry {
             server: glenrail_settings::server_id(&self.host),
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -119,7 +119,7 @@
         if address == self.address {
             return;
         }
-        log!("discovery: moved to {address}");
+        log!("discovery: address changed to {address}");
         self.address = address;
         self.connection = None;
         self.version = None;
@@ -145,7 +145,7 @@
         let PolledList { connection, list } = polled;
         self.connection = connection;
         if self.schedule.failures() > 0 {
-            log!("discovery: answers again, after {} calls that failed", self.schedule.failures());
+            log!("discovery: recovered after {} failed polls", self.schedule.failures());
         }
         self.schedule.poll_succeeded();
         let lines = list.endpoints.len();
@@ -167,7 +167,7 @@
         let failures = self.schedule.failures();
         // Polls that fail at once would fill the log.
         if failures.is_power_of_two() {
-            log!("discovery: {error}; {failures} calls failed; asked again in {} ms", backoff.as_millis());
+            log!("discovery: {error}; {failures} failed polls; next poll in {} ms", backoff.as_millis());
         }
         self.pause(backoff).await;
     }
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -131,7 +131,10 @@
             self.table.evict();
         }
         if self.table.len() >= self.cap + REFUSING.min(self.cap) {
-            log!("a connection is closed: {} have open requests, and no more can be refused", self.cap);
+            log!(
+                "connection closed: all {} connections have open requests, and no more can be rejected",
+                self.cap
+            );
             return;
         }
         let admission = if self.is_full() { Admission::OverCap } else { Admission::Admitted };
@@ -229,7 +232,7 @@
             _ = successor_updates.changed() => {}
             Some((socket, stream)) = next_transferred(&mut inbox) => match TcpStream::from_std(socket) {
                 Ok(socket) => acceptor.take(socket, stream),
-                Err(error) => log!("a connection could not be taken over: {error}"),
+                Err(error) => log!("a transferred connection could not be registered: {error}"),
             },
             accepted = listener.accept(), if accepting => match accepted {
                 Ok((socket, _)) => {
--- a/gateway/src/maintenance/mod.rs
+++ b/gateway/src/maintenance/mod.rs
@@ -133,7 +133,7 @@
         if let Some(orders) = &orders {
             match orders.servers() {
                 Ok(servers) => state.offline = servers,
-                Err(e) => log!("orders cannot be read: {e}"),
+                Err(e) => log!("maintenance orders cannot be read: {e}"),
             }
         }
         Maintenance { names, clock, engine, core, orders, state: RefCell::new(state) }
@@ -197,8 +197,8 @@
             state.listed.get(server).map(|endpoint| state.overlaid(endpoint))
         };
         let change = match order {
-            Order::Offline => "taken out by order",
-            Order::Online => "put back by order",
+            Order::Offline => "taken out of service by order",
+            Order::Online => "back in service by order",
         };
         log!("server {server} is {change}");
         self.pass_on(overlaid.into_iter().collect(), ListUpdate::Delta);
@@ -209,7 +209,7 @@
         let Some(orders) = &self.orders else { return };
         let stored = match orders.servers() {
             Ok(servers) => servers,
-            Err(e) => return log!("orders cannot be read: {e}; all stays as it was"),
+            Err(e) => return log!("maintenance orders cannot be read: {e}; they are unchanged"),
         };
         let applied = self.state.borrow().offline.clone();
         for server in applied.symmetric_difference(&stored) {
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -200,7 +200,7 @@
             let about = describe(&request);
             match plugin.verdict(about.clone()) {
                 Verdict::Reject(reason) => {
-                    log!("plugin: refused: {reason}");
+                    log!("plugin: rejected: {reason}");
                     return Ok(ClientSide::rejected(RETRY_AFTER));
                 }
                 Verdict::Pass(notes) => annotate(&mut request, &notes),
@@ -242,7 +242,7 @@
             (Ok(name), Ok(value)) => {
                 payload.headers.insert(name, value);
             }
-            _ => log!("plugin: a note that is no header is left out"),
+            _ => log!("plugin: skipped a note that is not a valid header"),
         }
     }
 }
--- a/gateway/src/upgrade/predecessor.rs
+++ b/gateway/src/upgrade/predecessor.rs
@@ -26,7 +26,7 @@
         let link = tokio::select! {
             request = request => match request {
                 Ok((stream, _)) => UpgradeLink::new(stream),
-                Err(e) => return log!("no upgrade is possible: {e}"),
+                Err(e) => return log!("upgrade: not possible: {e}"),
             },
             // Nobody accepts any more. Without these copies the system refuses new connections, and a process that is
             // started now can listen. Only after a successor that died are they kept, for the next successor: what is
@@ -36,7 +36,7 @@
         had_successor = true;
         let _reserved = limits.reserve_half();
         if let Err(e) = hand_over(&link, &listeners, &inboxes, &routing_state, &shutdown).await {
-            log!("a handing over ended: {e}");
+            log!("upgrade: the handover ended: {e}");
         }
     }
 }
@@ -53,7 +53,7 @@
     if link.receive().await?.is_none_or(|frame| frame.tag != SERVING) {
         return Err(io::Error::other("the other process ended before it served"));
     }
-    log!("another process has taken over");
+    log!("upgrade: a successor has taken over");
     link.send(ROUTING_STATE, &[]).await?;
     link.send_block(&(routing_state.export)()).await?;
     let (successor, mut connections) = mpsc::unbounded_channel();
@@ -64,7 +64,7 @@
     while let Ok(connection) = connections.try_recv() {
         return_to_front(inboxes, connection);
     }
-    log!("the process that had taken over is gone; this one accepts again");
+    log!("upgrade: the successor is gone; accepting again");
     Ok(())
 }
 
--- a/gateway/src/upgrade/successor.rs
+++ b/gateway/src/upgrade/successor.rs
@@ -34,17 +34,17 @@
 pub async fn request_handover(state: &Path) -> Option<HandoverState> {
     match timeout(HANDOVER_TIMEOUT, receive_listeners(state)).await {
         Ok(Ok(handover)) => {
-            log!("another process hands over to this one");
+            log!("upgrade: taking over from the predecessor");
             Some(handover)
         }
         // There was none, or the one that was has died.
         Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => None,
         Ok(Err(e)) => {
-            log!("no process hands over to this one: {e}");
+            log!("upgrade: no handover from a predecessor: {e}");
             None
         }
         Err(_) => {
-            log!("the process at this address does not hand over in time");
+            log!("upgrade: the predecessor did not hand over in time");
             None
         }
     }
@@ -80,7 +80,7 @@
     tokio::select! {
         ended = receive_connections(&link, &inboxes, &routing_state) => {
             let cause = ended.err().map_or(String::new(), |error| format!(": {error}"));
-            log!("the other process has ended{cause}");
+            log!("upgrade: the predecessor has ended{cause}");
         }
         () = shutdown.reached(Phase::Closing) => {}
     }
@@ -116,7 +116,7 @@
             let remainder = StreamRemainder { socket: server, read_ahead };
             inboxes.deliver(tag.wrapping_sub(STREAM), client, Some(TransferredStream { remainder, class }));
         }
-        _ => log!("the other process handed over too little: no descriptor may be left"),
+        _ => log!("upgrade: a transfer came without its sockets; descriptors may be exhausted"),
     }
     Ok(())
 }
--- a/gateway/tests/discovery_faults.rs
+++ b/gateway/tests/discovery_faults.rs
@@ -170,11 +170,11 @@
         let first = Deployed::start("outage", &known);
         let at = first.clients().await;
         let usual = engines.sent(at).await;
-        until(|| first.process.has_said("8 calls failed").is_some()).await;
+        until(|| first.process.has_said("8 failed polls").is_some()).await;
         let second = Deployed::start("outage-start", &known);
         let there = second.clients().await;
         assert!(ready(there, "/ready").await, "by the list known");
-        until(|| second.process.has_said("8 calls failed").is_some()).await;
+        until(|| second.process.has_said("8 failed polls").is_some()).await;
         let since = Instant::now();
         let _agent = Agent::on(listener, engines.list(6, Some(usual)));
         tokio::join!(taken(&first, 6), taken(&second, 6));
@@ -226,7 +226,7 @@
         until(|| agent.seen.borrow().len() == 6).await;
         let paths: Vec<String> = agent.seen.borrow().iter().map(|s| s.path.clone()).collect();
         assert!(paths[1..].iter().all(|path| path.contains("from=6")), "{paths:?}");
-        assert_eq!(gateway.process.has_said("calls failed"), None);
+        assert_eq!(gateway.process.has_said("failed polls"), None);
     });
 }
 
--- a/gateway/tests/graceful_shutdown.rs
+++ b/gateway/tests/graceful_shutdown.rs
@@ -76,7 +76,7 @@
                 program.terminate();
             }
             program.go_on();
-            until(|| program.logged("told to end")).await;
+            until(|| program.logged("SIGTERM: draining")).await;
             say(&half, rest);
             large.write_all(&body.as_bytes()[PART..]).await.expect("sent");
             program.terminate();
@@ -166,7 +166,7 @@
         say(&other, &[request("read"), request("read-too")].concat());
         drop(resting(&program, "between").await);
         program.terminate();
-        until(|| program.logged("told to end")).await;
+        until(|| program.logged("SIGTERM: draining")).await;
         let began = Instant::now();
         program.halt();
         say(&kept, &request("kept"));
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -80,7 +80,7 @@
         second.process.kill();
         config["known"] = Value::Null;
         let third = Deployed::start("ready-unknown", &config);
-        until(|| third.process.has_said("8 calls failed").is_some()).await;
+        until(|| third.process.has_said("8 failed polls").is_some()).await;
         assert_ne!(asked(at).await, Some(200), "there is nobody to send to");
         let _agent = Agent::on(socket.listen(64).expect("it listens"), engines.list(2, None));
         ready_within(at, READY).await;
