--- a/crates/request-lifecycle/src/request/planted_faults.rs
+++ b/crates/request-lifecycle/src/request/planted_faults.rs
@@ -46,7 +46,7 @@
     OverTooEarly,
     /// The deadline stays armed after the request was closed.
     LeavesTimer,
-    /// The client is told that its request was rejected although it may have run.
+    /// The client is notified of a rejection although its request may have run.
     RefusesWhatMayHaveRun,
     /// An attempt that was only written counts as delivered.
     CountsWrittenAsArrived,
--- a/crates/request-lifecycle/src/request/reservations.rs
+++ b/crates/request-lifecycle/src/request/reservations.rs
@@ -30,7 +30,7 @@
     ) -> Result<(), Unexpected> {
         let SlotRequest::InFlight(server) = self.slot_request else { return Err(Unexpected) };
         self.slot_request = SlotRequest::None;
-        // An unknown answer may mean a slot all the same, also beside a stream that has begun without it.
+        // An unknown answer may mean a reserved slot, even while a stream runs that has begun without it.
         let may_be_reserved = reserved != Some(false) && !self.has_fault(Fault::ForgetsPlace);
         if may_be_reserved {
             self.reserve(Reservation::Slot(server));
--- a/crates/request-lifecycle/src/watch/mod.rs
+++ b/crates/request-lifecycle/src/watch/mod.rs
@@ -174,7 +174,7 @@
         let backoff = mean.mul_f64(0.5 + self.next_unit());
         match why {
             PollFailure::Throttled(Some(retry_after)) => {
-                // Gateways that were told the same Retry-After must not poll in the same moment.
+                // Gateways that received the same Retry-After must not poll in the same moment.
                 let spread = retry_after.min(max_mean).mul_f64(1.0 + self.next_unit() / 2.0);
                 backoff.max(spread)
             }
--- a/model-checker/src/cases.rs
+++ b/model-checker/src/cases.rs
@@ -1,6 +1,6 @@
 //! The worlds that are explored.
 //!
-//! The names are printed beside the figures of each world, so that two runs can be compared.
+//! The names are printed with the figures of each world, so that two runs can be compared; they stay as they are.
 
 use glenrail_request_lifecycle::request::RetrySafety;
 
--- a/model-checker/src/request/servers.rs
+++ b/model-checker/src/request/servers.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A server dies with everything it held, and returns.
+    /// A server dies, loses all its state, and returns.
     pub(super) fn server_restarts(&mut self, server: u8) {
         let drain_announced = self.server(server).drain_announced;
         self.servers[usize::from(server)] = Server { restarted: true, drain_announced, ..Server::default() };
