--- a/crates/router/src/policy/affinity.rs
+++ b/crates/router/src/policy/affinity.rs
@@ -5,7 +5,7 @@
 //! no entry. Guards the prefix caches, which pay only if every router sends a prefix to the same few servers.
 
 use super::Router;
-use crate::api::{Action, Role, ServerId};
+use crate::api::{Action, Request, Role, ServerId};
 use crate::state::{AffinityKey, Placement, RequestState, ServerRecord, Stage};
 use crate::{fleet_load, rendezvous};
 
@@ -97,10 +97,10 @@
         };
         let weight = |server: &ServerRecord| match server.role {
             Role::Mixed => slow_start_weight(server) * mixed_weight,
-            Role::Prefill | Role::Decode => slow_start_weight(server) * 1.0,
+            Role::Prefill | Role::Decode => slow_start_weight(server),
         };
         let weighted = eligible.iter().map(|id| (*id, self.servers.get(id).map_or(1.0, weight))).collect();
-        let keys = (request.request.hash_key(), request.request.session);
-        rendezvous::ranked_servers(weighted, keys.0, keys.1, preferred_count)
+        let Request { session, .. } = request.request;
+        rendezvous::ranked_servers(weighted, request.request.hash_key(), session, preferred_count)
     }
 }
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -87,10 +87,10 @@
             false => self.servers.iter().map(progress_of).collect(),
         };
         let lost = LostAttempts { now: self.now, progress };
-        self.cancel_lost_attempts(
-            |server, request, attempt| lost.includes(server, request, attempt),
-            actions,
-        );
+        let is_lost = |server: &ServerRecord, request: &RequestState, attempt: &Attempt| {
+            lost.includes(server, request, attempt)
+        };
+        self.cancel_lost_attempts(is_lost, actions);
     }
 
     /// Servers with an attempt that has waited for too long without any progress there.
@@ -112,13 +112,9 @@
         let is_reporting = self.now < server.last_heard_at + REPORTING_WITHIN;
         let factor = if is_reporting { REPORTING_PATIENCE } else { 1.0 };
         let has_waited = |time: Millis| self.now > sent_at.max(server.last_progress_at) + time;
-        has_waited(factor * patience)
-            && has_waited(wait_estimate::max_busy_time(
-                server,
-                &self.statistics,
-                self.router_count(),
-                sent_at,
-            ))
+        let busy_time =
+            || wait_estimate::max_busy_time(server, &self.statistics, self.router_count(), sent_at);
+        has_waited(factor * patience) && has_waited(busy_time())
     }
 
     /// Cancels the last attempt of each request where it `is_lost` and a retry is harmless, instead of
