--- a/crates/router/src/api/settings.rs
+++ b/crates/router/src/api/settings.rs
@@ -1,4 +1,8 @@
 //! Settings of a deployment, constant for the life of a router.
+//!
+//! They hold all that the platform says of a deployment. The router's decisions make no use of the priority
+//! weights, the connect time-out, the graces, or what is permitted beyond probes, cancellation and retries;
+//! the gateway and the tests read those.
 
 use super::Millis;
 
@@ -118,7 +122,8 @@
 pub struct Rules {
     /// Time beyond a request's deadline by which its answer must be given at the latest.
     pub answer_grace: Millis,
-    /// Time for which a draining server still accepts requests that were already sent.
+    /// Time after the announcement of a drain in which a request that still reaches the draining server is
+    /// tolerated.
     pub drain_grace: Millis,
     /// Longest lease of a prefilled state: how long a prefill server may be made to hold it for its fetch.
     pub lease_limit: Millis,
@@ -166,7 +171,7 @@
     pub rules: Rules,
     /// How the list of servers reaches the router.
     pub discovery: Discovery,
-    /// Factor on the priority weight of a request beyond its tenant's quota.
+    /// Priority weight of a request beyond its tenant's quota.
     pub over_quota_priority_weight: f64,
     /// What the deployment charges for probes and transfers.
     pub prices: Prices,
