--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -1,4 +1,4 @@
-//! The only way to write a log line: [`log!`], rate-limited for each place in the code that calls it.
+//! The only way to write a log line: [`log!`](macro@crate::log), rate-limited for each place in the code that calls it.
 
 #![deny(missing_docs)]
 
