--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -1,15 +1,18 @@
 //! Replays every recorded trace of a request against the real core on paused time: the router's actions are the trace's,
 //! and scripted servers reply when the trace says. The calls, and what the router is told, must be the machine's.
 
+mod servers;
+mod trace;
+
 use std::path::{Path, PathBuf};
 
 use futures_util::stream;
 use glenrail_request_lifecycle::request::{Reply as MachineReply, StreamEnd, Timer};
-use serde::Deserialize;
 use tokio::task::yield_now;
 use tokio::time::sleep_until;
 
-use super::super::effects::router_status;
+use self::servers::{ReplayServers, StartedCall};
+use self::trace::{RecordedOutcome, Trace};
 use super::*;
 
 /// How long the client of a trace waits.
@@ -44,177 +47,6 @@
     }
 }
 
-#[derive(Debug, PartialEq)]
-struct RecordedOutcome {
-    attempt: u32,
-    status: AttemptStatus,
-    closed: bool,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum StartedCall {
-    Attempt,
-    Release,
-    SlotRequest,
-}
-
-/// Servers whose replies the replay sends.
-#[derive(Clone, Default)]
-struct ReplayServers(Rc<RefCell<PendingCalls>>);
-
-#[derive(Default)]
-struct PendingCalls {
-    /// Every call, in order.
-    started: Vec<StartedCall>,
-    attempts: Vec<oneshot::Sender<Result<Reply, CallError>>>,
-    release: Option<oneshot::Sender<()>>,
-    slot_request: Option<oneshot::Sender<Option<bool>>>,
-    /// Whether servers answer the check whether they can be reached.
-    is_reachable: bool,
-    in_flight: usize,
-    max_in_flight: usize,
-}
-
-struct AttemptInFlight(ReplayServers);
-
-impl AttemptInFlight {
-    fn new(servers: ReplayServers) -> Self {
-        {
-            let mut pending = servers.0.borrow_mut();
-            pending.in_flight += 1;
-            pending.max_in_flight = pending.max_in_flight.max(pending.in_flight);
-        }
-        AttemptInFlight(servers)
-    }
-}
-
-impl Drop for AttemptInFlight {
-    fn drop(&mut self) {
-        self.0 .0.borrow_mut().in_flight -= 1;
-    }
-}
-
-impl ReplayServers {
-    async fn answer(self, call: Call) -> Result<Reply, CallError> {
-        match call {
-            Call::Attempt { cancel_token, .. } => {
-                cancel_token.set_written(true);
-                self.attempt().await
-            }
-            Call::Release { .. } => {
-                let (reply, replied) = oneshot::channel();
-                self.0.borrow_mut().started.push(StartedCall::Release);
-                self.0.borrow_mut().release = Some(reply);
-                replied.await.map(|()| Reply::Done).map_err(|_| CallError::ConnectFailed)
-            }
-            Call::ReserveSlot { .. } => {
-                let (reply, replied) = oneshot::channel();
-                self.0.borrow_mut().started.push(StartedCall::SlotRequest);
-                self.0.borrow_mut().slot_request = Some(reply);
-                replied.await.map(Reply::SlotReserved).map_err(|_| CallError::Reset)
-            }
-            Call::VerifyReachable { .. } if self.0.borrow().is_reachable => Ok(Reply::Done),
-            Call::VerifyReachable { .. } => Err(CallError::ConnectFailed),
-            _ => Ok(Reply::Done),
-        }
-    }
-
-    async fn attempt(self) -> Result<Reply, CallError> {
-        let (reply, replied) = oneshot::channel();
-        self.0.borrow_mut().started.push(StartedCall::Attempt);
-        self.0.borrow_mut().attempts.push(reply);
-        let in_flight = AttemptInFlight::new(self);
-        let reply = replied.await.unwrap_or(Err(CallError::Reset))?;
-        Ok(match reply {
-            Reply::Response { head, frames } => {
-                let frames = frames.inspect(move |_| _ = &in_flight).boxed_local();
-                Reply::Response { head, frames }
-            }
-            reply => reply,
-        })
-    }
-}
-
-/// The first line of a trace.
-#[derive(Deserialize)]
-struct TraceHead {
-    world: String,
-    #[serde(default)]
-    readers: u64,
-    #[serde(default)]
-    writers: u64,
-    repeat: Option<RetrySafety>,
-    #[serde(default)]
-    cancel: bool,
-}
-
-/// Each later line.
-#[derive(Deserialize)]
-struct TraceLine {
-    #[serde(default)]
-    fed: Vec<(Input, Vec<Effect>)>,
-}
-
-/// A trace of one request: each input of its machine, and the effects that followed.
-struct Trace {
-    head: TraceHead,
-    steps: Vec<(Input, Vec<Effect>)>,
-}
-
-impl Trace {
-    /// The trace in this file; `None` if it is of something else than a request.
-    fn read(path: &Path) -> Option<Trace> {
-        let text = std::fs::read_to_string(path).expect("a trace");
-        let mut lines = text.lines();
-        let head: TraceHead = serde_json::from_str(lines.next().expect("a head")).expect("a head");
-        if head.world != "request" {
-            return None;
-        }
-        let parse = |line| serde_json::from_str::<TraceLine>(line).expect("a line");
-        Some(Trace { head, steps: lines.flat_map(|line| parse(line).fed).collect() })
-    }
-
-    fn effects(&self) -> impl Iterator<Item = Effect> + '_ {
-        self.steps.iter().flat_map(|(_, effects)| effects.iter().copied())
-    }
-
-    /// Attempts that time out.
-    fn timed_out(&self) -> Vec<usize> {
-        let timed_out = |input: &Input| match input {
-            Input::TimedOut { attempt } => Some(*attempt),
-            _ => None,
-        };
-        self.steps.iter().filter_map(|(input, _)| timed_out(input)).collect()
-    }
-
-    fn calls(&self) -> Vec<StartedCall> {
-        let call = |effect| match effect {
-            Effect::StartAttempt { .. } => Some(StartedCall::Attempt),
-            Effect::Release { .. } => Some(StartedCall::Release),
-            Effect::RequestSlot { .. } => Some(StartedCall::SlotRequest),
-            _ => None,
-        };
-        self.effects().filter_map(call).collect()
-    }
-
-    fn outcomes(&self) -> Vec<RecordedOutcome> {
-        let outcome = |effect| match effect {
-            Effect::NotifyOutcome { attempt, status, closed } => {
-                Some(RecordedOutcome { attempt: attempt as u32, status: router_status(status), closed })
-            }
-            _ => None,
-        };
-        self.effects().filter_map(outcome).collect()
-    }
-
-    fn final_response(&self) -> Option<FinalResponse> {
-        self.effects().find_map(|effect| match effect {
-            Effect::Respond(response) => Some(response),
-            _ => None,
-        })
-    }
-}
-
 /// A replay under way.
 struct Replay<U> {
     core: Core<U, RecordingPolicy>,
