--- /dev/null
+++ b/crates/fleet/src/fleet/cycle/tests.rs
@@ -0,0 +1,20 @@
+use rand::SeedableRng;
+
+use super::*;
+use crate::{Life, MemberId};
+
+#[test]
+fn each_is_met_once_a_round_and_one_that_goes_is_passed_over() {
+    let member =
+        |id| Member { id: MemberId(id), life: Life(1), returns: 0, address: ([10, 0, 0, 1], 1).into() };
+    let all: Vec<_> = (0..5).map(member).collect();
+    let (mut cycle, mut random) = (Cycle::default(), StdRng::seed_from_u64(1));
+    for _ in 0..10 {
+        let mut met: Vec<_> = (0..5).flat_map(|_| cycle.next(1, &all, &mut random)).collect();
+        met.sort_by_key(|member| member.id);
+        assert_eq!(met, all);
+    }
+    assert_eq!(cycle.next(9, &all, &mut random).len(), 5);
+    assert!((0..9).flat_map(|_| cycle.next(2, &all[1..], &mut random)).all(|met| met != all[0]));
+    assert_eq!(cycle.next(1, &[], &mut random), []);
+}
--- /dev/null
+++ b/crates/fleet/src/seal/window/tests.rs
@@ -0,0 +1,34 @@
+use std::collections::BTreeSet;
+
+use proptest::prelude::*;
+
+use super::*;
+
+proptest! {
+    /// Against a set that remembers everything: new once, within the width; behind it never.
+    #[test]
+    fn as_a_set_that_forgets_nothing(steps in prop::collection::vec((0u64..2_600, any::<bool>()), 1..400)) {
+        let (mut window, mut seen, mut newest) = (Window::default(), BTreeSet::new(), 0u64);
+        for (jump, back) in steps {
+            let counter = if back { newest.saturating_sub(jump) } else { newest + jump / 20 };
+            let expected = if counter == 0 || counter + WIDTH <= newest {
+                Seen::TooFarBehind
+            } else if seen.insert(counter) {
+                Seen::New
+            } else {
+                Seen::Before
+            };
+            newest = newest.max(counter);
+            prop_assert_eq!(window.accept(counter), expected);
+        }
+    }
+}
+
+#[test]
+fn the_largest_counter_ends_nothing() {
+    let mut window = Window::default();
+    assert_eq!(window.accept(u64::MAX), Seen::New);
+    assert_eq!(window.accept(u64::MAX), Seen::Before);
+    assert_eq!(window.accept(u64::MAX - WIDTH), Seen::TooFarBehind);
+    assert_eq!(window.accept(u64::MAX - WIDTH + 1), Seen::New);
+}
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -151,17 +151,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_defaults_hold_and_a_figure_out_of_bounds_is_named() {
-        assert_eq!(Settings::default().check(), Ok(()));
-        let wrong = Settings { probe_answer: 900, ..Settings::default() };
-        assert!(matches!(wrong.check(), Err(SettingsError::TooLarge { what: "probe_answer", .. })));
-        let wrong = Settings { hello: u64::MAX, ..Settings::default() };
-        assert!(matches!(wrong.check(), Err(SettingsError::TooLarge { what: "hello", .. })));
-        let wrong = Settings { origins: 0, ..Settings::default() };
-        assert!(matches!(wrong.check(), Err(SettingsError::TooSmall { what: "origins", .. })));
-    }
-}
+mod tests;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -86,44 +86,4 @@
 const DIGEST_MOST: usize = 8 + 10 + 5 + 10 + 1 + 8;
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{Life, Place};
-
-    #[test]
-    fn pages_fit_and_lose_nothing_that_could_fit() {
-        let cell = |index: u64, bytes: usize| {
-            let place = Place { origin: MemberId(index), kind: 300, key: vec![1; 9] };
-            Cell::new(place, Life(u64::MAX), u64::MAX, 5_000, Some(vec![0; bytes]))
-        };
-        let cells: Vec<_> = (0..200).map(|index| cell(index, index as usize * 7)).collect();
-        let (pages, left_out) = pages(cells, BODY_MOST);
-        assert!(pages.iter().all(|page| Body::Cells(page.clone()).bytes().len() <= BODY_MOST));
-        assert_eq!(pages.iter().map(Vec::len).sum::<usize>() + left_out, 200);
-        assert!(left_out > 0 && left_out < 60);
-    }
-
-    #[test]
-    fn the_longest_digests_fit() {
-        let digest = Digest {
-            origin: MemberId(u64::MAX),
-            life: Life(u64::MAX),
-            cells: u32::MAX,
-            newest: u64::MAX,
-            full: true,
-            hash: u64::MAX,
-        };
-        let digests = vec![digest; DIGESTS_A_PAGE];
-        let (from, to) = (MemberId(0), MemberId(u64::MAX));
-        assert!(Body::Digests { from, to, digests }.bytes().len() <= BODY_MOST);
-    }
-
-    #[test]
-    fn what_is_cut_or_has_a_tail_or_an_unknown_number_is_not_read() {
-        let bytes = Body::Swim(vec![1, 2, 3]).bytes();
-        assert_eq!(Body::read(&bytes), Some(Body::Swim(vec![1, 2, 3])));
-        assert_eq!(Body::read(&bytes[..3]), None);
-        assert_eq!(Body::read(&[&bytes[..], &[0]].concat()), None);
-        assert_eq!(Body::read(&[200, 1, 0]), None);
-    }
-}
+mod tests;
