--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -5,7 +5,7 @@
 //! the stream its own bound on time: an end that says nothing is cut off.
 
 use super::{Effect, Fleet};
-use crate::refused::Refused;
+use crate::rejection::Refused;
 use crate::seal::{Channel, OVERHEAD};
 use crate::table::{Cell, Digest};
 use crate::wire::{pages, Body, FRAME_MOST};
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::gossip::Fresh;
 use crate::membership::{Asked, MemberState, Membership, Unable};
-use crate::refused::{Counters, Refused};
+use crate::rejection::{Counters, Refused};
 use crate::seal::{Channel, Keyring, Sealer, Sender};
 use crate::settings::{Settings, SettingsError};
 use crate::table::{Bounds, Cell, Merged, Place, Table, TableError};
--- a/crates/fleet/src/seal/mod.rs
+++ b/crates/fleet/src/seal/mod.rs
@@ -5,13 +5,13 @@
 //! the key may speak for the whole fleet; the key tells members from others, not members from each other.
 
 mod key;
-mod peers;
+mod senders;
 mod window;
 
 pub use key::{FleetKey, KeyError, Keyring};
 pub use window::{Seen, Window};
 
-use peers::Peers;
+use senders::Peers;
 
 use crate::{Life, MemberId, Refused};
 
