--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -17,14 +17,14 @@
 
 const SECONDS: u64 = 60;
 /// As long on the wire as milliseconds since 1970.
-const LIFE: u64 = 1_796_000_000_000;
+const INCARNATION: u64 = 1_796_000_000_000;
 
 fn main() {
     println!(
         "members  mean B/s  worst B/s  with headers  datagrams/s  % of a core  held after p50 / p99  gone  met again"
     );
     for members in [3, 12, 50] {
-        let mut net = Net::of_life(LIFE, members, 1, Settings::default());
+        let mut net = Net::of_incarnation(INCARNATION, members, 1, Settings::default());
         net.loss = 0.01;
         net.until(60_000, Net::all_know_all).expect("all meet");
         for node in 0..members {
@@ -37,24 +37,24 @@
         let (before, counted, clock) = (sent(&net), datagrams(&net), Instant::now());
         let mut spread = Vec::new();
         for second in 0..SECONDS {
-            let asked = usize::try_from(second).unwrap_or(0) % members;
+            let watched = usize::try_from(second).unwrap_or(0) % members;
             let value = [second as u8; 64];
             for node in 0..members {
                 net.put(node, 7, b"level", &value);
             }
             let from = net.now;
-            let holds = |node: &&net::Node| {
-                node.fleet.table().get(id(asked), 7, b"level").is_some_and(|(_, held)| held == value)
+            let contains = |node: &&net::Node| {
+                node.fleet.table().get(id(watched), 7, b"level").is_some_and(|(_, found)| found == value)
             };
             // When each of the members had it.
-            let mut held = 0;
+            let mut holding_before = 0;
             while net.now < from + 1_000 {
                 net.run(20);
-                let holding = net.nodes.iter().filter(holds).count();
-                spread.extend(vec![net.now - from; holding.saturating_sub(held)]);
-                held = held.max(holding);
+                let holding = net.nodes.iter().filter(contains).count();
+                spread.extend(vec![net.now - from; holding.saturating_sub(holding_before)]);
+                holding_before = holding_before.max(holding);
             }
-            spread.extend(vec![1_000; members - held]);
+            spread.extend(vec![1_000; members - holding_before]);
         }
         let core = clock.elapsed().as_secs_f64() / SECONDS as f64 / members as f64 * 100.0;
         let rates: Vec<_> =
@@ -72,7 +72,9 @@
         net.kill(members - 1);
         net.until(60_000, |net| {
             net.nodes[..members - 1].iter().all(|node| {
-                node.fleet.members().any(|(it, state)| it.id == id(members - 1) && state == MemberState::Gone)
+                node.fleet
+                    .members()
+                    .any(|(it, state)| it.id == id(members - 1) && state == MemberState::Failed)
             })
         });
         println!(
--- a/crates/fleet/src/fleet/cycle.rs
+++ b/crates/fleet/src/fleet/cycle.rs
@@ -8,7 +8,7 @@
 
 #[derive(Default)]
 pub(super) struct Cycle {
-    ahead: Vec<Member>,
+    remaining: Vec<Member>,
 }
 
 impl Cycle {
@@ -17,15 +17,15 @@
         let mut picked: Vec<Member> = Vec::new();
         for _ in 0..2 {
             while picked.len() < most.min(active.len()) {
-                let Some(member) = self.ahead.pop() else { break };
+                let Some(member) = self.remaining.pop() else { break };
                 // Those that are gone since, or live another life, are passed over.
                 if active.contains(&member) && !picked.contains(&member) {
                     picked.push(member);
                 }
             }
-            if self.ahead.is_empty() {
-                self.ahead = active.to_vec();
-                self.ahead.shuffle(random);
+            if self.remaining.is_empty() {
+                self.remaining = active.to_vec();
+                self.remaining.shuffle(random);
             }
         }
         picked
--- a/crates/fleet/src/fleet/cycle/tests.rs
+++ b/crates/fleet/src/fleet/cycle/tests.rs
@@ -1,12 +1,16 @@
 use rand::SeedableRng;
 
 use super::*;
-use crate::{Life, MemberId};
+use crate::{Incarnation, MemberId};
 
 #[test]
 fn each_is_met_once_a_round_and_one_that_goes_is_passed_over() {
-    let member =
-        |id| Member { id: MemberId(id), life: Life(1), returns: 0, address: ([10, 0, 0, 1], 1).into() };
+    let member = |id| Member {
+        id: MemberId(id),
+        incarnation: Incarnation(1),
+        rejoins: 0,
+        address: ([10, 0, 0, 1], 1).into(),
+    };
     let all: Vec<_> = (0..5).map(member).collect();
     let (mut cycle, mut random) = (Cycle::default(), StdRng::seed_from_u64(1));
     for _ in 0..10 {
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -5,11 +5,11 @@
 //! the stream its own bound on time: an end that says nothing is cut off.
 
 use super::{Effect, Fleet};
-use crate::rejection::Refused;
-use crate::seal::{Channel, OVERHEAD};
+use crate::rejection::Rejection;
+use crate::seal::{Channel, SEAL_OVERHEAD_BYTES};
 use crate::table::{Cell, Digest};
-use crate::wire::{pages, Body, FRAME_MOST};
-use crate::{Life, MemberId};
+use crate::wire::{paginate, Body, MAX_FRAME_BYTES};
+use crate::{Incarnation, MemberId};
 
 /// Why an exchange ends before its time. What came before stays merged; the next one gets the rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -17,11 +17,11 @@
     #[error("member {with:?} is not active here")]
     NotAMember { with: MemberId },
     #[error("a frame of {bytes} bytes is over the bound of {most}")]
-    Long { bytes: usize, most: usize },
+    TooLong { bytes: usize, most: usize },
     #[error("{bytes} bytes in one exchange are over the bound of {most}")]
-    TooMuch { bytes: usize, most: usize },
+    TooManyBytes { bytes: usize, most: usize },
     #[error("a frame was refused: {0}")]
-    Refused(#[from] Refused),
+    Rejection(#[from] Rejection),
     #[error("the other side, {with:?}, sent a frame out of turn")]
     OutOfTurn { with: MemberId },
 }
@@ -33,10 +33,10 @@
             ExchangeError::NotAMember { .. } => {
                 "nothing, if it happens once: the member has gone; else look at it"
             }
-            ExchangeError::Long { .. } | ExchangeError::TooMuch { .. } => {
+            ExchangeError::TooLong { .. } | ExchangeError::TooManyBytes { .. } => {
                 "give all members the same bounds in [fleet]; if they have, something else speaks on the port"
             }
-            ExchangeError::Refused(refused) => refused.advice(),
+            ExchangeError::Rejection(rejection) => rejection.advice(),
             ExchangeError::OutOfTurn { .. } => "bring the fleet to one build; if it is, report it",
         }
     }
@@ -50,15 +50,15 @@
     AwaitDone {
         opener: bool,
     },
-    Over,
+    Finished,
 }
 
 /// One side of one stream.
 pub struct Exchange {
-    with: Option<(MemberId, Life)>,
+    with: Option<(MemberId, Incarnation)>,
     stage: Stage,
     buffer: Vec<u8>,
-    taken: usize,
+    received_bytes: usize,
 }
 
 /// What the driver does next with the stream.
@@ -66,21 +66,21 @@
 pub struct Step {
     pub write: Vec<u8>,
     /// After writing: close it.
-    pub over: bool,
+    pub is_finished: bool,
 }
 
 impl Exchange {
     /// For a stream that another member opened.
     pub fn accept() -> Exchange {
-        Exchange { with: None, stage: Stage::AwaitOpen, buffer: Vec::new(), taken: 0 }
+        Exchange { with: None, stage: Stage::AwaitOpen, buffer: Vec::new(), received_bytes: 0 }
     }
 
     /// One whole frame, if it is there.
     fn frame(&mut self) -> Result<Option<Vec<u8>>, ExchangeError> {
         let Some((length, rest)) = self.buffer.split_first_chunk::<4>() else { return Ok(None) };
         let bytes = u32::from_le_bytes(*length) as usize;
-        if bytes > FRAME_MOST {
-            return Err(ExchangeError::Long { bytes, most: FRAME_MOST });
+        if bytes > MAX_FRAME_BYTES {
+            return Err(ExchangeError::TooLong { bytes, most: MAX_FRAME_BYTES });
         }
         if rest.len() < bytes {
             return Ok(None);
@@ -94,76 +94,76 @@
 impl Fleet {
     /// The opener's side and the first bytes to write, after [`Effect::OpenExchange`].
     pub fn open_exchange(&mut self, with: MemberId) -> Result<(Exchange, Vec<u8>), ExchangeError> {
-        let active = self.membership.get(with).filter(|(_, state)| state.is_active() && !self.left);
+        let active = self.membership.get(with).filter(|(_, state)| state.is_active() && !self.has_left);
         let member = *active.ok_or(ExchangeError::NotAMember { with })?.0;
-        let to = (member.id, member.life);
+        let to = (member.id, member.incarnation);
         let mut write = Vec::new();
         let held = self.all_digests();
-        self.frame(to, &Body::Open(held), &mut write);
+        self.frame(to, &Body::ExchangeOpen(held), &mut write);
         let stage = Stage::AwaitDone { opener: true };
-        Ok((Exchange { with: Some(to), stage, buffer: Vec::new(), taken: 0 }, write))
+        Ok((Exchange { with: Some(to), stage, buffer: Vec::new(), received_bytes: 0 }, write))
     }
 
     /// Bytes that came over the stream. After an error it is to be closed.
     pub fn exchange(
-        &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], out: &mut Vec<Effect>,
+        &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<Step, ExchangeError> {
-        let most = self.settings.bytes_total * 2 + FRAME_MOST;
+        let most = self.settings.bytes_total * 2 + MAX_FRAME_BYTES;
         self.counters.bytes_in += bytes.len() as u64;
-        exchange.taken = exchange.taken.saturating_add(bytes.len());
-        if exchange.taken > most {
-            exchange.stage = Stage::Over;
-            return Err(ExchangeError::TooMuch { bytes: exchange.taken, most });
+        exchange.received_bytes = exchange.received_bytes.saturating_add(bytes.len());
+        if exchange.received_bytes > most {
+            exchange.stage = Stage::Finished;
+            return Err(ExchangeError::TooManyBytes { bytes: exchange.received_bytes, most });
         }
         exchange.buffer.extend_from_slice(bytes);
         let mut write = Vec::new();
-        while exchange.stage != Stage::Over {
+        while exchange.stage != Stage::Finished {
             let stepped = match exchange.frame() {
-                Ok(Some(frame)) => self.exchange_frame(now, exchange, &frame, &mut write, out),
+                Ok(Some(frame)) => self.exchange_frame(now, exchange, &frame, &mut write, effects),
                 Ok(None) => break,
                 Err(error) => Err(error),
             };
             if let Err(error) = stepped {
-                exchange.stage = Stage::Over;
-                if let ExchangeError::Refused(refused) = error {
-                    self.refuse(refused, out);
+                exchange.stage = Stage::Finished;
+                if let ExchangeError::Rejection(rejection) = error {
+                    self.reject(rejection, effects);
                 }
                 return Err(error);
             }
         }
-        Ok(Step { write, over: exchange.stage == Stage::Over })
+        Ok(Step { write, is_finished: exchange.stage == Stage::Finished })
     }
 
     fn exchange_frame(
         &mut self, now: u64, exchange: &mut Exchange, frame: &[u8], write: &mut Vec<u8>,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) -> Result<(), ExchangeError> {
-        if self.left {
-            return Err(Refused::Left.into());
+        if self.has_left {
+            return Err(Rejection::Left.into());
         }
         let (sender, body) = self.sealer.open(Channel::Frame, now, frame)?;
-        let from = (sender.id, sender.life);
+        let from = (sender.id, sender.incarnation);
         let out_of_turn = ExchangeError::OutOfTurn { with: sender.id };
         if !sender.addressed || exchange.with.is_some_and(|with| with != from) {
             return Err(out_of_turn);
         }
         exchange.with = Some(from);
         self.counters.by_second_key += u64::from(sender.by_second_key);
-        let body = Body::read(body).ok_or(Refused::Malformed { from: sender.id })?;
+        let body = Body::read(body).ok_or(Rejection::Malformed { from: sender.id })?;
         match (exchange.stage, body) {
-            (Stage::AwaitOpen, Body::Open(theirs)) => {
+            (Stage::AwaitOpen, Body::ExchangeOpen(theirs)) => {
                 self.frames_of_lacking(now, from, &theirs, write);
                 let held = self.all_digests();
-                self.frame(from, &Body::Done(held), write);
+                self.frame(from, &Body::ExchangeDone(held), write);
                 exchange.stage = Stage::AwaitDone { opener: false };
             }
-            (Stage::AwaitDone { .. }, Body::Cells(cells)) => self.take_cells(now, &cells, out),
-            (Stage::AwaitDone { opener: true }, Body::Done(theirs)) => {
+            (Stage::AwaitDone { .. }, Body::Cells(cells)) => self.merge_cells(now, &cells, effects),
+            (Stage::AwaitDone { opener: true }, Body::ExchangeDone(theirs)) => {
                 self.frames_of_lacking(now, from, &theirs, write);
-                self.frame(from, &Body::Done(Vec::new()), write);
-                exchange.stage = Stage::Over;
+                self.frame(from, &Body::ExchangeDone(Vec::new()), write);
+                exchange.stage = Stage::Finished;
             }
-            (Stage::AwaitDone { opener: false }, Body::Done(_)) => exchange.stage = Stage::Over,
+            (Stage::AwaitDone { opener: false }, Body::ExchangeDone(_)) => exchange.stage = Stage::Finished,
             _ => return Err(out_of_turn),
         }
         Ok(())
@@ -174,20 +174,22 @@
     }
 
     /// Frames with the cells that one who holds `theirs` lacks.
-    fn frames_of_lacking(&mut self, now: u64, to: (MemberId, Life), theirs: &[Digest], write: &mut Vec<u8>) {
-        let mut owed = self.owed(theirs);
+    fn frames_of_lacking(
+        &mut self, now: u64, to: (MemberId, Incarnation), theirs: &[Digest], write: &mut Vec<u8>,
+    ) {
+        let mut missing_at_peer = self.missing_at_peer(theirs);
         let unknown = |digest: &&Digest| theirs.iter().all(|known| known.origin != digest.origin);
-        owed.extend(self.all_digests().iter().filter(unknown).map(|digest| (digest.origin, 0)));
+        missing_at_peer.extend(self.all_digests().iter().filter(unknown).map(|digest| (digest.origin, 0)));
         let above = |(origin, above): &(MemberId, u64)| self.table.above(now, *origin, *above);
-        let cells: Vec<Cell> = owed.iter().flat_map(above).collect();
+        let cells: Vec<Cell> = missing_at_peer.iter().flat_map(above).collect();
         // What the settings let in fits into a frame.
-        let (pages, _) = pages(cells, FRAME_MOST - OVERHEAD);
+        let (pages, _) = paginate(cells, MAX_FRAME_BYTES - SEAL_OVERHEAD_BYTES);
         for page in pages {
             self.frame(to, &Body::Cells(page), write);
         }
     }
 
-    pub(super) fn frame(&mut self, to: (MemberId, Life), body: &Body, write: &mut Vec<u8>) {
+    pub(super) fn frame(&mut self, to: (MemberId, Incarnation), body: &Body, write: &mut Vec<u8>) {
         let sealed = self.sealer.seal(Channel::Frame, Some(to), &body.bytes());
         self.counters.bytes_out += sealed.len() as u64 + 4;
         write.extend((sealed.len() as u32).to_le_bytes());
--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -1,8 +1,8 @@
 //! What members that hold the key, but lie or err, can do to another.
 
 use super::*;
-use crate::seal::{FleetKey, OVERHEAD};
-use crate::wire::FRAME_MOST;
+use crate::seal::{FleetKey, SEAL_OVERHEAD_BYTES};
+use crate::wire::MAX_FRAME_BYTES;
 
 fn keys() -> Keyring {
     Keyring::new(FleetKey::derive(&[3; 32], "test").unwrap(), None)
@@ -16,35 +16,41 @@
 fn pair() -> (Fleet, Fleet) {
     let make = |name, port, seed| {
         let seeds = vec![address(1), address(2)];
-        Fleet::new(name, Life(5), address(port), seeds, keys(), Settings::default(), seed).unwrap()
+        Fleet::new(name, Incarnation(5), address(port), seeds, keys(), Settings::default(), seed).unwrap()
     };
     let (mut a, mut b) = (make("a", 1, 1), make("b", 2, 2));
-    let mut out = Vec::new();
-    a.start(0, &mut out);
+    let mut effects = Vec::new();
+    a.start(0, &mut effects);
     for _ in 0..8 {
         let mut next = Vec::new();
-        for effect in out {
+        for effect in effects {
             let Effect::Send { to, bytes } = effect else { continue };
             let fleet = if to == address(1) { &mut a } else { &mut b };
             fleet.datagram(0, address(9), &bytes, &mut next).unwrap();
         }
-        out = next;
+        effects = next;
     }
     assert!(a.size() == 2 && b.size() == 2);
     (a, b)
 }
 
 /// `from` says `body` to `to`.
-fn say(from: &mut Fleet, to: &mut Fleet, body: &Body) -> (Result<(), Refused>, Vec<Effect>) {
-    let mut out = Vec::new();
-    from.send(&to.me(), body, &mut out);
-    let Some(Effect::Send { bytes, .. }) = out.pop() else { panic!("nothing sent") };
-    let result = to.datagram(0, address(9), &bytes, &mut out);
-    (result, out)
+fn send(from: &mut Fleet, to: &mut Fleet, body: &Body) -> (Result<(), Rejection>, Vec<Effect>) {
+    let mut effects = Vec::new();
+    from.send(&to.me(), body, &mut effects);
+    let Some(Effect::Send { bytes, .. }) = effects.pop() else { panic!("nothing sent") };
+    let result = to.datagram(0, address(9), &bytes, &mut effects);
+    (result, effects)
 }
 
-fn cell(origin: MemberId, life: u64, version: u64) -> Cell {
-    Cell::new(Place { origin, kind: 7, key: b"k".to_vec() }, Life(life), version, 0, Some(b"lie".to_vec()))
+fn cell(origin: MemberId, incarnation: u64, version: u64) -> Cell {
+    Cell::new(
+        CellId { origin, kind: 7, key: b"k".to_vec() },
+        Incarnation(incarnation),
+        version,
+        0,
+        Some(b"lie".to_vec()),
+    )
 }
 
 #[test]
@@ -53,14 +59,14 @@
     b.put(0, 7, b"k", b"truth".to_vec()).unwrap();
     let lies =
         vec![cell(b.me().id, 5, 99), cell(b.me().id, 6, 1), cell(a.me().id, 4, 9), cell(a.me().id, 9, 9)];
-    let (result, out) = say(&mut a, &mut b, &Body::Cells(lies));
-    assert_eq!((result, out), (Ok(()), Vec::new()));
+    let (result, effects) = send(&mut a, &mut b, &Body::Cells(lies));
+    assert_eq!((result, effects), (Ok(()), Vec::new()));
     assert_eq!(b.table().get(b.me().id, 7, b"k"), Some((1, &b"truth"[..])));
     assert_eq!(b.table().len(), 1);
     // Of those that are no members, as of its own life, cells are carried.
     let good = vec![cell(MemberId(77), 1, 1), cell(a.me().id, 5, 1)];
-    let (_, out) = say(&mut a, &mut b, &Body::Cells(good));
-    assert_eq!((out.len(), b.table().len()), (2, 3));
+    let (_, effects) = send(&mut a, &mut b, &Body::Cells(good));
+    assert_eq!((effects.len(), b.table().len()), (2, 3));
 }
 
 #[test]
@@ -68,56 +74,58 @@
     let (mut a, mut b) = pair();
     let from = a.me().id;
     let other = Member { id: MemberId(77), ..a.me() };
-    assert_eq!(say(&mut a, &mut b, &Body::Hello(other)).0, Err(Refused::Borrowed { from }));
-    let malformed = Err(Refused::Malformed { from });
-    assert_eq!(say(&mut a, &mut b, &Body::Swim(vec![255; 9])).0, malformed);
-    assert_eq!(say(&mut a, &mut b, &Body::Open(Vec::new())).0, malformed);
+    assert_eq!(send(&mut a, &mut b, &Body::Hello(other)).0, Err(Rejection::Impersonated { from }));
+    let malformed = Err(Rejection::Malformed { from });
+    assert_eq!(send(&mut a, &mut b, &Body::Swim(vec![255; 9])).0, malformed);
+    assert_eq!(send(&mut a, &mut b, &Body::ExchangeOpen(Vec::new())).0, malformed);
     // Meant for whoever listens: a greeting alone.
-    let bytes = a.sealer.seal(Channel::Datagram, None, &Body::Whole.bytes());
+    let bytes = a.sealer.seal(Channel::Datagram, None, &Body::ExchangeNeeded.bytes());
     assert_eq!(b.datagram(0, address(1), &bytes, &mut Vec::new()), malformed);
-    let long = vec![0; DATAGRAM_MOST + 1];
-    assert!(matches!(b.datagram(0, address(1), &long, &mut Vec::new()), Err(Refused::Long { .. })));
-    let counted = &b.counters().refused;
-    assert_eq!((counted[Refused::Malformed { from }.reason()], counted.iter().sum()), (3, 5));
+    let long = vec![0; MAX_DATAGRAM_BYTES + 1];
+    assert!(matches!(b.datagram(0, address(1), &long, &mut Vec::new()), Err(Rejection::TooLong { .. })));
+    let counted = &b.counters().rejected;
+    assert_eq!((counted[Rejection::Malformed { from }.reason()], counted.iter().sum()), (3, 5));
 }
 
 #[test]
 fn exchanges_are_asked_for_one_at_a_time() {
     let (mut a, mut b) = pair();
-    let asked = |out: Vec<Effect>| matches!(out[..], [Effect::OpenExchange { to, .. }] if to == address(1));
-    assert!(asked(say(&mut a, &mut b, &Body::Whole).1));
-    assert!(say(&mut a, &mut b, &Body::Whole).1.is_empty());
+    let is_requested =
+        |effects: Vec<Effect>| matches!(effects[..], [Effect::OpenExchange { to, .. }] if to == address(1));
+    assert!(is_requested(send(&mut a, &mut b, &Body::ExchangeNeeded).1));
+    assert!(send(&mut a, &mut b, &Body::ExchangeNeeded).1.is_empty());
 }
 
 #[test]
 fn a_stream_that_says_too_much_or_out_of_turn_is_ended() {
     let (mut a, mut b) = pair();
-    let mut out = Vec::new();
+    let mut effects = Vec::new();
     let none = MemberId(1);
     assert!(matches!(a.open_exchange(none), Err(ExchangeError::NotAMember { with }) if with == none));
     let mut accepted = Exchange::accept();
-    let long = ((FRAME_MOST + 1) as u32).to_le_bytes();
-    let ended = b.exchange(0, &mut accepted, &long, &mut out);
-    assert_eq!(ended, Err(ExchangeError::Long { bytes: FRAME_MOST + 1, most: FRAME_MOST }));
+    let long = ((MAX_FRAME_BYTES + 1) as u32).to_le_bytes();
+    let ended = b.exchange(0, &mut accepted, &long, &mut effects);
+    assert_eq!(ended, Err(ExchangeError::TooLong { bytes: MAX_FRAME_BYTES + 1, most: MAX_FRAME_BYTES }));
     // The first frame must say what the opener holds.
     let mut write = Vec::new();
-    a.frame((b.me().id, Life(5)), &Body::Done(Vec::new()), &mut write);
-    let ended = b.exchange(0, &mut Exchange::accept(), &write, &mut out);
+    a.frame((b.me().id, Incarnation(5)), &Body::ExchangeDone(Vec::new()), &mut write);
+    let ended = b.exchange(0, &mut Exchange::accept(), &write, &mut effects);
     assert_eq!(ended, Err(ExchangeError::OutOfTurn { with: a.me().id }));
     // A recorded first frame, played again.
     let (_, first) = a.open_exchange(b.me().id).unwrap();
-    assert!(b.exchange(0, &mut Exchange::accept(), &first, &mut out).is_ok());
-    let ended = b.exchange(0, &mut Exchange::accept(), &first, &mut out);
-    assert!(matches!(ended, Err(ExchangeError::Refused(Refused::Replayed { .. }))));
-    assert_eq!(b.counters().refused[4], 1);
+    assert!(b.exchange(0, &mut Exchange::accept(), &first, &mut effects).is_ok());
+    let ended = b.exchange(0, &mut Exchange::accept(), &first, &mut effects);
+    assert!(matches!(ended, Err(ExchangeError::Rejection(Rejection::Replayed { .. }))));
+    assert_eq!(b.counters().rejected[4], 1);
     // Cut anywhere, nothing is done before a frame is whole.
     let (_, first) = a.open_exchange(b.me().id).unwrap();
     let mut accepted = Exchange::accept();
     for byte in &first[..first.len() - 1] {
-        assert!(b.exchange(0, &mut accepted, &[*byte], &mut out).unwrap().write.is_empty());
+        assert!(b.exchange(0, &mut accepted, &[*byte], &mut effects).unwrap().write.is_empty());
     }
     assert!(
-        b.exchange(0, &mut accepted, &first[first.len() - 1..], &mut out).unwrap().write.len() > OVERHEAD
+        b.exchange(0, &mut accepted, &first[first.len() - 1..], &mut effects).unwrap().write.len()
+            > SEAL_OVERHEAD_BYTES
     );
 }
 
@@ -127,13 +135,14 @@
     assert!(matches!(a.put(0, 0, b"", Vec::new()), Err(TableError::Reserved { kind: 0 })));
     assert!(matches!(a.put(0, 7, &[0; 200], Vec::new()), Err(TableError::Key { kind: 7, .. })));
     assert!(matches!(a.put(0, 7, b"k", vec![0; 30_000]), Err(TableError::Value { kind: 7, .. })));
-    let full = (0..).find_map(|key: u32| a.put(0, 7, &key.to_le_bytes(), vec![0; 9]).err());
-    assert_eq!(full, Some(TableError::Entries { kind: 7, entries: 256 }));
+    let rejected_put = (0..).find_map(|key: u32| a.put(0, 7, &key.to_le_bytes(), vec![0; 9]).err());
+    assert_eq!(rejected_put, Some(TableError::Entries { kind: 7, entries: 256 }));
     assert!(a.put(0, 7, &0u32.to_le_bytes(), vec![1; 9]).is_ok(), "what is there may change");
-    let mut out = Vec::new();
-    a.leave(0, &mut out);
-    assert_eq!(say(&mut b, &mut a, &Body::Whole).0, Err(Refused::Left));
-    let at = Settings { ..Settings::default() };
-    let nowhere = Fleet::new("a", Life(1), ([0, 0, 0, 0], 7).into(), Vec::new(), keys(), at, 1);
-    assert!(matches!(nowhere, Err(SettingsError::Address { .. })));
+    let mut effects = Vec::new();
+    a.leave(0, &mut effects);
+    assert_eq!(send(&mut b, &mut a, &Body::ExchangeNeeded).0, Err(Rejection::Left));
+    let settings = Settings { ..Settings::default() };
+    let unreachable =
+        Fleet::new("a", Incarnation(1), ([0, 0, 0, 0], 7).into(), Vec::new(), keys(), settings, 1);
+    assert!(matches!(unreachable, Err(SettingsError::Address { .. })));
 }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,61 +1,66 @@
-//! Fresh cells on their way: each told a number of times that grows with the logarithm of the fleet, the least told
-//! first. Hearing one again counts as having told it, so that telling ends sooner where all know already.
+//! The gossip queue: newly merged cells on their way to the other members. Each is sent a number of times that grows
+//! with the logarithm of the fleet's size, the least often sent first. Receiving a cell again counts as a
+//! transmission, so gossip ends sooner where most members have it. Owned by [`crate::Fleet`]; needs no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::table::Place;
+use crate::table::CellId;
 
-/// Cells by place: only the newest version of a cell is ever on its way, so that the table's bounds bound this too.
+/// Queued cells by their id: a newer version replaces an older one, so the table's bounds limit the queue too.
 #[derive(Default)]
-pub(crate) struct Fresh {
-    /// How often each was told or heard again.
-    told: BTreeMap<Place, u32>,
-    /// The same, the least told first.
-    order: BTreeSet<(u32, Place)>,
+pub(crate) struct GossipQueue {
+    /// How often each cell was sent, or received again.
+    transmissions: BTreeMap<CellId, u32>,
+    /// The same cells, those with the fewest transmissions first.
+    order: BTreeSet<(u32, CellId)>,
 }
 
-/// How often a cell is told in a fleet of `members`: the logarithm to base two, rounded up, and one.
-pub(crate) fn tellings(members: usize) -> u32 {
+/// Transmissions of a cell in a fleet of `members`: the bits of that number and one more.
+pub(crate) fn transmission_limit(members: usize) -> u32 {
     usize::BITS - members.leading_zeros() + 1
 }
 
-impl Fresh {
-    /// A newer version starts anew.
-    pub(crate) fn add(&mut self, place: Place) {
-        self.drop(&place);
-        self.order.insert((0, place.clone()));
-        self.told.insert(place, 0);
+impl GossipQueue {
+    /// Queues a new version of a cell, with no transmissions yet.
+    pub(crate) fn add(&mut self, id: CellId) {
+        self.remove(&id);
+        self.order.insert((0, id.clone()));
+        self.transmissions.insert(id, 0);
     }
 
-    /// It was told to someone, or came in again.
-    pub(crate) fn told(&mut self, place: &Place, members: usize) {
-        let Some(told) = self.told.get(place).map(|told| told + 1) else { return };
-        self.drop(place);
-        if told < tellings(members) {
-            self.order.insert((told, place.clone()));
-            self.told.insert(place.clone(), told);
+    /// Counts that the cell was sent, or received again; removes it at the limit for a fleet of `members`.
+    pub(crate) fn count_transmission(&mut self, id: &CellId, members: usize) {
+        let Some(transmissions) = self.transmissions.get(id).map(|transmissions| transmissions + 1) else {
+            return;
+        };
+        self.remove(id);
+        if transmissions < transmission_limit(members) {
+            self.order.insert((transmissions, id.clone()));
+            self.transmissions.insert(id.clone(), transmissions);
         }
     }
 
-    pub(crate) fn drop(&mut self, place: &Place) {
-        if let Some(told) = self.told.remove(place) {
-            self.order.remove(&(told, place.clone()));
+    /// Removes a cell, if it is queued.
+    pub(crate) fn remove(&mut self, id: &CellId) {
+        if let Some(transmissions) = self.transmissions.remove(id) {
+            self.order.remove(&(transmissions, id.clone()));
         }
     }
 
-    /// Drops those that `held` does not hold for.
-    pub(crate) fn retain(&mut self, held: impl Fn(&Place) -> bool) {
-        self.told.retain(|place, _| held(place));
-        self.order.retain(|(_, place)| held(place));
+    /// Removes the cells for which `is_present` is false.
+    pub(crate) fn retain(&mut self, is_present: impl Fn(&CellId) -> bool) {
+        self.transmissions.retain(|id, _| is_present(id));
+        self.order.retain(|(_, id)| is_present(id));
     }
 
-    /// The least told first.
-    pub(crate) fn in_order(&self) -> impl Iterator<Item = &Place> {
-        self.order.iter().map(|(_, place)| place)
+    /// Ids of the queued cells, those with the fewest transmissions first.
+    pub(crate) fn in_order(&self) -> impl Iterator<Item = &CellId> {
+        self.order.iter().map(|(_, id)| id)
     }
 
+    /// Whether no cell is queued.
     pub(crate) fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.transmissions.is_empty()
     }
 }
 
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -1,14 +1,15 @@
-//! Names, lives and addresses: who a member is on the wire.
+//! Identity of a member on the wire: its id, its incarnation and its address. Plain data without state or clock.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A gateway under its name: the first eight bytes of the name's BLAKE3 hash.
+/// Id of a member: the first eight bytes of the BLAKE3 hash of the gateway's name, little-endian.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(#[serde(with = "postcard::fixint::le")] pub u64);
 
 impl MemberId {
+    /// The id of the gateway with this name.
     pub fn of_name(name: &str) -> MemberId {
         let hash = blake3::hash(name.as_bytes());
         let mut first = [0; 8];
@@ -17,20 +18,22 @@
     }
 }
 
-/// One run of a gateway. Grows with each restart under the same name; whatever a later life says goes before
-/// whatever an earlier one said. Milliseconds since 1970 at the start serve, if the clock does not go back.
+/// Incarnation of a member: one run of the gateway under its name. Must grow with each restart; statements of a later
+/// incarnation override those of an earlier one. Milliseconds since 1970 at the start do, unless the clock goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
-/// A member as the others know it.
+/// A member as the others know it. Serialized in this order of fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
+    /// Derived from the gateway's name.
     pub id: MemberId,
-    pub life: Life,
-    /// How often this life came back after the others had given it up (it was stopped, or cut off). Not a new
-    /// life: what it told and holds stays good.
-    pub returns: u32,
-    /// Where it is reached: datagrams and, on the same port, streams.
+    /// The run of the gateway.
+    pub incarnation: Incarnation,
+    /// How often this incarnation rejoined after the others had declared it failed (the process was stopped, or the
+    /// network partitioned). Its cells stay valid, as it is the same incarnation.
+    pub rejoins: u32,
+    /// Address for datagrams and, on the same port, streams.
     pub address: SocketAddr,
 }
 
@@ -38,16 +41,16 @@
     type Addr = MemberId;
 
     fn renew(&self) -> Option<Member> {
-        Some(Member { returns: self.returns.checked_add(1)?, ..*self })
+        Some(Member { rejoins: self.rejoins.checked_add(1)?, ..*self })
     }
 
     fn addr(&self) -> MemberId {
         self.id
     }
 
-    /// A later life goes first, then a later return; the address only makes the order whole.
+    /// A later incarnation wins, then a later rejoin; the address only makes the order total.
     fn win_addr_conflict(&self, other: &Member) -> bool {
-        (self.life, self.returns, self.address) > (other.life, other.returns, other.address)
+        (self.incarnation, self.rejoins, self.address) > (other.incarnation, other.rejoins, other.address)
     }
 }
 
--- a/crates/fleet/src/identity/tests.rs
+++ b/crates/fleet/src/identity/tests.rs
@@ -5,8 +5,8 @@
 #[test]
 fn a_later_life_wins_over_any_return_of_an_earlier() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let old = Member { id: MemberId::of_name("a"), life: Life(1), returns: 9, address };
-    let new = Member { life: Life(2), returns: 0, ..old };
+    let old = Member { id: MemberId::of_name("a"), incarnation: Incarnation(1), rejoins: 9, address };
+    let new = Member { incarnation: Incarnation(2), rejoins: 0, ..old };
     assert!(new.win_addr_conflict(&old) && !old.win_addr_conflict(&new));
     assert!(old.renew().is_some_and(|renewed| renewed.win_addr_conflict(&old)));
 }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,9 +1,10 @@
-//! Who is a member, over `foca`'s SWIM: probes, suspicion, refutation, spread of what was found.
+//! Membership by SWIM, over the library `foca`: probes, suspicion, refutation and dissemination. Owned by
+//! [`crate::Fleet`]; timers carry their delays, and only how late one fires is passed in.
 //!
 //! Why a library: SWIM with suspicion and incarnations is well known and easy to get wrong in its corners (a
-//! refutation against a verdict, a return under the old identity); `foca` is without I/O and clock as this crate
-//! is, its identities may carry a life, and its randomness is an argument. What it does not tell (suspects, and
-//! leaving apart from failing) is read from its state after each step.
+//! refutation that races a verdict, a rejoin under the old identity). `foca` is sans-I/O as this crate is, its
+//! identities may carry an incarnation, and its randomness is an argument. What it does not report (suspects, and
+//! leaving as opposed to failing) is read from its state after each step.
 
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -13,37 +14,38 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
-use crate::wire::SWIM_MOST;
-use crate::{Life, Member, MemberId, Settings};
+use crate::wire::MAX_SWIM_PACKET_BYTES;
+use crate::{Incarnation, Member, MemberId, Settings};
 
-/// How the others stand.
+/// State of another member, as this one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
+    /// Answers probes.
     Alive,
-    /// A probe failed; still counted on until it is found gone.
+    /// A probe failed; treated as active until the suspicion times out.
     Suspect,
-    /// Did not answer, and did not say that it leaves.
-    Gone,
-    /// Said that it leaves.
+    /// Declared failed: the suspicion timed out without a refutation, and it had not announced its leave.
+    Failed,
+    /// Announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// Still spoken to and counted on.
+    /// Whether it is a member that messages are sent to.
     pub fn is_active(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// What a step of the library asks for.
+/// Packets and timers that one step of the library asks for.
 #[derive(Default)]
-pub(crate) struct Asked {
+pub(crate) struct MembershipOutput {
     pub(crate) sends: Vec<(Member, Vec<u8>)>,
     pub(crate) timers: Vec<(u64, Timer<Member>)>,
 }
 
-impl Runtime<Member> for Asked {
-    /// What changed is read from the state, which also knows suspects.
+impl Runtime<Member> for MembershipOutput {
+    /// Ignored: changes are read from the state, which also shows suspects.
     fn notify(&mut self, _: Notification<'_, Member>) {}
 
     fn send_to(&mut self, to: Member, data: &[u8]) {
@@ -55,18 +57,20 @@
     }
 }
 
-/// The library met what it cannot go on with. It is as it was, or mends itself with the next probe.
+/// The library rejected a step. Its state is unchanged, or is repaired by the next probe.
 #[derive(Debug)]
-pub(crate) struct Unable;
+pub(crate) struct MembershipError;
 
+/// The members known here, with the library's state behind them.
 pub(crate) struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
-    known: BTreeMap<MemberId, (Member, MemberState)>,
-    suspect: u64,
+    members: BTreeMap<MemberId, (Member, MemberState)>,
+    /// Milliseconds from suspicion to failure.
+    suspicion_timeout: u64,
 }
 
 fn config(settings: &Settings) -> Config {
-    let often = |frequency, members| {
+    let periodic = |frequency, members| {
         NonZeroUsize::new(members)
             .map(|num_members| PeriodicParams { frequency: Duration::from_millis(frequency), num_members })
     };
@@ -77,109 +81,129 @@
         max_transmissions: NonZeroU8::MIN.saturating_add(9),
         suspect_to_down_after: Duration::from_millis(settings.suspect),
         remove_down_after: Some(Duration::from_millis(settings.forget)),
-        max_packet_size: NonZeroUsize::MIN.saturating_add(SWIM_MOST - 1),
+        max_packet_size: NonZeroUsize::MIN.saturating_add(MAX_SWIM_PACKET_BYTES - 1),
         notify_down_members: true,
-        periodic_announce: often(30 * settings.probe, 1),
-        // Parts that were cut off from each other meet again by this.
-        periodic_announce_to_down_members: often(2 * settings.probe, 2),
-        periodic_gossip: often(settings.probe / 5, 3),
+        periodic_announce: periodic(30 * settings.probe, 1),
+        // Partitions find each other again by this.
+        periodic_announce_to_down_members: periodic(2 * settings.probe, 2),
+        periodic_gossip: periodic(settings.probe / 5, 3),
     }
 }
 
 impl Membership {
+    /// Membership of `me` alone; `seed` determines the choice of the members to probe.
     pub(crate) fn new(me: Member, settings: &Settings, seed: u64) -> Membership {
         let random = StdRng::seed_from_u64(seed);
         let foca = Foca::new(me, config(settings), random, PostcardCodec);
-        Membership { foca, known: BTreeMap::new(), suspect: settings.suspect }
+        Membership { foca, members: BTreeMap::new(), suspicion_timeout: settings.suspect }
     }
 
+    /// This member, as it announces itself now.
     pub(crate) fn me(&self) -> Member {
         *self.foca.identity()
     }
 
-    pub(crate) fn known(&self) -> impl Iterator<Item = (&Member, MemberState)> {
-        self.known.values().map(|(member, state)| (member, *state))
+    /// All other members that are not forgotten yet, in the order of their ids.
+    pub(crate) fn members(&self) -> impl Iterator<Item = (&Member, MemberState)> {
+        self.members.values().map(|(member, state)| (member, *state))
     }
 
+    /// One of them.
     pub(crate) fn get(&self, id: MemberId) -> Option<(&Member, MemberState)> {
-        self.known.get(&id).map(|(member, state)| (member, *state))
+        self.members.get(&id).map(|(member, state)| (member, *state))
     }
 
-    /// Those spoken to, without this one.
+    /// The other members that messages are sent to.
     pub(crate) fn active(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().filter(|(_, state)| state.is_active()).map(|(member, _)| member)
+        self.members.values().filter(|(_, state)| state.is_active()).map(|(member, _)| member)
     }
 
-    /// Whose packet it is, by its own word.
+    /// The sender that a packet names in its header.
     pub(crate) fn source(packet: &[u8]) -> Option<Member> {
         let header: Header<Member> = postcard::take_from_bytes(packet).ok()?.0;
         Some(header.src)
     }
 
-    pub(crate) fn packet(&mut self, packet: &[u8], asked: &mut Asked) -> Result<(), Unable> {
-        self.foca.handle_data(packet, asked).map_err(|_| Unable)
+    /// Handles a packet of the library from another member.
+    pub(crate) fn packet(
+        &mut self, packet: &[u8], output: &mut MembershipOutput,
+    ) -> Result<(), MembershipError> {
+        self.foca.handle_data(packet, output).map_err(|_| MembershipError)
     }
 
     /// Introduces this member to one whose identity is known.
-    pub(crate) fn announce(&mut self, to: Member, asked: &mut Asked) -> Result<(), Unable> {
-        self.foca.announce(to, asked).map_err(|_| Unable)
-    }
-
-    /// A timer that is `late` milliseconds late. After a long stop, verdicts that were due in it are put off:
-    /// those suspected had no chance to speak up here, and would be found gone by the sleep of the judge.
-    pub(crate) fn timer(&mut self, timer: Timer<Member>, late: u64, asked: &mut Asked) -> Result<(), Unable> {
-        if late >= self.suspect / 2 && matches!(timer, Timer::ChangeSuspectToDown { .. }) {
-            asked.timers.push((self.suspect, timer));
+    pub(crate) fn announce(
+        &mut self, to: Member, output: &mut MembershipOutput,
+    ) -> Result<(), MembershipError> {
+        self.foca.announce(to, output).map_err(|_| MembershipError)
+    }
+
+    /// Handles a timer that fires `late` milliseconds after its time. After a long stop of this process, a suspicion
+    /// that would have timed out meanwhile gets its whole time again: the suspect's refutation could not be received
+    /// here.
+    pub(crate) fn timer(
+        &mut self, timer: Timer<Member>, late: u64, output: &mut MembershipOutput,
+    ) -> Result<(), MembershipError> {
+        if late >= self.suspicion_timeout / 2 && matches!(timer, Timer::ChangeSuspectToDown { .. }) {
+            output.timers.push((self.suspicion_timeout, timer));
             return Ok(());
         }
-        self.foca.handle_timer(timer, asked).map_err(|_| Unable)
-    }
-
-    /// A member said that it leaves: it is told on as down in this life.
-    pub(crate) fn leaves(&mut self, id: MemberId, life: Life, asked: &mut Asked) -> Result<(), Unable> {
-        let member =
-            self.foca.iter_members().map(|held| *held.id()).find(|held| held.id == id && held.life == life);
+        self.foca.handle_timer(timer, output).map_err(|_| MembershipError)
+    }
+
+    /// Marks a member that announced its leave as down in this incarnation, and disseminates that.
+    pub(crate) fn mark_left(
+        &mut self, id: MemberId, incarnation: Incarnation, output: &mut MembershipOutput,
+    ) -> Result<(), MembershipError> {
+        let member = self
+            .foca
+            .iter_members()
+            .map(|entry| *entry.id())
+            .find(|entry| entry.id == id && entry.incarnation == incarnation);
         match member {
             Some(member) => self
                 .foca
-                .apply_many([foca::Member::down(member)].into_iter(), true, asked)
-                .map_err(|_| Unable),
+                .apply_many([foca::Member::down(member)].into_iter(), true, output)
+                .map_err(|_| MembershipError),
             None => Ok(()),
         }
     }
 
-    /// Tells the others that this member leaves. Nothing is done after it.
-    pub(crate) fn leave(&mut self, asked: &mut Asked) -> Result<(), Unable> {
-        self.foca.leave_cluster(asked).map_err(|_| Unable)
+    /// Announces to the others that this member leaves. Must be the last step.
+    pub(crate) fn leave(&mut self, output: &mut MembershipOutput) -> Result<(), MembershipError> {
+        self.foca.leave_cluster(output).map_err(|_| MembershipError)
     }
 
-    /// What changed since the last call, in the order of ids. `left` says whether a life of a member said that it
-    /// leaves. One that was never seen alive is not told of as gone.
-    pub(crate) fn changes(&mut self, left: impl Fn(MemberId, Life) -> bool) -> Vec<(Member, MemberState)> {
+    /// Members that changed since the last call, in the order of their ids. `announced_leave` tells whether an
+    /// incarnation announced that it leaves. A member that was never seen active is not reported as failed.
+    pub(crate) fn changes(
+        &mut self, announced_leave: impl Fn(MemberId, Incarnation) -> bool,
+    ) -> Vec<(Member, MemberState)> {
         let me = self.foca.identity().id;
         let mut now = BTreeMap::new();
-        for held in self.foca.iter_membership_state().filter(|held| held.id().id != me) {
-            let member = *held.id();
-            let state = match held.state() {
+        for entry in self.foca.iter_membership_state().filter(|entry| entry.id().id != me) {
+            let member = *entry.id();
+            let state = match entry.state() {
                 foca::State::Alive => MemberState::Alive,
                 foca::State::Suspect => MemberState::Suspect,
-                foca::State::Down if left(member.id, member.life) => MemberState::Left,
-                foca::State::Down => MemberState::Gone,
+                foca::State::Down if announced_leave(member.id, member.incarnation) => MemberState::Left,
+                foca::State::Down => MemberState::Failed,
             };
-            // The note that a member left ages out of the table before the member is forgotten.
-            let before = self.known.get(&member.id);
-            let stays = state == MemberState::Gone
-                && before
-                    .is_some_and(|(known, state)| known.life == member.life && *state == MemberState::Left);
-            let state = if stays { MemberState::Left } else { state };
-            if state.is_active() || before.is_some() {
+            // The cell that announces the leave expires before the member is forgotten.
+            let previous = self.members.get(&member.id);
+            let stays_left = state == MemberState::Failed
+                && previous.is_some_and(|(members, state)| {
+                    members.incarnation == member.incarnation && *state == MemberState::Left
+                });
+            let state = if stays_left { MemberState::Left } else { state };
+            if state.is_active() || previous.is_some() {
                 now.insert(member.id, (member, state));
             }
         }
         let changed =
-            now.iter().filter(|(id, entry)| self.known.get(id) != Some(entry)).map(|(_, entry)| *entry);
+            now.iter().filter(|(id, entry)| self.members.get(id) != Some(entry)).map(|(_, entry)| *entry);
         let changed = changed.collect();
-        self.known = now;
+        self.members = now;
         changed
     }
 }
--- a/crates/fleet/src/seal/key.rs
+++ b/crates/fleet/src/seal/key.rs
@@ -1,11 +1,12 @@
-//! The fleet's keys: one signs, at most two verify.
+//! Keys of the fleet: the first signs, at most two verify. No state but the keys, and no clock.
 
-use crate::seal::TAG;
+use crate::seal::TAG_BYTES;
 
+/// Domain separation of the key derivation: another text gives other keys.
 const CONTEXT: &str = "glenrail fleet 2026 seal of datagrams and frames";
 
-/// A key as it is used, derived from what the file says and the fleet's name: two fleets that share a file by
-/// mistake still do not hear each other.
+/// A key derived from the key file's material and the fleet's name: two fleets that share a file by mistake still
+/// reject each other's messages.
 #[derive(Clone)]
 pub struct FleetKey([u8; 32]);
 
@@ -15,24 +16,28 @@
     }
 }
 
-/// What is wrong with a key file's text. Never says any of it.
+/// What is wrong with a key file's text. Never shows any of the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
+    /// No line holds a key.
     #[error("the key file holds no key")]
     None,
+    /// More than two keys.
     #[error("the key file holds {found} keys, and at most two can be valid at a time")]
     TooMany { found: usize },
+    /// A line that is not a key, counted from 1.
     #[error("line {line} of the key file is not 64 hexadecimal digits")]
     NotAKey { line: usize },
+    /// Key material of less than 32 bytes.
     #[error("a key of {bytes} bytes is too short: 32 are needed")]
-    Short { bytes: usize },
+    TooShort { bytes: usize },
 }
 
 impl KeyError {
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            KeyError::None | KeyError::NotAKey { .. } | KeyError::Short { .. } => {
+            KeyError::None | KeyError::NotAKey { .. } | KeyError::TooShort { .. } => {
                 "write one line of 64 hexadecimal digits, as `openssl rand -hex 32` gives it"
             }
             KeyError::TooMany { .. } => {
@@ -43,25 +48,26 @@
 }
 
 impl FleetKey {
-    /// `material`: at least 32 bytes that nobody can guess.
+    /// Derives the key of `fleet` from at least 32 bytes of secret material.
     pub fn derive(material: &[u8], fleet: &str) -> Result<FleetKey, KeyError> {
         if material.len() < 32 {
-            return Err(KeyError::Short { bytes: material.len() });
+            return Err(KeyError::TooShort { bytes: material.len() });
         }
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
         hasher.update(&(fleet.len() as u64).to_le_bytes()).update(fleet.as_bytes()).update(material);
         Ok(FleetKey(*hasher.finalize().as_bytes()))
     }
 
-    pub(super) fn tag(&self, signed: &[u8]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::keyed_hash(&self.0, signed).as_bytes()[..TAG]);
+    /// The tag of a message.
+    pub(super) fn tag(&self, signed: &[u8]) -> [u8; TAG_BYTES] {
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&blake3::keyed_hash(&self.0, signed).as_bytes()[..TAG_BYTES]);
         tag
     }
 }
 
-/// The first key signs, both verify. A turn-over: add the new one second everywhere, then put it first
-/// everywhere, then take the old one out.
+/// The keys of a member: the first signs, both verify. To rotate keys, add the new one as the second at every member,
+/// then make it the first at every member, then remove the old one.
 #[derive(Clone, Debug)]
 pub struct Keyring {
     first: FleetKey,
@@ -69,11 +75,13 @@
 }
 
 impl Keyring {
+    /// `second` verifies, but never signs.
     pub fn new(first: FleetKey, second: Option<FleetKey>) -> Keyring {
         Keyring { first, second }
     }
 
-    /// A key file's text: one key of 64 hexadecimal digits a line, the one that signs first; `#` begins a comment.
+    /// Parses the text of a key file: one key of 64 hexadecimal digits on a line, the one that signs on the first; `#`
+    /// begins a comment.
     pub fn parse(text: &str, fleet: &str) -> Result<Keyring, KeyError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -92,12 +100,13 @@
         }
     }
 
-    pub(super) fn signing(&self) -> &FleetKey {
+    /// The key that signs.
+    pub(super) fn signing_key(&self) -> &FleetKey {
         &self.first
     }
 
-    /// Which key made the tag: 0 the first, 1 the second. Compared in constant time.
-    pub(super) fn which(&self, signed: &[u8], tag: &[u8; TAG]) -> Option<usize> {
+    /// Index of the key that made the tag: 0 the first, 1 the second. Compared in constant time.
+    pub(super) fn matching_key(&self, signed: &[u8], tag: &[u8; TAG_BYTES]) -> Option<usize> {
         [Some(&self.first), self.second.as_ref()]
             .into_iter()
             .flatten()
--- a/crates/fleet/src/seal/key/tests.rs
+++ b/crates/fleet/src/seal/key/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(Keyring::parse(&"+a".repeat(32), "f").unwrap_err(), KeyError::NotAKey { line: 1 });
     let three = format!("{line}\n{line}\n{line}\n");
     assert_eq!(Keyring::parse(&three, "f").unwrap_err(), KeyError::TooMany { found: 3 });
-    assert_eq!(FleetKey::derive(b"short", "f").unwrap_err(), KeyError::Short { bytes: 5 });
+    assert_eq!(FleetKey::derive(b"short", "f").unwrap_err(), KeyError::TooShort { bytes: 5 });
 }
 
 #[test]
--- a/crates/fleet/src/seal/mod.rs
+++ b/crates/fleet/src/seal/mod.rs
@@ -1,111 +1,124 @@
-//! Sealing: only holders of the fleet's key are heard, each message once, by the one it is meant for.
+//! Authentication of messages: only holders of the fleet's key are accepted, each message once, by its recipient.
 //!
-//! A message is `version, channel, from, from's life, counter, to, to's life, body, tag`. The tag is the first 16
-//! bytes of keyed BLAKE3 over all before it. It is not encrypted: the table holds nothing secret. Whoever holds
-//! the key may speak for the whole fleet; the key tells members from others, not members from each other.
+//! A sealed message is `version, channel, sender, its incarnation, counter, recipient, its incarnation, body, tag`,
+//! numbers little-endian. The tag is the first 16 bytes of keyed BLAKE3 over all before it. Nothing is encrypted:
+//! the table holds no secrets. Whoever holds the key may speak for the whole fleet; the key separates members from
+//! strangers, not members from each other.
+//!
+//! A [`Sealer`] owns this member's counters and the replay windows of the others; the caller passes the time in.
 
 mod key;
 mod senders;
 mod window;
 
 pub use key::{FleetKey, KeyError, Keyring};
-pub use window::{Seen, Window};
+pub use window::{CounterStatus, Window};
 
-use senders::Peers;
+use senders::SenderWindows;
 
-use crate::{Life, MemberId, Refused};
+use crate::{Incarnation, MemberId, Rejection};
 
-/// The format that this build speaks. Another is refused by name.
+/// Format version that this build speaks. Messages of any other are rejected.
 pub const FORMAT: u8 = 1;
-const HEADER: usize = 2 + 5 * 8;
-const TAG: usize = 16;
+/// Version, channel, and five numbers of eight bytes.
+const HEADER_BYTES: usize = 2 + 5 * 8;
+/// Bytes of the tag at a message's end.
+const TAG_BYTES: usize = 16;
 /// Bytes that sealing adds to a body.
-pub const OVERHEAD: usize = HEADER + TAG;
+pub const SEAL_OVERHEAD_BYTES: usize = HEADER_BYTES + TAG_BYTES;
 
-/// Datagrams and frames count apart: a stream that stalls must not fall out of the datagrams' window.
+/// How a message travels. Each channel has its own counters: a frame of a stream that stalls must not fall out of the
+/// window that datagrams advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
+    /// A datagram.
     Datagram,
+    /// A frame of an exchange, over a stream.
     Frame,
 }
 
-/// Who sealed a message that was accepted.
+/// Sender of a message that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sender {
+    /// Id of the sender.
     pub id: MemberId,
-    pub life: Life,
-    /// False: meant for whoever listens there, as the first greeting to a seed is.
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+    /// False if the message names no recipient, as a greeting to a seed's address does.
     pub addressed: bool,
+    /// Whether the second key verified it.
     pub by_second_key: bool,
 }
 
-/// This member's seal, and what it remembers of the others'.
+/// Seals this member's messages, and opens those of others.
 pub struct Sealer {
-    me: (MemberId, Life),
+    me: (MemberId, Incarnation),
     keys: Keyring,
     counters: [u64; 2],
-    peers: Peers,
+    senders: SenderWindows,
 }
 
 impl Sealer {
-    pub fn new(id: MemberId, life: Life, keys: Keyring, windows: usize) -> Sealer {
-        Sealer { me: (id, life), keys, counters: [0; 2], peers: Peers::new(windows) }
+    /// For the member `id` in this incarnation. Replay windows of at most `windows` senders are kept.
+    pub fn new(id: MemberId, incarnation: Incarnation, keys: Keyring, windows: usize) -> Sealer {
+        Sealer { me: (id, incarnation), keys, counters: [0; 2], senders: SenderWindows::new(windows) }
     }
 
-    /// From now on: the first of these signs, all verify.
-    pub fn turn_keys(&mut self, keys: Keyring) {
+    /// Replaces the keys: from now on the first of these signs, and all verify.
+    pub fn rotate_keys(&mut self, keys: Keyring) {
         self.keys = keys;
     }
 
-    /// `to` is `None` only where the receiver's name is not known yet.
-    pub fn seal(&mut self, channel: Channel, to: Option<(MemberId, Life)>, body: &[u8]) -> Vec<u8> {
+    /// Seals `body` for the recipient `to`; `None` only where its identity is not known yet.
+    pub fn seal(&mut self, channel: Channel, to: Option<(MemberId, Incarnation)>, body: &[u8]) -> Vec<u8> {
         let counter = &mut self.counters[channel as usize];
         *counter += 1;
-        let (to, to_life) = to.unwrap_or((MemberId(0), Life(0)));
-        let mut sealed = Vec::with_capacity(OVERHEAD + body.len());
+        let (to, to_life) = to.unwrap_or((MemberId(0), Incarnation(0)));
+        let mut sealed = Vec::with_capacity(SEAL_OVERHEAD_BYTES + body.len());
         sealed.extend([FORMAT, channel as u8]);
         for field in [self.me.0 .0, self.me.1 .0, *counter, to.0, to_life.0] {
             sealed.extend(field.to_le_bytes());
         }
         sealed.extend(body);
-        let tag = self.keys.signing().tag(&sealed);
+        let tag = self.keys.signing_key().tag(&sealed);
         sealed.extend(tag);
         sealed
     }
 
-    /// The sender and the body, or why not. Remembers what it accepted, nothing else.
+    /// The sender and the body of a message, or why it is rejected. Only an accepted message changes the windows. `now`
+    /// in milliseconds.
     pub fn open<'a>(
         &mut self, channel: Channel, now: u64, sealed: &'a [u8],
-    ) -> Result<(Sender, &'a [u8]), Refused> {
+    ) -> Result<(Sender, &'a [u8]), Rejection> {
         let Some((signed, tag)) =
-            sealed.split_last_chunk::<TAG>().filter(|(signed, _)| signed.len() >= HEADER)
+            sealed.split_last_chunk::<TAG_BYTES>().filter(|(signed, _)| signed.len() >= HEADER_BYTES)
         else {
-            return Err(Refused::Short { bytes: sealed.len() });
+            return Err(Rejection::TooShort { bytes: sealed.len() });
         };
-        let (header, body) = signed.split_at(HEADER);
+        let (header, body) = signed.split_at(HEADER_BYTES);
         if header[0] != FORMAT {
-            return Err(Refused::Version { found: header[0], ours: FORMAT });
+            return Err(Rejection::UnknownVersion { found: header[0], ours: FORMAT });
         }
-        let key = self.keys.which(signed, tag).ok_or(Refused::Forged)?;
+        let key = self.keys.matching_key(signed, tag).ok_or(Rejection::Forged)?;
         let field = |index: usize| {
             let mut bytes = [0; 8];
             bytes.copy_from_slice(&header[2 + index * 8..10 + index * 8]);
             u64::from_le_bytes(bytes)
         };
-        let (from, life, counter) = (MemberId(field(0)), Life(field(1)), field(2));
-        let to = (MemberId(field(3)), Life(field(4)));
+        let (from, incarnation, counter) = (MemberId(field(0)), Incarnation(field(1)), field(2));
+        let to = (MemberId(field(3)), Incarnation(field(4)));
         if header[1] != channel as u8 {
-            return Err(Refused::Malformed { from });
+            return Err(Rejection::Malformed { from });
         }
-        let addressed = to != (MemberId(0), Life(0));
+        let addressed = to != (MemberId(0), Incarnation(0));
         if addressed && to != self.me {
-            return Err(Refused::Foreign { to: to.0, life: to.1 });
+            return Err(Rejection::WrongRecipient { to: to.0, incarnation: to.1 });
         }
         if from == self.me.0 {
-            return Err(Refused::Ourselves { life });
+            return Err(Rejection::OwnName { incarnation });
         }
-        self.peers.accept(from, life, channel, counter, now)?;
-        Ok((Sender { id: from, life, addressed, by_second_key: key > 0 }, body))
+        self.senders.accept(from, incarnation, channel, counter, now)?;
+        Ok((Sender { id: from, incarnation, addressed, by_second_key: key > 0 }, body))
     }
 }
 
--- a/crates/fleet/src/seal/senders.rs
+++ b/crates/fleet/src/seal/senders.rs
@@ -1,49 +1,57 @@
-//! The newest life and the counters of each member that was ever heard, as many as the bound allows. Not dropped
-//! by age: a datagram recorded long ago must not be heard again because its sender has been quiet.
+//! Replay windows: the newest incarnation and the counters of each member ever heard, up to a bound. Not expired by
+//! age: a datagram recorded long ago must not be accepted because its sender has been silent since. Owned by the
+//! [`super::Sealer`]; times are the caller's milliseconds.
 
 use std::collections::BTreeMap;
 
-use super::{Channel, Seen, Window};
-use crate::{Life, MemberId, Refused};
+use super::{Channel, CounterStatus, Window};
+use crate::{Incarnation, MemberId, Rejection};
 
-struct Peer {
-    life: Life,
+/// What is remembered of one sender. `windows` are indexed by channel.
+struct SenderState {
+    incarnation: Incarnation,
     windows: [Window; 2],
-    heard: u64,
+    last_heard: u64,
 }
 
-pub(super) struct Peers {
-    most: usize,
-    by_id: BTreeMap<MemberId, Peer>,
+/// The windows of all senders.
+pub(super) struct SenderWindows {
+    max_senders: usize,
+    by_id: BTreeMap<MemberId, SenderState>,
 }
 
-impl Peers {
-    pub(super) fn new(most: usize) -> Peers {
-        Peers { most, by_id: BTreeMap::new() }
+impl SenderWindows {
+    /// Windows of at most `max_senders` senders.
+    pub(super) fn new(max_senders: usize) -> SenderWindows {
+        SenderWindows { max_senders, by_id: BTreeMap::new() }
     }
 
+    /// Accepts a counter that was not accepted before, of a sender's newest incarnation.
     pub(super) fn accept(
-        &mut self, from: MemberId, life: Life, channel: Channel, counter: u64, now: u64,
-    ) -> Result<(), Refused> {
-        if self.by_id.len() >= self.most && !self.by_id.contains_key(&from) {
-            // The one heard longest ago makes room.
-            if let Some(oldest) = self.by_id.iter().min_by_key(|(_, peer)| peer.heard).map(|(id, _)| *id) {
+        &mut self, from: MemberId, incarnation: Incarnation, channel: Channel, counter: u64, now: u64,
+    ) -> Result<(), Rejection> {
+        if self.by_id.len() >= self.max_senders && !self.by_id.contains_key(&from) {
+            // The sender that was heard longest ago is evicted.
+            if let Some(oldest) =
+                self.by_id.iter().min_by_key(|(_, sender)| sender.last_heard).map(|(id, _)| *id)
+            {
                 self.by_id.remove(&oldest);
             }
         }
-        let fresh = |life| Peer { life, windows: Default::default(), heard: now };
-        let peer = self.by_id.entry(from).or_insert_with(|| fresh(life));
-        if life < peer.life {
-            return Err(Refused::OldLife { from, life });
+        let new_sender =
+            |incarnation| SenderState { incarnation, windows: Default::default(), last_heard: now };
+        let sender = self.by_id.entry(from).or_insert_with(|| new_sender(incarnation));
+        if incarnation < sender.incarnation {
+            return Err(Rejection::OldIncarnation { from, incarnation });
         }
-        if life > peer.life {
-            *peer = fresh(life);
+        if incarnation > sender.incarnation {
+            *sender = new_sender(incarnation);
         }
-        peer.heard = now;
-        match peer.windows[channel as usize].accept(counter) {
-            Seen::New => Ok(()),
-            Seen::Before => Err(Refused::Replayed { from, counter }),
-            Seen::TooFarBehind => Err(Refused::Stale { from, counter }),
+        sender.last_heard = now;
+        match sender.windows[channel as usize].accept(counter) {
+            CounterStatus::New => Ok(()),
+            CounterStatus::Duplicate => Err(Rejection::Replayed { from, counter }),
+            CounterStatus::TooOld => Err(Rejection::Stale { from, counter }),
         }
     }
 }
--- a/crates/fleet/src/seal/window.rs
+++ b/crates/fleet/src/seal/window.rs
@@ -1,63 +1,75 @@
-//! A sliding window over a sender's counters: each is accepted once, however late within the window.
+//! A sliding replay window over a sender's counters: each is accepted once, however late within the window. Owned by
+//! the state of one sender; needs no clock.
 
-/// Counters behind the newest that are still told apart.
-pub const WIDTH: u64 = 1_024;
+/// Counters, from the newest downwards, that the window distinguishes.
+pub const WINDOW_WIDTH: u64 = 1_024;
 
-/// What a counter is to a window.
+/// What a window says of a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum CounterStatus {
+    /// Not seen before: accepted.
     New,
-    Before,
-    /// Too far behind to tell; treated as seen.
-    TooFarBehind,
+    /// Accepted before.
+    Duplicate,
+    /// Below the window, so unknown; treated as seen.
+    TooOld,
 }
 
-/// Ring of bits: the bit of a counter is at its remainder by the width.
+/// A ring of bits: the bit of a counter has the index `counter % WINDOW_WIDTH`.
 #[derive(Clone, Debug)]
 pub struct Window {
     newest: u64,
-    bits: [u64; (WIDTH / 64) as usize],
+    bits: [u64; (WINDOW_WIDTH / 64) as usize],
 }
 
 impl Default for Window {
     fn default() -> Window {
-        Window { newest: 0, bits: [0; (WIDTH / 64) as usize] }
+        Window { newest: 0, bits: [0; (WINDOW_WIDTH / 64) as usize] }
     }
 }
 
 impl Window {
-    /// Counters begin at 1; 0 was never sent.
-    pub fn accept(&mut self, counter: u64) -> Seen {
-        if counter == 0 || self.newest.saturating_sub(counter) >= WIDTH {
-            return Seen::TooFarBehind;
+    /// Accepts a counter once. Counters begin at 1; 0 is never sent.
+    pub fn accept(&mut self, counter: u64) -> CounterStatus {
+        if counter == 0 || self.newest.saturating_sub(counter) >= WINDOW_WIDTH {
+            return CounterStatus::TooOld;
         }
         if counter > self.newest {
             // Bits between the old newest and the new one belong to counters that were not seen yet.
-            if counter - self.newest >= WIDTH {
+            if counter - self.newest >= WINDOW_WIDTH {
                 self.bits = Default::default();
             } else {
-                (self.newest + 1..=counter).for_each(|passed| self.set(passed, false));
+                (self.newest + 1..=counter).for_each(|skipped| self.clear(skipped));
             }
             self.newest = counter;
         }
         if self.get(counter) {
-            return Seen::Before;
+            return CounterStatus::Duplicate;
         }
-        self.set(counter, true);
-        Seen::New
+        self.set(counter);
+        CounterStatus::New
     }
 
     fn get(&self, counter: u64) -> bool {
-        let place = counter % WIDTH;
-        self.bits[(place / 64) as usize] >> (place % 64) & 1 == 1
+        let (index, bit) = position(counter);
+        self.bits[index] & bit != 0
     }
 
-    fn set(&mut self, counter: u64, to: bool) {
-        let place = counter % WIDTH;
-        let bit = 1 << (place % 64);
-        let word = &mut self.bits[(place / 64) as usize];
-        *word = if to { *word | bit } else { *word & !bit };
+    fn set(&mut self, counter: u64) {
+        let (index, bit) = position(counter);
+        self.bits[index] |= bit;
     }
+
+    fn clear(&mut self, counter: u64) {
+        let (index, bit) = position(counter);
+        self.bits[index] &= !bit;
+    }
+}
+
+/// Index into the ring's words, and the counter's bit in that word.
+fn position(counter: u64) -> (usize, u64) {
+    let slot = counter % WINDOW_WIDTH;
+    ((slot / 64) as usize, 1 << (slot % 64))
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/seal/window/tests.rs
+++ b/crates/fleet/src/seal/window/tests.rs
@@ -11,12 +11,12 @@
         let (mut window, mut seen, mut newest) = (Window::default(), BTreeSet::new(), 0u64);
         for (jump, back) in steps {
             let counter = if back { newest.saturating_sub(jump) } else { newest + jump / 20 };
-            let expected = if counter == 0 || counter + WIDTH <= newest {
-                Seen::TooFarBehind
+            let expected = if counter == 0 || counter + WINDOW_WIDTH <= newest {
+                CounterStatus::TooOld
             } else if seen.insert(counter) {
-                Seen::New
+                CounterStatus::New
             } else {
-                Seen::Before
+                CounterStatus::Duplicate
             };
             newest = newest.max(counter);
             prop_assert_eq!(window.accept(counter), expected);
@@ -27,8 +27,8 @@
 #[test]
 fn the_largest_counter_ends_nothing() {
     let mut window = Window::default();
-    assert_eq!(window.accept(u64::MAX), Seen::New);
-    assert_eq!(window.accept(u64::MAX), Seen::Before);
-    assert_eq!(window.accept(u64::MAX - WIDTH), Seen::TooFarBehind);
-    assert_eq!(window.accept(u64::MAX - WIDTH + 1), Seen::New);
+    assert_eq!(window.accept(u64::MAX), CounterStatus::New);
+    assert_eq!(window.accept(u64::MAX), CounterStatus::Duplicate);
+    assert_eq!(window.accept(u64::MAX - WINDOW_WIDTH), CounterStatus::TooOld);
+    assert_eq!(window.accept(u64::MAX - WINDOW_WIDTH + 1), CounterStatus::New);
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,39 +1,49 @@
-//! Cadence and bounds, with the figures they start from.
+//! Cadence and bounds of a member, with their defaults. Checked once before a [`crate::Fleet`] starts, and constant
+//! from then on.
 
 use std::net::SocketAddr;
 
-/// Every figure has a bound at its other end: see "The ground" in `docs/one-fleet.md`. Times in milliseconds.
+use crate::table::CELL_OVERHEAD_BYTES;
+
+/// Cadence and bounds. Times in milliseconds. The names are the keys of `[fleet]` in the operators' file; "The ground" in
+/// `docs/one-fleet.md` says what each costs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// One member is probed in each such time.
+    /// Probe period: one member is probed in each.
     pub probe: u64,
-    /// How long a direct answer is waited for before others are asked to probe. Under half of `probe`.
+    /// Timeout of a direct probe, after which others are asked to probe. Less than half of `probe`.
     pub probe_answer: u64,
-    /// How long a suspect has to speak up before it is gone.
+    /// Suspicion timeout: how long a suspect may refute before it is declared failed.
     pub suspect: u64,
-    /// How long one that is gone or left is remembered.
+    /// How long a member that failed or left is remembered.
     pub forget: u64,
-    /// Time between two rounds of fresh entries.
+    /// Gossip period: the time between two rounds of new entries.
     pub round: u64,
-    /// Members told in a round, one datagram each.
+    /// Gossip fan-out: members that one round sends to, one datagram each.
     pub round_members: usize,
-    /// Time between two digests, sent to one member after another.
+    /// Anti-entropy period: the time between two digests, sent to one member after another.
     pub repair: u64,
-    /// Datagrams of entries in one answer; what needs more goes over a stream.
+    /// Datagrams of entries in one answer to a digest; what needs more goes over a stream.
     pub repair_datagrams: usize,
-    /// Time between two greetings to seeds, so that parts that lost each other meet again.
+    /// Time between two greetings to seeds, by which partitions find each other again.
     pub hello: u64,
-    /// Age at which a value is dropped unless its origin tells it anew, which it does at a third of it.
+    /// Age at which a value expires unless its origin renews it, which it does at a third of this age.
     pub entry_age: u64,
+    /// Longest key of an entry.
     pub key_bytes: usize,
+    /// Longest value of an entry.
     pub value_bytes: usize,
+    /// Entries held of one origin.
     pub entries_per_origin: usize,
+    /// Bytes held of one origin.
     pub bytes_per_origin: usize,
+    /// Origins of which entries are held.
     pub origins: usize,
+    /// Bytes held of all origins together.
     pub bytes_total: usize,
-    /// Least time between two exchanges that this member asks for.
+    /// Least time between two exchanges that this member requests.
     pub exchange_apart: u64,
-    /// Members whose life and counters are remembered against replays.
+    /// Senders whose incarnation and replay windows are remembered.
     pub windows: usize,
 }
 
@@ -62,13 +72,16 @@
     }
 }
 
-/// A figure that can't be worked with.
+/// A setting that a member cannot start with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
+    /// Below the least value that works.
     #[error("{what} is {found}, and must be at least {least}")]
     TooSmall { what: &'static str, found: u64, least: u64 },
+    /// Above the greatest value that works.
     #[error("{what} is {found}, and must be at most {most}")]
     TooLarge { what: &'static str, found: u64, most: u64 },
+    /// An advertised address that names no host or no port.
     #[error("{address} cannot be reached by others")]
     Address { address: SocketAddr },
 }
@@ -90,13 +103,32 @@
     }
 }
 
-/// No time is longer: sums of times do not overflow, and nobody means it.
-const DAY: u64 = 24 * 3_600 * 1_000;
+/// A setting's name, its value and its bound.
+type Bound = (&'static str, u64, u64);
+
+/// Longest time that a setting may name, in milliseconds: sums of such times cannot overflow.
+const MAX_TIME: u64 = 24 * 3_600 * 1_000;
 
 impl Settings {
-    /// Checked once at the start, so that nothing later has to look at figures.
+    /// The first setting that is out of its bounds, if any. Nothing after this check has to doubt a setting.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let least = [
+        for (what, found, least) in self.lower_bounds() {
+            if found < least {
+                return Err(SettingsError::TooSmall { what, found, least });
+            }
+        }
+        let time_bounds = self.times().map(|(what, found)| (what, found, MAX_TIME));
+        for (what, found, most) in self.upper_bounds().into_iter().chain(time_bounds) {
+            if found > most {
+                return Err(SettingsError::TooLarge { what, found, most });
+            }
+        }
+        Ok(())
+    }
+
+    fn lower_bounds(&self) -> [Bound; 17] {
+        let largest_entry = (self.value_bytes + self.key_bytes + CELL_OVERHEAD_BYTES) as u64;
+        [
             ("probe", self.probe, 10),
             ("probe_answer", self.probe_answer, 1),
             ("suspect", self.suspect, self.probe),
@@ -110,28 +142,25 @@
             ("key_bytes", self.key_bytes as u64, 1),
             ("value_bytes", self.value_bytes as u64, 1),
             ("entries_per_origin", self.entries_per_origin as u64, 1),
-            (
-                "bytes_per_origin",
-                self.bytes_per_origin as u64,
-                (self.value_bytes + self.key_bytes + 64) as u64,
-            ),
+            ("bytes_per_origin", self.bytes_per_origin as u64, largest_entry),
             ("origins", self.origins as u64, 1),
             ("bytes_total", self.bytes_total as u64, self.bytes_per_origin as u64),
             ("windows", self.windows as u64, self.origins as u64),
-        ];
-        for (what, found, least) in least {
-            if found < least {
-                return Err(SettingsError::TooSmall { what, found, least });
-            }
-        }
-        let most = [
+        ]
+    }
+
+    fn upper_bounds(&self) -> [Bound; 5] {
+        [
             ("probe_answer", self.probe_answer, self.probe.saturating_sub(1) / 2),
             ("key_bytes", self.key_bytes as u64, 256),
             ("value_bytes", self.value_bytes as u64, 24 * 1024),
             ("origins", self.origins as u64, 512),
             ("entries_per_origin", self.entries_per_origin as u64, 65_535),
-        ];
-        let times = [
+        ]
+    }
+
+    fn times(&self) -> [(&'static str, u64); 8] {
+        [
             ("probe", self.probe),
             ("suspect", self.suspect),
             ("forget", self.forget),
@@ -140,13 +169,7 @@
             ("hello", self.hello),
             ("entry_age", self.entry_age),
             ("exchange_apart", self.exchange_apart),
-        ];
-        for (what, found, most) in most.into_iter().chain(times.map(|(what, found)| (what, found, DAY))) {
-            if found > most {
-                return Err(SettingsError::TooLarge { what, found, most });
-            }
-        }
-        Ok(())
+        ]
     }
 }
 
--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -1,33 +1,45 @@
-//! What the table may hold.
+//! Bounds of the table, and why a cell of this member's own does not fit. Constant after the start.
 
 use super::Cell;
 use crate::Settings;
 
-/// Times in milliseconds.
+/// Bounds of the table, from the [`Settings`]. Times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
+    /// Age at which a value expires; a tombstone lives twice as long.
     pub age: u64,
+    /// Longest key.
     pub key_bytes: usize,
+    /// Longest value.
     pub value_bytes: usize,
+    /// Cells of one origin.
     pub entries_per_origin: usize,
+    /// Weight of the cells of one origin.
     pub bytes_per_origin: usize,
+    /// Origins with cells.
     pub origins: usize,
+    /// Weight of all cells.
     pub bytes_total: usize,
 }
 
-/// Why this member cannot put a cell. Nothing was changed.
+/// Why this member cannot write a cell. The table is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
+    /// The key is too long.
     #[error("a key of {bytes} bytes, kind {kind}, is over the bound of {most}")]
     Key { kind: u16, bytes: usize, most: usize },
+    /// The value is too long.
     #[error("a value of {bytes} bytes, kind {kind}, is over the bound of {most}")]
     Value { kind: u16, bytes: usize, most: usize },
+    /// This member has too many cells already.
     #[error("{entries} cells are held for this member already, as many as the bound allows; kind {kind} found no room")]
     Entries { kind: u16, entries: usize },
+    /// The cells of this member would weigh too much.
     #[error(
         "{bytes} bytes would be held for this member, over the bound of {most}; kind {kind} found no room"
     )]
     Bytes { kind: u16, bytes: usize, most: usize },
+    /// The kind is reserved for this crate.
     #[error("kind {kind} is kept for the fleet's own notes")]
     Reserved { kind: u16 },
 }
@@ -48,6 +60,7 @@
 }
 
 impl Bounds {
+    /// The part of the settings that bounds the table.
     pub(crate) fn of(settings: &Settings) -> Bounds {
         Bounds {
             age: settings.entry_age,
@@ -60,19 +73,19 @@
         }
     }
 
-    /// What was taken back is remembered twice as long as a value, so that a value late on its way finds it.
-    pub(super) fn age_of(&self, taken_back: bool) -> u64 {
-        if taken_back {
-            self.age * 2
-        } else {
-            self.age
+    /// Age at which a cell expires. A tombstone (no value) lives twice as long as a value, so that a delayed older
+    /// value still meets it.
+    pub(super) fn max_age(&self, value: Option<&[u8]>) -> u64 {
+        match value {
+            Some(_) => self.age,
+            None => self.age * 2,
         }
     }
 
-    /// `entries` and `bytes`: what the origin holds beside.
-    pub(super) fn room_for(&self, cell: &Cell, entries: usize, bytes: usize) -> Result<(), TableError> {
-        let kind = cell.place.kind;
-        let (key, value) = (cell.place.key.len(), cell.value.as_ref().map_or(0, Vec::len));
+    /// Whether the cell fits next to `entries` other cells of its origin, which weigh `bytes`.
+    pub(super) fn check_room(&self, cell: &Cell, entries: usize, bytes: usize) -> Result<(), TableError> {
+        let kind = cell.id.kind;
+        let (key, value) = (cell.id.key.len(), cell.value.as_ref().map_or(0, Vec::len));
         if key > self.key_bytes {
             return Err(TableError::Key { kind, bytes: key, most: self.key_bytes });
         }
@@ -89,7 +102,8 @@
         Ok(())
     }
 
-    pub(super) fn holds_one(&self, cell: &Cell) -> bool {
-        cell.place.key.len() <= self.key_bytes && cell.value.as_ref().map_or(0, Vec::len) <= self.value_bytes
+    /// Whether key and value of the cell are short enough.
+    pub(super) fn admits(&self, cell: &Cell) -> bool {
+        cell.id.key.len() <= self.key_bytes && cell.value.as_ref().map_or(0, Vec::len) <= self.value_bytes
     }
 }
--- a/crates/fleet/src/table/cell.rs
+++ b/crates/fleet/src/table/cell.rs
@@ -1,54 +1,65 @@
-//! One cell of the table as it travels.
+//! A cell of the table, as members send it to each other. Plain data; its age travels with it, so that no clocks are
+//! compared.
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Life, MemberId};
+use crate::{Incarnation, MemberId};
 
-/// Ages travel in tenths of a second, rounded up: rounding makes older, never younger.
+/// Milliseconds in a unit of a cell's age. Rounded up: a cell may look older than it is, never younger.
 const AGE_UNIT: u64 = 100;
+/// What a cell counts for beside its key and its value, in bytes.
+pub(crate) const CELL_OVERHEAD_BYTES: usize = 64;
 
-/// Where a cell is. A kind belongs to the part that puts it; one that this build does not know is carried on.
+/// Id of a cell. Serialized in this order of fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct CellId {
+    /// The member that writes the cell.
     pub origin: MemberId,
+    /// Kind of the cell, owned by the part of the program that writes it. Cells of an unknown kind are replicated too.
     pub kind: u16,
+    /// Key within the kind.
     pub key: Vec<u8>,
 }
 
-/// A cell: what `origin` says in its life `life`, for the `version`th time that it said anything.
+/// A cell: the `version`th write of its origin in this incarnation. Serialized in this order of fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
-    pub place: Place,
-    pub life: Life,
+    /// Which cell.
+    pub id: CellId,
+    /// Incarnation of the origin that wrote it.
+    pub incarnation: Incarnation,
+    /// Counts the writes of the origin in this incarnation, over all its cells.
     pub version: u64,
-    /// Since its origin told it, in units of 100 ms, without the time on the way.
+    /// Time since the origin wrote it, in [`AGE_UNIT`]s, without the time in transit.
     age: u32,
-    /// `None`: taken back.
+    /// The value; `None` is a tombstone: the origin deleted the cell.
     pub value: Option<Vec<u8>>,
 }
 
 impl Cell {
-    /// `age` in milliseconds.
-    pub fn new(place: Place, life: Life, version: u64, age: u64, value: Option<Vec<u8>>) -> Cell {
+    /// A cell of this age in milliseconds.
+    pub fn new(id: CellId, incarnation: Incarnation, version: u64, age: u64, value: Option<Vec<u8>>) -> Cell {
         let age = u32::try_from(age.div_ceil(AGE_UNIT)).unwrap_or(u32::MAX);
-        Cell { place, life, version, age, value }
+        Cell { id, incarnation, version, age, value }
     }
 
-    /// Milliseconds.
+    /// Age in milliseconds.
     pub fn age(&self) -> u64 {
         u64::from(self.age) * AGE_UNIT
     }
 
+    /// Whether it is `age` milliseconds old or older.
     pub(crate) fn age_at_least(&self, age: u64) -> bool {
         self.age() >= age
     }
 
-    /// What it weighs under the bounds: its text and what holding it costs.
+    /// What the cell counts for under the bounds: the bytes of key and value, and a constant for the rest.
     pub fn weight(&self) -> usize {
-        weight(&self.place.key, self.value.as_deref())
+        weight(&self.id.key, self.value.as_deref())
     }
 }
 
+/// See [`Cell::weight`].
 pub(super) fn weight(key: &[u8], value: Option<&[u8]>) -> usize {
-    64 + key.len() + value.map_or(0, <[u8]>::len)
+    CELL_OVERHEAD_BYTES + key.len() + value.map_or(0, <[u8]>::len)
 }
--- a/crates/fleet/src/table/digest.rs
+++ b/crates/fleet/src/table/digest.rs
@@ -1,72 +1,82 @@
-//! What one member says of what it holds, and who lacks what.
+//! Digests of the table for anti-entropy: what a member holds of an origin, and which of two members lacks cells. Plain
+//! data; needs no clock.
 
 use std::cmp::Ordering;
 
 use serde::{Deserialize, Serialize};
 
 use super::origin::Origin;
-use crate::{Life, MemberId};
+use crate::{Incarnation, MemberId};
 
-/// What is held of one origin, in about 26 bytes.
+/// What a member holds of one origin, in about 26 bytes. Serialized in this order of fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
+    /// The origin.
     pub origin: MemberId,
-    pub life: Life,
+    /// Its newest incarnation that is known.
+    pub incarnation: Incarnation,
+    /// Number of its cells, tombstones included.
     pub cells: u32,
-    /// Highest version held.
-    pub newest: u64,
-    /// A bound was met, and the lowest versions were dropped: only what is newer than all is of use.
-    pub full: bool,
+    /// Highest version among them.
+    pub newest_version: u64,
+    /// A bound was reached and the lowest versions were dropped: only versions above `newest_version` are of use.
+    pub truncated: bool,
+    /// Exclusive or of the hashes of the cells.
     #[serde(with = "postcard::fixint::le")]
     pub hash: u64,
 }
 
+/// Digest of the cells held of one origin.
 pub(super) fn of((id, origin): (&MemberId, &Origin)) -> Digest {
     Digest {
         origin: *id,
-        life: origin.life,
+        incarnation: origin.incarnation,
         cells: origin.len() as u32,
-        newest: origin.newest(),
-        full: origin.over,
+        newest_version: origin.newest_version(),
+        truncated: origin.bound_reached,
         hash: origin.hash,
     }
 }
 
-/// What two members that hold `mine` and `theirs` of one origin owe each other.
+/// What two members have to send each other about one origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Need {
-    /// They lack cells with versions above this.
+pub struct Reconciliation {
+    /// The other member lacks cells of versions above this one.
     pub send_above: Option<u64>,
-    /// They hold what is lacking here.
-    pub ask: bool,
+    /// This member lacks cells that the other has.
+    pub request: bool,
 }
 
-/// A later life makes all of an earlier one worthless. Within a life: with the same highest version or another
-/// number of cells something in between may be missing, so all is sent; else, and where a bound was met, only what
-/// is above.
-pub fn compare(mine: Option<&Digest>, theirs: Option<&Digest>) -> Need {
-    let whole = Some(0);
+/// Compares the digests of two members about one origin. A later incarnation replaces all of an earlier one. Within
+/// an incarnation, members with the same highest version or a different number of cells may lack any cell, so all
+/// are sent; otherwise, and where a bound was reached, only the versions above the other's highest.
+pub fn compare(mine: Option<&Digest>, theirs: Option<&Digest>) -> Reconciliation {
+    let everything = Some(0);
     match (mine, theirs) {
-        (None, None) => Need { send_above: None, ask: false },
-        (Some(_), None) => Need { send_above: whole, ask: false },
-        (None, Some(_)) => Need { send_above: None, ask: true },
-        (Some(mine), Some(theirs)) if mine.life != theirs.life => {
-            let later = mine.life > theirs.life;
-            Need { send_above: later.then_some(0), ask: !later }
+        (None, None) => Reconciliation { send_above: None, request: false },
+        (Some(_), None) => Reconciliation { send_above: everything, request: false },
+        (None, Some(_)) => Reconciliation { send_above: None, request: true },
+        (Some(mine), Some(theirs)) if mine.incarnation != theirs.incarnation => {
+            let later = mine.incarnation > theirs.incarnation;
+            Reconciliation { send_above: later.then_some(0), request: !later }
         }
         (Some(mine), Some(theirs)) if mine.hash == theirs.hash && mine.cells == theirs.cells => {
-            Need { send_above: None, ask: false }
+            Reconciliation { send_above: None, request: false }
         }
-        (Some(mine), Some(theirs)) if mine.full || theirs.full || mine.cells == theirs.cells => {
-            match mine.newest.cmp(&theirs.newest) {
-                Ordering::Greater => Need { send_above: Some(theirs.newest), ask: false },
-                Ordering::Less => Need { send_above: None, ask: true },
-                Ordering::Equal if mine.full || theirs.full => Need { send_above: None, ask: false },
-                Ordering::Equal => Need { send_above: whole, ask: true },
+        (Some(mine), Some(theirs)) if mine.truncated || theirs.truncated || mine.cells == theirs.cells => {
+            match mine.newest_version.cmp(&theirs.newest_version) {
+                Ordering::Greater => {
+                    Reconciliation { send_above: Some(theirs.newest_version), request: false }
+                }
+                Ordering::Less => Reconciliation { send_above: None, request: true },
+                Ordering::Equal if mine.truncated || theirs.truncated => {
+                    Reconciliation { send_above: None, request: false }
+                }
+                Ordering::Equal => Reconciliation { send_above: everything, request: true },
             }
         }
         (Some(mine), Some(theirs)) => {
-            Need { send_above: (mine.cells > 0).then_some(0), ask: theirs.cells > 0 }
+            Reconciliation { send_above: (mine.cells > 0).then_some(0), request: theirs.cells > 0 }
         }
     }
 }
--- a/crates/fleet/src/table/mod.rs
+++ b/crates/fleet/src/table/mod.rs
@@ -1,9 +1,11 @@
-//! The table that all members share: cells of origins, each the newest that its origin told.
+//! The table that all members replicate: cells by origin, each in the newest version that its origin wrote.
 //!
-//! Merging is a join: whatever the order, and however often, the same cells come out. A later life of an origin
-//! drops all of the earlier; within a life the higher version of a cell holds. Everything is bounded: cells and
-//! bytes by origin, origins, bytes in total, and age. Age is carried along and only grows, so that what one member
-//! dropped is not brought back for good by another.
+//! Merging is a join: the same cells result whatever the order and number of merges. A later incarnation of an origin
+//! drops all cells of an earlier one; within an incarnation the higher version of a cell wins. Everything is bounded:
+//! cells and bytes of an origin, origins, total bytes, and age. The age travels with a cell and only grows, so that a
+//! cell that expired at one member is not revived by another.
+//!
+//! [`crate::Fleet`] owns the table and passes the time in, in milliseconds on the driver's clock.
 
 mod bounds;
 mod cell;
@@ -11,134 +13,142 @@
 mod origin;
 
 pub use bounds::{Bounds, TableError};
-pub use cell::{Cell, Place};
-pub use digest::{compare, Digest, Need};
+pub(crate) use cell::CELL_OVERHEAD_BYTES;
+pub use cell::{Cell, CellId};
+pub use digest::{compare, Digest, Reconciliation};
 
 use std::collections::BTreeMap;
 
-use crate::{Life, MemberId};
+use crate::{Incarnation, MemberId};
 use origin::Origin;
 
-/// What became of a cell that was offered.
+/// Outcome of merging a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
-    /// Taken: it is told on.
-    Newer,
-    /// Held already.
-    Same,
-    /// A newer one is held, or its origin lives a later life.
-    Older,
-    /// Too old by its own age.
-    Aged,
-    /// A bound was met: it, or others of its origin in its stead, are not held.
+pub enum MergeOutcome {
+    /// New here, or newer than the version held: stored.
+    Applied,
+    /// Held already, in this version.
+    Duplicate,
+    /// A newer version is held, or its origin has a later incarnation.
+    Stale,
+    /// Too old by the age that it carries.
+    Expired,
+    /// A bound was reached: it was not stored, or was evicted at once.
     OverBounds,
 }
 
-/// See the module.
+/// The replicated table: see the module.
 pub struct Table {
     bounds: Bounds,
     origins: BTreeMap<MemberId, Origin>,
     bytes: usize,
-    /// Never dropped to make room for others.
+    /// Id of this member, whose cells are never evicted for those of others.
     own: MemberId,
 }
 
 impl Table {
+    /// An empty table of the member `own`.
     pub fn new(own: MemberId, bounds: Bounds) -> Table {
         Table { bounds, origins: BTreeMap::new(), bytes: 0, own }
     }
 
-    /// Cells held, of all origins.
+    /// Number of cells, tombstones included.
     pub fn len(&self) -> usize {
         self.origins.values().map(Origin::len).sum()
     }
 
+    /// Whether there is no cell.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// What the cells weigh together, as the bounds count them.
+    /// Total weight of the cells: see [`Cell::weight`].
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// Number of origins that are known.
     pub fn origins(&self) -> usize {
         self.origins.len()
     }
 
-    /// Values that are held, of one kind: `(origin, its life, key, version, value)`, in the order of origin and key.
-    pub fn of_kind(&self, kind: u16) -> impl Iterator<Item = (MemberId, Life, &[u8], u64, &[u8])> {
+    /// Values of one kind as `(origin, its incarnation, key, version, value)`, in the order of origin and key.
+    pub fn of_kind(&self, kind: u16) -> impl Iterator<Item = (MemberId, Incarnation, &[u8], u64, &[u8])> {
         self.origins.iter().flat_map(move |(id, origin)| {
-            origin.of_kind(kind).map(move |(key, version, value)| (*id, origin.life, key, version, value))
+            origin
+                .of_kind(kind)
+                .map(move |(key, version, value)| (*id, origin.incarnation, key, version, value))
         })
     }
 
-    /// The value and its version, unless there is none or it was taken back.
+    /// Version and value of a cell; `None` if there is none, or it was deleted.
     pub fn get(&self, origin: MemberId, kind: u16, key: &[u8]) -> Option<(u64, &[u8])> {
         self.origins.get(&origin)?.get(kind, key)
     }
 
-    pub fn life(&self, origin: MemberId) -> Option<Life> {
-        self.origins.get(&origin).map(|origin| origin.life)
+    /// The newest incarnation of an origin that is known.
+    pub fn incarnation(&self, origin: MemberId) -> Option<Incarnation> {
+        self.origins.get(&origin).map(|origin| origin.incarnation)
     }
 
-    /// The version that a further cell of this origin bears.
+    /// Version of the next write of this origin.
     pub fn next_version(&self, origin: MemberId) -> u64 {
         self.origins.get(&origin).map_or(1, |origin| origin.highest + 1)
     }
 
-    /// Offers a cell. `now` in milliseconds; the cell's age counts from it.
-    pub fn merge(&mut self, now: u64, cell: &Cell) -> Merged {
-        if cell.age_at_least(self.bounds.age_of(cell.value.is_none())) {
-            return Merged::Aged;
+    /// Merges a cell that has the age it carries at `now`, in milliseconds.
+    pub fn merge(&mut self, now: u64, cell: &Cell) -> MergeOutcome {
+        if cell.age_at_least(self.bounds.max_age(cell.value.as_deref())) {
+            return MergeOutcome::Expired;
         }
-        if !self.bounds.holds_one(cell) {
-            return Merged::OverBounds;
+        if !self.bounds.admits(cell) {
+            return MergeOutcome::OverBounds;
         }
-        if let Some(origin) = self.origins.get(&cell.place.origin) {
-            if cell.life < origin.life {
-                return Merged::Older;
+        if let Some(origin) = self.origins.get(&cell.id.origin) {
+            if cell.incarnation < origin.incarnation {
+                return MergeOutcome::Stale;
             }
-        } else if self.origins.len() >= self.bounds.origins && cell.place.origin != self.own {
-            return Merged::OverBounds;
+        } else if self.origins.len() >= self.bounds.origins && cell.id.origin != self.own {
+            return MergeOutcome::OverBounds;
         }
-        self.later_life(cell.place.origin, cell.life);
-        let origin = self.origins.entry(cell.place.origin).or_insert_with(|| Origin::new(cell.life));
+        self.advance_incarnation(cell.id.origin, cell.incarnation);
+        let origin = self.origins.entry(cell.id.origin).or_insert_with(|| Origin::new(cell.incarnation));
         let before = origin.bytes;
         let merged = origin.merge(now, cell, &self.bounds);
         self.bytes = self.bytes + origin.bytes - before;
-        if merged != Merged::Newer {
+        if merged != MergeOutcome::Applied {
             return merged;
         }
-        self.make_room();
-        let held = self.origins.get(&cell.place.origin).is_some_and(|origin| origin.holds(cell));
-        if held {
-            Merged::Newer
+        self.evict();
+        let is_held = self.origins.get(&cell.id.origin).is_some_and(|origin| origin.contains_exactly(cell));
+        if is_held {
+            MergeOutcome::Applied
         } else {
-            Merged::OverBounds
+            MergeOutcome::OverBounds
         }
     }
 
-    /// Whether a cell of this member's own may be put, beside what it would replace.
-    pub(crate) fn room_for(&self, cell: &Cell) -> Result<(), TableError> {
-        let (entries, bytes) = self.origins.get(&self.own).map_or((0, 0), |own| own.without(&cell.place));
-        self.bounds.room_for(cell, entries, bytes)
+    /// Whether a cell of this member fits, without the one that it replaces.
+    pub(crate) fn check_room(&self, cell: &Cell) -> Result<(), TableError> {
+        let (entries, bytes) = self.origins.get(&self.own).map_or((0, 0), |own| own.usage_without(&cell.id));
+        self.bounds.check_room(cell, entries, bytes)
     }
 
-    /// Drops what earlier lives of `origin` told, if it is known to live a later one. True if anything went.
-    pub fn later_life(&mut self, origin: MemberId, life: Life) -> bool {
+    /// Drops the cells of earlier incarnations of `origin`. True if the known incarnation was an earlier one.
+    pub fn advance_incarnation(&mut self, origin: MemberId, incarnation: Incarnation) -> bool {
         match self.origins.get_mut(&origin) {
-            Some(known) if known.life < life => {
+            Some(known) if known.incarnation < incarnation => {
                 self.bytes -= known.bytes;
-                *known = Origin::new(life);
+                *known = Origin::new(incarnation);
                 true
             }
             _ => false,
         }
     }
 
-    /// While all is too much, the heaviest origin loses its oldest cell: one that floods loses its own.
-    fn make_room(&mut self) {
+    /// While the total is over its bound, drops the oldest cell of the heaviest other origin: one that floods loses its
+    /// own cells.
+    fn evict(&mut self) {
         while self.bytes > self.bounds.bytes_total {
             let others = self.origins.iter_mut().filter(|(id, _)| **id != self.own);
             let Some((_, heaviest)) = others.max_by_key(|(_, origin)| origin.bytes) else { return };
@@ -150,11 +160,11 @@
         }
     }
 
-    /// Drops what is too old, and origins of which nothing is left.
-    pub fn age(&mut self, now: u64) {
+    /// Removes expired cells, and origins without cells.
+    pub fn expire(&mut self, now: u64) {
         for origin in self.origins.values_mut() {
             let before = origin.bytes;
-            origin.age(now, &self.bounds);
+            origin.expire(now, &self.bounds);
             self.bytes -= before - origin.bytes;
         }
         let own = self.own;
@@ -166,29 +176,30 @@
         self.origins.range(from..=to).filter(|(_, origin)| origin.len() > 0).map(digest::of).collect()
     }
 
+    /// Digest of one origin, if it has cells.
     pub fn digest(&self, origin: MemberId) -> Option<Digest> {
         self.origins.get_key_value(&origin).filter(|(_, origin)| origin.len() > 0).map(digest::of)
     }
 
     /// Cells of an origin with a version above `above`, oldest first, with their ages by now.
     pub fn above(&self, now: u64, origin: MemberId, above: u64) -> Vec<Cell> {
-        self.origins.get(&origin).map_or(Vec::new(), |held| held.above(now, origin, above))
+        self.origins.get(&origin).map_or(Vec::new(), |cells| cells.above(now, origin, above))
     }
 
-    /// Whether there is a cell, taken back or not.
-    pub fn holds(&self, place: &Place) -> bool {
-        self.origins.get(&place.origin).is_some_and(|origin| origin.has(place))
+    /// Whether there is such a cell, tombstones included.
+    pub fn contains(&self, id: &CellId) -> bool {
+        self.origins.get(&id.origin).is_some_and(|origin| origin.contains(id))
     }
 
-    /// One cell as it is told on.
-    pub fn cell(&self, now: u64, place: &Place) -> Option<Cell> {
-        self.origins.get(&place.origin)?.cell(now, place)
+    /// One cell as it is sent to others, with its age by now.
+    pub fn cell(&self, now: u64, id: &CellId) -> Option<Cell> {
+        self.origins.get(&id.origin)?.cell(now, id)
     }
 
-    /// Values of `origin` that have lived `after` milliseconds: what their origin tells anew.
-    pub fn lived(&self, now: u64, origin: MemberId, after: u64) -> Vec<Cell> {
+    /// Values of `origin` that are `age` milliseconds old or older, which their origin has to renew.
+    pub fn values_older_than(&self, now: u64, origin: MemberId, age: u64) -> Vec<Cell> {
         let mut cells = self.above(now, origin, 0);
-        cells.retain(|cell| cell.value.is_some() && cell.age_at_least(after));
+        cells.retain(|cell| cell.value.is_some() && cell.age_at_least(age));
         cells
     }
 }
--- a/crates/fleet/src/table/tests.rs
+++ b/crates/fleet/src/table/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::Settings;
 
-const ROOM: fn() -> Bounds = || Bounds::of(&Settings::default());
+const BOUNDS: fn() -> Bounds = || Bounds::of(&Settings::default());
 
-fn cell(origin: u64, life: u64, key: u8, version: u64, value: u8) -> Cell {
-    let place = Place { origin: MemberId(origin), kind: u16::from(key % 3), key: vec![key] };
+fn cell(origin: u64, incarnation: u64, key: u8, version: u64, value: u8) -> Cell {
+    let id = CellId { origin: MemberId(origin), kind: u16::from(key % 3), key: vec![key] };
     let value = (!value.is_multiple_of(4)).then(|| vec![value]);
-    Cell::new(place, Life(life), version, 0, value)
+    Cell::new(id, Incarnation(incarnation), version, 0, value)
 }
 
 fn cells() -> impl Strategy<Value = Vec<Cell>> {
@@ -42,7 +42,7 @@
         let (need_a, need_b) = (compare(in_a.as_ref(), in_b.as_ref()), compare(in_b.as_ref(), in_a.as_ref()));
         let from_a = need_a.send_above.map_or(Vec::new(), |above| a.above(0, id, above));
         let from_b = need_b.send_above.map_or(Vec::new(), |above| b.above(0, id, above));
-        assert!(need_a.ask == need_b.send_above.is_some(), "one asks for what the other would send");
+        assert!(need_a.request == need_b.send_above.is_some(), "one asks for what the other would send");
         from_a.iter().for_each(|cell| {
             b.merge(0, cell);
         });
@@ -55,20 +55,20 @@
 proptest! {
     #[test]
     fn merging_is_commutative_and_idempotent(mut offered in cells(), seed in any::<u64>()) {
-        let once = seen(&table_of(ROOM(), &offered));
+        let once = seen(&table_of(BOUNDS(), &offered));
         let twice: Vec<_> = offered.iter().chain(&offered).cloned().collect();
-        prop_assert_eq!(&seen(&table_of(ROOM(), &twice)), &once);
+        prop_assert_eq!(&seen(&table_of(BOUNDS(), &twice)), &once);
         // Any other order.
         offered.sort_by_key(|cell| {
             blake3::hash(&[&seed.to_le_bytes()[..], format!("{cell:?}").as_bytes()].concat()).as_bytes().to_owned()
         });
-        prop_assert_eq!(&seen(&table_of(ROOM(), &offered)), &once);
+        prop_assert_eq!(&seen(&table_of(BOUNDS(), &offered)), &once);
     }
 
     #[test]
     fn digests_repair_any_two_tables(first in cells(), second in cells()) {
-        let (mut a, mut b) = (table_of(ROOM(), &first), table_of(ROOM(), &second));
-        let whole = seen(&table_of(ROOM(), &[first, second].concat()));
+        let (mut a, mut b) = (table_of(BOUNDS(), &first), table_of(BOUNDS(), &second));
+        let whole = seen(&table_of(BOUNDS(), &[first, second].concat()));
         for _ in 0..3 {
             repair(&mut a, &mut b);
         }
@@ -78,7 +78,7 @@
 
     #[test]
     fn no_offer_takes_the_table_over_its_bounds(offered in cells(), big in 0usize..300) {
-        let bounds = Bounds { entries_per_origin: 3, bytes_per_origin: 400, origins: 2, bytes_total: 500, ..ROOM() };
+        let bounds = Bounds { entries_per_origin: 3, bytes_per_origin: 400, origins: 2, bytes_total: 500, ..BOUNDS() };
         let mut table = Table::new(MemberId(9), bounds);
         for mut cell in offered {
             cell.value = cell.value.map(|value| value.repeat(big));
@@ -93,7 +93,7 @@
     /// By number, the same cells stay whichever way they came.
     #[test]
     fn what_a_bound_keeps_does_not_depend_on_the_order(mut offered in cells()) {
-        let bounds = Bounds { entries_per_origin: 3, ..ROOM() };
+        let bounds = Bounds { entries_per_origin: 3, ..BOUNDS() };
         let forth = seen(&table_of(bounds, &offered));
         offered.reverse();
         prop_assert_eq!(seen(&table_of(bounds, &offered)).2, forth.2);
@@ -102,40 +102,40 @@
 
 #[test]
 fn age_travels_and_only_grows() {
-    let bounds = ROOM();
+    let bounds = BOUNDS();
     let mut a = table_of(bounds, &[cell(1, 1, 1, 1, 1)]);
-    let told_on = a.cell(100_000, &cell(1, 1, 1, 1, 1).place).unwrap();
-    assert_eq!(told_on.age(), 100_000);
+    let forwarded = a.cell(100_000, &cell(1, 1, 1, 1, 1).id).unwrap();
+    assert_eq!(forwarded.age(), 100_000);
     // Another clock, another zero: what counts is the age that it came with.
     let mut b = Table::new(MemberId(9), bounds);
-    assert_eq!(b.merge(5, &told_on), Merged::Newer);
-    b.age(5 + bounds.age - 100_000 - 1);
+    assert_eq!(b.merge(5, &forwarded), MergeOutcome::Applied);
+    b.expire(5 + bounds.age - 100_000 - 1);
     assert_eq!(b.len(), 1);
-    b.age(5 + bounds.age - 100_000);
+    b.expire(5 + bounds.age - 100_000);
     assert_eq!(b.len(), 0);
-    let late = a.cell(bounds.age, &told_on.place).unwrap();
-    assert_eq!(b.merge(7, &late), Merged::Aged);
-    a.age(bounds.age);
+    let late = a.cell(bounds.age, &forwarded.id).unwrap();
+    assert_eq!(b.merge(7, &late), MergeOutcome::Expired);
+    a.expire(bounds.age);
     assert!(a.is_empty() && a.bytes() == 0);
 }
 
 #[test]
 fn what_was_taken_back_outlives_the_value() {
-    let bounds = ROOM();
+    let bounds = BOUNDS();
     let back = cell(1, 1, 1, 2, 0);
     let mut table = table_of(bounds, &[cell(1, 1, 1, 1, 1), back.clone()]);
     assert_eq!(table.get(MemberId(1), 1, &[1]), None);
-    table.age(bounds.age);
-    assert_eq!(table.merge(bounds.age, &cell(1, 1, 1, 1, 1)), Merged::Older);
-    table.age(2 * bounds.age);
+    table.expire(bounds.age);
+    assert_eq!(table.merge(bounds.age, &cell(1, 1, 1, 1, 1)), MergeOutcome::Stale);
+    table.expire(2 * bounds.age);
     assert!(table.is_empty());
 }
 
 #[test]
 fn a_later_life_drops_all_of_an_earlier() {
-    let mut table = table_of(ROOM(), &[cell(1, 1, 1, 7, 1), cell(1, 1, 2, 8, 1)]);
-    assert_eq!(table.merge(0, &cell(1, 2, 3, 1, 1)), Merged::Newer);
-    assert_eq!((table.len(), table.life(MemberId(1))), (1, Some(Life(2))));
-    assert_eq!(table.merge(0, &cell(1, 1, 1, 9, 1)), Merged::Older);
-    assert!(table.later_life(MemberId(1), Life(3)) && table.is_empty());
+    let mut table = table_of(BOUNDS(), &[cell(1, 1, 1, 7, 1), cell(1, 1, 2, 8, 1)]);
+    assert_eq!(table.merge(0, &cell(1, 2, 3, 1, 1)), MergeOutcome::Applied);
+    assert_eq!((table.len(), table.incarnation(MemberId(1))), (1, Some(Incarnation(2))));
+    assert_eq!(table.merge(0, &cell(1, 1, 1, 9, 1)), MergeOutcome::Stale);
+    assert!(table.advance_incarnation(MemberId(1), Incarnation(3)) && table.is_empty());
 }
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -1,11 +1,11 @@
 //! Sealed messages of every kind as an earlier build wrote them: the present code seals the same messages to the same
 //! bytes, and opens the stored bytes to the same messages.
 
-use crate::membership::{Asked, Membership};
+use crate::membership::{Membership, MembershipOutput};
 use crate::seal::{Channel, Sealer};
 use crate::table::Digest;
 use crate::wire::Body;
-use crate::{Cell, FleetKey, Keyring, Life, Member, MemberId, MemberState, Place, Settings};
+use crate::{Cell, CellId, FleetKey, Incarnation, Keyring, Member, MemberId, MemberState, Settings};
 
 /// One message a line: channel, name, and the sealed bytes in hexadecimal digits, in the order of their counters.
 const STORED: &str = include_str!("../tests/fixtures/stored_datagrams.txt");
@@ -14,9 +14,9 @@
     Keyring::new(FleetKey::derive(&[7; 32], "stored").unwrap(), None)
 }
 
-fn member(name: &str, life: u64, returns: u32, host: u8) -> Member {
+fn member(name: &str, incarnation: u64, rejoins: u32, host: u8) -> Member {
     let address = ([10, 0, 0, host], 7_000 + u16::from(host)).into();
-    Member { id: MemberId::of_name(name), life: Life(life), returns, address }
+    Member { id: MemberId::of_name(name), incarnation: Incarnation(incarnation), rejoins, address }
 }
 
 fn sender() -> Member {
@@ -42,23 +42,23 @@
 
 /// The packet with which a member introduces itself to another.
 fn announcement(from: Member, to: Member) -> Vec<u8> {
-    let mut asked = Asked::default();
-    membership(from).announce(to, &mut asked).unwrap();
-    asked.sends.pop().unwrap().1
+    let mut output = MembershipOutput::default();
+    membership(from).announce(to, &mut output).unwrap();
+    output.sends.pop().unwrap().1
 }
 
 /// What the sender answers the receiver's announcement with, when the third is the only other member it knows.
 fn feed() -> Vec<u8> {
     let mut sender = membership(sender());
-    sender.packet(&announcement(third(), sender.me()), &mut Asked::default()).unwrap();
-    let mut asked = Asked::default();
-    sender.packet(&announcement(receiver(), sender.me()), &mut asked).unwrap();
-    asked.sends.into_iter().find(|(to, _)| *to == receiver()).unwrap().1
+    sender.packet(&announcement(third(), sender.me()), &mut MembershipOutput::default()).unwrap();
+    let mut output = MembershipOutput::default();
+    sender.packet(&announcement(receiver(), sender.me()), &mut output).unwrap();
+    output.sends.into_iter().find(|(to, _)| *to == receiver()).unwrap().1
 }
 
 fn cell(origin: Member, key: &[u8], version: u64, age: u64, value: Option<&[u8]>) -> Cell {
-    let place = Place { origin: origin.id, kind: 300, key: key.to_vec() };
-    Cell::new(place, origin.life, version, age, value.map(<[u8]>::to_vec))
+    let id = CellId { origin: origin.id, kind: 300, key: key.to_vec() };
+    Cell::new(id, origin.incarnation, version, age, value.map(<[u8]>::to_vec))
 }
 
 fn cells() -> Vec<Cell> {
@@ -69,8 +69,8 @@
     ]
 }
 
-fn digest(origin: Member, cells: u32, newest: u64, full: bool, hash: u64) -> Digest {
-    Digest { origin: origin.id, life: origin.life, cells, newest, full, hash }
+fn digest(origin: Member, cells: u32, newest_version: u64, truncated: bool, hash: u64) -> Digest {
+    Digest { origin: origin.id, incarnation: origin.incarnation, cells, newest_version, truncated, hash }
 }
 
 fn digests() -> Vec<Digest> {
@@ -89,16 +89,16 @@
         ("swim_feed", Body::Swim(feed())),
         ("cells", Body::Cells(cells())),
         ("digests", Body::Digests { from, to, digests: digests() }),
-        ("want", Body::Want(vec![digest(receiver(), 0, 0, false, 0)])),
-        ("whole", Body::Whole),
+        ("want", Body::Request(vec![digest(receiver(), 0, 0, false, 0)])),
+        ("whole", Body::ExchangeNeeded),
     ]
 }
 
 fn frames() -> Vec<(&'static str, Body)> {
     vec![
-        ("open", Body::Open(digests())),
+        ("open", Body::ExchangeOpen(digests())),
         ("cells", Body::Cells(vec![cell(sender(), b"level", 301, 100, Some(&[9, 8, 7]))])),
-        ("done", Body::Done(vec![digest(sender(), 1, 301, false, 1)])),
+        ("done", Body::ExchangeDone(vec![digest(sender(), 1, 301, false, 1)])),
     ]
 }
 
@@ -124,9 +124,9 @@
 }
 
 /// A greeting is meant for whoever listens, all else for the receiver.
-fn addressee(body: &Body) -> Option<(MemberId, Life)> {
+fn addressee(body: &Body) -> Option<(MemberId, Incarnation)> {
     let greeting = matches!(body, Body::Hello(_));
-    (!greeting).then_some((receiver().id, receiver().life))
+    (!greeting).then_some((receiver().id, receiver().incarnation))
 }
 
 fn sealed_line(sealer: &mut Sealer, channel: Channel, name: &str, body: &Body) -> String {
@@ -136,7 +136,7 @@
 
 #[test]
 fn the_same_messages_are_sealed_to_the_same_bytes() {
-    let mut sealer = Sealer::new(sender().id, sender().life, keys(), 8);
+    let mut sealer = Sealer::new(sender().id, sender().incarnation, keys(), 8);
     let line = |(channel, name, body)| sealed_line(&mut sealer, channel, name, &body);
     let sealed: String = messages().into_iter().map(line).collect();
     assert!(sealed == STORED, "the sealed messages differ from the stored ones; they are:\n{sealed}");
@@ -144,12 +144,12 @@
 
 #[test]
 fn stored_bytes_open_to_the_same_messages() {
-    let mut opener = Sealer::new(receiver().id, receiver().life, keys(), 8);
+    let mut opener = Sealer::new(receiver().id, receiver().incarnation, keys(), 8);
     let (stored, messages) = (stored(), messages());
     assert_eq!(stored.len(), messages.len());
     for (sealed, (channel, name, expected)) in stored.iter().zip(messages) {
         let (from, body) = opener.open(channel, 0, sealed).unwrap();
-        assert_eq!((from.id, from.life), (sender().id, sender().life), "{name}");
+        assert_eq!((from.id, from.incarnation), (sender().id, sender().incarnation), "{name}");
         assert_eq!(from.addressed, addressee(&expected).is_some(), "{name}");
         assert_eq!(Body::read(body), Some(expected), "{name}");
     }
@@ -157,14 +157,14 @@
 
 #[test]
 fn stored_membership_packets_introduce_the_sender_and_the_third() {
-    let mut opener = Sealer::new(receiver().id, receiver().life, keys(), 8);
+    let mut opener = Sealer::new(receiver().id, receiver().incarnation, keys(), 8);
     let mut receiver = membership(receiver());
     let mut packets = 0;
     for sealed in stored().iter().take(datagrams().len()) {
         let (_, body) = opener.open(Channel::Datagram, 0, sealed).unwrap();
         let Some(Body::Swim(packet)) = Body::read(body) else { continue };
         assert_eq!(Membership::source(&packet), Some(sender()));
-        receiver.packet(&packet, &mut Asked::default()).unwrap();
+        receiver.packet(&packet, &mut MembershipOutput::default()).unwrap();
         packets += 1;
     }
     assert_eq!(packets, 2);
--- a/crates/fleet/src/timers.rs
+++ b/crates/fleet/src/timers.rs
@@ -1,33 +1,42 @@
-//! Timers that the driver was asked for: by a token, with the time each was due.
+//! Pending timers of [`crate::Fleet`]: what each token that the driver holds stands for, and when it was due, in
+//! milliseconds on the driver's clock.
 
 use std::collections::BTreeMap;
 
 use crate::Member;
 
+/// What is to be done when a timer fires.
 pub(crate) enum Due {
+    /// A timer of the membership library.
     Swim(foca::Timer<Member>),
-    Round,
-    Repair,
+    /// The next round of gossip.
+    Gossip,
+    /// Digests to the next member.
+    AntiEntropy,
+    /// Greetings to seeds.
     Hello,
-    Age,
+    /// Removal of expired cells, and renewal of this member's own.
+    Expiry,
 }
 
+/// Timers by token. Tokens are never reused.
 #[derive(Default)]
 pub(crate) struct Timers {
-    last: u64,
-    waiting: BTreeMap<u64, (u64, Due)>,
+    last_token: u64,
+    pending: BTreeMap<u64, (u64, Due)>,
 }
 
 impl Timers {
-    /// The token for what is due at `at`.
-    pub(crate) fn add(&mut self, at: u64, due: Due) -> u64 {
-        self.last += 1;
-        self.waiting.insert(self.last, (at, due));
-        self.last
+    /// Registers a timer that is due at `due_at`, and returns its token.
+    pub(crate) fn add(&mut self, due_at: u64, due: Due) -> u64 {
+        self.last_token += 1;
+        self.pending.insert(self.last_token, (due_at, due));
+        self.last_token
     }
 
-    /// What was due, and how late it is. `None`: no such token, or it came before.
-    pub(crate) fn take(&mut self, token: u64, now: u64) -> Option<(Due, u64)> {
-        self.waiting.remove(&token).map(|(at, due)| (due, now.saturating_sub(at)))
+    /// Removes a timer that fired: what is due, and how late it is in milliseconds. `None`: an unknown token, or one that
+    /// fired before.
+    pub(crate) fn claim(&mut self, token: u64, now: u64) -> Option<(Due, u64)> {
+        self.pending.remove(&token).map(|(due_at, due)| (due, now.saturating_sub(due_at)))
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,47 +1,49 @@
-//! What members say to each other, once sealed. Numbered by place: new ones go to the end.
+//! Bodies of the messages between members, before sealing, and their bounds in bytes. A body begins with its
+//! variant's index: new variants go to the end. Plain data without state or clock.
 
 use serde::{Deserialize, Serialize};
 
-use crate::seal::OVERHEAD;
+use crate::seal::SEAL_OVERHEAD_BYTES;
 use crate::table::{Cell, Digest};
 use crate::{Member, MemberId};
 
-/// No datagram is longer, sealing included: it crosses any path without being cut up.
-pub const DATAGRAM_MOST: usize = 1_200;
-/// No frame of an exchange is longer, sealing included and its length of four bytes left out.
-pub const FRAME_MOST: usize = 32 * 1024;
-/// Room for a body in a datagram.
-pub const BODY_MOST: usize = DATAGRAM_MOST - OVERHEAD;
-/// Room for the library's own packet: the body's number and the packet's length come before it.
-pub(crate) const SWIM_MOST: usize = BODY_MOST - 4;
+/// Longest datagram, seal included: short enough to pass any path without fragmentation.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// Longest frame of an exchange, seal included, without the four bytes of its length.
+pub const MAX_FRAME_BYTES: usize = 32 * 1024;
+/// Longest body of a datagram.
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - SEAL_OVERHEAD_BYTES;
+/// Longest packet of the membership library: the body's index and the packet's length precede it.
+pub(crate) const MAX_SWIM_PACKET_BYTES: usize = MAX_BODY_BYTES - 4;
 
+/// The body of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    /// To whoever listens at a seed's address: "announce yourself to me".
+    /// Greeting to a seed's address: asks whoever listens there to announce itself to this member.
     Hello(Member),
     /// A packet of the membership library.
     Swim(Vec<u8>),
-    /// Cells, fresh or lacking.
+    /// Cells, by gossip or because the recipient lacks them.
     Cells(Vec<Cell>),
-    /// All that the sender holds of origins within `from..=to`.
+    /// Digests of all origins within `from..=to` of which the sender has cells.
     Digests { from: MemberId, to: MemberId, digests: Vec<Digest> },
-    /// What the sender holds of origins of which it lacks something.
-    Want(Vec<Digest>),
-    /// What was wanted does not fit into datagrams: ask for it over a stream.
-    Whole,
-    /// First frame of an exchange: all that the opener holds.
-    Open(Vec<Digest>),
-    /// Last frame of a side. The acceptor says what it holds, so that the opener can send what it lacks.
-    Done(Vec<Digest>),
+    /// Request for cells: digests of the origins of which the sender lacks some.
+    Request(Vec<Digest>),
+    /// The requested cells do not fit into datagrams: an exchange over a stream is needed.
+    ExchangeNeeded,
+    /// First frame of an exchange: the opener's digests.
+    ExchangeOpen(Vec<Digest>),
+    /// Last frame of a side. The acceptor's has its digests, from which the opener sees what it lacks.
+    ExchangeDone(Vec<Digest>),
 }
 
 impl Body {
-    /// Cannot fail: all lengths are known and the output grows.
+    /// Serialized body. Cannot fail: all lengths are known and the buffer grows.
     pub(crate) fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Bytes left over are as bad as bytes that lack.
+    /// Parses a body; `None` also if bytes are left over.
     pub(crate) fn read(bytes: &[u8]) -> Option<Body> {
         match postcard::take_from_bytes(bytes) {
             Ok((body, [])) => Some(body),
@@ -50,24 +52,24 @@
     }
 }
 
-/// Bytes of a cell within [`Body::Cells`].
+/// Serialized size of a cell within [`Body::Cells`].
 pub(crate) fn cell_bytes(cell: &Cell) -> usize {
     postcard::experimental::serialized_size(cell).unwrap_or(usize::MAX)
 }
 
-/// Cuts `cells` into groups that fit into bodies of `room` bytes, in order. Cells that fit into none are left out
-/// and counted.
-pub(crate) fn pages(cells: Vec<Cell>, room: usize) -> (Vec<Vec<Cell>>, usize) {
+/// Splits `cells`, in order, into pages that fit into bodies of `body_bytes`. Also the number of cells that are left
+/// out as they fit into none.
+pub(crate) fn paginate(cells: Vec<Cell>, body_bytes: usize) -> (Vec<Vec<Cell>>, usize) {
     let (mut pages, mut left_out, mut used) = (Vec::new(), 0, usize::MAX);
     for cell in cells {
         let size = cell_bytes(&cell);
-        if size > room - HEAD {
+        if size > body_bytes - CELLS_HEADER_BYTES {
             left_out += 1;
             continue;
         }
-        if used.saturating_add(size) > room {
+        if used.saturating_add(size) > body_bytes {
             pages.push(Vec::new());
-            used = HEAD;
+            used = CELLS_HEADER_BYTES;
         }
         used += size;
         if let Some(page) = pages.last_mut() {
@@ -77,13 +79,13 @@
     (pages, left_out)
 }
 
-/// The body's number and the count of cells.
-pub(crate) const HEAD: usize = 1 + 3;
+/// Bytes before the cells of a body: its index, and the count of cells.
+pub(crate) const CELLS_HEADER_BYTES: usize = 1 + 3;
 
-/// Digests for one datagram: of at most this many origins.
-pub(crate) const DIGESTS_A_PAGE: usize = (BODY_MOST - HEAD - 16) / DIGEST_MOST;
-/// Origin and hash as they are, life, number of cells and version as varints at their longest.
-const DIGEST_MOST: usize = 8 + 10 + 5 + 10 + 1 + 8;
+/// Most digests in one datagram.
+pub(crate) const DIGESTS_PER_DATAGRAM: usize = (MAX_BODY_BYTES - CELLS_HEADER_BYTES - 16) / MAX_DIGEST_BYTES;
+/// Longest digest: origin and hash of fixed size, the rest as varints at their longest.
+const MAX_DIGEST_BYTES: usize = 8 + 10 + 5 + 10 + 1 + 8;
 
 #[cfg(test)]
 mod tests;
--- a/crates/fleet/src/wire/tests.rs
+++ b/crates/fleet/src/wire/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
-use crate::{Life, Place};
+use crate::{CellId, Incarnation};
 
 #[test]
 fn pages_fit_and_lose_nothing_that_could_fit() {
     let cell = |index: u64, bytes: usize| {
-        let place = Place { origin: MemberId(index), kind: 300, key: vec![1; 9] };
-        Cell::new(place, Life(u64::MAX), u64::MAX, 5_000, Some(vec![0; bytes]))
+        let id = CellId { origin: MemberId(index), kind: 300, key: vec![1; 9] };
+        Cell::new(id, Incarnation(u64::MAX), u64::MAX, 5_000, Some(vec![0; bytes]))
     };
     let cells: Vec<_> = (0..200).map(|index| cell(index, index as usize * 7)).collect();
-    let (pages, left_out) = pages(cells, BODY_MOST);
-    assert!(pages.iter().all(|page| Body::Cells(page.clone()).bytes().len() <= BODY_MOST));
+    let (pages, left_out) = paginate(cells, MAX_BODY_BYTES);
+    assert!(pages.iter().all(|page| Body::Cells(page.clone()).bytes().len() <= MAX_BODY_BYTES));
     assert_eq!(pages.iter().map(Vec::len).sum::<usize>() + left_out, 200);
     assert!(left_out > 0 && left_out < 60);
 }
@@ -18,15 +18,15 @@
 fn the_longest_digests_fit() {
     let digest = Digest {
         origin: MemberId(u64::MAX),
-        life: Life(u64::MAX),
+        incarnation: Incarnation(u64::MAX),
         cells: u32::MAX,
-        newest: u64::MAX,
-        full: true,
+        newest_version: u64::MAX,
+        truncated: true,
         hash: u64::MAX,
     };
-    let digests = vec![digest; DIGESTS_A_PAGE];
+    let digests = vec![digest; DIGESTS_PER_DATAGRAM];
     let (from, to) = (MemberId(0), MemberId(u64::MAX));
-    assert!(Body::Digests { from, to, digests }.bytes().len() <= BODY_MOST);
+    assert!(Body::Digests { from, to, digests }.bytes().len() <= MAX_BODY_BYTES);
 }
 
 #[test]
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use glenrail_fleet::{Life, MemberState, Settings};
+use glenrail_fleet::{Incarnation, MemberState, Settings};
 use net::{id, Net};
 
 fn met(nodes: usize, seed: u64, loss: f64) -> Net {
@@ -27,22 +27,22 @@
         let mut net = met(5, seed, 0.1);
         net.kill(4);
         let left = net.now;
-        net.step(3, |fleet, now, out| fleet.leave(now, out));
+        net.step(3, |fleet, now, effects| fleet.leave(now, effects));
         net.kill(3);
-        let told = net.until(30_000, |net| {
+        let observed = net.until(30_000, |net| {
             net.nodes[..3].iter().all(|node| {
                 let state =
                     |of| node.fleet.members().find(|(member, _)| member.id == of).map(|(_, state)| state);
-                state(id(4)) == Some(MemberState::Gone) && state(id(3)) == Some(MemberState::Left)
+                state(id(4)) == Some(MemberState::Failed) && state(id(3)) == Some(MemberState::Left)
             })
         });
-        assert!(told.is_some(), "seed {seed}");
+        assert!(observed.is_some(), "seed {seed}");
         // The planned end is heard long before a probe could have found it.
-        let heard =
+        let observed_in_time =
             net.nodes.iter().flat_map(|node| &node.changes).any(|(at, of, _, state)| {
                 *of == id(3) && *state == MemberState::Left && *at <= left + net.delay
             });
-        assert!(heard, "seed {seed}");
+        assert!(observed_in_time, "seed {seed}");
         net.run(200_000);
         let state =
             net.nodes[0].fleet.members().find(|(member, _)| member.id == id(3)).map(|(_, state)| state);
@@ -53,7 +53,7 @@
 #[test]
 fn a_planned_end_is_heard_by_all_in_the_time_of_one_datagram() {
     let mut net = met(12, 1, 0.0);
-    net.step(7, |fleet, now, out| fleet.leave(now, out));
+    net.step(7, |fleet, now, effects| fleet.leave(now, effects));
     net.kill(7);
     net.run(net.delay);
     let left = |node: &&net::Node| {
@@ -68,12 +68,15 @@
         let mut net = met(8, seed, 0.05);
         net.nodes[5..].iter_mut().for_each(|node| node.group = 1);
         net.run(10_000);
-        let gone = net.nodes[0].changes.iter().any(|(.., state)| *state == MemberState::Gone);
+        let gone = net.nodes[0].changes.iter().any(|(.., state)| *state == MemberState::Failed);
         assert!(gone, "a cut of 10 s is seen");
         net.nodes.iter_mut().for_each(|node| node.group = 0);
         let healed = net.until(30_000, Net::all_know_all);
         assert!(healed.is_some(), "seed {seed}");
-        assert!(net.nodes.iter().all(|node| node.fleet.me().life == Life(1)), "a cut is no new life");
+        assert!(
+            net.nodes.iter().all(|node| node.fleet.me().incarnation == Incarnation(1)),
+            "a cut is no new life"
+        );
     }
 }
 
@@ -90,7 +93,10 @@
             net.all_know_all()
                 && net.nodes.iter().enumerate().all(|(node, it)| {
                     node == 2
-                        || it.fleet.members().any(|(member, _)| member.id == id(2) && member.life == Life(2))
+                        || it
+                            .fleet
+                            .members()
+                            .any(|(member, _)| member.id == id(2) && member.incarnation == Incarnation(2))
                 })
         });
         assert!(known.is_some(), "seed {seed}");
@@ -109,7 +115,9 @@
             net.run(60);
         }
         let met = net.until(30_000, |net| {
-            let new = |node: &net::Node| node.fleet.members().all(|(member, _)| member.life == Life(2));
+            let new = |node: &net::Node| {
+                node.fleet.members().all(|(member, _)| member.incarnation == Incarnation(2))
+            };
             net.all_know_all() && net.nodes.iter().all(new)
         });
         assert!(met.is_some(), "seed {seed}");
@@ -130,9 +138,9 @@
         let woke = net.now;
         assert!(net.until(20_000, Net::all_know_all).is_some(), "seed {seed}");
         let given_up =
-            net.nodes[1].changes.iter().any(|(at, .., state)| *at > woke && *state == MemberState::Gone);
+            net.nodes[1].changes.iter().any(|(at, .., state)| *at > woke && *state == MemberState::Failed);
         assert!(!given_up, "seed {seed}: those that answered all the time are not found gone by the sleeper");
-        assert_eq!(net.nodes[1].fleet.me().life, Life(1));
+        assert_eq!(net.nodes[1].fleet.me().incarnation, Incarnation(1));
         assert!(net.until(10_000, |net| net.same_values(7, 1)).is_some(), "what it holds stays good");
     }
 }
@@ -156,7 +164,7 @@
         net.run(20_000);
         let gone = net.nodes[1].changes[judged..]
             .iter()
-            .any(|(_, of, _, state)| *of == id(2) && *state == MemberState::Gone);
+            .any(|(_, of, _, state)| *of == id(2) && *state == MemberState::Failed);
         assert!(!gone, "seed {seed}");
         assert!(net.until(20_000, Net::all_know_all).is_some(), "seed {seed}");
     }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -5,7 +5,8 @@
 use std::net::SocketAddr;
 
 use glenrail_fleet::{
-    Effect, Exchange, Fleet, FleetKey, Keyring, Life, MemberId, MemberState, Settings, DATAGRAM_MOST,
+    Effect, Exchange, Fleet, FleetKey, Incarnation, Keyring, MemberId, MemberState, Settings,
+    MAX_DATAGRAM_BYTES,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -17,7 +18,7 @@
     /// Raised by a restart: what was asked for before it is void.
     run: u32,
     pub group: u8,
-    pub changes: Vec<(u64, MemberId, Life, MemberState)>,
+    pub changes: Vec<(u64, MemberId, Incarnation, MemberState)>,
     pub sent: u64,
     pub superseded: u32,
 }
@@ -64,10 +65,10 @@
 impl Net {
     #[allow(dead_code)]
     pub fn new(nodes: usize, seed: u64, settings: Settings) -> Net {
-        Net::of_life(1, nodes, seed, settings)
+        Net::of_incarnation(1, nodes, seed, settings)
     }
 
-    pub fn of_life(life: u64, nodes: usize, seed: u64, settings: Settings) -> Net {
+    pub fn of_incarnation(incarnation: u64, nodes: usize, seed: u64, settings: Settings) -> Net {
         let mut net = Net {
             now: 1_000,
             nodes: Vec::new(),
@@ -85,7 +86,7 @@
             exchanges: 0,
         };
         for node in 0..nodes {
-            let fleet = net.fleet(node, life);
+            let fleet = net.fleet(node, incarnation);
             net.nodes.push(Node {
                 fleet,
                 up: true,
@@ -98,22 +99,31 @@
             });
         }
         for node in 0..nodes {
-            net.step(node, |fleet, now, out| fleet.start(now, out));
+            net.step(node, |fleet, now, effects| fleet.start(now, effects));
         }
         net
     }
 
-    fn fleet(&self, node: usize, life: u64) -> Fleet {
+    fn fleet(&self, node: usize, incarnation: u64) -> Fleet {
         let seeds = vec![address(0), address(1)];
-        let (settings, seed) = (self.settings.clone(), self.seed ^ (node as u64) << 32 ^ life);
-        Fleet::new(&format!("gw-{node}"), Life(life), address(node), seeds, keys(1), settings, seed).unwrap()
+        let (settings, seed) = (self.settings.clone(), self.seed ^ (node as u64) << 32 ^ incarnation);
+        Fleet::new(
+            &format!("gw-{node}"),
+            Incarnation(incarnation),
+            address(node),
+            seeds,
+            keys(1),
+            settings,
+            seed,
+        )
+        .unwrap()
     }
 
     /// Lets a member do something, and carries out what comes of it.
     pub fn step<T>(&mut self, node: usize, act: impl FnOnce(&mut Fleet, u64, &mut Vec<Effect>) -> T) -> T {
-        let mut out = Vec::new();
-        let result = act(&mut self.nodes[node].fleet, self.now, &mut out);
-        for effect in out {
+        let mut effects = Vec::new();
+        let result = act(&mut self.nodes[node].fleet, self.now, &mut effects);
+        for effect in effects {
             self.carry(node, effect);
         }
         result
@@ -123,7 +133,7 @@
         self.note(format!("{node} {effect:?}").as_bytes());
         match effect {
             Effect::Send { to, bytes } => {
-                assert!(bytes.len() <= DATAGRAM_MOST, "a datagram of {} bytes", bytes.len());
+                assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
                 self.nodes[node].sent += bytes.len() as u64;
                 let to = usize::from(to.port()) - 7_000;
                 if let Some(recorded) = &mut self.recorded {
@@ -141,12 +151,12 @@
                 let run = self.nodes[node].run;
                 self.push(self.now + after, Event::Timer { node, run, token });
             }
-            Effect::Changed { member, state } => {
-                self.nodes[node].changes.push((self.now, member.id, member.life, state));
+            Effect::MemberChanged { member, state } => {
+                self.nodes[node].changes.push((self.now, member.id, member.incarnation, state));
             }
             Effect::OpenExchange { with, to } => self.exchange(node, usize::from(to.port()) - 7_000, with),
             Effect::Superseded { .. } => self.nodes[node].superseded += 1,
-            Effect::Told { .. } => {}
+            Effect::CellChanged { .. } => {}
         }
     }
 
@@ -167,10 +177,10 @@
                 let cut = self.random.random_range(1..=flight.len().min(5_000));
                 let chunk: Vec<u8> = flight.drain(..cut).collect();
                 let (node, side) = &mut sides[turn];
-                let mut out = Vec::new();
-                let step = self.nodes[*node].fleet.exchange(self.now, side, &chunk, &mut out);
+                let mut effects = Vec::new();
+                let step = self.nodes[*node].fleet.exchange(self.now, side, &chunk, &mut effects);
                 let node = *node;
-                out.into_iter().for_each(|effect| self.carry(node, effect));
+                effects.into_iter().for_each(|effect| self.carry(node, effect));
                 // After an error the driver closes the stream.
                 let Ok(step) = step else { return };
                 answer.extend(step.write);
@@ -210,10 +220,10 @@
             match event {
                 _ if !up => {}
                 Event::Datagram { from, bytes, .. } => {
-                    let _ = self.step(node, |fleet, now, out| fleet.datagram(now, from, &bytes, out));
+                    let _ = self.step(node, |fleet, now, effects| fleet.datagram(now, from, &bytes, effects));
                 }
-                Event::Timer { run: asked_by, token, .. } if asked_by == run => {
-                    self.step(node, |fleet, now, out| fleet.timer(now, token, out));
+                Event::Timer { run: requested_by, token, .. } if requested_by == run => {
+                    self.step(node, |fleet, now, effects| fleet.timer(now, token, effects));
                 }
                 Event::Timer { .. } => {}
             }
@@ -240,11 +250,11 @@
     }
 
     #[allow(dead_code)]
-    pub fn restart(&mut self, node: usize, life: u64) {
-        self.nodes[node].fleet = self.fleet(node, life);
+    pub fn restart(&mut self, node: usize, incarnation: u64) {
+        self.nodes[node].fleet = self.fleet(node, incarnation);
         self.nodes[node].up = true;
         self.nodes[node].run += 1;
-        self.step(node, |fleet, now, out| fleet.start(now, out));
+        self.step(node, |fleet, now, effects| fleet.start(now, effects));
     }
 
     pub fn put(&mut self, node: usize, kind: u16, key: &[u8], value: &[u8]) {
--- a/crates/fleet/tests/on_call.rs
+++ b/crates/fleet/tests/on_call.rs
@@ -1,6 +1,6 @@
 //! Every error of the crate is on the page for those on call, with what to do about it.
 
-use glenrail_fleet::{ExchangeError, KeyError, Life, MemberId, Refused, SettingsError, TableError};
+use glenrail_fleet::{ExchangeError, Incarnation, KeyError, MemberId, Rejection, SettingsError, TableError};
 
 /// The variant's name, and what an operator can do. A variant that is added ends the compilation of `all` below.
 fn named(error: &dyn std::fmt::Debug, advice: &'static str) -> (String, &'static str) {
@@ -24,25 +24,25 @@
 fn the_page_has_every_error_and_its_advice() {
     let page =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/on-call.md")).unwrap();
-    let (from, to, with, life) = (MemberId(1), MemberId(2), MemberId(3), Life(1));
-    let refused = all!(Refused: Short { bytes: 1 }, Long { bytes: 2, most: 1 }, Version { found: 2, ours: 1 }, Forged,
-        Replayed { from: from, counter: 1 }, Stale { from: from, counter: 1 }, OldLife { from: from, life: life },
-        Foreign { to: to, life: life }, Ourselves { life: life }, Malformed { from: from }, Borrowed { from: from },
+    let (from, to, with, incarnation) = (MemberId(1), MemberId(2), MemberId(3), Incarnation(1));
+    let rejections = all!(Rejection: TooShort { bytes: 1 }, TooLong { bytes: 2, most: 1 }, UnknownVersion { found: 2, ours: 1 }, Forged,
+        Replayed { from: from, counter: 1 }, Stale { from: from, counter: 1 }, OldIncarnation { from: from, incarnation: incarnation },
+        WrongRecipient { to: to, incarnation: incarnation }, OwnName { incarnation: incarnation }, Malformed { from: from }, Impersonated { from: from },
         Left);
-    let exchange = all!(ExchangeError: NotAMember { with: with }, Long { bytes: 2, most: 1 },
-        TooMuch { bytes: 2, most: 1 }, Refused(Refused::Forged), OutOfTurn { with: with });
-    let keys = all!(KeyError: None, TooMany { found: 3 }, NotAKey { line: 1 }, Short { bytes: 1 });
+    let exchange = all!(ExchangeError: NotAMember { with: with }, TooLong { bytes: 2, most: 1 },
+        TooManyBytes { bytes: 2, most: 1 }, Rejection(Rejection::Forged), OutOfTurn { with: with });
+    let keys = all!(KeyError: None, TooMany { found: 3 }, NotAKey { line: 1 }, TooShort { bytes: 1 });
     let settings = all!(SettingsError: TooSmall { what: "x", found: 1, least: 2 },
         TooLarge { what: "x", found: 2, most: 1 }, Address { address: ([0, 0, 0, 0], 0).into() });
     let table = all!(TableError: Key { kind: 1, bytes: 2, most: 1 }, Value { kind: 1, bytes: 2, most: 1 },
         Entries { kind: 1, entries: 1 }, Bytes { kind: 1, bytes: 2, most: 1 }, Reserved { kind: 0 });
-    let every = refused.iter().chain(&exchange).chain(&keys).chain(&settings).chain(&table);
+    let every = rejections.iter().chain(&exchange).chain(&keys).chain(&settings).chain(&table);
     for (name, advice) in every {
         // What an exchange passes on has the advice of what it passes on.
         let line = page.lines().find(|line| line.contains(&format!("`{name}`")));
         let line = line.unwrap_or_else(|| panic!("docs/on-call.md lacks {name}: {advice}"));
         assert!(
-            name == "ExchangeError::Refused" || line.contains(advice),
+            name == "ExchangeError::Rejection" || line.contains(advice),
             "{name}: {advice}\nnot in: {line}"
         );
     }
--- a/crates/fleet/tests/stored_datagrams.rs
+++ b/crates/fleet/tests/stored_datagrams.rs
@@ -3,9 +3,9 @@
 
 use std::net::SocketAddr;
 
-use glenrail_fleet::seal::{Channel, Sealer, OVERHEAD};
+use glenrail_fleet::seal::{Channel, Sealer, SEAL_OVERHEAD_BYTES};
 use glenrail_fleet::{
-    Effect, Exchange, Fleet, FleetKey, Keyring, Life, Member, MemberId, MemberState, Settings, FORMAT,
+    Effect, Exchange, Fleet, FleetKey, Incarnation, Keyring, Member, MemberId, MemberState, Settings, FORMAT,
 };
 
 /// One message a line: channel, name, and the sealed bytes in hexadecimal digits, in the order of their counters.
@@ -13,12 +13,12 @@
 /// All bytes that the receiver writes in the exchange that the stored frames make, in hexadecimal digits.
 const EXCHANGE_ANSWER: &str = include_str!("fixtures/stored_exchange_answer.txt");
 
-const SENDER: (&str, Life) = ("a", Life(5));
-const RECEIVER: (&str, Life) = ("b", Life(7));
-const THIRD: (&str, Life) = ("c", Life(1_700_000_000_000));
+const SENDER: (&str, Incarnation) = ("a", Incarnation(5));
+const RECEIVER: (&str, Incarnation) = ("b", Incarnation(7));
+const THIRD: (&str, Incarnation) = ("c", Incarnation(1_700_000_000_000));
 const KIND: u16 = 300;
 /// Where a body begins: after the header, which is all that sealing adds but the tag of 16 bytes.
-const HEADER: usize = OVERHEAD - 16;
+const HEADER_BYTES: usize = SEAL_OVERHEAD_BYTES - 16;
 
 /// What each name means on the wire: the number that a body begins with.
 const NUMBERS: [(&str, u8); 11] = [
@@ -39,7 +39,7 @@
     Keyring::new(FleetKey::derive(&[7; 32], "stored").unwrap(), None)
 }
 
-fn id((name, _): (&str, Life)) -> MemberId {
+fn id((name, _): (&str, Incarnation)) -> MemberId {
     MemberId::of_name(name)
 }
 
@@ -47,13 +47,13 @@
     ([10, 0, 0, host], 7_000 + u16::from(host)).into()
 }
 
-fn sealer(member: (&str, Life)) -> Sealer {
+fn sealer(member: (&str, Incarnation)) -> Sealer {
     Sealer::new(id(member), member.1, keys(), 8)
 }
 
 fn receiver() -> Fleet {
-    let (name, life) = RECEIVER;
-    Fleet::new(name, life, address(2), Vec::new(), keys(), Settings::default(), 1).unwrap()
+    let (name, incarnation) = RECEIVER;
+    Fleet::new(name, incarnation, address(2), Vec::new(), keys(), Settings::default(), 1).unwrap()
 }
 
 fn hexadecimal(bytes: &[u8]) -> String {
@@ -88,16 +88,16 @@
     let mut fleet = receiver();
     let mut effects = Vec::new();
     for (name, sealed) in stored_on("datagram") {
-        let mut out = Vec::new();
-        assert_eq!(fleet.datagram(0, address(9), &sealed, &mut out), Ok(()), "{name}");
-        effects.push((name, out));
+        let mut step_effects = Vec::new();
+        assert_eq!(fleet.datagram(0, address(9), &sealed, &mut step_effects), Ok(()), "{name}");
+        effects.push((name, step_effects));
     }
     (fleet, effects)
 }
 
 #[test]
 fn the_fixture_has_every_kind_of_message() {
-    let number = |(name, sealed): (&'static str, Vec<u8>)| (name, sealed[HEADER]);
+    let number = |(name, sealed): (&'static str, Vec<u8>)| (name, sealed[HEADER_BYTES]);
     assert_eq!(stored().into_iter().map(number).collect::<Vec<_>>(), NUMBERS);
     assert!(stored().iter().all(|(_, sealed)| sealed[0] == FORMAT));
 }
@@ -107,7 +107,7 @@
     let (mut seals, mut opens) = (sealer(SENDER), sealer(RECEIVER));
     for (name, sealed) in stored() {
         let (from, body) = opens.open(channel(name), 0, &sealed).unwrap();
-        assert_eq!((from.id, from.life, from.by_second_key), (id(SENDER), SENDER.1, false), "{name}");
+        assert_eq!((from.id, from.incarnation, from.by_second_key), (id(SENDER), SENDER.1, false), "{name}");
         let to = from.addressed.then_some((id(RECEIVER), RECEIVER.1));
         assert_eq!(hexadecimal(&seals.seal(channel(name), to, body)), hexadecimal(&sealed), "{name}");
     }
@@ -117,8 +117,8 @@
 fn a_member_hears_the_stored_datagrams() {
     let (fleet, _) = after_the_datagrams();
     let mut expected = vec![
-        Member { id: id(SENDER), life: SENDER.1, returns: 2, address: address(1) },
-        Member { id: id(THIRD), life: THIRD.1, returns: 300, address: address(3) },
+        Member { id: id(SENDER), incarnation: SENDER.1, rejoins: 2, address: address(1) },
+        Member { id: id(THIRD), incarnation: THIRD.1, rejoins: 300, address: address(3) },
     ];
     expected.sort_by_key(|member| member.id);
     let members: Vec<_> = fleet.members().map(|(member, state)| (*member, state)).collect();
@@ -127,17 +127,18 @@
     assert_eq!(table.get(id(SENDER), KIND, b"level"), Some((4, &[3][..])));
     assert_eq!(table.get(id(SENDER), KIND, b"taken back"), None);
     assert_eq!(table.get(id(THIRD), KIND, &[0, 255]), Some((u64::MAX, &[][..])));
-    assert_eq!((table.len(), fleet.counters().entries_taken), (3, 3));
+    assert_eq!((table.len(), fleet.counters().entries_merged), (3, 3));
 }
 
 #[test]
 fn a_member_answers_the_stored_datagrams() {
     let (_, effects) = after_the_datagrams();
-    let of = |wanted: &str| &effects.iter().find(|(name, _)| *name == wanted).unwrap().1;
-    let sends = |wanted: &str| of(wanted).iter().filter(|e| matches!(e, Effect::Send { .. })).count();
+    let of = |expected_name: &str| &effects.iter().find(|(name, _)| *name == expected_name).unwrap().1;
+    let sends =
+        |expected_name: &str| of(expected_name).iter().filter(|e| matches!(e, Effect::Send { .. })).count();
     assert_eq!(sends("datagram hello"), 1);
     assert_eq!(sends("datagram swim_announcement"), 1);
-    assert_eq!(of("datagram cells").iter().filter(|e| matches!(e, Effect::Told { .. })).count(), 3);
+    assert_eq!(of("datagram cells").iter().filter(|e| matches!(e, Effect::CellChanged { .. })).count(), 3);
     assert!(sends("datagram digests") > 0);
     assert_eq!(of("datagram whole")[..], [Effect::OpenExchange { with: id(SENDER), to: address(1) }]);
 }
@@ -146,17 +147,17 @@
 fn a_member_answers_the_stored_exchange_with_the_same_bytes() {
     let mut fleet = receiver();
     fleet.put(0, KIND, b"own", vec![1, 2, 3]).unwrap();
-    fleet.take_back(0, KIND, b"own").unwrap();
+    fleet.delete(0, KIND, b"own").unwrap();
     fleet.put(0, KIND, b"other", Vec::new()).unwrap();
-    let (mut exchange, mut written, mut over) = (Exchange::accept(), Vec::new(), false);
+    let (mut exchange, mut written, mut is_finished) = (Exchange::accept(), Vec::new(), false);
     for (name, sealed) in stored_on("frame") {
-        assert!(!over, "{name}");
+        assert!(!is_finished, "{name}");
         let framed = [&(sealed.len() as u32).to_le_bytes()[..], &sealed].concat();
         let step = fleet.exchange(0, &mut exchange, &framed, &mut Vec::new()).unwrap();
         written.extend(step.write);
-        over = step.over;
+        is_finished = step.is_finished;
     }
-    assert!(over);
+    assert!(is_finished);
     assert_eq!(hexadecimal(&written), EXCHANGE_ANSWER.trim_end());
     assert_eq!(fleet.table().get(id(SENDER), KIND, b"level"), Some((301, &[9, 8, 7][..])));
 }
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use glenrail_fleet::{Effect, Fleet, Life, MemberState, Refused, Settings};
+use glenrail_fleet::{Effect, Fleet, Incarnation, MemberState, Rejection, Settings};
 use net::{address, keys, Net};
 
 #[test]
@@ -21,7 +21,7 @@
         }
         assert!(net.until(30_000, |net| net.same_values(7, 5 * nodes)).is_some(), "{nodes} nodes");
         assert!(net.until(30_000, |net| net.same_values(65_000, 1)).is_some());
-        net.step(0, |fleet, now, _| fleet.take_back(now, 7, &[0])).unwrap();
+        net.step(0, |fleet, now, _| fleet.delete(now, 7, &[0])).unwrap();
         assert!(net.until(30_000, |net| net.same_values(7, 5 * nodes - 1)).is_some());
         // Told anew by itself, it outlives the age of a value many times.
         net.run(3 * net.settings.entry_age);
@@ -82,10 +82,11 @@
     }
     net.run(5_000);
     // Once it is quiet, what the bounds keep out is not asked for again and again.
-    let asked = |net: &Net| net.nodes.iter().map(|node| node.fleet.counters().exchanges_asked).sum::<u64>();
-    let before_quiet = asked(&net);
+    let exchanges_requested =
+        |net: &Net| net.nodes.iter().map(|node| node.fleet.counters().exchanges_requested).sum::<u64>();
+    let before_quiet = exchanges_requested(&net);
     net.run(20_000);
-    assert_eq!(asked(&net), before_quiet);
+    assert_eq!(exchanges_requested(&net), before_quiet);
     for (node, before) in net.nodes.iter().zip(before).take(3) {
         let table = node.fleet.table();
         assert!(table.bytes() <= 40_000);
@@ -111,37 +112,40 @@
     for (to, bytes) in &recorded {
         // Again to the same, to each other one, bent, and to a later life of the same.
         for node in 0..3 {
-            let refused = net.step(node, |fleet, now, out| fleet.datagram(now, address(9), bytes, out));
-            let again = matches!(refused, Err(Refused::Replayed { .. }));
-            let other = matches!(refused, Err(Refused::Foreign { .. } | Refused::Ourselves { .. }));
-            assert!(if node == *to { again } else { other }, "{refused:?}");
+            let rejection =
+                net.step(node, |fleet, now, effects| fleet.datagram(now, address(9), bytes, effects));
+            let is_replayed = matches!(rejection, Err(Rejection::Replayed { .. }));
+            let is_for_another =
+                matches!(rejection, Err(Rejection::WrongRecipient { .. } | Rejection::OwnName { .. }));
+            assert!(if node == *to { is_replayed } else { is_for_another }, "{rejection:?}");
         }
-        let mut bent = bytes.clone();
-        bent[30] ^= 4;
-        let refused = net.step(*to, |fleet, now, out| fleet.datagram(now, address(9), &bent, out));
-        assert_eq!(refused, Err(Refused::Forged));
+        let mut altered = bytes.clone();
+        altered[30] ^= 4;
+        let rejection =
+            net.step(*to, |fleet, now, effects| fleet.datagram(now, address(9), &altered, effects));
+        assert_eq!(rejection, Err(Rejection::Forged));
     }
     assert_eq!(net.nodes[1].fleet.table().get(net::id(0), 7, b"k").unwrap().1, b"second");
     net.kill(1);
     net.restart(1, 2);
     for (to, bytes) in recorded.iter().filter(|(to, _)| *to == 1) {
-        let refused = net.step(*to, |fleet, now, out| fleet.datagram(now, address(9), bytes, out));
-        assert!(matches!(refused, Err(Refused::Foreign { .. })));
+        let rejection = net.step(*to, |fleet, now, effects| fleet.datagram(now, address(9), bytes, effects));
+        assert!(matches!(rejection, Err(Rejection::WrongRecipient { .. })));
     }
-    let counted = &net.nodes[0].fleet.counters().refused;
-    assert!(counted[Refused::Forged.reason()] > 0);
+    let counted = &net.nodes[0].fleet.counters().rejected;
+    assert!(counted[Rejection::Forged.reason()] > 0);
 }
 
 #[test]
 fn one_with_another_key_is_not_heard_and_is_gone() {
     let mut net = Net::new(3, 10, Settings::default());
     net.run(5_000);
-    net.step(2, |fleet, _, _| fleet.turn_keys(keys(2)));
+    net.step(2, |fleet, _, _| fleet.rotate_keys(keys(2)));
     net.run(15_000);
     for node in 0..2 {
-        assert!(net.nodes[node].fleet.counters().refused[Refused::Forged.reason()] > 0);
+        assert!(net.nodes[node].fleet.counters().rejected[Rejection::Forged.reason()] > 0);
         let state = net.nodes[node].fleet.members().find(|(member, _)| member.id == net::id(2)).unwrap().1;
-        assert_eq!(state, MemberState::Gone);
+        assert_eq!(state, MemberState::Failed);
     }
 }
 
@@ -150,12 +154,12 @@
     let mut net = Net::new(2, 11, Settings::default());
     net.run(5_000);
     let (settings, seeds) = (Settings::default(), vec![address(0)]);
-    let mut second = Fleet::new("gw-0", Life(5), address(2), seeds, keys(1), settings, 1).unwrap();
-    let mut out = Vec::new();
-    second.start(0, &mut out);
-    let Effect::Send { bytes, .. } = &out[0] else { panic!("{out:?}") };
-    let refused = net.step(0, |fleet, now, out| fleet.datagram(now, address(2), bytes, out));
-    assert_eq!(refused, Err(Refused::Ourselves { life: Life(5) }));
+    let mut second = Fleet::new("gw-0", Incarnation(5), address(2), seeds, keys(1), settings, 1).unwrap();
+    let mut effects = Vec::new();
+    second.start(0, &mut effects);
+    let Effect::Send { bytes, .. } = &effects[0] else { panic!("{effects:?}") };
+    let rejection = net.step(0, |fleet, now, effects| fleet.datagram(now, address(2), bytes, effects));
+    assert_eq!(rejection, Err(Rejection::OwnName { incarnation: Incarnation(5) }));
     assert_eq!(net.nodes[0].superseded, 1);
 }
 
--- a/gateway/src/fleet/driver.rs
+++ b/gateway/src/fleet/driver.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use glenrail_fleet::{Effect, ExchangeError, Fleet, Keyring, Refused, TableError};
+use glenrail_fleet::{Effect, ExchangeError, Fleet, Keyring, Rejection, TableError};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -39,7 +39,7 @@
     /// They hold the driver: what is left of them at the end of a life would keep the port.
     streams: RefCell<JoinSet<()>>,
     /// Streams that others opened and that run.
-    pub(super) taken: Cell<usize>,
+    pub(super) incoming: Cell<usize>,
     pub(super) streams_most: usize,
     pub(super) stream_time: u64,
     /// Datagrams that the socket did not take.
@@ -47,9 +47,9 @@
     /// Streams that broke off, on either side.
     broken: Cell<u64>,
     /// Grows with whatever others told, and with each change of a member.
-    news: watch::Sender<u64>,
+    updates: watch::Sender<u64>,
     /// Log lines of refused datagrams: one reason does not hide another.
-    limits: [Limit; Refused::REASONS.len()],
+    limits: [Limit; Rejection::REASONS.len()],
     changes: Limit,
 }
 
@@ -62,14 +62,18 @@
         let at = socket.local_addr().map_err(|error| start.cannot_bind(error))?;
         let address = advertise.unwrap_or(at);
         // Once the port is had: the process before may live on as long as it has it.
-        let life = start.next_life()?;
+        let incarnation = start.next_incarnation()?;
         // Only spreads choices: it need not be hard to guess.
-        let seed = life.0 ^ u64::from(std::process::id()) << 40;
+        let seed = incarnation.0 ^ u64::from(std::process::id()) << 40;
         let figures = start.section.figures();
-        let fleet = Fleet::new(&start.member, life, address, seeds.clone(), keys, figures, seed);
+        let fleet = Fleet::new(&start.member, incarnation, address, seeds.clone(), keys, figures, seed);
         let fleet = fleet.map_err(|error| FleetError::Figure { file: start.file.clone(), error })?;
         let me = fleet.me().id.0;
-        log!("fleet: {} is member {me:016x}, life {}, at {address}, bound to {at}", start.member, life.0);
+        log!(
+            "fleet: {} is member {me:016x}, life {}, at {address}, bound to {at}",
+            start.member,
+            incarnation.0
+        );
         let driver = Rc::new(Driver {
             fleet: RefCell::new(fleet),
             began: boot_clock(),
@@ -78,16 +82,16 @@
             sender,
             listener,
             streams: RefCell::default(),
-            taken: Cell::new(0),
+            incoming: Cell::new(0),
             streams_most: start.section.exchanges,
             stream_time: start.section.exchange_time,
             unsent: Cell::new(0),
             broken: Cell::new(0),
-            news: watch::Sender::new(0),
-            limits: [const { Limit::new() }; Refused::REASONS.len()],
+            updates: watch::Sender::new(0),
+            limits: [const { Limit::new() }; Rejection::REASONS.len()],
             changes: Limit::new(),
         });
-        driver.step(|fleet, now, out| fleet.start(now, out));
+        driver.step(|fleet, now, effects| fleet.start(now, effects));
         Ok(driver)
     }
 
@@ -103,10 +107,10 @@
 
     /// One step of the machine, and what comes of it.
     pub(super) fn step<T>(self: &Rc<Self>, step: impl FnOnce(&mut Fleet, u64, &mut Vec<Effect>) -> T) -> T {
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         let now = self.now();
-        let value = step(&mut self.fleet.borrow_mut(), now, &mut out);
-        for effect in out {
+        let value = step(&mut self.fleet.borrow_mut(), now, &mut effects);
+        for effect in effects {
             self.carry_out(now, effect);
         }
         value
@@ -116,26 +120,29 @@
         match effect {
             Effect::Send { to, bytes } => self.send(to, &bytes),
             Effect::Timer { after, token } => self.timers.add(now + after, token),
-            Effect::Changed { member, state } => {
+            Effect::MemberChanged { member, state } => {
                 log::line(
                     &self.changes,
                     format_args!(
                         "fleet: member {:016x}, life {}, at {}: {}",
                         member.id.0,
-                        member.life.0,
+                        member.incarnation.0,
                         member.address,
-                        super::figures::word(state)
+                        super::figures::state_name(state)
                     ),
                 );
-                self.news.send_modify(|news| *news += 1);
+                self.updates.send_modify(|updates| *updates += 1);
             }
-            Effect::Told { .. } => self.news.send_modify(|news| *news += 1),
+            Effect::CellChanged { .. } => self.updates.send_modify(|updates| *updates += 1),
             Effect::OpenExchange { with, to } => {
                 self.stream(exchange::open(self.clone(), with, to));
             }
-            Effect::Superseded { life } => {
-                let refused = Refused::Ourselves { life };
-                log!("fleet: ERROR: a later life speaks under this name: {refused}; {}", refused.advice());
+            Effect::Superseded { incarnation } => {
+                let rejection = Rejection::OwnName { incarnation };
+                log!(
+                    "fleet: ERROR: a later life speaks under this name: {rejection}; {}",
+                    rejection.advice()
+                );
             }
         }
     }
@@ -162,10 +169,10 @@
         }
     }
 
-    pub(super) fn refused(&self, from: SocketAddr, refused: Refused) {
+    pub(super) fn log_rejection(&self, from: SocketAddr, rejection: Rejection) {
         log::line(
-            &self.limits[refused.reason()],
-            format_args!("fleet: what {from} sent was refused: {refused}; {}", refused.advice()),
+            &self.limits[rejection.reason()],
+            format_args!("fleet: what {from} sent was refused: {rejection}; {}", rejection.advice()),
         );
     }
 
@@ -177,8 +184,8 @@
     pub(super) fn broke(&self, error: &WireError) {
         self.broken.set(self.broken.get() + 1);
         match error {
-            WireError::Exchange { with, error: ExchangeError::Refused(refused) } => {
-                self.refused(*with, *refused);
+            WireError::Exchange { with, error: ExchangeError::Rejection(rejection) } => {
+                self.log_rejection(*with, *rejection);
             }
             other => self.failed(other),
         }
@@ -190,18 +197,18 @@
     }
 
     /// See [`Fleet::take_back`].
-    pub fn take_back(&self, kind: u16, key: &[u8]) -> Result<u64, TableError> {
-        self.fleet.borrow_mut().take_back(self.now(), kind, key)
+    pub fn delete(&self, kind: u16, key: &[u8]) -> Result<u64, TableError> {
+        self.fleet.borrow_mut().delete(self.now(), kind, key)
     }
 
     /// Looks at members and table.
-    pub fn look<T>(&self, look: impl FnOnce(&Fleet) -> T) -> T {
-        look(&self.fleet.borrow())
+    pub fn inspect<T>(&self, inspect: impl FnOnce(&Fleet) -> T) -> T {
+        inspect(&self.fleet.borrow())
     }
 
     /// Changes whenever another look may show something else.
-    pub fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub fn updates(&self) -> watch::Receiver<u64> {
+        self.updates.subscribe()
     }
 
     /// Datagrams that the socket did not take, and streams that broke off.
@@ -209,12 +216,12 @@
         (self.unsent.get(), self.broken.get())
     }
 
-    pub(super) fn turn_keys(&self, keys: Keyring) {
-        self.fleet.borrow_mut().turn_keys(keys);
+    pub(super) fn rotate_keys(&self, keys: Keyring) {
+        self.fleet.borrow_mut().rotate_keys(keys);
     }
 
     /// Tells all others that this member leaves, before it returns. Nothing is said or heard after it.
     pub fn leave(self: &Rc<Self>) {
-        self.step(|fleet, now, out| fleet.leave(now, out));
+        self.step(|fleet, now, effects| fleet.leave(now, effects));
     }
 }
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -12,27 +12,27 @@
 
 use super::driver::Driver;
 use super::error::WireError;
-use super::udp::PAUSE;
+use super::udp::RETRY_PAUSE;
 
 /// Read at once.
-const READ: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Counts a stream that another opened while it runs.
-struct Taken(Rc<Driver>);
+struct IncomingStream(Rc<Driver>);
 
-impl Taken {
-    fn new(driver: &Rc<Driver>) -> Option<Taken> {
-        let taken = driver.taken.get();
-        (taken < driver.streams_most).then(|| {
-            driver.taken.set(taken + 1);
-            Taken(driver.clone())
+impl IncomingStream {
+    fn new(driver: &Rc<Driver>) -> Option<IncomingStream> {
+        let incoming = driver.incoming.get();
+        (incoming < driver.streams_most).then(|| {
+            driver.incoming.set(incoming + 1);
+            IncomingStream(driver.clone())
         })
     }
 }
 
-impl Drop for Taken {
+impl Drop for IncomingStream {
     fn drop(&mut self) {
-        self.0.taken.set(self.0.taken.get() - 1);
+        self.0.incoming.set(self.0.incoming.get() - 1);
     }
 }
 
@@ -41,18 +41,18 @@
 pub(super) async fn accept(driver: &Rc<Driver>) {
     loop {
         match driver.listener.accept().await {
-            Ok((stream, with)) => match Taken::new(driver) {
-                Some(taken) => {
+            Ok((stream, with)) => match IncomingStream::new(driver) {
+                Some(incoming) => {
                     driver.stream(async move {
-                        let run = run(&taken.0, stream, with, Exchange::accept(), Vec::new());
-                        bounded(&taken.0, with, run).await;
+                        let run = run(&incoming.0, stream, with, Exchange::accept(), Vec::new());
+                        bounded(&incoming.0, with, run).await;
                     });
                 }
                 None => driver.broke(&WireError::Crowded { with, most: driver.streams_most }),
             },
             Err(error) => {
                 driver.failed(&WireError::Accept(error));
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
@@ -87,17 +87,17 @@
 ) -> Result<(), WireError> {
     let broken = |error: io::Error| WireError::Broken { with, error };
     stream.write_all(&first).await.map_err(broken)?;
-    let mut buffer = vec![0; READ];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         let bytes = stream.read(&mut buffer).await.map_err(broken)?;
         if bytes == 0 {
             return Err(WireError::Ended { with });
         }
         let stepped =
-            driver.step(|fleet, now, out| fleet.exchange(now, &mut exchange, &buffer[..bytes], out));
+            driver.step(|fleet, now, effects| fleet.exchange(now, &mut exchange, &buffer[..bytes], effects));
         let step = stepped.map_err(|error| WireError::Exchange { with, error })?;
         stream.write_all(&step.write).await.map_err(broken)?;
-        if step.over {
+        if step.is_finished {
             return stream.shutdown().await.map_err(broken);
         }
     }
--- a/gateway/src/fleet/figures.rs
+++ b/gateway/src/fleet/figures.rs
@@ -1,16 +1,16 @@
 //! What operators see of the fleet.
 
-use glenrail_fleet::{Member, MemberState, Refused};
+use glenrail_fleet::{Member, MemberState, Rejection};
 use serde_json::{json, Value};
 
 use super::driver::Driver;
 
 /// A member's state in one word.
-pub fn word(state: MemberState) -> &'static str {
+pub fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
-        MemberState::Gone => "gone",
+        MemberState::Failed => "gone",
         MemberState::Left => "left",
     }
 }
@@ -18,16 +18,16 @@
 fn row(member: &Member, state: MemberState) -> Value {
     json!({
         "id": format!("{:016x}", member.id.0),
-        "life": member.life.0,
-        "returns": member.returns,
+        "life": member.incarnation.0,
+        "returns": member.rejoins,
         "address": member.address.to_string(),
-        "state": word(state),
+        "state": state_name(state),
     })
 }
 
 /// This member, and all others that are known.
 pub(super) fn members(driver: &Driver) -> Value {
-    driver.look(|fleet| {
+    driver.inspect(|fleet| {
         let others: Vec<_> = fleet.members().map(|(member, state)| row(member, state)).collect();
         json!({"me": row(&fleet.me(), MemberState::Alive), "others": others})
     })
@@ -36,18 +36,18 @@
 /// Counters of this life. `key_reads` is of the process.
 pub(super) fn counters(driver: &Driver, key_reads: u64) -> Value {
     let (unsent, broken) = driver.lost();
-    driver.look(|fleet| {
-        let count = |wanted| fleet.members().filter(|(_, state)| *state == wanted).count();
+    driver.inspect(|fleet| {
+        let count = |expected| fleet.members().filter(|(_, state)| *state == expected).count();
         let counters = fleet.counters();
-        let refused = Refused::REASONS.iter().zip(counters.refused);
-        let refused = refused.map(|(reason, count)| (reason.to_string(), count.into()));
+        let rejections = Rejection::REASONS.iter().zip(counters.rejected);
+        let rejections = rejections.map(|(reason, count)| (reason.to_string(), count.into()));
         json!({
             "alive": count(MemberState::Alive),
             "suspect": count(MemberState::Suspect),
-            "gone": count(MemberState::Gone),
+            "gone": count(MemberState::Failed),
             "left": count(MemberState::Left),
             "entries": fleet.table().len(),
-            "refused": refused.collect::<serde_json::Map<String, Value>>(),
+            "refused": rejections.collect::<serde_json::Map<String, Value>>(),
             "datagrams_in": counters.datagrams_in,
             "datagrams_out": counters.datagrams_out,
             "bytes_in": counters.bytes_in,
@@ -55,7 +55,7 @@
             "unsent": unsent,
             "by_second_key": counters.by_second_key,
             "key_reads": key_reads,
-            "exchanges_asked": counters.exchanges_asked,
+            "exchanges_asked": counters.exchanges_requested,
             "exchanges_broken": broken,
             "entries_over_bounds": counters.entries_over_bounds,
             "late_timers": counters.late_timers,
--- a/gateway/src/fleet/life/tests.rs
+++ b/gateway/src/fleet/life/tests.rs
@@ -11,5 +11,5 @@
         assert!(matches!(next(1, Some(&file)), Err(LifeError::NotANumber)), "{text}");
     }
     std::fs::remove_dir_all(&directory).expect("removed");
-    assert_eq!(next(7, None).expect("a life"), Life(7));
+    assert_eq!(next(7, None).expect("a life"), Incarnation(7));
 }
--- a/gateway/src/fleet/start.rs
+++ b/gateway/src/fleet/start.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use glenrail_fleet::{Keyring, Life};
+use glenrail_fleet::{Incarnation, Keyring};
 
 use super::config::{self, Section};
 use super::error::FleetError;
@@ -44,11 +44,11 @@
     }
 
     /// The keys that the files name now, for the fleet's name of the start.
-    pub(super) fn keys_anew(&self) -> Result<Keyring, FleetError> {
+    pub(super) fn reload_keys(&self) -> Result<Keyring, FleetError> {
         read_keys(&config::read(&self.file)?, &self.section.name)
     }
 
-    pub(super) fn next_life(&self) -> Result<Life, FleetError> {
+    pub(super) fn next_incarnation(&self) -> Result<Incarnation, FleetError> {
         let file = self.life_file.as_deref();
         life::next(life::clock(), file).map_err(|error| FleetError::Life {
             file: file.map(Path::to_path_buf).unwrap_or_default(),
--- a/gateway/src/fleet/timers.rs
+++ b/gateway/src/fleet/timers.rs
@@ -47,7 +47,7 @@
                 () = self.sooner.notified() => continue,
             }
             while let Some(token) = self.take(driver.now()) {
-                driver.step(|fleet, now, out| fleet.timer(now, token, out));
+                driver.step(|fleet, now, effects| fleet.timer(now, token, effects));
             }
         }
     }
--- a/gateway/tests/fleet_drivers.rs
+++ b/gateway/tests/fleet_drivers.rs
@@ -15,7 +15,7 @@
 
 const CADENCE: &str = "hello = 200\nrepair = 100\nexchange_apart = 100\nsuspect = 20000\nexchanges = 2";
 
-struct One {
+struct Node {
     handle: Handle,
     shutdown: Shutdown,
     at: SocketAddr,
@@ -33,25 +33,27 @@
 }
 
 /// A member at a free port.
-fn one(directory: &Path, name: &str, seeds: Vec<SocketAddr>, more: &str) -> One {
+fn node(directory: &Path, name: &str, seeds: Vec<SocketAddr>, more: &str) -> Node {
     let bind = ([127, 0, 0, 1], 0).into();
     let shutdown = Shutdown::default();
     let handle = start(read(directory, name, bind, seeds, more), false, &shutdown).expect("it starts");
-    let at = handle.driver().expect("a life").look(|fleet| fleet.me().address);
-    One { handle, shutdown, at }
+    let at = handle.driver().expect("a life").inspect(|fleet| fleet.me().address);
+    Node { handle, shutdown, at }
 }
 
 /// A process that comes after another at this port.
-fn after(directory: &Path, name: &str, at: SocketAddr, seeds: Vec<SocketAddr>) -> One {
+fn after(directory: &Path, name: &str, at: SocketAddr, seeds: Vec<SocketAddr>) -> Node {
     let shutdown = Shutdown::default();
     let handle = start(read(directory, name, at, seeds, ""), true, &shutdown).expect("it starts");
-    One { handle, shutdown, at }
+    Node { handle, shutdown, at }
 }
 
-impl One {
-    fn value(&self, of: &One, key: &[u8]) -> Option<Vec<u8>> {
-        let origin = of.handle.driver()?.look(|fleet| fleet.me().id);
-        self.handle.driver()?.look(|fleet| fleet.table().get(origin, 7, key).map(|(_, value)| value.to_vec()))
+impl Node {
+    fn value(&self, of: &Node, key: &[u8]) -> Option<Vec<u8>> {
+        let origin = of.handle.driver()?.inspect(|fleet| fleet.me().id);
+        self.handle
+            .driver()?
+            .inspect(|fleet| fleet.table().get(origin, 7, key).map(|(_, value)| value.to_vec()))
     }
 
     fn figure(&self, name: &str) -> u64 {
@@ -65,23 +67,23 @@
 fn entries_reach_all_by_datagram_or_stream() {
     run(async {
         let directory = directory("entries");
-        let a = one(&directory, "a", vec![], "");
-        let others = ["b", "c"].map(|name| one(&directory, name, vec![a.at], ""));
+        let a = node(&directory, "a", vec![], "");
+        let others = ["b", "c"].map(|name| node(&directory, name, vec![a.at], ""));
         // The greeting to the seed is out before the runtime has looked at the socket for the first time.
-        assert!(others.iter().all(|one| one.figure("datagrams_out") == 1 && one.figure("unsent") == 0));
+        assert!(others.iter().all(|node| node.figure("datagrams_out") == 1 && node.figure("unsent") == 0));
         let driver = a.handle.driver().expect("a life");
-        let mut news = others[0].handle.driver().expect("a life").news();
+        let mut updates = others[0].handle.driver().expect("a life").updates();
         driver.put(7, b"small", vec![1]).expect("room");
         driver.put(7, b"large", vec![2; 20_000]).expect("room");
         while others[0].value(&a, b"small").is_none() || others[0].value(&a, b"large").is_none() {
-            news.changed().await.expect("a driver");
+            updates.changed().await.expect("a driver");
         }
         until(|| others[1].value(&a, b"large") == Some(vec![2; 20_000])).await;
-        assert!(others.iter().all(|one| one.figure("exchanges_broken") == 0));
-        driver.take_back(7, b"small").expect("room");
-        until(|| others.iter().all(|one| one.value(&a, b"small").is_none())).await;
+        assert!(others.iter().all(|node| node.figure("exchanges_broken") == 0));
+        driver.delete(7, b"small").expect("room");
+        until(|| others.iter().all(|node| node.value(&a, b"small").is_none())).await;
         a.handle.leave();
-        until(|| others.iter().all(|one| one.figure("left") == 1 && one.figure("gone") == 0)).await;
+        until(|| others.iter().all(|node| node.figure("left") == 1 && node.figure("gone") == 0)).await;
         assert!(a.handle.driver().is_none());
         std::fs::remove_dir_all(directory).expect("removed");
     });
@@ -93,7 +95,7 @@
 fn strangers_at_the_port_for_streams_are_cut_off() {
     run(async {
         let directory = directory("strangers");
-        let a = one(&directory, "a", vec![], "exchange_time = 60000");
+        let a = node(&directory, "a", vec![], "exchange_time = 60000");
         for bytes in [&[255; 4][..], &[3, 0, 0, 0, 1, 2, 3]] {
             let mut stream = TcpStream::connect(a.at).await.expect("a connection");
             stream.write_all(bytes).await.expect("sent");
@@ -112,7 +114,7 @@
         assert_eq!(a.figure("exchanges_broken"), 3);
         drop(silent);
         until(|| a.figure("exchanges_broken") == 5).await;
-        let b = one(&directory, "b", vec![a.at], "exchange_time = 200");
+        let b = node(&directory, "b", vec![a.at], "exchange_time = 200");
         b.handle.driver().expect("a life").put(7, b"large", vec![2; 20_000]).expect("room");
         until(|| a.value(&b, b"large").is_some()).await;
         let broken = b.figure("exchanges_broken");
@@ -129,13 +131,14 @@
 fn a_member_gives_its_port_up_to_an_heir_and_takes_it_back() {
     run(async {
         let directory = directory("heir");
-        let other = one(&directory, "other", vec![], "");
+        let other = node(&directory, "other", vec![], "");
         let seeds = vec![other.at];
-        let first = one(&directory, "a", seeds.clone(), "");
-        let after = |first: &One| after(&directory, "a", first.at, seeds.clone());
+        let first = node(&directory, "a", seeds.clone(), "");
+        let after = |first: &Node| after(&directory, "a", first.at, seeds.clone());
         let second = after(&first);
         assert!(second.handle.driver().is_none(), "the first one has the port");
-        let life = |one: &One| one.handle.driver().map(|driver| driver.look(|fleet| fleet.me().life));
+        let life =
+            |node: &Node| node.handle.driver().map(|driver| driver.inspect(|fleet| fleet.me().incarnation));
         let began = life(&first);
         first.shutdown.set_successor(Some(tokio::sync::mpsc::unbounded_channel().0));
         until(|| life(&second) > began).await;
