--- a/crates/fleet/src/fleet/effect.rs
+++ b/crates/fleet/src/fleet/effect.rs
@@ -1,21 +1,48 @@
-//! What the driver is to do, and what it is told.
+//! Effects: what the driver has to do, and what it is notified of.
 
 use std::net::SocketAddr;
 
 use crate::{CellId, Incarnation, Member, MemberId, MemberState};
 
+/// One instruction or notification to the driver, in the order in which it is to be carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// One datagram, at most [`crate::DATAGRAM_MOST`] bytes.
-    Send { to: SocketAddr, bytes: Vec<u8> },
+    /// Send one datagram of at most [`crate::MAX_DATAGRAM_BYTES`] bytes.
+    Send {
+        /// Its recipient.
+        to: SocketAddr,
+        /// The sealed message.
+        bytes: Vec<u8>,
+    },
     /// Call [`crate::Fleet::timer`] with the token, `after` milliseconds from now or later.
-    Timer { after: u64, token: u64 },
-    /// A member is another one, or stands otherwise.
-    MemberChanged { member: Member, state: MemberState },
-    /// A cell of another member is new, has a new value or was taken back: look it up.
-    CellChanged { id: CellId },
+    Timer {
+        /// Milliseconds.
+        after: u64,
+        /// What to call it with.
+        token: u64,
+    },
+    /// A member is new, changed its identity, or changed its state.
+    MemberChanged {
+        /// As it is known now.
+        member: Member,
+        /// Its state now.
+        state: MemberState,
+    },
+    /// A cell of another member is new, has a new value or was deleted: the table has the current value.
+    CellChanged {
+        /// The cell.
+        id: CellId,
+    },
     /// Open a stream to this address and run [`crate::Fleet::open_exchange`] over it.
-    OpenExchange { with: MemberId, to: SocketAddr },
-    /// A later life speaks under this member's own name: two run under one name, or this one should have ended.
-    Superseded { incarnation: Incarnation },
+    OpenExchange {
+        /// The member to exchange with.
+        with: MemberId,
+        /// Its address.
+        to: SocketAddr,
+    },
+    /// A later incarnation runs under this member's own name: two processes share a name, or this one should have ended.
+    Superseded {
+        /// The later incarnation.
+        incarnation: Incarnation,
+    },
 }
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -1,8 +1,8 @@
-//! Whole state over a stream: frames in, frames out. The opener says what it holds, the acceptor sends what it
-//! lacks and says what it holds itself, the opener sends what the acceptor lacks.
+//! The anti-entropy exchange of two members over a stream. The opener sends its digests; the acceptor sends the cells
+//! that the opener lacks, then its own digests; the opener sends the cells that the acceptor lacks.
 //!
-//! A frame is its length (four bytes, little end first, at most [`FRAME_MOST`]) and a sealed body. The driver gives
-//! the stream its own bound on time: an end that says nothing is cut off.
+//! A frame is its length (four bytes, little-endian, at most [`MAX_FRAME_BYTES`]) and a sealed body. The driver owns
+//! the stream and its time limit; an [`Exchange`] owns the bytes that do not make a frame yet.
 
 use super::{Effect, Fleet};
 use crate::rejection::Rejection;
@@ -11,19 +11,40 @@
 use crate::wire::{paginate, Body, MAX_FRAME_BYTES};
 use crate::{Incarnation, MemberId};
 
-/// Why an exchange ends before its time. What came before stays merged; the next one gets the rest.
+/// Why an exchange was aborted. Cells that came before stay merged; the next exchange brings the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
+    /// The other side is not an active member.
     #[error("member {with:?} is not active here")]
-    NotAMember { with: MemberId },
+    NotAMember {
+        /// The other side.
+        with: MemberId,
+    },
+    /// A frame is too long.
     #[error("a frame of {bytes} bytes is over the bound of {most}")]
-    TooLong { bytes: usize, most: usize },
+    TooLong {
+        /// Bytes found.
+        bytes: usize,
+        /// The bound.
+        most: usize,
+    },
+    /// The other side sent more than a whole table in one exchange.
     #[error("{bytes} bytes in one exchange are over the bound of {most}")]
-    TooManyBytes { bytes: usize, most: usize },
+    TooManyBytes {
+        /// Bytes received so far.
+        bytes: usize,
+        /// The bound.
+        most: usize,
+    },
+    /// A frame was rejected.
     #[error("a frame was refused: {0}")]
     Rejection(#[from] Rejection),
+    /// A frame that does not belong at this stage of the exchange, or that another member sealed.
     #[error("the other side, {with:?}, sent a frame out of turn")]
-    OutOfTurn { with: MemberId },
+    OutOfTurn {
+        /// The other side.
+        with: MemberId,
+    },
 }
 
 impl ExchangeError {
@@ -44,16 +65,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The acceptor waits for the first frame.
+    /// The acceptor waits for the opener's digests.
     AwaitOpen,
-    /// Cells, then the other side's `Done`. The opener answers that with cells of its own.
-    AwaitDone {
-        opener: bool,
-    },
+    /// Cells, then [`Body::ExchangeDone`] of the other side, which the opener answers with cells.
+    AwaitDone { opener: bool },
+    /// Finished or aborted.
     Finished,
 }
 
-/// One side of one stream.
+/// This member's side of one exchange.
 pub struct Exchange {
     with: Option<(MemberId, Incarnation)>,
     stage: Stage,
@@ -61,22 +81,23 @@
     received_bytes: usize,
 }
 
-/// What the driver does next with the stream.
+/// What the driver does with the stream next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
+    /// Bytes to write.
     pub write: Vec<u8>,
-    /// After writing: close it.
+    /// Whether to close the stream after writing.
     pub is_finished: bool,
 }
 
 impl Exchange {
-    /// For a stream that another member opened.
+    /// The side of a member that accepted a stream.
     pub fn accept() -> Exchange {
         Exchange { with: None, stage: Stage::AwaitOpen, buffer: Vec::new(), received_bytes: 0 }
     }
 
-    /// One whole frame, if it is there.
-    fn frame(&mut self) -> Result<Option<Vec<u8>>, ExchangeError> {
+    /// Removes the first frame from the buffer, if it is complete.
+    fn next_frame(&mut self) -> Result<Option<Vec<u8>>, ExchangeError> {
         let Some((length, rest)) = self.buffer.split_first_chunk::<4>() else { return Ok(None) };
         let bytes = u32::from_le_bytes(*length) as usize;
         if bytes > MAX_FRAME_BYTES {
@@ -92,19 +113,19 @@
 }
 
 impl Fleet {
-    /// The opener's side and the first bytes to write, after [`Effect::OpenExchange`].
+    /// The side of a member that opened a stream after [`Effect::OpenExchange`], and the first bytes to write.
     pub fn open_exchange(&mut self, with: MemberId) -> Result<(Exchange, Vec<u8>), ExchangeError> {
         let active = self.membership.get(with).filter(|(_, state)| state.is_active() && !self.has_left);
         let member = *active.ok_or(ExchangeError::NotAMember { with })?.0;
         let to = (member.id, member.incarnation);
         let mut write = Vec::new();
-        let held = self.all_digests();
-        self.frame(to, &Body::ExchangeOpen(held), &mut write);
+        let digests = self.all_digests();
+        self.write_frame(to, &Body::ExchangeOpen(digests), &mut write);
         let stage = Stage::AwaitDone { opener: true };
         Ok((Exchange { with: Some(to), stage, buffer: Vec::new(), received_bytes: 0 }, write))
     }
 
-    /// Bytes that came over the stream. After an error it is to be closed.
+    /// Handles bytes that were read from the stream. After an error the stream must be closed.
     pub fn exchange(
         &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<Step, ExchangeError> {
@@ -118,8 +139,8 @@
         exchange.buffer.extend_from_slice(bytes);
         let mut write = Vec::new();
         while exchange.stage != Stage::Finished {
-            let stepped = match exchange.frame() {
-                Ok(Some(frame)) => self.exchange_frame(now, exchange, &frame, &mut write, effects),
+            let stepped = match exchange.next_frame() {
+                Ok(Some(frame)) => self.handle_frame(now, exchange, &frame, &mut write, effects),
                 Ok(None) => break,
                 Err(error) => Err(error),
             };
@@ -134,7 +155,7 @@
         Ok(Step { write, is_finished: exchange.stage == Stage::Finished })
     }
 
-    fn exchange_frame(
+    fn handle_frame(
         &mut self, now: u64, exchange: &mut Exchange, frame: &[u8], write: &mut Vec<u8>,
         effects: &mut Vec<Effect>,
     ) -> Result<(), ExchangeError> {
@@ -152,15 +173,15 @@
         let body = Body::read(body).ok_or(Rejection::Malformed { from: sender.id })?;
         match (exchange.stage, body) {
             (Stage::AwaitOpen, Body::ExchangeOpen(theirs)) => {
-                self.frames_of_lacking(now, from, &theirs, write);
-                let held = self.all_digests();
-                self.frame(from, &Body::ExchangeDone(held), write);
+                self.write_missing_cells(now, from, &theirs, write);
+                let digests = self.all_digests();
+                self.write_frame(from, &Body::ExchangeDone(digests), write);
                 exchange.stage = Stage::AwaitDone { opener: false };
             }
             (Stage::AwaitDone { .. }, Body::Cells(cells)) => self.merge_cells(now, &cells, effects),
             (Stage::AwaitDone { opener: true }, Body::ExchangeDone(theirs)) => {
-                self.frames_of_lacking(now, from, &theirs, write);
-                self.frame(from, &Body::ExchangeDone(Vec::new()), write);
+                self.write_missing_cells(now, from, &theirs, write);
+                self.write_frame(from, &Body::ExchangeDone(Vec::new()), write);
                 exchange.stage = Stage::Finished;
             }
             (Stage::AwaitDone { opener: false }, Body::ExchangeDone(_)) => exchange.stage = Stage::Finished,
@@ -173,8 +194,8 @@
         self.table.digests(MemberId(0), MemberId(u64::MAX))
     }
 
-    /// Frames with the cells that one who holds `theirs` lacks.
-    fn frames_of_lacking(
+    /// Appends frames with the cells that a member with the digests `theirs` lacks.
+    fn write_missing_cells(
         &mut self, now: u64, to: (MemberId, Incarnation), theirs: &[Digest], write: &mut Vec<u8>,
     ) {
         let mut missing_at_peer = self.missing_at_peer(theirs);
@@ -182,14 +203,15 @@
         missing_at_peer.extend(self.all_digests().iter().filter(unknown).map(|digest| (digest.origin, 0)));
         let above = |(origin, above): &(MemberId, u64)| self.table.above(now, *origin, *above);
         let cells: Vec<Cell> = missing_at_peer.iter().flat_map(above).collect();
-        // What the settings let in fits into a frame.
+        // The bounds of the settings make every cell fit into a frame.
         let (pages, _) = paginate(cells, MAX_FRAME_BYTES - SEAL_OVERHEAD_BYTES);
         for page in pages {
-            self.frame(to, &Body::Cells(page), write);
+            self.write_frame(to, &Body::Cells(page), write);
         }
     }
 
-    pub(super) fn frame(&mut self, to: (MemberId, Incarnation), body: &Body, write: &mut Vec<u8>) {
+    /// Appends one sealed frame.
+    pub(super) fn write_frame(&mut self, to: (MemberId, Incarnation), body: &Body, write: &mut Vec<u8>) {
         let sealed = self.sealer.seal(Channel::Frame, Some(to), &body.bytes());
         self.counters.bytes_out += sealed.len() as u64 + 4;
         write.extend((sealed.len() as u32).to_le_bytes());
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -1,4 +1,9 @@
-//! The one machine that a driver runs: datagrams and timers in, effects out.
+//! The state machine of one member: datagrams, timers and the bytes of streams in, effects out.
+//!
+//! - `rounds`: gossip, greetings, expiry and the merging of cells.
+//! - `repair`: anti-entropy by digests in datagrams; `exchange`: the same over a stream.
+//!
+//! [`Fleet`] owns all state of the member. The driver owns the clock and the sockets.
 
 mod cycle;
 mod effect;
@@ -26,11 +31,11 @@
 use crate::wire::{Body, MAX_DATAGRAM_BYTES};
 use crate::{Incarnation, Member, MemberId};
 
-/// Kind of the note "this life leaves". Others belong to the parts that put them.
+/// Kind of the cell that announces that an incarnation leaves. All other kinds belong to the callers of [`Fleet::put`].
 const LEAVING: u16 = 0;
 
-/// One member. Times are milliseconds on the driver's clock, which must not go back and must go on while the
-/// process is stopped; what comes out depends on the inputs and the seed alone.
+/// One member. Times are milliseconds on the driver's clock, which must be monotonic and must advance while the
+/// process is stopped. The effects depend on the inputs and the seed alone.
 pub struct Fleet {
     settings: Settings,
     seeds: Vec<SocketAddr>,
@@ -40,18 +45,19 @@
     gossip_queue: GossipQueue,
     timers: Timers,
     random: StdRng,
-    /// Whom to tell next, whom to compare digests with next.
+    /// Recipients of the next rounds of gossip.
     gossip_order: Cycle,
+    /// Recipients of the next digests.
     digest_order: Cycle,
     counters: Counters,
-    /// When an exchange may be asked for again.
+    /// Earliest time of the next request for an exchange.
     next_exchange_at: u64,
     has_left: bool,
 }
 
 impl Fleet {
-    /// `life` must be later than that of any earlier run under this name. `seeds`: addresses where members may be
-    /// found, this one's own among them or not.
+    /// A member that is not started yet. `incarnation` must be later than that of any earlier run under this name.
+    /// `seeds` are addresses where members may be found; this member's own is ignored.
     pub fn new(
         name: &str, incarnation: Incarnation, address: SocketAddr, seeds: Vec<SocketAddr>, keys: Keyring,
         settings: Settings, seed: u64,
@@ -78,17 +84,17 @@
         })
     }
 
-    /// Greets the seeds and asks for the first timers. Once.
+    /// Greets the seeds and requests the first timers. To be called once.
     pub fn start(&mut self, now: u64, effects: &mut Vec<Effect>) {
         self.greet_all_seeds(effects);
-        self.after(now, self.settings.hello, Due::Hello, effects);
-        self.after(now, self.settings.round, Due::Gossip, effects);
-        self.after(now, self.settings.repair, Due::AntiEntropy, effects);
-        self.after(now, self.settings.repair, Due::Expiry, effects);
+        self.schedule(now, self.settings.hello, Due::Hello, effects);
+        self.schedule(now, self.settings.round, Due::Gossip, effects);
+        self.schedule(now, self.settings.repair, Due::AntiEntropy, effects);
+        self.schedule(now, self.settings.repair, Due::Expiry, effects);
     }
 
-    /// One datagram, as it came. Where it came from does not matter: the seal says who sent it, and answers go to
-    /// the addresses that members advertise.
+    /// Handles one datagram. Its source address is not used: the seal names the sender, and answers go to the
+    /// addresses that members advertise.
     pub fn datagram(
         &mut self, now: u64, _from: SocketAddr, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
@@ -136,7 +142,7 @@
         Ok(())
     }
 
-    /// A member speaks for itself alone about where it is and which life it lives.
+    /// A member may state an address and an incarnation for itself only.
     fn check_sender(&self, sender: &Sender, member: &Member) -> Result<(), Rejection> {
         if (member.id, member.incarnation) == (sender.id, sender.incarnation) {
             Ok(())
@@ -154,7 +160,7 @@
         }
     }
 
-    /// A timer came due. One that comes twice, or that was never asked for, does nothing.
+    /// Handles a timer that fired. A token that is unknown, or that fired before, is ignored.
     pub fn timer(&mut self, now: u64, token: u64, effects: &mut Vec<Effect>) {
         let Some((due, late)) = self.timers.claim(token, now) else { return };
         if self.has_left {
@@ -169,25 +175,25 @@
             }
             Due::Gossip => {
                 self.gossip_round(now, effects);
-                self.after(now, self.settings.round, Due::Gossip, effects);
+                self.schedule(now, self.settings.round, Due::Gossip, effects);
             }
             Due::AntiEntropy => {
                 self.send_digests(effects);
-                self.after(now, self.settings.repair, Due::AntiEntropy, effects);
+                self.schedule(now, self.settings.repair, Due::AntiEntropy, effects);
             }
             Due::Hello => {
                 self.greet_seeds(effects);
-                self.after(now, self.settings.hello, Due::Hello, effects);
+                self.schedule(now, self.settings.hello, Due::Hello, effects);
             }
             Due::Expiry => {
-                self.age(now);
-                self.after(now, self.settings.repair, Due::Expiry, effects);
+                self.expire(now);
+                self.schedule(now, self.settings.repair, Due::Expiry, effects);
             }
         }
     }
 
-    /// Says something to all: the value of this member's own cell (`kind`, `key`) from now on. Returns its version.
-    /// Told anew by itself until it is taken back; values that age by themselves say so in their bytes.
+    /// Sets the value of this member's cell (`kind`, `key`), and returns its version. The member renews the cell until
+    /// it is deleted; a value with an end of its own has to carry that in its bytes.
     pub fn put(&mut self, now: u64, kind: u16, key: &[u8], value: Vec<u8>) -> Result<u64, TableError> {
         if kind == LEAVING {
             return Err(TableError::Reserved { kind });
@@ -195,7 +201,7 @@
         self.write_cell(now, kind, key, Some(value))
     }
 
-    /// Takes back what was put. Returns the version of the taking back.
+    /// Deletes a cell of this member, and returns the version of the tombstone.
     pub fn delete(&mut self, now: u64, kind: u16, key: &[u8]) -> Result<u64, TableError> {
         if kind == LEAVING {
             return Err(TableError::Reserved { kind });
@@ -217,13 +223,13 @@
         Ok(version)
     }
 
-    /// Says that this member leaves, to all that are active, and ends: nothing is heard or asked for after it.
+    /// Announces to all active members that this one leaves. It handles nothing after that.
     pub fn leave(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        // The table's room is kept for this note: it is small, and a lack of room must not keep anyone from leaving.
+        // Not written to the table: a full table must not prevent a member from leaving.
         let me = self.membership.me();
         let id = CellId { origin: me.id, kind: LEAVING, key: Vec::new() };
-        let note = Cell::new(id, me.incarnation, self.table.next_version(me.id), 0, Some(Vec::new()));
-        let body = Body::Cells(vec![note]);
+        let announcement = Cell::new(id, me.incarnation, self.table.next_version(me.id), 0, Some(Vec::new()));
+        let body = Body::Cells(vec![announcement]);
         for member in &self.active() {
             self.send(member, &body, effects);
         }
@@ -231,29 +237,34 @@
         self.has_left = true;
     }
 
-    /// Keys from now on; see [`Keyring`] for a turn-over in three steps.
+    /// Replaces the keys; [`Keyring`] describes the rotation in three steps.
     pub fn rotate_keys(&mut self, keys: Keyring) {
         self.sealer.rotate_keys(keys);
     }
 
+    /// This member, as it announces itself now.
     pub fn me(&self) -> Member {
         self.membership.me()
     }
 
-    /// The others, as they stand, in the order of their ids. Those gone or left until they are forgotten.
+    /// The other members with their states, in the order of their ids; those that failed or left until they are
+    /// forgotten.
     pub fn members(&self) -> impl Iterator<Item = (&Member, MemberState)> {
         self.membership.members()
     }
 
+    /// The replicated table.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
+    /// What was counted since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    fn after(&mut self, now: u64, after: u64, due: Due, effects: &mut Vec<Effect>) {
+    /// Requests a timer in `after` milliseconds.
+    fn schedule(&mut self, now: u64, after: u64, due: Due, effects: &mut Vec<Effect>) {
         let token = self.timers.add(now.saturating_add(after), due);
         effects.push(Effect::Timer { after, token });
     }
@@ -262,7 +273,7 @@
         self.membership.active().copied().collect()
     }
 
-    /// Active members and this one.
+    /// Number of active members, this one included.
     fn size(&self) -> usize {
         self.membership.active().count() + 1
     }
@@ -279,7 +290,7 @@
         effects.push(Effect::Send { to, bytes });
     }
 
-    /// Runs one step of the library and does what it asks for.
+    /// Runs one step of the membership library, and turns its output into effects.
     fn membership_step(
         &mut self, now: u64, effects: &mut Vec<Effect>,
         step: impl FnOnce(&mut Membership, &mut MembershipOutput) -> Result<(), MembershipError>,
@@ -292,7 +303,7 @@
             self.send(&to, &Body::Swim(packet), effects);
         }
         for (after, timer) in output.timers {
-            self.after(now, after, Due::Swim(timer), effects);
+            self.schedule(now, after, Due::Swim(timer), effects);
         }
         let table = &self.table;
         let has_left = |id, incarnation| {
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -1,5 +1,5 @@
-//! Repair: digests compared with one member after another, what either lacks sent, what does not fit asked for over a
-//! stream.
+//! Anti-entropy in datagrams: digests are compared with one member after another, missing cells are sent, and what does
+//! not fit into datagrams goes over a stream.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -11,8 +11,8 @@
 use crate::{Member, MemberId};
 
 impl Fleet {
-    /// All digests to one member, in as many datagrams as they need; each covers a range of origins, so that one
-    /// that is lost spoils nothing.
+    /// Sends all digests to one member, in as many datagrams as they need. Each covers a range of origins, so that the
+    /// loss of one does not affect the others.
     pub(super) fn send_digests(&mut self, effects: &mut Vec<Effect>) {
         let active = self.active();
         let Some(member) = self.digest_order.next(1, &active, &mut self.random).pop() else { return };
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Answers go to members alone, at the address and for the life that they are known by.
+    /// The sender, if it is an active member in the incarnation known here. Only such members are answered.
     fn active_member(&self, sender: Sender) -> Option<Member> {
         let (member, state) = self.membership.get(sender.id)?;
         (member.incarnation == sender.incarnation && state.is_active()).then_some(*member)
@@ -49,7 +49,7 @@
         }
         let theirs: BTreeMap<_, _> = theirs.iter().map(|digest| (digest.origin, digest)).collect();
         let mine = self.table.digests(*range.start(), *range.end());
-        // Nobody is asked about this member's own cells.
+        // This member never requests its own cells.
         let me = self.membership.me().id;
         let mut requests: Vec<Digest> = Vec::new();
         let mut missing_at_peer = Vec::new();
@@ -80,14 +80,14 @@
         self.send_missing(now, &member, &missing_at_peer, effects);
     }
 
-    /// Origins of which the other lacks something, and above which version.
+    /// Origins of which a member with the digests `theirs` lacks cells, and the version above which it does.
     pub(super) fn missing_at_peer(&self, theirs: &[Digest]) -> Vec<(MemberId, u64)> {
         let reconciliation =
             |digest: &Digest| compare(self.table.digest(digest.origin).as_ref(), Some(digest)).send_above;
         theirs.iter().filter_map(|digest| Some((digest.origin, reconciliation(digest)?))).collect()
     }
 
-    /// Sends what is owed, in at most `repair_datagrams`; if there is more, says that it takes a stream.
+    /// Sends missing cells in at most `repair_datagrams` datagrams; if there are more, asks for an exchange.
     fn send_missing(
         &mut self, now: u64, member: &Member, missing_at_peer: &[(MemberId, u64)], effects: &mut Vec<Effect>,
     ) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// One exchange at a time, and not too often.
+    /// Opens an exchange, unless the last one was requested too recently.
     pub(super) fn request_exchange(&mut self, now: u64, sender: Sender, effects: &mut Vec<Effect>) {
         let Some(member) = self.active_member(sender) else { return };
         if now >= self.next_exchange_at {
--- a/crates/fleet/src/fleet/rounds.rs
+++ b/crates/fleet/src/fleet/rounds.rs
@@ -1,4 +1,5 @@
-//! What is done from time to time: fresh cells told, seeds greeted, what is old dropped and told anew.
+//! Periodic work of a member: gossip of new cells, greetings to seeds, expiry and renewal of cells; and the merging of
+//! cells that others sent.
 
 use rand::seq::IndexedRandom;
 
@@ -8,37 +9,38 @@
 use crate::wire::{cell_bytes, Body, CELLS_HEADER_BYTES, MAX_BODY_BYTES};
 use crate::{Member, MemberId};
 
-/// Cells younger than this many times between digests are told on; what comes older than that came by repair, and
-/// the others repair themselves.
-const FRESH_REPAIRS: u64 = 5;
+/// Cells younger than this many anti-entropy periods are gossiped further. An older cell came by anti-entropy, which
+/// brings it to the other members as well.
+const GOSSIP_AGE_PERIODS: u64 = 5;
 
+/// What a datagram of gossip carries.
 enum Batch {
     Cells(Vec<Cell>),
     TooLarge(CellId),
 }
 
 impl Fleet {
-    /// Tells fresh cells to some members, one datagram each: at most `round_members` datagrams a round, however much
-    /// is fresh. What waits longer is found by digests.
+    /// Gossips new cells to some members, one datagram each: at most `round_members` datagrams, however many cells are
+    /// queued. Cells that wait longer are found by anti-entropy.
     pub(super) fn gossip_round(&mut self, now: u64, effects: &mut Vec<Effect>) {
         if self.gossip_queue.is_empty() {
             return;
         }
         let (members, active) = (self.size(), self.active());
         for member in self.gossip_order.next(self.settings.round_members, &active, &mut self.random) {
-            match self.fill(now) {
+            match self.next_batch(now) {
                 Batch::Cells(cells) if cells.is_empty() => {}
                 Batch::Cells(cells) => {
                     cells.iter().for_each(|cell| self.gossip_queue.count_transmission(&cell.id, members));
                     self.send(&member, &Body::Cells(cells), effects);
                 }
-                Batch::TooLarge(id) => self.hint(&member, id, members, effects),
+                Batch::TooLarge(id) => self.send_origin_digest(&member, id, members, effects),
             }
         }
     }
 
-    /// As many of the least told as fit into a datagram.
-    fn fill(&self, now: u64) -> Batch {
+    /// As many cells with the fewest transmissions as fit into a datagram.
+    fn next_batch(&self, now: u64) -> Batch {
         let (mut cells, mut used) = (Vec::new(), CELLS_HEADER_BYTES);
         for id in self.gossip_queue.in_order() {
             let Some(cell) = self.table.cell(now, id) else { continue };
@@ -58,8 +60,8 @@
         Batch::Cells(cells)
     }
 
-    /// For a cell too large for any datagram: the digest says that there is something to ask for.
-    fn hint(&mut self, member: &Member, id: CellId, members: usize, effects: &mut Vec<Effect>) {
+    /// For a cell that is too large for any datagram: sends the digest of its origin, so that the recipient requests it.
+    fn send_origin_digest(&mut self, member: &Member, id: CellId, members: usize, effects: &mut Vec<Effect>) {
         self.gossip_queue.count_transmission(&id, members);
         let digests: Vec<_> = self.table.digest(id.origin).into_iter().collect();
         self.send(member, &Body::Digests { from: id.origin, to: id.origin, digests }, effects);
@@ -73,15 +75,15 @@
         }
     }
 
-    /// Greets all seeds while alone, else one where no active member is known: a fleet that fell apart meets again
-    /// there.
+    /// Greets all seeds while no member is known, else one seed at whose address no active member is known, by which
+    /// partitions find each other again.
     pub(super) fn greet_seeds(&mut self, effects: &mut Vec<Effect>) {
         if self.membership.active().next().is_none() {
             return self.greet_all_seeds(effects);
         }
-        let mut unmet = self.seeds.clone();
-        unmet.retain(|seed| self.membership.active().all(|member| member.address != *seed));
-        if let Some(seed) = unmet.choose(&mut self.random).copied() {
+        let mut unknown_seeds = self.seeds.clone();
+        unknown_seeds.retain(|seed| self.membership.active().all(|member| member.address != *seed));
+        if let Some(seed) = unknown_seeds.choose(&mut self.random).copied() {
             let hello = self.hello();
             self.push(seed, hello, effects);
         }
@@ -92,18 +94,18 @@
         self.sealer.seal(Channel::Datagram, None, &body)
     }
 
-    /// Drops what is too old; tells own values anew at a third of their age.
-    pub(super) fn age(&mut self, now: u64) {
+    /// Removes expired cells, and renews this member's own values at a third of their maximum age.
+    pub(super) fn expire(&mut self, now: u64) {
         self.table.expire(now);
         self.gossip_queue.retain(|id| self.table.contains(id));
         for cell in self.table.values_older_than(now, self.membership.me().id, self.settings.entry_age / 3) {
-            // There is room: the cell takes its own place.
+            // Cannot exceed a bound: the cell replaces itself.
             let _ = self.write_cell(now, cell.id.kind, &cell.id.key, cell.value);
         }
     }
 
-    /// Merges cells that others sent, and tells on what is new. Nobody speaks for this member's own cells, nor gives
-    /// a member another life than it is known to live: a restart is heard from the member first, its cells after.
+    /// Merges cells that others sent, and queues new ones for gossip. Ignored are cells of this member, and those of a
+    /// known member in another incarnation: a restart must be announced by the member before its cells count.
     pub(super) fn merge_cells(&mut self, now: u64, cells: &[Cell], effects: &mut Vec<Effect>) {
         let (me, members) = (self.membership.me(), self.size());
         for cell in cells {
@@ -115,7 +117,7 @@
             match self.table.merge(now, cell) {
                 MergeOutcome::Applied => {
                     self.counters.entries_merged += 1;
-                    if cell.age() < FRESH_REPAIRS * self.settings.repair {
+                    if cell.age() < GOSSIP_AGE_PERIODS * self.settings.repair {
                         self.gossip_queue.add(id.clone());
                     }
                     effects.push(Effect::CellChanged { id: id.clone() });
--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -108,7 +108,7 @@
     assert_eq!(ended, Err(ExchangeError::TooLong { bytes: MAX_FRAME_BYTES + 1, most: MAX_FRAME_BYTES }));
     // The first frame must say what the opener holds.
     let mut write = Vec::new();
-    a.frame((b.me().id, Incarnation(5)), &Body::ExchangeDone(Vec::new()), &mut write);
+    a.write_frame((b.me().id, Incarnation(5)), &Body::ExchangeDone(Vec::new()), &mut write);
     let ended = b.exchange(0, &mut Exchange::accept(), &write, &mut effects);
     assert_eq!(ended, Err(ExchangeError::OutOfTurn { with: a.me().id }));
     // A recorded first frame, played again.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -28,6 +28,8 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+#![deny(missing_docs)]
+
 mod fleet;
 mod gossip;
 mod identity;
--- a/crates/fleet/src/rejection.rs
+++ b/crates/fleet/src/rejection.rs
@@ -9,37 +9,79 @@
 pub enum Rejection {
     /// Shorter than a header and a tag.
     #[error("{bytes} bytes are too few for a sealed message")]
-    TooShort { bytes: usize },
+    TooShort {
+        /// Bytes found.
+        bytes: usize,
+    },
     /// Longer than a datagram may be.
     #[error("{bytes} bytes are over the bound of {most}")]
-    TooLong { bytes: usize, most: usize },
+    TooLong {
+        /// Bytes found.
+        bytes: usize,
+        /// The bound.
+        most: usize,
+    },
     /// Sealed in a format that this build does not speak.
     #[error("format version {found} is not known here: this build speaks version {ours}")]
-    UnknownVersion { found: u8, ours: u8 },
+    UnknownVersion {
+        /// The message's version.
+        found: u8,
+        /// The version of this build.
+        ours: u8,
+    },
     /// No key of this member made the tag.
     #[error("the tag fits none of the keys")]
     Forged,
     /// A message with this counter was accepted before.
     #[error("member {from:?} said it before (counter {counter})")]
-    Replayed { from: MemberId, counter: u64 },
+    Replayed {
+        /// The sender.
+        from: MemberId,
+        /// Its counter.
+        counter: u64,
+    },
     /// The counter is below the replay window.
     #[error("counter {counter} of member {from:?} is too far behind to tell whether it was said before")]
-    Stale { from: MemberId, counter: u64 },
+    Stale {
+        /// The sender.
+        from: MemberId,
+        /// Its counter.
+        counter: u64,
+    },
     /// Sent by an incarnation that a later one of the same member has replaced.
     #[error("member {from:?} has a later life than Life({})", incarnation.0)]
-    OldIncarnation { from: MemberId, incarnation: Incarnation },
+    OldIncarnation {
+        /// The sender.
+        from: MemberId,
+        /// The incarnation that the message names.
+        incarnation: Incarnation,
+    },
     /// Addressed to another member, or to another incarnation of this one.
     #[error("it was meant for member {to:?} in its life Life({})", incarnation.0)]
-    WrongRecipient { to: MemberId, incarnation: Incarnation },
+    WrongRecipient {
+        /// The recipient that the message names.
+        to: MemberId,
+        /// The incarnation that the message names.
+        incarnation: Incarnation,
+    },
     /// Sent under this member's own name, by another process.
     #[error("it bears this member's own name, with life Life({})", incarnation.0)]
-    OwnName { incarnation: Incarnation },
+    OwnName {
+        /// The incarnation that the message names.
+        incarnation: Incarnation,
+    },
     /// Authenticated, but not a message that this build reads, or not one for this channel.
     #[error("member {from:?} sealed what cannot be read")]
-    Malformed { from: MemberId },
+    Malformed {
+        /// The sender.
+        from: MemberId,
+    },
     /// The body names another member than the one that sealed it.
     #[error("member {from:?} sealed a probe in the name of another")]
-    Impersonated { from: MemberId },
+    Impersonated {
+        /// The sender.
+        from: MemberId,
+    },
     /// This member has left and handles nothing more.
     #[error("this member has left")]
     Left,
--- a/crates/fleet/src/seal/key.rs
+++ b/crates/fleet/src/seal/key.rs
@@ -24,13 +24,22 @@
     None,
     /// More than two keys.
     #[error("the key file holds {found} keys, and at most two can be valid at a time")]
-    TooMany { found: usize },
+    TooMany {
+        /// Number of keys.
+        found: usize,
+    },
     /// A line that is not a key, counted from 1.
     #[error("line {line} of the key file is not 64 hexadecimal digits")]
-    NotAKey { line: usize },
+    NotAKey {
+        /// Counted from 1.
+        line: usize,
+    },
     /// Key material of less than 32 bytes.
     #[error("a key of {bytes} bytes is too short: 32 are needed")]
-    TooShort { bytes: usize },
+    TooShort {
+        /// Bytes found.
+        bytes: usize,
+    },
 }
 
 impl KeyError {
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -77,13 +77,30 @@
 pub enum SettingsError {
     /// Below the least value that works.
     #[error("{what} is {found}, and must be at least {least}")]
-    TooSmall { what: &'static str, found: u64, least: u64 },
+    TooSmall {
+        /// Name of the setting.
+        what: &'static str,
+        /// What was found.
+        found: u64,
+        /// The bound.
+        least: u64,
+    },
     /// Above the greatest value that works.
     #[error("{what} is {found}, and must be at most {most}")]
-    TooLarge { what: &'static str, found: u64, most: u64 },
+    TooLarge {
+        /// Name of the setting.
+        what: &'static str,
+        /// What was found.
+        found: u64,
+        /// The bound.
+        most: u64,
+    },
     /// An advertised address that names no host or no port.
     #[error("{address} cannot be reached by others")]
-    Address { address: SocketAddr },
+    Address {
+        /// The address.
+        address: SocketAddr,
+    },
 }
 
 impl SettingsError {
--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -27,21 +27,50 @@
 pub enum TableError {
     /// The key is too long.
     #[error("a key of {bytes} bytes, kind {kind}, is over the bound of {most}")]
-    Key { kind: u16, bytes: usize, most: usize },
+    Key {
+        /// Kind of the cell.
+        kind: u16,
+        /// Bytes found.
+        bytes: usize,
+        /// The bound.
+        most: usize,
+    },
     /// The value is too long.
     #[error("a value of {bytes} bytes, kind {kind}, is over the bound of {most}")]
-    Value { kind: u16, bytes: usize, most: usize },
+    Value {
+        /// Kind of the cell.
+        kind: u16,
+        /// Bytes found.
+        bytes: usize,
+        /// The bound.
+        most: usize,
+    },
     /// This member has too many cells already.
     #[error("{entries} cells are held for this member already, as many as the bound allows; kind {kind} found no room")]
-    Entries { kind: u16, entries: usize },
+    Entries {
+        /// Kind of the cell.
+        kind: u16,
+        /// Cells that are there already.
+        entries: usize,
+    },
     /// The cells of this member would weigh too much.
     #[error(
         "{bytes} bytes would be held for this member, over the bound of {most}; kind {kind} found no room"
     )]
-    Bytes { kind: u16, bytes: usize, most: usize },
+    Bytes {
+        /// Kind of the cell.
+        kind: u16,
+        /// Bytes found.
+        bytes: usize,
+        /// The bound.
+        most: usize,
+    },
     /// The kind is reserved for this crate.
     #[error("kind {kind} is kept for the fleet's own notes")]
-    Reserved { kind: u16 },
+    Reserved {
+        /// Kind of the cell.
+        kind: u16,
+    },
 }
 
 impl TableError {
