--- a/gateway/src/fleet/start.rs
+++ b/gateway/src/fleet/start.rs
@@ -7,7 +7,7 @@
 
 use super::config::{self, Section};
 use super::error::FleetError;
-use super::{keys, life};
+use super::{incarnation, keys};
 
 /// What the platform says of this gateway, where there is one.
 pub struct Platform {
@@ -50,7 +50,7 @@
 
     pub(super) fn next_incarnation(&self) -> Result<Incarnation, FleetError> {
         let file = self.life_file.as_deref();
-        life::next(life::clock(), file).map_err(|error| FleetError::Life {
+        incarnation::next(incarnation::clock(), file).map_err(|error| FleetError::Life {
             file: file.map(Path::to_path_buf).unwrap_or_default(),
             error,
         })
