--- a/gateway/src/fleet/config.rs
+++ b/gateway/src/fleet/config.rs
@@ -1,4 +1,5 @@
-//! `[fleet]` of the operators' file, read and checked. Figures that are left out get the defaults of `crates/fleet`.
+//! The section `[fleet]` of the operators' file, read and checked. Settings that are left out have the defaults of
+//! `crates/fleet`. Plain data, read at the start and at each reload.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,38 +15,44 @@
     fleet: Section,
 }
 
-/// Writes the section with one optional key for each figure of [`Settings`], under the same name: what refuses a
-/// figure names the key.
+/// Defines the section with one optional key for each of the [`Settings`], under the same name, so that an error about
+/// a setting names the key.
 macro_rules! section {
     ($($figure:ident: $type:ty),* $(,)?) => {
-        /// The section as it stands in the file. Times in milliseconds.
+        /// The section as it is in the file. Times in milliseconds.
         #[derive(Clone, Debug, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct Section {
-            /// The fleet's name: with the key file, what its members share.
-            #[serde(default = "glenrail")]
+            /// The fleet's name, which its members share as they do the key file.
+            #[serde(default = "default_name")]
             pub name: String,
             /// This gateway's name, where the platform gives none.
             pub member: Option<String>,
             /// For datagrams and, on the same port, streams.
             pub bind: SocketAddr,
-            /// Where the others reach it; the address it is bound to where it is left out.
+            /// Address that the other members reach; by default the one that is bound.
             pub advertise: Option<SocketAddr>,
+            /// Addresses where members may be found.
             #[serde(default)]
             pub seeds: Vec<SocketAddr>,
+            /// File with the keys.
             pub key_file: PathBuf,
-            /// Remembers the last life.
+            /// File that stores the last incarnation.
             pub life_file: Option<PathBuf>,
-            /// A whole stream takes no longer.
-            #[serde(default = "five_seconds")]
+            /// Time limit of a stream.
+            #[serde(default = "default_exchange_time")]
             pub exchange_time: u64,
-            /// Streams that others open, at once.
-            #[serde(default = "four")]
+            /// Limit of the streams that other members opened and that are in progress.
+            #[serde(default = "default_exchanges")]
             pub exchanges: usize,
-            $(pub $figure: Option<$type>,)*
+            $(
+                #[doc = concat!("See `Settings::", stringify!($figure), "`.")]
+                pub $figure: Option<$type>,
+            )*
         }
 
         impl Section {
+            /// The settings: those of the file, and the defaults of all others.
             pub fn figures(&self) -> Settings {
                 let mut figures = Settings::default();
                 $(if let Some(figure) = self.$figure { figures.$figure = figure; })*
@@ -62,15 +69,15 @@
     windows: usize,
 }
 
-fn glenrail() -> String {
+fn default_name() -> String {
     "glenrail".into()
 }
 
-fn five_seconds() -> u64 {
+fn default_exchange_time() -> u64 {
     5_000
 }
 
-fn four() -> usize {
+fn default_exchanges() -> usize {
     4
 }
 
@@ -79,11 +86,7 @@
     let file = || path.to_path_buf();
     let text =
         std::fs::read_to_string(path).map_err(|error| FleetError::Unreadable { file: file(), error })?;
-    let whole: File = toml::from_str(&text).map_err(|e| {
-        let line = e.span().map_or(1, |s| text.bytes().take(s.start).filter(|b| *b == b'\n').count() + 1);
-        FleetError::Line { file: file(), line, what: e.message().to_string() }
-    })?;
-    let section = whole.fleet;
+    let File { fleet: section } = toml::from_str(&text).map_err(|error| syntax_error(path, &text, &error))?;
     let figure = |error| FleetError::Figure { file: file(), error };
     section.figures().check().map_err(figure)?;
     for (what, found) in [("exchange_time", section.exchange_time), ("exchanges", section.exchanges as u64)] {
@@ -94,5 +97,12 @@
     Ok(section)
 }
 
+/// The error of a file that cannot be parsed, with its line.
+fn syntax_error(path: &Path, text: &str, error: &toml::de::Error) -> FleetError {
+    let line_breaks = |end| text.bytes().take(end).filter(|byte| *byte == b'\n').count();
+    let line = error.span().map_or(1, |span| line_breaks(span.start) + 1);
+    FleetError::Line { file: path.to_path_buf(), line, what: error.message().to_string() }
+}
+
 #[cfg(test)]
 mod tests;
--- a/gateway/src/fleet/config/tests.rs
+++ b/gateway/src/fleet/config/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn refused(text: &str) -> String {
+fn error_text(text: &str) -> String {
     let path = std::env::temp_dir().join(format!("glenrail-fleet-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("a file");
     read(&path).expect_err(text).to_string()
@@ -19,11 +19,11 @@
         ("exchange_time = 0", "fleet.exchange_time"),
         ("[flet]", "line 4"),
     ] {
-        let said = refused(&format!("{good}{more}\n"));
-        assert!(said.contains(named), "{more}: {said}");
+        let text = error_text(&format!("{good}{more}\n"));
+        assert!(text.contains(named), "{more}: {text}");
     }
-    assert!(refused("[fleet]\nbind = '127.0.0.1:0'\n").contains("key_file"));
-    assert!(refused("").contains("fleet"));
+    assert!(error_text("[fleet]\nbind = '127.0.0.1:0'\n").contains("key_file"));
+    assert!(error_text("").contains("fleet"));
 }
 
 /// Guards the operators' page of keys: a figure there that is not the default would be taken for it.
@@ -43,6 +43,6 @@
     for key in ["name", "member", "bind", "advertise", "seeds", "key_file", "life_file"] {
         shown(key);
     }
-    assert_eq!((section.name, section.exchange_time, section.exchanges), (glenrail(), 5_000, 4));
+    assert_eq!((section.name, section.exchange_time, section.exchanges), (default_name(), 5_000, 4));
     assert!(text.contains("exchange_time = 5000") && text.contains("exchanges = 4"));
 }
--- a/gateway/src/fleet/error.rs
+++ b/gateway/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in the fleet's driver, and what an operator can do about it.
+//! Errors of the fleet's driver, and what an operator can do about each. The texts are read by operators.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,28 +6,76 @@
 
 use glenrail_fleet::{ExchangeError, KeyError, SettingsError};
 
-/// Ends the start; at SIGHUP, leaves all as it was.
+/// Ends the start of the program; at SIGHUP, leaves everything as it was.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
+    /// The file cannot be read.
     #[error("{}: cannot be read: {error}", file.display())]
-    Unreadable { file: PathBuf, error: io::Error },
+    Unreadable {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        error: io::Error,
+    },
+    /// The file cannot be parsed.
     #[error("{}: line {line}: {what}", file.display())]
-    Line { file: PathBuf, line: usize, what: String },
+    Line {
+        /// The file.
+        file: PathBuf,
+        /// Counted from 1.
+        line: usize,
+        /// What is wrong there.
+        what: String,
+    },
+    /// A setting is out of its bounds.
     #[error("{}: fleet.{error}", file.display())]
-    Figure { file: PathBuf, error: SettingsError },
+    Figure {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        error: SettingsError,
+    },
+    /// This gateway has no name.
     #[error("{}: fleet.member: missing, as is EDGE_NAME", file.display())]
-    NoName { file: PathBuf },
+    NoName {
+        /// The file.
+        file: PathBuf,
+    },
+    /// The platform forbids messages among gateways.
     #[error(
         "{}: fleet.bind: asks for talk among gateways, and the platform's settings forbid it \
          (settings.policy-limits.may-tell is not true)", file.display()
     )]
-    Forbidden { file: PathBuf },
+    Forbidden {
+        /// The file.
+        file: PathBuf,
+    },
+    /// The address cannot be bound.
     #[error("{}: fleet.bind: cannot listen on {address}: {error}", file.display())]
-    Bind { file: PathBuf, address: SocketAddr, error: io::Error },
+    Bind {
+        /// The file.
+        file: PathBuf,
+        /// The address to listen on.
+        address: SocketAddr,
+        /// The cause.
+        error: io::Error,
+    },
+    /// The key file is faulty.
     #[error("fleet.key_file: {}: {error}", file.display())]
-    Keys { file: PathBuf, error: KeyFileError },
+    Keys {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        error: KeyFileError,
+    },
+    /// The incarnation cannot be read or stored.
     #[error("fleet.life_file: {}: {error}", file.display())]
-    Life { file: PathBuf, error: LifeError },
+    Life {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        error: LifeError,
+    },
 }
 
 impl FleetError {
@@ -52,19 +100,31 @@
     }
 }
 
-/// What is wrong with a key file. Never says any of a key.
+/// What is wrong with a key file. Never shows any of a key.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
+    /// It cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(#[from] io::Error),
+    /// It is a directory, a pipe or the like.
     #[error("is not a plain file")]
     NotAFile,
+    /// Its permissions admit others than its owner.
     #[error("others than its owner may use it (mode {mode:03o})")]
-    Open { mode: u32 },
+    Open {
+        /// Its permission bits.
+        mode: u32,
+    },
+    /// It is too long.
     #[error("is over the bound of {most} bytes")]
-    Long { most: usize },
+    Long {
+        /// The bound.
+        most: usize,
+    },
+    /// It is not UTF-8.
     #[error("is not text")]
     NotText,
+    /// Its text is faulty.
     #[error(transparent)]
     Key(#[from] KeyError),
 }
@@ -86,13 +146,16 @@
     }
 }
 
-/// What is wrong with the file that holds the last life.
+/// What is wrong with the file that stores the last incarnation.
 #[derive(Debug, thiserror::Error)]
 pub enum LifeError {
+    /// It cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(io::Error),
+    /// It does not contain a number that has a successor.
     #[error("does not hold a number")]
     NotANumber,
+    /// It cannot be written.
     #[error("cannot be written: {0}")]
     Unwritable(io::Error),
 }
@@ -111,25 +174,61 @@
     }
 }
 
-/// What went wrong on the way to or from another member. Logged at a limited rate; nothing else follows from it.
+/// A failure of a socket or a stream. It is logged, and has no other consequence.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
+    /// A datagram cannot be sent.
     #[error("cannot send to {to}: {error}")]
-    Send { to: SocketAddr, error: io::Error },
+    Send {
+        /// The recipient.
+        to: SocketAddr,
+        /// The cause.
+        error: io::Error,
+    },
+    /// Datagrams cannot be received.
     #[error("cannot receive: {0}")]
     Receive(io::Error),
+    /// Streams cannot be accepted.
     #[error("cannot accept a stream: {0}")]
     Accept(io::Error),
+    /// A stream failed.
     #[error("a stream with {with} broke: {error}")]
-    Broken { with: SocketAddr, error: io::Error },
+    Broken {
+        /// The other side.
+        with: SocketAddr,
+        /// The cause.
+        error: io::Error,
+    },
+    /// The other side closed a stream before the exchange was finished.
     #[error("a stream with {with} ended before its time")]
-    Ended { with: SocketAddr },
+    Ended {
+        /// The other side.
+        with: SocketAddr,
+    },
+    /// A stream reached its time limit.
     #[error("a stream with {with} took longer than {most} ms")]
-    Late { with: SocketAddr, most: u64 },
+    Late {
+        /// The other side.
+        with: SocketAddr,
+        /// The limit in milliseconds.
+        most: u64,
+    },
+    /// A stream was closed as too many are in progress.
     #[error("a stream with {with} is not taken: {most} run already")]
-    Crowded { with: SocketAddr, most: usize },
+    Crowded {
+        /// The other side.
+        with: SocketAddr,
+        /// Streams that may run at once.
+        most: usize,
+    },
+    /// The state machine aborted an exchange.
     #[error("a stream with {with}: {error}")]
-    Exchange { with: SocketAddr, error: ExchangeError },
+    Exchange {
+        /// The other side.
+        with: SocketAddr,
+        /// The cause.
+        error: ExchangeError,
+    },
 }
 
 impl WireError {
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -1,5 +1,7 @@
-//! Whole state over a stream: bounded in number and time; the machine bounds frames and bytes.
+//! Exchanges over streams, opened by this member or accepted from others. Their number and time are limited here;
+//! the state machine limits frames and bytes.
 
+use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,21 +14,23 @@
 
 use super::driver::Driver;
 use super::error::WireError;
-use super::udp::RETRY_PAUSE;
+use super::sockets::RETRY_PAUSE;
 
-/// Read at once.
+/// Most bytes of one read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Counts a stream that another opened while it runs.
+/// Counts a stream that another member opened, while it is in progress.
 struct IncomingStream(Rc<Driver>);
 
 impl IncomingStream {
+    /// `None` if as many as the limit are in progress.
     fn new(driver: &Rc<Driver>) -> Option<IncomingStream> {
         let incoming = driver.incoming.get();
-        (incoming < driver.streams_most).then(|| {
-            driver.incoming.set(incoming + 1);
-            IncomingStream(driver.clone())
-        })
+        if incoming >= driver.max_incoming {
+            return None;
+        }
+        driver.incoming.set(incoming + 1);
+        Some(IncomingStream(driver.clone()))
     }
 }
 
@@ -36,52 +40,60 @@
     }
 }
 
-/// Takes streams that others open, until it is dropped. One too many is closed at once: a stream that says nothing
-/// must not keep members waiting in the queue behind it.
+/// Accepts streams until it is dropped. One over the limit is closed at once: a silent stream must not make members
+/// wait in the queue of the listener.
 pub(super) async fn accept(driver: &Rc<Driver>) {
     loop {
-        match driver.listener.accept().await {
+        match driver.sockets.listener.accept().await {
             Ok((stream, with)) => match IncomingStream::new(driver) {
-                Some(incoming) => {
-                    driver.stream(async move {
-                        let run = run(&incoming.0, stream, with, Exchange::accept(), Vec::new());
-                        bounded(&incoming.0, with, run).await;
-                    });
-                }
-                None => driver.broke(&WireError::Crowded { with, most: driver.streams_most }),
+                Some(incoming) => spawn_accepted(incoming, stream, with),
+                None => driver.stream_broke(&WireError::Crowded { with, most: driver.max_incoming }),
             },
             Err(error) => {
-                driver.failed(&WireError::Accept(error));
+                driver.log_failure(&WireError::Accept(error));
                 sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Opens a stream to a member and exchanges whole state.
-pub(super) async fn open(driver: Rc<Driver>, with: MemberId, to: SocketAddr) {
+fn spawn_accepted(incoming: IncomingStream, stream: TcpStream, with: SocketAddr) {
+    let driver = incoming.0.clone();
+    driver.spawn_stream(async move {
+        let exchange = run(&incoming.0, stream, with, Exchange::accept(), Vec::new());
+        limit_time(&incoming.0, with, exchange).await;
+    });
+}
+
+/// Opens a stream to a member and runs an exchange over it, in a task of its own.
+pub(super) fn spawn_open(driver: &Rc<Driver>, with: MemberId, to: SocketAddr) {
+    driver.spawn_stream(open(driver.clone(), with, to));
+}
+
+async fn open(driver: Rc<Driver>, with: MemberId, to: SocketAddr) {
     let opened = async {
         let broken = |error| WireError::Broken { with: to, error };
         let stream = TcpStream::connect(to).await.map_err(broken)?;
-        // After connecting: a frame that waits long may be taken for an old one.
+        // After connecting: a frame that is delayed for long may fall below the replay window.
         let opened = driver.step(|fleet, _, _| fleet.open_exchange(with));
         let (exchange, first) = opened.map_err(|error| WireError::Exchange { with: to, error })?;
         run(&driver, stream, to, exchange, first).await
     };
-    bounded(&driver, to, opened).await;
+    limit_time(&driver, to, opened).await;
 }
 
-async fn bounded(
-    driver: &Driver, with: SocketAddr, stream: impl std::future::Future<Output = Result<(), WireError>>,
+/// Runs `exchange` within the time limit, and reports a failure.
+async fn limit_time(
+    driver: &Driver, with: SocketAddr, exchange: impl Future<Output = Result<(), WireError>>,
 ) {
-    let most = driver.stream_time;
-    let ended = timeout(Duration::from_millis(most), stream).await;
-    if let Err(error) = ended.unwrap_or(Err(WireError::Late { with, most })) {
-        driver.broke(&error);
+    let most = driver.stream_timeout;
+    let result = timeout(Duration::from_millis(most), exchange).await;
+    if let Err(error) = result.unwrap_or(Err(WireError::Late { with, most })) {
+        driver.stream_broke(&error);
     }
 }
 
-/// Bytes in, bytes out, until the machine says that it is over.
+/// Writes `first`, then passes what it reads to the state machine until the exchange is finished.
 async fn run(
     driver: &Rc<Driver>, mut stream: TcpStream, with: SocketAddr, mut exchange: Exchange, first: Vec<u8>,
 ) -> Result<(), WireError> {
--- a/gateway/src/fleet/figures.rs
+++ b/gateway/src/fleet/figures.rs
@@ -1,21 +1,11 @@
-//! What operators see of the fleet.
+//! What operators read of the fleet, as JSON: members and counters. The keys are stable; see `docs/on-call.md`.
 
 use glenrail_fleet::{Member, MemberState, Rejection};
 use serde_json::{json, Value};
 
-use super::driver::Driver;
+use super::driver::{state_name, Driver};
 
-/// A member's state in one word.
-pub fn state_name(state: MemberState) -> &'static str {
-    match state {
-        MemberState::Alive => "alive",
-        MemberState::Suspect => "suspect",
-        MemberState::Failed => "gone",
-        MemberState::Left => "left",
-    }
-}
-
-fn row(member: &Member, state: MemberState) -> Value {
+fn member_row(member: &Member, state: MemberState) -> Value {
     json!({
         "id": format!("{:016x}", member.id.0),
         "life": member.incarnation.0,
@@ -25,17 +15,16 @@
     })
 }
 
-/// This member, and all others that are known.
+/// This member, and all others that are known here.
 pub(super) fn members(driver: &Driver) -> Value {
     driver.inspect(|fleet| {
-        let others: Vec<_> = fleet.members().map(|(member, state)| row(member, state)).collect();
-        json!({"me": row(&fleet.me(), MemberState::Alive), "others": others})
+        let others: Vec<_> = fleet.members().map(|(member, state)| member_row(member, state)).collect();
+        json!({"me": member_row(&fleet.me(), MemberState::Alive), "others": others})
     })
 }
 
-/// Counters of this life. `key_reads` is of the process.
+/// Counters of this incarnation. `key_reads`: how often this process has read the key file.
 pub(super) fn counters(driver: &Driver, key_reads: u64) -> Value {
-    let (unsent, broken) = driver.lost();
     driver.inspect(|fleet| {
         let count = |expected| fleet.members().filter(|(_, state)| *state == expected).count();
         let counters = fleet.counters();
@@ -52,11 +41,11 @@
             "datagrams_out": counters.datagrams_out,
             "bytes_in": counters.bytes_in,
             "bytes_out": counters.bytes_out,
-            "unsent": unsent,
+            "unsent": driver.unsent_datagrams(),
             "by_second_key": counters.by_second_key,
             "key_reads": key_reads,
             "exchanges_asked": counters.exchanges_requested,
-            "exchanges_broken": broken,
+            "exchanges_broken": driver.broken_streams(),
             "entries_over_bounds": counters.entries_over_bounds,
             "late_timers": counters.late_timers,
         })
--- a/gateway/src/fleet/incarnation.rs
+++ b/gateway/src/fleet/incarnation.rs
@@ -1,4 +1,4 @@
-//! The life of this run: from the clock, and above the last one that is known.
+//! The incarnation of this run: from the clock, and later than the last one that is stored. The file is this module's.
 
 use std::fs::{DirBuilder, File};
 use std::io::{self, Write};
@@ -10,13 +10,13 @@
 
 use super::error::LifeError;
 
-/// Milliseconds since 1970; 0 where the clock stands before it.
+/// Milliseconds since 1970; 0 if the clock is before that.
 pub fn clock() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |duration| duration.as_millis() as u64)
 }
 
-/// A life later than any that `file` remembers, which remembers this one too before it is used. Guards against a
-/// clock that went back over a restart: the others would refuse all that the new run says.
+/// An incarnation later than the one stored in `file`, where it is stored before it is used. Without that, the other
+/// members would reject all messages of this run if the clock went back over a restart.
 pub fn next(clock: u64, file: Option<&Path>) -> Result<Incarnation, LifeError> {
     let Some(file) = file else { return Ok(Incarnation(clock)) };
     let last = match std::fs::read_to_string(file) {
@@ -29,7 +29,7 @@
     Ok(Incarnation(incarnation))
 }
 
-/// Written beside and renamed, so that no end of the process leaves half a number.
+/// Written to a temporary file and renamed, so that a crash never leaves an incomplete number.
 fn store(incarnation: u64, file: &Path) -> io::Result<()> {
     if let Some(directory) = file.parent().filter(|parent| !parent.as_os_str().is_empty()) {
         DirBuilder::new().recursive(true).mode(0o700).create(directory)?;
--- a/gateway/src/fleet/keys.rs
+++ b/gateway/src/fleet/keys.rs
@@ -1,4 +1,4 @@
-//! The key file: only its owner may use it.
+//! The key file, which only its owner may use. Read at the start and at each reload.
 
 use std::fs::OpenOptions;
 use std::io::Read;
@@ -10,28 +10,29 @@
 
 use super::error::KeyFileError;
 
-/// Two keys and a page of comments fit.
-const MOST: usize = 8 * 1024;
-/// Rights of the group and of all others.
-const OTHERS: u32 = 0o077;
+/// Longest key file in bytes: two keys and a page of comments fit.
+const MAX_FILE_BYTES: usize = 8 * 1024;
+/// Permission bits of the group and of all others.
+const GROUP_AND_OTHERS: u32 = 0o077;
 
-/// Reads the keys of the fleet named `fleet`. What is checked is what is read: the file stays open between.
+/// Reads the keys of the fleet named `fleet`. The file stays open from the checks to the reading, so that it cannot be
+/// replaced between them.
 pub fn read(file: &Path, fleet: &str) -> Result<Keyring, KeyFileError> {
-    // A pipe without a writer would be waited for.
+    // Opening a pipe without a writer would block.
     let flags = OFlags::NONBLOCK.bits() as i32;
-    let open = OpenOptions::new().read(true).custom_flags(flags).open(file)?;
-    let about = open.metadata()?;
-    if !about.is_file() {
+    let opened = OpenOptions::new().read(true).custom_flags(flags).open(file)?;
+    let metadata = opened.metadata()?;
+    if !metadata.is_file() {
         return Err(KeyFileError::NotAFile);
     }
-    let mode = about.mode() & 0o777;
-    if mode & OTHERS != 0 {
+    let mode = metadata.mode() & 0o777;
+    if mode & GROUP_AND_OTHERS != 0 {
         return Err(KeyFileError::Open { mode });
     }
     let mut bytes = Vec::new();
-    open.take(MOST as u64 + 1).read_to_end(&mut bytes)?;
-    if bytes.len() > MOST {
-        return Err(KeyFileError::Long { most: MOST });
+    opened.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes)?;
+    if bytes.len() > MAX_FILE_BYTES {
+        return Err(KeyFileError::Long { most: MAX_FILE_BYTES });
     }
     let text = String::from_utf8(bytes).map_err(|_| KeyFileError::NotText)?;
     Ok(Keyring::parse(&text, fleet)?)
--- a/gateway/src/fleet/keys/tests.rs
+++ b/gateway/src/fleet/keys/tests.rs
@@ -19,8 +19,8 @@
     write(b"\xff\xfe", 0o400);
     assert!(matches!(read(&file, "f"), Err(KeyFileError::NotText)));
     std::fs::remove_file(&file).expect("removed");
-    write(&[b'#'; MOST + 1], 0o600);
-    assert!(matches!(read(&file, "f"), Err(KeyFileError::Long { most: MOST })));
+    write(&[b'#'; MAX_FILE_BYTES + 1], 0o600);
+    assert!(matches!(read(&file, "f"), Err(KeyFileError::Long { most: MAX_FILE_BYTES })));
     std::fs::remove_file(&file).expect("removed");
     assert!(matches!(read(&file, "f"), Err(KeyFileError::Unreadable(_))));
     assert!(matches!(read(&std::env::temp_dir(), "f"), Err(KeyFileError::NotAFile)));
--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -1,10 +1,14 @@
-//! Drives `glenrail-fleet` on sockets and the clock. Nothing is decided here: datagrams, streams, timers and signals go
-//! in, and what comes out is carried out. Off unless `--fleet FILE` is given; then nothing of this folder runs.
+//! Runs `glenrail-fleet` on sockets and the clock. Nothing is decided here: datagrams, streams, timers and signals go
+//! into the state machine, and its effects are carried out. Off unless `--fleet FILE` is given; then nothing of this
+//! folder runs.
 //!
-//! - `config`, `keys`, `life`, `start`: what is read before anything is opened.
-//! - [`Driver`]: one life. `udp`, `timers` and `exchange` are its three tasks.
-//! - [`Handle`]: the lives of this process, one after another: at an upgrade, the process that took over has the
-//!   port, and the fleet; should it die, this one goes on with a later life.
+//! - `config`, `keys`, `incarnation`, `start`: what is read before anything is opened.
+//! - [`Driver`]: one incarnation of this member on its `sockets`, with its `timer_queue`.
+//! - `tasks`: starts a driver and runs its three tasks `udp`, `timers` and `exchange`.
+//! - [`Handle`]: the incarnations of this process, one after another. At an upgrade, the process that took over has
+//!   the port and the membership; should it die, this one continues with a later incarnation.
+
+#![deny(missing_docs)]
 
 pub mod config;
 mod driver;
@@ -13,7 +17,10 @@
 mod figures;
 pub mod incarnation;
 pub mod keys;
+mod sockets;
 mod start;
+mod tasks;
+mod timer_queue;
 mod timers;
 mod udp;
 
@@ -33,24 +40,26 @@
 use crate::log;
 use crate::shutdown::Shutdown;
 
-/// The port comes free when the process before, or after, lets go of it.
+/// Time between two attempts to bind the port, which another process of this gateway still has.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
+/// What outlives an incarnation.
 struct Shared {
     start: Start,
     keys: RefCell<Keyring>,
     key_reads: Cell<u64>,
+    /// The driver and its tasks; `None` while another process has the port.
     current: RefCell<Option<(Rc<Driver>, AbortHandle)>>,
-    /// Set by the planned end: no further life.
+    /// Set once this member has left: no further incarnation is started.
     has_left: Cell<bool>,
 }
 
-/// See the module.
+/// This process's membership of the fleet. Clones share it.
 #[derive(Clone)]
 pub struct Handle(Rc<Shared>);
 
-/// Runs the fleet until the process ends. `after`: another process serves at this address and hands over, so the
-/// port is waited for; else one that is taken is an error.
+/// Runs the membership until the process ends. `after`: another process serves at this address and hands over, so the
+/// port is waited for; otherwise a port in use is an error.
 pub fn start(
     (start, keys): (Start, Keyring), after: bool, shutdown: &Shutdown,
 ) -> Result<Handle, FleetError> {
@@ -72,32 +81,32 @@
 }
 
 impl Handle {
-    /// This life of the member; `None` while another process has the port. To be asked anew each time: whoever keeps it
-    /// keeps the port.
+    /// The current incarnation; `None` while another process has the port. To be called each time: a caller that retains
+    /// the driver keeps the port bound.
     pub fn driver(&self) -> Option<Rc<Driver>> {
         self.0.current.borrow().as_ref().map(|(driver, _)| driver.clone())
     }
 
     fn start_driver(&self) -> Result<(), FleetError> {
         let keys = self.0.keys.borrow().clone();
-        let driver = Driver::start(&self.0.start, keys)?;
-        let running = spawn_local(driver.clone().run()).abort_handle();
+        let driver = tasks::start(&self.0.start, keys)?;
+        let running = spawn_local(tasks::run(driver.clone())).abort_handle();
         self.0.current.replace(Some((driver, running)));
         Ok(())
     }
 
     fn stop_driver(&self) {
         if let Some((driver, running)) = self.0.current.take() {
-            driver.stop();
+            driver.abort_streams();
             running.abort();
         }
     }
 
-    /// One process at a time: gives the port up to the process that took over, and takes it back if that one dies.
+    /// Only one process is the member at a time: releases the port to a successor, and binds it again if that one dies.
     async fn follow_port(self, shutdown: Shutdown) {
         let mut successor_updates = shutdown.successor_updates();
         while !self.0.has_left.get() {
-            // Before the match: what it looks at lives as long as its arms, and a driver held there keeps the port.
+            // Before the match: its scrutinee lives as long as its arms, and a driver in it would keep the port bound.
             let is_running = self.driver().is_some();
             match (shutdown.has_successor(), is_running) {
                 (true, true) => {
@@ -117,7 +126,7 @@
         }
     }
 
-    /// Reads the files anew. Of what they hold the keys take effect; a faulty one changes nothing.
+    /// Reads the files again. Only the keys take effect; a faulty file changes nothing.
     pub fn reload(&self) {
         match self.0.start.reload_keys() {
             Ok(keys) => {
@@ -132,7 +141,7 @@
         }
     }
 
-    /// The planned end: the others are told before this returns.
+    /// Leaves the fleet for good. The announcement is sent before this returns.
     pub fn leave(&self) {
         self.0.has_left.set(true);
         if let Some(driver) = self.driver() {
@@ -142,12 +151,12 @@
         self.stop_driver();
     }
 
-    /// For operators; `null` while another process has the port.
+    /// Counters for operators; `null` while another process has the port.
     pub fn counters(&self) -> Value {
         self.driver().map_or(Value::Null, |driver| figures::counters(&driver, self.0.key_reads.get()))
     }
 
-    /// For operators; `null` while another process has the port.
+    /// All members for operators; `null` while another process has the port.
     pub fn members(&self) -> Value {
         self.driver().map_or(Value::Null, |driver| figures::members(&driver))
     }
--- a/gateway/src/fleet/start.rs
+++ b/gateway/src/fleet/start.rs
@@ -1,4 +1,5 @@
-//! What a start of the fleet needs, read from the operators' file and the platform's word.
+//! What a start of the fleet needs, read from the operators' file and the platform's settings. Read once; the keys again
+//! at each reload.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -9,14 +10,15 @@
 use super::error::FleetError;
 use super::{incarnation, keys};
 
-/// What the platform says of this gateway, where there is one.
+/// The platform's settings for this gateway, where there is a platform.
 pub struct Platform {
-    /// Whether its settings permit talk among gateways.
+    /// Whether they permit messages among gateways.
     pub peers: bool,
-    /// A directory of this gateway's own.
+    /// Directory for the state of this gateway.
     pub state: PathBuf,
 }
 
+/// A checked file, from which the member can be started.
 pub struct Start {
     pub(super) file: PathBuf,
     pub(super) section: Section,
@@ -26,8 +28,8 @@
 }
 
 impl Start {
-    /// Reads the file, and refuses what the platform's settings forbid. Opens nothing. `name`: this gateway's as the
-    /// platform or the environment gives it; it goes before the file's.
+    /// Reads the file and the keys, and rejects what the platform's settings forbid. Opens no sockets. `name` is this
+    /// gateway's name by the platform or the environment; it takes precedence over the file's.
     pub fn read(
         file: &Path, name: Option<String>, platform: Option<&Platform>,
     ) -> Result<(Start, Keyring), FleetError> {
@@ -43,11 +45,12 @@
         Ok((Start { file: file.into(), section, member, life_file }, keys))
     }
 
-    /// The keys that the files name now, for the fleet's name of the start.
+    /// Reads the keys again, for the fleet's name that the member was started with.
     pub(super) fn reload_keys(&self) -> Result<Keyring, FleetError> {
         read_keys(&config::read(&self.file)?, &self.section.name)
     }
 
+    /// The incarnation of a start at this moment, which is stored.
     pub(super) fn next_incarnation(&self) -> Result<Incarnation, FleetError> {
         let file = self.life_file.as_deref();
         incarnation::next(incarnation::clock(), file).map_err(|error| FleetError::Life {
@@ -56,6 +59,7 @@
         })
     }
 
+    /// The error of a bind that failed.
     pub(super) fn cannot_bind(&self, error: io::Error) -> FleetError {
         FleetError::Bind { file: self.file.clone(), address: self.section.bind, error }
     }
--- /dev/null
+++ b/gateway/src/fleet/tasks.rs
@@ -0,0 +1,50 @@
+//! Start and tasks of one incarnation of this member: opens the sockets, creates the [`Driver`], and runs its three
+//! tasks (datagrams, timers, streams).
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use glenrail_fleet::{Fleet, Incarnation, Keyring};
+
+use super::driver::Driver;
+use super::error::FleetError;
+use super::sockets::Sockets;
+use super::start::Start;
+use super::{exchange, timers, udp};
+use crate::log;
+
+/// Binds the sockets and greets the seeds.
+pub(super) fn start(start: &Start, keys: Keyring) -> Result<Rc<Driver>, FleetError> {
+    let section = &start.section;
+    let sockets = Sockets::bind(section.bind).map_err(|error| start.cannot_bind(error))?;
+    let bound = sockets.local_address().map_err(|error| start.cannot_bind(error))?;
+    let address = section.advertise.unwrap_or(bound);
+    // Once the port is bound: the process before has the member's identity as long as it has the port.
+    let incarnation = start.next_incarnation()?;
+    let fleet = new_fleet(start, keys, incarnation, address)?;
+    let id = fleet.me().id.0;
+    log!(
+        "fleet: {} is member {id:016x}, life {}, at {address}, bound to {bound}",
+        start.member,
+        incarnation.0
+    );
+    let driver = Rc::new(Driver::new(fleet, sockets, section, exchange::spawn_open));
+    driver.step(|fleet, now, effects| fleet.start(now, effects));
+    Ok(driver)
+}
+
+fn new_fleet(
+    start: &Start, keys: Keyring, incarnation: Incarnation, address: SocketAddr,
+) -> Result<Fleet, FleetError> {
+    // Only spreads the choices of members: it need not be hard to guess.
+    let seed = incarnation.0 ^ u64::from(std::process::id()) << 40;
+    let seeds = start.section.seeds.clone();
+    let settings = start.section.figures();
+    Fleet::new(&start.member, incarnation, address, seeds, keys, settings, seed)
+        .map_err(|error| FleetError::Figure { file: start.file.clone(), error })
+}
+
+/// Runs the tasks until it is dropped.
+pub(super) async fn run(driver: Rc<Driver>) {
+    tokio::join!(udp::receive(&driver), timers::run(&driver), exchange::accept(&driver));
+}
