--- a/crates/fleet/src/fleet/cycle/tests.rs
+++ b/crates/fleet/src/fleet/cycle/tests.rs
@@ -4,7 +4,7 @@
 use crate::{Incarnation, MemberId};
 
 #[test]
-fn each_is_met_once_a_round_and_one_that_goes_is_passed_over() {
+fn each_member_is_picked_once_a_pass_and_failed_ones_are_skipped() {
     let member = |id| Member {
         id: MemberId(id),
         incarnation: Incarnation(1),
--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_said_in_anothers_name_or_cannot_be_read_is_refused_and_counted() {
+fn impersonated_and_malformed_messages_are_rejected_and_counted() {
     let (mut a, mut b) = pair();
     let from = a.me().id;
     let other = Member { id: MemberId(77), ..a.me() };
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn exchanges_are_asked_for_one_at_a_time() {
+fn exchanges_are_requested_one_at_a_time() {
     let (mut a, mut b) = pair();
     let is_requested =
         |effects: Vec<Effect>| matches!(effects[..], [Effect::OpenExchange { to, .. }] if to == address(1));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_stream_that_says_too_much_or_out_of_turn_is_ended() {
+fn an_exchange_over_its_bounds_or_out_of_turn_is_aborted() {
     let (mut a, mut b) = pair();
     let mut effects = Vec::new();
     let none = MemberId(1);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn own_cells_have_bounds_that_are_told_by_name_and_leaving_ends_all() {
+fn bounds_of_own_cells_are_named_and_nothing_is_handled_after_a_leave() {
     let (mut a, mut b) = pair();
     assert!(matches!(a.put(0, 0, b"", Vec::new()), Err(TableError::Reserved { kind: 0 })));
     assert!(matches!(a.put(0, 7, &[0; 200], Vec::new()), Err(TableError::Key { kind: 7, .. })));
--- a/crates/fleet/src/gossip/tests.rs
+++ b/crates/fleet/src/gossip/tests.rs
@@ -2,7 +2,7 @@
 use crate::MemberId;
 
 #[test]
-fn each_is_told_a_logarithm_of_times_and_the_least_told_first() {
+fn each_cell_is_sent_logarithmically_often_and_the_least_sent_first() {
     let id = |key: u8| CellId { origin: MemberId(1), kind: 1, key: vec![key] };
     assert_eq!([1, 3, 12, 50].map(transmission_limit), [2, 3, 5, 7]);
     let mut queue = GossipQueue::default();
--- a/crates/fleet/src/identity/tests.rs
+++ b/crates/fleet/src/identity/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_later_life_wins_over_any_return_of_an_earlier() {
+fn a_later_incarnation_wins_over_any_rejoin_of_an_earlier() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let old = Member { id: MemberId::of_name("a"), incarnation: Incarnation(1), rejoins: 9, address };
     let new = Member { incarnation: Incarnation(2), rejoins: 0, ..old };
--- a/crates/fleet/src/rejection/tests.rs
+++ b/crates/fleet/src/rejection/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_reason_has_a_place_of_its_own_and_an_advice() {
+fn each_reason_has_its_own_index_and_an_advice() {
     let (from, incarnation) = (MemberId(1), Incarnation(1));
     let rejections = [
         Rejection::TooShort { bytes: 1 },
--- a/crates/fleet/src/seal/key/tests.rs
+++ b/crates/fleet/src/seal/key/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_key_file_says_what_is_wrong_with_it() {
+fn each_fault_of_a_key_file_has_its_own_error() {
     let line = "ab".repeat(32);
     assert!(Keyring::parse(&format!("# keys\n{line} # old\n\n{line}\n"), "f").is_ok());
     assert_eq!(Keyring::parse("# none\n", "f").unwrap_err(), KeyError::None);
--- a/crates/fleet/src/seal/window/tests.rs
+++ b/crates/fleet/src/seal/window/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_largest_counter_ends_nothing() {
+fn the_largest_counter_does_not_overflow() {
     let mut window = Window::default();
     assert_eq!(window.accept(u64::MAX), CounterStatus::New);
     assert_eq!(window.accept(u64::MAX), CounterStatus::Duplicate);
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -120,8 +120,16 @@
     }
 }
 
-/// A setting's name, its value and its bound.
-type Bound = (&'static str, u64, u64);
+/// A setting with one of its bounds.
+struct Bound {
+    what: &'static str,
+    found: u64,
+    bound: u64,
+}
+
+fn bound(what: &'static str, found: u64, bound: u64) -> Bound {
+    Bound { what, found, bound }
+}
 
 /// Longest time that a setting may name, in milliseconds: sums of such times cannot overflow.
 const MAX_TIME: u64 = 24 * 3_600 * 1_000;
@@ -129,13 +137,13 @@
 impl Settings {
     /// The first setting that is out of its bounds, if any. Nothing after this check has to doubt a setting.
     pub fn check(&self) -> Result<(), SettingsError> {
-        for (what, found, least) in self.lower_bounds() {
+        for Bound { what, found, bound: least } in self.lower_bounds() {
             if found < least {
                 return Err(SettingsError::TooSmall { what, found, least });
             }
         }
-        let time_bounds = self.times().map(|(what, found)| (what, found, MAX_TIME));
-        for (what, found, most) in self.upper_bounds().into_iter().chain(time_bounds) {
+        let time_bounds = self.times().map(|(what, found)| bound(what, found, MAX_TIME));
+        for Bound { what, found, bound: most } in self.upper_bounds().into_iter().chain(time_bounds) {
             if found > most {
                 return Err(SettingsError::TooLarge { what, found, most });
             }
@@ -146,33 +154,33 @@
     fn lower_bounds(&self) -> [Bound; 17] {
         let largest_entry = (self.value_bytes + self.key_bytes + CELL_OVERHEAD_BYTES) as u64;
         [
-            ("probe", self.probe, 10),
-            ("probe_answer", self.probe_answer, 1),
-            ("suspect", self.suspect, self.probe),
-            ("forget", self.forget, self.suspect),
-            ("round", self.round, 10),
-            ("round_members", self.round_members as u64, 1),
-            ("repair", self.repair, 10),
-            ("repair_datagrams", self.repair_datagrams as u64, 1),
-            ("hello", self.hello, 10),
-            ("entry_age", self.entry_age, 6 * self.repair),
-            ("key_bytes", self.key_bytes as u64, 1),
-            ("value_bytes", self.value_bytes as u64, 1),
-            ("entries_per_origin", self.entries_per_origin as u64, 1),
-            ("bytes_per_origin", self.bytes_per_origin as u64, largest_entry),
-            ("origins", self.origins as u64, 1),
-            ("bytes_total", self.bytes_total as u64, self.bytes_per_origin as u64),
-            ("windows", self.windows as u64, self.origins as u64),
+            bound("probe", self.probe, 10),
+            bound("probe_answer", self.probe_answer, 1),
+            bound("suspect", self.suspect, self.probe),
+            bound("forget", self.forget, self.suspect),
+            bound("round", self.round, 10),
+            bound("round_members", self.round_members as u64, 1),
+            bound("repair", self.repair, 10),
+            bound("repair_datagrams", self.repair_datagrams as u64, 1),
+            bound("hello", self.hello, 10),
+            bound("entry_age", self.entry_age, 6 * self.repair),
+            bound("key_bytes", self.key_bytes as u64, 1),
+            bound("value_bytes", self.value_bytes as u64, 1),
+            bound("entries_per_origin", self.entries_per_origin as u64, 1),
+            bound("bytes_per_origin", self.bytes_per_origin as u64, largest_entry),
+            bound("origins", self.origins as u64, 1),
+            bound("bytes_total", self.bytes_total as u64, self.bytes_per_origin as u64),
+            bound("windows", self.windows as u64, self.origins as u64),
         ]
     }
 
     fn upper_bounds(&self) -> [Bound; 5] {
         [
-            ("probe_answer", self.probe_answer, self.probe.saturating_sub(1) / 2),
-            ("key_bytes", self.key_bytes as u64, 256),
-            ("value_bytes", self.value_bytes as u64, 24 * 1024),
-            ("origins", self.origins as u64, 512),
-            ("entries_per_origin", self.entries_per_origin as u64, 65_535),
+            bound("probe_answer", self.probe_answer, self.probe.saturating_sub(1) / 2),
+            bound("key_bytes", self.key_bytes as u64, 256),
+            bound("value_bytes", self.value_bytes as u64, 24 * 1024),
+            bound("origins", self.origins as u64, 512),
+            bound("entries_per_origin", self.entries_per_origin as u64, 65_535),
         ]
     }
 
--- a/crates/fleet/src/settings/tests.rs
+++ b/crates/fleet/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_defaults_hold_and_a_figure_out_of_bounds_is_named() {
+fn the_defaults_are_valid_and_a_setting_out_of_bounds_is_named() {
     assert_eq!(Settings::default().check(), Ok(()));
     let wrong = Settings { probe_answer: 900, ..Settings::default() };
     assert!(matches!(wrong.check(), Err(SettingsError::TooLarge { what: "probe_answer", .. })));
--- a/crates/fleet/src/table/cell.rs
+++ b/crates/fleet/src/table/cell.rs
@@ -36,6 +36,21 @@
     pub value: Option<Vec<u8>>,
 }
 
+/// A borrowed cell that is not a tombstone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CellValue<'a> {
+    /// The member that wrote it.
+    pub origin: MemberId,
+    /// Incarnation of the origin that wrote it.
+    pub incarnation: Incarnation,
+    /// Key within the kind.
+    pub key: &'a [u8],
+    /// See [`Cell::version`].
+    pub version: u64,
+    /// The value.
+    pub value: &'a [u8],
+}
+
 impl Cell {
     /// A cell of this age in milliseconds.
     pub fn new(id: CellId, incarnation: Incarnation, version: u64, age: u64, value: Option<Vec<u8>>) -> Cell {
--- a/crates/fleet/src/table/mod.rs
+++ b/crates/fleet/src/table/mod.rs
@@ -14,7 +14,7 @@
 
 pub use bounds::{Bounds, TableError};
 pub(crate) use cell::CELL_OVERHEAD_BYTES;
-pub use cell::{Cell, CellId};
+pub use cell::{Cell, CellId, CellValue};
 pub use digest::{compare, Digest, Reconciliation};
 
 use std::collections::BTreeMap;
@@ -72,13 +72,9 @@
         self.origins.len()
     }
 
-    /// Values of one kind as `(origin, its incarnation, key, version, value)`, in the order of origin and key.
-    pub fn of_kind(&self, kind: u16) -> impl Iterator<Item = (MemberId, Incarnation, &[u8], u64, &[u8])> {
-        self.origins.iter().flat_map(move |(id, origin)| {
-            origin
-                .of_kind(kind)
-                .map(move |(key, version, value)| (*id, origin.incarnation, key, version, value))
-        })
+    /// Values of one kind, in the order of origin and key.
+    pub fn of_kind(&self, kind: u16) -> impl Iterator<Item = CellValue<'_>> {
+        self.origins.iter().flat_map(move |(id, origin)| origin.of_kind(*id, kind))
     }
 
     /// Version and value of a cell; `None` if there is none, or it was deleted.
--- a/crates/fleet/src/table/origin.rs
+++ b/crates/fleet/src/table/origin.rs
@@ -3,7 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{cell::weight, Bounds, Cell, CellId, MergeOutcome};
+use super::cell::weight;
+use super::{Bounds, Cell, CellId, CellValue, MergeOutcome};
 use crate::{Incarnation, MemberId};
 
 /// A cell without its id.
@@ -68,12 +69,15 @@
         row.value.as_deref().map(|value| (row.version, value))
     }
 
-    /// Key, version and value of all cells of a kind that are no tombstones.
-    pub(super) fn of_kind(&self, kind: u16) -> impl Iterator<Item = (&[u8], u64, &[u8])> {
-        let first_key = (kind, Vec::new())..;
-        self.rows.range(first_key).take_while(move |((found, _), _)| *found == kind).filter_map(
-            |((_, key), row)| row.value.as_deref().map(|value| (key.as_slice(), row.version, value)),
-        )
+    /// All cells of a kind that are no tombstones; `origin` is the id of this origin.
+    pub(super) fn of_kind(&self, origin: MemberId, kind: u16) -> impl Iterator<Item = CellValue<'_>> {
+        let incarnation = self.incarnation;
+        let from_kind = self.rows.range((kind, Vec::new())..);
+        let of_kind = from_kind.take_while(move |((found, _), _)| *found == kind);
+        of_kind.filter_map(move |((_, key), row)| {
+            let value = row.value.as_deref()?;
+            Some(CellValue { origin, incarnation, key, version: row.version, value })
+        })
     }
 
     /// Whether there is such a cell, tombstones included.
--- a/crates/fleet/src/table/tests.rs
+++ b/crates/fleet/src/table/tests.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn age_travels_and_only_grows() {
+fn the_age_of_a_cell_travels_and_only_grows() {
     let bounds = BOUNDS();
     let mut a = table_of(bounds, &[cell(1, 1, 1, 1, 1)]);
     let forwarded = a.cell(100_000, &cell(1, 1, 1, 1, 1).id).unwrap();
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn what_was_taken_back_outlives_the_value() {
+fn a_tombstone_outlives_the_value() {
     let bounds = BOUNDS();
     let back = cell(1, 1, 1, 2, 0);
     let mut table = table_of(bounds, &[cell(1, 1, 1, 1, 1), back.clone()]);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_later_life_drops_all_of_an_earlier() {
+fn a_later_incarnation_drops_all_cells_of_an_earlier() {
     let mut table = table_of(BOUNDS(), &[cell(1, 1, 1, 7, 1), cell(1, 1, 2, 8, 1)]);
     assert_eq!(table.merge(0, &cell(1, 2, 3, 1, 1)), MergeOutcome::Applied);
     assert_eq!((table.len(), table.incarnation(MemberId(1))), (1, Some(Incarnation(2))));
--- a/crates/fleet/src/wire/tests.rs
+++ b/crates/fleet/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use crate::{CellId, Incarnation};
 
 #[test]
-fn pages_fit_and_lose_nothing_that_could_fit() {
+fn pages_fit_and_omit_no_cell_that_could_fit() {
     let cell = |index: u64, bytes: usize| {
         let id = CellId { origin: MemberId(index), kind: 300, key: vec![1; 9] };
         Cell::new(id, Incarnation(u64::MAX), u64::MAX, 5_000, Some(vec![0; bytes]))
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_cut_or_has_a_tail_or_an_unknown_number_is_not_read() {
+fn truncated_overlong_and_unknown_bodies_are_not_parsed() {
     let bytes = Body::Swim(vec![1, 2, 3]).bytes();
     assert_eq!(Body::read(&bytes), Some(Body::Swim(vec![1, 2, 3])));
     assert_eq!(Body::read(&bytes[..3]), None);
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_planned_end_is_heard_by_all_in_the_time_of_one_datagram() {
+fn a_leave_reaches_all_members_in_the_time_of_one_datagram() {
     let mut net = met(12, 1, 0.0);
     net.step(7, |fleet, now, effects| fleet.leave(now, effects));
     net.kill(7);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn all_restarted_within_a_second_meet_in_their_new_lives() {
+fn members_restarted_within_a_second_meet_in_their_new_incarnations() {
     for seed in 1..=3 {
         let mut net = met(8, seed, 0.1);
         for node in 0..8 {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn one_that_is_stopped_for_8_s_wakes_and_gives_nobody_up() {
+fn a_member_stopped_for_8_s_declares_nobody_failed_when_it_continues() {
     for seed in 1..=5 {
         let mut net = met(5, seed, 0.0);
         net.put(1, 7, b"k", b"v");
--- a/crates/fleet/tests/stored_datagrams.rs
+++ b/crates/fleet/tests/stored_datagrams.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_member_hears_the_stored_datagrams() {
+fn a_member_accepts_the_stored_datagrams() {
     let (fleet, _) = after_the_datagrams();
     let mut expected = vec![
         Member { id: id(SENDER), incarnation: SENDER.1, rejoins: 2, address: address(1) },
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -91,7 +91,7 @@
         let table = node.fleet.table();
         assert!(table.bytes() <= 40_000);
         assert!(table.of_kind(7).count() <= 20 + 3);
-        let quiet = table.of_kind(7).filter(|(_, _, key, ..)| *key == b"quiet").count();
+        let quiet = table.of_kind(7).filter(|cell| cell.key == b"quiet").count();
         assert_eq!(quiet, 3, "the others' cells stand");
         let sent = (node.sent - before) / 35;
         assert!(sent < 20_000, "{sent} bytes a second");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn one_with_another_key_is_not_heard_and_is_gone() {
+fn a_member_with_another_key_is_rejected_and_declared_failed() {
     let mut net = Net::new(3, 10, Settings::default());
     net.run(5_000);
     net.step(2, |fleet, _, _| fleet.rotate_keys(keys(2)));
--- a/gateway/src/fleet/config/tests.rs
+++ b/gateway/src/fleet/config/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_faulty_file_is_refused_by_line_or_key() {
+fn a_faulty_file_is_rejected_by_line_or_key() {
     let good = "[fleet]\nbind = '127.0.0.1:0'\nkey_file = 'k'\n";
     for (more, named) in [
         ("bind_too = 1", "line 4"),
@@ -28,7 +28,7 @@
 
 /// Guards the operators' page of keys: a figure there that is not the default would be taken for it.
 #[test]
-fn the_file_that_comes_with_the_program_shows_every_figure_with_its_default() {
+fn the_shipped_file_shows_every_setting_with_its_default() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/fleet.toml");
     let section = read(Path::new(path)).expect("it loads");
     assert_eq!(section.figures(), Settings::default());
--- a/gateway/tests/fleet_drivers.rs
+++ b/gateway/tests/fleet_drivers.rs
@@ -64,7 +64,7 @@
 /// Guards both ways of an entry: small ones ride in datagrams, one that fits into none comes over a stream, and news
 /// wake whoever waits for them.
 #[test]
-fn entries_reach_all_by_datagram_or_stream() {
+fn cells_reach_all_members_by_datagram_or_stream() {
     run(async {
         let directory = directory("entries");
         let a = node(&directory, "a", vec![], "");
@@ -128,7 +128,7 @@
 /// Guards the hand-over of the port: a process that comes after another waits for it; superseded, a member lets go of it
 /// without a word of leaving; with its heir gone, it goes on there with a later life.
 #[test]
-fn a_member_gives_its_port_up_to_an_heir_and_takes_it_back() {
+fn a_member_releases_its_port_to_a_successor_and_binds_it_again() {
     run(async {
         let directory = directory("heir");
         let other = node(&directory, "other", vec![], "");
