--- a/gateway/src/fleet/config/tests.rs
+++ b/gateway/src/fleet/config/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn refused(text: &str) -> String {
+fn error_text(text: &str) -> String {
     let path = std::env::temp_dir().join(format!("glenrail-fleet-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("a file");
     read(&path).expect_err(text).to_string()
 }
 
 #[test]
-fn a_faulty_file_is_refused_by_line_or_key() {
+fn a_faulty_file_is_rejected_by_line_or_key() {
     let good = "[fleet]\nbind = '127.0.0.1:0'\nkey_file = 'k'\n";
     for (more, named) in [
         ("bind_too = 1", "line 4"),
@@ -19,16 +19,16 @@
         ("exchange_time = 0", "fleet.exchange_time"),
         ("[flet]", "line 4"),
     ] {
-        let said = refused(&format!("{good}{more}\n"));
-        assert!(said.contains(named), "{more}: {said}");
+        let text = error_text(&format!("{good}{more}\n"));
+        assert!(text.contains(named), "{more}: {text}");
     }
-    assert!(refused("[fleet]\nbind = '127.0.0.1:0'\n").contains("key_file"));
-    assert!(refused("").contains("fleet"));
+    assert!(error_text("[fleet]\nbind = '127.0.0.1:0'\n").contains("key_file"));
+    assert!(error_text("").contains("fleet"));
 }
 
 /// Guards the operators' page of keys: a figure there that is not the default would be taken for it.
 #[test]
-fn the_file_that_comes_with_the_program_shows_every_figure_with_its_default() {
+fn the_shipped_file_shows_every_setting_with_its_default() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/fleet.toml");
     let section = read(Path::new(path)).expect("it loads");
     assert_eq!(section.figures(), Settings::default());
@@ -43,6 +43,6 @@
     for key in ["name", "member", "bind", "advertise", "seeds", "key_file", "life_file"] {
         shown(key);
     }
-    assert_eq!((section.name, section.exchange_time, section.exchanges), (glenrail(), 5_000, 4));
+    assert_eq!((section.name, section.exchange_time, section.exchanges), (default_name(), 5_000, 4));
     assert!(text.contains("exchange_time = 5000") && text.contains("exchanges = 4"));
 }
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -1,5 +1,7 @@
-//! Whole state over a stream: bounded in number and time; the machine bounds frames and bytes.
+//! Exchanges over streams, opened by this member or accepted from others. Their number and time are limited here;
+//! the state machine limits frames and bytes.
 
+use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,92 +14,102 @@
 
 use super::driver::Driver;
 use super::error::WireError;
-use super::udp::PAUSE;
+use super::sockets::RETRY_PAUSE;
 
-/// Read at once.
-const READ: usize = 16 * 1024;
+/// Most bytes of one read.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Counts a stream that another opened while it runs.
-struct Taken(Rc<Driver>);
+/// Counts a stream that another member opened, while it is in progress.
+struct IncomingStream(Rc<Driver>);
 
-impl Taken {
-    fn new(driver: &Rc<Driver>) -> Option<Taken> {
-        let taken = driver.taken.get();
-        (taken < driver.streams_most).then(|| {
-            driver.taken.set(taken + 1);
-            Taken(driver.clone())
-        })
+impl IncomingStream {
+    /// `None` if as many as the limit are in progress.
+    fn new(driver: &Rc<Driver>) -> Option<IncomingStream> {
+        let incoming = driver.incoming.get();
+        if incoming >= driver.max_incoming {
+            return None;
+        }
+        driver.incoming.set(incoming + 1);
+        Some(IncomingStream(driver.clone()))
     }
 }
 
-impl Drop for Taken {
+impl Drop for IncomingStream {
     fn drop(&mut self) {
-        self.0.taken.set(self.0.taken.get() - 1);
+        self.0.incoming.set(self.0.incoming.get() - 1);
     }
 }
 
-/// Takes streams that others open, until it is dropped. One too many is closed at once: a stream that says nothing
-/// must not keep members waiting in the queue behind it.
+/// Accepts streams until it is dropped. One over the limit is closed at once: a silent stream must not make members
+/// wait in the queue of the listener.
 pub(super) async fn accept(driver: &Rc<Driver>) {
     loop {
-        match driver.listener.accept().await {
-            Ok((stream, with)) => match Taken::new(driver) {
-                Some(taken) => {
-                    driver.stream(async move {
-                        let run = run(&taken.0, stream, with, Exchange::accept(), Vec::new());
-                        bounded(&taken.0, with, run).await;
-                    });
-                }
-                None => driver.broke(&WireError::Crowded { with, most: driver.streams_most }),
+        match driver.sockets.listener.accept().await {
+            Ok((stream, with)) => match IncomingStream::new(driver) {
+                Some(incoming) => spawn_accepted(incoming, stream, with),
+                None => driver.stream_broke(&WireError::Crowded { with, most: driver.max_incoming }),
             },
             Err(error) => {
-                driver.failed(&WireError::Accept(error));
-                sleep(PAUSE).await;
+                driver.log_failure(&WireError::Accept(error));
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Opens a stream to a member and exchanges whole state.
-pub(super) async fn open(driver: Rc<Driver>, with: MemberId, to: SocketAddr) {
+fn spawn_accepted(incoming: IncomingStream, stream: TcpStream, with: SocketAddr) {
+    let driver = incoming.0.clone();
+    driver.spawn_stream(async move {
+        let exchange = run(&incoming.0, stream, with, Exchange::accept(), Vec::new());
+        limit_time(&incoming.0, with, exchange).await;
+    });
+}
+
+/// Opens a stream to a member and runs an exchange over it, in a task of its own.
+pub(super) fn spawn_open(driver: &Rc<Driver>, with: MemberId, to: SocketAddr) {
+    driver.spawn_stream(open(driver.clone(), with, to));
+}
+
+async fn open(driver: Rc<Driver>, with: MemberId, to: SocketAddr) {
     let opened = async {
         let broken = |error| WireError::Broken { with: to, error };
         let stream = TcpStream::connect(to).await.map_err(broken)?;
-        // After connecting: a frame that waits long may be taken for an old one.
+        // After connecting: a frame that is delayed for long may fall below the replay window.
         let opened = driver.step(|fleet, _, _| fleet.open_exchange(with));
         let (exchange, first) = opened.map_err(|error| WireError::Exchange { with: to, error })?;
         run(&driver, stream, to, exchange, first).await
     };
-    bounded(&driver, to, opened).await;
+    limit_time(&driver, to, opened).await;
 }
 
-async fn bounded(
-    driver: &Driver, with: SocketAddr, stream: impl std::future::Future<Output = Result<(), WireError>>,
+/// Runs `exchange` within the time limit, and reports a failure.
+async fn limit_time(
+    driver: &Driver, with: SocketAddr, exchange: impl Future<Output = Result<(), WireError>>,
 ) {
-    let most = driver.stream_time;
-    let ended = timeout(Duration::from_millis(most), stream).await;
-    if let Err(error) = ended.unwrap_or(Err(WireError::Late { with, most })) {
-        driver.broke(&error);
+    let most = driver.stream_timeout;
+    let result = timeout(Duration::from_millis(most), exchange).await;
+    if let Err(error) = result.unwrap_or(Err(WireError::Late { with, most })) {
+        driver.stream_broke(&error);
     }
 }
 
-/// Bytes in, bytes out, until the machine says that it is over.
+/// Writes `first`, then passes what it reads to the state machine until the exchange is finished.
 async fn run(
     driver: &Rc<Driver>, mut stream: TcpStream, with: SocketAddr, mut exchange: Exchange, first: Vec<u8>,
 ) -> Result<(), WireError> {
     let broken = |error: io::Error| WireError::Broken { with, error };
     stream.write_all(&first).await.map_err(broken)?;
-    let mut buffer = vec![0; READ];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         let bytes = stream.read(&mut buffer).await.map_err(broken)?;
         if bytes == 0 {
             return Err(WireError::Ended { with });
         }
         let stepped =
-            driver.step(|fleet, now, out| fleet.exchange(now, &mut exchange, &buffer[..bytes], out));
+            driver.step(|fleet, now, effects| fleet.exchange(now, &mut exchange, &buffer[..bytes], effects));
         let step = stepped.map_err(|error| WireError::Exchange { with, error })?;
         stream.write_all(&step.write).await.map_err(broken)?;
-        if step.over {
+        if step.is_finished {
             return stream.shutdown().await.map_err(broken);
         }
     }
--- /dev/null
+++ b/gateway/src/fleet/incarnation.rs
@@ -0,0 +1,45 @@
+//! The incarnation of this run: from the clock, and later than the last one that is stored. The file is this module's.
+
+use std::fs::{DirBuilder, File};
+use std::io::{self, Write};
+use std::os::unix::fs::DirBuilderExt;
+use std::path::Path;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use glenrail_fleet::Incarnation;
+
+use super::error::LifeError;
+
+/// Milliseconds since 1970; 0 if the clock is before that.
+pub fn clock() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |duration| duration.as_millis() as u64)
+}
+
+/// An incarnation later than the one stored in `file`, where it is stored before it is used. Without that, the other
+/// members would reject all messages of this run if the clock went back over a restart.
+pub fn next(clock: u64, file: Option<&Path>) -> Result<Incarnation, LifeError> {
+    let Some(file) = file else { return Ok(Incarnation(clock)) };
+    let last = match std::fs::read_to_string(file) {
+        Ok(text) => text.trim().parse::<u64>().map_err(|_| LifeError::NotANumber)?,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => 0,
+        Err(error) => return Err(LifeError::Unreadable(error)),
+    };
+    let incarnation = clock.max(last.checked_add(1).ok_or(LifeError::NotANumber)?);
+    store(incarnation, file).map_err(LifeError::Unwritable)?;
+    Ok(Incarnation(incarnation))
+}
+
+/// Written to a temporary file and renamed, so that a crash never leaves an incomplete number.
+fn store(incarnation: u64, file: &Path) -> io::Result<()> {
+    if let Some(directory) = file.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+        DirBuilder::new().recursive(true).mode(0o700).create(directory)?;
+    }
+    let temporary = file.with_extension("new");
+    let mut new = File::create(&temporary)?;
+    new.write_all(format!("{incarnation}\n").as_bytes())?;
+    new.sync_all()?;
+    std::fs::rename(temporary, file)
+}
+
+#[cfg(test)]
+mod tests;
