--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -133,7 +133,7 @@
             }
             Body::Cells(cells) => self.merge_cells(now, &cells, effects),
             Body::Digests { from, to, digests } => {
-                self.answer_digests(now, sender, from..=to, &digests, effects)
+                self.answer_digests(now, sender, from..=to, &digests, effects);
             }
             Body::Request(digests) => self.answer_request(now, sender, &digests, effects),
             Body::ExchangeNeeded => self.request_exchange(now, sender, effects),
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -99,7 +99,7 @@
             });
         }
         for node in 0..nodes {
-            net.step(node, |fleet, now, effects| fleet.start(now, effects));
+            net.step(node, glenrail_fleet::Fleet::start);
         }
         net
     }
@@ -254,7 +254,7 @@
         self.nodes[node].fleet = self.fleet(node, incarnation);
         self.nodes[node].up = true;
         self.nodes[node].run += 1;
-        self.step(node, |fleet, now, effects| fleet.start(now, effects));
+        self.step(node, glenrail_fleet::Fleet::start);
     }
 
     pub fn put(&mut self, node: usize, kind: u16, key: &[u8], value: &[u8]) {
--- a/examples/toy/server.rs
+++ b/examples/toy/server.rs
@@ -60,7 +60,8 @@
 
 async fn answer(request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
     let path = request.uri().path().to_string();
-    let body = request.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default();
+    let body =
+        request.into_body().collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
     Ok(reply(&path, &serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
--- a/fault-tests/tests/unresponsive_decode_servers.rs
+++ b/fault-tests/tests/unresponsive_decode_servers.rs
@@ -149,7 +149,7 @@
     block_on(async {
         let deployment = warmed_up(DeploymentSpec::new(1, 1, 2)).await;
         for server in DECODE_SERVERS {
-            deployment.links_to(server).for_each(|link| link.stall_open_connections());
+            deployment.links_to(server).for_each(glenrail_fault_tests::network::Link::stall_open_connections);
         }
         assert_eq!(violations_of_one_request_a_class(&deployment).await, [""; 0]);
         for (class, repeatable) in CLASSES {
--- a/gateway/benches/core.rs
+++ b/gateway/benches/core.rs
@@ -86,7 +86,7 @@
     bencher.bench_local(|| {
         next += 1;
         local.block_on(&runtime, async {
-            end(core.submit(request(format!("r{next}"), next, PATIENCE))).await
+            end(core.submit(request(format!("r{next}"), next, PATIENCE))).await;
         });
     });
     assert_eq!(core.open_requests(), hanging.len());
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -54,10 +54,16 @@
     pub(super) async fn probe(&self, server: ServerId) -> Result<Reply, CallError> {
         let request = ServerRequest::new(RequestKind::Probe, load_request()?);
         self.0.counts.borrow_mut().probes += 1;
-        self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_sent(now));
+        self.0
+            .servers
+            .borrow_mut()
+            .record(server, glenrail_request_lifecycle::reach::Reachability::query_sent);
         let answer = timeout(PROBE_TIMEOUT, self.short_call(server, &request)).await;
         if answer.is_err() {
-            self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+            self.0
+                .servers
+                .borrow_mut()
+                .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
         }
         let (head, body) = answer.map_err(|_| CallError::Reset)??;
         let report = match load_report_of(&head.headers) {
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -69,7 +69,10 @@
             let started = Instant::now();
             if let Ok(answer) = timeout(wait, &mut answer).await {
                 answer?;
-                self.0.servers.borrow_mut().record(server, |reachability, now| reachability.answered(now));
+                self.0
+                    .servers
+                    .borrow_mut()
+                    .record(server, glenrail_request_lifecycle::reach::Reachability::answered);
                 return Ok(());
             }
             let was_stalled = started.elapsed() > wait + STALL_THRESHOLD;
@@ -86,7 +89,10 @@
     }
 
     fn record_unresponsive(&self, server: ServerId) {
-        self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+        self.0
+            .servers
+            .borrow_mut()
+            .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
         log!("a connection to server {:x} is open and unresponsive", server.0);
         // The other idle connections to it are not tried one after the other.
         self.close_idle_of(server);
@@ -134,7 +140,10 @@
         match timeout(ANSWER_TIMEOUT, verified).await {
             Ok(verified) => verified.map(|()| Reply::Done),
             Err(_) => {
-                self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+                self.0
+                    .servers
+                    .borrow_mut()
+                    .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -83,7 +83,10 @@
             // So short a time says nothing about the server.
             Err(_) if limit < usual / 2 => Err(CallError::NotSent),
             _ => {
-                self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+                self.0
+                    .servers
+                    .borrow_mut()
+                    .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -55,12 +55,18 @@
     async fn release_at(
         self, server: ServerId, request: Rc<ServerRequest>, answers: mpsc::UnboundedSender<bool>,
     ) {
-        self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_sent(now));
+        self.0
+            .servers
+            .borrow_mut()
+            .record(server, glenrail_request_lifecycle::reach::Reachability::query_sent);
         let answer = timeout(ANSWER_TIMEOUT, self.short_call(server, &request)).await;
         let accepted = match answer {
             Ok(Ok((head, _))) => head.status.is_success(),
             _ => {
-                self.0.servers.borrow_mut().record(server, |reachability, now| reachability.query_lost(now));
+                self.0
+                    .servers
+                    .borrow_mut()
+                    .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
                 false
             }
         };
--- a/gateway/src/fleet/driver.rs
+++ b/gateway/src/fleet/driver.rs
@@ -219,6 +219,6 @@
 
     /// Announces to all other members, before it returns, that this one leaves. It sends and handles nothing after that.
     pub fn leave(self: &Rc<Self>) {
-        self.step(|fleet, now, effects| fleet.leave(now, effects));
+        self.step(glenrail_fleet::Fleet::leave);
     }
 }
--- a/gateway/src/fleet/tasks.rs
+++ b/gateway/src/fleet/tasks.rs
@@ -29,7 +29,7 @@
         incarnation.0
     );
     let driver = Rc::new(Driver::new(fleet, sockets, section, exchange::spawn_open));
-    driver.step(|fleet, now, effects| fleet.start(now, effects));
+    driver.step(glenrail_fleet::Fleet::start);
     Ok(driver)
 }
 
--- a/gateway/tests/bad_requests.rs
+++ b/gateway/tests/bad_requests.rs
@@ -60,6 +60,7 @@
 const ID: (&str, &[u8]) = ("req-id", b"bad");
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn a_malformed_field_gets_its_400_and_harms_no_neighbour() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
--- a/gateway/tests/common/attempts.rs
+++ b/gateway/tests/common/attempts.rs
@@ -106,10 +106,7 @@
 
 /// How an attempt went: how its answer began, the bytes passed on, and how it ended.
 pub async fn streamed(engine: &Engine) -> Result<(Vec<u8>, Option<CallError>), CallError> {
-    let frames = match attempt(engine, "last byte").await? {
-        Reply::Response { frames, .. } => frames,
-        _ => panic!("no stream"),
-    };
+    let Reply::Response { frames, .. } = attempt(engine, "last byte").await? else { panic!("no stream") };
     let (mut bytes, mut frames) = (Vec::new(), frames);
     while let Some(frame) = frames.next().await {
         match frame {
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -265,7 +265,7 @@
     spawn_local(connection);
     let response = sender.send_request(request).await.expect("an answer");
     let (parts, body) = response.into_parts();
-    let body = body.collect().await.ok().map(|b| b.to_bytes());
+    let body = body.collect().await.ok().map(http_body_util::Collected::to_bytes);
     Response::from_parts(parts, body)
 }
 
--- a/gateway/tests/drive/mod.rs
+++ b/gateway/tests/drive/mod.rs
@@ -80,6 +80,7 @@
 
 /// Feeds the requests and what comes of them, and gives what the router ordered. `held`: the settings were checked, so each
 /// request has one answer by its time.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 pub fn requests(
     deployment: impl Into<Deployment>, seed: u64, fates: &[(u8, Millis)], held: bool,
 ) -> Vec<(Millis, Action)> {
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -357,6 +357,7 @@
 }
 
 /// The share of chats answered whole within their aim, while so many batches are under way at once.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 async fn chat_worth(batches: usize) -> (f64, usize) {
     // A stand-in serves eight at a time, each in 25 ms.
     let limited = |slots: usize, ms: u64| {
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -107,6 +107,7 @@
 
 /// What the router decides over a stretch of requests, each of which is answered as its server's place in the list says:
 /// some read, some fail, some are full.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn decisions(naming: &Naming, routers: u32, asked: &[(usize, usize, u64)]) -> Vec<Action> {
     let p = naming.read(routers);
     let mut router = Router::new(5, p.settings.clone());
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -103,6 +103,7 @@
 /// after it; a new configuration moves discovery on SIGHUP and a faulty one changes nothing; SIGTERM in the middle
 /// of a stream neither cuts it nor makes an error of the end, whatever SIGHUP comes after it.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn the_platforms_gateway_serves_and_shuts_down_gracefully() {
     use common::{answer, ask, post, read, run, stream, until, Act, StandIn, STREAM};
     run(async {
--- a/gateway/tests/restart_slow_start.rs
+++ b/gateway/tests/restart_slow_start.rs
@@ -100,6 +100,7 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn cold_budget_is_kept(name: &'static str, probes: bool) {
     run(async move {
         let (reader, reads) = server(true).await;
--- a/gateway/tests/settings.rs
+++ b/gateway/tests/settings.rs
@@ -37,6 +37,7 @@
 
 /// Guards against a gateway that starts with what it cannot mean: a place, the value there, the key that is told.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn a_fault_ends_the_program_and_its_key_is_named() {
     let s = "settings.services";
     let cases = [
--- a/gateway/tests/upgrade.rs
+++ b/gateway/tests/upgrade.rs
@@ -136,7 +136,7 @@
             Request::post(CHAT).header("host", "a").header("req-id", id).header("req-kind", "item-query");
         let response = sender.send_request(request.body(Full::new("{}".into())).expect("a request")).await?;
         let (parts, body) = response.into_parts();
-        let body = body.collect().await.ok().map(|b| b.to_bytes());
+        let body = body.collect().await.ok().map(http_body_util::Collected::to_bytes);
         if sender.ready().await.is_ok() {
             self.kept = Some(sender);
         }
@@ -165,6 +165,7 @@
 /// a stream that outlives both processes that began it comes whole and once, and an engine that operators took out
 /// stays out. Each process ends by itself once told to.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn an_upgrade_loses_no_request_and_keeps_the_orders() {
     run(async {
         let reader = StandIn::start(|_, _| read()).await;
