--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -195,17 +195,13 @@
     /// Sets the value of this member's cell (`kind`, `key`), and returns its version. The member renews the cell until
     /// it is deleted; a value with an end of its own has to carry that in its bytes.
     pub fn put(&mut self, now: u64, kind: u16, key: &[u8], value: Vec<u8>) -> Result<u64, TableError> {
-        if kind == LEAVING {
-            return Err(TableError::Reserved { kind });
-        }
+        check_kind(kind)?;
         self.write_cell(now, kind, key, Some(value))
     }
 
     /// Deletes a cell of this member, and returns the version of the tombstone.
     pub fn delete(&mut self, now: u64, kind: u16, key: &[u8]) -> Result<u64, TableError> {
-        if kind == LEAVING {
-            return Err(TableError::Reserved { kind });
-        }
+        check_kind(kind)?;
         self.write_cell(now, kind, key, None)
     }
 
@@ -316,5 +312,13 @@
     }
 }
 
+/// Callers may not write cells of the kind that is reserved here.
+fn check_kind(kind: u16) -> Result<(), TableError> {
+    if kind == LEAVING {
+        return Err(TableError::Reserved { kind });
+    }
+    Ok(())
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -39,6 +39,8 @@
         (member.incarnation == sender.incarnation && state.is_active()).then_some(*member)
     }
 
+    /// Answers digests of all origins within `range` with the cells that the sender lacks, and requests those that are
+    /// missing here.
     pub(super) fn answer_digests(
         &mut self, now: u64, sender: Sender, range: RangeInclusive<MemberId>, theirs: &[Digest],
         effects: &mut Vec<Effect>,
@@ -72,6 +74,7 @@
         }
     }
 
+    /// Sends the cells that a request is for.
     pub(super) fn answer_request(
         &mut self, now: u64, sender: Sender, requests: &[Digest], effects: &mut Vec<Effect>,
     ) {
@@ -82,9 +85,14 @@
 
     /// Origins of which a member with the digests `theirs` lacks cells, and the version above which it does.
     pub(super) fn missing_at_peer(&self, theirs: &[Digest]) -> Vec<(MemberId, u64)> {
-        let reconciliation =
-            |digest: &Digest| compare(self.table.digest(digest.origin).as_ref(), Some(digest)).send_above;
-        theirs.iter().filter_map(|digest| Some((digest.origin, reconciliation(digest)?))).collect()
+        let mut missing = Vec::new();
+        for digest in theirs {
+            let mine = self.table.digest(digest.origin);
+            if let Some(above) = compare(mine.as_ref(), Some(digest)).send_above {
+                missing.push((digest.origin, above));
+            }
+        }
+        missing
     }
 
     /// Sends missing cells in at most `repair_datagrams` datagrams; if there are more, asks for an exchange.
--- a/crates/fleet/src/fleet/rounds.rs
+++ b/crates/fleet/src/fleet/rounds.rs
@@ -7,7 +7,7 @@
 use crate::seal::Channel;
 use crate::table::{Cell, CellId, MergeOutcome};
 use crate::wire::{cell_bytes, Body, CELLS_HEADER_BYTES, MAX_BODY_BYTES};
-use crate::{Member, MemberId};
+use crate::Member;
 
 /// Cells younger than this many anti-entropy periods are gossiped further. An older cell came by anti-entropy, which
 /// brings it to the other members as well.
@@ -107,34 +107,42 @@
     /// Merges cells that others sent, and queues new ones for gossip. Ignored are cells of this member, and those of a
     /// known member in another incarnation: a restart must be announced by the member before its cells count.
     pub(super) fn merge_cells(&mut self, now: u64, cells: &[Cell], effects: &mut Vec<Effect>) {
-        let (me, members) = (self.membership.me(), self.size());
+        let members = self.size();
         for cell in cells {
-            let id = &cell.id;
-            let known = self.membership.get(id.origin).map(|(member, _)| member.incarnation);
-            if id.origin == me.id || known.is_some_and(|incarnation| cell.incarnation != incarnation) {
+            if !self.may_merge(cell) {
                 continue;
             }
             match self.table.merge(now, cell) {
-                MergeOutcome::Applied => {
-                    self.counters.entries_merged += 1;
-                    if cell.age() < GOSSIP_AGE_PERIODS * self.settings.repair {
-                        self.gossip_queue.add(id.clone());
-                    }
-                    effects.push(Effect::CellChanged { id: id.clone() });
-                    if id.kind == LEAVING {
-                        self.record_departure(now, id.origin, cell, effects);
-                    }
-                }
-                MergeOutcome::Duplicate => self.gossip_queue.count_transmission(id, members),
+                MergeOutcome::Applied => self.cell_applied(now, cell, effects),
+                MergeOutcome::Duplicate => self.gossip_queue.count_transmission(&cell.id, members),
                 MergeOutcome::OverBounds => self.counters.entries_over_bounds += 1,
                 MergeOutcome::Stale | MergeOutcome::Expired => {}
             }
         }
     }
 
-    fn record_departure(&mut self, now: u64, id: MemberId, cell: &Cell, effects: &mut Vec<Effect>) {
-        self.membership_step(now, effects, |membership, output| {
-            membership.mark_left(id, cell.incarnation, output)
-        });
+    fn may_merge(&self, cell: &Cell) -> bool {
+        let origin = cell.id.origin;
+        if origin == self.membership.me().id {
+            return false;
+        }
+        match self.membership.get(origin) {
+            Some((member, _)) => member.incarnation == cell.incarnation,
+            None => true,
+        }
+    }
+
+    fn cell_applied(&mut self, now: u64, cell: &Cell, effects: &mut Vec<Effect>) {
+        let id = &cell.id;
+        self.counters.entries_merged += 1;
+        if cell.age() < GOSSIP_AGE_PERIODS * self.settings.repair {
+            self.gossip_queue.add(id.clone());
+        }
+        effects.push(Effect::CellChanged { id: id.clone() });
+        if id.kind == LEAVING {
+            self.membership_step(now, effects, |membership, output| {
+                membership.mark_left(id.origin, cell.incarnation, output)
+            });
+        }
     }
 }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -69,24 +69,34 @@
     suspicion_timeout: u64,
 }
 
+/// Members that are asked to probe one that did not answer.
+const INDIRECT_PROBES: usize = 3;
+/// Most transmissions of one update of a member's state.
+const MAX_UPDATE_TRANSMISSIONS: u8 = 10;
+/// Probe periods between two announcements to an active member.
+const ANNOUNCE_PERIODS: u64 = 30;
+/// Probe periods between two announcements to members that are down, by which partitions find each other again.
+const ANNOUNCE_TO_DOWN_PERIODS: u64 = 2;
+/// Rounds of the library's own gossip in a probe period.
+const GOSSIP_ROUNDS_PER_PROBE: u64 = 5;
+
 fn config(settings: &Settings) -> Config {
-    let periodic = |frequency, members| {
-        NonZeroUsize::new(members)
-            .map(|num_members| PeriodicParams { frequency: Duration::from_millis(frequency), num_members })
+    let periodic = |period, members| {
+        let frequency = Duration::from_millis(period);
+        NonZeroUsize::new(members).map(|num_members| PeriodicParams { frequency, num_members })
     };
     Config {
         probe_period: Duration::from_millis(settings.probe),
         probe_rtt: Duration::from_millis(settings.probe_answer),
-        num_indirect_probes: NonZeroUsize::MIN.saturating_add(2),
-        max_transmissions: NonZeroU8::MIN.saturating_add(9),
+        num_indirect_probes: NonZeroUsize::MIN.saturating_add(INDIRECT_PROBES - 1),
+        max_transmissions: NonZeroU8::MIN.saturating_add(MAX_UPDATE_TRANSMISSIONS - 1),
         suspect_to_down_after: Duration::from_millis(settings.suspect),
         remove_down_after: Some(Duration::from_millis(settings.forget)),
         max_packet_size: NonZeroUsize::MIN.saturating_add(MAX_SWIM_PACKET_BYTES - 1),
         notify_down_members: true,
-        periodic_announce: periodic(30 * settings.probe, 1),
-        // Partitions find each other again by this.
-        periodic_announce_to_down_members: periodic(2 * settings.probe, 2),
-        periodic_gossip: periodic(settings.probe / 5, 3),
+        periodic_announce: periodic(ANNOUNCE_PERIODS * settings.probe, 1),
+        periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DOWN_PERIODS * settings.probe, 2),
+        periodic_gossip: periodic(settings.probe / GOSSIP_ROUNDS_PER_PROBE, 3),
     }
 }
 
@@ -180,30 +190,33 @@
         &mut self, announced_leave: impl Fn(MemberId, Incarnation) -> bool,
     ) -> Vec<(Member, MemberState)> {
         let me = self.foca.identity().id;
-        let mut now = BTreeMap::new();
+        let mut current = BTreeMap::new();
         for entry in self.foca.iter_membership_state().filter(|entry| entry.id().id != me) {
             let member = *entry.id();
+            let is_known = self.members.contains_key(&member.id);
             let state = match entry.state() {
                 foca::State::Alive => MemberState::Alive,
                 foca::State::Suspect => MemberState::Suspect,
                 foca::State::Down if announced_leave(member.id, member.incarnation) => MemberState::Left,
+                // The cell that announces the leave expires before the member is forgotten.
+                foca::State::Down if self.has_left(&member) => MemberState::Left,
                 foca::State::Down => MemberState::Failed,
             };
-            // The cell that announces the leave expires before the member is forgotten.
-            let previous = self.members.get(&member.id);
-            let stays_left = state == MemberState::Failed
-                && previous.is_some_and(|(members, state)| {
-                    members.incarnation == member.incarnation && *state == MemberState::Left
-                });
-            let state = if stays_left { MemberState::Left } else { state };
-            if state.is_active() || previous.is_some() {
-                now.insert(member.id, (member, state));
+            if state.is_active() || is_known {
+                current.insert(member.id, (member, state));
             }
         }
-        let changed =
-            now.iter().filter(|(id, entry)| self.members.get(id) != Some(entry)).map(|(_, entry)| *entry);
-        let changed = changed.collect();
-        self.members = now;
+        let is_changed = |id: &MemberId, entry| self.members.get(id) != Some(entry);
+        let changed = current.iter().filter(|(id, entry)| is_changed(id, entry));
+        let changed = changed.map(|(_, entry)| *entry).collect();
+        self.members = current;
         changed
     }
+
+    /// Whether this incarnation was reported as left before.
+    fn has_left(&self, member: &Member) -> bool {
+        self.members.get(&member.id).is_some_and(|(known, state)| {
+            known.incarnation == member.incarnation && *state == MemberState::Left
+        })
+    }
 }
