--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -108,9 +108,9 @@
 /// Cuts a third off for 10 s; how long all took to meet again.
 fn heal_a_partition(net: &mut Net) -> u64 {
     let members = net.nodes.len();
-    net.nodes[members - members / 3..].iter_mut().for_each(|node| node.group = 1);
+    net.nodes[members - members / 3..].iter_mut().for_each(|node| node.partition = 1);
     net.run(10_000);
-    net.nodes.iter_mut().for_each(|node| node.group = 0);
+    net.nodes.iter_mut().for_each(|node| node.partition = 0);
     net.until(120_000, Net::all_know_all).expect("all meet again")
 }
 
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -5,9 +5,9 @@
 use glenrail_fleet::{Incarnation, MemberState, Settings};
 use net::{id, Net};
 
-fn met(nodes: usize, seed: u64, loss: f64) -> Net {
+fn connected_net(nodes: usize, seed: u64, loss: f64) -> Net {
     let mut net = Net::new(nodes, seed, Settings::default());
-    (net.loss, net.doubled, net.delay) = (loss, 0.1, 60);
+    (net.loss, net.duplication, net.max_delay) = (loss, 0.1, 60);
     net.until(60_000, Net::all_know_all).expect("all meet within a minute");
     net
 }
@@ -16,7 +16,7 @@
 fn all_meet_whatever_is_lost() {
     for (nodes, loss) in [(2, 0.0), (3, 0.2), (8, 0.1), (20, 0.2)] {
         for seed in 1..=3 {
-            met(nodes, seed, loss);
+            connected_net(nodes, seed, loss);
         }
     }
 }
@@ -24,9 +24,9 @@
 #[test]
 fn one_that_dies_is_gone_and_one_that_leaves_has_left() {
     for seed in 1..=5 {
-        let mut net = met(5, seed, 0.1);
+        let mut net = connected_net(5, seed, 0.1);
         net.kill(4);
-        let left = net.now;
+        let left_at = net.now;
         net.step(3, |fleet, now, effects| fleet.leave(now, effects));
         net.kill(3);
         let observed = net.until(30_000, |net| {
@@ -38,10 +38,9 @@
         });
         assert!(observed.is_some(), "seed {seed}");
         // The planned end is heard long before a probe could have found it.
-        let observed_in_time =
-            net.nodes.iter().flat_map(|node| &node.changes).any(|(at, of, _, state)| {
-                *of == id(3) && *state == MemberState::Left && *at <= left + net.delay
-            });
+        let observed_in_time = net.nodes.iter().flat_map(|node| &node.changes).any(|(time, of, _, state)| {
+            *of == id(3) && *state == MemberState::Left && *time <= left_at + net.max_delay
+        });
         assert!(observed_in_time, "seed {seed}");
         net.run(200_000);
         let state =
@@ -52,25 +51,25 @@
 
 #[test]
 fn a_leave_reaches_all_members_in_the_time_of_one_datagram() {
-    let mut net = met(12, 1, 0.0);
+    let mut net = connected_net(12, 1, 0.0);
     net.step(7, |fleet, now, effects| fleet.leave(now, effects));
     net.kill(7);
-    net.run(net.delay);
-    let left = |node: &&net::Node| {
+    net.run(net.max_delay);
+    let has_seen_the_leave = |node: &&net::Node| {
         node.fleet.members().any(|(member, state)| member.id == id(7) && state == MemberState::Left)
     };
-    assert_eq!(net.nodes.iter().filter(left).count(), 11);
+    assert_eq!(net.nodes.iter().filter(has_seen_the_leave).count(), 11);
 }
 
 #[test]
 fn parts_that_were_cut_off_meet_again() {
     for seed in 1..=3 {
-        let mut net = met(8, seed, 0.05);
-        net.nodes[5..].iter_mut().for_each(|node| node.group = 1);
+        let mut net = connected_net(8, seed, 0.05);
+        net.nodes[5..].iter_mut().for_each(|node| node.partition = 1);
         net.run(10_000);
-        let gone = net.nodes[0].changes.iter().any(|(.., state)| *state == MemberState::Failed);
-        assert!(gone, "a cut of 10 s is seen");
-        net.nodes.iter_mut().for_each(|node| node.group = 0);
+        let declared_failed = net.nodes[0].changes.iter().any(|(.., state)| *state == MemberState::Failed);
+        assert!(declared_failed, "a cut of 10 s is seen");
+        net.nodes.iter_mut().for_each(|node| node.partition = 0);
         let healed = net.until(30_000, Net::all_know_all);
         assert!(healed.is_some(), "seed {seed}");
         assert!(
@@ -83,23 +82,23 @@
 #[test]
 fn a_restart_under_its_name_is_a_new_life() {
     for seed in 1..=5 {
-        let mut net = met(5, seed, 0.1);
+        let mut net = connected_net(5, seed, 0.1);
         net.put(2, 7, b"old", b"of the first life");
         assert!(net.until(20_000, |net| net.same_values(7, 1)).is_some());
         net.kill(2);
         net.run(300);
         net.restart(2, 2);
-        let known = net.until(30_000, |net| {
+        let known_after = net.until(30_000, |net| {
             net.all_know_all()
-                && net.nodes.iter().enumerate().all(|(node, it)| {
+                && net.nodes.iter().enumerate().all(|(node, view)| {
                     node == 2
-                        || it
+                        || view
                             .fleet
                             .members()
                             .any(|(member, _)| member.id == id(2) && member.incarnation == Incarnation(2))
                 })
         });
-        assert!(known.is_some(), "seed {seed}");
+        assert!(known_after.is_some(), "seed {seed}");
         assert!(net.same_values(7, 0), "what the earlier life told is gone with it");
     }
 }
@@ -107,39 +106,44 @@
 #[test]
 fn members_restarted_within_a_second_meet_in_their_new_incarnations() {
     for seed in 1..=3 {
-        let mut net = met(8, seed, 0.1);
+        let mut net = connected_net(8, seed, 0.1);
         for node in 0..8 {
             net.kill(node);
             net.run(60);
             net.restart(node, 2);
             net.run(60);
         }
-        let met = net.until(30_000, |net| {
+        let met_again = net.until(30_000, |net| {
             let new = |node: &net::Node| {
                 node.fleet.members().all(|(member, _)| member.incarnation == Incarnation(2))
             };
             net.all_know_all() && net.nodes.iter().all(new)
         });
-        assert!(met.is_some(), "seed {seed}");
+        assert!(met_again.is_some(), "seed {seed}");
     }
 }
 
 #[test]
 fn a_member_stopped_for_8_s_declares_nobody_failed_when_it_continues() {
     for seed in 1..=5 {
-        let mut net = met(5, seed, 0.0);
+        let mut net = connected_net(5, seed, 0.0);
         net.put(1, 7, b"k", b"v");
         net.run(5_000);
         net.nodes[1].stopped_until = net.now + 8_000;
         net.run(7_900);
-        let seen_gone =
+        let seen_inactive =
             net.nodes[0].fleet.members().any(|(member, state)| member.id == id(1) && !state.is_active());
-        assert!(seen_gone, "seed {seed}: 8 s are more than a suspect is given");
-        let woke = net.now;
+        assert!(seen_inactive, "seed {seed}: 8 s are more than a suspect is given");
+        let continued_at = net.now;
         assert!(net.until(20_000, Net::all_know_all).is_some(), "seed {seed}");
-        let given_up =
-            net.nodes[1].changes.iter().any(|(at, .., state)| *at > woke && *state == MemberState::Failed);
-        assert!(!given_up, "seed {seed}: those that answered all the time are not found gone by the sleeper");
+        let declared_failed = net.nodes[1]
+            .changes
+            .iter()
+            .any(|(time, .., state)| *time > continued_at && *state == MemberState::Failed);
+        assert!(
+            !declared_failed,
+            "seed {seed}: those that answered all the time are not found gone by the sleeper"
+        );
         assert_eq!(net.nodes[1].fleet.me().incarnation, Incarnation(1));
         assert!(net.until(10_000, |net| net.same_values(7, 1)).is_some(), "what it holds stays good");
     }
@@ -147,26 +151,26 @@
 
 #[test]
 fn a_verdict_that_came_due_in_a_sleep_is_put_off() {
-    let mut slept = 0;
+    let mut suspicions = 0;
     for seed in 1..=5 {
-        let mut net = met(3, seed, 0.0);
-        let stands = |net: &Net| {
+        let mut net = connected_net(3, seed, 0.0);
+        let state_of_the_last = |net: &Net| {
             net.nodes[1].fleet.members().find(|(member, _)| member.id == id(2)).map(|(_, state)| state)
         };
         // Suspected for a cut that ends in the moment in which the judge falls asleep.
-        net.nodes[2].group = 1;
-        assert!(net.until(20_000, |net| stands(net) != Some(MemberState::Alive)).is_some());
-        net.nodes[2].group = 0;
+        net.nodes[2].partition = 1;
+        assert!(net.until(20_000, |net| state_of_the_last(net) != Some(MemberState::Alive)).is_some());
+        net.nodes[2].partition = 0;
         net.overrun = true;
-        slept += u32::from(stands(&net) == Some(MemberState::Suspect));
+        suspicions += u32::from(state_of_the_last(&net) == Some(MemberState::Suspect));
         net.nodes[1].stopped_until = net.now + 8_000;
-        let judged = net.nodes[1].changes.len();
+        let changes_before = net.nodes[1].changes.len();
         net.run(20_000);
-        let gone = net.nodes[1].changes[judged..]
+        let declared_failed = net.nodes[1].changes[changes_before..]
             .iter()
             .any(|(_, of, _, state)| *of == id(2) && *state == MemberState::Failed);
-        assert!(!gone, "seed {seed}");
+        assert!(!declared_failed, "seed {seed}");
         assert!(net.until(20_000, Net::all_know_all).is_some(), "seed {seed}");
     }
-    assert!(slept > 0);
+    assert!(suspicions > 0);
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -17,7 +17,7 @@
     pub stopped_until: u64,
     /// Raised by a restart: what was asked for before it is void.
     run: u32,
-    pub group: u8,
+    pub partition: u8,
     pub changes: Vec<(u64, MemberId, Incarnation, MemberState)>,
     pub sent: u64,
     pub superseded: u32,
@@ -36,9 +36,9 @@
     random: StdRng,
     /// Shares of all datagrams, 0 to 1.
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     /// Milliseconds on the way, at most. More than the time between two: they are reordered.
-    pub delay: u64,
+    pub max_delay: u64,
     /// What comes for a stopped member is lost: its socket's buffer is full. Else it is there when it wakes.
     pub overrun: bool,
     pub settings: Settings,
@@ -76,8 +76,8 @@
             sequence: 0,
             random: StdRng::seed_from_u64(seed),
             loss: 0.0,
-            doubled: 0.0,
-            delay: 5,
+            duplication: 0.0,
+            max_delay: 5,
             overrun: false,
             settings,
             seed,
@@ -92,7 +92,7 @@
                 up: true,
                 stopped_until: 0,
                 run: 0,
-                group: 0,
+                partition: 0,
                 changes: Vec::new(),
                 sent: 0,
                 superseded: 0,
@@ -120,16 +120,16 @@
     }
 
     /// Lets a member do something, and carries out what comes of it.
-    pub fn step<T>(&mut self, node: usize, act: impl FnOnce(&mut Fleet, u64, &mut Vec<Effect>) -> T) -> T {
+    pub fn step<T>(&mut self, node: usize, step: impl FnOnce(&mut Fleet, u64, &mut Vec<Effect>) -> T) -> T {
         let mut effects = Vec::new();
-        let result = act(&mut self.nodes[node].fleet, self.now, &mut effects);
+        let result = step(&mut self.nodes[node].fleet, self.now, &mut effects);
         for effect in effects {
-            self.carry(node, effect);
+            self.carry_out(node, effect);
         }
         result
     }
 
-    fn carry(&mut self, node: usize, effect: Effect) {
+    fn carry_out(&mut self, node: usize, effect: Effect) {
         self.note(format!("{node} {effect:?}").as_bytes());
         match effect {
             Effect::Send { to, bytes } => {
@@ -139,11 +139,13 @@
                 if let Some(recorded) = &mut self.recorded {
                     recorded.push((to, bytes.clone()));
                 }
-                let copies = 1 + usize::from(self.random.random_bool(self.doubled));
+                let copies = 1 + usize::from(self.random.random_bool(self.duplication));
                 for _ in 0..copies {
-                    let at = self.now + self.random.random_range(0..=self.delay);
-                    if !self.random.random_bool(self.loss) && self.nodes[node].group == self.nodes[to].group {
-                        self.push(at, Event::Datagram { to, from: address(node), bytes: bytes.clone() });
+                    let due_at = self.now + self.random.random_range(0..=self.max_delay);
+                    if !self.random.random_bool(self.loss)
+                        && self.nodes[node].partition == self.nodes[to].partition
+                    {
+                        self.push(due_at, Event::Datagram { to, from: address(node), bytes: bytes.clone() });
                     }
                 }
             }
@@ -162,40 +164,43 @@
 
     /// A stream between two members, its bytes cut at random.
     fn exchange(&mut self, opener: usize, acceptor: usize, with: MemberId) {
-        let reached = &self.nodes[acceptor];
-        if !reached.up || reached.stopped_until > self.now || reached.group != self.nodes[opener].group {
+        let acceptor_node = &self.nodes[acceptor];
+        if !acceptor_node.up
+            || acceptor_node.stopped_until > self.now
+            || acceptor_node.partition != self.nodes[opener].partition
+        {
             return;
         }
         self.exchanges += 1;
         let (first, write) = self.nodes[opener].fleet.open_exchange(with).unwrap();
         let mut sides = [(opener, first), (acceptor, Exchange::accept())];
-        let (mut flight, mut turn) = (write, 1);
-        while !flight.is_empty() {
-            self.nodes[sides[1 - turn].0].sent += flight.len() as u64;
+        let (mut in_flight, mut turn) = (write, 1);
+        while !in_flight.is_empty() {
+            self.nodes[sides[1 - turn].0].sent += in_flight.len() as u64;
             let mut answer = Vec::new();
-            while !flight.is_empty() {
-                let cut = self.random.random_range(1..=flight.len().min(5_000));
-                let chunk: Vec<u8> = flight.drain(..cut).collect();
+            while !in_flight.is_empty() {
+                let cut = self.random.random_range(1..=in_flight.len().min(5_000));
+                let chunk: Vec<u8> = in_flight.drain(..cut).collect();
                 let (node, side) = &mut sides[turn];
                 let mut effects = Vec::new();
                 let step = self.nodes[*node].fleet.exchange(self.now, side, &chunk, &mut effects);
                 let node = *node;
-                effects.into_iter().for_each(|effect| self.carry(node, effect));
+                effects.into_iter().for_each(|effect| self.carry_out(node, effect));
                 // After an error the driver closes the stream.
                 let Ok(step) = step else { return };
                 answer.extend(step.write);
             }
-            (flight, turn) = (answer, 1 - turn);
+            (in_flight, turn) = (answer, 1 - turn);
         }
     }
 
-    fn push(&mut self, at: u64, event: Event) {
+    fn push(&mut self, due_at: u64, event: Event) {
         self.sequence += 1;
-        self.queue.insert((at, self.sequence), event);
+        self.queue.insert((due_at, self.sequence), event);
     }
 
-    fn note(&mut self, what: &[u8]) {
-        for byte in self.now.to_le_bytes().iter().chain(what) {
+    fn note(&mut self, event: &[u8]) {
+        for byte in self.now.to_le_bytes().iter().chain(event) {
             self.trace = (self.trace ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
         }
     }
@@ -204,8 +209,8 @@
     pub fn run(&mut self, time: u64) {
         let until = self.now + time;
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
-            let ((at, _), event) = entry.remove_entry();
-            self.now = self.now.max(at);
+            let ((due_at, _), event) = entry.remove_entry();
+            self.now = self.now.max(due_at);
             let node = match event {
                 Event::Datagram { to, .. } => to,
                 Event::Timer { node, .. } => node,
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -9,14 +9,14 @@
 fn all_hold_the_same_whatever_is_lost() {
     for (nodes, loss) in [(3, 0.2), (12, 0.1), (20, 0.2)] {
         let mut net = Net::new(nodes, 5, Settings { entry_age: 20_000, ..Settings::default() });
-        (net.loss, net.doubled, net.delay) = (loss, 0.1, 300);
+        (net.loss, net.duplication, net.max_delay) = (loss, 0.1, 300);
         assert!(net.until(60_000, Net::all_know_all).is_some());
         for node in 0..nodes {
             (0..5u8).for_each(|key| net.put(node, 7, &[key], &[key; 60]));
         }
         net.put(0, 65_000, b"of a later build", b"carried on");
-        for turn in 0..20u8 {
-            net.put(0, 7, &[0], &[turn; 60]);
+        for write in 0..20u8 {
+            net.put(0, 7, &[0], &[write; 60]);
             net.run(50);
         }
         assert!(net.until(30_000, |net| net.same_values(7, 5 * nodes)).is_some(), "{nodes} nodes");
@@ -48,8 +48,8 @@
     let mut net = Net::new(12, 12, Settings { repair: 10_000, ..Settings::default() });
     net.run(15_000);
     net.put(0, 7, b"large", &vec![1; 5_000]);
-    let took = net.until(60_000, |net| net.same_values(7, 1));
-    assert!(took.is_some_and(|took| took < 5_000), "{took:?}");
+    let arrival = net.until(60_000, |net| net.same_values(7, 1));
+    assert!(arrival.is_some_and(|arrival| arrival < 5_000), "{arrival:?}");
 }
 
 #[test]
@@ -76,8 +76,8 @@
     net.run(5_000);
     (0..3).for_each(|node| net.put(node, 7, b"quiet", b"value"));
     let before: Vec<_> = net.nodes.iter().map(|node| node.sent).collect();
-    for turn in 0..1_000u32 {
-        net.put(3, 7, &turn.to_le_bytes(), &[7; 100]);
+    for write in 0..1_000u32 {
+        net.put(3, 7, &write.to_le_bytes(), &[7; 100]);
         net.run(10);
     }
     net.run(5_000);
@@ -165,17 +165,17 @@
 
 #[test]
 fn one_seed_is_one_run() {
-    let play = |seed| {
+    let run = |seed| {
         let mut net = Net::new(6, seed, Settings::default());
-        (net.loss, net.doubled, net.delay) = (0.15, 0.1, 200);
+        (net.loss, net.duplication, net.max_delay) = (0.15, 0.1, 200);
         net.run(4_000);
         net.put(1, 7, b"k", b"v");
-        net.nodes[4].group = 1;
+        net.nodes[4].partition = 1;
         net.run(8_000);
-        net.nodes[4].group = 0;
+        net.nodes[4].partition = 0;
         net.run(8_000);
         net.trace
     };
-    assert_eq!(play(3), play(3));
-    assert_ne!(play(3), play(4));
+    assert_eq!(run(3), run(3));
+    assert_ne!(run(3), run(4));
 }
