--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -27,7 +27,7 @@
         let mut net = connected_net(5, seed, 0.1);
         net.kill(4);
         let left_at = net.now;
-        net.step(3, |fleet, now, effects| fleet.leave(now, effects));
+        net.step(3, glenrail_fleet::Fleet::leave);
         net.kill(3);
         let observed = net.until(30_000, |net| {
             net.nodes[..3].iter().all(|node| {
@@ -52,7 +52,7 @@
 #[test]
 fn a_leave_reaches_all_members_in_the_time_of_one_datagram() {
     let mut net = connected_net(12, 1, 0.0);
-    net.step(7, |fleet, now, effects| fleet.leave(now, effects));
+    net.step(7, glenrail_fleet::Fleet::leave);
     net.kill(7);
     net.run(net.max_delay);
     let has_seen_the_leave = |node: &&net::Node| {
