--- a/crates/access-log/src/counts.rs
+++ b/crates/access-log/src/counts.rs
@@ -9,7 +9,7 @@
 use crate::line::value_after;
 
 /// What stands in front of a gateway's counts in a log line.
-pub const WORD: &str = "counts ";
+pub const LOG_PREFIX: &str = "counts ";
 
 /// What the settings take off the deployment's result, in shares of the weight asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -59,7 +59,8 @@
     /// A probe.
     pub probe: u64,
     /// A slot reservation.
-    pub hold: u64,
+    #[serde(rename = "hold")]
+    pub slot_reservation: u64,
     /// A release.
     pub release: u64,
 }
@@ -75,13 +76,13 @@
 impl Opened {
     /// New connections of any purpose.
     pub fn total(&self) -> u64 {
-        self.attempt + self.probe + self.hold + self.release
+        self.attempt + self.probe + self.slot_reservation + self.release
     }
 
     fn add(&mut self, other: &Opened) {
         self.attempt += other.attempt;
         self.probe += other.probe;
-        self.hold += other.hold;
+        self.slot_reservation += other.slot_reservation;
         self.release += other.release;
     }
 }
@@ -89,7 +90,7 @@
 impl Counts {
     /// The counts in a log line, if there are any.
     pub fn parse_line(line: &str) -> Option<Counts> {
-        value_after(WORD, line)
+        value_after(LOG_PREFIX, line)
     }
 
     /// The sum of what many gateways wrote, each line with its gateway's name, in any order. Counts only grow, so of each
@@ -151,7 +152,7 @@
             priced("connections opened", opened.total(), prices.handshake * per_turn(opened.total())),
             counted("    for an attempt", opened.attempt),
             counted("    for a probe", opened.probe),
-            counted("    for a place held", opened.hold),
+            counted("    for a place held", opened.slot_reservation),
             counted("    to let go of a state", opened.release),
             counted("connections not come up", self.not_opened),
             counted("connections used again", self.reused),
--- a/crates/access-log/src/counts/tests.rs
+++ b/crates/access-log/src/counts/tests.rs
@@ -1,6 +1,6 @@
 //! The counts of many gateways, summed and priced.
 
-use super::{Counts, Opened, Prices, WORD};
+use super::{Counts, Opened, Prices, LOG_PREFIX};
 
 fn counts(since: f64, probes: u64) -> Counts {
     let prices = Prices { probe: 0.003, handshake: 0.01, discovery: 0.5, ..Prices::default() };
@@ -11,7 +11,10 @@
 #[test]
 fn a_line_is_read_back_whatever_stands_around_it() {
     let one = counts(7.0, 3);
-    assert_eq!(Counts::parse_line(&format!("24.1 glenrail: {WORD}{one} (2 like it left out)")), Some(one));
+    assert_eq!(
+        Counts::parse_line(&format!("24.1 glenrail: {LOG_PREFIX}{one} (2 like it left out)")),
+        Some(one)
+    );
     assert_eq!(Counts::parse_line("24.1 glenrail: counts of nothing"), None);
 }
 
--- a/crates/access-log/src/loss_report/mod.rs
+++ b/crates/access-log/src/loss_report/mod.rs
@@ -145,7 +145,7 @@
     }
 
     fn add_rejected(&mut self, turn: &Turn) {
-        let rejected = turn.requests.iter().filter(|request| request.outcome == RequestOutcome::Refused);
+        let rejected = turn.requests.iter().filter(|request| request.outcome == RequestOutcome::Rejected);
         for request in rejected {
             let last = request.attempts.last().map_or(UNSENT, |attempt| &attempt.outcome);
             *self.rejected.entry(last.into()).or_default() += 1;
@@ -153,7 +153,7 @@
     }
 
     fn add_attempt(&mut self, attempt: &AttemptRecord) {
-        let is_prefill = attempt.stage == Stage::Read;
+        let is_prefill = attempt.stage == Stage::Prefill;
         let kind = AttemptKind { is_prefill, outcome: attempt.outcome.clone() };
         let count = self.attempts.entry(kind).or_default();
         count.attempts += 1;
--- a/crates/access-log/src/loss_report/served_shares/tests.rs
+++ b/crates/access-log/src/loss_report/served_shares/tests.rs
@@ -7,7 +7,7 @@
 fn request(class: u32, session: u64, served: bool) -> RequestRecord {
     let run = AttemptRecord { first_token_ms: Some(100.0), ..AttemptRecord::default() };
     let (end, tries) =
-        if served { (RequestOutcome::Served, vec![run]) } else { (RequestOutcome::Refused, vec![]) };
+        if served { (RequestOutcome::Served, vec![run]) } else { (RequestOutcome::Rejected, vec![]) };
     RequestRecord {
         class,
         session,
--- a/crates/access-log/src/loss_report/state_transfers.rs
+++ b/crates/access-log/src/loss_report/state_transfers.rs
@@ -40,12 +40,12 @@
     fn follow(&mut self, request: &RequestRecord) {
         let mut waiting: Option<WaitingState> = None;
         for attempt in &request.attempts {
-            if attempt.stage == Stage::Read && attempt.outcome == PREFILLED {
+            if attempt.stage == Stage::Prefill && attempt.outcome == PREFILLED {
                 let prefilled = (request.prompt_tokens - attempt.cached_tokens).max(0.0);
                 self.prefilled += prefilled;
                 let state = WaitingState { location: attempt.location, prefilled };
                 self.add_unclaimed(waiting.replace(state));
-            } else if attempt.stage == Stage::Run && attempt.first_token_ms.is_some() {
+            } else if attempt.stage == Stage::Execute && attempt.first_token_ms.is_some() {
                 let Some(state) = waiting.take() else { continue };
                 self.add_fetched(request.prompt_tokens, state.location, attempt.location);
             }
--- a/crates/access-log/src/loss_report/state_transfers/tests.rs
+++ b/crates/access-log/src/loss_report/state_transfers/tests.rs
@@ -16,7 +16,7 @@
 
 fn decode(location: (u32, u32), answered: bool) -> AttemptRecord {
     AttemptRecord {
-        stage: Stage::Run,
+        stage: Stage::Execute,
         location: Some(location),
         first_token_ms: answered.then_some(1.0),
         ..AttemptRecord::default()
--- a/crates/access-log/src/loss_report/tests.rs
+++ b/crates/access-log/src/loss_report/tests.rs
@@ -6,7 +6,7 @@
 use crate::{AttemptRecord, RequestOutcome, RequestRecord, Stage};
 
 fn attempt(stage: Stage, sent: f64, until: f64, how: &str) -> AttemptRecord {
-    let first = (stage == Stage::Run && how == "Served").then_some(until);
+    let first = (stage == Stage::Execute && how == "Served").then_some(until);
     let ended = if first.is_some() { until + 4_000.0 } else { until };
     AttemptRecord {
         server: "a".into(),
@@ -42,8 +42,8 @@
 
 #[test]
 fn what_took_most_of_the_time_is_the_cause() {
-    let run = |sent, until| attempt(Stage::Run, sent, until, "Served");
-    let read = |until| attempt(Stage::Read, 0.0, until, "Read");
+    let run = |sent, until| attempt(Stage::Execute, sent, until, "Served");
+    let read = |until| attempt(Stage::Prefill, 0.0, until, "Read");
     assert_eq!(
         result(&[request(1, 0.0, RequestOutcome::Served, vec![read(90.0), run(91.0, 150.0)])]),
         TurnResult::InTime
@@ -56,8 +56,8 @@
         result(&[request(1, 0.0, RequestOutcome::Served, vec![read(90.0), run(91.0, 4_000.0)])]),
         TurnResult::LateDecode
     );
-    let lost = attempt(Stage::Read, 0.0, 5_000.0, "Cancelled");
-    let then = [attempt(Stage::Read, 5_000.0, 5_050.0, "Read"), run(5_051.0, 5_100.0)];
+    let lost = attempt(Stage::Prefill, 0.0, 5_000.0, "Cancelled");
+    let then = [attempt(Stage::Prefill, 5_000.0, 5_050.0, "Read"), run(5_051.0, 5_100.0)];
     assert_eq!(
         result(&[request(1, 0.0, RequestOutcome::Served, [vec![lost], then.to_vec()].concat())]),
         TurnResult::LateAttemptsLost
@@ -67,8 +67,9 @@
 /// Guards against counting a client's second request as a turn of its own, and its wait as nobody's.
 #[test]
 fn a_turn_is_judged_from_its_first_request_on() {
-    let well = vec![attempt(Stage::Read, 0.0, 90.0, "Read"), attempt(Stage::Run, 91.0, 150.0, "Served")];
-    let refused = request(1, 0.0, RequestOutcome::Refused, vec![]);
+    let well =
+        vec![attempt(Stage::Prefill, 0.0, 90.0, "Read"), attempt(Stage::Execute, 91.0, 150.0, "Served")];
+    let refused = request(1, 0.0, RequestOutcome::Rejected, vec![]);
     let soon = request(1, 500.0, RequestOutcome::Served, well.clone());
     let later = request(1, 2_500.0, RequestOutcome::Served, well);
     assert_eq!(result(&[refused.clone(), soon]), TurnResult::InTime);
@@ -81,7 +82,11 @@
     let one = |n: u64, end| request(n, n as f64 * 1_000.0, end, vec![]);
     let requests: Vec<RequestRecord> = (0..20)
         .map(|n| {
-            one(n, [RequestOutcome::Refused, RequestOutcome::Failed, RequestOutcome::Left][n as usize % 3])
+            one(
+                n,
+                [RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::ClientDisconnected]
+                    [n as usize % 3],
+            )
         })
         .collect();
     let report = LossReport::new(&requests, Interval { from_s: 5.0, to_s: 15.0 });
--- a/crates/access-log/src/loss_report/turn.rs
+++ b/crates/access-log/src/loss_report/turn.rs
@@ -103,8 +103,8 @@
 /// What an attempt's own work takes where it does not wait (ms).
 fn work_ms(request: &RequestRecord, attempt: &AttemptRecord) -> f64 {
     let work = match attempt.stage {
-        Stage::Read => (request.prompt_tokens - attempt.cached_tokens).max(0.0) * PREFILL_MS_PER_TOKEN,
-        Stage::Run => request.prompt_tokens * FIRST_TOKEN_MS_PER_TOKEN,
+        Stage::Prefill => (request.prompt_tokens - attempt.cached_tokens).max(0.0) * PREFILL_MS_PER_TOKEN,
+        Stage::Execute => request.prompt_tokens * FIRST_TOKEN_MS_PER_TOKEN,
     };
     ATTEMPT_OVERHEAD_MS + work
 }
@@ -138,7 +138,7 @@
             let duration = (until - attempt.sent_ms).max(0.0);
             in_attempts += duration;
             let waited = (duration - work_ms(request, attempt)).max(0.0);
-            if attempt.stage == Stage::Read && attempt.outcome == PREFILLED {
+            if attempt.stage == Stage::Prefill && attempt.outcome == PREFILLED {
                 times.at_prefill += waited;
             } else if attempt.first_token_ms.is_some() {
                 times.at_decode += waited;
@@ -178,14 +178,14 @@
         }
         let before_objective = last.duration_ms < last.latency_objective_ms;
         match last.outcome {
-            _ if self.requests.iter().any(|request| request.outcome == RequestOutcome::Cut) => {
+            _ if self.requests.iter().any(|request| request.outcome == RequestOutcome::StreamBroken) => {
                 TurnResult::StreamBroken
             }
-            RequestOutcome::Refused if self.requests.iter().all(|request| request.attempts.is_empty()) => {
+            RequestOutcome::Rejected if self.requests.iter().all(|request| request.attempts.is_empty()) => {
                 TurnResult::RejectedUnsent
             }
-            RequestOutcome::Refused => TurnResult::RejectedAfterAttempts,
-            RequestOutcome::Left if before_objective => TurnResult::ClientLeft,
+            RequestOutcome::Rejected => TurnResult::RejectedAfterAttempts,
+            RequestOutcome::ClientDisconnected if before_objective => TurnResult::ClientLeft,
             RequestOutcome::Failed if before_objective => TurnResult::Failed,
             _ => self.wait_times().largest(),
         }
--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -17,13 +17,16 @@
     #[default]
     Served,
     /// The stream broke, was malformed or idle for too long.
-    Cut,
+    #[serde(rename = "cut")]
+    StreamBroken,
     /// Rejected: trying again was harmless.
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
     /// Failed for good.
     Failed,
     /// The client disconnected first.
-    Left,
+    #[serde(rename = "left")]
+    ClientDisconnected,
 }
 
 /// What an attempt asked of its server.
@@ -32,9 +35,11 @@
 pub enum Stage {
     /// To read the prompt.
     #[default]
-    Read,
+    #[serde(rename = "read")]
+    Prefill,
     /// To answer.
-    Run,
+    #[serde(rename = "run")]
+    Execute,
 }
 
 /// One attempt. Times are milliseconds since the request's arrival.
@@ -84,7 +89,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Release {
     /// Since when no attempt was known to be on its way that would use it.
-    pub held: f64,
+    #[serde(rename = "held")]
+    pub unclaimed_since: f64,
     /// When the release was ordered.
     pub ordered: f64,
     /// When a server had taken it, or it was given up; absent while it is under way.
--- a/crates/access-log/tests/stored_lines.rs
+++ b/crates/access-log/tests/stored_lines.rs
@@ -8,12 +8,12 @@
 
 const ENDS: [RequestOutcome; 5] = [
     RequestOutcome::Served,
-    RequestOutcome::Cut,
-    RequestOutcome::Refused,
+    RequestOutcome::StreamBroken,
+    RequestOutcome::Rejected,
     RequestOutcome::Failed,
-    RequestOutcome::Left,
+    RequestOutcome::ClientDisconnected,
 ];
-const STAGES: [Stage; 2] = [Stage::Read, Stage::Run];
+const STAGES: [Stage; 2] = [Stage::Prefill, Stage::Execute];
 /// The router's words for the outcome of an attempt.
 const OUTCOMES: [&str; 11] = [
     "Served",
@@ -81,10 +81,10 @@
         duration_ms: 950.0,
         reject_reason: "Shed".into(),
         releases: vec![
-            Release { held: 10.0, ordered: 20.5, done: Some(31.0) },
-            Release { held: 40.0, ordered: 41.0, done: None },
+            Release { unclaimed_since: 10.0, ordered: 20.5, done: Some(31.0) },
+            Release { unclaimed_since: 40.0, ordered: 41.0, done: None },
         ],
-        attempts: vec![full_try(Stage::Read, "Read"), full_try(Stage::Run, "Served")],
+        attempts: vec![full_try(Stage::Prefill, "Read"), full_try(Stage::Execute, "Served")],
     }
 }
 
@@ -98,7 +98,7 @@
     let by_end = ENDS.iter().flat_map(|end| [bare_story(*end), full_story(*end)]);
     let by_reason = REASONS
         .iter()
-        .map(|why| RequestRecord { reject_reason: (*why).into(), ..bare_story(RequestOutcome::Refused) });
+        .map(|why| RequestRecord { reject_reason: (*why).into(), ..bare_story(RequestOutcome::Rejected) });
     let by_outcome = OUTCOMES.iter().flat_map(|how| {
         STAGES.map(|stage| RequestRecord {
             attempts: vec![bare_try(stage, how), full_try(stage, how)],
@@ -112,7 +112,7 @@
     let full = Counts {
         since: 1_750_000_000_000.0,
         probes: 11,
-        opened: Opened { attempt: 12, probe: 13, hold: 14, release: 15 },
+        opened: Opened { attempt: 12, probe: 13, slot_reservation: 14, release: 15 },
         not_opened: 16,
         reused: u64::MAX,
         lists: 18,
@@ -138,7 +138,7 @@
 
 #[test]
 fn counts_are_written_as_they_were() {
-    let written: Vec<String> = all_counts().iter().map(|c| format!("{}{c}", counts::WORD)).collect();
+    let written: Vec<String> = all_counts().iter().map(|c| format!("{}{c}", counts::LOG_PREFIX)).collect();
     assert_eq!(written, COUNTS.lines().collect::<Vec<_>>());
 }
 
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -24,10 +24,10 @@
 #![deny(missing_docs)]
 
 pub mod client;
-pub mod reach;
+pub mod discovery_polling;
+pub mod reachability;
 pub mod request;
 pub mod server;
-pub mod watch;
 
 /// An input that cannot occur in the state that the machine is in. The machine is unchanged.
 ///
--- a/crates/request-lifecycle/src/reach/mod.rs
+++ b/crates/request-lifecycle/src/reachability/mod.rs
@@ -14,7 +14,7 @@
 pub type Millis = u64;
 
 /// Time between two rounds of asking while nobody has answered, in milliseconds: an idle server answers within it.
-pub const PAUSE: Millis = 50;
+pub const ROUND_INTERVAL: Millis = 50;
 /// Servers asked in each round after the first. In the first round one is asked alone: mostly it answers.
 const SERVERS_PER_LATER_ROUND: usize = 2;
 /// A call that has been unanswered for so long, in milliseconds, makes its server suspect.
@@ -86,7 +86,7 @@
 }
 
 /// The servers in the order in which they are to be asked: the zones in turn, of each the most likely to answer first.
-pub fn order<S: Copy + Ord>(candidates: &[Candidate<S>], now: Millis) -> Vec<S> {
+pub fn release_order<S: Copy + Ord>(candidates: &[Candidate<S>], now: Millis) -> Vec<S> {
     interleave_zones(&by_likelihood(candidates, now))
 }
 
@@ -137,7 +137,7 @@
 
 /// One release in progress: which servers are asked when. It has ended once one has answered.
 #[derive(Clone, Debug)]
-pub struct Release<S> {
+pub struct ReleaseRounds<S> {
     /// Servers that have not been asked yet.
     remaining: VecDeque<S>,
     /// Calls without an outcome.
@@ -150,14 +150,20 @@
     started: bool,
 }
 
-impl<S: Copy> Release<S> {
+impl<S: Copy> ReleaseRounds<S> {
     /// A release that asks these servers in turn, until one answers or the time `until` has come.
     pub fn new(order: Vec<S>, now: Millis, until: Millis) -> Self {
-        Release { remaining: order.into(), in_flight: 0, next_round: now, deadline: until, started: false }
+        ReleaseRounds {
+            remaining: order.into(),
+            in_flight: 0,
+            next_round: now,
+            deadline: until,
+            started: false,
+        }
     }
 
     /// The servers to ask now; none if no round is due.
-    pub fn ask(&mut self, now: Millis) -> Vec<S> {
+    pub fn next_round(&mut self, now: Millis) -> Vec<S> {
         if now < self.next_round || now >= self.deadline {
             return Vec::new();
         }
@@ -165,7 +171,7 @@
         self.started = true;
         let servers: Vec<S> = self.remaining.drain(..round_size.min(self.remaining.len())).collect();
         self.in_flight += servers.len();
-        self.next_round = now + PAUSE;
+        self.next_round = now + ROUND_INTERVAL;
         servers
     }
 
@@ -176,7 +182,7 @@
     }
 
     /// When to call [`Release::ask`] again if nobody answers before; `None` once the release cannot succeed any more.
-    pub fn wake(&self, now: Millis) -> Option<Millis> {
+    pub fn next_wake(&self, now: Millis) -> Option<Millis> {
         if now >= self.deadline {
             return None;
         }
--- a/crates/request-lifecycle/src/reach/tests.rs
+++ b/crates/request-lifecycle/src/reachability/tests.rs
@@ -14,16 +14,16 @@
 fn play_release(
     order: Vec<u32>, answer_time: impl Fn(u32) -> Option<Millis>, limit: Millis,
 ) -> (Option<Millis>, usize) {
-    let mut release = Release::new(order, 0, limit);
+    let mut release = ReleaseRounds::new(order, 0, limit);
     let mut now = 0;
     let mut asked = 0;
     let mut answers = Vec::new();
     loop {
-        for server in release.ask(now) {
+        for server in release.next_round(now) {
             asked += 1;
             answers.extend(answer_time(server).map(|after| now + after));
         }
-        let Some(wake) = release.wake(now) else { return (None, asked) };
+        let Some(wake) = release.next_wake(now) else { return (None, asked) };
         match answers.iter().min() {
             Some(first) if *first <= wake => return (Some(*first), asked),
             _ => now = wake.max(now),
@@ -53,8 +53,8 @@
             candidates.iter().any(|candidate| candidate.server == server && candidate.zone == CUT_OFF_ZONE)
         };
         let answer_time = |server: u32| (!is_cut_off(server)).then_some(5);
-        let (answered, asked) = play_release(order(&candidates, 1_000), answer_time, 600);
-        assert_eq!((answered, asked), (Some(PAUSE + 5), 3));
+        let (answered, asked) = play_release(release_order(&candidates, 1_000), answer_time, 600);
+        assert_eq!((answered, asked), (Some(ROUND_INTERVAL + 5), 3));
     }
 }
 
@@ -64,14 +64,14 @@
     let mut candidates: Vec<Candidate<u32>> = (0..9).map(|server| candidate(server, server % 3)).collect();
     candidates.iter_mut().for_each(|candidate| candidate.reachability.answered(100));
     candidates[1].reachability.query_lost(200);
-    assert_ne!(order(&candidates, 300)[0] % 3, 1);
-    assert_eq!(order(&candidates, 300).last(), Some(&1));
+    assert_ne!(release_order(&candidates, 300)[0] % 3, 1);
+    assert_eq!(release_order(&candidates, 300).last(), Some(&1));
     candidates[4].reachability.answered(250);
-    assert_eq!(order(&candidates, 300)[0], 4);
+    assert_eq!(release_order(&candidates, 300)[0], 4);
     // A short call that stays unanswered makes a server suspect before it is lost.
     candidates[4].reachability.query_sent(260);
-    assert_eq!(order(&candidates, 300)[0], 4);
-    assert_ne!(order(&candidates, 400)[0] % 3, 1);
+    assert_eq!(release_order(&candidates, 300)[0], 4);
+    assert_ne!(release_order(&candidates, 400)[0] % 3, 1);
 }
 
 proptest! {
@@ -83,7 +83,7 @@
         let candidates: Vec<Candidate<u32>> =
             zones.iter().enumerate().map(|(server, zone)| candidate(server as u32, *zone)).collect();
         let reachable = (reachable % candidates.len()) as u32;
-        let order = order(&candidates, 0);
+        let order = release_order(&candidates, 0);
         let mut sorted = order.clone();
         sorted.sort_unstable();
         prop_assert_eq!(sorted, (0..candidates.len() as u32).collect::<Vec<_>>());
@@ -91,7 +91,7 @@
         let rounds = position.div_ceil(SERVERS_PER_LATER_ROUND as u64);
         let (answered, _) =
             play_release(order, |server| (server == reachable).then_some(answer_time), 10_000);
-        prop_assert_eq!(answered, Some(rounds * PAUSE + answer_time));
+        prop_assert_eq!(answered, Some(rounds * ROUND_INTERVAL + answer_time));
     }
 
     /// A release ends in time also when no server answers.
--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -13,20 +13,20 @@
 
 /// A key of the settings that is at fault, for the operator who wrote it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsFault {
     /// The key as a path from the settings on.
     pub key: String,
     /// What is expected there.
     pub wanted: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsFault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}: {}", self.key, self.wanted)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsFault {}
 
 /// What a value has to be where one is given.
 #[derive(Clone, Copy)]
@@ -109,7 +109,7 @@
 ];
 
 /// Reads a settings object, or names the first key that is at fault.
-pub fn checked(object: &Value) -> Result<Settings, Fault> {
+pub fn checked(object: &Value) -> Result<Settings, SettingsFault> {
     if !object.is_object() {
         return fault("", "an object wanted");
     }
@@ -127,7 +127,7 @@
     Ok(settings)
 }
 
-fn check_sections(object: &Value) -> Result<(), Fault> {
+fn check_sections(object: &Value) -> Result<(), SettingsFault> {
     for (name, keys) in SECTIONS {
         match object.get(name) {
             None | Some(Value::Null) => {}
@@ -138,7 +138,7 @@
     Ok(())
 }
 
-fn check_domain_lists(domain: &Value) -> Result<(), Fault> {
+fn check_domain_lists(domain: &Value) -> Result<(), SettingsFault> {
     for (name, expected) in DOMAIN_LISTS {
         let key = format!("domain.{name}");
         for (index, entry) in entries(&key, domain.get(name))?.iter().enumerate() {
@@ -149,7 +149,7 @@
 }
 
 /// What several keys have to give together.
-fn check_together(settings: &Settings) -> Result<(), Fault> {
+fn check_together(settings: &Settings) -> Result<(), SettingsFault> {
     let at_least_one =
         [("services", settings.classes.is_empty()), ("domain.stage-of-kind", settings.kinds.is_empty())];
     for (key, is_empty) in at_least_one {
@@ -169,11 +169,11 @@
     Ok(())
 }
 
-fn fault<T>(key: impl Into<String>, wanted: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { key: key.into(), wanted: wanted.into() })
+fn fault<T>(key: impl Into<String>, wanted: impl Into<String>) -> Result<T, SettingsFault> {
+    Err(SettingsFault { key: key.into(), wanted: wanted.into() })
 }
 
-fn entries<'a>(key: &str, value: Option<&'a Value>) -> Result<&'a [Value], Fault> {
+fn entries<'a>(key: &str, value: Option<&'a Value>) -> Result<&'a [Value], SettingsFault> {
     match value {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(entries)) => Ok(entries),
@@ -182,7 +182,7 @@
 }
 
 /// Checks a list of objects of which no two may have one name.
-fn check_named_list(list: &str, object: &Value, keys: &[KeySpec]) -> Result<(), Fault> {
+fn check_named_list(list: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsFault> {
     let all = entries(list, object.get(list))?;
     for (index, entry) in all.iter().enumerate() {
         // A tenant may be a mere name.
@@ -205,11 +205,11 @@
     entry.as_str().or_else(|| entry.get("name")?.as_str())
 }
 
-fn check_keys(path: &str, object: &Value, keys: &[KeySpec]) -> Result<(), Fault> {
+fn check_keys(path: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsFault> {
     keys.iter().try_for_each(|(key, expected)| check_value(&format!("{path}{key}"), &object[*key], *expected))
 }
 
-fn check_value(key: &str, value: &Value, expected: Expected) -> Result<(), Fault> {
+fn check_value(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
     if value.is_null() && !matches!(expected, OneOf(_)) {
         return Ok(());
     }
@@ -222,7 +222,7 @@
     }
 }
 
-fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), Fault> {
+fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
     let (is_valid, wanted): (fn(f64) -> bool, &str) = match expected {
         PositiveTime => (|number| number > 0.0 && number <= MAX_TIME_MS, "milliseconds above 0 wanted"),
         Share => (|number| (0.0..=1.0).contains(&number), "a number from 0 to 1 wanted"),
@@ -236,7 +236,7 @@
     fault(key, wanted)
 }
 
-fn check_word(key: &str, value: &Value, words: &[&str]) -> Result<(), Fault> {
+fn check_word(key: &str, value: &Value, words: &[&str]) -> Result<(), SettingsFault> {
     match value.as_str() {
         Some(word) if words.contains(&word) => Ok(()),
         Some(word) => fault(key, format!("{word:?} is none of {}", words.join(", "))),
@@ -246,7 +246,7 @@
     }
 }
 
-fn check_header_name(key: &str, value: &Value) -> Result<(), Fault> {
+fn check_header_name(key: &str, value: &Value) -> Result<(), SettingsFault> {
     let Some(name) = value.as_str() else { return fault(key, "text wanted") };
     if name == name.trim() && !name.chars().any(char::is_control) {
         return Ok(());
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,9 +10,9 @@
 mod json;
 mod read;
 
-pub use checked::{checked, Fault};
+pub use checked::{checked, SettingsFault};
 pub use json::{flag, integer, list, number, text};
-pub use read::{report, server_id, settings};
+pub use read::{load_report, server_id, settings};
 
 #[cfg(test)]
 mod tests;
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -27,7 +27,7 @@
 }
 
 /// A load report from its named values, whichever of a field's names the carrier uses.
-pub fn report(value_of: impl Fn(&str) -> Option<f64>) -> LoadReport {
+pub fn load_report(value_of: impl Fn(&str) -> Option<f64>) -> LoadReport {
     LoadReport {
         in_flight: value_of("outstanding").or_else(|| value_of("inflight")),
         queue: value_of("backlog").or_else(|| value_of("queue")),
--- a/gateway/src/admin.rs
+++ b/gateway/src/admin.rs
@@ -23,7 +23,7 @@
 
 /// Connections of operators where there are descriptors enough. Where more come, the one that has been idle longest is
 /// evicted.
-pub const CONNECTIONS: usize = 8;
+pub const MAX_CONNECTIONS: usize = 8;
 
 /// What all calls begin with.
 const PATH_PREFIX: &str = "/control/";
--- a/gateway/src/budget.rs
+++ b/gateway/src/budget.rs
@@ -45,7 +45,7 @@
     }
 
     /// Bytes that occupy this claim until the last copy of them is dropped, wherever that is.
-    pub fn hold(self, bytes: Bytes) -> Bytes {
+    pub fn attach(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(ClaimedBytes { bytes, _claim: self })
     }
 }
--- a/gateway/src/config/command.rs
+++ b/gateway/src/config/command.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use super::{error, Error};
+use super::{error, ConfigError};
 
 /// What the command line asks for.
 #[derive(Debug, PartialEq)]
@@ -35,7 +35,7 @@
 ";
 
 /// Parses the command line without the program's name.
-pub fn command(arguments: impl IntoIterator<Item = String>) -> Result<Command, Error> {
+pub fn command(arguments: impl IntoIterator<Item = String>) -> Result<Command, ConfigError> {
     let mut arguments = arguments.into_iter();
     let mut files = Files::default();
     while let Some(argument) = arguments.next() {
--- a/gateway/src/config/front.rs
+++ b/gateway/src/config/front.rs
@@ -5,12 +5,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{error, read, Error};
+use super::{error, read, ConfigError};
 
 /// The second front's file. Field names are the file's keys unless renamed.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Front {
+pub struct InferenceFrontConfig {
     /// Address and port on which clients connect.
     pub listen: String,
     /// Most connections of clients.
@@ -30,16 +30,16 @@
     pub chat_class: Option<String>,
     /// Servers for embeddings and rerank.
     #[serde(default)]
-    pub embeddings: Option<Pool>,
+    pub embeddings: Option<PoolConfig>,
     /// Servers for chat; the platform's own where this is left out.
     #[serde(default)]
-    pub chat: Option<Pool>,
+    pub chat: Option<PoolConfig>,
 }
 
 /// A pool of servers of one kind.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Pool {
+pub struct PoolConfig {
     /// Time in milliseconds for a connection to come up.
     #[serde(default = "defaults::connect_ms")]
     pub connect_ms: u64,
@@ -57,13 +57,13 @@
     pub repeatable: Option<bool>,
     /// The servers; at least one.
     #[serde(default)]
-    pub servers: Vec<Server>,
+    pub servers: Vec<ServerConfig>,
 }
 
 /// A server of a pool.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Server {
+pub struct ServerConfig {
     /// A name that no other server of the pool has.
     pub name: String,
     /// Its address and port.
@@ -108,12 +108,12 @@
 }
 
 /// Reads and checks the file.
-pub fn front(path: &Path) -> Result<Front, Error> {
+pub fn front(path: &Path) -> Result<InferenceFrontConfig, ConfigError> {
     front_from(&read(path, &path.display().to_string())?)
 }
 
 /// Checks the file's text.
-pub fn front_from(text: &str) -> Result<Front, Error> {
+pub fn front_from(text: &str) -> Result<InferenceFrontConfig, ConfigError> {
     let front = parse(text)?;
     if front.listen.parse::<SocketAddr>().is_err() {
         return error("listen", format!("{:?} is no address:port", front.listen));
@@ -127,7 +127,7 @@
     Ok(front)
 }
 
-fn parse(text: &str) -> Result<Front, Error> {
+fn parse(text: &str) -> Result<InferenceFrontConfig, ConfigError> {
     toml::from_str(text).or_else(|e| {
         let start = e.span().map_or(0, |span| span.start);
         let line_breaks = text.bytes().take(start).filter(|byte| *byte == b'\n').count();
@@ -135,7 +135,7 @@
     })
 }
 
-fn check_figures(front: &Front) -> Result<(), Error> {
+fn check_figures(front: &InferenceFrontConfig) -> Result<(), ConfigError> {
     for (key, value) in [
         ("max_connections", front.max_connections as u64),
         ("max_body", front.max_body as u64),
@@ -152,7 +152,7 @@
     Ok(())
 }
 
-fn check_pool(name: &str, pool: &Pool) -> Result<(), Error> {
+fn check_pool(name: &str, pool: &PoolConfig) -> Result<(), ConfigError> {
     for (key, value) in [
         ("connect_ms", pool.connect_ms),
         ("idle_ms", pool.idle_ms),
@@ -172,7 +172,7 @@
     Ok(())
 }
 
-fn check_server(pool: &str, servers: &[Server], index: usize) -> Result<(), Error> {
+fn check_server(pool: &str, servers: &[ServerConfig], index: usize) -> Result<(), ConfigError> {
     let key = |field: &str| format!("{pool}.servers[{index}].{field}");
     let server = &servers[index];
     if server.name.is_empty() || servers[..index].iter().any(|earlier| earlier.name == server.name) {
--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -12,24 +12,24 @@
 use std::path::Path;
 
 pub use self::command::{command, Command, Files, USAGE};
-pub use self::front::{front, front_from, Front, Pool, Server};
+pub use self::front::{front, front_from, InferenceFrontConfig, PoolConfig, ServerConfig};
 pub use self::one_stage::one_stage;
 pub use self::platform::{platform, Bounds, Platform};
 
 /// What is wrong, and at which key.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("configuration: {key}: {what}")]
-pub struct Error {
+pub struct ConfigError {
     /// The faulty key, option, variable or line.
     pub key: String,
     /// What is wrong with it.
     pub what: String,
 }
 
-fn error<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Error> {
-    Err(Error { key: key.into(), what: what.into() })
+fn error<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, ConfigError> {
+    Err(ConfigError { key: key.into(), what: what.into() })
 }
 
-fn read(path: &Path, key: &str) -> Result<String, Error> {
+fn read(path: &Path, key: &str) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).or_else(|e| error(key, format!("cannot be read: {e}")))
 }
--- a/gateway/src/config/one_stage.rs
+++ b/gateway/src/config/one_stage.rs
@@ -6,14 +6,14 @@
     Discovery, Idempotency, Limits, Millis, Prices, RequestClass, Role, Rules, ServerKind, Settings,
 };
 
-use super::Pool;
+use super::PoolConfig;
 
 /// Longest `Retry-After` that a rejected client is given.
 const MAX_RETRY_AFTER: Millis = 1_000.0;
 
 /// Settings with one class. `deadline` is the longest of any request; `default` applies where the file does not say
 /// whether a request that may have run may be sent again.
-pub fn one_stage(pool: &Pool, deadline: Millis, default: Idempotency) -> Settings {
+pub fn one_stage(pool: &PoolConfig, deadline: Millis, default: Idempotency) -> Settings {
     Settings {
         router_index: 0,
         router_count: 1,
@@ -32,7 +32,7 @@
     }
 }
 
-fn request_class(pool: &Pool, deadline: Millis, default: Idempotency) -> RequestClass {
+fn request_class(pool: &PoolConfig, deadline: Millis, default: Idempotency) -> RequestClass {
     let idempotency = match pool.repeatable {
         Some(true) => Idempotency::Idempotent,
         Some(false) => Idempotency::NonIdempotent,
@@ -48,7 +48,7 @@
     }
 }
 
-fn limits(pool: &Pool) -> Limits {
+fn limits(pool: &PoolConfig) -> Limits {
     Limits {
         max_attempts: pool.max_attempts,
         max_retry_after: MAX_RETRY_AFTER,
--- a/gateway/src/config/platform/bounds.rs
+++ b/gateway/src/config/platform/bounds.rs
@@ -1,7 +1,7 @@
 //! How the process's descriptors and memory are shared out.
 
-use crate::admin::CONNECTIONS;
-use crate::front::server::REFUSING;
+use crate::admin::MAX_CONNECTIONS;
+use crate::front::server::MAX_REJECTING_CONNECTIONS;
 
 /// Descriptors of the process's own: standard streams, the runtime's, signals', listeners and their copies for a
 /// successor (17 are open with both fronts), the poll of discovery and the one after it, the fleet's, a file being read.
@@ -37,10 +37,10 @@
     /// keeps its own descriptors.
     pub fn new(sockets: usize, memory_mb: usize) -> Self {
         let usable = sockets.saturating_sub(OWN_DESCRIPTORS + FRONTS);
-        let operators = (usable / OPERATORS_DIVISOR).clamp(1, CONNECTIONS);
-        let usable = usable.saturating_sub(operators + operators.min(REFUSING) + 1);
+        let operators = (usable / OPERATORS_DIVISOR).clamp(1, MAX_CONNECTIONS);
+        let usable = usable.saturating_sub(operators + operators.min(MAX_REJECTING_CONNECTIONS) + 1);
         // A front rejects at once as many connections more as it has, up to its bound.
-        let share = (usable.saturating_sub(FRONTS * REFUSING) / 2).max(usable / 3).max(2);
+        let share = (usable.saturating_sub(FRONTS * MAX_REJECTING_CONNECTIONS) / 2).max(usable / 3).max(2);
         Bounds {
             client_connections: share,
             server_connections: share,
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -12,7 +12,7 @@
 
 pub use self::bounds::Bounds;
 use self::bounds::{DEFAULT_MEMORY_MB, DEFAULT_SOCKETS};
-use super::{error, read, Error};
+use super::{error, read, ConfigError};
 use crate::core::duration;
 
 /// With fewer descriptors none are left for servers beside the clients'.
@@ -63,7 +63,7 @@
 }
 
 /// Reads the platform's part from the environment; `None` where there is none.
-pub fn platform(variable: impl Fn(&str) -> Option<String>) -> Result<Option<Platform>, Error> {
+pub fn platform(variable: impl Fn(&str) -> Option<String>) -> Result<Option<Platform>, ConfigError> {
     let Some(path) = variable("EDGE_CONFIG") else {
         let stray = ["EDGE_LISTEN", "EDGE_DISCOVERY"].into_iter().any(|name| variable(name).is_some());
         return match stray {
@@ -78,7 +78,7 @@
 }
 
 /// Checks the sections in this order, so the first faulty one is named.
-fn from_json(json: &Value, variable: &impl Fn(&str) -> Option<String>) -> Result<Platform, Error> {
+fn from_json(json: &Value, variable: &impl Fn(&str) -> Option<String>) -> Result<Platform, ConfigError> {
     let source = Source { json, variable };
     let listen = source.address("listen", "EDGE_LISTEN")?;
     let ops = match source.has("ops", "EDGE_OPS") {
@@ -124,7 +124,7 @@
         self.json.get(key).is_some() || (self.variable)(variable).is_some()
     }
 
-    fn text(&self, key: &str, variable: &str) -> Result<String, Error> {
+    fn text(&self, key: &str, variable: &str) -> Result<String, ConfigError> {
         match self.json.get(key) {
             Some(Value::String(text)) => Ok(text.clone()),
             Some(_) => error(key, "text wanted"),
@@ -135,13 +135,13 @@
         }
     }
 
-    fn address(&self, key: &str, variable: &str) -> Result<SocketAddr, Error> {
+    fn address(&self, key: &str, variable: &str) -> Result<SocketAddr, ConfigError> {
         let text = self.text(key, variable)?;
         text.parse().or_else(|_| error(key, format!("{text:?} is no address:port")))
     }
 }
 
-fn seed(json: &Value) -> Result<u64, Error> {
+fn seed(json: &Value) -> Result<u64, ConfigError> {
     match json.get("seed") {
         None => Ok(0),
         Some(Value::String(digits)) => {
@@ -151,20 +151,20 @@
     }
 }
 
-fn check_limits(json: &Value) -> Result<(), Error> {
+fn check_limits(json: &Value) -> Result<(), ConfigError> {
     match json.get("limits") {
         None | Some(Value::Null | Value::Object(_)) => Ok(()),
         Some(other) => error("limits", format!("an object wanted, not {other}")),
     }
 }
 
-fn bounds(json: &Value) -> Result<Bounds, Error> {
+fn bounds(json: &Value) -> Result<Bounds, ConfigError> {
     let sockets = limit(json, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)?;
     let memory_mb = limit(json, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB)?;
     Ok(Bounds::new(sockets, memory_mb))
 }
 
-fn limit(json: &Value, key: &str, default: usize, least: f64) -> Result<usize, Error> {
+fn limit(json: &Value, key: &str, default: usize, least: f64) -> Result<usize, ConfigError> {
     let value = match json.get("limits").and_then(|limits| limits.get(key)) {
         None | Some(Value::Null) => return Ok(default),
         Some(value) => value,
@@ -175,19 +175,19 @@
     }
 }
 
-fn settings_section(json: &Value) -> Result<&Value, Error> {
+fn settings_section(json: &Value) -> Result<&Value, ConfigError> {
     match json.get("settings") {
         Some(settings) if settings.is_object() => Ok(settings),
         _ => error("settings", "an object wanted"),
     }
 }
 
-fn checked_settings(raw_settings: &Value) -> Result<Settings, Error> {
+fn checked_settings(raw_settings: &Value) -> Result<Settings, ConfigError> {
     glenrail_settings::checked(raw_settings)
         .or_else(|fault| error(format!("settings.{}", fault.key), fault.wanted))
 }
 
-fn discovery<V: Fn(&str) -> Option<String>>(source: &Source<V>) -> Result<String, Error> {
+fn discovery<V: Fn(&str) -> Option<String>>(source: &Source<V>) -> Result<String, ConfigError> {
     let discovery = source.text("discovery", "EDGE_DISCOVERY")?;
     if !is_host_and_port(&discovery) {
         return error("discovery", format!("{discovery:?} is no host:port"));
--- a/gateway/src/config/platform/tests.rs
+++ b/gateway/src/config/platform/tests.rs
@@ -6,7 +6,7 @@
 
 use super::bounds::OWN_DESCRIPTORS;
 use super::{from_json, platform, Bounds};
-use crate::front::server::REFUSING;
+use crate::front::server::MAX_REJECTING_CONNECTIONS;
 
 fn complete() -> Value {
     json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
@@ -59,7 +59,7 @@
 fn connections_leave_the_process_its_own_descriptors() {
     for sockets in [40, 41, 48, 64, 96, 100, 128, 192, 256, 768, 1_024, 4_096] {
         let bounds = Bounds::new(sockets, 192);
-        let front = |cap: usize| cap + cap.min(REFUSING) + 1;
+        let front = |cap: usize| cap + cap.min(MAX_REJECTING_CONNECTIONS) + 1;
         for second in [0, 1, bounds.client_connections / 2] {
             let second_front = if second > 0 { front(second) } else { 0 };
             let clients = front(bounds.client_connections - second) + second_front;
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -120,7 +120,7 @@
     /// Requests that have not finished.
     pub requests: usize,
     /// Names of requests that may not be used again yet.
-    pub names: usize,
+    pub request_ids: usize,
     /// Timers that are armed, the router's own included.
     pub timers: usize,
 }
@@ -237,7 +237,7 @@
         let inner = self.inner.borrow();
         Occupancy {
             requests: inner.requests.len(),
-            names: inner.ids_by_name.len(),
+            request_ids: inner.ids_by_name.len(),
             timers: inner.timers.len(),
         }
     }
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -50,7 +50,7 @@
 
     /// Adds the next attempt.
     pub fn attempt_started(&mut self, start: AttemptStart) {
-        let stage = if start.stage == Stage::Prefill { RecordStage::Read } else { RecordStage::Run };
+        let stage = if start.stage == Stage::Prefill { RecordStage::Prefill } else { RecordStage::Execute };
         self.record.attempts.push(AttemptRecord {
             server: format!("{:x}", start.server),
             stage,
@@ -95,7 +95,7 @@
     /// The release of a lease that was unclaimed since then starts.
     pub fn release_started(&mut self, unclaimed_since: Millis, now: Millis) {
         let (held, ordered) = (unclaimed_since - self.arrived, now - self.arrived);
-        self.record.releases.push(Release { held, ordered, done: None });
+        self.record.releases.push(Release { unclaimed_since: held, ordered, done: None });
     }
 
     /// The release that was started last has ended.
@@ -132,12 +132,14 @@
     let is_served =
         || machine.attempts().iter().any(|attempt| attempt.state == AttemptState::Ended(Status::Served));
     match machine.response() {
-        ResponseState::Final(FinalResponse::Rejected) => RequestOutcome::Refused,
+        ResponseState::Final(FinalResponse::Rejected) => RequestOutcome::Rejected,
         ResponseState::Final(_) => RequestOutcome::Failed,
-        ResponseState::Abandoned => RequestOutcome::Left,
+        ResponseState::Abandoned => RequestOutcome::ClientDisconnected,
         ResponseState::StreamEnded | ResponseState::Pending | ResponseState::Streaming if is_served() => {
             RequestOutcome::Served
         }
-        ResponseState::StreamEnded | ResponseState::Pending | ResponseState::Streaming => RequestOutcome::Cut,
+        ResponseState::StreamEnded | ResponseState::Pending | ResponseState::Streaming => {
+            RequestOutcome::StreamBroken
+        }
     }
 }
--- a/gateway/src/daemon/counters.rs
+++ b/gateway/src/daemon/counters.rs
@@ -28,7 +28,7 @@
             ..pool.engine.counts()
         };
         if current != logged {
-            log!("{}{current}", counts::WORD);
+            log!("{}{current}", counts::LOG_PREFIX);
             logged = current;
         }
     }
--- a/gateway/src/daemon/error.rs
+++ b/gateway/src/daemon/error.rs
@@ -12,7 +12,7 @@
 pub enum DaemonError {
     /// A faulty key in the environment, the platform's file or the second front's.
     #[error(transparent)]
-    Configuration(#[from] config::Error),
+    Configuration(#[from] config::ConfigError),
     /// No front is configured: set `EDGE_CONFIG`, name a file after `--front`, or both.
     #[error("configuration: EDGE_CONFIG: missing, and no --front is given")]
     NoFront,
--- a/gateway/src/daemon/inference.rs
+++ b/gateway/src/daemon/inference.rs
@@ -16,7 +16,7 @@
 
 /// The second front's file as it was read, and where it is read again.
 pub(super) struct FrontFile {
-    pub(super) front: config::Front,
+    pub(super) front: config::InferenceFrontConfig,
     pub(super) path: PathBuf,
 }
 
--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -94,7 +94,7 @@
     let limits = EngineLimits {
         connect_timeout: duration(platform.settings.limits.connect_timeout),
         probes: platform.settings.limits.probes,
-        idle: platform.conn_idle.mul_f64(IDLE_TIMEOUT_SHARE),
+        idle_timeout: platform.conn_idle.mul_f64(IDLE_TIMEOUT_SHARE),
         public_api: false,
     };
     let (slots, budget) = (context.slots.clone(), context.budget.clone());
@@ -106,7 +106,7 @@
     PlatformNames {
         classes: platform.classes.iter().cloned().zip(deadlines).collect(),
         tenants: platform.tenants.clone(),
-        come_back: PlatformNames::come_back(&platform.settings.limits),
+        max_retry_after: PlatformNames::max_retry_after(&platform.settings.limits),
     }
 }
 
--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -213,7 +213,7 @@
         ServerAddress {
             server: entry.server,
             address: self.address.clone(),
-            serving: entry.state == ServerState::Ready,
+            is_serving: entry.state == ServerState::Ready,
             zone: entry.zone,
             started_ms: self.started_unix_ms as u64,
         }
--- a/gateway/src/discovery/watch/call.rs
+++ b/gateway/src/discovery/watch/call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_request_lifecycle::watch::{Limits, Poll};
+use glenrail_request_lifecycle::discovery_polling::{Limits, Poll};
 use http::{header, Request, Response};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
--- a/gateway/src/discovery/watch/error.rs
+++ b/gateway/src/discovery/watch/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Duration;
 
-use glenrail_request_lifecycle::watch::PollFailure;
+use glenrail_request_lifecycle::discovery_polling::PollFailure;
 use http::{header, Response, StatusCode};
 
 /// Why a poll brought no list that could be used.
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenrail_request_lifecycle::watch::{BackoffPolicy, Poll, PollSchedule};
+use glenrail_request_lifecycle::discovery_polling::{BackoffPolicy, Poll, PollSchedule};
 use glenrail_router::{Discovery, ListUpdate, Settings};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
--- a/gateway/src/discovery/watch/tests.rs
+++ b/gateway/src/discovery/watch/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use glenrail_request_lifecycle::watch::PollFailure;
+use glenrail_request_lifecycle::discovery_polling::PollFailure;
 use http::{header, Response};
 
 use super::error::status_failure;
--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -149,7 +149,7 @@
             }
             bytes.extend_from_slice(&data);
         }
-        Ok(Some(claim.hold(bytes.into())))
+        Ok(Some(claim.attach(bytes.into())))
     }
 }
 
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -57,13 +57,13 @@
         self.0
             .servers
             .borrow_mut()
-            .record(server, glenrail_request_lifecycle::reach::Reachability::query_sent);
+            .record(server, glenrail_request_lifecycle::reachability::Reachability::query_sent);
         let answer = timeout(PROBE_TIMEOUT, self.short_call(server, &request)).await;
         if answer.is_err() {
             self.0
                 .servers
                 .borrow_mut()
-                .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
+                .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
         }
         let (head, body) = answer.map_err(|_| CallError::Reset)??;
         let report = match load_report_of(&head.headers) {
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -72,7 +72,7 @@
                 self.0
                     .servers
                     .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reach::Reachability::answered);
+                    .record(server, glenrail_request_lifecycle::reachability::Reachability::answered);
                 return Ok(());
             }
             let was_stalled = started.elapsed() > wait + STALL_THRESHOLD;
@@ -92,7 +92,7 @@
         self.0
             .servers
             .borrow_mut()
-            .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
+            .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
         log!("a connection to server {:x} is open and unresponsive", server.0);
         // The other idle connections to it are not tried one after the other.
         self.close_idle_of(server);
@@ -143,7 +143,7 @@
                 self.0
                     .servers
                     .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
+                    .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -55,7 +55,7 @@
     /// Whether servers may be probed.
     pub probes: bool,
     /// Connections that were idle for so long are closed; well under the server's own timeout.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Whether the servers are a public API. There a 429, or a 503 with a Retry-After, means that the request was rejected,
     /// and other 4xx are the client's own mistake; on the platform only a marked answer means a rejection.
     pub public_api: bool,
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -38,7 +38,7 @@
         let record = servers.get_mut(server)?;
         while let Some((idle_since, mut connection)) = record.idle.pop() {
             // The task that closes old ones may not have run yet.
-            if idle_since.elapsed() < self.0.limits.idle && connection.is_usable() {
+            if idle_since.elapsed() < self.0.limits.idle_timeout && connection.is_usable() {
                 return Some(connection);
             }
         }
@@ -61,7 +61,7 @@
         match (&opened, kind) {
             (Err(_), _) => counts.not_opened += 1,
             (Ok(_), RequestKind::Attempt) => counts.opened.attempt += 1,
-            (Ok(_), RequestKind::ReserveSlot) => counts.opened.hold += 1,
+            (Ok(_), RequestKind::ReserveSlot) => counts.opened.slot_reservation += 1,
             (Ok(_), RequestKind::Probe) => counts.opened.probe += 1,
             (Ok(_), RequestKind::Release) => counts.opened.release += 1,
         }
@@ -86,7 +86,7 @@
                 self.0
                     .servers
                     .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
+                    .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
@@ -136,7 +136,7 @@
         }
         let engine = self.clone();
         spawn_local(async move {
-            let limit = engine.0.limits.idle;
+            let limit = engine.0.limits.idle_timeout;
             loop {
                 let Some(oldest) = engine.0.servers.borrow().oldest_idle() else { break };
                 sleep_until(oldest + limit).await;
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -1,10 +1,10 @@
 //! Releases of the leases that servers hold for a request. Which server is asked when is decided by
-//! [`reach`](glenrail_request_lifecycle::reach).
+//! [`reachability`](glenrail_request_lifecycle::reach).
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenrail_request_lifecycle::reach::Release;
+use glenrail_request_lifecycle::reachability::ReleaseRounds;
 use glenrail_router::ServerId;
 use http::Method;
 use tokio::sync::mpsc;
@@ -31,16 +31,17 @@
         let request = Rc::new(ServerRequest::new(RequestKind::Release, request));
         let now = || self.0.servers.borrow().now();
         let (started, limit) = (now(), ROUND_TIMEOUT.as_millis() as u64);
-        let mut release = Release::new(self.0.servers.borrow().release_order(), started, started + limit);
+        let mut release =
+            ReleaseRounds::new(self.0.servers.borrow().release_order(), started, started + limit);
         let (answer_sender, mut answers) = mpsc::unbounded_channel();
         loop {
-            for server in release.ask(now()) {
+            for server in release.next_round(now()) {
                 // In a task of its own, so that it is not cancelled, and its connection lost, when another server was
                 // faster.
                 let release = self.clone().release_at(server, request.clone(), answer_sender.clone());
                 spawn_local(release);
             }
-            let Some(wake) = release.wake(now()) else { return Err(CallError::ConnectFailed) };
+            let Some(wake) = release.next_wake(now()) else { return Err(CallError::ConnectFailed) };
             tokio::select! {
                 accepted = answers.recv() => match accepted {
                     Some(true) => return Ok(Reply::Done),
@@ -58,7 +59,7 @@
         self.0
             .servers
             .borrow_mut()
-            .record(server, glenrail_request_lifecycle::reach::Reachability::query_sent);
+            .record(server, glenrail_request_lifecycle::reachability::Reachability::query_sent);
         let answer = timeout(ANSWER_TIMEOUT, self.short_call(server, &request)).await;
         let accepted = match answer {
             Ok(Ok((head, _))) => head.status.is_success(),
@@ -66,7 +67,7 @@
                 self.0
                     .servers
                     .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reach::Reachability::query_lost);
+                    .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
                 false
             }
         };
--- a/gateway/src/engine/response_fields.rs
+++ b/gateway/src/engine/response_fields.rs
@@ -53,7 +53,7 @@
     }
     let find = |name: &str| pairs.iter().find(|pair| pair.0 == name);
     let value = |name: &str| find(name).map(|pair| pair.1).filter(|value| value.is_finite());
-    Some(glenrail_settings::report(value))
+    Some(glenrail_settings::load_report(value))
 }
 
 /// The load report in the headers of a response.
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -46,7 +46,7 @@
                     self.0
                         .servers
                         .borrow_mut()
-                        .record(server, glenrail_request_lifecycle::reach::Reachability::answered);
+                        .record(server, glenrail_request_lifecycle::reachability::Reachability::answered);
                     return Ok((response, connection));
                 }
                 // The server closed the idle connection just now, and not a byte was written.
--- a/gateway/src/engine/server_table.rs
+++ b/gateway/src/engine/server_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use glenrail_request_lifecycle::reach::{order, Candidate, Millis, Reachability};
+use glenrail_request_lifecycle::reachability::{release_order, Candidate, Millis, Reachability};
 use glenrail_router::ServerId;
 use tokio::time::Instant;
 
@@ -16,7 +16,7 @@
     /// Host and port.
     pub address: String,
     /// Whether it receives new requests.
-    pub serving: bool,
+    pub is_serving: bool,
     /// Its zone; servers become unreachable by zones.
     pub zone: u32,
     /// When it last started, in Unix milliseconds, as the list says; 0 for long ago.
@@ -62,11 +62,11 @@
                 record.reachability = Reachability::default();
             }
             // A connection to its earlier address, or to the process before its restart, carries no request.
-            if record.peer != peer || !listed.serving {
+            if record.peer != peer || !listed.is_serving {
                 record.idle.clear();
             }
             record.peer = peer;
-            record.is_serving = listed.serving;
+            record.is_serving = listed.is_serving;
             record.zone = listed.zone;
         }
     }
@@ -123,6 +123,6 @@
                 });
             }
         }
-        order(&candidates, self.now())
+        release_order(&candidates, self.now())
     }
 }
--- a/gateway/src/fleet/error.rs
+++ b/gateway/src/fleet/error.rs
@@ -70,11 +70,11 @@
     },
     /// The incarnation cannot be read or stored.
     #[error("fleet.life_file: {}: {error}", file.display())]
-    Life {
+    Incarnation {
         /// The file.
         file: PathBuf,
         /// The cause.
-        error: LifeError,
+        error: IncarnationError,
     },
 }
 
@@ -95,7 +95,7 @@
                 "bind to an address of this machine with a port that is free for UDP and TCP"
             }
             FleetError::Keys { error, .. } => error.advice(),
-            FleetError::Life { error, .. } => error.advice(),
+            FleetError::Incarnation { error, .. } => error.advice(),
         }
     }
 }
@@ -111,13 +111,13 @@
     NotAFile,
     /// Its permissions admit others than its owner.
     #[error("others than its owner may use it (mode {mode:03o})")]
-    Open {
+    TooPermissive {
         /// Its permission bits.
         mode: u32,
     },
     /// It is too long.
     #[error("is over the bound of {most} bytes")]
-    Long {
+    TooLong {
         /// The bound.
         most: usize,
     },
@@ -135,10 +135,10 @@
         match self {
             KeyFileError::Unreadable(_) => "set key_file in [fleet] to a file that this process owns",
             KeyFileError::NotAFile => "put the keys into a plain file and name that",
-            KeyFileError::Open { .. } => {
+            KeyFileError::TooPermissive { .. } => {
                 "chmod 600 the key file, and make new keys if others may have read them"
             }
-            KeyFileError::Long { .. } | KeyFileError::NotText => {
+            KeyFileError::TooLong { .. } | KeyFileError::NotText => {
                 "key_file names something else: name the key file"
             }
             KeyFileError::Key(error) => error.advice(),
@@ -148,7 +148,7 @@
 
 /// What is wrong with the file that stores the last incarnation.
 #[derive(Debug, thiserror::Error)]
-pub enum LifeError {
+pub enum IncarnationError {
     /// It cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(io::Error),
@@ -160,14 +160,14 @@
     Unwritable(io::Error),
 }
 
-impl LifeError {
+impl IncarnationError {
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            LifeError::Unreadable(_) | LifeError::Unwritable(_) => {
+            IncarnationError::Unreadable(_) | IncarnationError::Unwritable(_) => {
                 "give this process a directory that it may write in; look at space and rights there"
             }
-            LifeError::NotANumber => {
+            IncarnationError::NotANumber => {
                 "see that the clock is right, then remove the file: the clock alone gives the next life"
             }
         }
@@ -201,13 +201,13 @@
     },
     /// The other side closed a stream before the exchange was finished.
     #[error("a stream with {with} ended before its time")]
-    Ended {
+    Closed {
         /// The other side.
         with: SocketAddr,
     },
     /// A stream reached its time limit.
     #[error("a stream with {with} took longer than {most} ms")]
-    Late {
+    TimedOut {
         /// The other side.
         with: SocketAddr,
         /// The limit in milliseconds.
@@ -215,7 +215,7 @@
     },
     /// A stream was closed as too many are in progress.
     #[error("a stream with {with} is not taken: {most} run already")]
-    Crowded {
+    TooManyStreams {
         /// The other side.
         with: SocketAddr,
         /// Streams that may run at once.
@@ -239,13 +239,13 @@
             WireError::Receive(_) | WireError::Accept(_) => {
                 "look at this process's limits of descriptors and memory; it goes on by itself"
             }
-            WireError::Broken { .. } | WireError::Ended { .. } => {
+            WireError::Broken { .. } | WireError::Closed { .. } => {
                 "nothing, if the other has just ended; else see that the port is open for TCP too"
             }
-            WireError::Late { .. } => {
+            WireError::TimedOut { .. } => {
                 "look at the load and the network between the two; it is asked for again"
             }
-            WireError::Crowded { .. } => {
+            WireError::TooManyStreams { .. } => {
                 "a few follow a cut that healed; many mean that others than members reach the port"
             }
             WireError::Exchange { error, .. } => error.advice(),
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -47,7 +47,7 @@
         match driver.sockets.listener.accept().await {
             Ok((stream, with)) => match IncomingStream::new(driver) {
                 Some(incoming) => spawn_accepted(incoming, stream, with),
-                None => driver.stream_broke(&WireError::Crowded { with, most: driver.max_incoming }),
+                None => driver.stream_broke(&WireError::TooManyStreams { with, most: driver.max_incoming }),
             },
             Err(error) => {
                 driver.log_failure(&WireError::Accept(error));
@@ -88,7 +88,7 @@
 ) {
     let most = driver.stream_timeout;
     let result = timeout(Duration::from_millis(most), exchange).await;
-    if let Err(error) = result.unwrap_or(Err(WireError::Late { with, most })) {
+    if let Err(error) = result.unwrap_or(Err(WireError::TimedOut { with, most })) {
         driver.stream_broke(&error);
     }
 }
@@ -103,7 +103,7 @@
     loop {
         let bytes = stream.read(&mut buffer).await.map_err(broken)?;
         if bytes == 0 {
-            return Err(WireError::Ended { with });
+            return Err(WireError::Closed { with });
         }
         let stepped =
             driver.step(|fleet, now, effects| fleet.exchange(now, &mut exchange, &buffer[..bytes], effects));
--- a/gateway/src/fleet/incarnation.rs
+++ b/gateway/src/fleet/incarnation.rs
@@ -8,7 +8,7 @@
 
 use glenrail_fleet::Incarnation;
 
-use super::error::LifeError;
+use super::error::IncarnationError;
 
 /// Milliseconds since 1970; 0 if the clock is before that.
 pub fn clock() -> u64 {
@@ -17,15 +17,15 @@
 
 /// An incarnation later than the one stored in `file`, where it is stored before it is used. Without that, the other
 /// members would reject all messages of this run if the clock went back over a restart.
-pub fn next(clock: u64, file: Option<&Path>) -> Result<Incarnation, LifeError> {
+pub fn next(clock: u64, file: Option<&Path>) -> Result<Incarnation, IncarnationError> {
     let Some(file) = file else { return Ok(Incarnation(clock)) };
     let last = match std::fs::read_to_string(file) {
-        Ok(text) => text.trim().parse::<u64>().map_err(|_| LifeError::NotANumber)?,
+        Ok(text) => text.trim().parse::<u64>().map_err(|_| IncarnationError::NotANumber)?,
         Err(error) if error.kind() == io::ErrorKind::NotFound => 0,
-        Err(error) => return Err(LifeError::Unreadable(error)),
+        Err(error) => return Err(IncarnationError::Unreadable(error)),
     };
-    let incarnation = clock.max(last.checked_add(1).ok_or(LifeError::NotANumber)?);
-    store(incarnation, file).map_err(LifeError::Unwritable)?;
+    let incarnation = clock.max(last.checked_add(1).ok_or(IncarnationError::NotANumber)?);
+    store(incarnation, file).map_err(IncarnationError::Unwritable)?;
     Ok(Incarnation(incarnation))
 }
 
--- a/gateway/src/fleet/incarnation/tests.rs
+++ b/gateway/src/fleet/incarnation/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(lives, [70, 90, 91, 92]);
     for text in ["", "soon", "18446744073709551615"] {
         std::fs::write(&file, text).expect("a file");
-        assert!(matches!(next(1, Some(&file)), Err(LifeError::NotANumber)), "{text}");
+        assert!(matches!(next(1, Some(&file)), Err(IncarnationError::NotANumber)), "{text}");
     }
     std::fs::remove_dir_all(&directory).expect("removed");
     assert_eq!(next(7, None).expect("a life"), Incarnation(7));
--- a/gateway/src/fleet/keys.rs
+++ b/gateway/src/fleet/keys.rs
@@ -27,12 +27,12 @@
     }
     let mode = metadata.mode() & 0o777;
     if mode & GROUP_AND_OTHERS != 0 {
-        return Err(KeyFileError::Open { mode });
+        return Err(KeyFileError::TooPermissive { mode });
     }
     let mut bytes = Vec::new();
     opened.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     if bytes.len() > MAX_FILE_BYTES {
-        return Err(KeyFileError::Long { most: MAX_FILE_BYTES });
+        return Err(KeyFileError::TooLong { most: MAX_FILE_BYTES });
     }
     let text = String::from_utf8(bytes).map_err(|_| KeyFileError::NotText)?;
     Ok(Keyring::parse(&text, fleet)?)
--- a/gateway/src/fleet/keys/tests.rs
+++ b/gateway/src/fleet/keys/tests.rs
@@ -12,7 +12,9 @@
     let key = "ab".repeat(32);
     for mode in [0o640, 0o604, 0o620, 0o644, 0o601] {
         write(key.as_bytes(), mode);
-        assert!(matches!(read(&file, "f"), Err(KeyFileError::Open { mode: found }) if found == mode));
+        assert!(
+            matches!(read(&file, "f"), Err(KeyFileError::TooPermissive { mode: found }) if found == mode)
+        );
     }
     write(format!("{key}\n{key}").as_bytes(), 0o600);
     assert!(read(&file, "f").is_ok());
@@ -20,7 +22,7 @@
     assert!(matches!(read(&file, "f"), Err(KeyFileError::NotText)));
     std::fs::remove_file(&file).expect("removed");
     write(&[b'#'; MAX_FILE_BYTES + 1], 0o600);
-    assert!(matches!(read(&file, "f"), Err(KeyFileError::Long { most: MAX_FILE_BYTES })));
+    assert!(matches!(read(&file, "f"), Err(KeyFileError::TooLong { most: MAX_FILE_BYTES })));
     std::fs::remove_file(&file).expect("removed");
     assert!(matches!(read(&file, "f"), Err(KeyFileError::Unreadable(_))));
     assert!(matches!(read(&std::env::temp_dir(), "f"), Err(KeyFileError::NotAFile)));
--- a/gateway/src/fleet/start.rs
+++ b/gateway/src/fleet/start.rs
@@ -53,7 +53,7 @@
     /// The incarnation of a start at this moment, which is stored.
     pub(super) fn next_incarnation(&self) -> Result<Incarnation, FleetError> {
         let file = self.life_file.as_deref();
-        incarnation::next(incarnation::clock(), file).map_err(|error| FleetError::Life {
+        incarnation::next(incarnation::clock(), file).map_err(|error| FleetError::Incarnation {
             file: file.map(Path::to_path_buf).unwrap_or_default(),
             error,
         })
--- a/gateway/src/front/body.rs
+++ b/gateway/src/front/body.rs
@@ -118,5 +118,5 @@
         Ok(())
     };
     timeout(BODY_TIMEOUT, read_all).await.unwrap_or(Err(BodyError::TooSlow))?;
-    Ok(claim.hold(collected.freeze()))
+    Ok(claim.attach(collected.freeze()))
 }
--- a/gateway/src/front/inference/mod.rs
+++ b/gateway/src/front/inference/mod.rs
@@ -118,8 +118,8 @@
 impl Inference {
     /// A front by this file. A path whose target is left out does not exist.
     pub fn new(
-        file: &config::Front, embeddings: Option<Target>, chat: Option<Target>, budget: Budget,
-        metrics: RequestMetrics,
+        file: &config::InferenceFrontConfig, embeddings: Option<Target>, chat: Option<Target>,
+        budget: Budget, metrics: RequestMetrics,
     ) -> Self {
         Inference(Rc::new(Inner {
             max_body: file.max_body,
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -39,12 +39,12 @@
     /// The tenants, by index.
     pub tenants: Vec<String>,
     /// The longest time that a rejected client is told to wait; zero where none is told.
-    pub come_back: Duration,
+    pub max_retry_after: Duration,
 }
 
 impl PlatformNames {
     /// The longest time that these settings let a rejected client be told to wait.
-    pub fn come_back(limits: &Limits) -> Duration {
+    pub fn max_retry_after(limits: &Limits) -> Duration {
         if limits.retry_after {
             duration(limits.max_retry_after)
         } else {
@@ -111,7 +111,7 @@
     }
 
     fn rejection(&self, after: Duration) -> Response<Body> {
-        rejection("refused, try again\n", after.min(self.names.come_back))
+        rejection("refused, try again\n", after.min(self.names.max_retry_after))
     }
 
     /// The answer's first part decides the status: 200 only once a server's first event is there.
@@ -153,7 +153,7 @@
     }
 
     fn reject(&self, why: &'static str) -> Response<Body> {
-        rejection(why, OVER_CAP_RETRY_AFTER.min(self.names.come_back))
+        rejection(why, OVER_CAP_RETRY_AFTER.min(self.names.max_retry_after))
     }
 
     async fn answer(self, request: Request<Incoming>) -> Response<Body> {
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -14,7 +14,7 @@
 
 fn names() -> PlatformNames {
     let classes = vec![("item-query".into(), 10_000.0), ("order-chat".into(), 12_000.0)];
-    PlatformNames { classes, tenants: vec![], come_back: Duration::ZERO }
+    PlatformNames { classes, tenants: vec![], max_retry_after: Duration::ZERO }
 }
 
 fn read(pairs: &[(&'static str, &'static str)]) -> Result<Fields, FieldError> {
@@ -80,7 +80,7 @@
     let names = PlatformNames {
         classes: vec![("ostoskysely-äö".into(), 10_000.0)],
         tenants: vec!["ગુજરાત".into()],
-        come_back: Duration::ZERO,
+        max_retry_after: Duration::ZERO,
     };
     let value = |text: &str| HeaderValue::from_bytes(text.as_bytes()).expect("a value");
     let mut headers = HeaderMap::new();
@@ -100,7 +100,7 @@
     let retry_after = |limits: &str, after: Duration| {
         let settings = format!("{{\"policy-limits\": {limits}}}");
         let limits = glenrail_settings::settings(&serde_json::from_str(&settings).expect("settings")).limits;
-        let rejection = rejection("", after.min(PlatformNames::come_back(&limits)));
+        let rejection = rejection("", after.min(PlatformNames::max_retry_after(&limits)));
         rejection.headers().get(RETRY_AFTER).map(|value| value.to_str().expect("text").to_string())
     };
     let (allowed, much) = (
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -25,7 +25,7 @@
 use crate::upgrade::{self, TransferInbox};
 
 /// Connections beyond the cap that may at the same time be told to come back later; further ones are closed.
-pub const REFUSING: usize = 24;
+pub const MAX_REJECTING_CONNECTIONS: usize = 24;
 /// The machine's queue is taken to be empty once no connection has come out of it for this time. What it holds when
 /// accepting ends has been accepted for this process, so it is served.
 const ACCEPT_QUEUE_EMPTY: Duration = Duration::from_millis(5);
@@ -130,7 +130,7 @@
         if self.is_full() {
             self.table.evict();
         }
-        if self.table.len() >= self.cap + REFUSING.min(self.cap) {
+        if self.table.len() >= self.cap + MAX_REJECTING_CONNECTIONS.min(self.cap) {
             log!(
                 "connection closed: all {} connections have open requests, and no more can be rejected",
                 self.cap
--- a/gateway/src/haproxy.rs
+++ b/gateway/src/haproxy.rs
@@ -10,7 +10,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::config::{self, front_from, Front, Pool};
+use crate::config::{self, front_from, InferenceFrontConfig, PoolConfig};
 
 pub use self::line::LeftOutReason;
 use self::line::Part;
@@ -64,7 +64,7 @@
     Write(#[from] toml::ser::Error),
     /// What was converted is no file that the second front accepts.
     #[error("nothing that could be served comes out: {0}")]
-    Unusable(config::Error),
+    Unusable(config::ConfigError),
 }
 
 /// Reads a file, prints the second front's file and, to standard error, what was left out.
@@ -117,10 +117,12 @@
 }
 
 /// The second front's file: the defaults, and over them what the configuration says.
-fn front(reader: &Reader, listen: &str, chosen: &ChosenBackends) -> Result<Front, ConvertError> {
+fn front(
+    reader: &Reader, listen: &str, chosen: &ChosenBackends,
+) -> Result<InferenceFrontConfig, ConvertError> {
     let backend = |name: &Option<String>| name.as_ref().map(|name| &reader.backends[name]);
     let (embeddings, chat) = (backend(&chosen.embeddings), backend(&chosen.chat));
-    let mut front: Front = toml::from_str(&format!("listen = {listen:?}"))?;
+    let mut front: InferenceFrontConfig = toml::from_str(&format!("listen = {listen:?}"))?;
     front.max_connections = reader.max_connections.unwrap_or(front.max_connections);
     let server_timeout = |backend: &Backend| backend.server_ms.or(reader.defaults.server_ms);
     let longest = [embeddings, chat].into_iter().flatten().filter_map(server_timeout).max();
@@ -131,14 +133,14 @@
     Ok(front)
 }
 
-fn pool(backend: &Backend, defaults: &Backend) -> Option<Pool> {
-    let mut pool: Pool = toml::from_str("").ok()?;
+fn pool(backend: &Backend, defaults: &Backend) -> Option<PoolConfig> {
+    let mut pool: PoolConfig = toml::from_str("").ok()?;
     pool.connect_ms = backend.connect_ms.or(defaults.connect_ms).unwrap_or(pool.connect_ms);
     pool.servers = backend.servers.clone();
     Some(pool)
 }
 
-fn file_text(front: &Front, left_out: &[LeftOut]) -> Result<String, ConvertError> {
+fn file_text(front: &InferenceFrontConfig, left_out: &[LeftOut]) -> Result<String, ConvertError> {
     let mut text = String::from("# From an HAProxy configuration.\n");
     for LeftOut { line, reason } in left_out {
         text += &format!("# line {line} was not taken over: {reason}\n");
--- a/gateway/src/haproxy/line.rs
+++ b/gateway/src/haproxy/line.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::config::Server;
+use crate::config::ServerConfig;
 
 /// HAProxy's weight of a server that has none, which is 1.0 here.
 const FULL_WEIGHT: f64 = 100.0;
@@ -86,8 +86,8 @@
 }
 
 /// A server, and those of its options that have no counterpart.
-pub(super) fn server<'a>(name: &str, address: String, options: &[&'a str]) -> (Server, Vec<&'a str>) {
-    let mut server = Server { name: name.to_string(), address, weight: 1.0, drain: false };
+pub(super) fn server<'a>(name: &str, address: String, options: &[&'a str]) -> (ServerConfig, Vec<&'a str>) {
+    let mut server = ServerConfig { name: name.to_string(), address, weight: 1.0, drain: false };
     let mut left_out = Vec::new();
     let mut options = options.iter();
     while let Some(option) = options.next() {
--- a/gateway/src/haproxy/reader.rs
+++ b/gateway/src/haproxy/reader.rs
@@ -5,13 +5,13 @@
 
 use super::line::{address, milliseconds, no_more, part_by_name, server, tested_part, LeftOutReason, Part};
 use super::{ChosenBackends, LeftOut};
-use crate::config::Server;
+use crate::config::ServerConfig;
 
 /// What a `backend` or `listen` section says, or the `defaults` for them.
 #[derive(Default)]
 pub(super) struct Backend {
     line: usize,
-    pub(super) servers: Vec<Server>,
+    pub(super) servers: Vec<ServerConfig>,
     pub(super) connect_ms: Option<u64>,
     pub(super) server_ms: Option<u64>,
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
-    CommandLine(#[from] config::Error),
+    CommandLine(#[from] config::ConfigError),
     #[error(transparent)]
     Import(#[from] ImportError),
     #[error(transparent)]
--- a/gateway/src/pools/inference.rs
+++ b/gateway/src/pools/inference.rs
@@ -50,10 +50,10 @@
 impl InferencePools {
     /// Sets up the front and its pools. Chat goes to the file's servers, else to the platform's if there are any.
     pub fn new(
-        file: &config::Front, platform: Option<PlatformChat>, plugin: &Option<Rc<Plugin>>,
+        file: &config::InferenceFrontConfig, platform: Option<PlatformChat>, plugin: &Option<Rc<Plugin>>,
         slots: Arc<Semaphore>, budget: Budget, counters: RequestMetrics,
     ) -> Result<Self, PoolError> {
-        let file_pool = |pool: &config::Pool, default: Idempotency| {
+        let file_pool = |pool: &config::PoolConfig, default: Idempotency| {
             FilePool::new(pool, file.max_deadline_ms, default, slots.clone(), budget.clone())
         };
         let embeddings = file.embeddings.as_ref().map(|pool| file_pool(pool, Idempotency::Idempotent));
@@ -75,7 +75,7 @@
     }
 
     /// Applies the servers of a file that has changed. Its other settings apply from the next start on.
-    pub fn reload(&self, file: &config::Front) {
+    pub fn reload(&self, file: &config::InferenceFrontConfig) {
         for (running, new) in [(&self.embeddings, &file.embeddings), (&self.chat, &file.chat)] {
             if let (Some(running), Some(new)) = (running, new) {
                 running.reload(new);
@@ -88,20 +88,20 @@
 struct FilePool {
     pool: Pool,
     /// The pool's section as it was last applied.
-    applied: RefCell<config::Pool>,
+    applied: RefCell<config::PoolConfig>,
 }
 
 impl FilePool {
     /// `default`: whether a request that may have run may be sent again, where the file does not say.
     fn new(
-        section: &config::Pool, max_deadline_ms: u64, default: Idempotency, slots: Arc<Semaphore>,
+        section: &config::PoolConfig, max_deadline_ms: u64, default: Idempotency, slots: Arc<Semaphore>,
         budget: Budget,
     ) -> Self {
         let settings = config::one_stage(section, max_deadline_ms as Millis, default);
         let limits = EngineLimits {
             connect_timeout: Duration::from_millis(section.connect_ms),
             probes: false,
-            idle: Duration::from_millis(section.idle_ms),
+            idle_timeout: Duration::from_millis(section.idle_ms),
             public_api: true,
         };
         // Gateways have no seed in this file, and must not all draw alike.
@@ -111,7 +111,7 @@
         FilePool { pool, applied: RefCell::new(section.clone()) }
     }
 
-    fn reload(&self, section: &config::Pool) {
+    fn reload(&self, section: &config::PoolConfig) {
         let before = self.applied.replace(section.clone());
         apply_servers(&self.pool, section, Some(&before));
     }
@@ -130,7 +130,7 @@
 ///
 /// Servers of the first file count as warm. One that is new in a later file, or serves again after a drain, may have just
 /// started, so slow start applies to it.
-fn apply_servers(pool: &Pool, section: &config::Pool, before: Option<&config::Pool>) {
+fn apply_servers(pool: &Pool, section: &config::PoolConfig, before: Option<&config::PoolConfig>) {
     let addresses: Vec<ServerAddress> = section.servers.iter().map(server_address).collect();
     pool.engine.update_servers(true, &addresses, &[]);
     let entries = section.servers.iter().map(|server| {
@@ -140,11 +140,11 @@
     pool.core.update_servers(ListUpdate::Full, entries.collect());
 }
 
-fn serves(section: &config::Pool, name: &str) -> bool {
+fn serves(section: &config::PoolConfig, name: &str) -> bool {
     section.servers.iter().any(|server| server.name == name && !server.drain)
 }
 
-fn router_entry(server: &config::Server, started: Option<Millis>) -> ServerEntry {
+fn router_entry(server: &config::ServerConfig, started: Option<Millis>) -> ServerEntry {
     ServerEntry {
         server: server_id(&server.name),
         weight: server.weight,
@@ -154,11 +154,11 @@
     }
 }
 
-fn server_address(server: &config::Server) -> ServerAddress {
+fn server_address(server: &config::ServerConfig) -> ServerAddress {
     ServerAddress {
         server: server_id(&server.name),
         address: server.address.clone(),
-        serving: !server.drain,
+        is_serving: !server.drain,
         ..ServerAddress::default()
     }
 }
--- a/gateway/tests/admin.rs
+++ b/gateway/tests/admin.rs
@@ -9,7 +9,7 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail::admin::{AdminContext, AdminFront, CONNECTIONS};
+use glenrail::admin::{AdminContext, AdminFront, MAX_CONNECTIONS};
 use glenrail::discovery::EndpointList;
 use glenrail::engine::Engine;
 use glenrail::front::server;
@@ -68,7 +68,7 @@
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let ops = listener.local_addr().expect("an address");
-    spawn_local(server::serve(listener, AdminFront::new(desk), CONNECTIONS, Shutdown::default()));
+    spawn_local(server::serve(listener, AdminFront::new(desk), MAX_CONNECTIONS, Shutdown::default()));
     Operated { g, ops, rotation, state }
 }
 
@@ -268,7 +268,7 @@
         let (reader, writer) = (StandIn::start(|_, _| read()).await, StandIn::start(|_, _| stream()).await);
         let o = operated("silent", &[&reader, &writer], 50).await;
         let mut silent = Vec::new();
-        for n in 0..4 * CONNECTIONS {
+        for n in 0..4 * MAX_CONNECTIONS {
             let mut raw = TcpStream::connect(o.ops).await.expect("a connection");
             if n % 2 == 0 {
                 raw.write_all(b"GET /control/co").await.expect("sent");
--- a/gateway/tests/common/attempts.rs
+++ b/gateway/tests/common/attempts.rs
@@ -25,13 +25,17 @@
 pub const PATIENCE: Duration = Duration::from_millis(1_500);
 
 pub fn engine(idle: Duration, slots: usize) -> Engine {
-    let limits =
-        EngineLimits { connect_timeout: Duration::from_secs(5), probes: true, idle, public_api: false };
+    let limits = EngineLimits {
+        connect_timeout: Duration::from_secs(5),
+        probes: true,
+        idle_timeout: idle,
+        public_api: false,
+    };
     Engine::new(limits, Arc::new(Semaphore::new(slots)), Budget::new(1 << 20))
 }
 
 pub fn address(server: ServerId, at: &StandIn, serving: bool) -> ServerAddress {
-    ServerAddress { server, address: at.address.to_string(), serving, ..ServerAddress::default() }
+    ServerAddress { server, address: at.address.to_string(), is_serving: serving, ..ServerAddress::default() }
 }
 
 pub fn payload(body: &str) -> Rc<Payload> {
@@ -78,7 +82,7 @@
     let engine = engine(AGES, 8);
     engine.update_servers(
         true,
-        &[ServerAddress { server: SERVER, address: dial, serving: true, ..ServerAddress::default() }],
+        &[ServerAddress { server: SERVER, address: dial, is_serving: true, ..ServerAddress::default() }],
         &[],
     );
     let connections = Rc::new(std::cell::Cell::new(0));
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -53,8 +53,12 @@
         "domain": {"stage-of-kind": ["read", "write"], "tokens-by-kind": [200000, 200000], "pin-limit": 500.0},
         "policy-limits": {"max-attempts": 5, "cancel": true, "retry-after": true, "max-retry-after": 500.0},
         "rules": {"cold": 13000.0, "cold-from": 0.31, "fall": 3000.0, "fall-multiple": 4.0}}));
-    let limits =
-        EngineLimits { connect_timeout: Duration::from_secs(5), probes: true, idle: AGES, public_api: false };
+    let limits = EngineLimits {
+        connect_timeout: Duration::from_secs(5),
+        probes: true,
+        idle_timeout: AGES,
+        public_api: false,
+    };
     let budget = Budget::new(64 << 20);
     let pool = Pool::new(3, settings, limits, Arc::new(Semaphore::new(100)), budget.clone());
     let mut hosts = Vec::new();
@@ -74,7 +78,7 @@
     let names = platform::PlatformNames {
         classes: vec![("item-query".into(), 10_000.0), ("order-chat".into(), 12_000.0)],
         tenants: vec![],
-        come_back: Duration::from_millis(500),
+        max_retry_after: Duration::from_millis(500),
     };
     let classes = names.classes.iter().map(|c| c.0.clone());
     let counters = RequestMetrics::new(classes);
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -21,7 +21,7 @@
 const SOON: Duration = Duration::from_millis(1_500);
 
 /// The calls of a gateway alone.
-fn calls(mode: &str) -> glenrail_request_lifecycle::watch::PollSchedule {
+fn calls(mode: &str) -> glenrail_request_lifecycle::discovery_polling::PollSchedule {
     let settings = json!({"balancers": 1, "discovery": mode, "rules": {"ask-within": 10_000.0}});
     discovery::poll_schedule(&glenrail_settings::settings(&settings), 1)
 }
--- a/gateway/tests/engine.rs
+++ b/gateway/tests/engine.rs
@@ -176,7 +176,7 @@
         let at = |n, dial: String, zone| ServerAddress {
             server: ServerId(n),
             address: dial,
-            serving: true,
+            is_serving: true,
             zone,
             started_ms: 0,
         };
@@ -219,7 +219,7 @@
         let engine = engine(AGES, 8);
         engine.update_servers(
             true,
-            &[ServerAddress { server: SERVER, address: dial, serving: true, ..ServerAddress::default() }],
+            &[ServerAddress { server: SERVER, address: dial, is_serving: true, ..ServerAddress::default() }],
             &[],
         );
         for _ in 0..3 {
@@ -249,7 +249,7 @@
         let engine = engine(AGES, 8);
         engine.update_servers(
             true,
-            &[ServerAddress { server: SERVER, address: dial, serving: true, ..ServerAddress::default() }],
+            &[ServerAddress { server: SERVER, address: dial, is_serving: true, ..ServerAddress::default() }],
             &[],
         );
         let mut sending = Box::pin(attempt(&engine, "last byte"));
--- a/gateway/tests/first_byte.rs
+++ b/gateway/tests/first_byte.rs
@@ -65,7 +65,7 @@
 
 fn at(listener: &TcpListener, serving: bool) -> ServerAddress {
     let dial = listener.local_addr().expect("an address").to_string();
-    ServerAddress { server: SERVER, address: dial, serving, ..ServerAddress::default() }
+    ServerAddress { server: SERVER, address: dial, is_serving: serving, ..ServerAddress::default() }
 }
 
 async fn accepted(listener: &TcpListener) -> TcpStream {
--- a/gateway/tests/idle_connections.rs
+++ b/gateway/tests/idle_connections.rs
@@ -29,12 +29,13 @@
     run(async {
         let server = StandIn::start(|_, _| Act::Answer(answer(202, &[], r#"{"cached_tokens":4}"#))).await;
         let idle = Duration::from_secs(3_600);
-        let limits = EngineLimits { connect_timeout: AGES, probes: true, idle, public_api: false };
+        let limits =
+            EngineLimits { connect_timeout: AGES, probes: true, idle_timeout: idle, public_api: false };
         let engine = Engine::new(limits, Arc::new(Semaphore::new(4)), Budget::new(1 << 20));
         let address = ServerAddress {
             server: ServerId(1),
             address: server.address.to_string(),
-            serving: true,
+            is_serving: true,
             ..ServerAddress::default()
         };
         engine.update_servers(true, &[address], &[]);
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 use glenrail::budget::Budget;
-use glenrail::config::{front_from, Front};
+use glenrail::config::{front_from, InferenceFrontConfig};
 use glenrail::engine::{EngineLimits, ServerAddress};
 use glenrail::front::server;
 use glenrail::metrics::RequestMetrics;
@@ -30,7 +30,7 @@
 struct Gateway {
     address: SocketAddr,
     second: InferencePools,
-    file: Front,
+    file: InferenceFrontConfig,
 }
 
 fn pool(servers: &[(&str, &StandIn, bool)]) -> String {
@@ -40,7 +40,7 @@
     format!("connect_ms = 5000\nservers = [{}]", servers.iter().map(server).collect::<Vec<_>>().join(", "))
 }
 
-fn file(embeddings: &[(&str, &StandIn, bool)], chat: &[(&str, &StandIn, bool)]) -> Front {
+fn file(embeddings: &[(&str, &StandIn, bool)], chat: &[(&str, &StandIn, bool)]) -> InferenceFrontConfig {
     let mut text = "listen = '127.0.0.1:0'\ndeadline_ms = 20000\nmax_deadline_ms = 25000\n".to_string();
     for (name, servers) in [("embeddings", embeddings), ("chat", chat)] {
         if !servers.is_empty() {
@@ -50,7 +50,7 @@
     front_from(&text).expect("a file")
 }
 
-async fn gateway(file: Front) -> Gateway {
+async fn gateway(file: InferenceFrontConfig) -> Gateway {
     let budget = Budget::new(64 << 20);
     let slots = Arc::new(Semaphore::new(300));
     let second =
@@ -305,7 +305,7 @@
         let limits = EngineLimits {
             connect_timeout: Duration::from_secs(5),
             probes: true,
-            idle: AGES,
+            idle_timeout: AGES,
             public_api: false,
         };
         let classes = settings.classes.clone();
@@ -316,7 +316,7 @@
         let dial = |i: usize, at: &StandIn| ServerAddress {
             server: ids[i],
             address: at.address.to_string(),
-            serving: true,
+            is_serving: true,
             ..ServerAddress::default()
         };
         pool.engine.update_servers(true, &[dial(0, &reader), dial(1, &writer)], &[]);
--- a/gateway/tests/leases.rs
+++ b/gateway/tests/leases.rs
@@ -19,7 +19,7 @@
 const WAIT: Duration = Duration::from_secs(20);
 
 fn engine(bodies: usize) -> Engine {
-    let limits = EngineLimits { connect_timeout: WAIT, probes: true, idle: WAIT, public_api: false };
+    let limits = EngineLimits { connect_timeout: WAIT, probes: true, idle_timeout: WAIT, public_api: false };
     Engine::new(limits, Arc::new(Semaphore::new(8)), Budget::new(bodies))
 }
 
@@ -27,7 +27,7 @@
     let line = |(n, (at, serving)): (usize, &(&StandIn, bool))| ServerAddress {
         server: ServerId(n as u64),
         address: at.address.to_string(),
-        serving: *serving,
+        is_serving: *serving,
         zone: 0,
         started_ms: 0,
     };
--- a/gateway/tests/on_call.rs
+++ b/gateway/tests/on_call.rs
@@ -3,7 +3,7 @@
 use std::io::Error;
 use std::path::PathBuf;
 
-use glenrail::fleet::error::{FleetError, KeyFileError, LifeError, WireError};
+use glenrail::fleet::error::{FleetError, IncarnationError, KeyFileError, WireError};
 use glenrail_fleet::{ExchangeError, KeyError, MemberId, SettingsError};
 
 macro_rules! all {
@@ -31,20 +31,20 @@
             NoName { file: file() }, Forbidden { file: file() },
             Bind { file: file(), address: at(), error: io() },
             Keys { file: file(), error: KeyFileError::NotAFile },
-            Life { file: file(), error: LifeError::NotANumber }),
-        all!(KeyFileError: Unreadable(io()), NotAFile, Open { mode: 0o644 }, Long { most: 1 }, NotText,
+            Incarnation { file: file(), error: IncarnationError::NotANumber }),
+        all!(KeyFileError: Unreadable(io()), NotAFile, TooPermissive { mode: 0o644 }, TooLong { most: 1 }, NotText,
             Key(KeyError::None)),
-        all!(LifeError: Unreadable(io()), NotANumber, Unwritable(io())),
+        all!(IncarnationError: Unreadable(io()), NotANumber, Unwritable(io())),
         all!(WireError: Send { to: at(), error: io() }, Receive(io()), Accept(io()),
-            Broken { with: at(), error: io() }, Ended { with: at() }, Late { with: at(), most: 1 },
-            Crowded { with: at(), most: 1 },
+            Broken { with: at(), error: io() }, Closed { with: at() }, TimedOut { with: at(), most: 1 },
+            TooManyStreams { with: at(), most: 1 },
             Exchange { with: at(), error: ExchangeError::NotAMember { with: MemberId(1) } }),
     ];
     // What is passed on has the advice of what it passes on, in rows of its own.
     let passed = [
         "FleetError::Figure",
         "FleetError::Keys",
-        "FleetError::Life",
+        "FleetError::Incarnation",
         "KeyFileError::Key",
         "WireError::Exchange",
     ];
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -5,7 +5,7 @@
     AttemptOutcome, AttemptStatus, Event, ListUpdate, LoadReport, Request, RequestId, ServerEntry,
     ServerState,
 };
-use glenrail_settings::{flag, integer, list, number, report, server_id, text};
+use glenrail_settings::{flag, integer, list, load_report, number, server_id, text};
 use serde_json::Value;
 
 fn request_id(event: &Value) -> RequestId {
@@ -26,9 +26,9 @@
     }
 }
 
-fn load_report(event: &Value) -> Option<LoadReport> {
+fn reported_load(event: &Value) -> Option<LoadReport> {
     let pairs = event.get("pressure")?.as_object()?;
-    Some(report(|name| pairs.get(name).and_then(Value::as_f64)))
+    Some(load_report(|name| pairs.get(name).and_then(Value::as_f64)))
 }
 
 fn server_entry(item: &Value) -> ServerEntry {
@@ -84,7 +84,7 @@
         note: number(event, "info"),
         closed: flag(event, "finished"),
         delivered: status.may_have_arrived(),
-        report: load_report(event),
+        report: reported_load(event),
     }
 }
 
@@ -109,7 +109,7 @@
             server,
             status: attempt_status(integer(event, "rc")),
             elapsed,
-            report: load_report(event),
+            report: reported_load(event),
         },
         "PEER" => Event::Gossip {
             from: integer(event, "src") as u32,
