--- a/crates/request-lifecycle/src/client/mod.rs
+++ b/crates/request-lifecycle/src/client/mod.rs
@@ -16,9 +16,10 @@
 use crate::InvalidTransition;
 
 /// Where a connection stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Nothing has been received yet.
+    #[default]
     New,
     /// A part of a request's head has been received.
     Head,
@@ -121,7 +122,7 @@
 }
 
 /// The state machine of one client connection.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
     stage: Stage,
     /// The client has stopped reading what is written.
@@ -136,20 +137,6 @@
     fault: Option<Fault>,
 }
 
-impl Default for Connection {
-    fn default() -> Self {
-        Connection {
-            stage: Stage::New,
-            blocked: false,
-            pipelined_bytes: false,
-            last_request: false,
-            stream_detached: false,
-            #[cfg(feature = "mutants")]
-            fault: None,
-        }
-    }
-}
-
 impl Connection {
     /// A connection in this stage, for listing the rows of the transition table.
     #[cfg(feature = "mutants")]
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -25,6 +25,7 @@
 
 pub mod client;
 pub mod discovery_polling;
+mod planting;
 pub mod reachability;
 pub mod request;
 pub mod server;
--- a/crates/request-lifecycle/src/reachability/mod.rs
+++ b/crates/request-lifecycle/src/reachability/mod.rs
@@ -4,7 +4,7 @@
 //! caller does not wait for a server that may be cut off: the one most likely to answer is asked first, and while nobody
 //! has answered, others are asked too, of another zone each time, since networks fail by zones.
 //!
-//! [`Reachability`] is what one server's calls have shown, [`order`] ranks servers by it, and [`Release`] is one release
+//! [`Reachability`] is what one server's calls have shown, [`release_order`] ranks servers by it, and [`ReleaseRounds`] is one release
 //! in progress. The caller owns the clock and the calls.
 
 use std::cmp::Reverse;
@@ -181,7 +181,7 @@
         self.next_round = self.next_round.min(now);
     }
 
-    /// When to call [`Release::ask`] again if nobody answers before; `None` once the release cannot succeed any more.
+    /// When to call [`ReleaseRounds::next_round`] again if nobody answers before; `None` once the release cannot succeed any more.
     pub fn next_wake(&self, now: Millis) -> Option<Millis> {
         if now >= self.deadline {
             return None;
--- a/crates/request-lifecycle/src/request/planted_faults.rs
+++ b/crates/request-lifecycle/src/request/planted_faults.rs
@@ -1,11 +1,10 @@
 //! Faults that can be planted in the machine, to show that the model checker finds each of them.
-//!
-//! Only the `mutants` feature, which the model checker alone enables, can plant one. In any other build
-//! [`Request::has_fault`] is the constant `false`, and the compiler removes what depends on it.
+//! [`planting`](crate::planting) has how.
 
 use serde::{Deserialize, Serialize};
 
 use super::Request;
+use crate::planting::plantable;
 
 /// A fault of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -54,24 +53,4 @@
     KeepsUndelivered,
 }
 
-#[cfg(feature = "mutants")]
-impl Request {
-    /// Plants a fault, or removes the one planted.
-    pub fn plant(&mut self, fault: Option<Fault>) {
-        self.fault = fault;
-    }
-
-    /// Whether this fault is planted.
-    pub(super) fn has_fault(&self, fault: Fault) -> bool {
-        self.fault == Some(fault)
-    }
-}
-
-#[cfg(not(feature = "mutants"))]
-impl Request {
-    /// Whether this fault is planted: never, in a build without the feature.
-    #[inline(always)]
-    pub(super) fn has_fault(&self, _: Fault) -> bool {
-        false
-    }
-}
+plantable!(Request, Fault);
--- a/crates/request-lifecycle/src/server/mod.rs
+++ b/crates/request-lifecycle/src/server/mod.rs
@@ -15,9 +15,10 @@
 use crate::InvalidTransition;
 
 /// Where a connection stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Being opened.
+    #[default]
     Connecting,
     /// Up, with no request on it.
     Idle,
@@ -102,7 +103,7 @@
 }
 
 /// The state machine of one connection to a server.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
     stage: Stage,
     /// It has carried a request before this one.
@@ -115,19 +116,6 @@
     fault: Option<Fault>,
 }
 
-impl Default for Connection {
-    fn default() -> Self {
-        Connection {
-            stage: Stage::Connecting,
-            used: false,
-            has_written: false,
-            drained: false,
-            #[cfg(feature = "mutants")]
-            fault: None,
-        }
-    }
-}
-
 impl Connection {
     /// A connection in this stage, for listing the rows of the transition table.
     #[cfg(feature = "mutants")]
