--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings of a deployment: one reader of the settings JSON for the gateway and the simulator's adapter.
 //!
 //! This crate is the one place where the operators' key names meet the names of the code. [`settings`] reads leniently:
-//! unknown keys are skipped, and a value of the wrong type counts as left out. [`checked`] names the first key that is at
+//! unknown keys are skipped, and a value of the wrong type counts as left out. [`checked()`] names the first key that is at
 //! fault instead, and is what the gateway starts with.
 
 #![deny(missing_docs)]
--- a/fault-tests/src/faults.rs
+++ b/fault-tests/src/faults.rs
@@ -25,7 +25,7 @@
 pub enum Fault {
     /// The ways to these engines are silent; those that stood are reset at the end if `resets`.
     Blackholed { engines: Vec<usize>, resets: bool },
-    /// As [`Fault::Silent`], and no new connection comes up.
+    /// As [`Fault::Blackholed`], and no new connection comes up.
     Unconnectable { engines: Vec<usize> },
     /// One gateway's way to an engine is silent.
     BlackholedLink { gateway: usize, engine: usize },
--- a/fault-tests/src/network.rs
+++ b/fault-tests/src/network.rs
@@ -32,7 +32,7 @@
     Open,
     /// Connections stand and come up, and nothing passes either way.
     Blackholed,
-    /// As [`Condition::Silent`], and no further connection comes up.
+    /// As [`Condition::Blackholed`], and no further connection comes up.
     Unconnectable,
 }
 
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -1,5 +1,5 @@
 //! Releases of the leases that servers hold for a request. Which server is asked when is decided by
-//! [`reachability`](glenrail_request_lifecycle::reach).
+//! [`reachability`](glenrail_request_lifecycle::reachability).
 
 use std::rc::Rc;
 use std::time::Duration;
