--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -201,7 +201,8 @@
     Ok(())
 }
 
-fn entry_name(entry: &Value) -> Option<&str> {
+/// The name of an item of a list: the item itself, or its key `name`.
+pub fn entry_name(entry: &Value) -> Option<&str> {
     entry.as_str().or_else(|| entry.get("name")?.as_str())
 }
 
--- a/gateway/src/admin.rs
+++ b/gateway/src/admin.rs
@@ -16,7 +16,7 @@
 use crate::fleet;
 use crate::front::{response, Body, Front};
 use crate::invariants;
-use crate::maintenance::{Maintenance, OrderError};
+use crate::maintenance::{Maintenance, Order, OrderError};
 use crate::metrics::{OutcomeCounts, RequestCounter, RequestMetrics};
 use crate::pools::Pool;
 use crate::shutdown::Shutdown;
@@ -53,23 +53,6 @@
     }
 }
 
-/// What operators order for a server.
-#[derive(Clone, Copy)]
-enum Order {
-    Offline,
-    Online,
-}
-
-impl Order {
-    /// As it stands in the path and in the answer.
-    fn name(self) -> &'static str {
-        match self {
-            Order::Offline => "offline",
-            Order::Online => "online",
-        }
-    }
-}
-
 /// A call, by its path.
 enum Call<'a> {
     Ready,
@@ -169,11 +152,7 @@
         let Ok(server) = percent_decode_str(encoded_server).decode_utf8() else {
             return text_line(StatusCode::BAD_REQUEST, "the engine's id is not UTF-8");
         };
-        let result = match order {
-            Order::Offline => self.0.maintenance.offline(&server),
-            Order::Online => self.0.maintenance.online(&server),
-        };
-        match result {
+        match self.0.maintenance.order(&server, order) {
             Ok(()) => text_line(StatusCode::OK, &format!("{server}: {}", order.name())),
             Err(error) => text_line(order_status(&error), &format!("{server}: {error}")),
         }
--- a/gateway/src/config/front.rs
+++ b/gateway/src/config/front.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{error, read, ConfigError};
+use super::{error, error_line, read, ConfigError};
 
 /// The second front's file. Field names are the file's keys unless renamed.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
@@ -128,11 +128,7 @@
 }
 
 fn parse(text: &str) -> Result<InferenceFrontConfig, ConfigError> {
-    toml::from_str(text).or_else(|e| {
-        let start = e.span().map_or(0, |span| span.start);
-        let line_breaks = text.bytes().take(start).filter(|byte| *byte == b'\n').count();
-        error(format!("line {}", line_breaks + 1), e.message())
-    })
+    toml::from_str(text).or_else(|e| error(format!("line {}", error_line(text, &e)), e.message()))
 }
 
 fn check_figures(front: &InferenceFrontConfig) -> Result<(), ConfigError> {
--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -30,6 +30,12 @@
     Err(ConfigError { key: key.into(), what: what.into() })
 }
 
+/// The line, from 1, of a TOML text at which it could not be parsed.
+pub(crate) fn error_line(text: &str, error: &toml::de::Error) -> usize {
+    let start = error.span().map_or(0, |span| span.start);
+    text.bytes().take(start).filter(|byte| *byte == b'\n').count() + 1
+}
+
 fn read(path: &Path, key: &str) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).or_else(|e| error(key, format!("cannot be read: {e}")))
 }
--- a/gateway/src/config/platform/bounds.rs
+++ b/gateway/src/config/platform/bounds.rs
@@ -12,8 +12,8 @@
 pub(super) const DEFAULT_SOCKETS: usize = 1024;
 /// Memory in mebibytes of a process that is given no limit.
 pub(super) const DEFAULT_MEMORY_MB: usize = 192;
-/// Memory is shared out as if there were at least this much, in mebibytes.
-const LEAST_MEMORY_MB: usize = 16;
+/// With less memory, in mebibytes, none is left for bodies.
+pub(super) const LEAST_MEMORY_MB: usize = 16;
 /// Request bodies may take the memory divided by this.
 const BODIES_DIVISOR: usize = 4;
 /// The operators' front may take the descriptors divided by this, up to its own bound.
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -11,14 +11,12 @@
 use serde_json::Value;
 
 pub use self::bounds::Bounds;
-use self::bounds::{DEFAULT_MEMORY_MB, DEFAULT_SOCKETS};
+use self::bounds::{DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, LEAST_MEMORY_MB};
 use super::{error, read, ConfigError};
 use crate::core::duration;
 
 /// With fewer descriptors none are left for servers beside the clients'.
 const LEAST_SOCKETS: f64 = 40.0;
-/// With less memory, in mebibytes, none is left for bodies.
-const LEAST_MEMORY_MB: f64 = 16.0;
 /// Beyond this a limit is a mistake.
 const MAX_LIMIT: f64 = 1e8;
 /// Milliseconds after which servers close idle connections, where the settings do not say: the soonest of all
@@ -160,7 +158,7 @@
 
 fn bounds(json: &Value) -> Result<Bounds, ConfigError> {
     let sockets = limit(json, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)?;
-    let memory_mb = limit(json, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB)?;
+    let memory_mb = limit(json, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB as f64)?;
     Ok(Bounds::new(sockets, memory_mb))
 }
 
@@ -207,8 +205,8 @@
 
 /// The names in a list of the settings, whose items are names or objects with one.
 fn names(raw_settings: &Value, key: &str) -> Vec<String> {
-    let name = |item: &Value| item.as_str().or_else(|| item.get("name")?.as_str()).map(str::to_string);
-    glenrail_settings::list(raw_settings, key).iter().map(|item| name(item).unwrap_or_default()).collect()
+    let name = |item| glenrail_settings::entry_name(item).unwrap_or_default().to_string();
+    glenrail_settings::list(raw_settings, key).iter().map(name).collect()
 }
 
 fn idle_timeout(raw_settings: &Value) -> Duration {
--- a/gateway/src/core/admission.rs
+++ b/gateway/src/core/admission.rs
@@ -9,7 +9,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-use super::clock::duration;
+use super::clock::{duration, millis};
 use super::request_record::RecordBuilder;
 use super::request_state::RequestState;
 use super::{Core, DecisionPolicy, Inner, Upstream};
@@ -36,7 +36,7 @@
         };
         let deadline = arrived + duration(routing.client_timeout);
         routing.id = RequestId(id);
-        routing.client_timeout = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
+        routing.client_timeout = millis(deadline.saturating_duration_since(Instant::now()));
         let disconnect_watch = self.watch_disconnect(id, parts.clone());
         let admission = Admission { arrived, deadline, payload, response: parts, disconnect_watch };
         let mut effects = Vec::new();
--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -6,11 +6,11 @@
 use tokio::time::{timeout_at, Instant};
 use tower::ServiceExt;
 
-use super::forwarding::{forward_remaining, send_part, Frames, StreamSummary};
+use super::forwarding::{forward_remaining, send_part, StreamSummary};
 use super::request_state::ServerReport;
 use super::{Core, DecisionPolicy, Upstream};
 use crate::exchange::{CancelToken, ResponseHead, ResponsePart};
-use crate::upstream::{Call, CallError, Frame, Reply};
+use crate::upstream::{Call, CallError, Frame, Frames, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     /// Sends an attempt once and feeds the machine with its result.
--- a/gateway/src/core/clock.rs
+++ b/gateway/src/core/clock.rs
@@ -18,7 +18,7 @@
 impl Clock {
     /// A clock that begins now, when the wall clock shows `unix` since the Unix epoch.
     pub fn new(unix: Duration) -> Self {
-        Clock { start: Instant::now(), unix_ms: unix.as_secs_f64() * 1000.0 }
+        Clock { start: Instant::now(), unix_ms: millis(unix) }
     }
 
     /// Milliseconds since this clock began.
@@ -28,7 +28,7 @@
 
     /// What this clock shows at an instant; 0 for any before it began.
     pub fn at(&self, instant: Instant) -> Millis {
-        instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
+        millis(instant.saturating_duration_since(self.start))
     }
 
     /// What this clock shows at a time of the wall clock, in Unix milliseconds; negative for what was before this process.
@@ -49,6 +49,11 @@
     }
 }
 
+/// A duration in milliseconds.
+pub fn millis(duration: Duration) -> Millis {
+    duration.as_secs_f64() * 1000.0
+}
+
 /// Milliseconds as a duration, limited to between 0 and one hour; 0 for what is not a finite number.
 pub fn duration(milliseconds: Millis) -> Duration {
     let limited = if milliseconds.is_finite() { milliseconds.clamp(0.0, MAX_DURATION) / 1000.0 } else { 0.0 };
--- a/gateway/src/core/delivery.rs
+++ b/gateway/src/core/delivery.rs
@@ -48,7 +48,7 @@
         let finished_request = {
             let inner = self.inner.borrow();
             // A name that a later request has again is in use.
-            inner.last_finished.clone().filter(|name| !inner.ids_by_name.contains_key(&**name))
+            inner.last_finished.as_ref().filter(|name| !inner.ids_by_name.contains_key(*name)).cloned()
         };
         let call = Call::VerifyReachable { server, finished_request };
         self.upstream.clone().oneshot(call).await.is_ok()
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -190,8 +190,7 @@
             inner.timers.disarm(key);
         }
         let name = &request.payload.request_id;
-        inner.ids_by_name.remove(name);
-        inner.last_finished = Some(name.as_str().into());
+        inner.last_finished = inner.ids_by_name.remove_entry(name).map(|(name, _)| name);
         invariants::check_end(&request.machine, name);
         for prefill in request.unconfirmed_prefills() {
             spawn_local(self.clone().release_orphaned_state(prefill));
--- a/gateway/src/core/forwarding.rs
+++ b/gateway/src/core/forwarding.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use futures_util::stream::{LocalBoxStream, StreamExt};
+use futures_util::stream::StreamExt;
 use glenrail_request_lifecycle::request::StreamEnd;
 use glenrail_router::LoadReport;
 use tokio::sync::mpsc;
@@ -11,10 +11,7 @@
 
 use crate::exchange::{self, ClientSide, ResponsePart};
 use crate::log;
-use crate::upstream::{CallError, Frame};
-
-/// The frames of a response that is streamed.
-pub type Frames = LocalBoxStream<'static, Result<Frame, CallError>>;
+use crate::upstream::{CallError, Frame, Frames};
 
 /// A stream without a complete event for so long is taken for dead, so that its client's connection ends within the 5 s
 /// of the platform's rules. A decode server may have queued the request again, so the timeout is no shorter.
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -43,7 +43,7 @@
 use crate::exchange::{self, ClientSide};
 use crate::upstream::{Call, CallError, Reply};
 
-pub use clock::{duration, Clock};
+pub use clock::{duration, millis, Clock};
 pub use forwarding::resume;
 use request_state::RequestState;
 use timers::Timers;
@@ -99,7 +99,7 @@
     /// The requests that have not finished, by the ids that servers know them by.
     ids_by_name: HashMap<String, u64>,
     /// The name of the request that finished last.
-    last_finished: Option<Rc<str>>,
+    last_finished: Option<String>,
     last_id: u64,
     timers: Timers,
     /// Waits for the timers.
--- a/gateway/src/core/probe.rs
+++ b/gateway/src/core/probe.rs
@@ -4,6 +4,7 @@
 use tokio::time::Instant;
 use tower::ServiceExt;
 
+use super::clock::millis;
 use super::{Core, DecisionPolicy, Upstream};
 use crate::upstream::{Call, CallError, Reply};
 
@@ -20,7 +21,7 @@
             Err(CallError::Reset) => (AttemptStatus::Reset, None),
             Err(CallError::MalformedResponse) => (AttemptStatus::MalformedResponse, None),
         };
-        let elapsed = sent.elapsed().as_secs_f64() * 1000.0;
+        let elapsed = millis(sent.elapsed());
         self.dispatch(Event::ProbeResult { server, status, elapsed, report });
     }
 }
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -10,6 +10,7 @@
 use tokio::time::Instant;
 use tokio_util::time::delay_queue::Key;
 
+use super::clock::millis;
 use super::request_record::RecordBuilder;
 use super::timers::TimerPurpose;
 use super::timing::{DELIVERY_CHECK_SHARE, LATEST_DELIVERY_CHECK_SHARE, LATEST_WRITE_SHARE};
@@ -46,7 +47,7 @@
 
     /// Milliseconds since the router ordered the attempt.
     pub fn elapsed(&self) -> Millis {
-        self.ordered_at.elapsed().as_secs_f64() * 1000.0
+        millis(self.ordered_at.elapsed())
     }
 }
 
--- a/gateway/src/counted_socket.rs
+++ b/gateway/src/counted_socket.rs
@@ -13,6 +13,9 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
+/// Bytes read at once where they are not read into hyper's buffer.
+const READ_SIZE: usize = 4096;
+
 /// A counter that is incremented once so many bytes have been written in all.
 struct PendingCount {
     written: u64,
@@ -60,6 +63,17 @@
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
+    /// Reads what the socket has, without clearing memory for it; 0 at the end of what the peer sends.
+    pub fn poll_read_into(
+        &mut self, context: &mut Context<'_>, bytes: &mut Vec<u8>,
+    ) -> Poll<io::Result<usize>> {
+        let mut space = [MaybeUninit::uninit(); READ_SIZE];
+        let mut part = ReadBuf::uninit(&mut space);
+        ready!(Pin::new(self).poll_read(context, &mut part))?;
+        bytes.extend_from_slice(part.filled());
+        Poll::Ready(Ok(part.filled().len()))
+    }
+
     /// Adds one to `count` as soon as so many more bytes have been handed to the kernel.
     pub fn count_after(&self, bytes: u64, count: Rc<Cell<u64>>) {
         let pending = PendingCount { written: self.written() + bytes, count };
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
 use http::{Method, StatusCode};
 use http_body_util::{BodyExt, Limited};
@@ -54,16 +55,10 @@
     pub(super) async fn probe(&self, server: ServerId) -> Result<Reply, CallError> {
         let request = ServerRequest::new(RequestKind::Probe, load_request()?);
         self.0.counts.borrow_mut().probes += 1;
-        self.0
-            .servers
-            .borrow_mut()
-            .record(server, glenrail_request_lifecycle::reachability::Reachability::query_sent);
+        self.record(server, Reachability::query_sent);
         let answer = timeout(PROBE_TIMEOUT, self.short_call(server, &request)).await;
         if answer.is_err() {
-            self.0
-                .servers
-                .borrow_mut()
-                .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
+            self.record(server, Reachability::query_lost);
         }
         let (head, body) = answer.map_err(|_| CallError::Reset)??;
         let report = match load_report_of(&head.headers) {
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -6,6 +6,7 @@
 
 use std::time::Duration;
 
+use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
 use http::Method;
 use http_body_util::{BodyExt, Limited};
@@ -13,6 +14,7 @@
 
 use super::connection::{Connection, SendFailure};
 use super::control_calls::MAX_SHORT_BODY;
+use super::pool::time_for;
 use super::requests::{lease_request, load_request};
 use super::server_request::{RequestKind, ServerRequest};
 use super::Engine;
@@ -58,10 +60,7 @@
         &self, server: ServerId, connection: &mut Connection, deadline: Option<Instant>,
     ) -> Result<(), Unverified> {
         self.0.counts.borrow_mut().probes += 1;
-        let wait = match deadline {
-            Some(deadline) => deadline.saturating_duration_since(Instant::now()).min(ANSWER_TIMEOUT),
-            None => ANSWER_TIMEOUT,
-        };
+        let wait = time_for(ANSWER_TIMEOUT, deadline);
         let answer = self.probe_on(server, connection);
         tokio::pin!(answer);
         let mut repeated_waits = 0;
@@ -69,10 +68,7 @@
             let started = Instant::now();
             if let Ok(answer) = timeout(wait, &mut answer).await {
                 answer?;
-                self.0
-                    .servers
-                    .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reachability::Reachability::answered);
+                self.record(server, Reachability::answered);
                 return Ok(());
             }
             let was_stalled = started.elapsed() > wait + STALL_THRESHOLD;
@@ -89,10 +85,7 @@
     }
 
     fn record_unresponsive(&self, server: ServerId) {
-        self.0
-            .servers
-            .borrow_mut()
-            .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
+        self.record(server, Reachability::query_lost);
         log!("a connection to server {:x} is open and unresponsive", server.0);
         // The other idle connections to it are not tried one after the other.
         self.close_idle_of(server);
@@ -140,10 +133,7 @@
         match timeout(ANSWER_TIMEOUT, verified).await {
             Ok(verified) => verified.map(|()| Reply::Done),
             Err(_) => {
-                self.0
-                    .servers
-                    .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
+                self.record(server, Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -31,8 +31,8 @@
 use std::time::Duration;
 
 use futures_util::future::LocalBoxFuture;
-use futures_util::stream::LocalBoxStream;
 use glenrail_access_log::counts::Counts;
+use glenrail_request_lifecycle::reachability::{Millis, Reachability};
 use glenrail_router::ServerId;
 use tokio::sync::{watch, Semaphore};
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
 use self::server_table::ServerTable;
 use crate::budget::Budget;
 use crate::exchange::StreamRemainder;
-use crate::upstream::{Call, CallError, Frame, Reply};
+use crate::upstream::{Call, CallError, Frames, Reply};
 
 /// What the servers of a pool have in common, beyond what the list says.
 #[derive(Clone, Debug)]
@@ -112,7 +112,7 @@
     }
 
     /// Continues a stream that the predecessor process began.
-    pub fn resume(&self, remainder: StreamRemainder) -> LocalBoxStream<'static, Result<Frame, CallError>> {
+    pub fn resume(&self, remainder: StreamRemainder) -> Frames {
         let slot = self.0.connection_slots.clone().try_acquire_owned().ok();
         resumed_stream::resume(remainder, slot, self.0.handing_over.subscribe())
     }
@@ -134,6 +134,11 @@
         }
     }
 
+    /// Records what a call has shown of a server's reachability.
+    fn record(&self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
+        self.0.servers.borrow_mut().record(server, event);
+    }
+
     async fn answer(self, call: Call) -> Result<Reply, CallError> {
         match call {
             Call::Attempt { server, payload, deadline, connect_timeout, verify_connection, cancel_token } => {
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::spawn_local;
@@ -15,6 +16,11 @@
 /// A connection whose response has been read is free for the next request within this time, or it is closed.
 const REUSE_TIMEOUT: Duration = Duration::from_millis(100);
 
+/// The usual time for a step, or what is left until the deadline if that is less.
+pub(super) fn time_for(usual: Duration, deadline: Option<Instant>) -> Duration {
+    deadline.map_or(usual, |deadline| usual.min(deadline.saturating_duration_since(Instant::now())))
+}
+
 impl Engine {
     /// Whether the list says that a server receives new requests.
     pub(super) fn is_serving(&self, server: ServerId) -> bool {
@@ -70,10 +76,7 @@
 
     async fn open(&self, server: ServerId, deadline: Option<Instant>) -> Result<Connection, CallError> {
         let usual = self.0.limits.connect_timeout;
-        let limit = match deadline {
-            Some(deadline) => usual.min(deadline.saturating_duration_since(Instant::now())),
-            None => usual,
-        };
+        let limit = time_for(usual, deadline);
         let peer = self.0.servers.borrow().get(server).map(|record| record.peer.clone());
         let peer = peer.ok_or(CallError::NotSent)?;
         // Without a slot nothing is known of the server: the lack is here.
@@ -83,10 +86,7 @@
             // So short a time says nothing about the server.
             Err(_) if limit < usual / 2 => Err(CallError::NotSent),
             _ => {
-                self.0
-                    .servers
-                    .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
+                self.record(server, Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenrail_request_lifecycle::reachability::ReleaseRounds;
+use glenrail_request_lifecycle::reachability::{Reachability, ReleaseRounds};
 use glenrail_router::ServerId;
 use http::Method;
 use tokio::sync::mpsc;
@@ -56,18 +56,12 @@
     async fn release_at(
         self, server: ServerId, request: Rc<ServerRequest>, answers: mpsc::UnboundedSender<bool>,
     ) {
-        self.0
-            .servers
-            .borrow_mut()
-            .record(server, glenrail_request_lifecycle::reachability::Reachability::query_sent);
+        self.record(server, Reachability::query_sent);
         let answer = timeout(ANSWER_TIMEOUT, self.short_call(server, &request)).await;
         let accepted = match answer {
             Ok(Ok((head, _))) => head.status.is_success(),
             _ => {
-                self.0
-                    .servers
-                    .borrow_mut()
-                    .record(server, glenrail_request_lifecycle::reachability::Reachability::query_lost);
+                self.record(server, Reachability::query_lost);
                 false
             }
         };
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -4,7 +4,6 @@
 use std::cell::Cell;
 use std::future::Future;
 use std::io;
-use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
@@ -26,9 +25,6 @@
 /// A head that has begun must be complete within this time.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes read at once where they are not read into hyper's buffer.
-const READ_SIZE: usize = 4096;
-
 /// A connection's socket, as hyper reads and writes it.
 pub struct ResponseReader {
     socket: CountedSocket,
@@ -57,17 +53,6 @@
     })
 }
 
-/// Reads what the socket has, without clearing memory for it.
-fn poll_read_into(
-    socket: &mut CountedSocket, context: &mut Context<'_>, bytes: &mut Vec<u8>,
-) -> Poll<io::Result<usize>> {
-    let mut space = [MaybeUninit::uninit(); READ_SIZE];
-    let mut part = ReadBuf::uninit(&mut space);
-    ready!(Pin::new(socket).poll_read(context, &mut part))?;
-    bytes.extend_from_slice(part.filled());
-    Poll::Ready(Ok(part.filled().len()))
-}
-
 impl ResponseReader {
     /// A reader of a connection on which no request was sent yet.
     pub fn new(
@@ -108,7 +93,7 @@
     /// Reads until a final head has come; false at the end of what the server sends.
     fn poll_head(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
         loop {
-            let Poll::Ready(read) = poll_read_into(&mut self.socket, context, &mut self.buffered)? else {
+            let Poll::Ready(read) = self.socket.poll_read_into(context, &mut self.buffered)? else {
                 let has_begun = !self.buffered.is_empty();
                 let Some(timeout) = self.head_timeout.as_mut().filter(|_| has_begun) else {
                     return Poll::Pending;
@@ -150,7 +135,7 @@
             return Poll::Ready(Ok(()));
         }
         if read_ahead.is_empty() {
-            ready!(poll_read_into(&mut self.socket, context, &mut read_ahead))?;
+            ready!(self.socket.poll_read_into(context, &mut read_ahead))?;
         }
         let available = read_ahead.len().min(buffer.remaining());
         let count = tap.pass_on(&read_ahead[..available]);
--- a/gateway/src/engine/resumed_stream.rs
+++ b/gateway/src/engine/resumed_stream.rs
@@ -3,7 +3,7 @@
 use std::net::Shutdown;
 
 use bytes::BytesMut;
-use futures_util::stream::{self, LocalBoxStream, StreamExt};
+use futures_util::stream::{self, StreamExt};
 use socket2::SockRef;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -12,7 +12,7 @@
 use super::events::{EventBuffer, MalformedEvent};
 use crate::chunk_position::{ChunkPosition, ReadUntil};
 use crate::exchange::StreamRemainder;
-use crate::upstream::{CallError, Frame};
+use crate::upstream::{CallError, Frame, Frames};
 
 /// Bytes read at once.
 const READ_SIZE: usize = 16 << 10;
@@ -94,7 +94,7 @@
 /// Continues a stream; its connection occupies `slot` for as long as it is open.
 pub fn resume(
     remainder: StreamRemainder, slot: Option<OwnedSemaphorePermit>, handing_over: watch::Receiver<bool>,
-) -> LocalBoxStream<'static, Result<Frame, CallError>> {
+) -> Frames {
     let Ok(socket) = TcpStream::from_std(remainder.socket) else {
         return stream::iter([Err(CallError::Reset)]).boxed_local();
     };
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -1,5 +1,6 @@
 //! Sending of a request: written once, on an idle connection or a new one.
 
+use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
 use http::Response;
 use hyper::body::Incoming;
@@ -43,10 +44,7 @@
             }
             match self.write(server, request, &mut connection).await {
                 Ok(response) => {
-                    self.0
-                        .servers
-                        .borrow_mut()
-                        .record(server, glenrail_request_lifecycle::reachability::Reachability::answered);
+                    self.record(server, Reachability::answered);
                     return Ok((response, connection));
                 }
                 // The server closed the idle connection just now, and not a byte was written.
--- a/gateway/src/fleet/config.rs
+++ b/gateway/src/fleet/config.rs
@@ -8,6 +8,7 @@
 use serde::Deserialize;
 
 use super::error::FleetError;
+use crate::config::error_line;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -99,8 +100,7 @@
 
 /// The error of a file that cannot be parsed, with its line.
 fn syntax_error(path: &Path, text: &str, error: &toml::de::Error) -> FleetError {
-    let line_breaks = |end| text.bytes().take(end).filter(|byte| *byte == b'\n').count();
-    let line = error.span().map_or(1, |span| line_breaks(span.start) + 1);
+    let line = error_line(text, error);
     FleetError::Line { file: path.to_path_buf(), line, what: error.message().to_string() }
 }
 
--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -106,8 +106,9 @@
         };
         // While the gateway drains, each response says that its connection ends; but not where a further request lies
         // behind this one, which would be dropped.
-        let drains = self.shutdown.is_draining() && !self.watch.has_pipelined_request();
-        if self.watch.closes_after_response() || drains {
+        if self.watch.closes_after_response()
+            || self.shutdown.is_draining() && !self.watch.has_pipelined_request()
+        {
             response = closing(response);
         }
         // The one place where requests are counted: here both fronts' responses pass, and every rejection.
--- a/gateway/src/front/inference/mod.rs
+++ b/gateway/src/front/inference/mod.rs
@@ -23,7 +23,7 @@
 use super::{collect, response, Body, BodyError, Front, RequestService};
 use crate::budget::Budget;
 use crate::config;
-use crate::core::duration;
+use crate::core::{duration, millis};
 use crate::exchange::{self, ClientSide, Failure, Payload, ResponsePart};
 use crate::metrics::{RequestCounter, RequestMetrics};
 
@@ -172,7 +172,7 @@
             prompt_tokens: body.len() as f64 / CHARS_PER_TOKEN,
             prefix_tokens: fields.prefix_tokens,
             max_tokens: fields.max_tokens,
-            client_timeout: client_timeout.as_secs_f64() * 1000.0,
+            client_timeout: millis(client_timeout),
             ..glenrail_router::Request::default()
         };
         let mut headers = parts.headers;
--- a/gateway/src/front/platform/fields.rs
+++ b/gateway/src/front/platform/fields.rs
@@ -78,14 +78,16 @@
         Some(text) => Some(seconds("Req-Cost", text)?),
         None => None,
     };
+    let session = single(headers, "Req-Key")?.map_or(0, key);
+    let retry = single(headers, "Req-Retry")?;
     let mut routing = Request {
         class: class as u32,
         tenant: tenant as u32,
-        session: single(headers, "Req-Key")?.map_or(0, key),
+        session,
         expected_duration,
         client_timeout,
-        client_retry: single(headers, "Req-Retry")?.is_some(),
-        resumed: single(headers, "Req-Retry")? == Some("again"),
+        client_retry: retry.is_some(),
+        resumed: retry == Some("again"),
         ..Request::default()
     };
     read_extra(single(headers, "Req-Extra")?.unwrap_or(""), &mut routing)?;
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -4,7 +4,6 @@
 //! that whoever closes the connection, or hands it over, knows whether a request is crossing.
 
 use std::io;
-use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
@@ -19,8 +18,6 @@
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Most header lines of a head.
 const MAX_HEADERS: usize = 100;
-/// Bytes read at once while a head is awaited.
-const READ_BYTES: usize = 4096;
 
 /// What of a body is still to come.
 #[derive(Clone, Copy, Debug)]
@@ -127,12 +124,9 @@
 
     /// Reads more into the buffer; 0 at the end of what the client sends.
     fn fill(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let mut space = [MaybeUninit::uninit(); READ_BYTES];
-        let mut part = ReadBuf::uninit(&mut space);
-        ready!(Pin::new(&mut self.socket).poll_read(context, &mut part))?;
-        self.buffer.extend_from_slice(part.filled());
+        let read = ready!(self.socket.poll_read_into(context, &mut self.buffer))?;
         self.watch.feed(Input::PipelinedBytes(!self.buffer.is_empty()));
-        Poll::Ready(Ok(part.filled().len()))
+        Poll::Ready(Ok(read))
     }
 
     /// Passes on what may be, as far as there is space.
--- a/gateway/src/maintenance/mod.rs
+++ b/gateway/src/maintenance/mod.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 pub use self::orders::OrderStore;
-use crate::core::{Clock, Core, Upstream};
+use crate::core::{millis, Clock, Core, Upstream};
 use crate::discovery::{self, Endpoint, EndpointList, SettingsNames};
 use crate::engine::Engine;
 use crate::log;
@@ -54,14 +54,24 @@
 impl Eq for OrderError {}
 
 /// What operators order for a server.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Order {
-    /// Out of rotation: it finishes what it has and gets no new work.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Order {
+    /// Out of rotation: it finishes what it has and gets no new work. Idempotent.
     Offline,
-    /// Back in rotation.
+    /// Back in rotation, whether or not it is listed at present. Idempotent while it is listed.
     Online,
 }
 
+impl Order {
+    /// As it stands in the operators' calls and their answers.
+    pub fn name(self) -> &'static str {
+        match self {
+            Order::Offline => "offline",
+            Order::Online => "online",
+        }
+    }
+}
+
 #[derive(Default)]
 struct State {
     /// What discovery lists at present, by the servers' names.
@@ -108,7 +118,7 @@
         };
         if changed && order == Order::Online && self.listed.contains_key(server) {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            self.returned_unix_ms.insert(server.into(), now.as_secs_f64() * 1000.0);
+            self.returned_unix_ms.insert(server.into(), millis(now));
         }
         changed
     }
@@ -159,17 +169,8 @@
         self.state.borrow().listed.len()
     }
 
-    /// Takes a server out of rotation. Idempotent.
-    pub fn offline(&self, id: &str) -> Result<(), OrderError> {
-        self.carry_out(id, Order::Offline)
-    }
-
-    /// Puts a server back into rotation, whether or not it is listed at present. Idempotent while it is listed.
-    pub fn online(&self, id: &str) -> Result<(), OrderError> {
-        self.carry_out(id, Order::Online)
-    }
-
-    fn carry_out(&self, server: &str, order: Order) -> Result<(), OrderError> {
+    /// Carries an order out, once it is stored.
+    pub fn order(&self, server: &str, order: Order) -> Result<(), OrderError> {
         self.sync_orders();
         if !self.is_known(server) || server.len() > MAX_SERVER_NAME {
             return Err(OrderError::UnknownServer);
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -18,6 +18,7 @@
 use tokio::time::Instant;
 use tower::{Service, ServiceExt};
 
+use crate::core::millis;
 use crate::exchange::{ClientSide, Request, ResponseOutcome};
 use crate::log;
 
@@ -218,7 +219,7 @@
 /// Calls the response hook with the request, its outcome and its time.
 fn report_outcome(plugin: &Plugin, mut about: Map, started: Instant, outcome: ResponseOutcome) {
     about.insert("ended".into(), Dynamic::from(script_label(outcome).to_string()));
-    let elapsed_ms = started.elapsed().as_secs_f64() * 1000.0;
+    let elapsed_ms = millis(started.elapsed());
     about.insert("elapsed_ms".into(), Dynamic::from(elapsed_ms));
     plugin.call(RESPONSE_HOOK, about);
 }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -57,7 +57,7 @@
         server: ServerId,
         /// The id of a request that has finished: where no server may be probed, its release is a call that changes nothing
         /// and is answered.
-        finished_request: Option<Rc<str>>,
+        finished_request: Option<String>,
     },
     /// Closes the idle connections to a server.
     CloseIdle {
@@ -66,6 +66,9 @@
     },
 }
 
+/// The frames of a response that is streamed.
+pub type Frames = LocalBoxStream<'static, Result<Frame, CallError>>;
+
 /// The result of a call that was answered.
 pub enum Reply {
     /// The prefill is complete.
@@ -80,7 +83,7 @@
         /// The server's status and headers.
         head: ResponseHead,
         /// The body.
-        frames: LocalBoxStream<'static, Result<Frame, CallError>>,
+        frames: Frames,
     },
     /// The server rejected the attempt, so it never ran.
     Rejected {
--- a/gateway/tests/order_files.rs
+++ b/gateway/tests/order_files.rs
@@ -11,7 +11,7 @@
 use common::*;
 use glenrail::discovery::EndpointList;
 use glenrail::engine::Engine;
-use glenrail::maintenance::{Maintenance, OrderError, OrderStore};
+use glenrail::maintenance::{Maintenance, Order, OrderError, OrderStore};
 use glenrail_router::ListUpdate;
 use serde_json::{json, Value};
 
@@ -82,7 +82,7 @@
         let rotation = rotation(&g, &state);
         rotation.apply_list(&list(&ORDERED, &stand_in), ListUpdate::Full);
         for id in ORDERED {
-            assert_eq!(rotation.offline(id), Ok(()), "{id}");
+            assert_eq!(rotation.order(id, Order::Offline), Ok(()), "{id}");
         }
         assert_eq!(files(&state), files(&fixture()));
         let folder = std::fs::metadata(state.join("offline")).expect("the folder of orders");
@@ -98,11 +98,11 @@
     run(async {
         let (g, state) = (gateway(&[], &[], None, 1).await, copied_state("read"));
         let rotation = rotation(&g, &state);
-        assert_eq!(rotation.online("server-2"), Err(OrderError::UnknownServer));
+        assert_eq!(rotation.order("server-2", Order::Online), Err(OrderError::UnknownServer));
         for (n, id) in ORDERED.into_iter().enumerate() {
-            assert_eq!(rotation.online(id), Ok(()), "{id}");
+            assert_eq!(rotation.order(id, Order::Online), Ok(()), "{id}");
             assert_eq!(files(&state).len(), ORDERED.len() - n - 1, "the file of {id} has gone");
-            assert_eq!(rotation.online(id), Err(OrderError::UnknownServer), "{id}");
+            assert_eq!(rotation.order(id, Order::Online), Err(OrderError::UnknownServer), "{id}");
         }
         std::fs::remove_dir_all(state).expect("removed");
     });
