--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -25,6 +25,11 @@
 /// overruled.
 const PANIC_SHARE: f64 = 0.5;
 
+/// How long a server is ejected that was ejected so many times before (ms).
+fn ejection_time(doublings: u32) -> Millis {
+    BASE_EJECTION_TIME * f64::from(1u32 << doublings)
+}
+
 impl Router {
     /// Servers of these roles that may get an attempt of a request now: ready, not ejected, and within slow
     /// start's allowance.
@@ -121,7 +126,7 @@
         server.health = Health {
             score: 0.0,
             ejections: doublings + 1,
-            ejected_until: now + BASE_EJECTION_TIME * f64::from(1u32 << doublings),
+            ejected_until: now + ejection_time(doublings),
             ejected_at: now,
             on_trial: true,
             cause: Some(kind),
@@ -151,9 +156,7 @@
             return;
         }
         let ejections = server.health.ejections;
-        if ejections > 0
-            && now > server.health.ejected_until + BASE_EJECTION_TIME * f64::from(1u32 << ejections)
-        {
+        if ejections > 0 && now > server.health.ejected_until + ejection_time(ejections) {
             server.health.ejections -= 1;
         }
     }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -109,6 +109,31 @@
     Request { prefix: Some(prefix), ..sample_request(id) }
 }
 
+/// An attempt of a request in flight.
+#[derive(Clone, Copy)]
+pub struct SentAttempt {
+    pub id: u64,
+    pub attempt: u32,
+    pub server: u64,
+}
+
+/// The end of an attempt that found nothing cached and came without a load report.
+pub fn attempt_outcome(
+    id: u64, attempt: u32, server: u64, status: AttemptStatus, elapsed: Millis,
+) -> AttemptOutcome {
+    AttemptOutcome {
+        id: RequestId(id),
+        attempt,
+        server: ServerId(server),
+        status,
+        elapsed,
+        note: 0.0,
+        closed: status == AttemptStatus::Served,
+        delivered: status.may_have_arrived(),
+        report: None,
+    }
+}
+
 /// Key of the timer that gives a request its next step.
 pub fn step_timer(id: u64) -> u64 {
     id << 1 | 1
@@ -188,32 +213,13 @@
     ) -> Vec<Action> {
         let report = memory_share
             .map(|memory_share| LoadReport { memory_share: Some(memory_share), ..LoadReport::default() });
-        self.handle(Event::Outcome(AttemptOutcome {
-            id: RequestId(id),
-            attempt,
-            server: ServerId(server),
-            status,
-            elapsed: 50.0,
-            note,
-            closed: status == AttemptStatus::Served,
-            delivered: status.may_have_arrived(),
-            report,
-        }))
+        let outcome = attempt_outcome(id, attempt, server, status, 50.0);
+        self.handle(Event::Outcome(AttemptOutcome { note, report, ..outcome }))
     }
 
     /// The end of a prefill after `elapsed`, with nothing cached.
     pub fn prefilled_after(&mut self, id: u64, server: u64, elapsed: Millis) -> Vec<Action> {
-        self.handle(Event::Outcome(AttemptOutcome {
-            id: RequestId(id),
-            attempt: 0,
-            server: ServerId(server),
-            status: AttemptStatus::Prefilled,
-            elapsed,
-            note: 0.0,
-            closed: false,
-            delivered: true,
-            report: None,
-        }))
+        self.handle(Event::Outcome(attempt_outcome(id, 0, server, AttemptStatus::Prefilled, elapsed)))
     }
 
     pub fn fire_timer(&mut self, key: u64) -> Vec<Action> {
--- a/crates/router/tests/large_fleet/simulation.rs
+++ b/crates/router/tests/large_fleet/simulation.rs
@@ -5,7 +5,7 @@
 
 use glenrail_router::*;
 
-use crate::common::{sample_request, server_entry, settings, DECODE, PREFILL};
+use crate::common::{attempt_outcome, sample_request, server_entry, settings, SentAttempt, DECODE, PREFILL};
 use crate::servers::{DecodeServer, PrefillServer, PREFIX_TOKENS, PROMPT_TOKENS};
 
 pub const ROUTERS: u64 = 60;
@@ -23,14 +23,6 @@
 /// Time from a stream's begin to its first token (ms).
 const FIRST_TOKEN_TIME: u64 = 20;
 
-/// An attempt of a request in flight.
-#[derive(Clone, Copy)]
-struct SentAttempt {
-    id: u64,
-    attempt: u32,
-    server: u64,
-}
-
 enum Occurrence {
     Arrival {
         id: u64,
@@ -198,17 +190,26 @@
                 }
                 let SentAttempt { id, attempt, server } = sent;
                 let (id, server) = (RequestId(id), ServerId(server));
-                self.handle(router, Event::FirstToken { id, attempt, server, elapsed: 20.0 });
+                self.handle(
+                    router,
+                    Event::FirstToken { id, attempt, server, elapsed: FIRST_TOKEN_TIME as f64 },
+                );
                 self.end_attempt(router, sent, AttemptStatus::Served);
             }
             Occurrence::ProbeFailed { server } => {
                 let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
-                self.handle(router, Event::ProbeResult { server, status, elapsed: 1.0, report: None });
+                self.handle(
+                    router,
+                    Event::ProbeResult { server, status, elapsed: CONNECT_FAILURE_TIME as f64, report: None },
+                );
             }
             Occurrence::ProbeAnswer { server } => {
                 let report = self.report(server);
                 let (server, status) = (ServerId(server), AttemptStatus::Served);
-                self.handle(router, Event::ProbeResult { server, status, elapsed: 10.0, report });
+                self.handle(
+                    router,
+                    Event::ProbeResult { server, status, elapsed: PROBE_TIME as f64, report },
+                );
             }
         }
     }
@@ -219,17 +220,8 @@
             return;
         }
         let report = self.report(sent.server);
-        let outcome = AttemptOutcome {
-            id: RequestId(sent.id),
-            attempt: sent.attempt,
-            server: ServerId(sent.server),
-            status,
-            elapsed: 50.0,
-            note: 0.0,
-            closed: status == AttemptStatus::Served,
-            delivered: status.may_have_arrived(),
-            report,
-        };
+        let outcome = attempt_outcome(sent.id, sent.attempt, sent.server, status, 50.0);
+        let outcome = AttemptOutcome { report, ..outcome };
         self.handle(router, Event::Outcome(outcome));
     }
 
--- a/crates/router/tests/shedding_trials.rs
+++ b/crates/router/tests/shedding_trials.rs
@@ -144,17 +144,8 @@
 }
 
 fn outcome(now: u64, sent: SentAttempt, status: AttemptStatus) -> Event {
-    Event::Outcome(AttemptOutcome {
-        id: RequestId(sent.id),
-        attempt: sent.attempt,
-        server: ServerId(sent.server),
-        status,
-        elapsed: (now - sent.sent_at) as f64,
-        note: 0.0,
-        closed: status == AttemptStatus::Served,
-        delivered: status.may_have_arrived(),
-        report: None,
-    })
+    let elapsed = (now - sent.sent_at) as f64;
+    Event::Outcome(attempt_outcome(sent.id, sent.attempt, sent.server, status, elapsed))
 }
 
 /// Guards a gateway against rejecting by what it learned when its servers were late: nothing that it does not
--- a/crates/router/tests/slow_start/simulation.rs
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -26,14 +26,6 @@
 /// Decode servers have identifiers from here on.
 const FIRST_DECODE_SERVER: u64 = 1_000;
 
-/// An attempt in flight.
-#[derive(Clone, Copy)]
-struct SentAttempt {
-    id: u64,
-    attempt: u32,
-    server: u64,
-}
-
 enum Occurrence {
     Arrival,
     ServersStart,
@@ -207,17 +199,8 @@
         &mut self, router: usize, sent: SentAttempt, status: AttemptStatus, elapsed: f64,
         report: Option<LoadReport>,
     ) {
-        let outcome = AttemptOutcome {
-            id: RequestId(sent.id),
-            attempt: sent.attempt,
-            server: ServerId(sent.server),
-            status,
-            elapsed,
-            note: 0.0,
-            closed: status == AttemptStatus::Served,
-            delivered: status.may_have_arrived(),
-            report,
-        };
+        let outcome = attempt_outcome(sent.id, sent.attempt, sent.server, status, elapsed);
+        let outcome = AttemptOutcome { report, ..outcome };
         self.handle(router, Event::Outcome(outcome));
     }
 
--- a/crates/router/tests/without_load_reports.rs
+++ b/crates/router/tests/without_load_reports.rs
@@ -127,17 +127,10 @@
                 }
                 Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
             }
-            Occurrence::Served { id, attempt, server } => Event::Outcome(AttemptOutcome {
-                id: RequestId(id),
-                attempt,
-                server: ServerId(server),
-                status: AttemptStatus::Served,
-                elapsed: (now - self.arrived_at[&id]) as f64,
-                note: 0.0,
-                closed: true,
-                delivered: true,
-                report: None,
-            }),
+            Occurrence::Served { id, attempt, server } => {
+                let elapsed = (now - self.arrived_at[&id]) as f64;
+                Event::Outcome(attempt_outcome(id, attempt, server, AttemptStatus::Served, elapsed))
+            }
         }
     }
 
