--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -190,7 +190,7 @@
         Ok(())
     }
 
-    fn all_digests(&self) -> Vec<Digest> {
+    pub(super) fn all_digests(&self) -> Vec<Digest> {
         self.table.digests(MemberId(0), MemberId(u64::MAX))
     }
 
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -16,7 +16,7 @@
     pub(super) fn send_digests(&mut self, effects: &mut Vec<Effect>) {
         let active = self.active();
         let Some(member) = self.digest_order.next(1, &active, &mut self.random).pop() else { return };
-        let digests = self.table.digests(MemberId(0), MemberId(u64::MAX));
+        let digests = self.all_digests();
         let mut from = MemberId(0);
         let mut remaining = &digests[..];
         loop {
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -73,21 +73,6 @@
     }
 }
 
-fn attempt_outcome(event: &Value) -> AttemptOutcome {
-    let status = attempt_status(integer(event, "rc"));
-    AttemptOutcome {
-        id: request_id(event),
-        attempt: integer(event, "attempt") as u32,
-        server: server_id(text(event, "host")),
-        status,
-        elapsed: number(event, "duration"),
-        note: number(event, "info"),
-        closed: flag(event, "finished"),
-        delivered: status.may_have_arrived(),
-        report: reported_load(event),
-    }
-}
-
 /// An event of the wire, or `None` for a verb that this version does not know.
 pub(crate) fn decode_event(event: &Value) -> Option<Event> {
     let id = request_id(event);
@@ -103,7 +88,20 @@
         "WAKEUP" => Event::Timer { key: integer(event, "key-back") },
         "TIMED_OUT_CLIENT" => Event::ClientDisconnected { id },
         "UNDER_WAY" => Event::FirstToken { id, attempt, server, elapsed },
-        "SETTLED" => Event::Outcome(attempt_outcome(event)),
+        "SETTLED" => {
+            let status = attempt_status(integer(event, "rc"));
+            Event::Outcome(AttemptOutcome {
+                id,
+                attempt,
+                server,
+                status,
+                elapsed,
+                note: number(event, "info"),
+                closed: flag(event, "finished"),
+                delivered: status.may_have_arrived(),
+                report: reported_load(event),
+            })
+        }
         "HELD_NOTE" => Event::SlotReservation { id, attempt, server, reserved: integer(event, "sort") == 1 },
         "HEALTH_RESULT" => Event::ProbeResult {
             server,
