--- a/crates/cache-warming/benches/sketch.rs
+++ b/crates/cache-warming/benches/sketch.rs
@@ -1,4 +1,5 @@
-//! The sketch beside a plain exact map: an ask, and the hottest 64, over 100,000 beginnings of which few are hot.
+//! The sketch against an exact map: recording requests and listing the 64 hottest prefixes, over 100,000
+//! prefixes of which few are hot.
 //! `cargo bench -p glenrail-cache-warming`
 
 use std::collections::HashMap;
@@ -14,7 +15,8 @@
     divan::main();
 }
 
-/// Beginnings by Zipf's law (the inverse of its continuous form), the same each time.
+/// Returns requests whose prefixes follow Zipf's law (the inverse of its continuous form), the same in every
+/// run.
 fn asks() -> Vec<(Beginning, u32)> {
     let mut rng = fastrand::Rng::with_seed(7);
     let rank = |unit: f64| BEGINNINGS.powf(unit) as u64;
@@ -33,14 +35,15 @@
     bencher.bench(|| {
         let mut sketch = Sketch::new(capacity, 30_000, 0);
         for (at, (beginning, tokens)) in asks.iter().enumerate() {
-            // A second is told every 1,000 asks, as a driver does.
+            // The time advances by one second every 1,000 requests, as a caller with a coarse clock passes
+            // it.
             sketch.asked(*beginning, *tokens, Some(Node(1)), (at / 1000 * 1000) as u64);
         }
         black_box(sketch.hottest(64).len())
     });
 }
 
-/// The plain twin: one exact decayed count a beginning, never let go.
+/// The exact counterpart: one decayed count for each prefix, never removed.
 #[divan::bench(items_count = ASKS)]
 fn exact(bencher: Bencher) {
     let asks = asks();
--- a/crates/cache-warming/examples/figures.rs
+++ b/crates/cache-warming/examples/figures.rs
@@ -1,4 +1,5 @@
-//! What warming gains: three of ten readers are replaced in a small simulated fleet of three gateways, with warming and without.
+//! Effect of cache warming: in a small simulated fleet of three gateways, three of ten prefill servers are
+//! replaced, with warming and without.
 //! `cargo run --release -p glenrail-cache-warming --example figures`
 
 use std::collections::HashMap;
@@ -17,9 +18,9 @@
 const READS_A_SECOND: u64 = 40_000;
 const HALF_LIFE: u64 = 30_000;
 const CAPACITY: usize = 1024;
-/// What a member's word may take in the table: a whole state goes over TCP.
+/// Maximum size of an encoded sketch in the fleet's table (bytes); the table's whole state is sent over TCP.
 const ROOM: usize = 32_768;
-/// The replacements come now.
+/// Time at which the replacements are ordered (ms).
 const REPLACED: u64 = 120_000;
 const TERMS: Terms = Terms {
     slices: 16,
@@ -31,7 +32,7 @@
     settle: 5_000,
 };
 
-/// Prompt tokens kept at a node, least recently used first out.
+/// Prompt tokens cached at a node. The least recently used ones are evicted first.
 #[derive(Default)]
 struct Kept {
     at: HashMap<u64, (u32, u64)>,
@@ -60,14 +61,16 @@
     nodes.iter().copied().max_by_key(|n| mix(mix(*n) ^ prefix)).unwrap_or(0)
 }
 
-/// How a replacement comes into the order: under its own name, or in the place of the old one, hashed under that one's name.
+/// How a replacement enters the server order: under its own name, or in the place of the old node, hashed
+/// under the old node's name.
 #[derive(Clone, Copy, PartialEq)]
 enum Order {
     OwnName,
     InPlace,
 }
 
-/// Names of ten nodes before and after; the first three are replaced by the last three.
+/// Names of all nodes. The first ten serve at the start, and the first three of them are replaced by the last
+/// three.
 #[derive(Clone)]
 struct Names(Vec<u64>, Order);
 
@@ -89,7 +92,8 @@
     400 + (mix(prefix) % 7600) as u32
 }
 
-/// Some beginnings are asked for far more often than others (by a root of their rank).
+/// Draws a request. Its prefix follows Zipf's law: a few prefixes are requested far more often than the
+/// others.
 fn request(rng: &mut fastrand::Rng) -> (u64, u32) {
     let prefix = (BEGINNINGS as f64).powf(rng.f64()) as u64 * 7919;
     (prefix, 100 + rng.u32(..900))
@@ -99,8 +103,9 @@
     Beginning { team: Team(prefix % 20), model: Model(0), prefix }
 }
 
-/// Shares of prompt tokens found kept: in the 10 s before the first slice moves, in the 10 s after the last one has, and in the
-/// whole time from the first one to 10 s after the last; the same at the replaced places alone; seconds from order to the last.
+/// Shares of prompt tokens that were cached, for the whole fleet and for the replaced places: in the 10 s
+/// before the order, in the 10 s after the last slice has moved, and from the first move until 10 s after the
+/// last. `took` is the time from the order to the last move, in seconds.
 struct Figures {
     fleet: [f64; 3],
     places: [f64; 3],
@@ -112,7 +117,8 @@
     members: Vec<Sketch>,
     cutovers: Vec<Cutover>,
     queues: Vec<Vec<(Beginning, u32)>>,
-    /// A request's time, prompt tokens, those found, whether at a replaced place.
+    /// For each request: its time, its prompt tokens, those of them that were cached, and whether it belongs
+    /// to a replaced place.
     seen: Vec<(u64, u32, u32, bool)>,
 }
 
@@ -124,7 +130,8 @@
             let hot: Vec<Beginning> = member.hottest(CAPACITY).into_iter().map(|(b, _)| b).collect();
             hot.iter().for_each(|b| member.holds(b, Member(at as u64)));
             let word = to_bytes(member, ROOM, REPLACED);
-            let heard = from_bytes(&word, CAPACITY, HALF_LIFE, 0, REPLACED).expect("a word of this build");
+            let heard =
+                from_bytes(&word, CAPACITY, HALF_LIFE, 0, REPLACED).expect("a sketch encoded by this build");
             fleet.merge(&heard, REPLACED);
         }
         let target = |node: &u64| Target {
@@ -149,7 +156,7 @@
         }
     }
 
-    /// Readings at three tenths of a node's capacity, one after the other.
+    /// Prefills one prefix after another, at three tenths of a node's capacity.
     fn read(&mut self, now: u64, done: &mut [f64]) {
         for (at, done) in done.iter_mut().enumerate().take(self.cutovers.len()) {
             *done += 0.3 * READS_A_SECOND as f64 / 1000.0;
@@ -198,8 +205,9 @@
         let asks = u64::from(rng.u64(..1000) < REQUESTS_A_SECOND);
         for _ in 0..asks {
             let (prefix, rest) = request(&mut rng);
-            // By the order of those before, unless the new order names a new node and the slice has moved to it. What
-            // the leaving of an old node moves between others lies on its place, too.
+            // The order before the replacements decides, unless the new order names a new node and the slice
+            // has moved to it. Keys that move between other nodes because an old node leaves belong to its
+            // place, too.
             let (was, is) = (names.was(prefix), names.is(prefix));
             let cutover = fleet.cutovers.iter().position(|c| c.hand_over().node.0 == is);
             let side = cutover.and_then(|at| fleet.cutovers[at].side(&beginning(prefix)));
@@ -228,7 +236,8 @@
 }
 
 fn main() {
-    let orders = [(Order::InPlace, "in the old ones' places"), (Order::OwnName, "under names of their own")];
+    let orders =
+        [(Order::InPlace, "in the places of the old nodes"), (Order::OwnName, "under their own names")];
     let cases = orders.iter().flat_map(|order| [(*order, false), (*order, true)]);
     for ((order, placed), warm) in cases {
         let runs: Vec<Figures> = (1..=5).map(|seed| run(seed, order, warm)).collect();
@@ -240,12 +249,12 @@
             let worst = |at| ratio(at).fold(f64::INFINITY, f64::min);
             let of_before = |at| ratio(at).sum::<f64>() / runs.len() as f64;
             println!(
-                "  {name}: before {:.3}; 10 s after {:.3}, of before mean {:.3} worst {:.3}; from first move on \
+                "  {name}: before {:.3}; 10 s after {:.3}, ratio to before mean {:.3} worst {:.3}; from the first move on \
                  mean {:.3} worst {:.3}",
                 mean(0), mean(1), of_before(1), worst(1), of_before(2), worst(2)
             );
         }
         let took = runs.iter().map(|f| f.took).fold(0.0, f64::max);
-        println!("  from order to last slice: at most {took:.1} s");
+        println!("  from the order to the last move: at most {took:.1} s");
     }
 }
--- a/crates/cache-warming/src/bytes.rs
+++ b/crates/cache-warming/src/bytes.rs
@@ -1,37 +1,38 @@
-//! What members tell of a hand-over, as bytes: a byte of format version, then postcard.
+//! Binary encoding of the messages that members exchange about a replacement: a byte of format version, then
+//! postcard.
 
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::readers::{Assigned, HandOver, Seat};
 
-/// The format written, and the only one read.
+/// Format version that is written, and the only one accepted.
 pub const FORMAT: u8 = 1;
 
-/// Why another member's word is left out.
+/// Why a message from another member was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BytesError {
-    #[error("a word on a hand-over has format {found}, this build reads {FORMAT}")]
+    #[error("replacement message has format {found}, but this build reads only format {FORMAT}")]
     Format { found: u8 },
-    #[error("a word on a hand-over breaks off or is not what its format says")]
+    #[error("replacement message is truncated or does not match its format")]
     Malformed,
 }
 
 impl BytesError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             BytesError::Format { .. } => {
-                "Bring all gateways to one build; until then the other one's word is left out."
+                "Run the same build on all gateways; until then the messages of the other gateway are ignored."
             }
             BytesError::Malformed => {
-                "Compare the builds of both gateways; if they are alike, restart the telling one."
+                "Compare the builds of both gateways; if they are the same, restart the sending gateway."
             }
         }
     }
 }
 
-/// A hand-over as its opener tells it. Some 70 bytes an assigned beginning.
+/// Announcement of a replacement by the member that opened it. Each assigned prefix takes about 70 bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Opening {
     pub hand_over: HandOver,
@@ -39,12 +40,12 @@
     pub assigned: Vec<Assigned>,
 }
 
-/// An [`Opening`] or a [`crate::readers::Claim`] as bytes.
+/// Encodes an [`Opening`] or a [`crate::readers::Claim`].
 pub fn to_bytes<T: Serialize>(word: &T) -> Vec<u8> {
     postcard::to_extend(word, vec![FORMAT]).unwrap_or_default()
 }
 
-/// Reads one; bytes left over are none of this format.
+/// Decodes a message. Trailing bytes are an error.
 pub fn from_bytes<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, BytesError> {
     let (format, rest) = bytes.split_first().ok_or(BytesError::Malformed)?;
     if *format != FORMAT {
--- a/crates/cache-warming/src/cutover/fleet.rs
+++ b/crates/cache-warming/src/cutover/fleet.rs
@@ -1,4 +1,5 @@
-//! All replacements that a member knows, each new node in one of them, and what follows where one is replaced again.
+//! All replacements that a member tracks, at most one for each new node, and the rules for replacing a node
+//! that is itself part of a replacement.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,54 +10,58 @@
 use crate::readers::HandOver;
 use crate::terms::{Beginning, Model, Ms, Node, Team};
 
-/// Why an order to replace is not taken.
+/// Why an order to replace a node was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OrderError {
     #[error("node {node:x} cannot replace itself", node = .0.0)]
     Itself(Node),
-    #[error("node {node:x} drains or has failed: nothing moves to it", node = .0.0)]
+    #[error("node {node:x} is draining or has failed; no keys can move to it", node = .0.0)]
     NotServing(Node),
-    #[error("node {node:x} is in a replacement already", node = .0.0)]
+    #[error("node {node:x} is already part of a replacement in progress", node = .0.0)]
     UnderWay(Node),
-    #[error("run {run} of node {node:x} is an old one", node = .0.node.0, run = .0.run)]
+    #[error("run {run} of node {node:x} is not newer than its last run", node = .0.node.0, run = .0.run)]
     OldRun(HandOver),
-    #[error("{known} replacements are under way, at most {limit} may be")]
+    #[error("{known} replacements are in progress, which is the limit ({limit})")]
     TooMany { known: usize, limit: usize },
 }
 
 impl OrderError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            OrderError::Itself(_) => "Name two nodes: `replace OLD NEW`.",
+            OrderError::Itself(_) => "Name two different nodes: `replace OLD NEW`.",
             OrderError::NotServing(_) => {
-                "Name a node that serves, or wait until discovery lists it as serving."
+                "Name a serving node, or wait until discovery lists this one as serving."
             }
-            OrderError::UnderWay(_) => "Wait for its end, or replace the new node of it by another one.",
-            OrderError::OldRun(_) => "Nothing where it is late news; else order it anew.",
-            OrderError::TooMany { .. } => "Wait for one to end, or raise the number of replacements.",
+            OrderError::UnderWay(_) => "Wait for its end, or replace its new node by another one.",
+            OrderError::OldRun(_) => "Ignore a late message; otherwise order the replacement again.",
+            OrderError::TooMany { .. } => "Wait for one to end, or raise the limit of replacements.",
         }
     }
 }
 
-/// The replacements of a member.
+/// Replacements that one member tracks.
 pub struct Replacements {
     terms: Terms,
     limit: usize,
     under_way: BTreeMap<Node, Cutover>,
-    /// Nodes that drain or have failed, as the caller tells.
+    /// Nodes that the caller reported as draining or failed.
     lost: BTreeSet<Node>,
 }
 
 impl Replacements {
-    /// At most `limit` under way at a time. One that has ended is remembered until it is let go, one a node.
+    /// Allows at most `limit` replacements in progress. A finished one is kept, one for each new node, until
+    /// [`Replacements::let_go`] removes it.
     pub fn new(terms: Terms, limit: usize) -> Replacements {
         Replacements { terms, limit, under_way: BTreeMap::new(), lost: BTreeSet::new() }
     }
 
-    /// A node is to take the place of another in the order (hashed under that one's name), or (`None`) a place of its own.
-    /// Where the old one is itself the new one of a replacement under way, that one goes back to its own old node, and the newest takes over from there. Where the old one is
-    /// being replaced by another, that ends likewise. Returns the steps of replacements that have ended by it.
+    /// Starts a replacement, in which the new node takes the place of `old` in the server order (hashed under
+    /// the name of `old`) or, with `None`, a place of its own.
+    ///
+    /// If `old` is itself the new node of a replacement in progress, that one is rolled back to its own old
+    /// node, and the new node takes over from there. If `old` is being replaced by another node, that
+    /// replacement is rolled back likewise. Returns the steps that result.
     pub fn order(
         &mut self, old: Option<Node>, hand_over: HandOver, plan: &Plan, now: Ms,
     ) -> Result<Vec<(HandOver, Step)>, OrderError> {
@@ -85,7 +90,7 @@
             let told = before.step(Input::Superseded, now);
             steps.extend(told.into_iter().map(|step| (before.hand_over, step)));
         }
-        // A node that never came to own its keys is replaced at the node that serves them.
+        // If the old node never owned its keys, they are taken over from the node that serves them.
         let before = old.and_then(|node| self.under_way.get(&node)).filter(|c| c.state != State::Done);
         let from = before.map_or(old, |c| c.old).filter(|node| *node != new);
         let mut cutover = Cutover::new(hand_over, from, plan, self.terms, now);
@@ -97,14 +102,15 @@
         Ok(steps)
     }
 
-    /// Something was learnt of the replacement to this node.
+    /// Applies an input to the replacement by this new node, if there is one.
     pub fn step(&mut self, new: Node, input: Input, now: Ms) -> Vec<(HandOver, Step)> {
         let Some(cutover) = self.under_way.get_mut(&new) else { return Vec::new() };
         let hand_over = cutover.hand_over;
         cutover.step(input, now).into_iter().map(|step| (hand_over, step)).collect()
     }
 
-    /// A node drains or has failed (`true`), or serves again, which brings nothing back that has moved away.
+    /// Records that a node drains or has failed (`true`), or that it serves again. Keys that have moved away
+    /// from it do not move back.
     pub fn lost(&mut self, node: Node, lost: bool, now: Ms) -> Vec<(HandOver, Step)> {
         if !lost {
             self.lost.remove(&node);
@@ -114,13 +120,13 @@
         self.all(Input::Lost(node), now)
     }
 
-    /// Time has passed.
+    /// Advances all replacements to the current time.
     pub fn tick(&mut self, now: Ms) -> Vec<(HandOver, Step)> {
         self.all(Input::Tick, now)
     }
 
-    /// Who serves a beginning that is this new node's by the order after the cut-over: a node, or `None` where the order
-    /// without it decides.
+    /// Returns the node that serves a prefix which the server order assigns to this new node after the
+    /// cutover. `None`: the order without the new node decides.
     pub fn owner(&self, new: Node, beginning: &Beginning) -> Option<Node> {
         let unless_lost = |node: Node| (!self.lost.contains(&node)).then_some(node);
         let Some(cutover) = self.under_way.get(&new) else { return unless_lost(new) };
@@ -143,14 +149,15 @@
         self.under_way.values()
     }
 
-    /// Lets go of what has ended well, and of a node that is off every list. One that went back stays, since its node still must
-    /// not own anything, until it is let go or ordered anew.
+    /// Removes replacements that are done, and nodes that `gone` reports as no longer listed. A replacement
+    /// that was rolled back stays until its node is no longer listed or is part of a new order, because the
+    /// node still must not own anything.
     pub fn let_go(&mut self, gone: &dyn Fn(Node) -> bool) {
         self.under_way.retain(|node, c| !gone(*node) && c.state() != State::Done);
         self.lost.retain(|node| !gone(*node));
     }
 
-    /// The grants have changed.
+    /// Applies changed grants to all replacements.
     pub fn retain(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
         self.under_way.values_mut().for_each(|c| c.retain(granted));
     }
--- a/crates/cache-warming/src/cutover/mod.rs
+++ b/crates/cache-warming/src/cutover/mod.rs
@@ -1,6 +1,9 @@
-//! The cut-over of one node: its keys move to the replacement slice by slice, as what was planned for a slice has been read, or
-//! from the deadline on. A slice has one owner at any time. The old node serves until all have moved and the new one has held
-//! for a while; then it may drain. Where the new one fails, everything is back with the old one in the same step.
+//! Cutover of one node: its keys move to the replacement one slice at a time, each when the prefixes planned
+//! for it have been prefilled, or once the deadline has passed.
+//!
+//! A slice has one owner at any time. The old node serves until all slices have moved and the new node has
+//! served for a settling time; then the old node may drain. If the new node fails, all slices return to the
+//! old node in the same step.
 
 mod fleet;
 mod story;
@@ -13,61 +16,62 @@
 use crate::slices::slice;
 use crate::terms::{Beginning, Model, Ms, Node, Team};
 
-/// Sums of the same savings in another order may differ by so much.
+/// Relative tolerance for sums of the same savings that were added in another order.
 const ROUNDING: f64 = 1e-9;
 
-/// How ownership moves.
+/// Parameters of a cutover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Into how many slices a node's keys are cut.
+    /// Number of slices that a node's keys are divided into.
     pub slices: u16,
-    /// A slice may move when this part of what was planned for it has been read, by saving.
+    /// Share of a slice's planned saving that must be prefilled before the slice may move.
     pub target: f64,
-    /// Between two slices, so that the new node is not flooded with what was not read.
+    /// Minimum time between moves of two slices (ms), so that the new node is not flooded with requests for
+    /// prefixes that were not prefilled.
     pub gap: Ms,
-    /// From here on slices move whether they were read or not, still a gap apart.
+    /// Time after the start (ms) from which slices move whether prefilled or not, still one per `gap`.
     pub deadline: Ms,
-    /// Slices stand still until the deadline while fewer than this part of the hits expected is found.
+    /// Minimum ratio of found to expected tokens. Below it, no slice moves before the deadline.
     pub least_found: f64,
-    /// As many tokens must have been asked for before what is found is looked at.
+    /// Minimum number of requested tokens before the found ones are evaluated.
     pub enough: u64,
-    /// So long after the last slice the new node can still be given up for the old one.
+    /// Time after the last slice has moved (ms) during which all slices can still return to the old node.
     pub settle: Ms,
 }
 
-/// Which side of a replacement serves a slice.
+/// The side of a replacement that serves a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     Old,
     New,
 }
 
-/// Where a replacement stands.
+/// Progress of a replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// No slice has moved yet.
     Reading,
     Moving,
-    /// All slices have moved; the old node still stands by.
+    /// All slices have moved; the old node is still available to take them back.
     Settling,
     /// The old node may drain.
     Done,
-    /// All slices are the old node's again.
+    /// All slices belong to the old node again.
     Back(Why),
 }
 
-/// What a member learns.
+/// An event that a member reports to a cutover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
-    /// A planned beginning was read at the new node, by whichever member.
+    /// A member, whichever it is, has prefilled a planned prefix at the new node.
     Read(Beginning),
-    /// A beginning was asked for at the new node, of so many tokens, of which so many were found.
+    /// A prefix was requested at the new node: its length in tokens, and how many of them were cached there.
     Asked { tokens: u32, found: u32 },
-    /// A node fails, or drains by another's order.
+    /// A node has failed, or drains for another reason than this replacement.
     Lost(Node),
-    /// The new node is itself to be replaced.
+    /// A later replacement takes over from this one.
     Superseded,
-    /// Time has passed.
+    /// Nothing happened except that time has passed.
     Tick,
 }
 
@@ -79,20 +83,22 @@
     owned: f64,
 }
 
-/// One replacement at one member.
+/// State of one replacement at one member.
 #[derive(Clone, Debug)]
 pub struct Cutover {
     hand_over: HandOver,
-    /// Whose place in the order the new node takes. `None`: it comes under its own name, its keys are from all others, and
-    /// the order without it names who serves them until they move.
+    /// The node whose place in the server order the new node takes. `None`: the new node has a place of its
+    /// own, its keys come from all other nodes, and until they move, the order without it determines who
+    /// serves them.
     old: Option<Node>,
     terms: Terms,
     state: State,
-    /// Whether each side may serve.
+    /// Whether the old node may serve.
     old_serves: bool,
+    /// Whether the new node may serve.
     new_serves: bool,
     slices: Vec<Slice>,
-    /// What is planned and has not been read yet, with its saving.
+    /// Planned prefixes that have not been prefilled yet, with their savings.
     left: Vec<(Beginning, f64)>,
     began: Ms,
     moved_at: Ms,
@@ -100,7 +106,7 @@
 }
 
 impl Cutover {
-    /// The plan is the new node's; its hand-over names it and the run.
+    /// Starts the cutover of a replacement. `plan` is the plan of its new node.
     pub fn new(hand_over: HandOver, old: Option<Node>, plan: &Plan, terms: Terms, now: Ms) -> Cutover {
         let mut slices = vec![Slice::default(); usize::from(terms.slices.max(1))];
         let left: Vec<_> = plan.readings.iter().map(|r| (r.beginning, r.saving)).collect();
@@ -142,17 +148,18 @@
         &self.figures
     }
 
-    /// Nothing moves any more.
+    /// Whether the replacement has ended and no slice will move any more.
     pub fn is_over(&self) -> bool {
         matches!(self.state, State::Done | State::Back(_))
     }
 
-    /// Who serves a beginning that is the new node's after the cut-over; `None`: neither side may, and the order's next does.
+    /// Returns the side that serves a prefix which the new node owns after the cutover. `None`: neither side
+    /// may serve, and the next node in the server order does.
     pub fn side(&self, beginning: &Beginning) -> Option<Side> {
         self.side_of(slice(beginning, self.terms.slices))
     }
 
-    /// Who serves a slice. Never a side that has failed or drains.
+    /// Returns the side that serves a slice, never one that has failed or drains.
     pub fn side_of(&self, slice: u16) -> Option<Side> {
         let moved = self.slices.get(usize::from(slice))?.moved;
         match (moved, self.old_serves, self.new_serves) {
@@ -162,7 +169,8 @@
         }
     }
 
-    /// Takes in what was learnt; what follows from it, each a line of the log. After the end nothing does.
+    /// Applies an input and returns the resulting steps, each of which is a log line. After the end there are
+    /// none.
     pub fn step(&mut self, input: Input, now: Ms) -> Vec<Step> {
         let mut steps = Vec::new();
         if self.is_over() {
@@ -184,7 +192,7 @@
         steps
     }
 
-    /// The grants have changed: what may not be read any more is not waited for.
+    /// Applies changed grants: prefixes that may no longer be prefilled are not waited for.
     pub fn retain(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
         let (kept, gone) = self.left.iter().partition(|(b, _)| granted(b.team, b.model));
         self.left = kept;
@@ -211,7 +219,8 @@
         }
     }
 
-    /// Everything is the old node's again, at once. Where that is gone too, the order's next serves.
+    /// Returns all slices to the old node at once. If that node is lost too, the next one in the server order
+    /// serves.
     fn back(&mut self, why: Why, steps: &mut Vec<Step>) {
         self.new_serves &= why != Why::NewLost;
         self.slices.iter_mut().for_each(|slice| slice.moved = false);
@@ -221,7 +230,7 @@
         steps.push(Step::Back { why });
     }
 
-    /// The old node cannot stand by: all of it moves now, read or not.
+    /// Moves all slices at once, prefilled or not, because the old node can no longer serve.
     fn old_lost(&mut self, now: Ms, steps: &mut Vec<Step>) {
         self.old_serves = false;
         self.slices.iter_mut().for_each(|slice| slice.moved = true);
@@ -268,7 +277,8 @@
         }
     }
 
-    /// The part of tokens that should be found at the new node for what has moved, by what was read.
+    /// Returns the share of requested tokens that should be cached at the new node for the slices that have
+    /// moved, judging by what was prefilled.
     fn expected(&self) -> f64 {
         let moved = || self.slices.iter().filter(|slice| slice.moved);
         let (read, owned): (f64, f64) = (moved().map(|s| s.read).sum(), moved().map(|s| s.owned).sum());
--- a/crates/cache-warming/src/cutover/story.rs
+++ b/crates/cache-warming/src/cutover/story.rs
@@ -1,13 +1,13 @@
-//! What a person sees of a replacement: figures for the counters, and one line of the log for each step.
+//! Reports of a replacement to operators: counters, and one log line for each step.
 
 use std::fmt;
 
 use crate::terms::Node;
 
-/// Why a step was made.
+/// Why a step was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// What was planned has been read.
+    /// The planned prefixes have been prefilled.
     Read,
     Deadline,
     NewLost,
@@ -15,7 +15,7 @@
     Superseded,
 }
 
-/// What has happened.
+/// A change in a replacement, reported as one log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Moved {
@@ -28,7 +28,7 @@
     Back {
         why: Why,
     },
-    /// The old node may drain now, in order.
+    /// The old node may drain now.
     Done {
         old: Option<Node>,
     },
@@ -37,21 +37,24 @@
 /// Counters of one replacement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// Beginnings.
+    /// Planned prefixes.
     pub planned: usize,
+    /// Planned prefixes that have been prefilled.
     pub read: usize,
-    /// Slices.
+    /// Slices that the new node owns.
     pub moved: usize,
+    /// Slices in total.
     pub slices: usize,
-    /// Part of the tokens of beginnings that should be found for what has moved.
+    /// Share of the requested prefix tokens that should be cached, for the slices that have moved.
     pub expected: f64,
-    /// Tokens of beginnings asked for at the new node, and found there.
+    /// Prefix tokens requested at the new node.
     pub asked_tokens: u64,
+    /// Those of `asked_tokens` that were cached there.
     pub found_tokens: u64,
 }
 
 impl Figures {
-    /// Part of the tokens of beginnings that was found; `None` before any was asked for.
+    /// Returns the share of requested prefix tokens that was cached; `None` before the first request.
     pub fn found(&self) -> Option<f64> {
         (self.asked_tokens > 0).then(|| self.found_tokens as f64 / self.asked_tokens as f64)
     }
@@ -60,11 +63,11 @@
 impl fmt::Display for Why {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Why::Read => "read",
+            Why::Read => "prefilled",
             Why::Deadline => "deadline",
-            Why::NewLost => "new node lost",
-            Why::OldLost => "old node lost",
-            Why::Superseded => "replaced again",
+            Why::NewLost => "new node unavailable",
+            Why::OldLost => "old node unavailable",
+            Why::Superseded => "superseded",
         })
     }
 }
@@ -74,9 +77,9 @@
         match self {
             Step::Moved { slice, why } => write!(f, "slice {slice} moved ({why})"),
             Step::AllMoved { why } => write!(f, "all slices moved ({why})"),
-            Step::Back { why } => write!(f, "all slices back at the old node ({why})"),
-            Step::Done { old: Some(_) } => write!(f, "done, the old node may drain"),
-            Step::Done { old: None } => write!(f, "done"),
+            Step::Back { why } => write!(f, "all slices returned to the old node ({why})"),
+            Step::Done { old: Some(_) } => write!(f, "replacement finished; the old node may drain"),
+            Step::Done { old: None } => write!(f, "replacement finished"),
         }
     }
 }
--- a/crates/cache-warming/src/hot.rs
+++ b/crates/cache-warming/src/hot.rs
@@ -1,16 +1,17 @@
-//! What one member knows to be hot, and the texts of it, under the grants: a team that may not call a model any more is
-//! dropped from both in one step.
+//! The hot prefixes of one member: their counts and their texts, restricted by the grants. If a team may no
+//! longer call a model, its prefixes for that model are removed from both in one step.
 
 use crate::sketch::Sketch;
 use crate::terms::{Beginning, Member, Model, Ms, Node, Team};
 use crate::texts::{heat, Limits, Texts};
 
-/// One member's counts and texts. Where the limits of texts are zero nothing is counted either.
+/// Counts and texts of one member's hot prefixes. If the limits of the texts are zero, nothing is counted
+/// either.
 pub struct Hot {
     me: Member,
     sketch: Sketch,
     texts: Texts,
-    /// Only the text of what weighs at least this part of all tokens is worth its bytes.
+    /// Minimum share of all requested tokens for which a prefix's text is worth caching.
     worth: f64,
 }
 
@@ -20,7 +21,8 @@
         Hot { me, sketch: Sketch::new(capacity, half_life, now), texts: Texts::new(limits), worth }
     }
 
-    /// A granted request with this beginning was answered. Requests that were refused are not told here.
+    /// Records an answered request with this prefix. The caller reports only granted requests, and none that
+    /// were rejected.
     pub fn asked(&mut self, beginning: Beginning, tokens: u32, text: &[u8], at: Option<Node>, now: Ms) {
         if self.texts.off() {
             return;
@@ -37,13 +39,13 @@
         }
     }
 
-    /// The grants have changed: what is not granted any more is gone when this returns.
+    /// Applies changed grants. When this returns, nothing is held that is no longer granted.
     pub fn granted(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
         self.texts.retain(granted);
         self.sketch.retain(granted);
     }
 
-    /// Lets go of old texts; to be called every second or so.
+    /// Removes expired texts and decays the counts. The caller runs it about once a second.
     pub fn sweep(&mut self, now: Ms) {
         let gone = self.texts.sweep(now);
         gone.iter().for_each(|b| self.sketch.lets_go(b, self.me));
--- a/crates/cache-warming/src/lib.rs
+++ b/crates/cache-warming/src/lib.rs
@@ -1,10 +1,14 @@
-//! Warm cut-over: a replacement node reads the hottest shared beginnings before traffic moves to it. [`sketch`] counts what is
-//! hot, [`texts`] keeps what can be read anew, [`hot`] holds both under the grants; [`plan`] picks what a new node reads,
-//! [`readers`] who reads it, [`pace`] when a reading may go out, and [`cutover`] moves ownership in slices.
+//! Cache warming for replacement nodes: a new node prefills the hottest shared prompt prefixes before traffic
+//! moves to it.
 //!
-//! Decisions only: no socket, no clock, no thread. Time is an argument in milliseconds on the caller's clock, which must not go
-//! back. Whether a team may call a model is a function argument throughout. `docs/one-fleet.md` has the promises and
-//! their limits.
+//! [`sketch`] counts the hottest prefixes, [`texts`] caches their texts so that they can be prefilled again,
+//! and [`hot`] applies the grants to both. [`plan`] selects what a new node prefills, [`readers`] which
+//! gateway sends each prefill, [`pace`] when a prefill may be sent, and [`cutover`] moves ownership in
+//! slices.
+//!
+//! This crate only makes decisions: it opens no sockets, reads no clock and starts no threads. Times are
+//! arguments in milliseconds on the caller's clock, which must not go back. Whether a team may call a model
+//! is always passed in as a function. `docs/one-fleet.md` lists the guarantees and their limits.
 
 pub mod bytes;
 pub mod cutover;
--- a/crates/cache-warming/src/pace.rs
+++ b/crates/cache-warming/src/pace.rs
@@ -1,39 +1,41 @@
-//! When a reading may go out to a node that is warmed. Readings come after everything else: they stop at once when the fleet
-//! turns work away, when the node falls behind or drains, and when nothing fresh is known of either.
+//! Pacing of the prefills that warm a node. These yield to all other work: they stop at once when the fleet
+//! sheds load, when the node falls behind or drains, and when the reports on either are out of date.
 
 use thiserror::Error;
 
 use crate::terms::{Beginning, Ms, Node};
 
-/// The priority that every reading carries: below all that clients send.
+/// Priority of every prefill for warming, below that of all client requests.
 pub const PRIORITY: u8 = 0;
 
-/// Limits of readings at one node.
+/// Limits of the prefills at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Readings under way at once; nothing else is held here.
+    /// Maximum number of prefills in flight. Further ones are rejected, not queued.
     pub running: usize,
-    /// The fleet's level, in thousandths, above which nothing is read.
+    /// Load level of the fleet above which nothing is prefilled, in thousandths.
     pub level: u32,
-    /// The wait for a first token at the node above which it has fallen behind.
+    /// Wait for the first token (ms) above which the node counts as fallen behind.
     pub wait: Ms,
-    /// What is known of level and node holds so long.
+    /// Maximum age of the reports on fleet and node (ms).
     pub fresh: Ms,
-    /// After a stop it must have been calm so long.
+    /// Time without a reason to stop (ms) that must pass after a stop before prefills resume.
     pub calm: Ms,
-    /// Tokens a second: the share of the node's capacity.
+    /// Prompt tokens per second: the share of the node's capacity that prefills may take.
     pub tokens_a_second: u64,
-    /// Tokens that may be saved up; a longer reading waits until as much is there and then leaves a debt.
+    /// Maximum number of unused tokens that accumulate. A longer prefill waits for this many and then leaves
+    /// a debt.
     pub burst: u64,
 }
 
-/// What is known of the fleet and of the node.
+/// Reported state of the fleet and of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sight {
-    /// In thousandths.
+    /// Load level of the fleet, in thousandths.
     pub level: u32,
+    /// Wait for the first token at the node (ms).
     pub wait: Ms,
-    /// How long ago the older of both was told.
+    /// Age of the older of both reports (ms).
     pub age: Ms,
     pub node: Standing,
 }
@@ -45,47 +47,47 @@
     Gone,
 }
 
-/// Why a reading does not go out.
+/// Why a prefill may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Held {
-    #[error("node {:x} drains: nothing is read there", .0.0)]
+    #[error("node {:x} is draining; it receives no prefills", .0.0)]
     Drains(Node),
-    #[error("node {:x} is gone: nothing is read there", .0.0)]
+    #[error("node {:x} is unavailable; it receives no prefills", .0.0)]
     Gone(Node),
-    #[error("the fleet turns work away (level {level} of 1000): readings stand still")]
+    #[error("the fleet is shedding load (level {level} of 1000); prefills are paused")]
     Level { level: u32 },
-    #[error("node {node:x} falls behind ({wait} ms to a first token): readings stand still", node = .node.0)]
+    #[error("node {node:x} has fallen behind ({wait} ms to the first token); prefills are paused", node = .node.0)]
     Behind { node: Node, wait: Ms },
-    #[error("what is known of node {node:x} is {age} ms old: readings stand still", node = .node.0)]
+    #[error("the reports on the fleet and on node {node:x} are {age} ms old; prefills are paused", node = .node.0)]
     Stale { node: Node, age: Ms },
-    #[error("calm again, readings go on in {ms} ms")]
+    #[error("the load is normal again; prefills resume in {ms} ms")]
     Calming { ms: Ms },
-    #[error("{running} readings are under way at node {node:x}, as many as may be", node = .node.0)]
+    #[error("{running} prefills are in flight at node {node:x}, which is the limit", node = .node.0)]
     Full { node: Node, running: usize },
-    #[error("node {node:x} has had its share of tokens for now, more in {ms} ms", node = .node.0)]
+    #[error("node {node:x} has used its share of tokens; more are available in {ms} ms", node = .node.0)]
     Share { node: Node, ms: Ms },
 }
 
 impl Held {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            Held::Drains(_) => "Order `replace` with a node that does not drain.",
+            Held::Drains(_) => "Order `replace` with a node that is not draining.",
             Held::Gone(_) => {
-                "Look at the node; the old one goes on serving. Order `replace` again when it is up."
+                "Check the node; the old one continues to serve. Order `replace` again when the node is up."
             }
             Held::Level { .. } => {
-                "Nothing; readings go on when the rush is over. The deadline holds all the same."
+                "No action is needed: prefills resume when the load has fallen. The deadline still applies."
             }
-            Held::Behind { .. } => "Lower the share of a node's capacity that readings may take.",
-            Held::Stale { .. } => "Look whether the node reports, and whether this gateway hears the others.",
+            Held::Behind { .. } => "Lower the share of a node's capacity that prefills may take.",
+            Held::Stale { .. } => "Check whether the node reports, and whether this gateway receives the reports of the others.",
             Held::Calming { .. } | Held::Full { .. } | Held::Share { .. } => {
-                "Nothing; raise the limit of readings if a replacement often meets its deadline cold."
+                "No action is needed. Raise the limits if replacements often reach their deadline with a cold cache."
             }
         }
     }
 
-    /// Whether what is under way has to stop, too.
+    /// Whether prefills in flight must be cancelled too.
     fn stops(&self) -> bool {
         matches!(
             self,
@@ -94,12 +96,12 @@
     }
 }
 
-/// Readings of this member at one node.
+/// Pacing of this member's prefills at one node.
 pub struct Pace {
     node: Node,
     limits: Limits,
     running: Vec<Beginning>,
-    /// Thousandths of tokens that may be spent; below zero: a debt.
+    /// Tokens that may be spent, in thousandths; negative if there is a debt.
     saved: i64,
     filled: Ms,
     calm_from: Ms,
@@ -110,7 +112,7 @@
         Pace { node, limits, running: Vec::new(), saved: 0, filled: now, calm_from: now }
     }
 
-    /// Something new is known: what has to be cancelled at once.
+    /// Applies a new report and returns the prefills that must be cancelled at once.
     pub fn look(&mut self, sight: &Sight, now: Ms) -> Vec<Beginning> {
         match self.trouble(sight) {
             Some(held) if held.stops() => {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// A reading of so many tokens may go out now, and is under way from here on.
+    /// Admits a prefill of `tokens` tokens, which counts as in flight from now on.
     pub fn send(&mut self, beginning: Beginning, tokens: u32, sight: &Sight, now: Ms) -> Result<(), Held> {
         if let Some(held) = self.trouble(sight) {
             self.calm_from = now.saturating_add(self.limits.calm);
@@ -144,7 +146,7 @@
         Ok(())
     }
 
-    /// A reading has ended, whichever way.
+    /// Records that a prefill has ended, whatever its result.
     pub fn ended(&mut self, beginning: &Beginning) {
         if let Some(at) = self.running.iter().position(|b| b == beginning) {
             self.running.swap_remove(at);
--- a/crates/cache-warming/src/plan/choose.rs
+++ b/crates/cache-warming/src/plan/choose.rs
@@ -1,27 +1,28 @@
-//! The knapsack: the most saving within a budget of tokens and of sends.
+//! Knapsack selection: the largest saving within a budget of tokens and requests.
 //!
-//! Plain greedy by saving a token, and beside it greedy by saving over the part of both budgets that an item takes, and the best
-//! single item; the best of the three is taken. Where sends do not bind it saves at least half of the best possible (Dantzig's
-//! bound: greedy and the first item that does not fit are at least the fractional best, and one of both is half of it). Where
-//! they bind, at least a quarter: a choice within both budgets takes at most twice the sum of the parts that the second greedy
-//! fills.
+//! The best of three selections is taken: greedy by saving per token, greedy by saving per share of both
+//! budgets, and greedy by saving alone, which includes the best single item. If the number of requests does
+//! not bind, the result saves at least half of the optimum (Dantzig's bound: greedy plus the first item that
+//! does not fit saves at least the fractional optimum, so one of the two saves half of it). If the number of
+//! requests binds, the result saves at least a quarter, because a selection within both budgets takes at most
+//! twice the sum of the shares that the second greedy selection fills.
 
-/// What may be spent on a node.
+/// What may be spent on warming a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     pub tokens: u64,
     pub sends: u32,
 }
 
-/// One beginning that may be read: what it costs, and what it saves.
+/// A prefix that may be prefilled, with its cost and its saving.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Item {
     pub tokens: u64,
-    /// Never negative.
+    /// Saving in tokens per second; never negative.
     pub saving: f64,
 }
 
-/// Places of the chosen items, those with the most saving a token first.
+/// Returns the indices of the chosen items, the largest saving per token first.
 pub fn choose(items: &[Item], budget: Budget) -> Vec<usize> {
     let usable: Vec<usize> =
         (0..items.len()).filter(|at| items[*at].saving > 0.0 && items[*at].tokens <= budget.tokens).collect();
@@ -40,7 +41,8 @@
     best
 }
 
-/// Takes what still fits, in this order. By saving alone, the first one is the best single item.
+/// Takes every item that still fits, in descending order of `by`. By saving alone, the first item taken is
+/// the best single one.
 fn fill(items: &[Item], usable: &[usize], budget: Budget, by: &dyn Fn(&Item) -> f64) -> Vec<usize> {
     let mut order = usable.to_vec();
     order.sort_by(|a, b| by(&items[*b]).total_cmp(&by(&items[*a])).then(a.cmp(b)));
--- a/crates/cache-warming/src/plan/mod.rs
+++ b/crates/cache-warming/src/plan/mod.rs
@@ -1,5 +1,6 @@
-//! What a replacement node reads before traffic moves to it: of the beginnings that it will own, those that save the most within
-//! its budget. Made by one member for a hand-over and told to the others, so that one budget is spent once.
+//! Warm-up plan of a replacement node: of the prefixes that it will own, the ones that save the most within
+//! its budget. One member makes the plan for a replacement and sends it to the others, so that the budget is
+//! spent only once.
 
 mod choose;
 
@@ -8,24 +9,26 @@
 use crate::sketch::Sketch;
 use crate::terms::{Beginning, Member, Model, Ms, Node, Team};
 
-/// A node that is to be warmed, and what may be spent on it.
+/// A node to be warmed, and what may be spent on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     pub node: Node,
-    /// Sends that a cold server may get from this in the whole time, besides its traffic.
+    /// Maximum number of prefills that the node may receive during the whole warm-up, in addition to its
+    /// traffic.
     pub sends: u32,
-    /// Tokens that its memory holds, less what is kept for others.
+    /// Tokens that fit into its memory, less those reserved for other content.
     pub memory_tokens: u64,
-    /// Prompt tokens that it reads a second.
+    /// Prompt tokens that it prefills per second at full capacity.
     pub tokens_a_second: u64,
-    /// The part of that which readings may take, in thousandths.
+    /// Share of that capacity that prefills for warming may take, in thousandths.
     pub share: u32,
-    /// Until the deadline of the cut-over.
+    /// Time until the deadline of the cutover (ms).
     pub time: Ms,
 }
 
 impl Target {
-    /// The budget: its memory, or a share of its capacity for the time, whichever is less.
+    /// Returns the budget: the tokens that fit into memory, or those that the share of capacity can prefill
+    /// in the time, whichever is less.
     pub fn budget(&self) -> Budget {
         let parts =
             u128::from(self.tokens_a_second) * u128::from(self.share.min(1000)) * u128::from(self.time);
@@ -34,34 +37,36 @@
     }
 }
 
-/// What the plan asks of others.
+/// Lookups that the caller provides for planning.
 pub struct Facts<'a> {
-    /// The nodes that share a beginning after the cut-over, by the order that all routers share; its sessions are spread evenly.
+    /// Returns the nodes that share a prefix after the cutover, according to the server order of all routers.
+    /// The sessions of the prefix are spread evenly over them.
     pub homes: &'a dyn Fn(&Beginning) -> Vec<Node>,
-    /// Whether a team may call a model at present.
+    /// Returns whether a team may currently call a model.
     pub granted: &'a dyn Fn(Team, Model) -> bool,
-    /// Tokens of a beginning that are known to be kept at a node.
+    /// Returns how many tokens of a prefix are known to be cached at a node.
     pub kept: &'a dyn Fn(Node, &Beginning) -> u32,
 }
 
-/// One beginning to read at a node.
+/// One prefix to prefill at a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reading {
     pub beginning: Beginning,
-    /// Tokens to be read there, less what is kept.
+    /// Tokens to prefill there; cached ones are not counted.
     pub tokens: u32,
-    /// Tokens a second that need not be read once it is there.
+    /// Tokens per second that need no prefill once the prefix is cached there.
     pub saving: f64,
-    /// Who holds its text.
+    /// Members that hold its text.
     pub holders: Vec<Member>,
 }
 
-/// What one node reads, in order.
+/// Prefills of one node, the largest saving per token first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub node: Node,
     pub readings: Vec<Reading>,
-    /// All beginnings that are counted and that it will own, chosen or not, with tokens a second asked of it.
+    /// All counted prefixes that the node will own, chosen or not, each with the tokens per second requested
+    /// of it.
     pub owned: Vec<(Beginning, f64)>,
 }
 
@@ -75,7 +80,8 @@
     }
 }
 
-/// A plan for each target. A beginning that no member holds the text of, or whose team may not call its model, is in none.
+/// Returns a plan for each target. Prefixes whose text no member holds, or whose team may not call the model,
+/// are not planned.
 pub fn plan(sketch: &Sketch, targets: &[Target], facts: &Facts) -> Vec<Plan> {
     let mut plans: Vec<Plan> =
         targets.iter().map(|t| Plan { node: t.node, readings: Vec::new(), owned: Vec::new() }).collect();
--- a/crates/cache-warming/src/readers.rs
+++ b/crates/cache-warming/src/readers.rs
@@ -1,7 +1,13 @@
-//! Who reads. The member that opens a hand-over names for each beginning a first reader and a stand-in, by rendezvous among
-//! those alive that hold its text, and tells that. Nobody else ever reads it, each at most once, and a new life of a member is
-//! somebody else: so there are at most two readings of a beginning in a hand-over, whoever dies, stops or hears late. The
-//! stand-in begins only when the first is gone and the lease of its claim, where one was heard, has surely ended.
+//! Assignment of prefills to members.
+//!
+//! The member that opens a replacement assigns each prefix a primary and a backup, by rendezvous hashing
+//! among the live members that hold its text, and announces the assignment. No other member prefills the
+//! prefix, each of the two prefills it at most once, and a restarted member counts as another one. So a
+//! prefix is prefilled at most twice in a replacement, whichever members fail, pause or receive messages
+//! late.
+//!
+//! The backup starts only when the primary has given up, or when it has failed and the lease of its claim, if
+//! one was received, has certainly ended.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,21 +17,22 @@
 use crate::rendezvous::place;
 use crate::terms::{Beginning, Life, Member, Model, Ms, Node, Team};
 
-/// One life of a member: what reads.
+/// One incarnation of a member, to which prefills are assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Seat {
     pub member: Member,
     pub life: Life,
 }
 
-/// One hand-over: of a node, for the so-manieth time. Runs of a node only grow.
+/// A replacement, identified by its new node and the number of the run. The run numbers of a node only
+/// increase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HandOver {
     pub node: Node,
     pub run: u64,
 }
 
-/// Who may read a beginning.
+/// The members that may prefill a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assigned {
     pub beginning: Beginning,
@@ -33,7 +40,7 @@
     pub stand_in: Option<Seat>,
 }
 
-/// What a reader tells the others.
+/// A member's report to the others on its prefill of a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     pub hand_over: HandOver,
@@ -43,65 +50,67 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+/// Progress of a prefill, in ascending order: a report replaces an earlier one only if its stage is higher.
 pub enum Stage {
-    /// It will read within its lease.
+    /// The member will prefill within its lease.
     Claimed,
-    /// It will not, or has not read to the end.
+    /// The member will not prefill, or did not complete the prefill.
     GivenUp,
     Read,
 }
 
-/// Why a reading is not begun.
+/// Why a prefill is not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    #[error("hand-over {run} of node {node:x} is not known here, or is over", node = .0.node.0, run = .0.run)]
+    #[error("run {run} of node {node:x} is not a replacement in progress here", node = .0.node.0, run = .0.run)]
     Unknown(HandOver),
-    #[error("team {team:x} may not call model {model:x}: its beginning is not read", team = .0.team.0, model = .0.model.0)]
+    #[error("team {team:x} may not call model {model:x}; its prefix is not prefilled", team = .0.team.0, model = .0.model.0)]
     NotGranted(Beginning),
-    #[error("beginning {prefix:x} is not this member's to read, or not yet", prefix = .0.prefix)]
+    #[error("prefix {prefix:x} is not due for a prefill by this member", prefix = .0.prefix)]
     NotMine(Beginning),
-    #[error("the text of beginning {prefix:x} is not held any more", prefix = .0.prefix)]
+    #[error("the text of prefix {prefix:x} is no longer cached", prefix = .0.prefix)]
     NoText(Beginning),
-    #[error("the lease on beginning {prefix:x} ended before it was read", prefix = .0.prefix)]
+    #[error("the lease on prefix {prefix:x} ended before it was prefilled", prefix = .0.prefix)]
     LeaseEnded(Beginning),
-    #[error("{readings} readings of one hand-over, at most {limit} are remembered")]
+    #[error("the replacement has {readings} prefills, but at most {limit} are tracked")]
     TooMany { readings: usize, limit: usize },
 }
 
 impl ReadError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             ReadError::Unknown(_) => {
-                "Nothing, where a replacement has just ended; else order it again with `replace`."
+                "No action is needed if a replacement has just ended; otherwise order it again with `replace`."
             }
             ReadError::NotGranted(_) => {
-                "Nothing: the grant was taken back. Grant the model to the team to have it read."
+                "No action is needed: the grant was revoked. Grant the model to the team to have the prefix prefilled."
             }
-            ReadError::NotMine(_) => "Nothing: another gateway reads it, or has read it.",
-            ReadError::NoText(_) => "Raise the bytes or the age of kept texts if this is frequent.",
+            ReadError::NotMine(_) => "No action is needed: another gateway prefills it or has done so.",
+            ReadError::NoText(_) => "If this is frequent, raise the limits of bytes or age of cached texts.",
             ReadError::LeaseEnded(_) => {
-                "Look why the gateway stood still; raise the lease if its host is often slow."
+                "Check why the gateway was paused; raise the lease if its host is often slow."
             }
             ReadError::TooMany { .. } => {
-                "Lower the budget of a replacement, or raise the number of readings."
+                "Lower the budget of a replacement, or raise the limit of prefills."
             }
         }
     }
 }
 
-/// Times and bounds.
+/// Times and limits of assignments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// A claim holds so long on its reader's clock.
+    /// Validity of a claim, measured on the clock of the member that made it (ms).
     pub lease: Ms,
-    /// A stand-in waits so long more, for clocks that drift and for news under way.
+    /// Additional wait of a backup, for clock drift and for messages in transit (ms).
     pub margin: Ms,
-    /// Readings of one hand-over.
+    /// Maximum number of prefills of one replacement.
     pub readings: usize,
 }
 
-/// Names readers for these beginnings, each with who holds its text; what nobody alive holds is left out.
+/// Assigns a primary and a backup to each prefix, given the members that hold its text. Prefixes that no live
+/// member holds are left out.
 pub fn assign(node: Node, holders: &[(Beginning, Vec<Member>)], alive: &[Seat]) -> Vec<Assigned> {
     let assigned = |(beginning, holders): &(Beginning, Vec<Member>)| {
         let mut ranked: Vec<Seat> = alive.iter().copied().filter(|s| holders.contains(&s.member)).collect();
@@ -115,7 +124,7 @@
 struct Known {
     assigned: Assigned,
     heard: Ms,
-    /// What the first reader told last, and when it was heard.
+    /// Last stage that the primary reported, and when the report was received.
     first: Option<(Stage, Ms)>,
     read: bool,
 }
@@ -123,16 +132,16 @@
 struct Open {
     opener: Seat,
     readings: BTreeMap<Beginning, Known>,
-    /// Claims of this member, which outlive a change of who is assigned: until when each holds.
+    /// Claims of this member with their expiry times, which are kept when the assignments change.
     mine: HashMap<Beginning, Ms>,
 }
 
-/// What one member knows of the readings under way.
+/// Prefill assignments that one member tracks.
 pub struct Readers {
     me: Seat,
     terms: Terms,
     open: HashMap<HandOver, Open>,
-    /// The last run of each node that is over here: late news of it, or of earlier ones, opens nothing.
+    /// Last run of each node that has ended here. Late messages about it or about earlier runs open nothing.
     closed: HashMap<Node, u64>,
 }
 
@@ -141,8 +150,9 @@
         Readers { me, terms, open: HashMap::new(), closed: HashMap::new() }
     }
 
-    /// A hand-over is opened by this member, or another's opening was heard. Where two have opened one, the opener that is first
-    /// by rendezvous holds at all who hear both; what was read before goes on counting.
+    /// Opens a replacement that this member starts or that another member has announced. If two members have
+    /// opened the same one, the opener that is first by rendezvous prevails at all members that receive both
+    /// announcements; prefills that were completed before still count.
     pub fn open(
         &mut self, hand_over: HandOver, opener: Seat, assigned: &[Assigned], now: Ms,
     ) -> Result<(), ReadError> {
@@ -179,7 +189,7 @@
         Ok(())
     }
 
-    /// Another member's word on a beginning. News of what is not open here changes nothing.
+    /// Applies another member's report. Reports on prefixes that are not open here are ignored.
     pub fn heard(&mut self, claim: &Claim, now: Ms) {
         let Some(known) = self.known(&claim.hand_over, &claim.beginning) else { return };
         known.read |= claim.stage == Stage::Read;
@@ -189,7 +199,7 @@
         }
     }
 
-    /// What this member may claim now, in the order of names.
+    /// Returns the prefills that this member may claim now, ordered by identifier.
     pub fn due(&self, now: Ms, alive: &dyn Fn(Seat) -> bool) -> Vec<(HandOver, Beginning)> {
         let mut due = Vec::new();
         for (hand_over, open) in &self.open {
@@ -200,7 +210,7 @@
         due
     }
 
-    /// Claims a beginning, once and for all. The word goes out before the reading.
+    /// Claims a prefill; this is possible only once. The claim must be sent to the others before the prefill.
     pub fn claim(
         &mut self, hand_over: HandOver, beginning: Beginning, now: Ms, alive: &dyn Fn(Seat) -> bool,
         granted: &dyn Fn(Team, Model) -> bool,
@@ -220,8 +230,9 @@
         Ok(Claim { hand_over, beginning, by: self.me, stage: Stage::Claimed })
     }
 
-    /// Just before the bytes go out: whether the claim still holds, the grant too, and the text is there. A process that was
-    /// stopped in between gives up here.
+    /// Returns the text to prefill if the claim and the grant are still valid and the text is available. The
+    /// caller runs this immediately before it sends the text, so that a process which was paused after its
+    /// claim gives up here.
     pub fn may_read<'t>(
         &self, claim: &Claim, now: Ms, granted: &dyn Fn(Team, Model) -> bool, text: Option<&'t [u8]>,
     ) -> Result<&'t [u8], ReadError> {
@@ -237,7 +248,8 @@
         text.ok_or(ReadError::NoText(beginning))
     }
 
-    /// The reading is over; what to tell the others. The claim holds no longer, and is not taken again.
+    /// Ends a prefill and returns the report for the others. The claim is no longer valid and cannot be made
+    /// again.
     pub fn ended(&mut self, claim: &Claim, read: bool) -> Claim {
         if let Some(open) = self.open.get_mut(&claim.hand_over) {
             open.mine.insert(claim.beginning, 0);
@@ -248,25 +260,26 @@
         Claim { stage: if read { Stage::Read } else { Stage::GivenUp }, ..*claim }
     }
 
-    /// Lets go of all readings that their teams may not have any more.
+    /// Removes all prefills whose team may no longer call their model.
     pub fn retain(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
         self.open.values_mut().for_each(|o| o.readings.retain(|b, _| granted(b.team, b.model)));
     }
 
-    /// The hand-over is over, or the node drains or is gone: nothing of it is read any more.
+    /// Closes a replacement that has ended, or whose node drains or has failed, and all earlier runs of the
+    /// node. No more of its prefixes are prefilled.
     pub fn close(&mut self, hand_over: HandOver) {
         self.open.retain(|h, _| h.node != hand_over.node || h.run > hand_over.run);
         let last = self.closed.entry(hand_over.node).or_insert(hand_over.run);
         *last = (*last).max(hand_over.run);
     }
 
-    /// A node is off every list for good: nothing is remembered of it.
+    /// Removes everything about a node that is permanently unlisted.
     pub fn forget(&mut self, node: Node) {
         self.open.retain(|h, _| h.node != node);
         self.closed.remove(&node);
     }
 
-    /// Readings that are remembered.
+    /// Returns the number of tracked prefills.
     pub fn len(&self) -> usize {
         self.open.values().map(|o| o.readings.len()).sum()
     }
--- a/crates/cache-warming/src/rendezvous.rs
+++ b/crates/cache-warming/src/rendezvous.rs
@@ -1,9 +1,10 @@
-//! Rendezvous hashing over members: the same order at all of them for the same names, and the death of one moves nothing
-//! but what was its own.
+//! Rendezvous hashing over members: all members derive the same order from the same names, and the loss of
+//! one member moves only what was assigned to it.
 
 use crate::terms::{Beginning, Member, Node};
 
-/// A mix of 64 bits (the finaliser of SplitMix64, Steele et al. 2014), written out because the order must be alike in all builds.
+/// Mixes 64 bits with the finalizer of SplitMix64 (Steele et al. 2014). It is written out here because the
+/// order must be the same in all builds.
 pub fn mix(value: u64) -> u64 {
     let a = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let b = (a ^ (a >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -11,7 +12,7 @@
     c ^ (c >> 31)
 }
 
-/// A member's place for a reading, the highest first.
+/// Returns a member's rendezvous score for a prefill. The highest score is first in the order.
 pub fn place(member: Member, node: Node, beginning: &Beginning) -> u64 {
     let parts = [member.0, node.0, beginning.team.0, beginning.model.0, beginning.prefix];
     parts.into_iter().fold(0, |h, part| mix(h ^ part))
--- a/crates/cache-warming/src/sketch.rs
+++ b/crates/cache-warming/src/sketch.rs
@@ -1,35 +1,36 @@
-//! Heavy hitters with decay: the hottest shared beginnings by tokens asked for, in bounded memory.
+//! Heavy hitters with decay: the hottest shared prefixes by requested tokens, in bounded memory.
 //!
-//! Misra and Gries' counters (1982) in their weighted and mergeable form (Agarwal et al., "Mergeable summaries", 2012): what is
-//! counted is never more than the truth, and short of it by at most [`Sketch::short_by`]. Decay multiplies counters, shortfall
-//! and total alike, so the bound holds at every moment: `short_by <= (total - counted) / (capacity + 1)`.
+//! Uses the counters of Misra and Gries (1982) in their weighted and mergeable form (Agarwal et al.,
+//! "Mergeable summaries", 2012): a count never exceeds the true value, and falls short of it by at most
+//! [`Sketch::short_by`]. Decay multiplies counts, undercount and total alike, so the bound holds at any time:
+//! `short_by <= (total - counted) / (capacity + 1)`.
 
 use std::collections::HashMap;
 
 use crate::terms::{Beginning, Member, Model, Ms, Node, Team};
 
-/// As many nodes are remembered as having read a beginning, the last ones.
+/// Maximum number of nodes recorded as having prefilled a prefix; the most recent ones are kept.
 pub const READ_AT: usize = 4;
-/// As many members are remembered as holding a beginning's text.
+/// Maximum number of members recorded as holding the text of a prefix.
 pub const HOLDERS: usize = 8;
 
-/// What is known of a beginning.
+/// What is known of a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
-    /// Its length.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
-    /// Tokens asked for, decayed; never more than the truth.
+    /// Requested tokens, decayed; never more than the true value.
     pub weight: f64,
-    /// When it was last asked for.
+    /// Time of the last request.
     pub last_asked: Ms,
-    /// Where it was read, and when, the latest first.
+    /// Nodes that prefilled it, each with the time, the latest first.
     pub read_at: Vec<(Node, Ms)>,
-    /// Who holds its text.
+    /// Members that hold its text, in ascending order.
     pub holders: Vec<Member>,
 }
 
 impl Seen {
-    /// Hits expected a second if it goes on as it has been, for a sketch with this half-life.
+    /// Returns the expected requests per second if the rate stays the same, for a sketch with this half-life.
     pub fn hits_a_second(&self, half_life: Ms) -> f64 {
         let hits = self.weight / f64::from(self.tokens.max(1));
         hits * std::f64::consts::LN_2 * 1000.0 / half_life.max(1) as f64
@@ -51,8 +52,8 @@
     }
 }
 
-/// The sketch. It holds at most twice its capacity and is cut to it when that is reached, so that an ask costs a constant time
-/// in the mean.
+/// Counters of the hottest prefixes. The sketch grows to twice its capacity before it is cut back to it, so
+/// that the cost of cutting is constant per request on average.
 #[derive(Clone, Debug)]
 pub struct Sketch {
     capacity: usize,
@@ -64,13 +65,14 @@
 }
 
 impl Sketch {
-    /// Remembers `capacity` beginnings (at least one); what was asked `half_life` ago counts half.
+    /// Creates a sketch of `capacity` prefixes (at least one). The weight of a request halves every
+    /// `half_life` ms.
     pub fn new(capacity: usize, half_life: Ms, now: Ms) -> Sketch {
         let (capacity, half_life) = (capacity.max(1), half_life.max(1));
         Sketch { capacity, half_life, as_of: now, total: 0.0, short_by: 0.0, seen: HashMap::new() }
     }
 
-    /// A beginning was asked for, and read at this node (`None`: not known).
+    /// Records a request for a prefix and the node that prefilled it (`None`: unknown).
     pub fn asked(&mut self, beginning: Beginning, tokens: u32, at: Option<Node>, now: Ms) {
         self.decay(now);
         self.total += f64::from(tokens);
@@ -86,22 +88,22 @@
         }
     }
 
-    /// This member holds the text of a beginning that is counted.
+    /// Records that a member holds the text of a prefix, if the prefix is counted.
     pub fn holds(&mut self, beginning: &Beginning, member: Member) {
         if let Some(seen) = self.seen.get_mut(beginning) {
             seen.held_by(member);
         }
     }
 
-    /// This member has let go of a beginning's text.
+    /// Records that a member no longer holds the text of a prefix.
     pub fn lets_go(&mut self, beginning: &Beginning, member: Member) {
         if let Some(seen) = self.seen.get_mut(beginning) {
             seen.holders.retain(|m| *m != member);
         }
     }
 
-    /// Adds what another sketch has counted. The bound holds for the sum, with the smaller capacity of both. What is merged must
-    /// not have been merged before: a view over members is made anew from the latest word of each.
+    /// Adds the counts of another sketch. The bound holds for the sum, with the smaller of both capacities.
+    /// No sketch may be merged twice: a view over all members is rebuilt from the latest sketch of each.
     pub fn merge(&mut self, other: &Sketch, now: Ms) {
         self.decay(now);
         let factor = other.factor(now);
@@ -120,17 +122,18 @@
         }
     }
 
-    /// Only beginnings whose team may call their model remain. What is left counts as before.
+    /// Keeps only prefixes whose team may call their model. The remaining counts do not change.
     pub fn retain(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
         self.seen.retain(|b, _| granted(b.team, b.model));
     }
 
-    /// What is known of a beginning; `None`: at most [`Sketch::short_by`] tokens were asked for.
+    /// Returns what is known of a prefix. `None`: at most [`Sketch::short_by`] tokens were requested.
     pub fn get(&self, beginning: &Beginning) -> Option<&Seen> {
         self.seen.get(beginning)
     }
 
-    /// The hottest beginnings, at most so many, the hottest first; ties by name, so that all derive the same.
+    /// Returns at most `count` prefixes, the hottest first. Ties are ordered by identifier, so that all
+    /// members derive the same order.
     pub fn hottest(&self, count: usize) -> Vec<(Beginning, &Seen)> {
         let mut all: Vec<_> = self.seen.iter().map(|(b, s)| (*b, s)).collect();
         all.sort_by(|a, b| b.1.weight.total_cmp(&a.1.weight).then(a.0.cmp(&b.0)));
@@ -138,12 +141,13 @@
         all
     }
 
-    /// All tokens asked for, decayed.
+    /// Returns the sum of all requested tokens, decayed.
     pub fn total(&self) -> f64 {
         self.total
     }
 
-    /// How much less than the truth a weight may be, decayed; at most `total / (capacity + 1)`.
+    /// Returns the maximum by which a weight falls short of the true value, decayed; at most `total /
+    /// (capacity + 1)`.
     pub fn short_by(&self) -> f64 {
         self.short_by
     }
@@ -164,7 +168,7 @@
         self.seen.is_empty()
     }
 
-    /// Brings all weights to this moment.
+    /// Decays all weights to `now`.
     pub fn decay(&mut self, now: Ms) {
         let factor = self.factor(now);
         if factor < 1.0 {
@@ -175,8 +179,8 @@
         self.as_of = self.as_of.max(now);
     }
 
-    /// Keeps the `count` heaviest: the next one's weight is taken from all, so that at least `count + 1` counters give it up and
-    /// the bound holds.
+    /// Keeps the `count` heaviest prefixes. The weight of the next one is subtracted from all, so that at
+    /// least `count + 1` counters lose this amount and the bound holds.
     pub fn cut(&mut self, count: usize) {
         if self.seen.len() <= count {
             return;
--- a/crates/cache-warming/src/slices.rs
+++ b/crates/cache-warming/src/slices.rs
@@ -1,10 +1,11 @@
-//! A node's keys in slices, so that its ownership can move piece by piece.
+//! Division of a node's keys into slices, so that ownership can move one slice at a time.
 
 use crate::rendezvous::mix;
 use crate::terms::Beginning;
 
-/// The slice that a beginning lies in, of so many; the same at all members. By its prefix alone, as the order of servers is.
+/// Returns the slice, out of `count`, that a prefix belongs to; all members derive the same one. Like the
+/// order of servers, it depends only on the key of the prefix.
 pub fn slice(beginning: &Beginning, count: u16) -> u16 {
-    // Mixed anew, so that what the order has put on one node still spreads over all slices.
+    // Mixed again, so that the keys which the server order assigns to one node still spread over all slices.
     (mix(!beginning.prefix) % u64::from(count.max(1))) as u16
 }
--- a/crates/cache-warming/src/terms.rs
+++ b/crates/cache-warming/src/terms.rs
@@ -1,8 +1,9 @@
-//! The terms that all parts share. Identities are hashes that the caller makes, alike at all members.
+//! Identifiers shared by all modules. Each is a hash that the caller computes in the same way on every
+//! member.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on a clock of the caller's; moments and lengths.
+/// Milliseconds: a time on the caller's clock, or a duration.
 pub type Ms = u64;
 
 macro_rules! identity {
@@ -14,19 +15,20 @@
 }
 
 identity!(
-    /// A gateway under its name, as a hash of it.
+    /// A gateway, identified by the hash of its name.
     Member,
-    /// One run of a member; later ones go before earlier ones.
+    /// One run of a member's process. Later runs have larger values and take precedence over earlier ones.
     Life,
-    /// A server that reads prompts.
+    /// A prefill server.
     Node,
-    /// A tenant.
+    /// A tenant, which the grants call a team.
     Team,
-    /// A model, its aliases resolved.
+    /// A model, after its aliases are resolved.
     Model
 );
 
-/// A shared beginning of prompts, of one team for one model; `prefix` is the key that all routers derive from its text.
+/// A prompt prefix that requests of one team for one model share. `prefix` is the key that every router
+/// derives from the prefix's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Beginning {
     pub team: Team,
--- a/crates/cache-warming/src/texts.rs
+++ b/crates/cache-warming/src/texts.rs
@@ -1,21 +1,21 @@
-//! The texts of the hottest beginnings, so that they can be read anew. Bounded in bytes, in age and by team; where the limits
-//! are zero nothing is kept, not even a name.
+//! Cache of the texts of the hottest prefixes, so that they can be prefilled again. It is limited in bytes,
+//! in bytes per team and in age. If a limit is zero, nothing is kept, not even the keys of prefixes.
 
 use std::collections::HashMap;
 
 use crate::terms::{Beginning, Model, Ms, Team};
 
-/// What a text counts beside its bytes, so that many short ones do not go past the limit.
+/// Bytes that each text counts in addition to its length, so that many short texts cannot exceed the limits.
 pub const OVERHEAD: usize = 128;
 
-/// Limits of the buffer. Any of them zero: nothing is kept.
+/// Limits of the cache. If any of them is zero, nothing is kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limits {
-    /// All texts together, [`OVERHEAD`] included.
+    /// Maximum bytes of all texts, [`OVERHEAD`] included.
     pub bytes: usize,
-    /// The texts of one team.
+    /// Maximum bytes of one team's texts, [`OVERHEAD`] included.
     pub team_bytes: usize,
-    /// How long a text is kept after it was last asked for.
+    /// Time for which a text is kept after its last request (ms).
     pub age: Ms,
 }
 
@@ -31,12 +31,14 @@
     }
 }
 
-/// How hot a beginning of this weight is, so that what was weighed at different moments compares as if all had decayed to one.
+/// Returns the heat of a prefix with this weight: the base-2 logarithm of the weight, plus the number of
+/// half-lives up to `now`. Heats from different times compare as if all weights had decayed to the same
+/// moment.
 pub fn heat(weight: f64, half_life: Ms, now: Ms) -> f64 {
     weight.max(f64::MIN_POSITIVE).log2() + now as f64 / half_life.max(1) as f64
 }
 
-/// The buffer.
+/// Cache of prefix texts.
 pub struct Texts {
     limits: Limits,
     kept: HashMap<Beginning, Kept>,
@@ -49,13 +51,14 @@
         Texts { limits, kept: HashMap::new(), bytes: 0, by_team: HashMap::new() }
     }
 
-    /// Nothing is ever kept.
+    /// Whether a limit of zero disables the cache.
     pub fn off(&self) -> bool {
         self.limits.bytes == 0 || self.limits.team_bytes == 0 || self.limits.age == 0
     }
 
-    /// Keeps a text that was asked for now and is so hot ([`heat`]), in place of colder ones (of its team first,
-    /// where that is at its own limit). What had to go is returned; the text itself is among it where all others are hotter.
+    /// Inserts a text that was requested now, with its [`heat`], and evicts colder texts while a limit is
+    /// exceeded: texts of the same team first, then of all. Returns the evicted prefixes; the new one is
+    /// among them if it is the coldest, or larger than a limit.
     pub fn keep(&mut self, beginning: Beginning, text: &[u8], heat: f64, now: Ms) -> Vec<Beginning> {
         let bytes = text.len() + OVERHEAD;
         if self.off() {
@@ -69,43 +72,43 @@
         *self.by_team.entry(beginning.team).or_default() += bytes;
         self.kept.insert(beginning, Kept { text: text.into(), heat, asked: now });
         let mut gone = Vec::new();
-        // Both end when nothing is left, whatever the sums say.
+        // Each loop also ends once no text is left, whatever the byte counts are.
         let team = beginning.team;
         while self.of(team) > self.limits.team_bytes && self.drop_coldest(Some(team), &mut gone) {}
         while self.bytes > self.limits.bytes && self.drop_coldest(None, &mut gone) {}
         gone
     }
 
-    /// A text that is kept was asked for again, or has cooled.
+    /// Updates the heat of a cached text and the time of its last request.
     pub fn touch(&mut self, beginning: &Beginning, heat: f64, now: Ms) {
         if let Some(kept) = self.kept.get_mut(beginning) {
             (kept.heat, kept.asked) = (heat, kept.asked.max(now));
         }
     }
 
-    /// The text, where it is kept and not too old.
+    /// Returns the text if it is cached and has not expired.
     pub fn get(&self, beginning: &Beginning, now: Ms) -> Option<&[u8]> {
         let kept = self.kept.get(beginning)?;
         (now.saturating_sub(kept.asked) <= self.limits.age).then_some(&*kept.text)
     }
 
-    /// Lets go of what is too old, and returns it.
+    /// Removes expired texts and returns their prefixes.
     pub fn sweep(&mut self, now: Ms) -> Vec<Beginning> {
         let age = self.limits.age;
         self.drop_where(|_, kept| now.saturating_sub(kept.asked) > age)
     }
 
-    /// Lets go of what its team may not call any more, and returns it.
+    /// Removes texts whose team may no longer call their model, and returns their prefixes.
     pub fn retain(&mut self, granted: &dyn Fn(Team, Model) -> bool) -> Vec<Beginning> {
         self.drop_where(|b, _| !granted(b.team, b.model))
     }
 
-    /// Bytes kept, [`OVERHEAD`] included.
+    /// Returns the bytes in use, [`OVERHEAD`] included.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Bytes kept of a team.
+    /// Returns the bytes in use for a team, [`OVERHEAD`] included.
     pub fn of(&self, team: Team) -> usize {
         self.by_team.get(&team).copied().unwrap_or(0)
     }
--- a/crates/cache-warming/src/word.rs
+++ b/crates/cache-warming/src/word.rs
@@ -1,5 +1,5 @@
-//! A sketch as bytes, so that it can travel in the fleet's table: a byte of format version, then postcard. Moments travel as
-//! ages, because members share no clock.
+//! Binary encoding of a [`Sketch`] for the fleet's table: a byte of format version, then postcard. Times are
+//! encoded as ages, because members share no clock.
 
 use std::collections::HashMap;
 
@@ -9,45 +9,44 @@
 use crate::sketch::{Seen, Sketch, HOLDERS, READ_AT};
 use crate::terms::{Beginning, Member, Ms, Node};
 
-/// The format written, and the only one read.
+/// Format version that is written, and the only one accepted.
 pub const FORMAT: u8 = 1;
-/// No word tells more beginnings than this.
+/// Maximum number of prefixes in an encoded sketch.
 pub const MOST: usize = 4096;
-/// No member's word counts for more tokens than this, whatever it says.
+/// Maximum total, weight or undercount accepted from another member, in tokens. A sketch that exceeds it is
+/// rejected.
 pub const HEAVIEST: f64 = 1e15;
 
-/// Why a member's word is left out.
+/// Why a sketch from another member was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WordError {
-    #[error("a word of hot beginnings has format {found}, this build reads {FORMAT}")]
+    #[error("encoded sketch has format {found}, but this build reads only format {FORMAT}")]
     Format { found: u8 },
-    #[error("a word of hot beginnings breaks off or is not what its format says")]
+    #[error("encoded sketch is truncated or does not match its format")]
     Malformed,
-    #[error("a word of hot beginnings tells {found} of them, at most {MOST} are read")]
+    #[error("encoded sketch has {found} prefixes, but at most {MOST} are accepted")]
     TooMany { found: usize },
-    #[error("a word of hot beginnings has half-life {found} ms, this member's is {own} ms")]
+    #[error("encoded sketch has a half-life of {found} ms, but this member uses {own} ms")]
     HalfLife { found: Ms, own: Ms },
-    #[error(
-        "a word of hot beginnings has a weight that is no amount of tokens, or breaks the bound it promises"
-    )]
+    #[error("encoded sketch has a count that is out of range, or counts that add up to more than its total")]
     Weight,
 }
 
 impl WordError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             WordError::Format { .. } => {
-                "Bring all gateways to one build; until then the word of the other one is left out."
+                "Run the same build on all gateways; until then the sketch of the other gateway is ignored."
             }
             WordError::Malformed => {
-                "Compare the builds of both gateways; if they are alike, restart the one that tells it."
+                "Compare the builds of both gateways; if they are the same, restart the sending gateway."
             }
             WordError::TooMany { .. } => {
-                "Lower the number of beginnings that the telling gateway's file sets."
+                "Lower the number of prefixes in the settings file of the sending gateway."
             }
-            WordError::HalfLife { .. } => "Set the same half-life in the operators' file of every gateway.",
-            WordError::Weight => "Restart the gateway that tells it; its counts are spoilt.",
+            WordError::HalfLife { .. } => "Set the same half-life in the settings file of every gateway.",
+            WordError::Weight => "Restart the sending gateway; its counts are corrupt.",
         }
     }
 }
@@ -70,7 +69,8 @@
     lines: Vec<Line>,
 }
 
-/// The heaviest beginnings, as many as fit into `room` bytes; the rest is added to what the weights may be short by.
+/// Encodes as many of the heaviest prefixes as fit into `room` bytes. What is left out raises the undercount
+/// of the encoded sketch.
 pub fn to_bytes(sketch: &Sketch, room: usize, now: Ms) -> Vec<u8> {
     let mut told = sketch.clone();
     told.decay(now);
@@ -85,12 +85,13 @@
         if bytes.len() <= room || count == 0 {
             return bytes;
         }
-        // By how much it is too long, and at least one fewer.
+        // Scales the count by the ratio of room to size, and lowers it by at least one.
         count = (count * room / bytes.len()).min(count - 1);
     }
 }
 
-/// Reads another member's word, which was made `age` ago, with this member's capacity and half-life.
+/// Decodes another member's sketch, which was encoded `age` ms ago, with this member's capacity and
+/// half-life.
 pub fn from_bytes(
     bytes: &[u8], capacity: usize, half_life: Ms, age: Ms, now: Ms,
 ) -> Result<Sketch, WordError> {
@@ -107,7 +108,7 @@
     }
     let fits = |amount: f64| (0.0..=HEAVIEST).contains(&amount);
     let counted: f64 = word.lines.iter().map(|l| l.weight).sum();
-    // Rounding of sums apart, no honest word counts more than its total.
+    // Apart from rounding, a valid sketch never counts more than its total.
     let honest = counted + word.short_by <= word.total * 1.000_001 + 1.0;
     if !(fits(word.total) && fits(word.short_by) && word.lines.iter().all(|l| fits(l.weight)) && honest) {
         return Err(WordError::Weight);
--- a/crates/cache-warming/tests/cutover.rs
+++ b/crates/cache-warming/tests/cutover.rs
@@ -1,4 +1,5 @@
-//! How ownership moves: one owner a slice, never a node that drains or has failed, an end in time.
+//! Ownership during a cutover: each slice has one owner, never a node that drains or has failed, and the
+//! cutover ends in time.
 
 use std::collections::BTreeSet;
 
@@ -52,9 +53,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Replacements ordered, failing, drained and replaced again in any order. Each beginning has one owner, old or new of its
-    /// replacement and never one that is lost; it goes back only in a step that says so; the old one may drain only when
-    /// nothing is its own.
+    /// Guards against prefixes with a wrong owner while replacements are ordered, fail, drain and are
+    /// replaced again in any sequence. The owner of a prefix is the old or the new node of its replacement
+    /// and never a lost one; slices return only in a step that reports it; and the old node may drain only
+    /// when it owns nothing.
     #[test]
     fn a_slice_has_one_owner_that_serves(events in events()) {
         let (mut all, mut now, mut lost) = (Replacements::new(TERMS, 3), 0, BTreeSet::new());
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Whatever is read and found: over by the deadline, a gap for each slice and the time to settle.
+    /// Guards against a cutover that never ends: whatever is prefilled and found, it is over by the deadline
+    /// plus one gap for each slice and the settling time.
     #[test]
     fn a_cut_over_ends_in_time(reads in prop::collection::vec((0u64..40, 0u64..300), 0..60), found in 0u32..500) {
         let mut cutover = Cutover::new(over(2, 1), Some(Node(1)), &plan(2), TERMS, 0);
@@ -137,14 +140,14 @@
     read_all(&mut cutover, 50);
     assert_eq!(cutover.step(Input::Tick, 100), [Step::Moved { slice: 0, why: Why::Read }]);
     assert!(cutover.step(Input::Tick, 199).is_empty());
-    // 7 of each 10 tokens a second asked for lie in what was read.
+    // Each planned prefix saves 7 of the 10 tokens per second requested of it, and 32 of 40 are planned.
     assert!((cutover.figures().expected - 0.56).abs() < 0.15, "{}", cutover.figures());
-    // What is found falls far short: the rest stands still until the deadline.
+    // Far less is found than expected, so the remaining slices wait for the deadline.
     cutover.step(Input::Asked { tokens: 5000, found: 100 }, 199);
     assert!(cutover.step(Input::Tick, 4000).is_empty());
     assert_eq!(cutover.step(Input::Tick, 5000).len(), 1);
     assert_eq!(cutover.figures().to_string().split(" expected").next(), Some("planned=32 read=32 moved=2/4"));
-    // The new node fails: back in the same step, and nothing moves after.
+    // The new node fails: all slices return in the same step, and nothing moves afterwards.
     assert_eq!(cutover.step(Input::Lost(Node(2)), 5001), [Step::Back { why: Why::NewLost }]);
     assert!((0..4).all(|s| cutover.side_of(s) == Some(glenrail_cache_warming::cutover::Side::Old)));
     assert!(cutover.step(Input::Tick, 99_999).is_empty());
@@ -163,22 +166,22 @@
 fn a_replacement_is_replaced_again() {
     let mut all = Replacements::new(TERMS, 3);
     let (a, b, c) = (Node(1), Node(2), Node(3));
-    all.order(Some(a), over(2, 1), &plan(2), 0).expect("a node that serves");
+    all.order(Some(a), over(2, 1), &plan(2), 0).expect("the new node serves");
     assert_eq!(all.order(Some(c), over(2, 2), &plan(2), 0), Err(OrderError::UnderWay(b)));
     (0..32).for_each(|p| drop(all.step(b, Input::Read(beginning(p)), 10)));
     all.tick(100);
     assert!((0..40).any(|p| all.owner(b, &beginning(p)) == Some(b)));
-    // B itself is replaced by C: what B had is A's again, and C takes over from A, which is warm.
-    let steps = all.order(Some(b), over(3, 1), &plan(3), 200).expect("a node that serves");
+    // B itself is replaced by C: what B owned returns to A, and C takes over from A, whose cache is warm.
+    let steps = all.order(Some(b), over(3, 1), &plan(3), 200).expect("the new node serves");
     assert_eq!(steps, [(over(2, 1), Step::Back { why: Why::Superseded })]);
     assert!((0..40).all(|p| all.owner(c, &beginning(p)) == Some(a) && all.owner(b, &beginning(p)) == Some(a)));
-    // A drains by another's order: all is C's at once, read or not.
+    // A drains for another reason: all slices move to C at once, prefilled or not.
     let steps = all.lost(a, true, 300);
     assert!(steps.contains(&(over(3, 1), Step::AllMoved { why: Why::OldLost })));
     assert!((0..40).all(|p| all.owner(c, &beginning(p)) == Some(c)));
-    // A failed replacement that is replaced: from the node that serves, not from the failed one.
+    // A replacement of a failed new node takes over from the node that serves, not from the failed one.
     let mut all = Replacements::new(TERMS, 3);
-    all.order(Some(a), over(2, 1), &plan(2), 0).expect("a node that serves");
+    all.order(Some(a), over(2, 1), &plan(2), 0).expect("the new node serves");
     all.lost(b, true, 10);
     assert_eq!(all.order(Some(b), over(3, 1), &plan(3), 20), Ok(Vec::new()));
     assert!((0..40).all(|p| all.owner(c, &beginning(p)) == Some(a)));
--- a/crates/cache-warming/tests/pace.rs
+++ b/crates/cache-warming/tests/pace.rs
@@ -1,4 +1,4 @@
-//! When readings go out.
+//! Pacing of the prefills that warm a node.
 
 use glenrail_cache_warming::pace::{Held, Limits, Pace, Sight, Standing};
 use glenrail_cache_warming::{Beginning, Model, Node, Team};
@@ -20,8 +20,9 @@
 }
 
 proptest! {
-    /// Nothing under way in trouble, nothing begun within calm after it, never more than the limit at once, tokens within their
-    /// share and what may be saved.
+    /// Guards client requests against prefills: none is in flight while there is a reason to stop, none
+    /// starts within the calm time after it, and the number in flight and the tokens stay within their
+    /// limits.
     #[test]
     fn readings_keep_to_the_limits(steps in prop::collection::vec((sights(), 1u32..6000, 0u64..2000, any::<bool>()), 1..150)) {
         let mut pace = Pace::new(Node(1), LIMITS, 0);
@@ -61,7 +62,8 @@
     assert_eq!(pace.send(beginning(3), 1, &drains, 5000), Err(Held::Drains(Node(1))));
 }
 
-/// Asked each millisecond, a rate that is no whole number of tokens a millisecond is kept all the same.
+/// Guards against rounding: a rate that is no whole number of tokens per millisecond is reached even if a
+/// prefill is attempted every millisecond.
 #[test]
 fn parts_of_a_token_are_not_lost() {
     let mut pace = Pace::new(Node(1), Limits { tokens_a_second: 1500, running: 1000, ..LIMITS }, 0);
--- a/crates/cache-warming/tests/plan.rs
+++ b/crates/cache-warming/tests/plan.rs
@@ -1,11 +1,11 @@
-//! The plan against an exact solver, and what is in none.
+//! The plan against an exact solver, and what a plan must not contain.
 
 use glenrail_cache_warming::plan::{choose, plan, Budget, Facts, Item, Target};
 use glenrail_cache_warming::sketch::Sketch;
 use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
-/// All subsets.
+/// Returns the best saving of all subsets within the budget.
 fn best(items: &[Item], budget: Budget) -> f64 {
     let fits = |set: &u32| {
         let chosen = || items.iter().enumerate().filter(|(at, _)| set & (1 << at) != 0).map(|(_, item)| item);
@@ -29,7 +29,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// At least half of the best where sends do not bind, at least a quarter where they do; never over a budget.
+    /// A selection saves at least half of the optimum if the number of requests does not bind and at least a
+    /// quarter if it does, and never exceeds a budget.
     #[test]
     fn a_choice_is_within_the_stated_part_of_the_best(items in items(0..11), tokens in 0u64..20_000, sends in 0u32..12) {
         let budget = Budget { tokens, sends };
@@ -43,7 +44,8 @@
         prop_assert!(worth(&items, &chosen) >= part * best(&items, budget) - 1e-6);
     }
 
-    /// Only what it will own, what it lacks, what may be called and what somebody can read.
+    /// A plan contains only prefixes that the node will own and has not cached, that their team may call, and
+    /// whose text a member holds.
     #[test]
     fn a_plan_has_nothing_else(asks in prop::collection::vec((0u64..30, 1u32..4000, 0u64..4), 1..200), refused in 0u64..3) {
         let mut sketch = Sketch::new(64, 10_000, 0);
@@ -68,7 +70,7 @@
                 let b = reading.beginning;
                 prop_assert!(plan.node == Node(3) || b.prefix % 4 == plan.node.0);
                 prop_assert!(b.team != Team(refused) && b.prefix % 5 != 0 && b.prefix % 7 != 0);
-                let seen = sketch.get(&b).expect("planned");
+                let seen = sketch.get(&b).expect("a planned prefix is counted");
                 prop_assert!(seen.read_at.iter().all(|r| r.0 != plan.node) && reading.tokens <= seen.tokens);
                 prop_assert!(plan.owned.iter().any(|o| o.0 == b));
             }
@@ -76,7 +78,8 @@
     }
 }
 
-/// Where plain greedy fails: a small item in front of a large one, and many thrifty ones where sends are few.
+/// Guards against plain greedy selection, which takes a small item in place of a large one, and many items
+/// with a good ratio where few requests are allowed.
 #[test]
 fn a_large_saving_is_not_lost_to_a_thrifty_one() {
     let of = |tokens, saving| Item { tokens, saving };
--- a/crates/cache-warming/tests/readers.rs
+++ b/crates/cache-warming/tests/readers.rs
@@ -1,5 +1,6 @@
-//! Who reads, over deaths, pauses and late news. A world of members on one line of time: words arrive at each member after a
-//! delay of their own or never, a member may be gone in one's eyes and not in another's, stopped ones wake with old leases.
+//! Assignment of prefills across failures, pauses and late messages. The tests simulate members on one
+//! timeline: a message arrives at each member after its own delay or never, one member may consider another
+//! failed while a third does not, and paused members resume with old leases.
 
 use std::collections::HashMap;
 
@@ -19,24 +20,25 @@
     Seat { member: Member(member), life: Life(life) }
 }
 
-/// One thing that happens, with whom, and how late.
+/// One event, with the member that it concerns and the delays in ms.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A member does what is due; its words take so long to each, 5000 and more: never.
+    /// A member does what is due. Its messages reach each member after the given delay, or never if that is
+    /// 5000 or more.
     Acts {
         member: u64,
         delays: Vec<u64>,
     },
-    /// It claims, is stopped, and sends its reading when it wakes.
+    /// A member claims its prefills, is paused, and sends them when it resumes.
     Stops {
         member: u64,
         length: u64,
     },
-    /// It dies, and is back as a new life.
+    /// A member fails and restarts as a new incarnation.
     Dies {
         member: u64,
     },
-    /// One takes another for gone, or for alive.
+    /// A member considers another one failed or live.
     Sees {
         member: u64,
         other: u64,
@@ -149,7 +151,7 @@
                 let at = *member as usize;
                 self.lives[at] += 1;
                 let mut readers = Readers::new(seat(*member, self.lives[at]), TERMS);
-                // The news of the hand-over is still in the table.
+                // The announcement of the replacement is still in the table.
                 readers.open(HAND_OVER, seat(0, 1), &self.assigned, self.now).expect("within the limit");
                 self.readers[at] = readers;
                 self.held[at].clear();
@@ -169,20 +171,21 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// At most one doubled reading of a beginning, none twice by the same life, whatever happens.
+    /// Guards against repeated prefills: whatever happens, a prefix is prefilled at most twice, and never
+    /// twice by the same incarnation.
     #[test]
     fn at_most_one_doubled_reading(events in events()) {
         let mut world = World::new(4);
         for event in &events {
             world.happens(event);
             for (beginning, by) in &world.read {
-                prop_assert!(by.len() <= 2, "{beginning:?} read by {by:?}");
+                prop_assert!(by.len() <= 2, "{beginning:?} prefilled by {by:?}");
                 prop_assert!(by.len() < 2 || by[0] != by[1]);
             }
         }
     }
 
-    /// With nobody gone and whatever delays, nothing is doubled, and all is read.
+    /// Without failures, and with any delays, each prefix is prefilled exactly once.
     #[test]
     fn without_deaths_each_is_read_once(acts in prop::collection::vec((0..MEMBERS, 0u64..3000), 1..40)) {
         let mut world = World::new(4);
@@ -195,7 +198,8 @@
         prop_assert!(world.read.values().all(|by| by.len() == 1));
     }
 
-    /// The first reader dies before it reads, with its claim heard or not: the stand-in reads within lease and margin.
+    /// If the primary fails before its prefill, whether its claim was received or not, the backup prefills
+    /// within lease and margin.
     #[test]
     fn a_dead_readers_beginnings_are_taken_over(claims: bool) {
         let mut world = World::new(6);
@@ -236,7 +240,7 @@
     let refused = readers.claim(HAND_OVER, beginning(0), 0, &|_| true, &none);
     assert_eq!(refused, Err(ReadError::NotGranted(beginning(0))));
     let claim = readers.claim(HAND_OVER, beginning(0), 0, &|_| true, &all).expect("granted again");
-    // Taken back between claim and reading.
+    // Revoked between the claim and the prefill.
     assert_eq!(readers.may_read(&claim, 1, &none, Some(b"text")), Err(ReadError::NotGranted(beginning(0))));
     assert_eq!(readers.may_read(&claim, 1, &all, None), Err(ReadError::NoText(beginning(0))));
     readers.close(HAND_OVER);
@@ -247,7 +251,8 @@
     assert!(readers.is_empty());
 }
 
-/// Two openers of one hand-over, heard in either order: all come to the same readers, and a life reads once all the same.
+/// Guards against two openers of one replacement: in whichever order their announcements are received, all
+/// members derive the same assignment, and the prefix is prefilled once.
 #[test]
 fn of_two_openers_one_holds() {
     let holders = [(beginning(0), (0..MEMBERS).map(Member).collect::<Vec<_>>())];
--- a/crates/cache-warming/tests/sketch.rs
+++ b/crates/cache-warming/tests/sketch.rs
@@ -1,4 +1,4 @@
-//! What the sketch promises, against exact counts.
+//! The sketch against exact counts.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
     Beginning { team: Team(name % 3), model: Model(name % 2), prefix: name }
 }
 
-/// Asks as (which, tokens, how much later, by which member).
+/// Generates requests as (prefix, tokens, time since the last one, member).
 fn asks() -> impl Strategy<Value = Vec<(u64, u32, u64, usize)>> {
     let skewed = prop_oneof![4 => 0u64..4, 1 => 0u64..60];
     prop::collection::vec((skewed, 1u32..4000, 0u64..3000, 0usize..3), 1..400)
@@ -31,7 +31,8 @@
     (sketches, exact, now)
 }
 
-/// Never more than the truth, short by at most what it says, and that within the stated bound.
+/// Checks that no count exceeds its true value or falls short of it by more than the stated undercount, and
+/// that the undercount is within its bound.
 fn holds(sketch: &Sketch, exact: &HashMap<Beginning, f64>, capacity: usize) -> Result<(), TestCaseError> {
     let (total, slack) = (exact.values().sum::<f64>(), 1e-6);
     prop_assert!((sketch.total() - total).abs() <= total * slack);
@@ -55,7 +56,7 @@
         prop_assert!(sketch.len() <= 2 * capacity);
     }
 
-    /// Through bytes, too, whole or cut to a few.
+    /// The bound also holds for sketches that were encoded, whole or cut to a few prefixes.
     #[test]
     fn merged_counts_are_within_the_stated_bound(asks in asks(), capacity in 1usize..20, room in 60usize..2000) {
         let (sketches, exact, now) = count(&asks, capacity);
@@ -69,7 +70,7 @@
         for word in &words {
             prop_assert!(word.len() <= room);
             let heard = from_bytes(word, capacity, HALF, 500, now + 500).map_err(|e| TestCaseError::fail(e.to_string()))?;
-            // What was cut away to fit is part of what is said to be missing.
+            // What was cut to fit is part of the stated undercount.
             fewest = fewest.min(heard.len());
             told.merge(&heard, now + 500);
         }
@@ -96,9 +97,9 @@
     sketch.asked(beginning(5), 700, Some(Node(9)), 2000);
     sketch.holds(&beginning(5), Member(4));
     let mut bytes = to_bytes(&sketch, 1100, 2500);
-    // Heard on a clock of another origin.
-    let heard = from_bytes(&bytes, 8, HALF, 100, 90_100).expect("a word of this build");
-    let seen = heard.get(&beginning(5)).expect("told");
+    // Received on a clock with another origin.
+    let heard = from_bytes(&bytes, 8, HALF, 100, 90_100).expect("a sketch encoded by this build");
+    let seen = heard.get(&beginning(5)).expect("the prefix is in the sketch");
     assert_eq!(
         (seen.last_asked, seen.read_at.clone(), seen.holders.clone()),
         (89_500, vec![(Node(9), 89_500)], vec![Member(4)])
--- a/crates/cache-warming/tests/texts.rs
+++ b/crates/cache-warming/tests/texts.rs
@@ -1,4 +1,4 @@
-//! What is kept of texts, and what is not.
+//! What the text cache keeps, and what it does not.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 }
 
 proptest! {
-    /// Limits hold after each step, nothing too old is given out, and what remains is hotter than what had to go.
+    /// The limits hold after each step, and no expired text is returned.
     #[test]
     fn limits_hold(steps in prop::collection::vec((0u64..30, 0usize..400, 0u32..1000, 0u64..400), 1..200),
                    bytes in 0usize..4000, team_bytes in 0usize..2000, age in 0u64..2000) {
