--- a/crates/store/benches/index.rs
+++ b/crates/store/benches/index.rs
@@ -1,4 +1,5 @@
-//! The index against plain maps: what a point read, a change beside a view, and an ordered scan of 100 keys cost.
+//! The index against plain maps: the cost of a point read, of a change while a view exists, and of an ordered
+//! scan of 100 keys.
 //!
 //!     cargo bench -p glenrail-store --bench index
 
@@ -14,7 +15,7 @@
 }
 
 fn key(n: u64) -> Box<[u8]> {
-    // Spread, so that neighbours in time are none in the tree.
+    // Scattered, so that successive keys are not adjacent in the tree.
     n.wrapping_mul(0x9E37_79B9_7F4A_7C15).to_be_bytes().into()
 }
 
@@ -37,7 +38,7 @@
 reads!(read_btree_map, BTreeMap<Box<[u8]>, Value>);
 reads!(read_hash_map, HashMap<Box<[u8]>, Value>);
 
-/// A change after a view was taken: the tree that shares copies a path ...
+/// A change while a view exists: the tree with shared parts copies one path.
 #[divan::bench(args = SIZES)]
 fn change_beside_a_view_ord_map(bencher: Bencher, size: u64) {
     let mut map: OrdMap<Box<[u8]>, Value> = (0..size).map(|n| (key(n), Value::default())).collect();
@@ -50,7 +51,7 @@
     });
 }
 
-/// ... and a plain one has to be copied whole, or locked against its readers.
+/// A change while a view exists: a plain map has to be copied whole, or locked against its readers.
 #[divan::bench(args = [1_000, 100_000], sample_count = 20, sample_size = 1)]
 fn change_beside_a_view_btree_map(bencher: Bencher, size: u64) {
     let mut map: BTreeMap<Box<[u8]>, Value> = (0..size).map(|n| (key(n), Value::default())).collect();
--- a/crates/store/examples/figures.rs
+++ b/crates/store/examples/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of the store on this machine's disk, for `docs/store.md`.
+//! Measures the store on this machine's disk, for `docs/store.md`.
 //!
 //!     cargo run --release -p glenrail-store --example figures -- FOLDER
 
@@ -20,7 +20,7 @@
     (store, start.elapsed(), found.bytes)
 }
 
-/// Writes so many values, this many waiting at once, and prints the rate.
+/// Writes `count` values with up to `together` of them waiting, and prints the rate.
 fn rate(store: &Store, what: &str, count: u64, together: usize, durability: Durability) {
     let start = Instant::now();
     let (tell, told) = std::sync::mpsc::channel();
@@ -28,16 +28,16 @@
     while done < count {
         while sent < count && sent - done < together as u64 {
             let tell = tell.clone();
-            store.submit(put(sent % 10_000, 100), durability, move |r| _ = tell.send(r)).expect("taken");
+            store.submit(put(sent % 10_000, 100), durability, move |r| _ = tell.send(r)).expect("accepted");
             sent += 1;
         }
-        told.recv().expect("told").expect("written");
+        told.recv().expect("acknowledged").expect("written");
         done += 1;
     }
     let figures = store.figures();
     let each = count as f64 / start.elapsed().as_secs_f64();
     println!(
-        "{what}: {each:.0} writes/s ({:.1} batches a group so far)",
+        "{what}: {each:.0} writes/s ({:.1} batches per group so far)",
         figures.batches as f64 / figures.groups as f64
     );
 }
@@ -69,13 +69,13 @@
     drop(store);
     std::fs::remove_dir_all(&path).expect("removed");
 
-    // 20 MB of live values, overwritten ten times.
+    // Overwrites 20 MB of live values ten times.
     let (store, ..) = open(&path);
     let (keys, size) = (20_000u64, 1_000);
     let mut peak = 0;
     for n in 0..keys * 11 {
         let durability = if n % 1_000 == 0 { Durability::Synced } else { Durability::Buffered };
-        // First all in order, then at random.
+        // All keys in order at first, then at random.
         let key = if n < keys { n } else { n.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 20 } % keys;
         if n % 1_000 == 0 {
             while store.write(put(key, size), durability).is_err() {
@@ -90,7 +90,7 @@
     }
     let f = store.figures();
     println!(
-        "overwriting 20 MB ten times: {:.2} bytes copied for each written, peak {:.0} MB, live {:.0} MB",
+        "overwriting 20 MB ten times: {:.2} bytes copied per byte written, peak {:.0} MB, live {:.0} MB",
         f.copied as f64 / f.written as f64,
         peak as f64 / 1e6,
         f.live as f64 / 1e6
@@ -98,7 +98,7 @@
     drop(store);
     std::fs::remove_dir_all(&path).expect("removed");
 
-    // 100 MB to recover.
+    // Recovers 100 MB.
     let (store, ..) = open(&path);
     for n in 0..100_000u64 {
         while store.submit(put(n, 1_000), Durability::Buffered, |_| ()).is_err() {
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,4 +1,4 @@
-//! Keyspaces with typed keys and values, and batches over several of them.
+//! Keyspaces with typed keys and values, and batches of changes to several of them.
 
 use std::borrow::Borrow;
 use std::marker::PhantomData;
@@ -9,7 +9,7 @@
 use crate::error::{Error, Result};
 use crate::view::View;
 
-/// A key whose bytes sort as it does.
+/// A key whose encoded bytes sort in the same order as the key.
 pub trait Key: ToOwned {
     fn encode(&self, out: &mut Vec<u8>);
     fn decode(bytes: &[u8]) -> Option<Self::Owned>;
@@ -42,7 +42,8 @@
     }
 }
 
-/// A part of the store with keys and values of one kind. Its number must never change, nor be another's.
+/// A part of the store with keys and values of one type. Its number must never change and must not be used
+/// for another keyspace.
 pub struct Keyspace<K: ?Sized, V> {
     number: u16,
     keys: PhantomData<fn(&K)>,
@@ -64,18 +65,18 @@
         postcard::from_bytes(bytes).map_err(|e| Error::Coding(e.to_string()))
     }
 
-    /// The value of a key at this time (ms, the caller's clock).
+    /// Returns the value of a key at time `now` (ms on the caller's clock).
     pub fn get(&self, view: &View, key: &K, now: u64) -> Result<Option<V>> {
         view.get(&self.key(key), now)?.map(|(value, _)| Self::value(&value)).transpose()
     }
 
-    /// With the version to expect in a later batch.
+    /// Returns the value with its version, which a later batch can expect.
     pub fn get_versioned(&self, view: &View, key: &K, now: u64) -> Result<Option<(V, u64)>> {
         let found = view.get(&self.key(key), now)?;
         found.map(|(value, version)| Ok((Self::value(&value)?, version))).transpose()
     }
 
-    /// All keys that begin so, in order.
+    /// Returns all entries whose key starts with `prefix`, in the order of their keys.
     pub fn scan(&self, view: &View, prefix: &K, now: u64) -> Result<Vec<(K::Owned, V)>>
     where
         K::Owned: Borrow<K>,
@@ -83,15 +84,15 @@
         let prefix = self.key(prefix);
         let found = view.scan(&prefix, now).map(|found| {
             let (key, value) = found?;
-            let decoded =
-                K::decode(&key[2..]).ok_or_else(|| Error::Coding("a key of another kind".into()))?;
+            let decoded = K::decode(&key[2..])
+                .ok_or_else(|| Error::Coding("the key is not of the keyspace's type".into()))?;
             Ok((decoded, Self::value(&value)?))
         });
         found.collect()
     }
 }
 
-/// One change of a batch, as it was asked for.
+/// One change of a batch, as the caller requested it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Change {
     pub key: Vec<u8>,
@@ -99,11 +100,11 @@
     pub expires: Option<u64>,
 }
 
-/// Changes that are made together or not at all.
+/// Changes that are applied together or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     pub(crate) changes: Vec<Change>,
-    /// Keys and the versions that they must have.
+    /// Keys and the versions that they must have; `None`: the key must be absent.
     pub(crate) expected: Vec<(Vec<u8>, Option<u64>)>,
 }
 
@@ -118,7 +119,7 @@
         self.change(keyspace, key, value, None)
     }
 
-    /// A value that is gone from this time on (ms, the caller's clock).
+    /// Puts a value that expires at time `expires` (ms on the caller's clock).
     pub fn put_until<K: Key + ?Sized, V: Serialize + DeserializeOwned>(
         self, keyspace: &Keyspace<K, V>, key: &K, value: &V, expires: u64,
     ) -> Result<Self> {
@@ -140,7 +141,7 @@
         self
     }
 
-    /// The whole batch is turned down unless the key has this version, or is absent.
+    /// Has the whole batch rejected unless the key has this version, or is absent if the version is `None`.
     pub fn expect<K: Key + ?Sized, V: Serialize + DeserializeOwned>(
         mut self, keyspace: &Keyspace<K, V>, key: &K, version: Option<u64>,
     ) -> Self {
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,5 @@
-//! All file access, behind one small trait: the machine's disk, and in [`crate::sim`] one that lies.
+//! All file access, behind one small trait: a folder of the operating system here, and a simulated disk with
+//! faults in [`crate::sim`].
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind};
@@ -7,37 +8,40 @@
 
 use rustix::fs::{flock, FlockOperation};
 
-/// A folder of files, one process at a time. Names have no separators.
+/// A folder of files that one process uses at a time. Names contain no separators.
 pub trait Disk: Send + 'static {
     type File: DiskFile;
 
-    /// Takes the folder for this process, until this is dropped. [`ErrorKind::WouldBlock`]: another has it.
+    /// Locks the folder for this process until the value is dropped. [`ErrorKind::WouldBlock`]: another
+    /// process holds the lock.
     fn lock(&mut self) -> io::Result<()>;
-    /// Names of all files, in no order.
+    /// Returns the names of all files, in no particular order.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// An existing file, to be read and written.
+    /// Opens an existing file for reading and writing.
     fn open(&self, name: &str) -> io::Result<Self::File>;
-    /// A new, empty file; one of this name is an error.
+    /// Creates an empty file. A file of this name is an error.
     fn create(&self, name: &str) -> io::Result<Self::File>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes what was created, renamed and removed last.
+    /// Makes earlier creations, renames and removals durable.
     fn sync_folder(&self) -> io::Result<()>;
 }
 
-/// One file.
+/// One file of a [`Disk`].
 pub trait DiskFile: Send + Sync + 'static {
     fn size(&self) -> io::Result<u64>;
-    /// Fills as much of the buffer as the file has from there on, at least one byte unless it ends there.
+    /// Fills as much of the buffer as the file holds from `at` on: at least one byte, except at the end of
+    /// the file.
     fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize>;
-    /// Writes all of it. After an error any part of it may be there.
+    /// Writes all bytes. After an error, any part of them may have been written.
     fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()>;
     fn truncate(&self, len: u64) -> io::Result<()>;
-    /// Makes what was written last. After an error nothing is known of what was written since the last success.
+    /// Makes earlier writes durable. After an error, the state of everything written since the last success
+    /// is unknown.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// Reads exactly so much; the file's end before that is an error.
+/// Fills the whole buffer. An end of the file before that is an error.
 pub fn read_exact(file: &impl DiskFile, mut buffer: &mut [u8], mut at: u64) -> io::Result<()> {
     while !buffer.is_empty() {
         match file.read_at(buffer, at) {
@@ -53,25 +57,25 @@
     Ok(())
 }
 
-/// All of a file.
+/// Reads a whole file.
 pub fn read_all(file: &impl DiskFile) -> io::Result<Vec<u8>> {
     let mut all = vec![0; file.size()? as usize];
     read_exact(file, &mut all, 0)?;
     Ok(all)
 }
 
-/// A folder on the machine's disk.
+/// A folder in the operating system's file system.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
     lock: Option<File>,
 }
 
-/// The file whose lock says that the folder is taken. It is empty and never removed.
+/// Name of the file whose lock marks the folder as in use. It is empty and never removed.
 pub const LOCK: &str = "lock";
 
 impl Folder {
-    /// Makes the folder if there is none.
+    /// Creates the folder if it does not exist.
     pub fn new(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::create_dir_all(&path)?;
@@ -88,7 +92,7 @@
 
     fn lock(&mut self) -> io::Result<()> {
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(self.path.join(LOCK))?;
-        // The machine lets go of it when the process ends, however it does.
+        // The operating system releases the lock when the process ends, however it ends.
         flock(&file, FlockOperation::NonBlockingLockExclusive)?;
         self.lock = Some(file);
         Ok(())
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, by name.
+//! Errors of the store.
 
 use std::io;
 use std::sync::Arc;
@@ -7,31 +7,31 @@
 
 #[derive(Clone, Debug, Error)]
 pub enum Error {
-    #[error("another process has this store")]
+    #[error("another process has this store open")]
     Taken,
-    #[error("{file}: format {version} is not known here (this program writes {ours})")]
+    #[error("{file}: unknown format version {version} (this program writes version {ours})")]
     Version { file: String, version: u32, ours: u32 },
-    #[error("{file}: no file of a store")]
+    #[error("{file}: not a file of a store")]
     Foreign { file: String },
-    #[error("{file}: sealed with a key, and none was given, or the other way round")]
+    #[error("{file}: written with a key, and none was given, or written without a key, and one was given")]
     Key { file: String },
     #[error("{file}: damaged at byte {offset}: {what}")]
     Damaged { file: String, offset: u64, what: &'static str },
-    #[error("a batch of {bytes} bytes is more than the {most} that a store takes")]
+    #[error("a batch of {bytes} bytes exceeds the limit of {most} bytes")]
     TooLarge { bytes: usize, most: usize },
-    #[error("too many writes wait already")]
+    #[error("too many writes are waiting")]
     Busy,
-    #[error("a value is not what the batch expected")]
+    #[error("a key does not have the version that the batch expects")]
     Conflict,
     #[error("the disk is full")]
     Full,
-    #[error("the store takes no more writes: {0}")]
+    #[error("the store accepts no more writes: {0}")]
     Failed(Arc<io::Error>),
     #[error("the store is closed")]
     Closed,
     #[error("{0}")]
     Io(Arc<io::Error>),
-    #[error("a key or value cannot be read: {0}")]
+    #[error("a key or value cannot be encoded or decoded: {0}")]
     Coding(String),
 }
 
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,58 +1,64 @@
-//! How batches lie in a file. Little endian throughout.
+//! Format of the files of the log. All integers are little-endian.
 //!
 //! ```text
-//! file  = head frame*
-//! head  = "GLENSTOR" version:u32 flags:u32 number:u64 first:u64 last:u64 crc:u32
-//! frame = length:u32 crc:u32 sequence:u64 synced:u64 payload:[length] [mac:16]
+//! file   = header frame*
+//! header = "GLENSTOR" version:u32 flags:u32 number:u64 first:u64 last:u64 crc:u32
+//! frame  = length:u32 crc:u32 sequence:u64 synced:u64 payload:[length] [mac:16]
 //! ```
 //!
-//! `crc` covers what stands between it and the frame's end, and the length. `synced` is the last sequence number that
-//! was on the disk for good when the frame was written: a frame that is bad, and yet counted as synced by a later one,
-//! was damaged; one that is not is the torn end of a write, whatever of later writes has reached the disk.
+//! The `crc` of a frame covers its length and everything that follows the `crc`. `synced` is the last
+//! sequence number that was durable when the frame was written. It separates damage from torn writes: an
+//! unreadable frame that a later frame counts as synced was damaged, and any other one is the torn end of a
+//! write, whatever part of later writes has reached the disk.
 
 use serde::{Deserialize, Serialize};
 
+/// Format version that is written, and the only one that is read.
 pub const VERSION: u32 = 1;
 const MAGIC: &[u8; 8] = b"GLENSTOR";
+/// Size of a file header, in bytes.
 pub const HEAD: usize = 44;
+/// Size of a frame without its payload and MAC, in bytes.
 pub const FRAME: usize = 24;
 const MAC: usize = 16;
-/// Most bytes of one batch.
+/// Maximum payload of one batch, in bytes.
 pub const MOST: usize = 64 << 20;
 const KEYED: u32 = 1;
 const COMPACTED: u32 = 2;
 
-/// A key that tells a file changed on purpose from a torn one.
+/// Key of the MAC in each frame, which separates a file that was changed on purpose from a torn one.
 pub type Secret = [u8; 32];
 
-/// One change.
+/// One change of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Op {
-    /// Keyspace and key, as the index has them.
+    /// Number of the keyspace and key, as in the index.
     pub key: Vec<u8>,
-    /// `None` takes the key out.
+    /// `None` deletes the key.
     pub value: Option<Vec<u8>>,
-    /// By the caller's clock (ms): from then on the value is gone.
+    /// Time from which the value has expired (ms on the caller's clock); `None`: never.
     pub expires: Option<u64>,
-    /// The batch that this change came with; compaction keeps it.
+    /// Sequence number of the batch that made the change. Compaction keeps it.
     pub version: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     pub number: u64,
-    /// The sequence numbers that a compacted file stands for; of others `first` alone is told.
+    /// First sequence number of the file.
     pub first: u64,
+    /// Last sequence number that a compacted file covers; 0 in other files.
     pub last: u64,
     pub compacted: bool,
     pub keyed: bool,
 }
 
-/// What is wrong with a head.
+/// Why a file header was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadHead {
-    /// Shorter than a head, or its checksum is off.
+    /// It is incomplete, or its checksum does not match.
     Torn,
+    /// The file belongs to another program.
     Foreign,
     Version(u32),
 }
@@ -76,7 +82,8 @@
         if bytes.len() < HEAD {
             return Err(BadHead::Torn);
         }
-        // A head that reached the disk in part only is torn; one with another's magic is somebody else's file.
+        // A header that was only partly written is torn. One with another magic number belongs to another
+        // program.
         if crc32fast::hash(&bytes[..40]) != u32_at(bytes, 40) {
             return Err(if bytes[..8] == *MAGIC || bytes[..8] == [0; 8] {
                 BadHead::Torn
@@ -109,7 +116,7 @@
     u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap_or_default())
 }
 
-/// Appends a frame and returns its size.
+/// Appends a frame to `out` and returns its size.
 pub fn encode(
     sequence: u64, synced: u64, payload: &[u8], secret: Option<&Secret>, out: &mut Vec<u8>,
 ) -> usize {
@@ -135,48 +142,48 @@
     crc.finalize()
 }
 
-/// A frame as it was read.
+/// A decoded frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
     pub sequence: u64,
     pub synced: u64,
     pub payload: &'a [u8],
-    /// Bytes that it takes.
+    /// Size of the whole frame, in bytes.
     pub size: usize,
 }
 
-/// Why no frame was read.
+/// Why a frame was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
-    /// The bytes end here.
+    /// There are no more bytes.
     End,
-    /// What stands here is no whole frame: torn or damaged.
+    /// The bytes are no complete frame: torn or damaged.
     Broken(&'static str),
-    /// Whole, and yet not written by whoever has the key.
+    /// The frame is complete, but was not written with this key.
     Forged,
 }
 
-/// The frame at the beginning of these bytes.
+/// Decodes the frame at the start of these bytes.
 pub fn decode<'a>(bytes: &'a [u8], secret: Option<&Secret>) -> Result<Frame<'a>, Bad> {
     if bytes.is_empty() {
         return Err(Bad::End);
     }
     if bytes.len() < FRAME {
-        return Err(Bad::Broken("a frame's head is cut off"));
+        return Err(Bad::Broken("the header of the frame is incomplete"));
     }
     let length = u32_at(bytes, 0) as usize;
     let size = FRAME + length + if secret.is_some() { MAC } else { 0 };
     if length > MOST {
-        return Err(Bad::Broken("a frame's length is out of bounds"));
+        return Err(Bad::Broken("the length of the frame exceeds the limit"));
     }
-    let Some(frame) = bytes.get(..size) else { return Err(Bad::Broken("a frame is cut off")) };
+    let Some(frame) = bytes.get(..size) else { return Err(Bad::Broken("the frame is incomplete")) };
     if checksum(frame) != u32_at(frame, 4) {
-        return Err(Bad::Broken("a frame's checksum is off"));
+        return Err(Bad::Broken("the checksum of the frame does not match"));
     }
     if let Some(secret) = secret {
         let end = size - MAC;
         let mac = blake3::keyed_hash(secret, &frame[8..end]);
-        // Both are public here: whoever can measure the time can read the file.
+        // Needs no constant time: whoever can measure the comparison can also read the file.
         if mac.as_bytes()[..MAC] != frame[end..] {
             return Err(Bad::Forged);
         }
@@ -185,7 +192,7 @@
     Ok(Frame { sequence: u64_at(frame, 8), synced: u64_at(frame, 16), payload, size })
 }
 
-/// The changes of a frame, each with the place of its value in the payload.
+/// Decodes the changes in a frame's payload. `None`: the payload is malformed.
 pub fn ops(payload: &[u8]) -> Option<Vec<Op>> {
     let (ops, rest) = postcard::take_from_bytes::<Vec<Op>>(payload).ok()?;
     rest.is_empty().then_some(ops)
@@ -197,7 +204,8 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Guards readers from whatever lies in a file: decoders take any bytes, and give back only what was written.
+        /// Guards readers against any contents of a file: the decoders accept arbitrary bytes and return only
+        /// what was written.
         #[test]
         fn decoders_take_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200), keyed: bool) {
             let secret = keyed.then_some([7; 32]);
@@ -206,7 +214,7 @@
             let _ = ops(&bytes);
         }
 
-        /// Guards values from the disk: a frame with any bit turned is never read.
+        /// Guards values against errors of the disk: a frame with a flipped bit is never decoded.
         #[test]
         fn a_turned_bit_is_caught(payload in prop::collection::vec(any::<u8>(), 0..100), at: prop::sample::Index,
             bit in 0u8..8, keyed: bool) {
@@ -220,7 +228,7 @@
         }
     }
 
-    /// Guards against a file made by somebody without the key, whole as it may be.
+    /// Guards against a file that is complete but was written without the key.
     #[test]
     fn a_frame_sealed_with_another_key_is_forged() {
         let mut out = Vec::new();
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,13 +1,14 @@
-//! A small embedded store: a log in segments on the disk, an index in memory, group commit on a thread of its own,
-//! compaction beside reads and writes, and recovery that never invents a record.
+//! A small embedded store: a log in segments on the disk, an index in memory, group commit on a separate
+//! thread, compaction beside reads and writes, and recovery that never returns a record that was not written.
 //!
-//! What is promised after which call:
+//! Guarantees:
 //!
-//! - A batch is all there or not at all.
-//! - After a crash the store holds a prefix of the batches it had taken, in their order. Those acknowledged as
-//!   [`Durability::Flushed`] survive the end of the process, those as [`Durability::Synced`] that of the machine.
-//! - What cannot be read whole is never returned: each read checks the frame that it comes from.
-//! - After a failed sync nothing more is taken, as nobody can tell what is on the disk.
+//! - A batch is applied completely or not at all.
+//! - After a crash the store holds a prefix of the accepted batches, in their order. Batches acknowledged as
+//!   [`Durability::Flushed`] survive the end of the process, and those acknowledged as [`Durability::Synced`]
+//!   survive a crash of the machine.
+//! - Data that cannot be read completely is never returned: each read verifies the frame that it comes from.
+//! - After a failed sync no more writes are accepted, because it is unknown what the disk holds.
 //!
 //! ```
 //! use glenrail_store::{Batch, Durability, Folder, Keyspace, Options, Store};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,4 +1,5 @@
-//! The log: batches staged, written and synced by one owner, and compaction in steps between them. No thread here.
+//! The log: one owner stages, writes and syncs batches, and runs compaction in steps between them. It starts
+//! no thread.
 
 use std::collections::{BTreeMap, HashSet};
 use std::io;
@@ -15,12 +16,12 @@
 
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// A file of the log is closed once it is so large; a single batch may make it larger.
+    /// Size from which a file of the log is sealed, in bytes. A single batch may make a file larger.
     pub segment: u64,
-    /// Seals each batch, so that a file changed on purpose is told from a torn one.
+    /// Key that authenticates each batch, so that a file changed on purpose is not taken for a torn one.
     pub secret: Option<Secret>,
     pub compaction: Limits,
-    /// Most writes that may wait for the store's thread.
+    /// Maximum number of writes that wait for the store's thread.
     pub queue: usize,
 }
 
@@ -37,54 +38,56 @@
     size: plan::File,
 }
 
-/// A compaction under way: a run of sealed files is read and what is current of it written into one new file.
+/// A compaction in progress, which reads a run of sealed files and writes their current entries to one new
+/// file.
 struct Run<F> {
     files: Vec<u64>,
-    /// Of these, the ones of which nothing was current when the run began: they need not be read.
+    /// Files of the run with nothing to keep when the run began. They are not read.
     dead: HashSet<u64>,
-    /// Where it reads next: which of the files, and the place in it.
+    /// Next position to read: the index in `files`, and the offset in that file.
     file: usize,
     at: u64,
-    /// The store as it was when the run began, with all of it on the disk for good.
+    /// Index when the run began. All of its entries are durable.
     index: Index,
     now: u64,
-    /// No file is older than the run: what takes a key out need not be kept.
+    /// No file is older than the run, so that deletions need not be kept.
     oldest: bool,
-    /// Keys whose taking out was kept already.
+    /// Deleted keys whose deletion has been kept already.
     gone: HashSet<Box<[u8]>>,
     packed: Packed<F>,
-    /// What was kept, in the order of the new file's entries: the key, and where it was.
+    /// The entries of the new file, in order: the key and its previous location, or `None` for a deletion.
     moved: Vec<(Box<[u8]>, Option<Entry>)>,
 }
 
 const COMPACTED: &str = "compact.tmp";
 
-/// One owner's store. Readers take [`View`]s.
+/// A store with a single owner. Readers take [`View`]s.
 pub struct Log<D: Disk> {
     disk: D,
     options: Options,
     segments: BTreeMap<u64, Segment<D::File>>,
     files: imbl::OrdMap<u64, Arc<dyn Source>>,
-    /// What readers see.
+    /// Index that readers see.
     index: Index,
-    /// The same with what is staged.
+    /// The same index with the staged changes.
     staged: Index,
     buffer: Vec<u8>,
-    /// What is staged counts for.
+    /// Space that the staged changes take.
     waiting: plan::File,
     next: u64,
-    /// The sequence number after the last batch that readers see.
+    /// Sequence number after the last batch that readers see.
     shown: u64,
     synced: u64,
     failed: Option<Arc<io::Error>>,
     run: Option<Run<D::File>>,
-    /// Bytes that callers wrote, and that compaction copied.
+    /// Bytes written for callers.
     pub written: u64,
+    /// Bytes copied by compaction.
     pub copied: u64,
 }
 
 impl<D: Disk> Log<D> {
-    /// Recovers what is there. The folder is this process's for as long as the log lives.
+    /// Recovers the store. The folder is locked for as long as the log exists.
     pub fn open(mut disk: D, options: Options) -> Result<(Self, Recovered)> {
         taken(disk.lock())?;
         let found = recover(&disk, options.secret.as_ref(), true)?;
@@ -114,17 +117,17 @@
         Ok((log, found.report))
     }
 
-    /// The store as readers see it: what was written, synced or not.
+    /// Returns a view of everything that was flushed, synced or not.
     pub fn view(&self) -> View {
         View { index: self.index.clone(), files: self.files.clone(), secret: self.options.secret }
     }
 
-    /// The last batch taken, and the last that is on the disk for good.
+    /// Returns the sequence numbers of the last accepted batch and of the last durable one.
     pub fn sequence(&self) -> (u64, u64) {
         (self.next - 1, self.synced)
     }
 
-    /// Bytes in all files, and what of them is current.
+    /// Returns the bytes in all files, and how many of them are current.
     pub fn space(&self) -> (u64, u64) {
         self.segments.values().fold((0, 0), |(all, live), s| (all + s.bytes, live + s.size.live))
     }
@@ -133,7 +136,7 @@
         self.segments.len()
     }
 
-    /// Why the store takes no more writes.
+    /// Returns the error after which the store accepts no more writes, if there was one.
     pub fn failed(&self) -> Option<Error> {
         self.failed.clone().map(Error::Failed)
     }
@@ -144,7 +147,8 @@
         Error::Failed(e)
     }
 
-    /// Takes a batch to be written with the next [`Log::flush`]; later batches see it.
+    /// Accepts a batch, which the next [`Log::flush`] writes, and returns its version. Later batches see its
+    /// changes.
     pub fn stage(&mut self, batch: &Batch) -> Result<u64> {
         if let Some(e) = self.failed() {
             return Err(e);
@@ -184,15 +188,15 @@
         Ok(version)
     }
 
-    /// The file that is written to, and where it ends. A full one is sealed and the next begun, but never in the middle
-    /// of what is flushed together.
+    /// Returns the file to write to and its end. A full file is sealed and the next one is begun, but never
+    /// within a group of batches that are flushed together.
     fn active(&mut self) -> Result<(u64, u64)> {
         if let Some((number, last)) = self.segments.last_key_value() {
             let full = self.buffer.is_empty() && last.bytes >= self.options.segment;
             if !last.head.compacted && !full {
                 return Ok((*number, last.bytes));
             }
-            // Sealed is synced: a hole between two files is then always damage.
+            // A file is synced before it is sealed, so that a gap between two files is always damage.
             self.sync()?;
         }
         let number = self.segments.last_key_value().map_or(1, |last| last.0 + 1);
@@ -204,7 +208,8 @@
             .and_then(|()| file.sync())
             .and_then(|()| self.disk.sync_folder());
         if let Err(e) = begun {
-            // Without it the log is as it was. If it cannot be taken away either, a recovery has to look.
+            // Without the new file the log is unchanged. If the file cannot be removed either, the log needs
+            // a recovery.
             return match self.disk.remove(&name(number)).and_then(|()| self.disk.sync_folder()) {
                 Ok(()) if e.kind() == io::ErrorKind::StorageFull => Err(Error::Full),
                 _ => Err(self.fail(e)),
@@ -216,7 +221,8 @@
         Ok((number, HEAD as u64))
     }
 
-    /// Hands what is staged to the machine, and shows it to readers. After [`Error::Full`] none of it is there.
+    /// Passes the staged batches to the operating system and shows them to readers. After [`Error::Full`]
+    /// none of them was written.
     pub fn flush(&mut self) -> Result<()> {
         if let Some(e) = self.failed() {
             return Err(e);
@@ -228,7 +234,8 @@
         let segment = last.get_mut();
         let buffer = std::mem::take(&mut self.buffer);
         if let Err(e) = segment.file.write_at(&buffer, segment.bytes) {
-            // A part of it may be there: it must be gone before anything is written in its place.
+            // A part of the bytes may have been written. It must be removed before anything is written in its
+            // place.
             let cut = segment.file.truncate(segment.bytes).and_then(|()| segment.file.sync());
             self.unstage();
             return match cut {
@@ -245,14 +252,14 @@
         Ok(())
     }
 
-    /// Takes back what was staged and could not be written.
+    /// Discards staged batches that could not be written.
     fn unstage(&mut self) {
         self.staged = self.index.clone();
         self.next = self.shown;
         self.waiting = plan::File::default();
     }
 
-    /// Moves the live bytes to where the values lie now.
+    /// Updates the live bytes of the files and shows the staged changes to readers.
     fn account(&mut self) {
         for change in self.index.diff(&self.staged) {
             let (old, new) = match change {
@@ -273,7 +280,7 @@
         self.shown = self.next;
     }
 
-    /// Has all that was flushed on the disk for good.
+    /// Makes everything that was flushed durable.
     pub fn sync(&mut self) -> Result<()> {
         if let Some(e) = self.failed() {
             return Err(e);
@@ -283,7 +290,8 @@
         }
         if let Some((_, last)) = self.segments.last_key_value() {
             if let Err(e) = last.file.sync() {
-                // The machine may have dropped what it could not write, and a second sync would succeed without it.
+                // The operating system may have dropped what it could not write, and a second sync would
+                // succeed without it.
                 return Err(self.fail(e));
             }
         }
@@ -291,7 +299,8 @@
         Ok(())
     }
 
-    /// One step of compaction: at most about so many bytes are read. Whether there is more to do.
+    /// Runs one step of compaction, which reads at most about `budget` bytes. Returns whether there is more
+    /// to do.
     pub fn compact(&mut self, now: u64, budget: u64) -> Result<bool> {
         if let Some(e) = self.failed() {
             return Err(e);
@@ -310,7 +319,7 @@
                 Ok(true)
             }
             Err(e) => {
-                // The old files are as they were.
+                // The old files are unchanged.
                 let _ = self.disk.remove(COMPACTED);
                 Err(e)
             }
@@ -323,7 +332,7 @@
         let sizes: Vec<plan::File> =
             sealed.iter().filter_map(|n| self.segments.get(n)).map(|s| s.size).collect();
         let Some((first, last)) = plan::choose(&sizes, &self.options.compaction) else { return Ok(None) };
-        // What takes the place of a record must be on the disk for good before the record goes.
+        // Whatever supersedes a record must be durable before the record is dropped.
         self.flush()?;
         self.sync()?;
         let files = sealed[first..=last].to_vec();
@@ -357,7 +366,7 @@
         }))
     }
 
-    /// Copies on; true once all is copied.
+    /// Copies about `budget` bytes more. Returns whether everything has been copied.
     fn step(&mut self, run: &mut Run<D::File>, budget: u64) -> Result<bool> {
         let mut left = budget.max(1);
         while let Some(number) = run.files.get(run.file).copied() {
@@ -380,7 +389,7 @@
         Ok(true)
     }
 
-    /// Puts the new file in the place of the old ones.
+    /// Replaces the old files by the new one.
     fn finish(&mut self, run: Run<D::File>) -> Result<()> {
         let first = run.files[0];
         let head = run.packed.head;
@@ -393,7 +402,8 @@
         };
         let swapped = self.disk.rename(COMPACTED, &name(first)).and_then(|()| self.disk.sync_folder());
         if let Err(e) = swapped {
-            // Which of the two stands there is not known, and each is whole: a recovery will see.
+            // It is unknown which of the two files has the name now. Each is complete, and a recovery reads
+            // the one it finds.
             return Err(self.fail(e));
         }
         let file = Arc::new(file);
@@ -401,7 +411,8 @@
         for ((key, was), entry) in run.moved.into_iter().zip(entries) {
             size.bytes += u64::from(entry.cost);
             size.tombs += if was.is_none() { u64::from(entry.cost) } else { 0 };
-            // A newer value came meanwhile, or the change only takes the key out.
+            // Only a value that is still current moves in the index, not a deletion nor a value that was
+            // superseded meanwhile.
             if let Some(was) = was.filter(|was| self.index.get(&key) == Some(was)) {
                 size.live += u64::from(entry.cost);
                 self.index.insert(key.clone(), entry);
@@ -428,7 +439,7 @@
         for number in &run.files[1..] {
             self.segments.remove(number);
             self.files.remove(number);
-            // It stands behind a file that stands for it; a recovery removes it if this does not.
+            // The new file covers this one. A recovery removes it if this call does not.
             let _ = self.disk.remove(&name(*number));
         }
         self.files.insert(first, file.clone());
@@ -438,7 +449,7 @@
     }
 }
 
-/// Keeps a change in the compacted file if anything depends on it.
+/// Copies a change to the compacted file if anything depends on it.
 fn keep<F: DiskFile>(run: &mut Run<F>, file: u64, slot: u32, op: Op) -> Result<()> {
     let current = run.index.get(&op.key[..]).copied();
     let (at, now) = (run.at, run.now);
@@ -449,9 +460,9 @@
             run.packed.add(op)?;
             run.moved.push((key, Some(entry)));
         }
-        // A newer value, which is on the disk for good, stands for it.
+        // A newer value supersedes this change, and is durable.
         Some(entry) if entry.lives(now) || !run.files.contains(&entry.file) => {}
-        // It is gone: an older file may still have a value that must not come back.
+        // The key was deleted or has expired. An older file may still hold a value, which must not reappear.
         _ if !run.oldest && run.gone.insert(key.clone()) => {
             run.packed.add(Op { value: None, expires: None, ..op })?;
             run.moved.push((key, None));
@@ -461,7 +472,7 @@
     Ok(())
 }
 
-/// One frame of a sealed file.
+/// Reads one frame of a sealed file.
 fn read_frame<F: DiskFile>(
     file: &F, number: u64, at: u64, end: u64, secret: Option<&Secret>,
 ) -> Result<(Vec<Op>, u64)> {
@@ -472,14 +483,14 @@
         read_exact(file, &mut bytes, at)?;
         match frame::decode(&bytes, secret) {
             Ok(frame) => {
-                let ops =
-                    frame::ops(frame.payload).ok_or_else(|| damaged("a batch's changes cannot be read"))?;
+                let ops = frame::ops(frame.payload)
+                    .ok_or_else(|| damaged("the changes of a batch cannot be decoded"))?;
                 return Ok((ops, frame.size as u64));
             }
-            // Perhaps only larger than what was read of it.
+            // The frame may only be larger than the part that was read.
             Err(Bad::Broken(_)) if (bytes.len() as u64) < end - at => most *= 4,
             Err(Bad::Broken(what)) => return Err(damaged(what)),
-            Err(_) => return Err(damaged("sealed with another key")),
+            Err(_) => return Err(damaged("written with another key")),
         }
     }
 }
--- a/crates/store/src/packed.rs
+++ b/crates/store/src/packed.rs
@@ -1,4 +1,4 @@
-//! Writing a file of the log that stands for several, or for a whole store.
+//! Writer of a file that replaces several files of the log, or that holds a whole store.
 
 use crate::disk::DiskFile;
 use crate::error::Result;
@@ -6,7 +6,7 @@
 use crate::recover::cost;
 use crate::view::Entry;
 
-/// Payload of one frame, before the next is begun.
+/// Size of the changes from which a frame is written, in bytes.
 const PART: usize = 32 << 10;
 
 pub(crate) struct Packed<F> {
@@ -14,10 +14,10 @@
     pub head: Head,
     secret: Option<Secret>,
     ops: Vec<Op>,
-    /// Bytes of the changes that wait.
+    /// Approximate size of the changes that are not written yet, in bytes.
     waiting: usize,
     pub end: u64,
-    /// Where each change went, in the order in which it was added.
+    /// Locations of the changes, in the order in which they were added.
     pub entries: Vec<Entry>,
 }
 
@@ -40,7 +40,7 @@
         let Some(sequence) = self.ops.iter().map(|op| op.version).max() else { return Ok(()) };
         let payload = encode(&self.ops)?;
         let mut out = Vec::with_capacity(payload.len() + 64);
-        // All of it is on the disk for good before it counts.
+        // The file is used only once all of it is durable, so each frame counts everything as synced.
         let size = frame::encode(sequence, self.head.last, &payload, self.secret.as_ref(), &mut out);
         self.file.write_at(&out, self.end)?;
         let (file, at, size) = (self.head.number, self.end, size as u32);
@@ -60,10 +60,11 @@
         Ok(())
     }
 
-    /// Has all of it on the disk for good.
+    /// Writes the remaining changes and makes the file durable.
     pub fn finish(mut self) -> Result<(F, u64, Vec<Entry>)> {
         self.write()?;
-        // A frame without changes ends it: one that was cut between two frames would look whole.
+        // A frame without changes marks the end. Without it, a file that was cut between two frames would
+        // look complete.
         let mut out = Vec::new();
         frame::encode(self.head.last, self.head.last, &encode(&Vec::new())?, self.secret.as_ref(), &mut out);
         self.file.write_at(&out, self.end)?;
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -1,22 +1,22 @@
-//! Which files to compact, and when. No I/O.
+//! Selection of the files to compact. No I/O.
 //!
-//! Files are in the order of the log; only whole runs of neighbours are merged, so that the order stays. A run costs
-//! the live bytes that are copied and gives back the dead ones; the best run is the one with the most dead bytes for
-//! each byte copied.
+//! Files are in the order of the log, and only adjacent ones are merged in a run, so that the order is kept.
+//! A run costs the live bytes that it copies and reclaims the dead ones. The best run reclaims the most bytes
+//! for each byte copied.
 
-/// One file of the log.
+/// Space that one file of the log takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct File {
-    /// What all its changes count for.
+    /// Bytes of all its changes.
     pub bytes: u64,
-    /// Of these, what is still current.
+    /// Bytes of the changes that are still current.
     pub live: u64,
-    /// Of these, what takes keys out: it has to stay as long as an older file may have a value of the key.
+    /// Bytes of its deletions, which must be kept as long as an older file may hold a value of the key.
     pub tombs: u64,
 }
 
 impl File {
-    /// What a run gives back of it.
+    /// Returns the bytes of the file that a run reclaims.
     fn gain(&self, oldest: bool) -> u64 {
         self.bytes.saturating_sub(self.live + if oldest { 0 } else { self.tombs })
     }
@@ -24,13 +24,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Compaction begins once so large a part of all bytes is dead.
+    /// Minimum share of dead bytes, in all files and in a run, for a compaction.
     pub garbage: f64,
-    /// Most live bytes that one run copies: the extra space while it goes on.
+    /// Maximum number of live bytes that one run copies, which is the extra space that it needs.
     pub extra: u64,
-    /// Most files of a run.
+    /// Maximum number of files in a run.
     pub files: usize,
-    /// Below so many dead bytes nothing is worth a run.
+    /// Minimum number of dead bytes in all files for a compaction.
     pub worth: u64,
 }
 
@@ -41,14 +41,15 @@
 }
 
 impl Limits {
-    /// The most bytes that compaction writes for each byte that a caller writes, in the long run: a run that gives back
-    /// a part `g` of what it reads copies `(1 - g) / g` for each byte given back.
+    /// Returns the maximum number of bytes that compaction writes, in the long run, for each byte that
+    /// callers write. A run that reclaims a share `g` of what it reads copies `(1 - g) / g` bytes for each
+    /// byte reclaimed.
     pub fn amplification(&self) -> f64 {
         (1.0 - self.garbage) / self.garbage
     }
 }
 
-/// The run of sealed files, first and last, that is to be merged now.
+/// Returns the first and the last file of the run that is to be merged now, if there is one.
 pub fn choose(sealed: &[File], limits: &Limits) -> Option<(usize, usize)> {
     let (all, dead) = sealed.iter().fold((0, 0), |(a, d), f| (a + f.bytes, d + f.gain(true)));
     if dead < limits.worth.max(1) || (dead as f64) < limits.garbage * all as f64 {
@@ -64,7 +65,7 @@
             if live > limits.extra {
                 break;
             }
-            // No worse than the whole, which is what bounds the amplification.
+            // The limit that holds for all files holds for each run, which bounds the amplification.
             if (gain as f64) < limits.garbage * bytes as f64 || gain == 0 {
                 continue;
             }
@@ -93,7 +94,8 @@
     }
 
     proptest! {
-        /// Guards space and wear: a run is worth it, within its bounds, and there is one as long as too much is dead.
+        /// Guards against wasted space and wear of the disk: a run is within its limits and reclaims enough
+        /// for what it copies, and there is a run as long as too many bytes are dead.
         #[test]
         fn a_run_pays(files in files()) {
             let limits = Limits { extra: 4 << 20, worth: 1, ..Limits::default() };
@@ -106,13 +108,15 @@
                     let given_back = (bytes - live) as f64;
                     prop_assert!(live as f64 <= limits.amplification() * given_back + 1.0);
                 }
-                // Some single file is at least as dead as all together, and each is within the bounds here.
+                // Some single file has at least the share of dead bytes of all files together, and each file
+                // is within the limits here.
                 None => prop_assert!(dead == 0 || (dead as f64) < limits.garbage * all as f64),
             }
         }
     }
 
-    /// Guards the order of the log and the space: neighbours only, and the deadest first.
+    /// Guards the order of the log and the space: only adjacent files are merged, and the ones with the most
+    /// dead bytes first.
     #[test]
     fn the_deadest_run_is_taken() {
         let limits = Limits { worth: 1, ..Limits::default() };
@@ -124,7 +128,7 @@
         assert_eq!(choose(&[], &limits), None);
     }
 
-    /// Guards against merging for ever: what takes keys out goes only with the oldest file.
+    /// Guards against endless compaction: deletions are reclaimed only together with the oldest file.
     #[test]
     fn what_takes_keys_out_is_gained_with_the_oldest_file_alone() {
         let limits = Limits { worth: 1, ..Limits::default() };
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,5 +1,5 @@
-//! What a folder holds after any end of the process before: a prefix of what it had taken, or an error that names
-//! the file and the byte.
+//! Recovery of a folder, however the previous process ended: the result is a prefix of the accepted batches,
+//! or an error that names the file and the offset.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -12,21 +12,21 @@
 use crate::plan::File;
 use crate::view::{name, Entry, Index};
 
-/// What a recovery found, for the log.
+/// Result of a recovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     pub files: usize,
     pub keys: usize,
     pub bytes: u64,
-    /// The last batch that is there.
+    /// Sequence number of the last batch.
     pub sequence: u64,
-    /// The torn end that was cut: file, place, bytes.
+    /// Torn end of the newest file that was cut: file, offset, and bytes.
     pub cut: Option<(String, u64, u64)>,
-    /// Files that a compaction had replaced already, or not finished.
+    /// Files that a compaction had replaced already, or had not finished.
     pub removed: Vec<String>,
 }
 
-/// One file as it was read.
+/// One file of the log after it was read.
 pub(crate) struct Read<F> {
     pub file: Arc<F>,
     pub head: Head,
@@ -40,12 +40,13 @@
     pub report: Recovered,
 }
 
-/// What a change counts for in the space of its file.
+/// Returns the bytes that a change counts for in its file.
 pub(crate) fn cost(key: &[u8], value: Option<&Vec<u8>>) -> u64 {
     (key.len() + value.map_or(0, Vec::len) + 24) as u64
 }
 
-/// Reads everything. `repair`: the torn end is cut, and what a compaction left is removed; without it nothing changes.
+/// Reads all files. With `repair`, a torn end is cut and remains of a compaction are removed; without it,
+/// nothing is changed.
 pub(crate) fn recover<D: Disk>(disk: &D, secret: Option<&Secret>, repair: bool) -> Result<Found<D::File>> {
     let mut report = Recovered::default();
     let mut numbers = Vec::new();
@@ -75,7 +76,7 @@
                 return Err(Error::Version { file: name(number), version, ours: VERSION })
             }
             Err(BadHead::Foreign) => return Err(Error::Foreign { file: name(number) }),
-            // Just created: nothing in it can have been on the disk for good.
+            // The file was just created, so that nothing in it can have been durable.
             Err(BadHead::Torn) if last && bytes.len() <= HEAD => {
                 if repair {
                     disk.remove(&name(number))?;
@@ -85,14 +86,19 @@
                 continue;
             }
             Err(BadHead::Torn) => {
-                return Err(Error::Damaged { file: name(number), offset: 0, what: "its head" });
+                return Err(Error::Damaged {
+                    file: name(number),
+                    offset: 0,
+                    what: "the header is incomplete or corrupt",
+                });
             }
         };
         if head.keyed != secret.is_some() {
             return Err(Error::Key { file: name(number) });
         }
         if head.first <= state.stands_for {
-            // A compaction was cut off between its new file and the removal of the old ones.
+            // A compaction was interrupted between the rename of its new file and the removal of the old
+            // ones.
             if repair {
                 disk.remove(&name(number))?;
             }
@@ -107,7 +113,7 @@
             }
         }
         if repair && last {
-            // What a process before may have left to the machine is on the disk for good before anything builds on it.
+            // What the previous process wrote without a sync must be durable before anything builds on it.
             file.sync()?;
         }
         report.bytes += end;
@@ -128,19 +134,19 @@
 struct State {
     index: Index,
     sizes: BTreeMap<u64, File>,
-    /// The sequence number that must come next; any at first.
+    /// Sequence number that must come next; `None`: any.
     next: Option<u64>,
-    /// The last that a compacted file stands for.
+    /// Last sequence number that a compacted file covers.
     stands_for: u64,
 }
 
 impl State {
-    /// Takes in one file and returns where what is good of it ends.
+    /// Reads one file and returns the offset at which its valid part ends.
     fn read(&mut self, bytes: &[u8], head: &Head, secret: Option<&Secret>, last: bool) -> Result<u64> {
         let damaged =
             |offset: usize, what| Error::Damaged { file: name(head.number), offset: offset as u64, what };
         if self.next.is_some_and(|next| head.first != next) {
-            return Err(damaged(16, "batches before it are missing"));
+            return Err(damaged(16, "batches before this file are missing"));
         }
         let mut next = head.first;
         let (mut at, mut ends) = (HEAD, false);
@@ -148,7 +154,7 @@
             let Frame { sequence, payload, size, .. } = match frame::decode(&bytes[at..], secret) {
                 Ok(frame) => frame,
                 Err(Bad::End) => break,
-                Err(Bad::Forged) => return Err(damaged(at, "sealed with another key")),
+                Err(Bad::Forged) => return Err(damaged(at, "written with another key")),
                 Err(Bad::Broken(what)) => {
                     let lost = next;
                     if last && !head.compacted && !counted(&bytes[at + 1..], lost, secret) {
@@ -160,13 +166,14 @@
             let fits =
                 if head.compacted { sequence >= next && sequence <= head.last } else { sequence == next };
             if !fits {
-                // An old frame where a cut end was: never part of this log.
+                // A stale frame after the end was cut, which was never part of this log.
                 if last && !head.compacted && !counted(&bytes[at..], next, secret) {
                     break;
                 }
-                return Err(damaged(at, "a batch out of order"));
+                return Err(damaged(at, "a batch is out of order"));
             }
-            let ops = frame::ops(payload).ok_or_else(|| damaged(at, "a batch's changes cannot be read"))?;
+            let ops =
+                frame::ops(payload).ok_or_else(|| damaged(at, "the changes of a batch cannot be decoded"))?;
             ends = ops.is_empty() && sequence == head.last;
             self.apply(head.number, at as u64, size as u32, ops);
             next = if head.compacted { sequence } else { sequence + 1 };
@@ -174,7 +181,7 @@
         }
         if head.compacted {
             if !ends {
-                return Err(damaged(at, "its end is missing"));
+                return Err(damaged(at, "the end of the compacted file is missing"));
             }
             self.stands_for = head.last;
             next = head.last + 1;
@@ -207,16 +214,17 @@
     }
 }
 
-/// Whether a later frame says that this one was on the disk for good.
+/// Returns whether a later frame counts this sequence number as synced.
 fn counted(bytes: &[u8], sequence: u64, secret: Option<&Secret>) -> bool {
     (0..bytes.len()).any(|at| {
-        // The length first: nearly every place fails by it, and the checksum is dear.
+        // Decoding checks the length first and rejects nearly every offset by it, because the checksum is
+        // expensive.
         let whole = frame::decode(&bytes[at..], secret);
         matches!(whole, Ok(frame) if frame.sequence > sequence && frame.synced >= sequence)
     })
 }
 
-/// Looks at a store that no process has, and changes nothing.
+/// Reads a store that no process has open, without changing it.
 pub fn check<D: Disk>(mut disk: D, secret: Option<&Secret>) -> Result<Recovered> {
     taken(disk.lock())?;
     Ok(recover(&disk, secret, false)?.report)
@@ -229,7 +237,7 @@
     })
 }
 
-/// What a salvage could not read.
+/// A part of a file that a salvage could not read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dropped {
     pub file: String,
@@ -241,11 +249,11 @@
 pub struct Salvaged {
     pub keys: usize,
     pub dropped: Vec<Dropped>,
-    /// Batches that are nowhere: from, to.
+    /// Batches that no file holds: the first and the last sequence number.
     pub missing: Vec<(u64, u64)>,
 }
 
-/// Writes what can be read of a damaged store into another folder, and says exactly what cannot.
+/// Writes everything that can be read of a damaged store to another folder, and reports what cannot.
 pub fn salvage<D: Disk, E: Disk>(mut from: D, mut to: E, secret: Option<&Secret>) -> Result<Salvaged> {
     taken(from.lock())?;
     taken(to.lock())?;
@@ -283,7 +291,7 @@
             }
             next = Some(frame.sequence + 1);
             for op in ops {
-                // Never an older one over a newer one, whatever order the files are in.
+                // An older version never replaces a newer one, whatever order the files are in.
                 if kept.get(&op.key).is_none_or(|old| old.version <= op.version) {
                     kept.insert(op.key.clone(), op);
                 }
@@ -303,7 +311,7 @@
     Ok(salvaged)
 }
 
-/// A whole store as one file in an empty folder. The changes come in the order of their versions.
+/// Writes a whole store as one file to an empty folder. The changes must be in the order of their versions.
 pub(crate) fn pack<D: Disk>(
     disk: &D, ops: impl Iterator<Item = Result<Op>>, secret: Option<&Secret>,
 ) -> Result<()> {
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,5 +1,6 @@
-//! A disk that lies, for tests: between two syncs writes reach it in any order, in part, or not at all; names are lost
-//! without a sync of their folder; it fills up, fails and stops where it is told to. One seed, one run.
+//! Simulated disk with faults, for tests. After a crash, any subset of the sectors written since the last
+//! sync is kept, and of the changes to names since the last sync of the folder a prefix. The disk fills up,
+//! fails or stops at a given call. The same seed gives the same result.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -7,15 +8,15 @@
 
 use crate::disk::{Disk, DiskFile};
 
-/// The unit in which a write reaches the disk.
+/// Unit in which a write reaches the disk, in bytes.
 const SECTOR: u64 = 512;
 
-/// What goes wrong at one call.
+/// Fault that occurs at one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
-    /// The machine stops: this call and all after it fail.
+    /// The machine stops: this call and all later ones fail.
     Crash,
-    /// No space is left; half of a write may have been done.
+    /// The disk is full. Half of a write may have been done.
     Full,
     Io,
 }
@@ -48,15 +49,15 @@
     pending_names: Vec<NameOp>,
     next: u64,
     locked: bool,
-    /// Calls that change something, so far.
+    /// Number of calls so far that change something.
     calls: u64,
     trouble: Option<(u64, Trouble)>,
     dead: bool,
-    /// Reads give back one byte less than they could, now and then.
+    /// Whether a read returns at most half of the bytes that it could, rounded up.
     short_reads: bool,
 }
 
-/// A simulated folder. Clones are the same one.
+/// A simulated folder. Clones refer to the same one.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
@@ -96,7 +97,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has this happen at the call with this number, counted from 0 over all that change something.
+    /// Sets the fault that occurs at call number `call`. Only calls that change something are counted, from
+    /// 0.
     pub fn trouble_at(&self, call: u64, trouble: Trouble) {
         self.state().trouble = Some((call, trouble));
     }
@@ -105,13 +107,13 @@
         self.state().short_reads = true;
     }
 
-    /// Calls that changed something so far.
+    /// Returns the number of calls so far that changed something.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// What the disk holds after the machine has stopped: of what was not synced, whatever the seed says. With `kind`
-    /// only the process ends, and nothing is lost.
+    /// Returns the disk as it is after a crash of the machine, where the seed determines which unsynced
+    /// changes are kept. With `kind` only the process has ended, and nothing is lost.
     pub fn after_crash(&self, seed: u64, kind: bool) -> SimDisk {
         let state = self.state();
         let mut random = fastrand::Rng::with_seed(seed);
@@ -148,7 +150,7 @@
         SimDisk(Arc::new(Mutex::new(after)))
     }
 
-    /// The bytes of a file, to look at or to damage.
+    /// Returns the contents of a file.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.names.get(name).and_then(|id| state.files.get(id)).map(|c| c.current.clone())
@@ -169,13 +171,13 @@
         state.files.insert(id, Content { durable: bytes.clone(), current: bytes, pending: Vec::new() });
     }
 
-    /// Another folder with the same files.
+    /// Returns another folder with the same files.
     pub fn copy(&self) -> SimDisk {
         self.after_crash(0, true)
     }
 }
 
-/// A write in the parts that reach the disk one by one.
+/// Splits a write into the parts that reach the disk separately.
 fn sectors(at: u64, bytes: &[u8]) -> impl Iterator<Item = Pending> + '_ {
     let mut from = 0;
     std::iter::from_fn(move || {
@@ -191,20 +193,20 @@
 }
 
 impl State {
-    /// Counts a call; what goes wrong at it.
+    /// Counts a call and returns the fault that occurs at it.
     fn call(&mut self) -> io::Result<()> {
         if self.dead {
-            return Err(io::Error::other("the machine has stopped"));
+            return Err(io::Error::other("the simulated machine has stopped"));
         }
         let now = self.calls;
         self.calls += 1;
         match self.trouble {
             Some((at, Trouble::Crash)) if at == now => {
                 self.dead = true;
-                Err(io::Error::other("the machine stops"))
+                Err(io::Error::other("the simulated machine stops"))
             }
             Some((at, Trouble::Full)) if at == now => Err(ErrorKind::StorageFull.into()),
-            Some((at, Trouble::Io)) if at == now => Err(io::Error::other("the disk fails")),
+            Some((at, Trouble::Io)) if at == now => Err(io::Error::other("the simulated disk fails")),
             _ => Ok(()),
         }
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,5 @@
-//! The store as a process has it: one thread writes for all, in groups; whoever asks never waits on the disk.
+//! The store as processes use it: one thread writes for all callers, in groups, and [`Store::submit`] never
+//! waits for the disk.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, SyncSender, TrySendError};
@@ -13,25 +14,26 @@
 use crate::recover::{pack, Recovered};
 use crate::view::View;
 
-/// When a write is acknowledged.
+/// When a write is acknowledged, and thus what it survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Durability {
-    /// Taken in order: lost with the process.
+    /// Accepted in order; lost if the process ends.
     Buffered,
-    /// Handed to the machine: survives the process.
+    /// Passed to the operating system; survives the end of the process.
     Flushed,
-    /// On the disk for good: survives the machine.
+    /// Durable on the disk; survives a crash of the machine.
     Synced,
 }
 
-/// Most batches and bytes of one group.
+/// Maximum number of batches in a group.
 const GROUP: usize = 1_024;
+/// Size from which a group accepts no more batches, in bytes.
 const GROUP_BYTES: usize = 1 << 20;
-/// What one step of compaction reads, between two groups.
+/// Bytes that a step of compaction reads while no command waits, and at least after a group.
 const STEP: u64 = 256 << 10;
-/// So many times the bytes of a group are read by compaction after it, where there is something to compact.
+/// Bytes that compaction reads after a group for each byte of the group, if there is something to compact.
 const AHEAD: u64 = 4;
-/// Pause between two looks whether something is to be compacted.
+/// Interval at which an idle store checks whether there is something to compact.
 const LOOK: Duration = Duration::from_millis(200);
 
 type Done = Box<dyn FnOnce(Result<u64>) + Send>;
@@ -44,18 +46,21 @@
     Close,
 }
 
-/// Figures of a store, for counters.
+/// Counters of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Batches taken, and groups that they were written in.
+    /// Accepted batches.
     pub batches: u64,
+    /// Groups in which the batches were written.
     pub groups: u64,
     pub syncs: u64,
-    /// Bytes written for callers, and copied by compaction.
+    /// Bytes written for callers.
     pub written: u64,
+    /// Bytes copied by compaction.
     pub copied: u64,
-    /// Bytes in all files, and what of them is current.
+    /// Bytes in all files.
     pub bytes: u64,
+    /// Bytes of these that are current.
     pub live: u64,
 }
 
@@ -70,8 +75,8 @@
     live: AtomicU64,
 }
 
-/// What the thread shows to all handles. The thread holds this and no handle: the last handle joins the thread, which
-/// must not be the thread itself.
+/// State that the thread publishes to all handles. The thread itself holds no handle: dropping the last one
+/// joins the thread, which must not happen on the thread.
 struct Shown {
     view: RwLock<View>,
     counts: Counts,
@@ -83,7 +88,7 @@
     thread: Mutex<Option<JoinHandle<()>>>,
 }
 
-/// A handle on an open store; clones are the same one. The last one that goes closes it.
+/// Handle of an open store. Clones refer to the same store, and dropping the last one closes it.
 #[derive(Clone)]
 pub struct Store(Arc<Shared>);
 
@@ -98,7 +103,7 @@
 }
 
 impl Store {
-    /// Recovers what is there and starts the thread. Values that expire do so by the machine's clock in compaction.
+    /// Recovers the store and starts its thread. Compaction removes expired values by the system's clock.
     pub fn open<D: Disk>(disk: D, options: Options) -> Result<(Store, Recovered)> {
         let clock = || {
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -107,7 +112,7 @@
         Store::open_with(disk, options, clock)
     }
 
-    /// The same with the caller's clock (ms).
+    /// Like [`Store::open`], with the caller's clock (ms).
     pub fn open_with<D: Disk>(
         disk: D, options: Options, clock: impl Fn() -> u64 + Send + Sync + 'static,
     ) -> Result<(Store, Recovered)> {
@@ -127,13 +132,13 @@
         Ok((Store(Arc::new(shared)), recovered))
     }
 
-    /// The store as it is now.
+    /// Returns a view of the store as it is now.
     pub fn view(&self) -> View {
         self.0.shown.view.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Hands a batch over and returns at once. `done` is called with the batch's version on the store's thread, so it
-    /// must not wait. [`Error::Busy`]: too many writes wait; nothing was taken.
+    /// Queues a batch and returns at once. The store's thread calls `done` with the version of the batch, so
+    /// `done` must not block. [`Error::Busy`]: too many writes are waiting, and the batch was not accepted.
     pub fn submit(
         &self, batch: Batch, durability: Durability, done: impl FnOnce(Result<u64>) + Send + 'static,
     ) -> Result<()> {
@@ -144,14 +149,14 @@
         }
     }
 
-    /// Writes a batch and waits until it is as durable as that.
+    /// Writes a batch and waits until it has this durability.
     pub fn write(&self, batch: Batch, durability: Durability) -> Result<u64> {
         let (tell, told) = mpsc::sync_channel(1);
         self.submit(batch, durability, move |result| _ = tell.send(result))?;
         told.recv().unwrap_or(Err(Error::Closed))
     }
 
-    /// Writes a consistent copy into an empty folder, which opens as a store.
+    /// Writes a consistent copy to an empty folder, which can be opened as a store.
     pub fn snapshot<E: Disk>(&self, to: E, now: u64) -> Result<()> {
         let (tell, told) = mpsc::sync_channel(1);
         let copy = move |view: &View| {
@@ -195,7 +200,8 @@
     }
 }
 
-/// The store's thread: groups of writes, and steps of compaction while nothing waits.
+/// Main loop of the store's thread: writes batches in groups, and compacts after each group and while no
+/// command waits.
 fn run<D: Disk>(
     log: &mut Log<D>, inbox: &Receiver<Command>, clock: &Clock,
     publish: impl Fn(&Log<D>, Option<(u64, bool)>),
@@ -205,7 +211,7 @@
         let first = match if compacting { inbox.try_recv().map_err(|_| ()) } else { wait(inbox) } {
             Ok(command) => command,
             Err(()) => {
-                // Nothing waits. A compaction that cannot go on (a full disk, say) is tried again later.
+                // No command waits. A compaction that fails, for example on a full disk, is retried later.
                 compacting = matches!(log.compact(clock(), STEP), Ok(true));
                 publish(log, None);
                 continue;
@@ -246,23 +252,24 @@
             }
         }
         commit(log, group, &publish);
-        // Beside writers that never pause it must come on faster than they do, or the space would have no bound.
+        // If writers never pause, compaction must progress faster than they do, or the space would not be
+        // bounded.
         compacting = !matches!(log.compact(clock(), STEP.max(AHEAD * bytes as u64)), Ok(false));
         publish(log, None);
     }
 }
 
-/// The next command, or nothing for a while.
+/// Waits for the next command; an error is a timeout.
 fn wait(inbox: &Receiver<Command>) -> std::result::Result<Command, ()> {
     match inbox.recv_timeout(LOOK) {
         Ok(command) => Ok(command),
         Err(RecvTimeoutError::Timeout) => Err(()),
-        // The handle sends `Close` before it goes.
+        // The last handle sends `Close` before it disconnects.
         Err(RecvTimeoutError::Disconnected) => Ok(Command::Close),
     }
 }
 
-/// Writes a group, syncs it if one of it asked for that, and tells all.
+/// Writes a group, syncs it if one of its batches requires that, and acknowledges its batches.
 fn commit<D: Disk>(
     log: &mut Log<D>, group: Vec<(u64, Durability, Option<Done>)>,
     publish: &impl Fn(&Log<D>, Option<(u64, bool)>),
--- a/crates/store/src/view.rs
+++ b/crates/store/src/view.rs
@@ -1,4 +1,4 @@
-//! The index, and a view of the store that stays as it was while writers go on.
+//! The index, and views of the store, which do not change while writers continue.
 
 use std::sync::Arc;
 
@@ -8,17 +8,20 @@
 use crate::error::{Error, Result};
 use crate::frame::{self, Secret};
 
-/// Where a value lies.
+/// Location of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
-    /// File, place and size of its frame, and which change of it.
+    /// Number of the file.
     pub file: u64,
+    /// Offset of the frame in the file.
     pub at: u64,
+    /// Size of the frame, in bytes.
     pub size: u32,
+    /// Index of the change in the frame.
     pub slot: u32,
     pub version: u64,
     pub expires: Option<u64>,
-    /// What it counts for in the space of its file.
+    /// Bytes that the change counts for in its file.
     pub cost: u32,
 }
 
@@ -28,10 +31,10 @@
     }
 }
 
-/// A tree that shares what did not change, so that a view costs nothing to take.
+/// A tree that shares unchanged parts, so that a view is cheap to take.
 pub(crate) type Index = OrdMap<Box<[u8]>, Entry>;
 
-/// A file to read from, whatever disk it is on.
+/// A file to read from, on any disk.
 pub(crate) trait Source: Send + Sync {
     fn read(&self, buffer: &mut [u8], at: u64) -> std::io::Result<()>;
 }
@@ -42,17 +45,17 @@
     }
 }
 
-/// The store as it was at one moment.
+/// The store at one point in time.
 #[derive(Clone)]
 pub struct View {
     pub(crate) index: Index,
-    /// A file stays readable for as long as a view has it, removed or not.
+    /// Files stay readable for as long as a view holds them, even after their removal.
     pub(crate) files: OrdMap<u64, Arc<dyn Source>>,
     pub(crate) secret: Option<Secret>,
 }
 
 impl View {
-    /// Keys that the index has, those that have expired and were not compacted yet among them.
+    /// Returns the number of keys, expired ones that were not compacted yet included.
     pub fn len(&self) -> usize {
         self.index.len()
     }
@@ -75,7 +78,7 @@
         with.map(|(key, entry)| Ok((key.clone(), self.read(key, entry)?)))
     }
 
-    /// Every key with its value, expiry and version; what `dump` prints and a snapshot copies.
+    /// Returns every key that has not expired, with its value, expiry and version. A snapshot copies these.
     pub fn all(&self, now: u64) -> impl Iterator<Item = Result<frame::Op>> + '_ {
         self.index.iter().filter(move |(_, e)| e.lives(now)).map(|(key, entry)| {
             let (expires, version) = (entry.expires, entry.version);
@@ -85,18 +88,19 @@
 
     fn read(&self, key: &[u8], entry: &Entry) -> Result<Vec<u8>> {
         let damaged = |what| Error::Damaged { file: name(entry.file), offset: entry.at, what };
-        let file = self.files.get(&entry.file).ok_or_else(|| damaged("the file is gone"))?;
+        let file = self.files.get(&entry.file).ok_or_else(|| damaged("the file is missing"))?;
         let mut bytes = vec![0; entry.size as usize];
         file.read(&mut bytes, entry.at)?;
-        let read =
-            frame::decode(&bytes, self.secret.as_ref()).map_err(|_| damaged("a frame changed since"))?;
-        let ops = frame::ops(read.payload).ok_or_else(|| damaged("a frame's changes cannot be read"))?;
+        let read = frame::decode(&bytes, self.secret.as_ref())
+            .map_err(|_| damaged("the frame has changed since it was written"))?;
+        let ops =
+            frame::ops(read.payload).ok_or_else(|| damaged("the changes of a frame cannot be decoded"))?;
         let op = ops.into_iter().nth(entry.slot as usize).filter(|op| op.key == key);
-        op.and_then(|op| op.value).ok_or_else(|| damaged("another key lies there"))
+        op.and_then(|op| op.value).ok_or_else(|| damaged("the entry belongs to another key"))
     }
 }
 
-/// The name of a file of the log.
+/// Returns the name of a file of the log.
 pub(crate) fn name(number: u64) -> String {
     format!("{number:016x}.log")
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Files that were cut, turned or are somebody else's.
+//! Files that are cut, damaged, or not of this store.
 
 use std::path::Path;
 
@@ -15,8 +15,8 @@
     options
 }
 
-/// A store with every kind of record: several files, one of them compacted, batches over both keyspaces, deletions,
-/// expiries and a batch larger than a file. Returns what it held after each batch.
+/// Writes a store with every kind of record: several files, one of them compacted, batches over both
+/// keyspaces, deletions, expiries, and a batch larger than a file. Returns the contents after each batch.
 fn written(disk: &SimDisk) -> Vec<Vec<(String, String)>> {
     let (mut log, _) = Log::open(disk.clone(), options()).expect("opened");
     let mut states = vec![Vec::new()];
@@ -47,8 +47,8 @@
     WORDS.scan(&log.view(), "", 0).expect("readable")
 }
 
-/// Guards every restart: the newest file cut at every byte opens to a state that was; an older one is damage that is
-/// named, as it was on the disk for good.
+/// Guards every restart: the newest file opens to an earlier state wherever it is cut. An older file was
+/// durable, so that a cut in it is reported as damage.
 #[test]
 fn a_file_cut_at_every_byte_opens_to_a_prefix_or_is_named() {
     let disk = SimDisk::default();
@@ -56,18 +56,19 @@
     let mut names = disk.list().expect("listed");
     names.sort();
     for name in &names {
-        let (whole, newest) = (disk.bytes(name).expect("there"), Some(name) == names.last());
+        let (whole, newest) = (disk.bytes(name).expect("the file exists"), Some(name) == names.last());
         for cut in 0..whole.len() {
             let copy = disk.copy();
             copy.overwrite(name, whole[..cut].to_vec());
             match Log::open(copy, options()) {
                 Ok((log, report)) => {
-                    assert!(newest, "{name} cut at {cut} must be named");
+                    assert!(newest, "{name} cut at {cut} must be reported");
                     let n = report.sequence as usize;
                     assert_eq!(words(&log), states[n], "{name} cut at {cut}");
                 }
                 Err(Error::Damaged { file, .. }) => {
-                    // The file itself, or the next one, which it no longer reaches.
+                    // Reported for the file itself, or for the next one if the cut file ends with a whole
+                    // batch.
                     assert!(
                         !newest && (file == *name || names.contains(&file)),
                         "{name} cut at {cut}: {file}"
@@ -79,31 +80,35 @@
     }
 }
 
-/// Guards values: whatever bit is turned, nothing that was not written is ever returned.
+/// Guards values: whichever bit is flipped, nothing is returned that was not written.
 #[test]
 fn a_turned_bit_is_never_returned() {
     let disk = SimDisk::default();
     let states = written(&disk);
     for name in disk.list().expect("listed") {
-        let whole = disk.bytes(&name).expect("there");
+        let whole = disk.bytes(&name).expect("the file exists");
         for at in 0..whole.len() {
             let copy = disk.copy();
             let mut bytes = whole.clone();
             bytes[at] ^= 1 << (at % 8);
             copy.overwrite(&name, bytes);
             if let Ok((log, report)) = Log::open(copy, options()) {
-                assert_eq!(words(&log), states[report.sequence as usize], "{name} turned at {at}");
+                assert_eq!(
+                    words(&log),
+                    states[report.sequence as usize],
+                    "{name} with a flipped bit at {at}"
+                );
             }
         }
     }
-    // A bit that turns while the store is open.
+    // A view can still be read after its log was closed.
     let (log, _) = Log::open(disk.copy(), options()).expect("opened");
     let view = log.view();
     drop(log);
     assert!(WORDS.scan(&view, "", 0).is_ok());
 }
 
-/// Guards against damage that looks like a torn end: a later batch says that it was on the disk for good.
+/// Guards against damage that looks like a torn end: a later batch counts the damaged one as synced.
 #[test]
 fn damage_in_the_middle_is_named_and_salvage_says_what_it_dropped() {
     let disk = SimDisk::default();
@@ -115,12 +120,14 @@
     }
     drop(log);
     let name = disk.list().expect("listed")[0].clone();
-    let mut bytes = disk.bytes(&name).expect("there");
+    let mut bytes = disk.bytes(&name).expect("the file exists");
     let at = bytes.len() / 2;
     bytes[at] ^= 0x10;
     let damaged = disk.copy();
     damaged.overwrite(&name, bytes.clone());
-    let Err(Error::Damaged { file, offset, .. }) = check(damaged.copy(), None) else { panic!("not named") };
+    let Err(Error::Damaged { file, offset, .. }) = check(damaged.copy(), None) else {
+        panic!("the damage was not reported")
+    };
     assert!(file == name && (offset as usize) <= at && at - (offset as usize) < 64, "{file} {offset} {at}");
     let to = SimDisk::default();
     let salvaged = salvage(damaged, to.clone(), None).expect("salvaged");
@@ -136,14 +143,14 @@
     }
 }
 
-/// Guards against files of another program, another format, another key and another process.
+/// Guards against files of another program, another format and another key, and against a second process.
 #[test]
 fn what_is_not_ours_is_refused_by_name() {
     let disk = SimDisk::default();
     written(&disk);
     let first = disk.list().expect("listed")[0].clone();
     let open = |disk: SimDisk, secret| {
-        Log::open(disk, Options { secret, ..options() }).map(|_| ()).expect_err("refused")
+        Log::open(disk, Options { secret, ..options() }).map(|_| ()).expect_err("rejected")
     };
     let foreign = disk.copy();
     foreign.overwrite("notes.txt", b"hello".to_vec());
@@ -168,7 +175,7 @@
         .expect("written");
     assert!(matches!(
         open(sealed.copy(), Some([2; 32])),
-        Error::Damaged { what: "sealed with another key", .. }
+        Error::Damaged { what: "written with another key", .. }
     ));
     assert!(Log::open(sealed.copy(), Options { secret, ..options() }).is_ok());
 }
@@ -182,8 +189,9 @@
     Store::open(Folder::new(path).expect("a folder"), options).expect("opened").0
 }
 
-/// Guards the real disk and the thread: what was acknowledged is there after a restart, a view stays as it was while
-/// writers and compaction go on, a snapshot opens, and one process at a time has the folder.
+/// Guards the file system and the store's thread: acknowledged writes are there after a restart, a view does
+/// not change while writers and compaction continue, a snapshot opens, and only one process at a time opens
+/// the folder.
 #[test]
 fn the_machines_disk_keeps_what_was_acknowledged() {
     let top = tempfile::tempdir().expect("a folder");
@@ -199,16 +207,17 @@
     }
     let before = store.view();
     for n in 500..5_000 {
-        store.submit(put(n % 50, n), Durability::Buffered, |_| ()).expect("taken");
+        store.submit(put(n % 50, n), Durability::Buffered, |_| ()).expect("accepted");
         if n % 1_000 == 0 {
             store.write(Batch::new(), Durability::Synced).expect("synced");
         }
     }
     let last = store.write(put(7, 1_000_000), Durability::Synced).expect("written");
-    assert_eq!(COUNTS.get(&before, &7, 0).expect("readable"), Some(457), "a view stays as it was");
-    let (value, version) = COUNTS.get_versioned(&store.view(), &7, 0).expect("readable").expect("there");
+    assert_eq!(COUNTS.get(&before, &7, 0).expect("readable"), Some(457), "a view does not change");
+    let (value, version) =
+        COUNTS.get_versioned(&store.view(), &7, 0).expect("readable").expect("the key exists");
     assert_eq!((value, version), (1_000_000, last));
-    // Compare and set: only for whoever saw the last value.
+    // Compare-and-set succeeds only with the latest version.
     let stale = put(7, 1).expect(&COUNTS, &7, Some(version - 1));
     assert!(matches!(store.write(stale, Durability::Flushed), Err(Error::Conflict)));
     store.write(put(7, 8).expect(&COUNTS, &7, Some(version)), Durability::Flushed).expect("written");
@@ -224,7 +233,8 @@
     }
 }
 
-/// Guards values that expire: gone by the caller's clock at once, from the disk with compaction, and never back.
+/// Guards values that expire: they cannot be read from their expiry on, compaction removes them, and they
+/// never reappear.
 #[test]
 fn what_has_expired_does_not_come_back() {
     let disk = SimDisk::default();
--- a/crates/store/tests/kill.rs
+++ b/crates/store/tests/kill.rs
@@ -1,4 +1,4 @@
-//! A process that is killed while it writes keeps what it was told was there.
+//! A process that is killed while it writes keeps what it acknowledged.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -12,7 +12,7 @@
 
 fn open(path: &Path) -> Store {
     let mut options = Options { segment: 16 << 10, ..Options::default() };
-    // Compaction all the time, so that kills fall into it too.
+    // Compaction runs all the time, so that kills interrupt it, too.
     options.compaction.worth = 1 << 10;
     Store::open(Folder::new(path).expect("a folder"), options).expect("opened").0
 }
@@ -22,9 +22,9 @@
     (0..KEYS).filter_map(|key| COUNTS.get(&view, &key, 0).expect("readable")).max().unwrap_or(0)
 }
 
-/// The process that is killed: counts on from what it finds and tells each count once it is acknowledged.
+/// The process that is killed. It counts on from what it finds and prints each count once it is acknowledged.
 #[test]
-#[ignore = "the other test runs it, in a process of its own"]
+#[ignore = "run by the other test, in a separate process"]
 fn child() {
     let store = open(Path::new(&std::env::var_os(FOLDER).expect("a folder")));
     let mut n = newest(&store);
@@ -37,8 +37,8 @@
     }
 }
 
-/// Guards what operators are owed: SIGKILL at any moment, in the middle of a write or of a compaction, takes back
-/// nothing that was acknowledged as flushed, and the store opens. `GLENRAIL_KILLS` has it killed more often.
+/// Guards against lost writes: SIGKILL at any moment, also during a write or a compaction, loses nothing that
+/// was acknowledged as flushed, and the store opens again. `GLENRAIL_KILLS` sets the number of kills.
 #[test]
 fn a_killed_process_keeps_what_it_acknowledged() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -55,7 +55,7 @@
         let lines = BufReader::new(child.stdout.take().expect("its output")).lines();
         let counts =
             lines.map_while(Result::ok).filter_map(|l| l.strip_prefix("acknowledged ")?.parse::<u64>().ok());
-        // What it still said between the kill being sent and being felt counts too.
+        // Counts that are printed before the signal takes effect are acknowledged, too.
         let mut told = Vec::new();
         for count in counts {
             told.push(count);
@@ -64,11 +64,15 @@
             }
         }
         child.wait().expect("ended");
-        assert_eq!(told.first().copied(), Some(last + 1), "kill {kill}: it went on from what was there");
+        assert_eq!(
+            told.first().copied(),
+            Some(last + 1),
+            "kill {kill}: it continues from the recovered count"
+        );
         let acknowledged = *told.last().expect("a count");
         let store = open(folder.path());
         last = newest(&store);
-        // The one that was being written may be there as well.
+        // The count that was being written may be there as well.
         assert!((acknowledged..=acknowledged + 1).contains(&last), "kill {kill}: {acknowledged} and {last}");
         assert_eq!(store.view().len() as u64, KEYS);
     }
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,4 +1,4 @@
-//! The store against a plain map, on a disk that lies: a crash at every call, a full disk, failed syncs.
+//! The store against a plain map on a simulated disk: a crash at every call, a full disk, failed syncs.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Put(bool, u64, usize),
-    /// Both keyspaces at once.
+    /// Puts into both keyspaces in one batch.
     Both(u64, usize),
     Delete(bool, u64),
     Flush,
@@ -53,18 +53,19 @@
     all(false, &A).into_iter().chain(all(true, &B)).collect()
 }
 
-/// What a run leaves: every state after each batch taken, which was flushed last and which synced last.
+/// Result of a run: the state after each accepted batch, and the indices of the last flushed and the last
+/// synced state.
 struct Ran {
     states: Vec<Map>,
     flushed: usize,
     synced: usize,
 }
 
-/// Plays the steps until the disk gives out.
+/// Runs the steps until the disk fails.
 fn play(disk: &SimDisk, steps: &[Step]) -> Ran {
     let mut ran = Ran { states: vec![Map::new()], flushed: 0, synced: 0 };
     let Ok((mut log, _)) = Log::open(disk.clone(), options()) else { return ran };
-    // What is staged and not flushed.
+    // States of the batches that are staged and not flushed.
     let mut staged = Vec::new();
     for (n, step) in steps.iter().enumerate() {
         let fill = |size: &usize| vec![n as u8; *size];
@@ -88,12 +89,13 @@
                     Step::Compact => log.compact(0, 200).map(|_| ()),
                     _ => log.flush(),
                 };
-                // A compaction that began has flushed and synced what was staged before it went on, or failed.
+                // A compaction that began has first flushed and synced what was staged, even if it failed
+                // later.
                 let began = log.sequence().1 as usize >= ran.states.len() - 1 + staged.len();
                 match done {
                     Ok(()) | Err(Error::Full) if matches!(step, Step::Compact) => {
                         if log.sequence().0 as usize + 1 == ran.states.len() {
-                            // The disk was full for what was staged.
+                            // The disk was full for the staged batches, so that none of them was written.
                             staged.clear();
                         } else if began {
                             ran.states.append(&mut staged);
@@ -105,7 +107,7 @@
                         ran.states.append(&mut staged);
                         ran.flushed = ran.states.len() - 1;
                     }
-                    // None of it is there, and the store goes on.
+                    // None of the staged batches was written, and the store continues.
                     Err(Error::Full) => staged.clear(),
                     Err(_) => {
                         ran.states.append(&mut staged);
@@ -131,12 +133,12 @@
         }
         ran.synced = ran.synced.max((log.sequence().1 as usize).min(ran.states.len() - 1));
     }
-    // Staged and never flushed: lost, or not, as a crash would have it. Here nothing was handed over.
+    // Readers do not see batches that were staged and never flushed.
     assert_eq!(contents(&log), ran.states[ran.flushed], "what readers see");
     ran
 }
 
-/// What a store opens to must be one of the states from here on.
+/// Checks that the store opens to one of the states from `least` on.
 fn opens_to_a_prefix(disk: &SimDisk, ran: &Ran, least: usize, why: &str) {
     let (log, _) = Log::open(disk.clone(), options()).unwrap_or_else(|e| panic!("{why}: {e}"));
     let found = contents(&log);
@@ -147,8 +149,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever the steps and wherever the machine stops: what comes back is a state that was, no older than the last
-    /// sync; where only the process ends, no older than the last flush. And a crash while recovering changes nothing.
+    /// Guards against invented and lost batches: wherever the machine stops, the store opens to an earlier
+    /// state, no older than the last sync, or than the last flush if only the process has ended. A crash
+    /// during the recovery does not change this.
     #[test]
     fn a_crash_at_any_call_leaves_a_prefix(steps in prop::collection::vec(step(), 1..40), seed: u64) {
         let whole = SimDisk::default();
@@ -163,7 +166,7 @@
                 let crashed = disk.after_crash(seed.wrapping_add(n), false);
                 crashed.short_reads();
                 opens_to_a_prefix(&crashed.copy(), &ran, ran.synced, &format!("crash at call {call}"));
-                // A crash at every call of the recovery itself.
+                // A crash at every call of the recovery.
                 let recovering = crashed.copy();
                 let _ = Log::open(recovering.clone(), options());
                 for again in 0..recovering.calls() {
@@ -177,8 +180,8 @@
         }
     }
 
-    /// A disk that is full at any call: the batch is turned down whole, and the store goes on; what it says it took is
-    /// there after a restart.
+    /// Guards against a full disk at any call: the whole batch is rejected, the store continues, and what was
+    /// flushed is there after a restart.
     #[test]
     fn a_full_disk_turns_down_and_goes_on(steps in prop::collection::vec(step(), 1..40)) {
         let whole = SimDisk::default();
@@ -191,7 +194,8 @@
         }
     }
 
-    /// A disk that fails at any call, a sync among them: nothing more is taken, and nothing synced is lost.
+    /// Guards against a disk that fails at any call, also at a sync: the store accepts nothing more, and
+    /// nothing that was synced is lost.
     #[test]
     fn a_failing_disk_stops_the_store(steps in prop::collection::vec(step(), 1..40), seed: u64) {
         let whole = SimDisk::default();
--- a/crates/store/tests/stored_files.rs
+++ b/crates/store/tests/stored_files.rs
@@ -1,6 +1,8 @@
-//! The files of a store as an earlier build wrote them: the present code writes the same bytes and reads them back.
+//! The files of a store as an earlier build wrote them: the present code writes the same bytes and reads them
+//! back.
 //!
-//! Where the bytes differ, what was written is left under the target folder, at the path that the failure names.
+//! If the bytes differ, the written files are kept under the target folder, at the path in the failure
+//! message.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,7 +16,7 @@
 const COUNTS: Keyspace<u64, u64> = Keyspace::new(2);
 const PARTS: Keyspace<[u8], Vec<u8>> = Keyspace::new(0x0301);
 
-/// Time of the compaction: one value has expired by then, another one has not.
+/// Time of the compaction (ms). One value has expired by then, another one has not.
 const COMPACTION: u64 = 2_000;
 
 type Files = BTreeMap<String, Vec<u8>>;
@@ -26,7 +28,7 @@
     options
 }
 
-/// Options with which a store that is open leaves the files as they are.
+/// Returns options with which opening a store does not change its files.
 fn without_compaction(sealed: bool) -> Options {
     Options { compaction: Options::default().compaction, ..options(sealed) }
 }
@@ -39,7 +41,7 @@
     Batch::new().put_until(&WORDS, key, &value.to_string(), expires).expect("a batch")
 }
 
-/// Versions 1 to 12, each flushed alone.
+/// Returns the batches with versions 1 to 12, each of which is flushed alone.
 fn before_compaction() -> Vec<Batch> {
     let mut batches = vec![
         word("kept", "first").put(&COUNTS, &7, &49).expect("a batch"),
@@ -53,7 +55,8 @@
     batches
 }
 
-/// Versions 13 to 16, flushed together: one log with several frames.
+/// Returns the batches with versions 13 to 16, which are flushed together, so that one file has several
+/// frames.
 fn after_compaction() -> Vec<Batch> {
     vec![
         word("status", "last"),
@@ -81,7 +84,7 @@
     disk
 }
 
-/// A snapshot of the stored files without a key.
+/// Returns a snapshot of the stored files that were written without a key.
 fn snapshot() -> SimDisk {
     let (store, _) = Store::open(disk_of(&stored("plain")), without_compaction(false)).expect("opened");
     let copy = SimDisk::default();
@@ -91,7 +94,7 @@
 
 fn files(disk: &SimDisk) -> Files {
     let names = disk.list().expect("listed").into_iter();
-    names.map(|name| (name.clone(), disk.bytes(&name).expect("there"))).collect()
+    names.map(|name| (name.clone(), disk.bytes(&name).expect("the file exists"))).collect()
 }
 
 fn disk_of(files: &Files) -> SimDisk {
@@ -133,7 +136,7 @@
     pairs.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect()
 }
 
-/// Values and versions that every one of the stored sets of files holds.
+/// Checks the values and versions that each of the stored sets of files holds.
 fn assert_contents(view: &View) {
     let lasting = [("kept", "second"), ("short", ""), ("status", "last")];
     let before_expiry = [("expires", "later"), lasting[0], lasting[1], lasting[2]];
@@ -148,7 +151,7 @@
     assert_eq!(view.len(), 7);
 }
 
-/// Opens stored files on the simulated disk; nothing in them is cut, removed or changed.
+/// Checks that stored files open on the simulated disk, and that nothing in them is cut, removed or changed.
 fn assert_opens(name: &str, sealed: bool) {
     let stored = stored(name);
     let disk = disk_of(&stored);
