--- a/crates/cache-warming/examples/figures.rs
+++ b/crates/cache-warming/examples/figures.rs
@@ -4,12 +4,12 @@
 
 use std::collections::HashMap;
 
+use glenrail_cache_warming::assignments::HandOver;
 use glenrail_cache_warming::cutover::{Cutover, Input, Side, State, Terms};
 use glenrail_cache_warming::plan::{plan, Facts, Plan, Target};
-use glenrail_cache_warming::readers::HandOver;
 use glenrail_cache_warming::rendezvous::mix;
 use glenrail_cache_warming::sketch::Sketch;
-use glenrail_cache_warming::word::{from_bytes, to_bytes};
+use glenrail_cache_warming::sketch_codec::{from_bytes, to_bytes};
 use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 
 const BEGINNINGS: u64 = 3000;
--- a/crates/cache-warming/src/readers.rs
+++ b/crates/cache-warming/src/assignments.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 
 use crate::rendezvous::place;
-use crate::terms::{Beginning, Life, Member, Model, Ms, Node, Team};
+use crate::types::{Beginning, Life, Member, Model, Ms, Node, Team};
 
 /// One incarnation of a member, to which prefills are assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/cache-warming/src/cutover/mod.rs
+++ b/crates/cache-warming/src/cutover/mod.rs
@@ -5,16 +5,16 @@
 //! served for a settling time; then the old node may drain. If the new node fails, all slices return to the
 //! old node in the same step.
 
-mod fleet;
-mod story;
+mod replacements;
+mod report;
 
-pub use fleet::{OrderError, Replacements};
-pub use story::{Figures, Step, Why};
+pub use replacements::{OrderError, Replacements};
+pub use report::{Figures, Step, Why};
 
+use crate::assignments::HandOver;
 use crate::plan::Plan;
-use crate::readers::HandOver;
 use crate::slices::slice;
-use crate::terms::{Beginning, Model, Ms, Node, Team};
+use crate::types::{Beginning, Model, Ms, Node, Team};
 
 /// Relative tolerance for sums of the same savings that were added in another order.
 const ROUNDING: f64 = 1e-9;
--- a/crates/cache-warming/src/cutover/fleet.rs
+++ b/crates/cache-warming/src/cutover/replacements.rs
@@ -6,9 +6,9 @@
 use thiserror::Error;
 
 use super::{Cutover, Input, Side, State, Step, Terms};
+use crate::assignments::HandOver;
 use crate::plan::Plan;
-use crate::readers::HandOver;
-use crate::terms::{Beginning, Model, Ms, Node, Team};
+use crate::types::{Beginning, Model, Ms, Node, Team};
 
 /// Why an order to replace a node was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
--- a/crates/cache-warming/src/cutover/story.rs
+++ b/crates/cache-warming/src/cutover/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::terms::Node;
+use crate::types::Node;
 
 /// Why a step was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/cache-warming/src/hot.rs
+++ b/crates/cache-warming/src/hot_prefixes.rs
@@ -2,8 +2,8 @@
 //! longer call a model, its prefixes for that model are removed from both in one step.
 
 use crate::sketch::Sketch;
-use crate::terms::{Beginning, Member, Model, Ms, Node, Team};
-use crate::texts::{heat, Limits, Texts};
+use crate::text_cache::{heat, Limits, Texts};
+use crate::types::{Beginning, Member, Model, Ms, Node, Team};
 
 /// Counts and texts of one member's hot prefixes. If the limits of the texts are zero, nothing is counted
 /// either.
--- a/crates/cache-warming/src/bytes.rs
+++ b/crates/cache-warming/src/message_codec.rs
@@ -4,7 +4,7 @@
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::readers::{Assigned, HandOver, Seat};
+use crate::assignments::{Assigned, HandOver, Seat};
 
 /// Format version that is written, and the only one accepted.
 pub const FORMAT: u8 = 1;
@@ -40,7 +40,7 @@
     pub assigned: Vec<Assigned>,
 }
 
-/// Encodes an [`Opening`] or a [`crate::readers::Claim`].
+/// Encodes an [`Opening`] or a [`crate::assignments::Claim`].
 pub fn to_bytes<T: Serialize>(word: &T) -> Vec<u8> {
     postcard::to_extend(word, vec![FORMAT]).unwrap_or_default()
 }
--- a/crates/cache-warming/src/pace.rs
+++ b/crates/cache-warming/src/pace.rs
@@ -3,7 +3,7 @@
 
 use thiserror::Error;
 
-use crate::terms::{Beginning, Ms, Node};
+use crate::types::{Beginning, Ms, Node};
 
 /// Priority of every prefill for warming, below that of all client requests.
 pub const PRIORITY: u8 = 0;
--- a/crates/cache-warming/src/plan/mod.rs
+++ b/crates/cache-warming/src/plan/mod.rs
@@ -7,7 +7,7 @@
 pub use choose::{choose, Budget, Item};
 
 use crate::sketch::Sketch;
-use crate::terms::{Beginning, Member, Model, Ms, Node, Team};
+use crate::types::{Beginning, Member, Model, Ms, Node, Team};
 
 /// A node to be warmed, and what may be spent on it.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/cache-warming/src/rendezvous.rs
+++ b/crates/cache-warming/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing over members: all members derive the same order from the same names, and the loss of
 //! one member moves only what was assigned to it.
 
-use crate::terms::{Beginning, Member, Node};
+use crate::types::{Beginning, Member, Node};
 
 /// Mixes 64 bits with the finalizer of SplitMix64 (Steele et al. 2014). It is written out here because the
 /// order must be the same in all builds.
--- a/crates/cache-warming/src/sketch.rs
+++ b/crates/cache-warming/src/sketch.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use crate::terms::{Beginning, Member, Model, Ms, Node, Team};
+use crate::types::{Beginning, Member, Model, Ms, Node, Team};
 
 /// Maximum number of nodes recorded as having prefilled a prefix; the most recent ones are kept.
 pub const READ_AT: usize = 4;
--- a/crates/cache-warming/src/word.rs
+++ b/crates/cache-warming/src/sketch_codec.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::sketch::{Seen, Sketch, HOLDERS, READ_AT};
-use crate::terms::{Beginning, Member, Ms, Node};
+use crate::types::{Beginning, Member, Ms, Node};
 
 /// Format version that is written, and the only one accepted.
 pub const FORMAT: u8 = 1;
--- a/crates/cache-warming/src/slices.rs
+++ b/crates/cache-warming/src/slices.rs
@@ -1,7 +1,7 @@
 //! Division of a node's keys into slices, so that ownership can move one slice at a time.
 
 use crate::rendezvous::mix;
-use crate::terms::Beginning;
+use crate::types::Beginning;
 
 /// Returns the slice, out of `count`, that a prefix belongs to; all members derive the same one. Like the
 /// order of servers, it depends only on the key of the prefix.
--- a/crates/cache-warming/src/texts.rs
+++ b/crates/cache-warming/src/text_cache.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use crate::terms::{Beginning, Model, Ms, Team};
+use crate::types::{Beginning, Model, Ms, Team};
 
 /// Bytes that each text counts in addition to its length, so that many short texts cannot exceed the limits.
 pub const OVERHEAD: usize = 128;
--- a/crates/cache-warming/tests/readers.rs
+++ b/crates/cache-warming/tests/assignments.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use glenrail_cache_warming::readers::{assign, Claim, HandOver, ReadError, Readers, Seat, Terms};
+use glenrail_cache_warming::assignments::{assign, Claim, HandOver, ReadError, Readers, Seat, Terms};
 use glenrail_cache_warming::{Beginning, Life, Member, Model, Node, Team};
 use proptest::prelude::*;
 
@@ -69,7 +69,7 @@
     words: Vec<(u64, usize, Claim)>,
     held: Vec<Vec<(u64, Claim)>>,
     read: HashMap<Beginning, Vec<Seat>>,
-    assigned: Vec<glenrail_cache_warming::readers::Assigned>,
+    assigned: Vec<glenrail_cache_warming::assignments::Assigned>,
 }
 
 impl World {
@@ -276,7 +276,7 @@
 
 #[test]
 fn words_travel_and_foreign_ones_are_refused_by_name() {
-    use glenrail_cache_warming::bytes::{from_bytes, to_bytes, BytesError, Opening};
+    use glenrail_cache_warming::message_codec::{from_bytes, to_bytes, BytesError, Opening};
     let assigned = World::new(3).assigned;
     let opening = Opening { hand_over: HAND_OVER, opener: seat(0, 1), assigned };
     let mut bytes = to_bytes(&opening);
--- a/crates/cache-warming/tests/cutover.rs
+++ b/crates/cache-warming/tests/cutover.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeSet;
 
+use glenrail_cache_warming::assignments::HandOver;
 use glenrail_cache_warming::cutover::{Cutover, Input, OrderError, Replacements, State, Step, Terms, Why};
 use glenrail_cache_warming::plan::{Plan, Reading};
-use glenrail_cache_warming::readers::HandOver;
 use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
--- a/crates/cache-warming/tests/sketch.rs
+++ b/crates/cache-warming/tests/sketch.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use glenrail_cache_warming::sketch::Sketch;
-use glenrail_cache_warming::word::{from_bytes, to_bytes, WordError, FORMAT};
+use glenrail_cache_warming::sketch_codec::{from_bytes, to_bytes, WordError, FORMAT};
 use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
--- a/crates/cache-warming/tests/texts.rs
+++ b/crates/cache-warming/tests/text_cache.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use glenrail_cache_warming::hot::Hot;
-use glenrail_cache_warming::texts::{Limits, Texts, OVERHEAD};
+use glenrail_cache_warming::hot_prefixes::Hot;
+use glenrail_cache_warming::text_cache::{Limits, Texts, OVERHEAD};
 use glenrail_cache_warming::{Beginning, Member, Model, Node, Team};
 use proptest::prelude::*;
 
