--- a/crates/cache-warming/benches/sketch.rs
+++ b/crates/cache-warming/benches/sketch.rs
@@ -6,10 +6,10 @@
 
 use divan::{black_box, Bencher};
 use glenrail_cache_warming::sketch::Sketch;
-use glenrail_cache_warming::{Beginning, Model, Node, Team};
+use glenrail_cache_warming::{Model, Node, PromptPrefix, Team};
 
-const ASKS: usize = 200_000;
-const BEGINNINGS: f64 = 100_000.0;
+const REQUESTS: usize = 200_000;
+const PREFIXES: f64 = 100_000.0;
 
 fn main() {
     divan::main();
@@ -17,43 +17,40 @@
 
 /// Returns requests whose prefixes follow Zipf's law (the inverse of its continuous form), the same in every
 /// run.
-fn asks() -> Vec<(Beginning, u32)> {
+fn requests() -> Vec<(PromptPrefix, u32)> {
     let mut rng = fastrand::Rng::with_seed(7);
-    let rank = |unit: f64| BEGINNINGS.powf(unit) as u64;
-    let one = |prefix: u64| {
-        (
-            Beginning { team: Team(prefix % 100), model: Model(prefix % 7), prefix },
-            500 + (prefix * 37 % 6000) as u32,
-        )
+    let rank = |unit: f64| PREFIXES.powf(unit) as u64;
+    let one = |key: u64| {
+        (PromptPrefix { team: Team(key % 100), model: Model(key % 7), key }, 500 + (key * 37 % 6000) as u32)
     };
-    (0..ASKS).map(|_| one(rank(rng.f64()))).collect()
+    (0..REQUESTS).map(|_| one(rank(rng.f64()))).collect()
 }
 
-#[divan::bench(args = [64, 256, 1024], items_count = ASKS)]
+#[divan::bench(args = [64, 256, 1024], items_count = REQUESTS)]
 fn sketch(bencher: Bencher, capacity: usize) {
-    let asks = asks();
+    let requests = requests();
     bencher.bench(|| {
         let mut sketch = Sketch::new(capacity, 30_000, 0);
-        for (at, (beginning, tokens)) in asks.iter().enumerate() {
+        for (at, (prefix, tokens)) in requests.iter().enumerate() {
             // The time advances by one second every 1,000 requests, as a caller with a coarse clock passes
             // it.
-            sketch.asked(*beginning, *tokens, Some(Node(1)), (at / 1000 * 1000) as u64);
+            sketch.record_request(*prefix, *tokens, Some(Node(1)), (at / 1000 * 1000) as u64);
         }
         black_box(sketch.hottest(64).len())
     });
 }
 
 /// The exact counterpart: one decayed count for each prefix, never removed.
-#[divan::bench(items_count = ASKS)]
+#[divan::bench(items_count = REQUESTS)]
 fn exact(bencher: Bencher) {
-    let asks = asks();
+    let requests = requests();
     bencher.bench(|| {
-        let mut exact: HashMap<Beginning, (f64, u64)> = HashMap::new();
-        for (at, (beginning, tokens)) in asks.iter().enumerate() {
+        let mut exact: HashMap<PromptPrefix, (f64, u64)> = HashMap::new();
+        for (at, (prefix, tokens)) in requests.iter().enumerate() {
             let now = (at / 1000 * 1000) as u64;
-            let (weight, asked) = exact.entry(*beginning).or_insert((0.0, now));
-            *weight = *weight * (-((now - *asked) as f64) / 30_000.0).exp2() + f64::from(*tokens);
-            *asked = now;
+            let (weight, last_requested) = exact.entry(*prefix).or_insert((0.0, now));
+            *weight = *weight * (-((now - *last_requested) as f64) / 30_000.0).exp2() + f64::from(*tokens);
+            *last_requested = now;
         }
         let mut all: Vec<_> = exact.into_iter().collect();
         all.sort_by(|a, b| b.1 .0.total_cmp(&a.1 .0));
--- a/crates/cache-warming/src/cutover/mod.rs
+++ b/crates/cache-warming/src/cutover/mod.rs
@@ -8,35 +8,36 @@
 mod replacements;
 mod report;
 
-pub use replacements::{OrderError, Replacements};
-pub use report::{Figures, Step, Why};
+pub use replacements::{ReplaceError, Replacements};
+pub use report::{CutoverStats, Reason, Transition};
 
-use crate::assignments::HandOver;
+use crate::assignments::ReplacementId;
 use crate::plan::Plan;
 use crate::slices::slice;
-use crate::types::{Beginning, Model, Ms, Node, Team};
+use crate::types::{Model, Ms, Node, PromptPrefix, Team};
 
 /// Relative tolerance for sums of the same savings that were added in another order.
 const ROUNDING: f64 = 1e-9;
 
 /// Parameters of a cutover.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct CutoverConfig {
     /// Number of slices that a node's keys are divided into.
     pub slices: u16,
     /// Share of a slice's planned saving that must be prefilled before the slice may move.
-    pub target: f64,
+    pub min_prefilled_share: f64,
     /// Minimum time between moves of two slices (ms), so that the new node is not flooded with requests for
     /// prefixes that were not prefilled.
-    pub gap: Ms,
-    /// Time after the start (ms) from which slices move whether prefilled or not, still one per `gap`.
+    pub move_interval: Ms,
+    /// Time after the start (ms) from which slices move whether prefilled or not, still one per
+    /// `move_interval`.
     pub deadline: Ms,
-    /// Minimum ratio of found to expected tokens. Below it, no slice moves before the deadline.
-    pub least_found: f64,
-    /// Minimum number of requested tokens before the found ones are evaluated.
-    pub enough: u64,
+    /// Minimum ratio of cached to expected tokens. Below it, no slice moves before the deadline.
+    pub min_hit_ratio: f64,
+    /// Minimum number of requested tokens before the hit ratio is evaluated.
+    pub min_sample_tokens: u64,
     /// Time after the last slice has moved (ms) during which all slices can still return to the old node.
-    pub settle: Ms,
+    pub settle_time: Ms,
 }
 
 /// The side of a replacement that serves a slice.
@@ -50,25 +51,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// No slice has moved yet.
-    Reading,
+    Warming,
     Moving,
     /// All slices have moved; the old node is still available to take them back.
     Settling,
     /// The old node may drain.
     Done,
     /// All slices belong to the old node again.
-    Back(Why),
+    RolledBack(Reason),
 }
 
 /// An event that a member reports to a cutover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
     /// A member, whichever it is, has prefilled a planned prefix at the new node.
-    Read(Beginning),
+    Prefilled(PromptPrefix),
     /// A prefix was requested at the new node: its length in tokens, and how many of them were cached there.
-    Asked { tokens: u32, found: u32 },
+    Requested { tokens: u32, cached: u32 },
     /// A node has failed, or drains for another reason than this replacement.
-    Lost(Node),
+    NodeLost(Node),
     /// A later replacement takes over from this one.
     Superseded,
     /// Nothing happened except that time has passed.
@@ -79,19 +80,19 @@
 struct Slice {
     moved: bool,
     planned: f64,
-    read: f64,
+    prefilled: f64,
     owned: f64,
 }
 
 /// State of one replacement at one member.
 #[derive(Clone, Debug)]
 pub struct Cutover {
-    hand_over: HandOver,
+    replacement: ReplacementId,
     /// The node whose place in the server order the new node takes. `None`: the new node has a place of its
     /// own, its keys come from all other nodes, and until they move, the order without it determines who
     /// serves them.
     old: Option<Node>,
-    terms: Terms,
+    config: CutoverConfig,
     state: State,
     /// Whether the old node may serve.
     old_serves: bool,
@@ -99,41 +100,43 @@
     new_serves: bool,
     slices: Vec<Slice>,
     /// Planned prefixes that have not been prefilled yet, with their savings.
-    left: Vec<(Beginning, f64)>,
-    began: Ms,
-    moved_at: Ms,
-    figures: Figures,
+    pending: Vec<(PromptPrefix, f64)>,
+    started_at: Ms,
+    last_move_at: Ms,
+    stats: CutoverStats,
 }
 
 impl Cutover {
     /// Starts the cutover of a replacement. `plan` is the plan of its new node.
-    pub fn new(hand_over: HandOver, old: Option<Node>, plan: &Plan, terms: Terms, now: Ms) -> Cutover {
-        let mut slices = vec![Slice::default(); usize::from(terms.slices.max(1))];
-        let left: Vec<_> = plan.readings.iter().map(|r| (r.beginning, r.saving)).collect();
-        for (beginning, saving) in &left {
-            slices[usize::from(slice(beginning, terms.slices))].planned += saving;
+    pub fn new(
+        replacement: ReplacementId, old: Option<Node>, plan: &Plan, config: CutoverConfig, now: Ms,
+    ) -> Cutover {
+        let mut slices = vec![Slice::default(); usize::from(config.slices.max(1))];
+        let pending: Vec<_> = plan.prefills.iter().map(|r| (r.prefix, r.saving)).collect();
+        for (prefix, saving) in &pending {
+            slices[usize::from(slice(prefix, config.slices))].planned += saving;
         }
-        for (beginning, asked) in &plan.owned {
-            slices[usize::from(slice(beginning, terms.slices))].owned += asked;
+        for (prefix, requested) in &plan.owned {
+            slices[usize::from(slice(prefix, config.slices))].owned += requested;
         }
-        let figures = Figures { planned: left.len(), slices: slices.len(), ..Figures::default() };
+        let stats = CutoverStats { planned: pending.len(), slices: slices.len(), ..CutoverStats::default() };
         Cutover {
-            hand_over,
+            replacement,
             old,
-            terms,
-            state: State::Reading,
+            config,
+            state: State::Warming,
             old_serves: true,
             new_serves: true,
             slices,
-            left,
-            began: now,
-            moved_at: now,
-            figures,
+            pending,
+            started_at: now,
+            last_move_at: now,
+            stats,
         }
     }
 
-    pub fn hand_over(&self) -> HandOver {
-        self.hand_over
+    pub fn replacement(&self) -> ReplacementId {
+        self.replacement
     }
 
     pub fn old(&self) -> Option<Node> {
@@ -144,19 +147,19 @@
         self.state
     }
 
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn stats(&self) -> &CutoverStats {
+        &self.stats
     }
 
     /// Whether the replacement has ended and no slice will move any more.
-    pub fn is_over(&self) -> bool {
-        matches!(self.state, State::Done | State::Back(_))
+    pub fn is_finished(&self) -> bool {
+        matches!(self.state, State::Done | State::RolledBack(_))
     }
 
     /// Returns the side that serves a prefix which the new node owns after the cutover. `None`: neither side
     /// may serve, and the next node in the server order does.
-    pub fn side(&self, beginning: &Beginning) -> Option<Side> {
-        self.side_of(slice(beginning, self.terms.slices))
+    pub fn side(&self, prefix: &PromptPrefix) -> Option<Side> {
+        self.side_of(slice(prefix, self.config.slices))
     }
 
     /// Returns the side that serves a slice, never one that has failed or drains.
@@ -169,129 +172,136 @@
         }
     }
 
-    /// Applies an input and returns the resulting steps, each of which is a log line. After the end there are
-    /// none.
-    pub fn step(&mut self, input: Input, now: Ms) -> Vec<Step> {
-        let mut steps = Vec::new();
-        if self.is_over() {
-            self.lost_after(input);
-            return steps;
+    /// Applies an input and returns the resulting transitions, each of which is a log line. After the end
+    /// there are none.
+    pub fn step(&mut self, input: Input, now: Ms) -> Vec<Transition> {
+        let mut transitions = Vec::new();
+        if self.is_finished() {
+            self.record_loss_after_end(input);
+            return transitions;
         }
         match input {
-            Input::Read(beginning) => self.read(&beginning),
-            Input::Asked { tokens, found } => {
-                self.figures.asked_tokens += u64::from(tokens);
-                self.figures.found_tokens += u64::from(found.min(tokens));
+            Input::Prefilled(prefix) => self.record_prefill(&prefix),
+            Input::Requested { tokens, cached } => {
+                self.stats.requested_tokens += u64::from(tokens);
+                self.stats.cached_tokens += u64::from(cached.min(tokens));
             }
-            Input::Lost(node) if node == self.hand_over.node => self.back(Why::NewLost, &mut steps),
-            Input::Lost(node) if Some(node) == self.old => self.old_lost(now, &mut steps),
-            Input::Superseded => self.back(Why::Superseded, &mut steps),
-            Input::Lost(_) | Input::Tick => {}
+            Input::NodeLost(node) if node == self.replacement.node => {
+                self.roll_back(Reason::NewNodeLost, &mut transitions)
+            }
+            Input::NodeLost(node) if Some(node) == self.old => self.move_all_slices(now, &mut transitions),
+            Input::Superseded => self.roll_back(Reason::Superseded, &mut transitions),
+            Input::NodeLost(_) | Input::Tick => {}
         }
-        self.advance(now, &mut steps);
-        steps
+        self.advance(now, &mut transitions);
+        transitions
     }
 
     /// Applies changed grants: prefixes that may no longer be prefilled are not waited for.
     pub fn retain(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
-        let (kept, gone) = self.left.iter().partition(|(b, _)| granted(b.team, b.model));
-        self.left = kept;
-        let gone: Vec<(Beginning, f64)> = gone;
-        for (beginning, saving) in gone {
-            self.slices[usize::from(slice(&beginning, self.terms.slices))].planned -= saving;
-            self.figures.planned -= 1;
+        let (remaining, revoked) = self.pending.iter().partition(|(b, _)| granted(b.team, b.model));
+        self.pending = remaining;
+        let revoked: Vec<(PromptPrefix, f64)> = revoked;
+        for (prefix, saving) in revoked {
+            self.slices[usize::from(slice(&prefix, self.config.slices))].planned -= saving;
+            self.stats.planned -= 1;
         }
     }
 
-    fn lost_after(&mut self, input: Input) {
+    fn record_loss_after_end(&mut self, input: Input) {
         match input {
-            Input::Lost(node) if node == self.hand_over.node => self.new_serves = false,
-            Input::Lost(node) if Some(node) == self.old => self.old_serves = false,
+            Input::NodeLost(node) if node == self.replacement.node => self.new_serves = false,
+            Input::NodeLost(node) if Some(node) == self.old => self.old_serves = false,
             _ => {}
         }
     }
 
-    fn read(&mut self, beginning: &Beginning) {
-        if let Some(at) = self.left.iter().position(|l| l.0 == *beginning) {
-            let (_, saving) = self.left.swap_remove(at);
-            self.slices[usize::from(slice(beginning, self.terms.slices))].read += saving;
-            self.figures.read += 1;
+    fn record_prefill(&mut self, prefix: &PromptPrefix) {
+        if let Some(index) = self.pending.iter().position(|p| p.0 == *prefix) {
+            let (_, saving) = self.pending.swap_remove(index);
+            self.slices[usize::from(slice(prefix, self.config.slices))].prefilled += saving;
+            self.stats.prefilled += 1;
         }
     }
 
     /// Returns all slices to the old node at once. If that node is lost too, the next one in the server order
     /// serves.
-    fn back(&mut self, why: Why, steps: &mut Vec<Step>) {
-        self.new_serves &= why != Why::NewLost;
+    fn roll_back(&mut self, reason: Reason, transitions: &mut Vec<Transition>) {
+        self.new_serves &= reason != Reason::NewNodeLost;
         self.slices.iter_mut().for_each(|slice| slice.moved = false);
-        self.figures.moved = 0;
-        self.state = State::Back(why);
-        self.left.clear();
-        steps.push(Step::Back { why });
+        self.stats.moved = 0;
+        self.state = State::RolledBack(reason);
+        self.pending.clear();
+        transitions.push(Transition::RolledBack { reason });
     }
 
     /// Moves all slices at once, prefilled or not, because the old node can no longer serve.
-    fn old_lost(&mut self, now: Ms, steps: &mut Vec<Step>) {
+    fn move_all_slices(&mut self, now: Ms, transitions: &mut Vec<Transition>) {
         self.old_serves = false;
         self.slices.iter_mut().for_each(|slice| slice.moved = true);
-        self.figures.moved = self.slices.len();
-        (self.state, self.moved_at) = (State::Settling, now);
-        steps.push(Step::AllMoved { why: Why::OldLost });
+        self.stats.moved = self.slices.len();
+        (self.state, self.last_move_at) = (State::Settling, now);
+        transitions.push(Transition::AllMoved { reason: Reason::OldNodeLost });
     }
 
-    fn advance(&mut self, now: Ms, steps: &mut Vec<Step>) {
-        let since = now.saturating_sub(self.moved_at);
+    fn advance(&mut self, now: Ms, transitions: &mut Vec<Transition>) {
+        let since_last_move = now.saturating_sub(self.last_move_at);
         match self.state {
-            State::Reading | State::Moving if since >= self.terms.gap => self.move_one(now, steps),
-            State::Settling if since >= self.terms.settle => {
+            State::Warming | State::Moving if since_last_move >= self.config.move_interval => {
+                self.move_next_slice(now, transitions)
+            }
+            State::Settling if since_last_move >= self.config.settle_time => {
                 self.state = State::Done;
-                self.left.clear();
-                steps.push(Step::Done { old: self.old });
+                self.pending.clear();
+                transitions.push(Transition::Done { old: self.old });
             }
             _ => {}
         }
-        self.figures.expected = self.expected();
+        self.stats.expected_hit_ratio = self.expected_hit_ratio();
     }
 
-    fn move_one(&mut self, now: Ms, steps: &mut Vec<Step>) {
-        let late = now.saturating_sub(self.began) >= self.terms.deadline;
-        let ready = |slice: &Slice| {
-            !slice.moved && slice.read >= self.terms.target * slice.planned * (1.0 - ROUNDING)
+    fn move_next_slice(&mut self, now: Ms, transitions: &mut Vec<Transition>) {
+        let deadline_passed = now.saturating_sub(self.started_at) >= self.config.deadline;
+        let is_ready = |slice: &Slice| {
+            !slice.moved
+                && slice.prefilled >= self.config.min_prefilled_share * slice.planned * (1.0 - ROUNDING)
         };
-        let next = if late {
+        let next = if deadline_passed {
             self.slices.iter().position(|slice| !slice.moved)
-        } else if self.found_too_little() {
+        } else if self.hit_ratio_too_low() {
             None
         } else {
-            self.slices.iter().position(ready)
+            self.slices.iter().position(is_ready)
         };
-        let Some(at) = next else { return };
-        let why = if ready(&self.slices[at]) { Why::Read } else { Why::Deadline };
-        self.slices[at].moved = true;
-        self.figures.moved += 1;
-        (self.state, self.moved_at) = (State::Moving, now);
-        steps.push(Step::Moved { slice: at as u16, why });
-        if self.figures.moved == self.slices.len() {
+        let Some(index) = next else { return };
+        let reason = if is_ready(&self.slices[index]) { Reason::Prefilled } else { Reason::Deadline };
+        self.slices[index].moved = true;
+        self.stats.moved += 1;
+        (self.state, self.last_move_at) = (State::Moving, now);
+        transitions.push(Transition::Moved { slice: index as u16, reason });
+        if self.stats.moved == self.slices.len() {
             self.state = State::Settling;
-            steps.push(Step::AllMoved { why });
+            transitions.push(Transition::AllMoved { reason });
         }
     }
 
     /// Returns the share of requested tokens that should be cached at the new node for the slices that have
     /// moved, judging by what was prefilled.
-    fn expected(&self) -> f64 {
+    fn expected_hit_ratio(&self) -> f64 {
         let moved = || self.slices.iter().filter(|slice| slice.moved);
-        let (read, owned): (f64, f64) = (moved().map(|s| s.read).sum(), moved().map(|s| s.owned).sum());
+        let (prefilled, owned): (f64, f64) =
+            (moved().map(|s| s.prefilled).sum(), moved().map(|s| s.owned).sum());
         if owned > 0.0 {
-            (read / owned).min(1.0)
+            (prefilled / owned).min(1.0)
         } else {
             0.0
         }
     }
 
-    fn found_too_little(&self) -> bool {
-        let found = self.figures.found_tokens as f64;
-        let asked = self.figures.asked_tokens;
-        asked >= self.terms.enough.max(1) && found < self.terms.least_found * self.expected() * asked as f64
+    fn hit_ratio_too_low(&self) -> bool {
+        let cached = self.stats.cached_tokens as f64;
+        let requested = self.stats.requested_tokens;
+        requested >= self.config.min_sample_tokens.max(1)
+            && cached < self.config.min_hit_ratio * self.expected_hit_ratio() * requested as f64
     }
 }
--- a/crates/cache-warming/src/cutover/report.rs
+++ b/crates/cache-warming/src/cutover/report.rs
@@ -1,32 +1,32 @@
-//! Reports of a replacement to operators: counters, and one log line for each step.
+//! Reports of a replacement to operators: counters, and one log line for each transition.
 
 use std::fmt;
 
 use crate::types::Node;
 
-/// Why a step was taken.
+/// Why a transition happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum Reason {
     /// The planned prefixes have been prefilled.
-    Read,
+    Prefilled,
     Deadline,
-    NewLost,
-    OldLost,
+    NewNodeLost,
+    OldNodeLost,
     Superseded,
 }
 
 /// A change in a replacement, reported as one log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Transition {
     Moved {
         slice: u16,
-        why: Why,
+        reason: Reason,
     },
     AllMoved {
-        why: Why,
+        reason: Reason,
     },
-    Back {
-        why: Why,
+    RolledBack {
+        reason: Reason,
     },
     /// The old node may drain now.
     Done {
@@ -36,60 +36,60 @@
 
 /// Counters of one replacement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct CutoverStats {
     /// Planned prefixes.
     pub planned: usize,
     /// Planned prefixes that have been prefilled.
-    pub read: usize,
+    pub prefilled: usize,
     /// Slices that the new node owns.
     pub moved: usize,
     /// Slices in total.
     pub slices: usize,
     /// Share of the requested prefix tokens that should be cached, for the slices that have moved.
-    pub expected: f64,
+    pub expected_hit_ratio: f64,
     /// Prefix tokens requested at the new node.
-    pub asked_tokens: u64,
-    /// Those of `asked_tokens` that were cached there.
-    pub found_tokens: u64,
+    pub requested_tokens: u64,
+    /// Those of `requested_tokens` that were cached there.
+    pub cached_tokens: u64,
 }
 
-impl Figures {
+impl CutoverStats {
     /// Returns the share of requested prefix tokens that was cached; `None` before the first request.
-    pub fn found(&self) -> Option<f64> {
-        (self.asked_tokens > 0).then(|| self.found_tokens as f64 / self.asked_tokens as f64)
+    pub fn hit_ratio(&self) -> Option<f64> {
+        (self.requested_tokens > 0).then(|| self.cached_tokens as f64 / self.requested_tokens as f64)
     }
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Why::Read => "prefilled",
-            Why::Deadline => "deadline",
-            Why::NewLost => "new node unavailable",
-            Why::OldLost => "old node unavailable",
-            Why::Superseded => "superseded",
+            Reason::Prefilled => "prefilled",
+            Reason::Deadline => "deadline",
+            Reason::NewNodeLost => "new node unavailable",
+            Reason::OldNodeLost => "old node unavailable",
+            Reason::Superseded => "superseded",
         })
     }
 }
 
-impl fmt::Display for Step {
+impl fmt::Display for Transition {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Step::Moved { slice, why } => write!(f, "slice {slice} moved ({why})"),
-            Step::AllMoved { why } => write!(f, "all slices moved ({why})"),
-            Step::Back { why } => write!(f, "all slices returned to the old node ({why})"),
-            Step::Done { old: Some(_) } => write!(f, "replacement finished; the old node may drain"),
-            Step::Done { old: None } => write!(f, "replacement finished"),
+            Transition::Moved { slice, reason } => write!(f, "slice {slice} moved ({reason})"),
+            Transition::AllMoved { reason } => write!(f, "all slices moved ({reason})"),
+            Transition::RolledBack { reason } => write!(f, "all slices returned to the old node ({reason})"),
+            Transition::Done { old: Some(_) } => write!(f, "replacement finished; the old node may drain"),
+            Transition::Done { old: None } => write!(f, "replacement finished"),
         }
     }
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for CutoverStats {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Figures { planned, read, moved, slices, expected, .. } = self;
-        write!(f, "planned={planned} read={read} moved={moved}/{slices} expected={expected:.2} found=")?;
-        match self.found() {
-            Some(found) => write!(f, "{found:.2}"),
+        let CutoverStats { planned, prefilled, moved, slices, expected_hit_ratio, .. } = self;
+        write!(f, "planned={planned} read={prefilled} moved={moved}/{slices} expected={expected_hit_ratio:.2} found=")?;
+        match self.hit_ratio() {
+            Some(hit_ratio) => write!(f, "{hit_ratio:.2}"),
             None => write!(f, "-"),
         }
     }
--- a/crates/cache-warming/src/hot_prefixes.rs
+++ b/crates/cache-warming/src/hot_prefixes.rs
@@ -2,53 +2,62 @@
 //! longer call a model, its prefixes for that model are removed from both in one step.
 
 use crate::sketch::Sketch;
-use crate::text_cache::{heat, Limits, Texts};
-use crate::types::{Beginning, Member, Model, Ms, Node, Team};
+use crate::text_cache::{heat, TextCache, TextLimits};
+use crate::types::{Member, Model, Ms, Node, PromptPrefix, Team};
 
 /// Counts and texts of one member's hot prefixes. If the limits of the texts are zero, nothing is counted
 /// either.
-pub struct Hot {
-    me: Member,
+pub struct HotPrefixes {
+    own_member: Member,
     sketch: Sketch,
-    texts: Texts,
+    texts: TextCache,
     /// Minimum share of all requested tokens for which a prefix's text is worth caching.
-    worth: f64,
+    min_share: f64,
 }
 
-impl Hot {
-    pub fn new(me: Member, capacity: usize, half_life: Ms, limits: Limits, now: Ms) -> Hot {
-        let worth = 0.5 / capacity.max(1) as f64;
-        Hot { me, sketch: Sketch::new(capacity, half_life, now), texts: Texts::new(limits), worth }
+impl HotPrefixes {
+    pub fn new(
+        own_member: Member, capacity: usize, half_life: Ms, limits: TextLimits, now: Ms,
+    ) -> HotPrefixes {
+        let min_share = 0.5 / capacity.max(1) as f64;
+        HotPrefixes {
+            own_member,
+            sketch: Sketch::new(capacity, half_life, now),
+            texts: TextCache::new(limits),
+            min_share,
+        }
     }
 
     /// Records an answered request with this prefix. The caller reports only granted requests, and none that
     /// were rejected.
-    pub fn asked(&mut self, beginning: Beginning, tokens: u32, text: &[u8], at: Option<Node>, now: Ms) {
-        if self.texts.off() {
+    pub fn record_request(
+        &mut self, prefix: PromptPrefix, tokens: u32, text: &[u8], at: Option<Node>, now: Ms,
+    ) {
+        if self.texts.is_disabled() {
             return;
         }
-        self.sketch.asked(beginning, tokens, at, now);
-        let weight = self.sketch.get(&beginning).map_or(0.0, |seen| seen.weight);
+        self.sketch.record_request(prefix, tokens, at, now);
+        let weight = self.sketch.get(&prefix).map_or(0.0, |stats| stats.weight);
         let heat = heat(weight, self.sketch.half_life(), now);
-        if self.texts.get(&beginning, now).is_some_and(|kept| kept == text) {
-            self.texts.touch(&beginning, heat, now);
-        } else if weight >= self.worth * self.sketch.total() {
-            let gone = self.texts.keep(beginning, text, heat, now);
-            self.sketch.holds(&beginning, self.me);
-            gone.iter().for_each(|b| self.sketch.lets_go(b, self.me));
+        if self.texts.get(&prefix, now).is_some_and(|cached| cached == text) {
+            self.texts.touch(&prefix, heat, now);
+        } else if weight >= self.min_share * self.sketch.total() {
+            let evicted = self.texts.insert(prefix, text, heat, now);
+            self.sketch.add_holder(&prefix, self.own_member);
+            evicted.iter().for_each(|b| self.sketch.remove_holder(b, self.own_member));
         }
     }
 
     /// Applies changed grants. When this returns, nothing is held that is no longer granted.
-    pub fn granted(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
+    pub fn apply_grants(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
         self.texts.retain(granted);
         self.sketch.retain(granted);
     }
 
     /// Removes expired texts and decays the counts. The caller runs it about once a second.
     pub fn sweep(&mut self, now: Ms) {
-        let gone = self.texts.sweep(now);
-        gone.iter().for_each(|b| self.sketch.lets_go(b, self.me));
+        let expired = self.texts.remove_expired(now);
+        expired.iter().for_each(|b| self.sketch.remove_holder(b, self.own_member));
         self.sketch.decay(now);
     }
 
@@ -56,7 +65,7 @@
         &self.sketch
     }
 
-    pub fn texts(&self) -> &Texts {
+    pub fn texts(&self) -> &TextCache {
         &self.texts
     }
 }
--- a/crates/cache-warming/src/lib.rs
+++ b/crates/cache-warming/src/lib.rs
@@ -1,10 +1,10 @@
 //! Cache warming for replacement nodes: a new node prefills the hottest shared prompt prefixes before traffic
 //! moves to it.
 //!
-//! [`sketch`] counts the hottest prefixes, [`text_cache`] caches their texts so that they can be prefilled again,
-//! and [`hot_prefixes`] applies the grants to both. [`plan`] selects what a new node prefills, [`assignments`] which
-//! gateway sends each prefill, [`pace`] when a prefill may be sent, and [`cutover`] moves ownership in
-//! slices.
+//! [`sketch`] counts the hottest prefixes, [`text_cache`] caches their texts so that they can be prefilled
+//! again, and [`hot_prefixes`] applies the grants to both. [`plan`] selects what a new node prefills,
+//! [`assignments`] which gateway sends each prefill, [`pace`] when a prefill may be sent, and [`cutover`]
+//! moves ownership in slices.
 //!
 //! This crate only makes decisions: it opens no sockets, reads no clock and starts no threads. Times are
 //! arguments in milliseconds on the caller's clock, which must not go back. Whether a team may call a model
@@ -23,4 +23,4 @@
 pub mod text_cache;
 pub mod types;
 
-pub use types::{Beginning, Life, Member, Model, Ms, Node, Team};
+pub use types::{Incarnation, Member, Model, Ms, Node, PromptPrefix, Team};
--- a/crates/cache-warming/src/pace.rs
+++ b/crates/cache-warming/src/pace.rs
@@ -3,26 +3,26 @@
 
 use thiserror::Error;
 
-use crate::types::{Beginning, Ms, Node};
+use crate::types::{Ms, Node, PromptPrefix};
 
 /// Priority of every prefill for warming, below that of all client requests.
 pub const PRIORITY: u8 = 0;
 
 /// Limits of the prefills at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct PacingLimits {
     /// Maximum number of prefills in flight. Further ones are rejected, not queued.
-    pub running: usize,
+    pub max_in_flight: usize,
     /// Load level of the fleet above which nothing is prefilled, in thousandths.
-    pub level: u32,
+    pub max_level: u32,
     /// Wait for the first token (ms) above which the node counts as fallen behind.
-    pub wait: Ms,
+    pub max_wait: Ms,
     /// Maximum age of the reports on fleet and node (ms).
-    pub fresh: Ms,
+    pub max_age: Ms,
     /// Time without a reason to stop (ms) that must pass after a stop before prefills resume.
-    pub calm: Ms,
+    pub calm_time: Ms,
     /// Prompt tokens per second: the share of the node's capacity that prefills may take.
-    pub tokens_a_second: u64,
+    pub tokens_per_second: u64,
     /// Maximum number of unused tokens that accumulate. A longer prefill waits for this many and then leaves
     /// a debt.
     pub burst: u64,
@@ -30,158 +30,168 @@
 
 /// Reported state of the fleet and of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sight {
+pub struct LoadReport {
     /// Load level of the fleet, in thousandths.
     pub level: u32,
     /// Wait for the first token at the node (ms).
     pub wait: Ms,
     /// Age of the older of both reports (ms).
     pub age: Ms,
-    pub node: Standing,
+    pub node_state: NodeState,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    Serves,
-    Drains,
-    Gone,
+pub enum NodeState {
+    Serving,
+    Draining,
+    Unavailable,
 }
 
 /// Why a prefill may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Held {
+pub enum PacingError {
     #[error("node {:x} is draining; it receives no prefills", .0.0)]
-    Drains(Node),
+    Draining(Node),
     #[error("node {:x} is unavailable; it receives no prefills", .0.0)]
-    Gone(Node),
+    Unavailable(Node),
     #[error("the fleet is shedding load (level {level} of 1000); prefills are paused")]
-    Level { level: u32 },
+    Overloaded { level: u32 },
     #[error("node {node:x} has fallen behind ({wait} ms to the first token); prefills are paused", node = .node.0)]
-    Behind { node: Node, wait: Ms },
+    Lagging { node: Node, wait: Ms },
     #[error("the reports on the fleet and on node {node:x} are {age} ms old; prefills are paused", node = .node.0)]
-    Stale { node: Node, age: Ms },
+    OutdatedReport { node: Node, age: Ms },
     #[error("the load is normal again; prefills resume in {ms} ms")]
-    Calming { ms: Ms },
-    #[error("{running} prefills are in flight at node {node:x}, which is the limit", node = .node.0)]
-    Full { node: Node, running: usize },
+    Recovering { ms: Ms },
+    #[error("{in_flight} prefills are in flight at node {node:x}, which is the limit", node = .node.0)]
+    InFlightLimit { node: Node, in_flight: usize },
     #[error("node {node:x} has used its share of tokens; more are available in {ms} ms", node = .node.0)]
-    Share { node: Node, ms: Ms },
+    RateLimit { node: Node, ms: Ms },
 }
 
-impl Held {
+impl PacingError {
     /// Returns what an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            Held::Drains(_) => "Order `replace` with a node that is not draining.",
-            Held::Gone(_) => {
+            PacingError::Draining(_) => "Order `replace` with a node that is not draining.",
+            PacingError::Unavailable(_) => {
                 "Check the node; the old one continues to serve. Order `replace` again when the node is up."
             }
-            Held::Level { .. } => {
+            PacingError::Overloaded { .. } => {
                 "No action is needed: prefills resume when the load has fallen. The deadline still applies."
             }
-            Held::Behind { .. } => "Lower the share of a node's capacity that prefills may take.",
-            Held::Stale { .. } => "Check whether the node reports, and whether this gateway receives the reports of the others.",
-            Held::Calming { .. } | Held::Full { .. } | Held::Share { .. } => {
+            PacingError::Lagging { .. } => "Lower the share of a node's capacity that prefills may take.",
+            PacingError::OutdatedReport { .. } => {
+                "Check whether the node reports, and whether this gateway receives the reports of the others."
+            }
+            PacingError::Recovering { .. }
+            | PacingError::InFlightLimit { .. }
+            | PacingError::RateLimit { .. } => {
                 "No action is needed. Raise the limits if replacements often reach their deadline with a cold cache."
             }
         }
     }
 
     /// Whether prefills in flight must be cancelled too.
-    fn stops(&self) -> bool {
+    fn cancels_in_flight(&self) -> bool {
         matches!(
             self,
-            Held::Drains(_) | Held::Gone(_) | Held::Level { .. } | Held::Behind { .. } | Held::Stale { .. }
+            PacingError::Draining(_)
+                | PacingError::Unavailable(_)
+                | PacingError::Overloaded { .. }
+                | PacingError::Lagging { .. }
+                | PacingError::OutdatedReport { .. }
         )
     }
 }
 
 /// Pacing of this member's prefills at one node.
-pub struct Pace {
+pub struct Pacer {
     node: Node,
-    limits: Limits,
-    running: Vec<Beginning>,
+    limits: PacingLimits,
+    in_flight: Vec<PromptPrefix>,
     /// Tokens that may be spent, in thousandths; negative if there is a debt.
-    saved: i64,
-    filled: Ms,
-    calm_from: Ms,
+    balance: i64,
+    refilled_at: Ms,
+    resume_at: Ms,
 }
 
-impl Pace {
-    pub fn new(node: Node, limits: Limits, now: Ms) -> Pace {
-        Pace { node, limits, running: Vec::new(), saved: 0, filled: now, calm_from: now }
+impl Pacer {
+    pub fn new(node: Node, limits: PacingLimits, now: Ms) -> Pacer {
+        Pacer { node, limits, in_flight: Vec::new(), balance: 0, refilled_at: now, resume_at: now }
     }
 
     /// Applies a new report and returns the prefills that must be cancelled at once.
-    pub fn look(&mut self, sight: &Sight, now: Ms) -> Vec<Beginning> {
-        match self.trouble(sight) {
-            Some(held) if held.stops() => {
-                self.calm_from = now.saturating_add(self.limits.calm);
-                std::mem::take(&mut self.running)
+    pub fn update(&mut self, report: &LoadReport, now: Ms) -> Vec<PromptPrefix> {
+        match self.stop_reason(report) {
+            Some(error) if error.cancels_in_flight() => {
+                self.resume_at = now.saturating_add(self.limits.calm_time);
+                std::mem::take(&mut self.in_flight)
             }
             _ => Vec::new(),
         }
     }
 
     /// Admits a prefill of `tokens` tokens, which counts as in flight from now on.
-    pub fn send(&mut self, beginning: Beginning, tokens: u32, sight: &Sight, now: Ms) -> Result<(), Held> {
-        if let Some(held) = self.trouble(sight) {
-            self.calm_from = now.saturating_add(self.limits.calm);
-            return Err(held);
+    pub fn admit(
+        &mut self, prefix: PromptPrefix, tokens: u32, report: &LoadReport, now: Ms,
+    ) -> Result<(), PacingError> {
+        if let Some(error) = self.stop_reason(report) {
+            self.resume_at = now.saturating_add(self.limits.calm_time);
+            return Err(error);
         }
-        if now < self.calm_from {
-            return Err(Held::Calming { ms: self.calm_from - now });
+        if now < self.resume_at {
+            return Err(PacingError::Recovering { ms: self.resume_at - now });
         }
-        if self.running.len() >= self.limits.running {
-            return Err(Held::Full { node: self.node, running: self.running.len() });
+        if self.in_flight.len() >= self.limits.max_in_flight {
+            return Err(PacingError::InFlightLimit { node: self.node, in_flight: self.in_flight.len() });
         }
-        self.fill(now);
-        let needs = i64::from(tokens).min(self.burst()).saturating_mul(1000);
-        if self.saved < needs {
-            let ms = (needs - self.saved).unsigned_abs().div_ceil(self.limits.tokens_a_second.max(1));
-            return Err(Held::Share { node: self.node, ms });
+        self.refill(now);
+        let required = i64::from(tokens).min(self.burst()).saturating_mul(1000);
+        if self.balance < required {
+            let ms = (required - self.balance).unsigned_abs().div_ceil(self.limits.tokens_per_second.max(1));
+            return Err(PacingError::RateLimit { node: self.node, ms });
         }
-        self.saved -= i64::from(tokens) * 1000;
-        self.running.push(beginning);
+        self.balance -= i64::from(tokens) * 1000;
+        self.in_flight.push(prefix);
         Ok(())
     }
 
     /// Records that a prefill has ended, whatever its result.
-    pub fn ended(&mut self, beginning: &Beginning) {
-        if let Some(at) = self.running.iter().position(|b| b == beginning) {
-            self.running.swap_remove(at);
+    pub fn finish(&mut self, prefix: &PromptPrefix) {
+        if let Some(index) = self.in_flight.iter().position(|b| b == prefix) {
+            self.in_flight.swap_remove(index);
         }
     }
 
-    pub fn running(&self) -> &[Beginning] {
-        &self.running
+    pub fn in_flight(&self) -> &[PromptPrefix] {
+        &self.in_flight
     }
 
-    fn trouble(&self, sight: &Sight) -> Option<Held> {
+    fn stop_reason(&self, report: &LoadReport) -> Option<PacingError> {
         let (node, limits) = (self.node, &self.limits);
-        match sight.node {
-            Standing::Drains => return Some(Held::Drains(node)),
-            Standing::Gone => return Some(Held::Gone(node)),
-            Standing::Serves => {}
+        match report.node_state {
+            NodeState::Draining => return Some(PacingError::Draining(node)),
+            NodeState::Unavailable => return Some(PacingError::Unavailable(node)),
+            NodeState::Serving => {}
         }
-        if sight.level > limits.level {
-            return Some(Held::Level { level: sight.level });
+        if report.level > limits.max_level {
+            return Some(PacingError::Overloaded { level: report.level });
         }
-        if sight.wait > limits.wait {
-            return Some(Held::Behind { node, wait: sight.wait });
+        if report.wait > limits.max_wait {
+            return Some(PacingError::Lagging { node, wait: report.wait });
         }
-        (sight.age > limits.fresh).then_some(Held::Stale { node, age: sight.age })
+        (report.age > limits.max_age).then_some(PacingError::OutdatedReport { node, age: report.age })
     }
 
     fn burst(&self) -> i64 {
         i64::try_from(self.limits.burst).unwrap_or(i64::MAX)
     }
 
-    fn fill(&mut self, now: Ms) {
-        let rate = i64::try_from(self.limits.tokens_a_second).unwrap_or(i64::MAX);
-        let passed = i64::try_from(now.saturating_sub(self.filled)).unwrap_or(i64::MAX);
-        self.saved =
-            self.saved.saturating_add(rate.saturating_mul(passed)).min(self.burst().saturating_mul(1000));
-        self.filled = self.filled.max(now);
+    fn refill(&mut self, now: Ms) {
+        let rate = i64::try_from(self.limits.tokens_per_second).unwrap_or(i64::MAX);
+        let elapsed = i64::try_from(now.saturating_sub(self.refilled_at)).unwrap_or(i64::MAX);
+        self.balance =
+            self.balance.saturating_add(rate.saturating_mul(elapsed)).min(self.burst().saturating_mul(1000));
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/cache-warming/src/plan/choose.rs
+++ b/crates/cache-warming/src/plan/choose.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     pub tokens: u64,
-    pub sends: u32,
+    pub requests: u32,
 }
 
 /// A prefix that may be prefilled, with its cost and its saving.
@@ -24,33 +24,36 @@
 
 /// Returns the indices of the chosen items, the largest saving per token first.
 pub fn choose(items: &[Item], budget: Budget) -> Vec<usize> {
-    let usable: Vec<usize> =
-        (0..items.len()).filter(|at| items[*at].saving > 0.0 && items[*at].tokens <= budget.tokens).collect();
-    let (tokens, sends) = (budget.tokens.max(1) as f64, f64::from(budget.sends.max(1)));
-    let by_token = |item: &Item| item.saving / item.tokens.max(1) as f64;
-    let by_part = |item: &Item| item.saving / (item.tokens as f64 / tokens + 1.0 / sends);
-    let worth = |chosen: &Vec<usize>| chosen.iter().map(|at| items[*at].saving).sum::<f64>();
+    let usable: Vec<usize> = (0..items.len())
+        .filter(|index| items[*index].saving > 0.0 && items[*index].tokens <= budget.tokens)
+        .collect();
+    let (tokens, requests) = (budget.tokens.max(1) as f64, f64::from(budget.requests.max(1)));
+    let saving_per_token = |item: &Item| item.saving / item.tokens.max(1) as f64;
+    let saving_per_share = |item: &Item| item.saving / (item.tokens as f64 / tokens + 1.0 / requests);
+    let total_saving = |chosen: &Vec<usize>| chosen.iter().map(|index| items[*index].saving).sum::<f64>();
     let mut best = Vec::new();
-    for by in [&by_token as &dyn Fn(&Item) -> f64, &by_part, &|item| item.saving] {
-        let chosen = fill(items, &usable, budget, by);
-        if worth(&chosen) > worth(&best) {
+    for score in [&saving_per_token as &dyn Fn(&Item) -> f64, &saving_per_share, &|item| item.saving] {
+        let chosen = fill_greedily(items, &usable, budget, score);
+        if total_saving(&chosen) > total_saving(&best) {
             best = chosen;
         }
     }
-    best.sort_by(|a, b| by_token(&items[*b]).total_cmp(&by_token(&items[*a])).then(a.cmp(b)));
+    best.sort_by(|a, b| saving_per_token(&items[*b]).total_cmp(&saving_per_token(&items[*a])).then(a.cmp(b)));
     best
 }
 
-/// Takes every item that still fits, in descending order of `by`. By saving alone, the first item taken is
+/// Takes every item that still fits, in descending order of `score`. By saving alone, the first item taken is
 /// the best single one.
-fn fill(items: &[Item], usable: &[usize], budget: Budget, by: &dyn Fn(&Item) -> f64) -> Vec<usize> {
+fn fill_greedily(
+    items: &[Item], usable: &[usize], budget: Budget, score: &dyn Fn(&Item) -> f64,
+) -> Vec<usize> {
     let mut order = usable.to_vec();
-    order.sort_by(|a, b| by(&items[*b]).total_cmp(&by(&items[*a])).then(a.cmp(b)));
+    order.sort_by(|a, b| score(&items[*b]).total_cmp(&score(&items[*a])).then(a.cmp(b)));
     let (mut tokens, mut chosen) = (budget.tokens, Vec::new());
-    for at in order {
-        if chosen.len() < budget.sends as usize && items[at].tokens <= tokens {
-            tokens -= items[at].tokens;
-            chosen.push(at);
+    for index in order {
+        if chosen.len() < budget.requests as usize && items[index].tokens <= tokens {
+            tokens -= items[index].tokens;
+            chosen.push(index);
         }
     }
     chosen
--- a/crates/cache-warming/src/plan/mod.rs
+++ b/crates/cache-warming/src/plan/mod.rs
@@ -7,7 +7,7 @@
 pub use choose::{choose, Budget, Item};
 
 use crate::sketch::Sketch;
-use crate::types::{Beginning, Member, Model, Ms, Node, Team};
+use crate::types::{Member, Model, Ms, Node, PromptPrefix, Team};
 
 /// A node to be warmed, and what may be spent on it.
 #[derive(Clone, Debug, PartialEq)]
@@ -15,43 +15,44 @@
     pub node: Node,
     /// Maximum number of prefills that the node may receive during the whole warm-up, in addition to its
     /// traffic.
-    pub sends: u32,
+    pub max_requests: u32,
     /// Tokens that fit into its memory, less those reserved for other content.
     pub memory_tokens: u64,
     /// Prompt tokens that it prefills per second at full capacity.
-    pub tokens_a_second: u64,
+    pub tokens_per_second: u64,
     /// Share of that capacity that prefills for warming may take, in thousandths.
-    pub share: u32,
+    pub share_thousandths: u32,
     /// Time until the deadline of the cutover (ms).
-    pub time: Ms,
+    pub time_left: Ms,
 }
 
 impl Target {
     /// Returns the budget: the tokens that fit into memory, or those that the share of capacity can prefill
     /// in the time, whichever is less.
     pub fn budget(&self) -> Budget {
-        let parts =
-            u128::from(self.tokens_a_second) * u128::from(self.share.min(1000)) * u128::from(self.time);
-        let readable = u64::try_from(parts / 1_000_000).unwrap_or(u64::MAX);
-        Budget { tokens: readable.min(self.memory_tokens), sends: self.sends }
+        let scaled = u128::from(self.tokens_per_second)
+            * u128::from(self.share_thousandths.min(1000))
+            * u128::from(self.time_left);
+        let prefillable_tokens = u64::try_from(scaled / 1_000_000).unwrap_or(u64::MAX);
+        Budget { tokens: prefillable_tokens.min(self.memory_tokens), requests: self.max_requests }
     }
 }
 
 /// Lookups that the caller provides for planning.
-pub struct Facts<'a> {
+pub struct Lookups<'a> {
     /// Returns the nodes that share a prefix after the cutover, according to the server order of all routers.
     /// The sessions of the prefix are spread evenly over them.
-    pub homes: &'a dyn Fn(&Beginning) -> Vec<Node>,
+    pub owners: &'a dyn Fn(&PromptPrefix) -> Vec<Node>,
     /// Returns whether a team may currently call a model.
     pub granted: &'a dyn Fn(Team, Model) -> bool,
     /// Returns how many tokens of a prefix are known to be cached at a node.
-    pub kept: &'a dyn Fn(Node, &Beginning) -> u32,
+    pub cached_tokens: &'a dyn Fn(Node, &PromptPrefix) -> u32,
 }
 
 /// One prefix to prefill at a node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
-    pub beginning: Beginning,
+pub struct PlannedPrefill {
+    pub prefix: PromptPrefix,
     /// Tokens to prefill there; cached ones are not counted.
     pub tokens: u32,
     /// Tokens per second that need no prefill once the prefix is cached there.
@@ -64,49 +65,49 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub node: Node,
-    pub readings: Vec<Reading>,
+    pub prefills: Vec<PlannedPrefill>,
     /// All counted prefixes that the node will own, chosen or not, each with the tokens per second requested
     /// of it.
-    pub owned: Vec<(Beginning, f64)>,
+    pub owned: Vec<(PromptPrefix, f64)>,
 }
 
 impl Plan {
     pub fn tokens(&self) -> u64 {
-        self.readings.iter().map(|r| u64::from(r.tokens)).sum()
+        self.prefills.iter().map(|r| u64::from(r.tokens)).sum()
     }
 
     pub fn saving(&self) -> f64 {
-        self.readings.iter().map(|r| r.saving).sum()
+        self.prefills.iter().map(|r| r.saving).sum()
     }
 }
 
 /// Returns a plan for each target. Prefixes whose text no member holds, or whose team may not call the model,
 /// are not planned.
-pub fn plan(sketch: &Sketch, targets: &[Target], facts: &Facts) -> Vec<Plan> {
+pub fn plan(sketch: &Sketch, targets: &[Target], lookups: &Lookups) -> Vec<Plan> {
     let mut plans: Vec<Plan> =
-        targets.iter().map(|t| Plan { node: t.node, readings: Vec::new(), owned: Vec::new() }).collect();
-    for (beginning, seen) in sketch.hottest(usize::MAX) {
-        if !(facts.granted)(beginning.team, beginning.model) {
+        targets.iter().map(|t| Plan { node: t.node, prefills: Vec::new(), owned: Vec::new() }).collect();
+    for (prefix, stats) in sketch.hottest(usize::MAX) {
+        if !(lookups.granted)(prefix.team, prefix.model) {
             continue;
         }
-        let homes = (facts.homes)(&beginning);
-        let rate = seen.hits_a_second(sketch.half_life()) / homes.len().max(1) as f64;
-        for plan in plans.iter_mut().filter(|p| homes.contains(&p.node)) {
-            plan.owned.push((beginning, rate * f64::from(seen.tokens)));
-            let read_there = seen.read_at.iter().any(|r| r.0 == plan.node);
-            let kept = if read_there { seen.tokens } else { (facts.kept)(plan.node, &beginning) };
-            let tokens = seen.tokens.saturating_sub(kept);
-            if tokens > 0 && !seen.holders.is_empty() {
+        let owners = (lookups.owners)(&prefix);
+        let rate = stats.requests_per_second(sketch.half_life()) / owners.len().max(1) as f64;
+        for plan in plans.iter_mut().filter(|p| owners.contains(&p.node)) {
+            plan.owned.push((prefix, rate * f64::from(stats.tokens)));
+            let is_cached = stats.prefill_nodes.iter().any(|r| r.0 == plan.node);
+            let cached = if is_cached { stats.tokens } else { (lookups.cached_tokens)(plan.node, &prefix) };
+            let tokens = stats.tokens.saturating_sub(cached);
+            if tokens > 0 && !stats.holders.is_empty() {
                 let saving = rate * f64::from(tokens);
-                plan.readings.push(Reading { beginning, tokens, saving, holders: seen.holders.clone() });
+                plan.prefills.push(PlannedPrefill { prefix, tokens, saving, holders: stats.holders.clone() });
             }
         }
     }
     for (plan, target) in plans.iter_mut().zip(targets) {
         let items: Vec<Item> =
-            plan.readings.iter().map(|r| Item { tokens: u64::from(r.tokens), saving: r.saving }).collect();
+            plan.prefills.iter().map(|r| Item { tokens: u64::from(r.tokens), saving: r.saving }).collect();
         let chosen = choose(&items, target.budget());
-        plan.readings = chosen.into_iter().map(|at| plan.readings[at].clone()).collect();
+        plan.prefills = chosen.into_iter().map(|index| plan.prefills[index].clone()).collect();
     }
     plans
 }
--- a/crates/cache-warming/src/rendezvous.rs
+++ b/crates/cache-warming/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing over members: all members derive the same order from the same names, and the loss of
 //! one member moves only what was assigned to it.
 
-use crate::types::{Beginning, Member, Node};
+use crate::types::{Member, Node, PromptPrefix};
 
 /// Mixes 64 bits with the finalizer of SplitMix64 (Steele et al. 2014). It is written out here because the
 /// order must be the same in all builds.
@@ -13,7 +13,7 @@
 }
 
 /// Returns a member's rendezvous score for a prefill. The highest score is first in the order.
-pub fn place(member: Member, node: Node, beginning: &Beginning) -> u64 {
-    let parts = [member.0, node.0, beginning.team.0, beginning.model.0, beginning.prefix];
+pub fn score(member: Member, node: Node, prefix: &PromptPrefix) -> u64 {
+    let parts = [member.0, node.0, prefix.team.0, prefix.model.0, prefix.key];
     parts.into_iter().fold(0, |h, part| mix(h ^ part))
 }
--- a/crates/cache-warming/src/types.rs
+++ b/crates/cache-warming/src/types.rs
@@ -18,7 +18,7 @@
     /// A gateway, identified by the hash of its name.
     Member,
     /// One run of a member's process. Later runs have larger values and take precedence over earlier ones.
-    Life,
+    Incarnation,
     /// A prefill server.
     Node,
     /// A tenant, which the grants call a team.
@@ -27,11 +27,11 @@
     Model
 );
 
-/// A prompt prefix that requests of one team for one model share. `prefix` is the key that every router
+/// A prompt prefix that requests of one team for one model share. `key` is the key that every router
 /// derives from the prefix's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Beginning {
+pub struct PromptPrefix {
     pub team: Team,
     pub model: Model,
-    pub prefix: u64,
+    pub key: u64,
 }
