--- a/crates/cache-warming/src/assignments.rs
+++ b/crates/cache-warming/src/assignments.rs
@@ -49,8 +49,8 @@
     pub stage: Stage,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 /// Progress of a prefill, in ascending order: a report replaces an earlier one only if its stage is higher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
     /// The member will prefill within its lease.
     Claimed,
@@ -81,10 +81,10 @@
     pub fn advice(&self) -> &'static str {
         match self {
             PrefillError::UnknownReplacement(_) => {
-                "No action is needed if a replacement has just ended; otherwise order it again with `replace`."
+                "No action is needed if a replacement just ended; otherwise repeat the order with `replace`."
             }
             PrefillError::NotGranted(_) => {
-                "No action is needed: the grant was revoked. Grant the model to the team to have the prefix prefilled."
+                "No action is needed: the grant was revoked. Grant the model again to prefill the prefix."
             }
             PrefillError::NotDue(_) => "No action is needed: another gateway prefills it or has done so.",
             PrefillError::TextNotCached(_) => {
@@ -128,6 +128,7 @@
 
 struct PrefillState {
     assignment: Assignment,
+    /// When the assignment was received.
     received_at: Ms,
     /// Last stage that the primary reported, and when the report was received.
     primary_report: Option<(Stage, Ms)>,
--- a/crates/cache-warming/src/pace.rs
+++ b/crates/cache-warming/src/pace.rs
@@ -40,6 +40,7 @@
     pub node_state: NodeState,
 }
 
+/// Service state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
     Serving,
@@ -77,7 +78,7 @@
                 "Check the node; the old one continues to serve. Order `replace` again when the node is up."
             }
             PacingError::Overloaded { .. } => {
-                "No action is needed: prefills resume when the load has fallen. The deadline still applies."
+                "No action is needed: prefills resume when the load falls. The deadline still applies."
             }
             PacingError::Lagging { .. } => "Lower the share of a node's capacity that prefills may take.",
             PacingError::OutdatedReport { .. } => {
@@ -86,7 +87,7 @@
             PacingError::Recovering { .. }
             | PacingError::InFlightLimit { .. }
             | PacingError::RateLimit { .. } => {
-                "No action is needed. Raise the limits if replacements often reach their deadline with a cold cache."
+                "No action is needed. Raise the limits if caches are often cold at the deadline."
             }
         }
     }
@@ -112,6 +113,7 @@
     /// Tokens that may be spent, in thousandths; negative if there is a debt.
     balance: i64,
     refilled_at: Ms,
+    /// Time before which no prefill is admitted.
     resume_at: Ms,
 }
 
