--- a/crates/store/examples/figures.rs
+++ b/crates/store/examples/figures.rs
@@ -20,25 +20,25 @@
     (store, start.elapsed(), found.bytes)
 }
 
-/// Writes `count` values with up to `together` of them waiting, and prints the rate.
-fn rate(store: &Store, what: &str, count: u64, together: usize, durability: Durability) {
+/// Writes `count` values with up to `max_in_flight` of them waiting, and prints the rate.
+fn rate(store: &Store, what: &str, count: u64, max_in_flight: usize, durability: Durability) {
     let start = Instant::now();
-    let (tell, told) = std::sync::mpsc::channel();
+    let (sender, receiver) = std::sync::mpsc::channel();
     let (mut sent, mut done) = (0, 0);
     while done < count {
-        while sent < count && sent - done < together as u64 {
-            let tell = tell.clone();
-            store.submit(put(sent % 10_000, 100), durability, move |r| _ = tell.send(r)).expect("accepted");
+        while sent < count && sent - done < max_in_flight as u64 {
+            let sender = sender.clone();
+            store.submit(put(sent % 10_000, 100), durability, move |r| _ = sender.send(r)).expect("accepted");
             sent += 1;
         }
-        told.recv().expect("acknowledged").expect("written");
+        receiver.recv().expect("acknowledged").expect("written");
         done += 1;
     }
-    let figures = store.figures();
-    let each = count as f64 / start.elapsed().as_secs_f64();
+    let stats = store.stats();
+    let writes_per_second = count as f64 / start.elapsed().as_secs_f64();
     println!(
-        "{what}: {each:.0} writes/s ({:.1} batches per group so far)",
-        figures.batches as f64 / figures.groups as f64
+        "{what}: {writes_per_second:.0} writes/s ({:.1} batches per group so far)",
+        stats.batches as f64 / stats.groups as f64
     );
 }
 
@@ -81,19 +81,19 @@
             while store.write(put(key, size), durability).is_err() {
                 std::thread::yield_now();
             }
-            peak = peak.max(store.figures().bytes);
+            peak = peak.max(store.stats().total_bytes);
         } else {
             while store.submit(put(key, size), durability, |_| ()).is_err() {
                 std::thread::yield_now();
             }
         }
     }
-    let f = store.figures();
+    let stats = store.stats();
     println!(
         "overwriting 20 MB ten times: {:.2} bytes copied per byte written, peak {:.0} MB, live {:.0} MB",
-        f.copied as f64 / f.written as f64,
+        stats.copied_bytes as f64 / stats.written_bytes as f64,
         peak as f64 / 1e6,
-        f.live as f64 / 1e6
+        stats.live_bytes as f64 / 1e6
     );
     drop(store);
     std::fs::remove_dir_all(&path).expect("removed");
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -62,7 +62,7 @@
     }
 
     fn value(bytes: &[u8]) -> Result<V> {
-        postcard::from_bytes(bytes).map_err(|e| Error::Coding(e.to_string()))
+        postcard::from_bytes(bytes).map_err(|e| Error::Codec(e.to_string()))
     }
 
     /// Returns the value of a key at time `now` (ms on the caller's clock).
@@ -85,7 +85,7 @@
         let found = view.scan(&prefix, now).map(|found| {
             let (key, value) = found?;
             let decoded = K::decode(&key[2..])
-                .ok_or_else(|| Error::Coding("the key is not of the keyspace's type".into()))?;
+                .ok_or_else(|| Error::Codec("the key is not of the keyspace's type".into()))?;
             Ok((decoded, Self::value(&value)?))
         });
         found.collect()
@@ -97,7 +97,7 @@
 pub(crate) struct Change {
     pub key: Vec<u8>,
     pub value: Option<Vec<u8>>,
-    pub expires: Option<u64>,
+    pub expires_at: Option<u64>,
 }
 
 /// Changes that are applied together or not at all.
@@ -119,25 +119,25 @@
         self.change(keyspace, key, value, None)
     }
 
-    /// Puts a value that expires at time `expires` (ms on the caller's clock).
+    /// Puts a value that expires at time `expires_at` (ms on the caller's clock).
     pub fn put_until<K: Key + ?Sized, V: Serialize + DeserializeOwned>(
-        self, keyspace: &Keyspace<K, V>, key: &K, value: &V, expires: u64,
+        self, keyspace: &Keyspace<K, V>, key: &K, value: &V, expires_at: u64,
     ) -> Result<Self> {
-        self.change(keyspace, key, value, Some(expires))
+        self.change(keyspace, key, value, Some(expires_at))
     }
 
     fn change<K: Key + ?Sized, V: Serialize + DeserializeOwned>(
-        mut self, keyspace: &Keyspace<K, V>, key: &K, value: &V, expires: Option<u64>,
+        mut self, keyspace: &Keyspace<K, V>, key: &K, value: &V, expires_at: Option<u64>,
     ) -> Result<Self> {
-        let value = postcard::to_stdvec(value).map_err(|e| Error::Coding(e.to_string()))?;
-        self.changes.push(Change { key: keyspace.key(key), value: Some(value), expires });
+        let value = postcard::to_stdvec(value).map_err(|e| Error::Codec(e.to_string()))?;
+        self.changes.push(Change { key: keyspace.key(key), value: Some(value), expires_at });
         Ok(self)
     }
 
     pub fn delete<K: Key + ?Sized, V: Serialize + DeserializeOwned>(
         mut self, keyspace: &Keyspace<K, V>, key: &K,
     ) -> Self {
-        self.changes.push(Change { key: keyspace.key(key), value: None, expires: None });
+        self.changes.push(Change { key: keyspace.key(key), value: None, expires_at: None });
         self
     }
 
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -30,11 +30,11 @@
 /// One file of a [`Disk`].
 pub trait DiskFile: Send + Sync + 'static {
     fn size(&self) -> io::Result<u64>;
-    /// Fills as much of the buffer as the file holds from `at` on: at least one byte, except at the end of
+    /// Fills as much of the buffer as the file holds from `offset` on: at least one byte, except at the end of
     /// the file.
-    fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize>;
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize>;
     /// Writes all bytes. After an error, any part of them may have been written.
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()>;
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
     fn truncate(&self, len: u64) -> io::Result<()>;
     /// Makes earlier writes durable. After an error, the state of everything written since the last success
     /// is unknown.
@@ -42,13 +42,13 @@
 }
 
 /// Fills the whole buffer. An end of the file before that is an error.
-pub fn read_exact(file: &impl DiskFile, mut buffer: &mut [u8], mut at: u64) -> io::Result<()> {
+pub fn read_exact(file: &impl DiskFile, mut buffer: &mut [u8], mut offset: u64) -> io::Result<()> {
     while !buffer.is_empty() {
-        match file.read_at(buffer, at) {
+        match file.read_at(buffer, offset) {
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
             Ok(n) => {
                 buffer = &mut buffer[n..];
-                at += n as u64;
+                offset += n as u64;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
@@ -72,7 +72,7 @@
 }
 
 /// Name of the file whose lock marks the folder as in use. It is empty and never removed.
-pub const LOCK: &str = "lock";
+pub const LOCK_FILE: &str = "lock";
 
 impl Folder {
     /// Creates the folder if it does not exist.
@@ -91,7 +91,8 @@
     type File = File;
 
     fn lock(&mut self) -> io::Result<()> {
-        let file = OpenOptions::new().write(true).create(true).truncate(false).open(self.path.join(LOCK))?;
+        let file =
+            OpenOptions::new().write(true).create(true).truncate(false).open(self.path.join(LOCK_FILE))?;
         // The operating system releases the lock when the process ends, however it ends.
         flock(&file, FlockOperation::NonBlockingLockExclusive)?;
         self.lock = Some(file);
@@ -101,7 +102,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let names =
             fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()));
-        names.filter(|name| !matches!(name, Ok(name) if name == LOCK)).collect()
+        names.filter(|name| !matches!(name, Ok(name) if name == LOCK_FILE)).collect()
     }
 
     fn open(&self, name: &str) -> io::Result<File> {
@@ -129,11 +130,11 @@
     fn size(&self) -> io::Result<u64> {
         Ok(self.metadata()?.len())
     }
-    fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize> {
-        FileExt::read_at(self, buffer, at)
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
+        FileExt::read_at(self, buffer, offset)
     }
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        self.write_all_at(bytes, at)
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        self.write_all_at(bytes, offset)
     }
     fn truncate(&self, len: u64) -> io::Result<()> {
         self.set_len(len)
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -8,23 +8,23 @@
 #[derive(Clone, Debug, Error)]
 pub enum Error {
     #[error("another process has this store open")]
-    Taken,
-    #[error("{file}: unknown format version {version} (this program writes version {ours})")]
-    Version { file: String, version: u32, ours: u32 },
+    Locked,
+    #[error("{file}: unknown format version {version} (this program writes version {supported})")]
+    Version { file: String, version: u32, supported: u32 },
     #[error("{file}: not a file of a store")]
     Foreign { file: String },
     #[error("{file}: written with a key, and none was given, or written without a key, and one was given")]
-    Key { file: String },
+    KeyMismatch { file: String },
     #[error("{file}: damaged at byte {offset}: {what}")]
     Damaged { file: String, offset: u64, what: &'static str },
-    #[error("a batch of {bytes} bytes exceeds the limit of {most} bytes")]
-    TooLarge { bytes: usize, most: usize },
+    #[error("a batch of {bytes} bytes exceeds the limit of {limit} bytes")]
+    TooLarge { bytes: usize, limit: usize },
     #[error("too many writes are waiting")]
-    Busy,
+    QueueFull,
     #[error("a key does not have the version that the batch expects")]
-    Conflict,
+    VersionConflict,
     #[error("the disk is full")]
-    Full,
+    DiskFull,
     #[error("the store accepts no more writes: {0}")]
     Failed(Arc<io::Error>),
     #[error("the store is closed")]
@@ -32,13 +32,13 @@
     #[error("{0}")]
     Io(Arc<io::Error>),
     #[error("a key or value cannot be encoded or decoded: {0}")]
-    Coding(String),
+    Codec(String),
 }
 
 impl From<io::Error> for Error {
     fn from(e: io::Error) -> Self {
         match e.kind() {
-            io::ErrorKind::StorageFull => Error::Full,
+            io::ErrorKind::StorageFull => Error::DiskFull,
             _ => Error::Io(Arc::new(e)),
         }
     }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -14,20 +14,20 @@
 use serde::{Deserialize, Serialize};
 
 /// Format version that is written, and the only one that is read.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 const MAGIC: &[u8; 8] = b"GLENSTOR";
 /// Size of a file header, in bytes.
-pub const HEAD: usize = 44;
+pub const HEADER_BYTES: usize = 44;
 /// Size of a frame without its payload and MAC, in bytes.
-pub const FRAME: usize = 24;
-const MAC: usize = 16;
+pub const FRAME_HEADER_BYTES: usize = 24;
+const MAC_BYTES: usize = 16;
 /// Maximum payload of one batch, in bytes.
-pub const MOST: usize = 64 << 20;
-const KEYED: u32 = 1;
-const COMPACTED: u32 = 2;
+pub const MAX_BATCH_BYTES: usize = 64 << 20;
+const FLAG_KEYED: u32 = 1;
+const FLAG_COMPACTED: u32 = 2;
 
 /// Key of the MAC in each frame, which separates a file that was changed on purpose from a torn one.
-pub type Secret = [u8; 32];
+pub type MacKey = [u8; 32];
 
 /// One change of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,25 +37,25 @@
     /// `None` deletes the key.
     pub value: Option<Vec<u8>>,
     /// Time from which the value has expired (ms on the caller's clock); `None`: never.
-    pub expires: Option<u64>,
+    pub expires_at: Option<u64>,
     /// Sequence number of the batch that made the change. Compaction keeps it.
     pub version: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct FileHeader {
     pub number: u64,
     /// First sequence number of the file.
-    pub first: u64,
+    pub first_sequence: u64,
     /// Last sequence number that a compacted file covers; 0 in other files.
-    pub last: u64,
+    pub last_sequence: u64,
     pub compacted: bool,
     pub keyed: bool,
 }
 
 /// Why a file header was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadHead {
+pub enum HeaderError {
     /// It is incomplete, or its checksum does not match.
     Torn,
     /// The file belongs to another program.
@@ -63,47 +63,47 @@
     Version(u32),
 }
 
-impl Head {
-    pub fn encode(&self) -> [u8; HEAD] {
-        let mut out = [0; HEAD];
-        let flags = u32::from(self.keyed) * KEYED + u32::from(self.compacted) * COMPACTED;
+impl FileHeader {
+    pub fn encode(&self) -> [u8; HEADER_BYTES] {
+        let mut out = [0; HEADER_BYTES];
+        let flags = u32::from(self.keyed) * FLAG_KEYED + u32::from(self.compacted) * FLAG_COMPACTED;
         out[..8].copy_from_slice(MAGIC);
-        out[8..12].copy_from_slice(&VERSION.to_le_bytes());
+        out[8..12].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
         out[12..16].copy_from_slice(&flags.to_le_bytes());
         out[16..24].copy_from_slice(&self.number.to_le_bytes());
-        out[24..32].copy_from_slice(&self.first.to_le_bytes());
-        out[32..40].copy_from_slice(&self.last.to_le_bytes());
+        out[24..32].copy_from_slice(&self.first_sequence.to_le_bytes());
+        out[32..40].copy_from_slice(&self.last_sequence.to_le_bytes());
         let crc = crc32fast::hash(&out[..40]);
         out[40..].copy_from_slice(&crc.to_le_bytes());
         out
     }
 
-    pub fn decode(bytes: &[u8]) -> Result<Head, BadHead> {
-        if bytes.len() < HEAD {
-            return Err(BadHead::Torn);
+    pub fn decode(bytes: &[u8]) -> Result<FileHeader, HeaderError> {
+        if bytes.len() < HEADER_BYTES {
+            return Err(HeaderError::Torn);
         }
         // A header that was only partly written is torn. One with another magic number belongs to another
         // program.
         if crc32fast::hash(&bytes[..40]) != u32_at(bytes, 40) {
             return Err(if bytes[..8] == *MAGIC || bytes[..8] == [0; 8] {
-                BadHead::Torn
+                HeaderError::Torn
             } else {
-                BadHead::Foreign
+                HeaderError::Foreign
             });
         }
         if bytes[..8] != *MAGIC {
-            return Err(BadHead::Foreign);
+            return Err(HeaderError::Foreign);
         }
         let (version, flags) = (u32_at(bytes, 8), u32_at(bytes, 12));
-        if version != VERSION {
-            return Err(BadHead::Version(version));
+        if version != FORMAT_VERSION {
+            return Err(HeaderError::Version(version));
         }
-        Ok(Head {
+        Ok(FileHeader {
             number: u64_at(bytes, 16),
-            first: u64_at(bytes, 24),
-            last: u64_at(bytes, 32),
-            compacted: flags & COMPACTED != 0,
-            keyed: flags & KEYED != 0,
+            first_sequence: u64_at(bytes, 24),
+            last_sequence: u64_at(bytes, 32),
+            compacted: flags & FLAG_COMPACTED != 0,
+            keyed: flags & FLAG_KEYED != 0,
         })
     }
 }
@@ -118,17 +118,17 @@
 
 /// Appends a frame to `out` and returns its size.
 pub fn encode(
-    sequence: u64, synced: u64, payload: &[u8], secret: Option<&Secret>, out: &mut Vec<u8>,
+    sequence: u64, synced_sequence: u64, payload: &[u8], mac_key: Option<&MacKey>, out: &mut Vec<u8>,
 ) -> usize {
     let start = out.len();
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.extend_from_slice(&[0; 4]);
     out.extend_from_slice(&sequence.to_le_bytes());
-    out.extend_from_slice(&synced.to_le_bytes());
+    out.extend_from_slice(&synced_sequence.to_le_bytes());
     out.extend_from_slice(payload);
-    if let Some(secret) = secret {
-        let mac = blake3::keyed_hash(secret, &out[start + 8..]);
-        out.extend_from_slice(&mac.as_bytes()[..MAC]);
+    if let Some(mac_key) = mac_key {
+        let mac = blake3::keyed_hash(mac_key, &out[start + 8..]);
+        out.extend_from_slice(&mac.as_bytes()[..MAC_BYTES]);
     }
     let crc = checksum(&out[start..]);
     out[start + 4..start + 8].copy_from_slice(&crc.to_le_bytes());
@@ -146,7 +146,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
     pub sequence: u64,
-    pub synced: u64,
+    pub synced_sequence: u64,
     pub payload: &'a [u8],
     /// Size of the whole frame, in bytes.
     pub size: usize,
@@ -154,46 +154,46 @@
 
 /// Why a frame was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum FrameError {
     /// There are no more bytes.
     End,
     /// The bytes are no complete frame: torn or damaged.
-    Broken(&'static str),
+    Invalid(&'static str),
     /// The frame is complete, but was not written with this key.
-    Forged,
+    WrongMac,
 }
 
 /// Decodes the frame at the start of these bytes.
-pub fn decode<'a>(bytes: &'a [u8], secret: Option<&Secret>) -> Result<Frame<'a>, Bad> {
+pub fn decode<'a>(bytes: &'a [u8], mac_key: Option<&MacKey>) -> Result<Frame<'a>, FrameError> {
     if bytes.is_empty() {
-        return Err(Bad::End);
+        return Err(FrameError::End);
     }
-    if bytes.len() < FRAME {
-        return Err(Bad::Broken("the header of the frame is incomplete"));
+    if bytes.len() < FRAME_HEADER_BYTES {
+        return Err(FrameError::Invalid("the header of the frame is incomplete"));
     }
     let length = u32_at(bytes, 0) as usize;
-    let size = FRAME + length + if secret.is_some() { MAC } else { 0 };
-    if length > MOST {
-        return Err(Bad::Broken("the length of the frame exceeds the limit"));
+    let size = FRAME_HEADER_BYTES + length + if mac_key.is_some() { MAC_BYTES } else { 0 };
+    if length > MAX_BATCH_BYTES {
+        return Err(FrameError::Invalid("the length of the frame exceeds the limit"));
     }
-    let Some(frame) = bytes.get(..size) else { return Err(Bad::Broken("the frame is incomplete")) };
+    let Some(frame) = bytes.get(..size) else { return Err(FrameError::Invalid("the frame is incomplete")) };
     if checksum(frame) != u32_at(frame, 4) {
-        return Err(Bad::Broken("the checksum of the frame does not match"));
+        return Err(FrameError::Invalid("the checksum of the frame does not match"));
     }
-    if let Some(secret) = secret {
-        let end = size - MAC;
-        let mac = blake3::keyed_hash(secret, &frame[8..end]);
+    if let Some(mac_key) = mac_key {
+        let end = size - MAC_BYTES;
+        let mac = blake3::keyed_hash(mac_key, &frame[8..end]);
         // Needs no constant time: whoever can measure the comparison can also read the file.
-        if mac.as_bytes()[..MAC] != frame[end..] {
-            return Err(Bad::Forged);
+        if mac.as_bytes()[..MAC_BYTES] != frame[end..] {
+            return Err(FrameError::WrongMac);
         }
     }
-    let payload = &frame[FRAME..FRAME + length];
-    Ok(Frame { sequence: u64_at(frame, 8), synced: u64_at(frame, 16), payload, size })
+    let payload = &frame[FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length];
+    Ok(Frame { sequence: u64_at(frame, 8), synced_sequence: u64_at(frame, 16), payload, size })
 }
 
 /// Decodes the changes in a frame's payload. `None`: the payload is malformed.
-pub fn ops(payload: &[u8]) -> Option<Vec<Op>> {
+pub fn decode_ops(payload: &[u8]) -> Option<Vec<Op>> {
     let (ops, rest) = postcard::take_from_bytes::<Vec<Op>>(payload).ok()?;
     rest.is_empty().then_some(ops)
 }
@@ -207,32 +207,32 @@
         /// Guards readers against any contents of a file: the decoders accept arbitrary bytes and return only
         /// what was written.
         #[test]
-        fn decoders_take_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200), keyed: bool) {
-            let secret = keyed.then_some([7; 32]);
-            let _ = Head::decode(&bytes);
-            prop_assert!(decode(&bytes, secret.as_ref()).is_err());
-            let _ = ops(&bytes);
+        fn decoders_accept_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200), keyed: bool) {
+            let mac_key = keyed.then_some([7; 32]);
+            let _ = FileHeader::decode(&bytes);
+            prop_assert!(decode(&bytes, mac_key.as_ref()).is_err());
+            let _ = decode_ops(&bytes);
         }
 
         /// Guards values against errors of the disk: a frame with a flipped bit is never decoded.
         #[test]
-        fn a_turned_bit_is_caught(payload in prop::collection::vec(any::<u8>(), 0..100), at: prop::sample::Index,
+        fn a_flipped_bit_is_detected(payload in prop::collection::vec(any::<u8>(), 0..100), at: prop::sample::Index,
             bit in 0u8..8, keyed: bool) {
-            let secret = keyed.then_some([7; 32]);
+            let mac_key = keyed.then_some([7; 32]);
             let mut out = Vec::new();
-            encode(5, 4, &payload, secret.as_ref(), &mut out);
-            prop_assert_eq!(decode(&out, secret.as_ref()).map(|f| f.payload.to_vec()), Ok(payload));
+            encode(5, 4, &payload, mac_key.as_ref(), &mut out);
+            prop_assert_eq!(decode(&out, mac_key.as_ref()).map(|f| f.payload.to_vec()), Ok(payload));
             let at = at.index(out.len());
             out[at] ^= 1 << bit;
-            prop_assert!(decode(&out, secret.as_ref()).is_err());
+            prop_assert!(decode(&out, mac_key.as_ref()).is_err());
         }
     }
 
     /// Guards against a file that is complete but was written without the key.
     #[test]
-    fn a_frame_sealed_with_another_key_is_forged() {
+    fn a_frame_with_another_key_is_rejected() {
         let mut out = Vec::new();
         encode(1, 0, b"x", Some(&[1; 32]), &mut out);
-        assert_eq!(decode(&out, Some(&[2; 32])), Err(Bad::Forged));
+        assert_eq!(decode(&out, Some(&[2; 32])), Err(FrameError::WrongMac));
     }
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -13,7 +13,7 @@
 
 /// Fault that occurs at one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// The machine stops: this call and all later ones fail.
     Crash,
     /// The disk is full. Half of a write may have been done.
@@ -22,8 +22,8 @@
 }
 
 #[derive(Clone, Debug)]
-enum Pending {
-    Write { at: u64, bytes: Vec<u8> },
+enum PendingChange {
+    Write { offset: u64, bytes: Vec<u8> },
     Truncate(u64),
 }
 
@@ -31,7 +31,7 @@
 struct Content {
     durable: Vec<u8>,
     current: Vec<u8>,
-    pending: Vec<Pending>,
+    pending: Vec<PendingChange>,
 }
 
 #[derive(Clone, Debug)]
@@ -51,8 +51,8 @@
     locked: bool,
     /// Number of calls so far that change something.
     calls: u64,
-    trouble: Option<(u64, Trouble)>,
-    dead: bool,
+    fault: Option<(u64, Fault)>,
+    stopped: bool,
     /// Whether a read returns at most half of the bytes that it could, rounded up.
     short_reads: bool,
 }
@@ -67,20 +67,20 @@
     id: u64,
 }
 
-fn apply(content: &mut Vec<u8>, op: &Pending) {
+fn apply_change(content: &mut Vec<u8>, op: &PendingChange) {
     match op {
-        Pending::Write { at, bytes } => {
-            let end = *at as usize + bytes.len();
+        PendingChange::Write { offset, bytes } => {
+            let end = *offset as usize + bytes.len();
             if content.len() < end {
                 content.resize(end, 0);
             }
-            content[*at as usize..end].copy_from_slice(bytes);
+            content[*offset as usize..end].copy_from_slice(bytes);
         }
-        Pending::Truncate(len) => content.resize(*len as usize, 0),
+        PendingChange::Truncate(len) => content.resize(*len as usize, 0),
     }
 }
 
-fn rename(names: &mut BTreeMap<String, u64>, op: &NameOp) {
+fn apply_name_op(names: &mut BTreeMap<String, u64>, op: &NameOp) {
     match op {
         NameOp::Create(name, id) => _ = names.insert(name.clone(), *id),
         NameOp::Remove(name) => _ = names.remove(name),
@@ -99,8 +99,8 @@
 
     /// Sets the fault that occurs at call number `call`. Only calls that change something are counted, from
     /// 0.
-    pub fn trouble_at(&self, call: u64, trouble: Trouble) {
-        self.state().trouble = Some((call, trouble));
+    pub fn inject_fault(&self, call: u64, fault: Fault) {
+        self.state().fault = Some((call, fault));
     }
 
     pub fn short_reads(&self) {
@@ -113,12 +113,12 @@
     }
 
     /// Returns the disk as it is after a crash of the machine, where the seed determines which unsynced
-    /// changes are kept. With `kind` only the process has ended, and nothing is lost.
-    pub fn after_crash(&self, seed: u64, kind: bool) -> SimDisk {
+    /// changes are kept. With `process_only` only the process has ended, and nothing is lost.
+    pub fn after_crash(&self, seed: u64, process_only: bool) -> SimDisk {
         let state = self.state();
-        let mut random = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let mut after = State { next: state.next, ..State::default() };
-        if kind {
+        if process_only {
             after.names = state.names.clone();
             for (id, content) in &state.files {
                 let current = content.current.clone();
@@ -126,24 +126,27 @@
             }
         } else {
             after.names = state.durable_names.clone();
-            let kept = random.usize(0..=state.pending_names.len());
-            state.pending_names[..kept].iter().for_each(|op| rename(&mut after.names, op));
+            let kept_names = rng.usize(0..=state.pending_names.len());
+            state.pending_names[..kept_names].iter().for_each(|op| apply_name_op(&mut after.names, op));
             for (id, content) in &state.files {
-                let mut left = content.durable.clone();
+                let mut survived = content.durable.clone();
                 for op in &content.pending {
                     match op {
-                        Pending::Truncate(_) if random.bool() => apply(&mut left, op),
-                        Pending::Truncate(_) => {}
-                        Pending::Write { at, bytes } => sectors(*at, bytes).for_each(|part| {
-                            if random.bool() {
-                                apply(&mut left, &part);
-                            }
-                        }),
+                        PendingChange::Truncate(_) if rng.bool() => apply_change(&mut survived, op),
+                        PendingChange::Truncate(_) => {}
+                        PendingChange::Write { offset, bytes } => {
+                            sectors(*offset, bytes).for_each(|sector_write| {
+                                if rng.bool() {
+                                    apply_change(&mut survived, &sector_write);
+                                }
+                            })
+                        }
                     }
                 }
-                after
-                    .files
-                    .insert(*id, Content { durable: left.clone(), current: left, pending: Vec::new() });
+                after.files.insert(
+                    *id,
+                    Content { durable: survived.clone(), current: survived, pending: Vec::new() },
+                );
             }
         }
         after.durable_names = after.names.clone();
@@ -178,15 +181,15 @@
 }
 
 /// Splits a write into the parts that reach the disk separately.
-fn sectors(at: u64, bytes: &[u8]) -> impl Iterator<Item = Pending> + '_ {
+fn sectors(offset: u64, bytes: &[u8]) -> impl Iterator<Item = PendingChange> + '_ {
     let mut from = 0;
     std::iter::from_fn(move || {
         if from == bytes.len() {
             return None;
         }
-        let here = at + from as u64;
+        let here = offset + from as u64;
         let to = (from + (SECTOR - here % SECTOR) as usize).min(bytes.len());
-        let part = Pending::Write { at: here, bytes: bytes[from..to].to_vec() };
+        let part = PendingChange::Write { offset: here, bytes: bytes[from..to].to_vec() };
         from = to;
         Some(part)
     })
@@ -194,19 +197,23 @@
 
 impl State {
     /// Counts a call and returns the fault that occurs at it.
-    fn call(&mut self) -> io::Result<()> {
-        if self.dead {
+    fn record_call(&mut self) -> io::Result<()> {
+        if self.stopped {
             return Err(io::Error::other("the simulated machine has stopped"));
         }
-        let now = self.calls;
+        let this_call = self.calls;
         self.calls += 1;
-        match self.trouble {
-            Some((at, Trouble::Crash)) if at == now => {
-                self.dead = true;
+        match self.fault {
+            Some((faulty_call, Fault::Crash)) if faulty_call == this_call => {
+                self.stopped = true;
                 Err(io::Error::other("the simulated machine stops"))
             }
-            Some((at, Trouble::Full)) if at == now => Err(ErrorKind::StorageFull.into()),
-            Some((at, Trouble::Io)) if at == now => Err(io::Error::other("the simulated disk fails")),
+            Some((faulty_call, Fault::Full)) if faulty_call == this_call => {
+                Err(ErrorKind::StorageFull.into())
+            }
+            Some((faulty_call, Fault::Io)) if faulty_call == this_call => {
+                Err(io::Error::other("the simulated disk fails"))
+            }
             _ => Ok(()),
         }
     }
@@ -233,7 +240,7 @@
 
     fn create(&self, name: &str) -> io::Result<SimFile> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         if state.names.contains_key(name) {
             return Err(ErrorKind::AlreadyExists.into());
         }
@@ -247,16 +254,16 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         let op = NameOp::Rename(from.into(), to.into());
-        rename(&mut state.names, &op);
+        apply_name_op(&mut state.names, &op);
         state.pending_names.push(op);
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         state.names.remove(name).ok_or(ErrorKind::NotFound)?;
         state.pending_names.push(NameOp::Remove(name.into()));
         Ok(())
@@ -264,7 +271,7 @@
 
     fn sync_folder(&self) -> io::Result<()> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         state.durable_names = state.names.clone();
         state.pending_names.clear();
         Ok(())
@@ -272,20 +279,20 @@
 }
 
 impl SimFile {
-    fn with<T>(&self, f: impl FnOnce(&mut Content) -> T) -> io::Result<T> {
+    fn with_content<T>(&self, f: impl FnOnce(&mut Content) -> T) -> io::Result<T> {
         self.disk.state().files.get_mut(&self.id).map(f).ok_or_else(|| ErrorKind::NotFound.into())
     }
 }
 
 impl DiskFile for SimFile {
     fn size(&self) -> io::Result<u64> {
-        self.with(|c| c.current.len() as u64)
+        self.with_content(|c| c.current.len() as u64)
     }
 
-    fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize> {
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
         let short = self.disk.state().short_reads;
-        self.with(|c| {
-            let from = (at as usize).min(c.current.len());
+        self.with_content(|c| {
+            let from = (offset as usize).min(c.current.len());
             let mut n = buffer.len().min(c.current.len() - from);
             if short && n > 1 {
                 n = n.div_ceil(2);
@@ -295,30 +302,30 @@
         })
     }
 
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        let result = self.disk.state().call();
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        let result = self.disk.state().record_call();
         // A call that fails may have done a part of its work.
         let done = if result.is_ok() { bytes } else { &bytes[..bytes.len() / 2] };
-        self.with(|c| {
-            let op = Pending::Write { at, bytes: done.to_vec() };
-            apply(&mut c.current, &op);
+        self.with_content(|c| {
+            let op = PendingChange::Write { offset, bytes: done.to_vec() };
+            apply_change(&mut c.current, &op);
             c.pending.push(op);
         })?;
         result
     }
 
     fn truncate(&self, len: u64) -> io::Result<()> {
-        self.disk.state().call()?;
-        self.with(|c| {
-            let op = Pending::Truncate(len);
-            apply(&mut c.current, &op);
+        self.disk.state().record_call()?;
+        self.with_content(|c| {
+            let op = PendingChange::Truncate(len);
+            apply_change(&mut c.current, &op);
             c.pending.push(op);
         })
     }
 
     fn sync(&self) -> io::Result<()> {
-        self.disk.state().call()?;
-        self.with(|c| {
+        self.disk.state().record_call()?;
+        self.with_content(|c| {
             c.durable = c.current.clone();
             c.pending.clear();
         })
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -11,7 +11,7 @@
 use crate::disk::Disk;
 use crate::error::{Error, Result};
 use crate::log::{Log, Options};
-use crate::recover::{pack, Recovered};
+use crate::recover::{pack, RecoveryReport};
 use crate::view::View;
 
 /// When a write is acknowledged, and thus what it survives.
@@ -26,64 +26,64 @@
 }
 
 /// Maximum number of batches in a group.
-const GROUP: usize = 1_024;
+const MAX_GROUP_BATCHES: usize = 1_024;
 /// Size from which a group accepts no more batches, in bytes.
-const GROUP_BYTES: usize = 1 << 20;
+const MAX_GROUP_BYTES: usize = 1 << 20;
 /// Bytes that a step of compaction reads while no command waits, and at least after a group.
-const STEP: u64 = 256 << 10;
+const COMPACTION_STEP_BYTES: u64 = 256 << 10;
 /// Bytes that compaction reads after a group for each byte of the group, if there is something to compact.
-const AHEAD: u64 = 4;
+const COMPACTION_READ_FACTOR: u64 = 4;
 /// Interval at which an idle store checks whether there is something to compact.
-const LOOK: Duration = Duration::from_millis(200);
+const COMPACTION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-type Done = Box<dyn FnOnce(Result<u64>) + Send>;
-type Copying = Box<dyn FnOnce(&View) -> Result<()> + Send>;
+type Completion = Box<dyn FnOnce(Result<u64>) + Send>;
+type SnapshotCopy = Box<dyn FnOnce(&View) -> Result<()> + Send>;
 type Clock = Arc<dyn Fn() -> u64 + Send + Sync>;
 
 enum Command {
-    Write(Batch, Durability, Done),
-    Snapshot(Copying, SyncSender<Result<()>>),
+    Write(Batch, Durability, Completion),
+    Snapshot(SnapshotCopy, SyncSender<Result<()>>),
     Close,
 }
 
 /// Counters of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Accepted batches.
     pub batches: u64,
     /// Groups in which the batches were written.
     pub groups: u64,
     pub syncs: u64,
     /// Bytes written for callers.
-    pub written: u64,
+    pub written_bytes: u64,
     /// Bytes copied by compaction.
-    pub copied: u64,
+    pub copied_bytes: u64,
     /// Bytes in all files.
-    pub bytes: u64,
+    pub total_bytes: u64,
     /// Bytes of these that are current.
-    pub live: u64,
+    pub live_bytes: u64,
 }
 
 #[derive(Default)]
-struct Counts {
+struct Counters {
     batches: AtomicU64,
     groups: AtomicU64,
     syncs: AtomicU64,
-    written: AtomicU64,
-    copied: AtomicU64,
-    bytes: AtomicU64,
-    live: AtomicU64,
+    written_bytes: AtomicU64,
+    copied_bytes: AtomicU64,
+    total_bytes: AtomicU64,
+    live_bytes: AtomicU64,
 }
 
 /// State that the thread publishes to all handles. The thread itself holds no handle: dropping the last one
 /// joins the thread, which must not happen on the thread.
-struct Shown {
+struct Published {
     view: RwLock<View>,
-    counts: Counts,
+    counters: Counters,
 }
 
 struct Shared {
-    shown: Arc<Shown>,
+    published: Arc<Published>,
     commands: SyncSender<Command>,
     thread: Mutex<Option<JoinHandle<()>>>,
 }
@@ -104,7 +104,7 @@
 
 impl Store {
     /// Recovers the store and starts its thread. Compaction removes expired values by the system's clock.
-    pub fn open<D: Disk>(disk: D, options: Options) -> Result<(Store, Recovered)> {
+    pub fn open<D: Disk>(disk: D, options: Options) -> Result<(Store, RecoveryReport)> {
         let clock = || {
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
             unix.map_or(0, |d| d.as_millis() as u64)
@@ -115,108 +115,110 @@
     /// Like [`Store::open`], with the caller's clock (ms).
     pub fn open_with<D: Disk>(
         disk: D, options: Options, clock: impl Fn() -> u64 + Send + Sync + 'static,
-    ) -> Result<(Store, Recovered)> {
+    ) -> Result<(Store, RecoveryReport)> {
         let (log, recovered) = Log::open(disk, options.clone())?;
-        let (commands, inbox) = mpsc::sync_channel(options.queue.max(1));
-        let shown = Arc::new(Shown { view: RwLock::new(log.view()), counts: Counts::default() });
+        let (commands, inbox) = mpsc::sync_channel(options.max_waiting_writes.max(1));
+        let published = Arc::new(Published { view: RwLock::new(log.view()), counters: Counters::default() });
         let clock: Clock = Arc::new(clock);
         let writer = {
-            let shown = shown.clone();
+            let published = published.clone();
             move || {
                 let mut log = log;
-                run(&mut log, &inbox, &clock, |log, group| shown.publish(log, group));
+                run_writer(&mut log, &inbox, &clock, |log, group| published.publish(log, group));
             }
         };
         let thread = std::thread::Builder::new().name("store".into()).spawn(writer)?;
-        let shared = Shared { shown, commands, thread: Mutex::new(Some(thread)) };
+        let shared = Shared { published, commands, thread: Mutex::new(Some(thread)) };
         Ok((Store(Arc::new(shared)), recovered))
     }
 
     /// Returns a view of the store as it is now.
     pub fn view(&self) -> View {
-        self.0.shown.view.read().unwrap_or_else(PoisonError::into_inner).clone()
+        self.0.published.view.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Queues a batch and returns at once. The store's thread calls `done` with the version of the batch, so
-    /// `done` must not block. [`Error::Busy`]: too many writes are waiting, and the batch was not accepted.
+    /// `done` must not block. [`Error::QueueFull`]: too many writes are waiting, and the batch was not
+    /// accepted.
     pub fn submit(
         &self, batch: Batch, durability: Durability, done: impl FnOnce(Result<u64>) + Send + 'static,
     ) -> Result<()> {
         match self.0.commands.try_send(Command::Write(batch, durability, Box::new(done))) {
             Ok(()) => Ok(()),
-            Err(TrySendError::Full(_)) => Err(Error::Busy),
+            Err(TrySendError::Full(_)) => Err(Error::QueueFull),
             Err(TrySendError::Disconnected(_)) => Err(Error::Closed),
         }
     }
 
     /// Writes a batch and waits until it has this durability.
     pub fn write(&self, batch: Batch, durability: Durability) -> Result<u64> {
-        let (tell, told) = mpsc::sync_channel(1);
-        self.submit(batch, durability, move |result| _ = tell.send(result))?;
-        told.recv().unwrap_or(Err(Error::Closed))
+        let (sender, receiver) = mpsc::sync_channel(1);
+        self.submit(batch, durability, move |result| _ = sender.send(result))?;
+        receiver.recv().unwrap_or(Err(Error::Closed))
     }
 
     /// Writes a consistent copy to an empty folder, which can be opened as a store.
     pub fn snapshot<E: Disk>(&self, to: E, now: u64) -> Result<()> {
-        let (tell, told) = mpsc::sync_channel(1);
+        let (sender, receiver) = mpsc::sync_channel(1);
         let copy = move |view: &View| {
-            let mut ops = view.all(now).collect::<Result<Vec<_>>>()?;
+            let mut ops = view.entries(now).collect::<Result<Vec<_>>>()?;
             ops.sort_by_key(|op| op.version);
-            pack(&to, ops.into_iter().map(Ok), view.secret.as_ref())
+            pack(&to, ops.into_iter().map(Ok), view.mac_key.as_ref())
         };
-        self.0.commands.send(Command::Snapshot(Box::new(copy), tell)).map_err(|_| Error::Closed)?;
-        told.recv().unwrap_or(Err(Error::Closed))
+        self.0.commands.send(Command::Snapshot(Box::new(copy), sender)).map_err(|_| Error::Closed)?;
+        receiver.recv().unwrap_or(Err(Error::Closed))
     }
 
-    pub fn figures(&self) -> Figures {
-        let c = &self.0.shown.counts;
-        let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        Figures {
-            batches: get(&c.batches),
-            groups: get(&c.groups),
-            syncs: get(&c.syncs),
-            written: get(&c.written),
-            copied: get(&c.copied),
-            bytes: get(&c.bytes),
-            live: get(&c.live),
+    pub fn stats(&self) -> Stats {
+        let counters = &self.0.published.counters;
+        let counter_value = |n: &AtomicU64| n.load(Ordering::Relaxed);
+        Stats {
+            batches: counter_value(&counters.batches),
+            groups: counter_value(&counters.groups),
+            syncs: counter_value(&counters.syncs),
+            written_bytes: counter_value(&counters.written_bytes),
+            copied_bytes: counter_value(&counters.copied_bytes),
+            total_bytes: counter_value(&counters.total_bytes),
+            live_bytes: counter_value(&counters.live_bytes),
         }
     }
 }
 
-impl Shown {
+impl Published {
     fn publish<D: Disk>(&self, log: &Log<D>, group: Option<(u64, bool)>) {
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = log.view();
         if let Some((batches, synced)) = group {
-            self.counts.batches.fetch_add(batches, Ordering::Relaxed);
-            self.counts.groups.fetch_add(1, Ordering::Relaxed);
-            self.counts.syncs.fetch_add(u64::from(synced), Ordering::Relaxed);
+            self.counters.batches.fetch_add(batches, Ordering::Relaxed);
+            self.counters.groups.fetch_add(1, Ordering::Relaxed);
+            self.counters.syncs.fetch_add(u64::from(synced), Ordering::Relaxed);
         }
-        let (bytes, live) = log.space();
+        let (total_bytes, live_bytes) = log.space();
         let set = |n: &AtomicU64, to| n.store(to, Ordering::Relaxed);
-        set(&self.counts.written, log.written);
-        set(&self.counts.copied, log.copied);
-        set(&self.counts.bytes, bytes);
-        set(&self.counts.live, live);
+        set(&self.counters.written_bytes, log.written_bytes);
+        set(&self.counters.copied_bytes, log.copied_bytes);
+        set(&self.counters.total_bytes, total_bytes);
+        set(&self.counters.live_bytes, live_bytes);
     }
 }
 
 /// Main loop of the store's thread: writes batches in groups, and compacts after each group and while no
 /// command waits.
-fn run<D: Disk>(
+fn run_writer<D: Disk>(
     log: &mut Log<D>, inbox: &Receiver<Command>, clock: &Clock,
     publish: impl Fn(&Log<D>, Option<(u64, bool)>),
 ) {
-    let mut compacting = true;
+    let mut compaction_pending = true;
     loop {
-        let first = match if compacting { inbox.try_recv().map_err(|_| ()) } else { wait(inbox) } {
-            Ok(command) => command,
-            Err(()) => {
-                // No command waits. A compaction that fails, for example on a full disk, is retried later.
-                compacting = matches!(log.compact(clock(), STEP), Ok(true));
-                publish(log, None);
-                continue;
-            }
-        };
+        let first =
+            match if compaction_pending { inbox.try_recv().map_err(|_| ()) } else { next_command(inbox) } {
+                Ok(command) => command,
+                Err(()) => {
+                    // No command waits. A compaction that fails, for example on a full disk, is retried later.
+                    compaction_pending = matches!(log.compact(clock(), COMPACTION_STEP_BYTES), Ok(true));
+                    publish(log, None);
+                    continue;
+                }
+            };
         let mut group = Vec::new();
         let mut bytes = 0;
         let mut next = Some(first);
@@ -237,9 +239,9 @@
                         Err(e) => done(Err(e)),
                     }
                 }
-                Command::Snapshot(copy, tell) => {
+                Command::Snapshot(copy, sender) => {
                     commit(log, std::mem::take(&mut group), &publish);
-                    let _ = tell.send(copy(&log.view()));
+                    let _ = sender.send(copy(&log.view()));
                 }
                 Command::Close => {
                     commit(log, group, &publish);
@@ -247,21 +249,24 @@
                     return;
                 }
             }
-            if group.len() < GROUP && bytes < GROUP_BYTES {
+            if group.len() < MAX_GROUP_BATCHES && bytes < MAX_GROUP_BYTES {
                 next = inbox.try_recv().ok();
             }
         }
         commit(log, group, &publish);
         // If writers never pause, compaction must progress faster than they do, or the space would not be
         // bounded.
-        compacting = !matches!(log.compact(clock(), STEP.max(AHEAD * bytes as u64)), Ok(false));
+        compaction_pending = !matches!(
+            log.compact(clock(), COMPACTION_STEP_BYTES.max(COMPACTION_READ_FACTOR * bytes as u64)),
+            Ok(false)
+        );
         publish(log, None);
     }
 }
 
 /// Waits for the next command; an error is a timeout.
-fn wait(inbox: &Receiver<Command>) -> std::result::Result<Command, ()> {
-    match inbox.recv_timeout(LOOK) {
+fn next_command(inbox: &Receiver<Command>) -> std::result::Result<Command, ()> {
+    match inbox.recv_timeout(COMPACTION_CHECK_INTERVAL) {
         Ok(command) => Ok(command),
         Err(RecvTimeoutError::Timeout) => Err(()),
         // The last handle sends `Close` before it disconnects.
@@ -271,7 +276,7 @@
 
 /// Writes a group, syncs it if one of its batches requires that, and acknowledges its batches.
 fn commit<D: Disk>(
-    log: &mut Log<D>, group: Vec<(u64, Durability, Option<Done>)>,
+    log: &mut Log<D>, group: Vec<(u64, Durability, Option<Completion>)>,
     publish: &impl Fn(&Log<D>, Option<(u64, bool)>),
 ) {
     if group.is_empty() {
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -10,14 +10,14 @@
 const COUNTS: Keyspace<u64, u64> = Keyspace::new(2);
 
 fn options() -> Options {
-    let mut options = Options { segment: 400, ..Options::default() };
-    options.compaction.worth = 1;
+    let mut options = Options { segment_bytes: 400, ..Options::default() };
+    options.compaction.min_dead_bytes = 1;
     options
 }
 
 /// Writes a store with every kind of record: several files, one of them compacted, batches over both
 /// keyspaces, deletions, expiries, and a batch larger than a file. Returns the contents after each batch.
-fn written(disk: &SimDisk) -> Vec<Vec<(String, String)>> {
+fn write_store(disk: &SimDisk) -> Vec<Vec<(String, String)>> {
     let (mut log, _) = Log::open(disk.clone(), options()).expect("opened");
     let mut states = vec![Vec::new()];
     for n in 0..40u64 {
@@ -39,7 +39,7 @@
         }
         states.push(words(&log));
     }
-    assert!(log.copied > 0 && log.files() > 3, "compacted, and several files");
+    assert!(log.copied_bytes > 0 && log.file_count() > 3, "compacted, and several files");
     states
 }
 
@@ -50,9 +50,9 @@
 /// Guards every restart: the newest file opens to an earlier state wherever it is cut. An older file was
 /// durable, so that a cut in it is reported as damage.
 #[test]
-fn a_file_cut_at_every_byte_opens_to_a_prefix_or_is_named() {
+fn a_file_cut_at_any_byte_opens_to_a_prefix_or_is_reported() {
     let disk = SimDisk::default();
-    let states = written(&disk);
+    let states = write_store(&disk);
     let mut names = disk.list().expect("listed");
     names.sort();
     for name in &names {
@@ -63,7 +63,7 @@
             match Log::open(copy, options()) {
                 Ok((log, report)) => {
                     assert!(newest, "{name} cut at {cut} must be reported");
-                    let n = report.sequence as usize;
+                    let n = report.last_sequence as usize;
                     assert_eq!(words(&log), states[n], "{name} cut at {cut}");
                 }
                 Err(Error::Damaged { file, .. }) => {
@@ -82,21 +82,21 @@
 
 /// Guards values: whichever bit is flipped, nothing is returned that was not written.
 #[test]
-fn a_turned_bit_is_never_returned() {
+fn a_flipped_bit_is_never_returned() {
     let disk = SimDisk::default();
-    let states = written(&disk);
+    let states = write_store(&disk);
     for name in disk.list().expect("listed") {
         let whole = disk.bytes(&name).expect("the file exists");
-        for at in 0..whole.len() {
+        for offset in 0..whole.len() {
             let copy = disk.copy();
             let mut bytes = whole.clone();
-            bytes[at] ^= 1 << (at % 8);
+            bytes[offset] ^= 1 << (offset % 8);
             copy.overwrite(&name, bytes);
             if let Ok((log, report)) = Log::open(copy, options()) {
                 assert_eq!(
                     words(&log),
-                    states[report.sequence as usize],
-                    "{name} with a flipped bit at {at}"
+                    states[report.last_sequence as usize],
+                    "{name} with a flipped bit at {offset}"
                 );
             }
         }
@@ -110,7 +110,7 @@
 
 /// Guards against damage that looks like a torn end: a later batch counts the damaged one as synced.
 #[test]
-fn damage_in_the_middle_is_named_and_salvage_says_what_it_dropped() {
+fn damage_in_the_middle_is_reported_and_salvage_reports_what_it_dropped() {
     let disk = SimDisk::default();
     let (mut log, _) = Log::open(disk.clone(), Options::default()).expect("opened");
     for n in 0..10u64 {
@@ -121,63 +121,72 @@
     drop(log);
     let name = disk.list().expect("listed")[0].clone();
     let mut bytes = disk.bytes(&name).expect("the file exists");
-    let at = bytes.len() / 2;
-    bytes[at] ^= 0x10;
+    let flipped = bytes.len() / 2;
+    bytes[flipped] ^= 0x10;
     let damaged = disk.copy();
     damaged.overwrite(&name, bytes.clone());
     let Err(Error::Damaged { file, offset, .. }) = check(damaged.copy(), None) else {
         panic!("the damage was not reported")
     };
-    assert!(file == name && (offset as usize) <= at && at - (offset as usize) < 64, "{file} {offset} {at}");
+    assert!(
+        file == name && (offset as usize) <= flipped && flipped - (offset as usize) < 64,
+        "{file} {offset} {flipped}"
+    );
     let to = SimDisk::default();
     let salvaged = salvage(damaged, to.clone(), None).expect("salvaged");
-    assert_eq!((salvaged.keys, salvaged.dropped.len(), salvaged.missing.len()), (9, 1, 1));
-    assert_eq!(salvaged.dropped[0].at, offset);
-    let lost = salvaged.missing[0].0;
+    assert_eq!((salvaged.keys, salvaged.unreadable.len(), salvaged.missing_batches.len()), (9, 1, 1));
+    assert_eq!(salvaged.unreadable[0].offset, offset);
+    let lost_sequence = salvaged.missing_batches[0].0;
     let (log, _) = Log::open(to.copy(), Options::default()).expect("opened");
     let kept = COUNTS.scan(&log.view(), &0, 0);
     assert!(kept.is_ok());
     for n in 0..10u64 {
         let found = COUNTS.get(&log.view(), &n, 0).expect("readable");
-        assert_eq!(found, (n + 1 != lost).then_some(n));
+        assert_eq!(found, (n + 1 != lost_sequence).then_some(n));
     }
 }
 
 /// Guards against files of another program, another format and another key, and against a second process.
 #[test]
-fn what_is_not_ours_is_refused_by_name() {
+fn foreign_files_and_wrong_keys_are_rejected() {
     let disk = SimDisk::default();
-    written(&disk);
+    write_store(&disk);
     let first = disk.list().expect("listed")[0].clone();
-    let open = |disk: SimDisk, secret| {
-        Log::open(disk, Options { secret, ..options() }).map(|_| ()).expect_err("rejected")
+    let open = |disk: SimDisk, mac_key| {
+        Log::open(disk, Options { mac_key, ..options() }).map(|_| ()).expect_err("rejected")
     };
     let foreign = disk.copy();
     foreign.overwrite("notes.txt", b"hello".to_vec());
     assert!(matches!(open(foreign, None), Error::Foreign { file } if file == "notes.txt"));
     let newer = disk.copy();
-    let mut head =
-        glenrail_store::frame::Head { number: 1, first: 1, last: 0, compacted: false, keyed: false }.encode();
-    head[8] = 9;
-    let crc = crc32fast_of(&head[..40]);
-    head[40..].copy_from_slice(&crc.to_le_bytes());
-    newer.overwrite(&first, head.to_vec());
+    let mut header = glenrail_store::frame::FileHeader {
+        number: 1,
+        first_sequence: 1,
+        last_sequence: 0,
+        compacted: false,
+        keyed: false,
+    }
+    .encode();
+    header[8] = 9;
+    let crc = crc32fast_of(&header[..40]);
+    header[40..].copy_from_slice(&crc.to_le_bytes());
+    newer.overwrite(&first, header.to_vec());
     assert!(matches!(open(newer, None), Error::Version { version: 9, .. }));
-    assert!(matches!(open(disk.copy(), Some([1; 32])), Error::Key { .. }));
-    let taken = disk.copy();
-    let (_held, _) = Log::open(taken.clone(), options()).expect("opened");
-    assert!(matches!(open(taken, None), Error::Taken));
-    let sealed = SimDisk::default();
-    let secret = Some([1; 32]);
-    let (mut log, _) = Log::open(sealed.clone(), Options { secret, ..options() }).expect("opened");
+    assert!(matches!(open(disk.copy(), Some([1; 32])), Error::KeyMismatch { .. }));
+    let locked = disk.copy();
+    let (_open_log, _) = Log::open(locked.clone(), options()).expect("opened");
+    assert!(matches!(open(locked, None), Error::Locked));
+    let with_key = SimDisk::default();
+    let mac_key = Some([1; 32]);
+    let (mut log, _) = Log::open(with_key.clone(), Options { mac_key, ..options() }).expect("opened");
     log.stage(&Batch::new().put(&COUNTS, &1, &1).expect("a batch"))
         .and_then(|_| log.flush())
         .expect("written");
     assert!(matches!(
-        open(sealed.copy(), Some([2; 32])),
+        open(with_key.copy(), Some([2; 32])),
         Error::Damaged { what: "written with another key", .. }
     ));
-    assert!(Log::open(sealed.copy(), Options { secret, ..options() }).is_ok());
+    assert!(Log::open(with_key.copy(), Options { mac_key, ..options() }).is_ok());
 }
 
 fn crc32fast_of(bytes: &[u8]) -> u32 {
@@ -185,7 +194,7 @@
 }
 
 fn open(path: &Path) -> Store {
-    let options = Options { segment: 4_096, ..Options::default() };
+    let options = Options { segment_bytes: 4_096, ..Options::default() };
     Store::open(Folder::new(path).expect("a folder"), options).expect("opened").0
 }
 
@@ -193,13 +202,13 @@
 /// not change while writers and compaction continue, a snapshot opens, and only one process at a time opens
 /// the folder.
 #[test]
-fn the_machines_disk_keeps_what_was_acknowledged() {
+fn the_file_system_keeps_acknowledged_writes() {
     let top = tempfile::tempdir().expect("a folder");
     let (path, copy) = (top.path().join("store"), top.path().join("copy"));
     let store = open(&path);
     assert!(matches!(
         Store::open(Folder::new(&path).expect("a folder"), Options::default()),
-        Err(Error::Taken)
+        Err(Error::Locked)
     ));
     let put = |n: u64, v: u64| Batch::new().put(&COUNTS, &n, &v).expect("a batch");
     for n in 0..500 {
@@ -219,11 +228,11 @@
     assert_eq!((value, version), (1_000_000, last));
     // Compare-and-set succeeds only with the latest version.
     let stale = put(7, 1).expect(&COUNTS, &7, Some(version - 1));
-    assert!(matches!(store.write(stale, Durability::Flushed), Err(Error::Conflict)));
+    assert!(matches!(store.write(stale, Durability::Flushed), Err(Error::VersionConflict)));
     store.write(put(7, 8).expect(&COUNTS, &7, Some(version)), Durability::Flushed).expect("written");
     store.snapshot(Folder::new(&copy).expect("a folder"), 0).expect("copied");
-    let figures = store.figures();
-    assert!(figures.groups < figures.batches, "{figures:?}");
+    let stats = store.stats();
+    assert!(stats.groups < stats.batches, "{stats:?}");
     drop(store);
     for path in [&path, &copy] {
         let store = open(path);
@@ -236,7 +245,7 @@
 /// Guards values that expire: they cannot be read from their expiry on, compaction removes them, and they
 /// never reappear.
 #[test]
-fn what_has_expired_does_not_come_back() {
+fn expired_values_do_not_reappear() {
     let disk = SimDisk::default();
     let (mut log, _) = Log::open(disk.clone(), options()).expect("opened");
     let put = |log: &mut Log<SimDisk>, v: &str, until: Option<u64>| {
--- a/crates/store/tests/kill.rs
+++ b/crates/store/tests/kill.rs
@@ -11,13 +11,13 @@
 const KEYS: u64 = 16;
 
 fn open(path: &Path) -> Store {
-    let mut options = Options { segment: 16 << 10, ..Options::default() };
+    let mut options = Options { segment_bytes: 16 << 10, ..Options::default() };
     // Compaction runs all the time, so that kills interrupt it, too.
-    options.compaction.worth = 1 << 10;
+    options.compaction.min_dead_bytes = 1 << 10;
     Store::open(Folder::new(path).expect("a folder"), options).expect("opened").0
 }
 
-fn newest(store: &Store) -> u64 {
+fn highest_count(store: &Store) -> u64 {
     let view = store.view();
     (0..KEYS).filter_map(|key| COUNTS.get(&view, &key, 0).expect("readable")).max().unwrap_or(0)
 }
@@ -27,13 +27,13 @@
 #[ignore = "run by the other test, in a separate process"]
 fn child() {
     let store = open(Path::new(&std::env::var_os(FOLDER).expect("a folder")));
-    let mut n = newest(&store);
+    let mut count = highest_count(&store);
     loop {
-        n += 1;
+        count += 1;
         store
-            .write(Batch::new().put(&COUNTS, &(n % KEYS), &n).expect("a batch"), Durability::Flushed)
+            .write(Batch::new().put(&COUNTS, &(count % KEYS), &count).expect("a batch"), Durability::Flushed)
             .expect("written");
-        println!("\nacknowledged {n}");
+        println!("\nacknowledged {count}");
     }
 }
 
@@ -56,22 +56,22 @@
         let counts =
             lines.map_while(Result::ok).filter_map(|l| l.strip_prefix("acknowledged ")?.parse::<u64>().ok());
         // Counts that are printed before the signal takes effect are acknowledged, too.
-        let mut told = Vec::new();
+        let mut acknowledged_counts = Vec::new();
         for count in counts {
-            told.push(count);
-            if told.len() as u64 == 50 + 37 * (kill % 7) {
+            acknowledged_counts.push(count);
+            if acknowledged_counts.len() as u64 == 50 + 37 * (kill % 7) {
                 child.kill().expect("killed");
             }
         }
         child.wait().expect("ended");
         assert_eq!(
-            told.first().copied(),
+            acknowledged_counts.first().copied(),
             Some(last + 1),
             "kill {kill}: it continues from the recovered count"
         );
-        let acknowledged = *told.last().expect("a count");
+        let acknowledged = *acknowledged_counts.last().expect("a count");
         let store = open(folder.path());
-        last = newest(&store);
+        last = highest_count(&store);
         // The count that was being written may be there as well.
         assert!((acknowledged..=acknowledged + 1).contains(&last), "kill {kill}: {acknowledged} and {last}");
         assert_eq!(store.view().len() as u64, KEYS);
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use glenrail_store::sim::{SimDisk, Trouble};
+use glenrail_store::sim::{Fault, SimDisk};
 use glenrail_store::{Batch, Error, Keyspace, Log, Options};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -37,9 +37,9 @@
 }
 
 fn options() -> Options {
-    let mut options = Options { segment: 500, ..Options::default() };
-    options.compaction.garbage = 0.2;
-    options.compaction.worth = 1;
+    let mut options = Options { segment_bytes: 500, ..Options::default() };
+    options.compaction.min_dead_share = 0.2;
+    options.compaction.min_dead_bytes = 1;
     options
 }
 
@@ -55,21 +55,21 @@
 
 /// Result of a run: the state after each accepted batch, and the indices of the last flushed and the last
 /// synced state.
-struct Ran {
+struct Outcome {
     states: Vec<Map>,
     flushed: usize,
     synced: usize,
 }
 
 /// Runs the steps until the disk fails.
-fn play(disk: &SimDisk, steps: &[Step]) -> Ran {
-    let mut ran = Ran { states: vec![Map::new()], flushed: 0, synced: 0 };
-    let Ok((mut log, _)) = Log::open(disk.clone(), options()) else { return ran };
+fn run_steps(disk: &SimDisk, steps: &[Step]) -> Outcome {
+    let mut outcome = Outcome { states: vec![Map::new()], flushed: 0, synced: 0 };
+    let Ok((mut log, _)) = Log::open(disk.clone(), options()) else { return outcome };
     // States of the batches that are staged and not flushed.
     let mut staged = Vec::new();
     for (n, step) in steps.iter().enumerate() {
         let fill = |size: &usize| vec![n as u8; *size];
-        let mut next = staged.last().or(ran.states.last()).cloned().expect("a state");
+        let mut next = staged.last().or(outcome.states.last()).cloned().expect("a state");
         let batch = match step {
             Step::Put(space, key, size) => {
                 next.insert((*space, *key), fill(size));
@@ -85,65 +85,65 @@
                 Ok(Batch::new().delete(if *space { &B } else { &A }, key))
             }
             Step::Flush | Step::Sync | Step::Compact => {
-                let done = match step {
+                let result = match step {
                     Step::Compact => log.compact(0, 200).map(|_| ()),
                     _ => log.flush(),
                 };
                 // A compaction that began has first flushed and synced what was staged, even if it failed
                 // later.
-                let began = log.sequence().1 as usize >= ran.states.len() - 1 + staged.len();
-                match done {
-                    Ok(()) | Err(Error::Full) if matches!(step, Step::Compact) => {
-                        if log.sequence().0 as usize + 1 == ran.states.len() {
+                let began_compaction = log.sequences().1 as usize >= outcome.states.len() - 1 + staged.len();
+                match result {
+                    Ok(()) | Err(Error::DiskFull) if matches!(step, Step::Compact) => {
+                        if log.sequences().0 as usize + 1 == outcome.states.len() {
                             // The disk was full for the staged batches, so that none of them was written.
                             staged.clear();
-                        } else if began {
-                            ran.states.append(&mut staged);
-                            ran.flushed = ran.states.len() - 1;
-                            ran.synced = ran.flushed;
+                        } else if began_compaction {
+                            outcome.states.append(&mut staged);
+                            outcome.flushed = outcome.states.len() - 1;
+                            outcome.synced = outcome.flushed;
                         }
                     }
                     Ok(()) => {
-                        ran.states.append(&mut staged);
-                        ran.flushed = ran.states.len() - 1;
+                        outcome.states.append(&mut staged);
+                        outcome.flushed = outcome.states.len() - 1;
                     }
                     // None of the staged batches was written, and the store continues.
-                    Err(Error::Full) => staged.clear(),
+                    Err(Error::DiskFull) => staged.clear(),
                     Err(_) => {
-                        ran.states.append(&mut staged);
-                        return ran;
+                        outcome.states.append(&mut staged);
+                        return outcome;
                     }
                 }
                 if matches!(step, Step::Sync) {
                     if log.sync().is_err() {
-                        return ran;
+                        return outcome;
                     }
-                    ran.synced = ran.flushed;
+                    outcome.synced = outcome.flushed;
                 }
                 continue;
             }
         };
         match log.stage(&batch.expect("a batch")) {
             Ok(_) => staged.push(next),
-            Err(Error::Full) => {}
+            Err(Error::DiskFull) => {}
             Err(_) => {
-                ran.states.append(&mut staged);
-                return ran;
+                outcome.states.append(&mut staged);
+                return outcome;
             }
         }
-        ran.synced = ran.synced.max((log.sequence().1 as usize).min(ran.states.len() - 1));
+        outcome.synced = outcome.synced.max((log.sequences().1 as usize).min(outcome.states.len() - 1));
     }
     // Readers do not see batches that were staged and never flushed.
-    assert_eq!(contents(&log), ran.states[ran.flushed], "what readers see");
-    ran
+    assert_eq!(contents(&log), outcome.states[outcome.flushed], "what readers see");
+    outcome
 }
 
-/// Checks that the store opens to one of the states from `least` on.
-fn opens_to_a_prefix(disk: &SimDisk, ran: &Ran, least: usize, why: &str) {
+/// Checks that the store opens to one of the states from `oldest_allowed` on.
+fn opens_to_a_prefix(disk: &SimDisk, outcome: &Outcome, oldest_allowed: usize, why: &str) {
     let (log, _) = Log::open(disk.clone(), options()).unwrap_or_else(|e| panic!("{why}: {e}"));
     let found = contents(&log);
-    let known = ran.states[least..].contains(&found);
-    assert!(known, "{why}: {found:?} is none of {:?}", &ran.states[least..]);
+    let is_allowed = outcome.states[oldest_allowed..].contains(&found);
+    assert!(is_allowed, "{why}: {found:?} is none of {:?}", &outcome.states[oldest_allowed..]);
 }
 
 proptest! {
@@ -155,26 +155,26 @@
     #[test]
     fn a_crash_at_any_call_leaves_a_prefix(steps in prop::collection::vec(step(), 1..40), seed: u64) {
         let whole = SimDisk::default();
-        play(&whole, &steps);
+        run_steps(&whole, &steps);
         for call in 0..=whole.calls() {
             let disk = SimDisk::default();
-            disk.trouble_at(call, Trouble::Crash);
-            let ran = play(&disk, &steps);
-            let kind = disk.after_crash(seed, true);
-            opens_to_a_prefix(&kind, &ran, ran.flushed, &format!("process ended at call {call}"));
+            disk.inject_fault(call, Fault::Crash);
+            let outcome = run_steps(&disk, &steps);
+            let process_ended = disk.after_crash(seed, true);
+            opens_to_a_prefix(&process_ended, &outcome, outcome.flushed, &format!("process ended at call {call}"));
             for n in 0..2 {
                 let crashed = disk.after_crash(seed.wrapping_add(n), false);
                 crashed.short_reads();
-                opens_to_a_prefix(&crashed.copy(), &ran, ran.synced, &format!("crash at call {call}"));
+                opens_to_a_prefix(&crashed.copy(), &outcome, outcome.synced, &format!("crash at call {call}"));
                 // A crash at every call of the recovery.
                 let recovering = crashed.copy();
                 let _ = Log::open(recovering.clone(), options());
                 for again in 0..recovering.calls() {
                     let twice = crashed.copy();
-                    twice.trouble_at(again, Trouble::Crash);
+                    twice.inject_fault(again, Fault::Crash);
                     let _ = Log::open(twice.clone(), options());
                     let why = format!("crash at call {call}, and at {again} of the recovery");
-                    opens_to_a_prefix(&twice.after_crash(seed, false), &ran, ran.synced, &why);
+                    opens_to_a_prefix(&twice.after_crash(seed, false), &outcome, outcome.synced, &why);
                 }
             }
         }
@@ -183,14 +183,16 @@
     /// Guards against a full disk at any call: the whole batch is rejected, the store continues, and what was
     /// flushed is there after a restart.
     #[test]
-    fn a_full_disk_turns_down_and_goes_on(steps in prop::collection::vec(step(), 1..40)) {
+    fn a_full_disk_rejects_batches_and_the_store_continues(steps in prop::collection::vec(step(), 1..40)) {
         let whole = SimDisk::default();
-        play(&whole, &steps);
+        run_steps(&whole, &steps);
         for call in 0..=whole.calls() {
             let disk = SimDisk::default();
-            disk.trouble_at(call, Trouble::Full);
-            let ran = play(&disk, &steps);
-            opens_to_a_prefix(&disk.after_crash(0, true), &ran, ran.flushed, &format!("full at call {call}"));
+            disk.inject_fault(call, Fault::Full);
+            let outcome = run_steps(&disk, &steps);
+            opens_to_a_prefix(
+                &disk.after_crash(0, true), &outcome, outcome.flushed, &format!("full at call {call}")
+            );
         }
     }
 
@@ -199,12 +201,14 @@
     #[test]
     fn a_failing_disk_stops_the_store(steps in prop::collection::vec(step(), 1..40), seed: u64) {
         let whole = SimDisk::default();
-        play(&whole, &steps);
+        run_steps(&whole, &steps);
         for call in 0..=whole.calls() {
             let disk = SimDisk::default();
-            disk.trouble_at(call, Trouble::Io);
-            let ran = play(&disk, &steps);
-            opens_to_a_prefix(&disk.after_crash(seed, false), &ran, ran.synced, &format!("failed at call {call}"));
+            disk.inject_fault(call, Fault::Io);
+            let outcome = run_steps(&disk, &steps);
+            opens_to_a_prefix(
+                &disk.after_crash(seed, false), &outcome, outcome.synced, &format!("failed at call {call}")
+            );
         }
     }
 }
--- a/crates/store/tests/stored_files.rs
+++ b/crates/store/tests/stored_files.rs
@@ -8,29 +8,29 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use glenrail_store::disk::{Disk, LOCK};
+use glenrail_store::disk::{Disk, LOCK_FILE};
 use glenrail_store::sim::SimDisk;
-use glenrail_store::{Batch, Folder, Keyspace, Log, Options, Recovered, Store, View};
+use glenrail_store::{Batch, Folder, Keyspace, Log, Options, RecoveryReport, Store, View};
 
 const WORDS: Keyspace<str, String> = Keyspace::new(1);
 const COUNTS: Keyspace<u64, u64> = Keyspace::new(2);
 const PARTS: Keyspace<[u8], Vec<u8>> = Keyspace::new(0x0301);
 
 /// Time of the compaction (ms). One value has expired by then, another one has not.
-const COMPACTION: u64 = 2_000;
+const COMPACTION_TIME_MS: u64 = 2_000;
 
 type Files = BTreeMap<String, Vec<u8>>;
 
-fn options(sealed: bool) -> Options {
-    let secret = sealed.then_some([7; 32]);
-    let mut options = Options { segment: 300, secret, ..Options::default() };
-    options.compaction.worth = 1;
+fn options(with_key: bool) -> Options {
+    let mac_key = with_key.then_some([7; 32]);
+    let mut options = Options { segment_bytes: 300, mac_key, ..Options::default() };
+    options.compaction.min_dead_bytes = 1;
     options
 }
 
 /// Returns options with which opening a store does not change its files.
-fn without_compaction(sealed: bool) -> Options {
-    Options { compaction: Options::default().compaction, ..options(sealed) }
+fn without_compaction(with_key: bool) -> Options {
+    Options { compaction: Options::default().compaction, ..options(with_key) }
 }
 
 fn word(key: &str, value: &str) -> Batch {
@@ -66,16 +66,16 @@
     ]
 }
 
-fn write(sealed: bool) -> SimDisk {
+fn write(with_key: bool) -> SimDisk {
     let disk = SimDisk::default();
-    let (mut log, _) = Log::open(disk.clone(), options(sealed)).expect("opened");
+    let (mut log, _) = Log::open(disk.clone(), options(with_key)).expect("opened");
     for batch in before_compaction() {
         log.stage(&batch).expect("staged");
         log.flush().expect("flushed");
     }
     log.sync().expect("synced");
-    while log.compact(COMPACTION, 1 << 20).expect("compacted") {}
-    assert!(log.copied > 0, "something was compacted");
+    while log.compact(COMPACTION_TIME_MS, 1 << 20).expect("compacted") {}
+    assert!(log.copied_bytes > 0, "something was compacted");
     for batch in after_compaction() {
         log.stage(&batch).expect("staged");
     }
@@ -152,13 +152,19 @@
 }
 
 /// Checks that stored files open on the simulated disk, and that nothing in them is cut, removed or changed.
-fn assert_opens(name: &str, sealed: bool) {
+fn assert_opens(name: &str, with_key: bool) {
     let stored = stored(name);
     let disk = disk_of(&stored);
-    let (log, recovered) = Log::open(disk.clone(), without_compaction(sealed)).expect("opened");
+    let (log, recovered) = Log::open(disk.clone(), without_compaction(with_key)).expect("opened");
     assert_contents(&log.view());
     let bytes = stored.values().map(|file| file.len() as u64).sum();
-    let expected = Recovered { files: stored.len(), keys: 7, bytes, sequence: 16, ..Recovered::default() };
+    let expected = RecoveryReport {
+        files: stored.len(),
+        keys: 7,
+        bytes,
+        last_sequence: 16,
+        ..RecoveryReport::default()
+    };
     assert_eq!(recovered, expected);
     assert_eq!(files(&disk), stored);
 }
@@ -169,7 +175,7 @@
 }
 
 #[test]
-fn the_same_batches_are_sealed_as_the_same_bytes() {
+fn the_same_batches_are_written_with_a_key_as_the_same_bytes() {
     assert_same_as_stored("sealed", &files(&write(true)));
 }
 
@@ -184,7 +190,7 @@
 }
 
 #[test]
-fn sealed_stored_files_open_to_their_contents() {
+fn stored_files_with_a_key_open_to_their_contents() {
     assert_opens("sealed", true);
 }
 
@@ -202,6 +208,6 @@
     assert_contents(&store.view());
     drop(store);
     let mut after = files_of_folder(folder.path());
-    assert_eq!(after.remove(LOCK), Some(Vec::new()));
+    assert_eq!(after.remove(LOCK_FILE), Some(Vec::new()));
     assert_eq!(after, stored);
 }
