--- a/crates/cache-warming/src/hot_prefixes.rs
+++ b/crates/cache-warming/src/hot_prefixes.rs
@@ -31,12 +31,12 @@
     /// Records an answered request with this prefix. The caller reports only granted requests, and none that
     /// were rejected.
     pub fn record_request(
-        &mut self, prefix: PromptPrefix, tokens: u32, text: &[u8], at: Option<Node>, now: Ms,
+        &mut self, prefix: PromptPrefix, tokens: u32, text: &[u8], prefill_node: Option<Node>, now: Ms,
     ) {
         if self.texts.is_disabled() {
             return;
         }
-        self.sketch.record_request(prefix, tokens, at, now);
+        self.sketch.record_request(prefix, tokens, prefill_node, now);
         let weight = self.sketch.get(&prefix).map_or(0.0, |stats| stats.weight);
         let heat = heat(weight, self.sketch.half_life(), now);
         if self.texts.get(&prefix, now).is_some_and(|cached| cached == text) {
--- a/crates/cache-warming/src/sketch.rs
+++ b/crates/cache-warming/src/sketch.rs
@@ -73,14 +73,14 @@
     }
 
     /// Records a request for a prefix and the node that prefilled it (`None`: unknown).
-    pub fn record_request(&mut self, prefix: PromptPrefix, tokens: u32, at: Option<Node>, now: Ms) {
+    pub fn record_request(&mut self, prefix: PromptPrefix, tokens: u32, prefill_node: Option<Node>, now: Ms) {
         self.decay(now);
         self.total += f64::from(tokens);
         let stats = self.entry(prefix);
         stats.weight += f64::from(tokens);
         stats.tokens = tokens;
         stats.last_requested = now;
-        if let Some(node) = at {
+        if let Some(node) = prefill_node {
             stats.record_prefill(node, now);
         }
         if self.prefixes.len() > 2 * self.capacity {
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -17,8 +17,8 @@
 
 impl FileUsage {
     /// Returns the bytes of the file that a run reclaims.
-    fn reclaimable(&self, oldest: bool) -> u64 {
-        self.bytes.saturating_sub(self.live_bytes + if oldest { 0 } else { self.tombstone_bytes })
+    fn reclaimable(&self, includes_oldest: bool) -> u64 {
+        self.bytes.saturating_sub(self.live_bytes + if includes_oldest { 0 } else { self.tombstone_bytes })
     }
 }
 
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -47,7 +47,7 @@
     names: BTreeMap<String, u64>,
     durable_names: BTreeMap<String, u64>,
     pending_names: Vec<NameOp>,
-    next: u64,
+    next_id: u64,
     locked: bool,
     /// Number of calls so far that change something.
     calls: u64,
@@ -117,7 +117,7 @@
     pub fn after_crash(&self, seed: u64, process_only: bool) -> SimDisk {
         let state = self.state();
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut after = State { next: state.next, ..State::default() };
+        let mut after = State { next_id: state.next_id, ..State::default() };
         if process_only {
             after.names = state.names.clone();
             for (id, content) in &state.files {
@@ -164,8 +164,8 @@
         let id = match state.names.get(name) {
             Some(id) => *id,
             None => {
-                state.next += 1;
-                let id = state.next;
+                state.next_id += 1;
+                let id = state.next_id;
                 state.names.insert(name.into(), id);
                 state.durable_names.insert(name.into(), id);
                 id
@@ -187,9 +187,9 @@
         if from == bytes.len() {
             return None;
         }
-        let here = offset + from as u64;
-        let to = (from + (SECTOR - here % SECTOR) as usize).min(bytes.len());
-        let part = PendingChange::Write { offset: here, bytes: bytes[from..to].to_vec() };
+        let position = offset + from as u64;
+        let to = (from + (SECTOR - position % SECTOR) as usize).min(bytes.len());
+        let part = PendingChange::Write { offset: position, bytes: bytes[from..to].to_vec() };
         from = to;
         Some(part)
     })
@@ -244,8 +244,8 @@
         if state.names.contains_key(name) {
             return Err(ErrorKind::AlreadyExists.into());
         }
-        state.next += 1;
-        let id = state.next;
+        state.next_id += 1;
+        let id = state.next_id;
         state.files.insert(id, Content::default());
         state.names.insert(name.into(), id);
         state.pending_names.push(NameOp::Create(name.into(), id));
