--- a/crates/cache-warming/src/assignments.rs
+++ b/crates/cache-warming/src/assignments.rs
@@ -56,6 +56,7 @@
     Claimed,
     /// The member will not prefill, or did not complete the prefill.
     Abandoned,
+    /// The prefill is complete.
     Prefilled,
 }
 
--- a/crates/cache-warming/src/plan/choose.rs
+++ b/crates/cache-warming/src/plan/choose.rs
@@ -10,7 +10,9 @@
 /// What may be spent on warming a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
+    /// Prompt tokens to prefill.
     pub tokens: u64,
+    /// Number of prefills.
     pub requests: u32,
 }
 
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -42,14 +42,18 @@
     pub version: u64,
 }
 
+/// Header of a file of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileHeader {
+    /// Number of the file, which is also its name.
     pub number: u64,
     /// First sequence number of the file.
     pub first_sequence: u64,
     /// Last sequence number that a compacted file covers; 0 in other files.
     pub last_sequence: u64,
+    /// Whether the file replaces several files of the log, or holds a whole store.
     pub compacted: bool,
+    /// Whether its frames have a MAC.
     pub keyed: bool,
 }
 
@@ -183,7 +187,7 @@
     if let Some(mac_key) = mac_key {
         let end = size - MAC_BYTES;
         let mac = blake3::keyed_hash(mac_key, &frame[8..end]);
-        // Needs no constant time: whoever can measure the comparison can also read the file.
+        // A comparison in constant time is not needed: a process that can measure it can also read the file.
         if mac.as_bytes()[..MAC_BYTES] != frame[end..] {
             return Err(FrameError::WrongMac);
         }
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -14,11 +14,12 @@
 use crate::recover::{accounted_bytes, map_lock_error, recover, RecoveryReport};
 use crate::view::{file_name, Entry, Index, Source, View};
 
+/// Settings of a store.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Size from which a file of the log is sealed, in bytes. A single batch may make a file larger.
     pub segment_bytes: u64,
-    /// Key that authenticates each batch, so that a file changed on purpose is not taken for a torn one.
+    /// Key that authenticates each batch, so that a file changed on purpose is distinguished from a torn one.
     pub mac_key: Option<MacKey>,
     pub compaction: CompactionLimits,
     /// Maximum number of writes that wait for the store's thread.
@@ -57,7 +58,7 @@
     now: u64,
     /// No file is older than the run, so that deletions need not be kept.
     includes_oldest: bool,
-    /// Deleted keys whose deletion has been kept already.
+    /// Keys whose deletion has been copied already.
     kept_deletions: HashSet<Box<[u8]>>,
     writer: PackedWriter<F>,
     /// The entries of the new file, in order: the key and its previous location, or `None` for a deletion.
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -22,6 +22,7 @@
     }
 }
 
+/// When compaction runs, and how large a run may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompactionLimits {
     /// Minimum share of dead bytes, in all files and in a run, for a compaction.
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -19,12 +19,13 @@
 pub struct RecoveryReport {
     pub files: usize,
     pub keys: usize,
+    /// Bytes of all files, without a torn end.
     pub bytes: u64,
     /// Sequence number of the last batch.
     pub last_sequence: u64,
-    /// Torn end of the newest file that was cut: file, offset, and bytes.
+    /// Torn end of the newest file, which a repair cuts: file, offset, and bytes.
     pub truncated: Option<(String, u64, u64)>,
-    /// Files that a compaction had replaced already, or had not finished.
+    /// Files that a compaction had replaced already or had not finished, which a repair removes.
     pub removed_files: Vec<String>,
 }
 
@@ -269,6 +270,7 @@
     pub bytes: u64,
 }
 
+/// Result of a salvage.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SalvageReport {
     pub keys: usize,
