--- a/crates/cache-warming/src/plan/mod.rs
+++ b/crates/cache-warming/src/plan/mod.rs
@@ -1,106 +1,113 @@
-//! What a replacement node reads before traffic moves to it: of the beginnings that it will own, those that save the most within
-//! its budget. Made by one member for a hand-over and told to the others, so that one budget is spent once.
+//! Warm-up plan of a replacement node: of the prefixes that it will own, the ones that save the most within
+//! its budget. One member makes the plan for a replacement and sends it to the others, so that the budget is
+//! spent only once.
 
 mod choose;
 
 pub use choose::{choose, Budget, Item};
 
 use crate::sketch::Sketch;
-use crate::terms::{Beginning, Member, Model, Ms, Node, Team};
+use crate::types::{Member, Model, Ms, Node, PromptPrefix, Team};
 
-/// A node that is to be warmed, and what may be spent on it.
+/// A node to be warmed, and what may be spent on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     pub node: Node,
-    /// Sends that a cold server may get from this in the whole time, besides its traffic.
-    pub sends: u32,
-    /// Tokens that its memory holds, less what is kept for others.
+    /// Maximum number of prefills that the node may receive during the whole warm-up, in addition to its
+    /// traffic.
+    pub max_requests: u32,
+    /// Tokens that fit into its memory, less those reserved for other content.
     pub memory_tokens: u64,
-    /// Prompt tokens that it reads a second.
-    pub tokens_a_second: u64,
-    /// The part of that which readings may take, in thousandths.
-    pub share: u32,
-    /// Until the deadline of the cut-over.
-    pub time: Ms,
+    /// Prompt tokens that it prefills per second at full capacity.
+    pub tokens_per_second: u64,
+    /// Share of that capacity that prefills for warming may take, in thousandths.
+    pub share_thousandths: u32,
+    /// Time until the deadline of the cutover (ms).
+    pub time_left: Ms,
 }
 
 impl Target {
-    /// The budget: its memory, or a share of its capacity for the time, whichever is less.
+    /// Returns the budget: the tokens that fit into memory, or those that the share of capacity can prefill
+    /// in the time, whichever is less.
     pub fn budget(&self) -> Budget {
-        let parts =
-            u128::from(self.tokens_a_second) * u128::from(self.share.min(1000)) * u128::from(self.time);
-        let readable = u64::try_from(parts / 1_000_000).unwrap_or(u64::MAX);
-        Budget { tokens: readable.min(self.memory_tokens), sends: self.sends }
+        let scaled = u128::from(self.tokens_per_second)
+            * u128::from(self.share_thousandths.min(1000))
+            * u128::from(self.time_left);
+        let prefillable_tokens = u64::try_from(scaled / 1_000_000).unwrap_or(u64::MAX);
+        Budget { tokens: prefillable_tokens.min(self.memory_tokens), requests: self.max_requests }
     }
 }
 
-/// What the plan asks of others.
-pub struct Facts<'a> {
-    /// The nodes that share a beginning after the cut-over, by the order that all routers share; its sessions are spread evenly.
-    pub homes: &'a dyn Fn(&Beginning) -> Vec<Node>,
-    /// Whether a team may call a model at present.
+/// Lookups that the caller provides for planning.
+pub struct Lookups<'a> {
+    /// Returns the nodes that share a prefix after the cutover, according to the server order of all routers.
+    /// The sessions of the prefix are spread evenly over them.
+    pub owners: &'a dyn Fn(&PromptPrefix) -> Vec<Node>,
+    /// Returns whether a team may currently call a model.
     pub granted: &'a dyn Fn(Team, Model) -> bool,
-    /// Tokens of a beginning that are known to be kept at a node.
-    pub kept: &'a dyn Fn(Node, &Beginning) -> u32,
+    /// Returns how many tokens of a prefix are known to be cached at a node.
+    pub cached_tokens: &'a dyn Fn(Node, &PromptPrefix) -> u32,
 }
 
-/// One beginning to read at a node.
+/// One prefix to prefill at a node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
-    pub beginning: Beginning,
-    /// Tokens to be read there, less what is kept.
+pub struct PlannedPrefill {
+    pub prefix: PromptPrefix,
+    /// Tokens to prefill there; cached ones are not counted.
     pub tokens: u32,
-    /// Tokens a second that need not be read once it is there.
+    /// Tokens per second that need no prefill once the prefix is cached there.
     pub saving: f64,
-    /// Who holds its text.
+    /// Members that hold its text.
     pub holders: Vec<Member>,
 }
 
-/// What one node reads, in order.
+/// Prefills of one node, the largest saving per token first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub node: Node,
-    pub readings: Vec<Reading>,
-    /// All beginnings that are counted and that it will own, chosen or not, with tokens a second asked of it.
-    pub owned: Vec<(Beginning, f64)>,
+    pub prefills: Vec<PlannedPrefill>,
+    /// All counted prefixes that the node will own, chosen or not, each with the tokens per second requested
+    /// of it.
+    pub owned: Vec<(PromptPrefix, f64)>,
 }
 
 impl Plan {
     pub fn tokens(&self) -> u64 {
-        self.readings.iter().map(|r| u64::from(r.tokens)).sum()
+        self.prefills.iter().map(|r| u64::from(r.tokens)).sum()
     }
 
     pub fn saving(&self) -> f64 {
-        self.readings.iter().map(|r| r.saving).sum()
+        self.prefills.iter().map(|r| r.saving).sum()
     }
 }
 
-/// A plan for each target. A beginning that no member holds the text of, or whose team may not call its model, is in none.
-pub fn plan(sketch: &Sketch, targets: &[Target], facts: &Facts) -> Vec<Plan> {
+/// Returns a plan for each target. Prefixes whose text no member holds, or whose team may not call the model,
+/// are not planned.
+pub fn plan(sketch: &Sketch, targets: &[Target], lookups: &Lookups) -> Vec<Plan> {
     let mut plans: Vec<Plan> =
-        targets.iter().map(|t| Plan { node: t.node, readings: Vec::new(), owned: Vec::new() }).collect();
-    for (beginning, seen) in sketch.hottest(usize::MAX) {
-        if !(facts.granted)(beginning.team, beginning.model) {
+        targets.iter().map(|t| Plan { node: t.node, prefills: Vec::new(), owned: Vec::new() }).collect();
+    for (prefix, stats) in sketch.hottest(usize::MAX) {
+        if !(lookups.granted)(prefix.team, prefix.model) {
             continue;
         }
-        let homes = (facts.homes)(&beginning);
-        let rate = seen.hits_a_second(sketch.half_life()) / homes.len().max(1) as f64;
-        for plan in plans.iter_mut().filter(|p| homes.contains(&p.node)) {
-            plan.owned.push((beginning, rate * f64::from(seen.tokens)));
-            let read_there = seen.read_at.iter().any(|r| r.0 == plan.node);
-            let kept = if read_there { seen.tokens } else { (facts.kept)(plan.node, &beginning) };
-            let tokens = seen.tokens.saturating_sub(kept);
-            if tokens > 0 && !seen.holders.is_empty() {
+        let owners = (lookups.owners)(&prefix);
+        let rate = stats.requests_per_second(sketch.half_life()) / owners.len().max(1) as f64;
+        for plan in plans.iter_mut().filter(|p| owners.contains(&p.node)) {
+            plan.owned.push((prefix, rate * f64::from(stats.tokens)));
+            let is_cached = stats.prefill_nodes.iter().any(|r| r.0 == plan.node);
+            let cached = if is_cached { stats.tokens } else { (lookups.cached_tokens)(plan.node, &prefix) };
+            let tokens = stats.tokens.saturating_sub(cached);
+            if tokens > 0 && !stats.holders.is_empty() {
                 let saving = rate * f64::from(tokens);
-                plan.readings.push(Reading { beginning, tokens, saving, holders: seen.holders.clone() });
+                plan.prefills.push(PlannedPrefill { prefix, tokens, saving, holders: stats.holders.clone() });
             }
         }
     }
     for (plan, target) in plans.iter_mut().zip(targets) {
         let items: Vec<Item> =
-            plan.readings.iter().map(|r| Item { tokens: u64::from(r.tokens), saving: r.saving }).collect();
+            plan.prefills.iter().map(|r| Item { tokens: u64::from(r.tokens), saving: r.saving }).collect();
         let chosen = choose(&items, target.budget());
-        plan.readings = chosen.into_iter().map(|at| plan.readings[at].clone()).collect();
+        plan.prefills = chosen.into_iter().map(|index| plan.prefills[index].clone()).collect();
     }
     plans
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,5 +1,6 @@
-//! A disk that lies, for tests: between two syncs writes reach it in any order, in part, or not at all; names are lost
-//! without a sync of their folder; it fills up, fails and stops where it is told to. One seed, one run.
+//! Simulated disk with faults, for tests. After a crash, any subset of the sectors written since the last
+//! sync is kept, and of the changes to names since the last sync of the folder a prefix. The disk fills up,
+//! fails or stops at a given call. The same seed gives the same result.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -7,22 +8,22 @@
 
 use crate::disk::{Disk, DiskFile};
 
-/// The unit in which a write reaches the disk.
+/// Unit in which a write reaches the disk, in bytes.
 const SECTOR: u64 = 512;
 
-/// What goes wrong at one call.
+/// Fault that occurs at one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// The machine stops: this call and all after it fail.
+pub enum Fault {
+    /// The machine stops: this call and all later ones fail.
     Crash,
-    /// No space is left; half of a write may have been done.
+    /// The disk is full. Half of a write may have been done.
     Full,
     Io,
 }
 
 #[derive(Clone, Debug)]
-enum Pending {
-    Write { at: u64, bytes: Vec<u8> },
+enum PendingChange {
+    Write { offset: u64, bytes: Vec<u8> },
     Truncate(u64),
 }
 
@@ -30,7 +31,7 @@
 struct Content {
     durable: Vec<u8>,
     current: Vec<u8>,
-    pending: Vec<Pending>,
+    pending: Vec<PendingChange>,
 }
 
 #[derive(Clone, Debug)]
@@ -46,17 +47,17 @@
     names: BTreeMap<String, u64>,
     durable_names: BTreeMap<String, u64>,
     pending_names: Vec<NameOp>,
-    next: u64,
+    next_id: u64,
     locked: bool,
-    /// Calls that change something, so far.
+    /// Number of calls so far that change something.
     calls: u64,
-    trouble: Option<(u64, Trouble)>,
-    dead: bool,
-    /// Reads give back one byte less than they could, now and then.
+    fault: Option<(u64, Fault)>,
+    stopped: bool,
+    /// Whether a read returns at most half of the bytes that it could, rounded up.
     short_reads: bool,
 }
 
-/// A simulated folder. Clones are the same one.
+/// A simulated folder. Clones refer to the same one.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
@@ -66,20 +67,20 @@
     id: u64,
 }
 
-fn apply(content: &mut Vec<u8>, op: &Pending) {
+fn apply_change(content: &mut Vec<u8>, op: &PendingChange) {
     match op {
-        Pending::Write { at, bytes } => {
-            let end = *at as usize + bytes.len();
+        PendingChange::Write { offset, bytes } => {
+            let end = *offset as usize + bytes.len();
             if content.len() < end {
                 content.resize(end, 0);
             }
-            content[*at as usize..end].copy_from_slice(bytes);
+            content[*offset as usize..end].copy_from_slice(bytes);
         }
-        Pending::Truncate(len) => content.resize(*len as usize, 0),
+        PendingChange::Truncate(len) => content.resize(*len as usize, 0),
     }
 }
 
-fn rename(names: &mut BTreeMap<String, u64>, op: &NameOp) {
+fn apply_name_op(names: &mut BTreeMap<String, u64>, op: &NameOp) {
     match op {
         NameOp::Create(name, id) => _ = names.insert(name.clone(), *id),
         NameOp::Remove(name) => _ = names.remove(name),
@@ -96,27 +97,28 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has this happen at the call with this number, counted from 0 over all that change something.
-    pub fn trouble_at(&self, call: u64, trouble: Trouble) {
-        self.state().trouble = Some((call, trouble));
+    /// Sets the fault that occurs at call number `call`. Only calls that change something are counted, from
+    /// 0.
+    pub fn inject_fault(&self, call: u64, fault: Fault) {
+        self.state().fault = Some((call, fault));
     }
 
     pub fn short_reads(&self) {
         self.state().short_reads = true;
     }
 
-    /// Calls that changed something so far.
+    /// Returns the number of calls so far that changed something.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// What the disk holds after the machine has stopped: of what was not synced, whatever the seed says. With `kind`
-    /// only the process ends, and nothing is lost.
-    pub fn after_crash(&self, seed: u64, kind: bool) -> SimDisk {
+    /// Returns the disk as it is after a crash of the machine, where the seed determines which unsynced
+    /// changes are kept. With `process_only` only the process has ended, and nothing is lost.
+    pub fn after_crash(&self, seed: u64, process_only: bool) -> SimDisk {
         let state = self.state();
-        let mut random = fastrand::Rng::with_seed(seed);
-        let mut after = State { next: state.next, ..State::default() };
-        if kind {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let mut after = State { next_id: state.next_id, ..State::default() };
+        if process_only {
             after.names = state.names.clone();
             for (id, content) in &state.files {
                 let current = content.current.clone();
@@ -124,31 +126,34 @@
             }
         } else {
             after.names = state.durable_names.clone();
-            let kept = random.usize(0..=state.pending_names.len());
-            state.pending_names[..kept].iter().for_each(|op| rename(&mut after.names, op));
+            let kept_names = rng.usize(0..=state.pending_names.len());
+            state.pending_names[..kept_names].iter().for_each(|op| apply_name_op(&mut after.names, op));
             for (id, content) in &state.files {
-                let mut left = content.durable.clone();
+                let mut survived = content.durable.clone();
                 for op in &content.pending {
                     match op {
-                        Pending::Truncate(_) if random.bool() => apply(&mut left, op),
-                        Pending::Truncate(_) => {}
-                        Pending::Write { at, bytes } => sectors(*at, bytes).for_each(|part| {
-                            if random.bool() {
-                                apply(&mut left, &part);
-                            }
-                        }),
+                        PendingChange::Truncate(_) if rng.bool() => apply_change(&mut survived, op),
+                        PendingChange::Truncate(_) => {}
+                        PendingChange::Write { offset, bytes } => {
+                            sectors(*offset, bytes).for_each(|sector_write| {
+                                if rng.bool() {
+                                    apply_change(&mut survived, &sector_write);
+                                }
+                            })
+                        }
                     }
                 }
-                after
-                    .files
-                    .insert(*id, Content { durable: left.clone(), current: left, pending: Vec::new() });
+                after.files.insert(
+                    *id,
+                    Content { durable: survived.clone(), current: survived, pending: Vec::new() },
+                );
             }
         }
         after.durable_names = after.names.clone();
         SimDisk(Arc::new(Mutex::new(after)))
     }
 
-    /// The bytes of a file, to look at or to damage.
+    /// Returns the contents of a file.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.names.get(name).and_then(|id| state.files.get(id)).map(|c| c.current.clone())
@@ -159,8 +164,8 @@
         let id = match state.names.get(name) {
             Some(id) => *id,
             None => {
-                state.next += 1;
-                let id = state.next;
+                state.next_id += 1;
+                let id = state.next_id;
                 state.names.insert(name.into(), id);
                 state.durable_names.insert(name.into(), id);
                 id
@@ -169,42 +174,46 @@
         state.files.insert(id, Content { durable: bytes.clone(), current: bytes, pending: Vec::new() });
     }
 
-    /// Another folder with the same files.
+    /// Returns another folder with the same files.
     pub fn copy(&self) -> SimDisk {
         self.after_crash(0, true)
     }
 }
 
-/// A write in the parts that reach the disk one by one.
-fn sectors(at: u64, bytes: &[u8]) -> impl Iterator<Item = Pending> + '_ {
+/// Splits a write into the parts that reach the disk separately.
+fn sectors(offset: u64, bytes: &[u8]) -> impl Iterator<Item = PendingChange> + '_ {
     let mut from = 0;
     std::iter::from_fn(move || {
         if from == bytes.len() {
             return None;
         }
-        let here = at + from as u64;
-        let to = (from + (SECTOR - here % SECTOR) as usize).min(bytes.len());
-        let part = Pending::Write { at: here, bytes: bytes[from..to].to_vec() };
+        let position = offset + from as u64;
+        let to = (from + (SECTOR - position % SECTOR) as usize).min(bytes.len());
+        let part = PendingChange::Write { offset: position, bytes: bytes[from..to].to_vec() };
         from = to;
         Some(part)
     })
 }
 
 impl State {
-    /// Counts a call; what goes wrong at it.
-    fn call(&mut self) -> io::Result<()> {
-        if self.dead {
-            return Err(io::Error::other("the machine has stopped"));
+    /// Counts a call and returns the fault that occurs at it.
+    fn record_call(&mut self) -> io::Result<()> {
+        if self.stopped {
+            return Err(io::Error::other("the simulated machine has stopped"));
         }
-        let now = self.calls;
+        let this_call = self.calls;
         self.calls += 1;
-        match self.trouble {
-            Some((at, Trouble::Crash)) if at == now => {
-                self.dead = true;
-                Err(io::Error::other("the machine stops"))
+        match self.fault {
+            Some((faulty_call, Fault::Crash)) if faulty_call == this_call => {
+                self.stopped = true;
+                Err(io::Error::other("the simulated machine stops"))
+            }
+            Some((faulty_call, Fault::Full)) if faulty_call == this_call => {
+                Err(ErrorKind::StorageFull.into())
+            }
+            Some((faulty_call, Fault::Io)) if faulty_call == this_call => {
+                Err(io::Error::other("the simulated disk fails"))
             }
-            Some((at, Trouble::Full)) if at == now => Err(ErrorKind::StorageFull.into()),
-            Some((at, Trouble::Io)) if at == now => Err(io::Error::other("the disk fails")),
             _ => Ok(()),
         }
     }
@@ -231,12 +240,12 @@
 
     fn create(&self, name: &str) -> io::Result<SimFile> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         if state.names.contains_key(name) {
             return Err(ErrorKind::AlreadyExists.into());
         }
-        state.next += 1;
-        let id = state.next;
+        state.next_id += 1;
+        let id = state.next_id;
         state.files.insert(id, Content::default());
         state.names.insert(name.into(), id);
         state.pending_names.push(NameOp::Create(name.into(), id));
@@ -245,16 +254,16 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         let op = NameOp::Rename(from.into(), to.into());
-        rename(&mut state.names, &op);
+        apply_name_op(&mut state.names, &op);
         state.pending_names.push(op);
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         state.names.remove(name).ok_or(ErrorKind::NotFound)?;
         state.pending_names.push(NameOp::Remove(name.into()));
         Ok(())
@@ -262,7 +271,7 @@
 
     fn sync_folder(&self) -> io::Result<()> {
         let mut state = self.state();
-        state.call()?;
+        state.record_call()?;
         state.durable_names = state.names.clone();
         state.pending_names.clear();
         Ok(())
@@ -270,20 +279,20 @@
 }
 
 impl SimFile {
-    fn with<T>(&self, f: impl FnOnce(&mut Content) -> T) -> io::Result<T> {
+    fn with_content<T>(&self, f: impl FnOnce(&mut Content) -> T) -> io::Result<T> {
         self.disk.state().files.get_mut(&self.id).map(f).ok_or_else(|| ErrorKind::NotFound.into())
     }
 }
 
 impl DiskFile for SimFile {
     fn size(&self) -> io::Result<u64> {
-        self.with(|c| c.current.len() as u64)
+        self.with_content(|c| c.current.len() as u64)
     }
 
-    fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize> {
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
         let short = self.disk.state().short_reads;
-        self.with(|c| {
-            let from = (at as usize).min(c.current.len());
+        self.with_content(|c| {
+            let from = (offset as usize).min(c.current.len());
             let mut n = buffer.len().min(c.current.len() - from);
             if short && n > 1 {
                 n = n.div_ceil(2);
@@ -293,30 +302,30 @@
         })
     }
 
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        let result = self.disk.state().call();
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        let result = self.disk.state().record_call();
         // A call that fails may have done a part of its work.
         let done = if result.is_ok() { bytes } else { &bytes[..bytes.len() / 2] };
-        self.with(|c| {
-            let op = Pending::Write { at, bytes: done.to_vec() };
-            apply(&mut c.current, &op);
+        self.with_content(|c| {
+            let op = PendingChange::Write { offset, bytes: done.to_vec() };
+            apply_change(&mut c.current, &op);
             c.pending.push(op);
         })?;
         result
     }
 
     fn truncate(&self, len: u64) -> io::Result<()> {
-        self.disk.state().call()?;
-        self.with(|c| {
-            let op = Pending::Truncate(len);
-            apply(&mut c.current, &op);
+        self.disk.state().record_call()?;
+        self.with_content(|c| {
+            let op = PendingChange::Truncate(len);
+            apply_change(&mut c.current, &op);
             c.pending.push(op);
         })
     }
 
     fn sync(&self) -> io::Result<()> {
-        self.disk.state().call()?;
-        self.with(|c| {
+        self.disk.state().record_call()?;
+        self.with_content(|c| {
             c.durable = c.current.clone();
             c.pending.clear();
         })
--- a/crates/store/src/view.rs
+++ b/crates/store/src/view.rs
@@ -1,4 +1,4 @@
-//! The index, and a view of the store that stays as it was while writers go on.
+//! The index, and views of the store, which do not change while writers continue.
 
 use std::sync::Arc;
 
@@ -6,53 +6,56 @@
 
 use crate::disk::{read_exact, DiskFile};
 use crate::error::{Error, Result};
-use crate::frame::{self, Secret};
+use crate::frame::{self, MacKey};
 
-/// Where a value lies.
+/// Location of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
-    /// File, place and size of its frame, and which change of it.
+    /// Number of the file.
     pub file: u64,
-    pub at: u64,
+    /// Offset of the frame in the file.
+    pub offset: u64,
+    /// Size of the frame, in bytes.
     pub size: u32,
+    /// Index of the change in the frame.
     pub slot: u32,
     pub version: u64,
-    pub expires: Option<u64>,
-    /// What it counts for in the space of its file.
-    pub cost: u32,
+    pub expires_at: Option<u64>,
+    /// Bytes that the change counts for in its file.
+    pub accounted_bytes: u32,
 }
 
 impl Entry {
-    pub fn lives(&self, now: u64) -> bool {
-        self.expires.is_none_or(|at| now < at)
+    pub fn is_live(&self, now: u64) -> bool {
+        self.expires_at.is_none_or(|expires_at| now < expires_at)
     }
 }
 
-/// A tree that shares what did not change, so that a view costs nothing to take.
+/// A tree that shares unchanged parts, so that a view is cheap to take.
 pub(crate) type Index = OrdMap<Box<[u8]>, Entry>;
 
-/// A file to read from, whatever disk it is on.
+/// A file to read from, on any disk.
 pub(crate) trait Source: Send + Sync {
-    fn read(&self, buffer: &mut [u8], at: u64) -> std::io::Result<()>;
+    fn read(&self, buffer: &mut [u8], offset: u64) -> std::io::Result<()>;
 }
 
 impl<F: DiskFile> Source for F {
-    fn read(&self, buffer: &mut [u8], at: u64) -> std::io::Result<()> {
-        read_exact(self, buffer, at)
+    fn read(&self, buffer: &mut [u8], offset: u64) -> std::io::Result<()> {
+        read_exact(self, buffer, offset)
     }
 }
 
-/// The store as it was at one moment.
+/// The store at one point in time.
 #[derive(Clone)]
 pub struct View {
     pub(crate) index: Index,
-    /// A file stays readable for as long as a view has it, removed or not.
-    pub(crate) files: OrdMap<u64, Arc<dyn Source>>,
-    pub(crate) secret: Option<Secret>,
+    /// Files stay readable for as long as a view holds them, even after their removal.
+    pub(crate) sources: OrdMap<u64, Arc<dyn Source>>,
+    pub(crate) mac_key: Option<MacKey>,
 }
 
 impl View {
-    /// Keys that the index has, those that have expired and were not compacted yet among them.
+    /// Returns the number of keys, expired ones that were not compacted yet included.
     pub fn len(&self) -> usize {
         self.index.len()
     }
@@ -62,41 +65,43 @@
     }
 
     pub(crate) fn get(&self, key: &[u8], now: u64) -> Result<Option<(Vec<u8>, u64)>> {
-        let Some(entry) = self.index.get(key).filter(|e| e.lives(now)) else { return Ok(None) };
+        let Some(entry) = self.index.get(key).filter(|e| e.is_live(now)) else { return Ok(None) };
         Ok(Some((self.read(key, entry)?, entry.version)))
     }
 
     pub(crate) fn scan<'a>(
         &'a self, prefix: &'a [u8], now: u64,
     ) -> impl Iterator<Item = Result<(Box<[u8]>, Vec<u8>)>> + 'a {
-        let from = self.index.range::<_, Box<[u8]>>(Box::<[u8]>::from(prefix)..);
-        let with =
-            from.take_while(move |(key, _)| key.starts_with(prefix)).filter(move |(_, e)| e.lives(now));
-        with.map(|(key, entry)| Ok((key.clone(), self.read(key, entry)?)))
+        let from_prefix = self.index.range::<_, Box<[u8]>>(Box::<[u8]>::from(prefix)..);
+        let matching = from_prefix
+            .take_while(move |(key, _)| key.starts_with(prefix))
+            .filter(move |(_, e)| e.is_live(now));
+        matching.map(|(key, entry)| Ok((key.clone(), self.read(key, entry)?)))
     }
 
-    /// Every key with its value, expiry and version; what `dump` prints and a snapshot copies.
-    pub fn all(&self, now: u64) -> impl Iterator<Item = Result<frame::Op>> + '_ {
-        self.index.iter().filter(move |(_, e)| e.lives(now)).map(|(key, entry)| {
-            let (expires, version) = (entry.expires, entry.version);
-            Ok(frame::Op { key: key.to_vec(), value: Some(self.read(key, entry)?), expires, version })
+    /// Returns every key that has not expired, with its value, expiry and version. A snapshot copies these.
+    pub fn entries(&self, now: u64) -> impl Iterator<Item = Result<frame::Op>> + '_ {
+        self.index.iter().filter(move |(_, e)| e.is_live(now)).map(|(key, entry)| {
+            let (expires_at, version) = (entry.expires_at, entry.version);
+            Ok(frame::Op { key: key.to_vec(), value: Some(self.read(key, entry)?), expires_at, version })
         })
     }
 
     fn read(&self, key: &[u8], entry: &Entry) -> Result<Vec<u8>> {
-        let damaged = |what| Error::Damaged { file: name(entry.file), offset: entry.at, what };
-        let file = self.files.get(&entry.file).ok_or_else(|| damaged("the file is gone"))?;
+        let damaged = |what| Error::Damaged { file: file_name(entry.file), offset: entry.offset, what };
+        let file = self.sources.get(&entry.file).ok_or_else(|| damaged("the file is missing"))?;
         let mut bytes = vec![0; entry.size as usize];
-        file.read(&mut bytes, entry.at)?;
-        let read =
-            frame::decode(&bytes, self.secret.as_ref()).map_err(|_| damaged("a frame changed since"))?;
-        let ops = frame::ops(read.payload).ok_or_else(|| damaged("a frame's changes cannot be read"))?;
+        file.read(&mut bytes, entry.offset)?;
+        let read = frame::decode(&bytes, self.mac_key.as_ref())
+            .map_err(|_| damaged("the frame has changed since it was written"))?;
+        let ops = frame::decode_ops(read.payload)
+            .ok_or_else(|| damaged("the changes of a frame cannot be decoded"))?;
         let op = ops.into_iter().nth(entry.slot as usize).filter(|op| op.key == key);
-        op.and_then(|op| op.value).ok_or_else(|| damaged("another key lies there"))
+        op.and_then(|op| op.value).ok_or_else(|| damaged("the entry belongs to another key"))
     }
 }
 
-/// The name of a file of the log.
-pub(crate) fn name(number: u64) -> String {
+/// Returns the name of a file of the log.
+pub(crate) fn file_name(number: u64) -> String {
     format!("{number:016x}.log")
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Files that were cut, turned or are somebody else's.
+//! Files that are cut, damaged, or not of this store.
 
 use std::path::Path;
 
@@ -10,14 +10,14 @@
 const COUNTS: Keyspace<u64, u64> = Keyspace::new(2);
 
 fn options() -> Options {
-    let mut options = Options { segment: 400, ..Options::default() };
-    options.compaction.worth = 1;
+    let mut options = Options { segment_bytes: 400, ..Options::default() };
+    options.compaction.min_dead_bytes = 1;
     options
 }
 
-/// A store with every kind of record: several files, one of them compacted, batches over both keyspaces, deletions,
-/// expiries and a batch larger than a file. Returns what it held after each batch.
-fn written(disk: &SimDisk) -> Vec<Vec<(String, String)>> {
+/// Writes a store with every kind of record: several files, one of them compacted, batches over both
+/// keyspaces, deletions, expiries, and a batch larger than a file. Returns the contents after each batch.
+fn write_store(disk: &SimDisk) -> Vec<Vec<(String, String)>> {
     let (mut log, _) = Log::open(disk.clone(), options()).expect("opened");
     let mut states = vec![Vec::new()];
     for n in 0..40u64 {
@@ -39,7 +39,7 @@
         }
         states.push(words(&log));
     }
-    assert!(log.copied > 0 && log.files() > 3, "compacted, and several files");
+    assert!(log.copied_bytes > 0 && log.file_count() > 3, "compacted, and several files");
     states
 }
 
@@ -47,27 +47,28 @@
     WORDS.scan(&log.view(), "", 0).expect("readable")
 }
 
-/// Guards every restart: the newest file cut at every byte opens to a state that was; an older one is damage that is
-/// named, as it was on the disk for good.
+/// Guards every restart: the newest file opens to an earlier state wherever it is cut. An older file was
+/// durable, so that a cut in it is reported as damage.
 #[test]
-fn a_file_cut_at_every_byte_opens_to_a_prefix_or_is_named() {
+fn a_file_cut_at_any_byte_opens_to_a_prefix_or_is_reported() {
     let disk = SimDisk::default();
-    let states = written(&disk);
+    let states = write_store(&disk);
     let mut names = disk.list().expect("listed");
     names.sort();
     for name in &names {
-        let (whole, newest) = (disk.bytes(name).expect("there"), Some(name) == names.last());
+        let (whole, newest) = (disk.bytes(name).expect("the file exists"), Some(name) == names.last());
         for cut in 0..whole.len() {
             let copy = disk.copy();
             copy.overwrite(name, whole[..cut].to_vec());
             match Log::open(copy, options()) {
                 Ok((log, report)) => {
-                    assert!(newest, "{name} cut at {cut} must be named");
-                    let n = report.sequence as usize;
+                    assert!(newest, "{name} cut at {cut} must be reported");
+                    let n = report.last_sequence as usize;
                     assert_eq!(words(&log), states[n], "{name} cut at {cut}");
                 }
                 Err(Error::Damaged { file, .. }) => {
-                    // The file itself, or the next one, which it no longer reaches.
+                    // Reported for the file itself, or for the next one if the cut file ends with a whole
+                    // batch.
                     assert!(
                         !newest && (file == *name || names.contains(&file)),
                         "{name} cut at {cut}: {file}"
@@ -79,33 +80,37 @@
     }
 }
 
-/// Guards values: whatever bit is turned, nothing that was not written is ever returned.
+/// Guards values: whichever bit is flipped, nothing is returned that was not written.
 #[test]
-fn a_turned_bit_is_never_returned() {
+fn a_flipped_bit_is_never_returned() {
     let disk = SimDisk::default();
-    let states = written(&disk);
+    let states = write_store(&disk);
     for name in disk.list().expect("listed") {
-        let whole = disk.bytes(&name).expect("there");
-        for at in 0..whole.len() {
+        let whole = disk.bytes(&name).expect("the file exists");
+        for offset in 0..whole.len() {
             let copy = disk.copy();
             let mut bytes = whole.clone();
-            bytes[at] ^= 1 << (at % 8);
+            bytes[offset] ^= 1 << (offset % 8);
             copy.overwrite(&name, bytes);
             if let Ok((log, report)) = Log::open(copy, options()) {
-                assert_eq!(words(&log), states[report.sequence as usize], "{name} turned at {at}");
+                assert_eq!(
+                    words(&log),
+                    states[report.last_sequence as usize],
+                    "{name} with a flipped bit at {offset}"
+                );
             }
         }
     }
-    // A bit that turns while the store is open.
+    // A view can still be read after its log was closed.
     let (log, _) = Log::open(disk.copy(), options()).expect("opened");
     let view = log.view();
     drop(log);
     assert!(WORDS.scan(&view, "", 0).is_ok());
 }
 
-/// Guards against damage that looks like a torn end: a later batch says that it was on the disk for good.
+/// Guards against damage that looks like a torn end: a later batch counts the damaged one as synced.
 #[test]
-fn damage_in_the_middle_is_named_and_salvage_says_what_it_dropped() {
+fn damage_in_the_middle_is_reported_and_salvage_reports_what_it_dropped() {
     let disk = SimDisk::default();
     let (mut log, _) = Log::open(disk.clone(), Options::default()).expect("opened");
     for n in 0..10u64 {
@@ -115,62 +120,73 @@
     }
     drop(log);
     let name = disk.list().expect("listed")[0].clone();
-    let mut bytes = disk.bytes(&name).expect("there");
-    let at = bytes.len() / 2;
-    bytes[at] ^= 0x10;
+    let mut bytes = disk.bytes(&name).expect("the file exists");
+    let flipped = bytes.len() / 2;
+    bytes[flipped] ^= 0x10;
     let damaged = disk.copy();
     damaged.overwrite(&name, bytes.clone());
-    let Err(Error::Damaged { file, offset, .. }) = check(damaged.copy(), None) else { panic!("not named") };
-    assert!(file == name && (offset as usize) <= at && at - (offset as usize) < 64, "{file} {offset} {at}");
+    let Err(Error::Damaged { file, offset, .. }) = check(damaged.copy(), None) else {
+        panic!("the damage was not reported")
+    };
+    assert!(
+        file == name && (offset as usize) <= flipped && flipped - (offset as usize) < 64,
+        "{file} {offset} {flipped}"
+    );
     let to = SimDisk::default();
     let salvaged = salvage(damaged, to.clone(), None).expect("salvaged");
-    assert_eq!((salvaged.keys, salvaged.dropped.len(), salvaged.missing.len()), (9, 1, 1));
-    assert_eq!(salvaged.dropped[0].at, offset);
-    let lost = salvaged.missing[0].0;
+    assert_eq!((salvaged.keys, salvaged.unreadable.len(), salvaged.missing_batches.len()), (9, 1, 1));
+    assert_eq!(salvaged.unreadable[0].offset, offset);
+    let lost_sequence = salvaged.missing_batches[0].0;
     let (log, _) = Log::open(to.copy(), Options::default()).expect("opened");
     let kept = COUNTS.scan(&log.view(), &0, 0);
     assert!(kept.is_ok());
     for n in 0..10u64 {
         let found = COUNTS.get(&log.view(), &n, 0).expect("readable");
-        assert_eq!(found, (n + 1 != lost).then_some(n));
+        assert_eq!(found, (n + 1 != lost_sequence).then_some(n));
     }
 }
 
-/// Guards against files of another program, another format, another key and another process.
+/// Guards against files of another program, another format and another key, and against a second process.
 #[test]
-fn what_is_not_ours_is_refused_by_name() {
+fn foreign_files_and_wrong_keys_are_rejected() {
     let disk = SimDisk::default();
-    written(&disk);
+    write_store(&disk);
     let first = disk.list().expect("listed")[0].clone();
-    let open = |disk: SimDisk, secret| {
-        Log::open(disk, Options { secret, ..options() }).map(|_| ()).expect_err("refused")
+    let open = |disk: SimDisk, mac_key| {
+        Log::open(disk, Options { mac_key, ..options() }).map(|_| ()).expect_err("rejected")
     };
     let foreign = disk.copy();
     foreign.overwrite("notes.txt", b"hello".to_vec());
     assert!(matches!(open(foreign, None), Error::Foreign { file } if file == "notes.txt"));
     let newer = disk.copy();
-    let mut head =
-        glenrail_store::frame::Head { number: 1, first: 1, last: 0, compacted: false, keyed: false }.encode();
-    head[8] = 9;
-    let crc = crc32fast_of(&head[..40]);
-    head[40..].copy_from_slice(&crc.to_le_bytes());
-    newer.overwrite(&first, head.to_vec());
+    let mut header = glenrail_store::frame::FileHeader {
+        number: 1,
+        first_sequence: 1,
+        last_sequence: 0,
+        compacted: false,
+        keyed: false,
+    }
+    .encode();
+    header[8] = 9;
+    let crc = crc32fast_of(&header[..40]);
+    header[40..].copy_from_slice(&crc.to_le_bytes());
+    newer.overwrite(&first, header.to_vec());
     assert!(matches!(open(newer, None), Error::Version { version: 9, .. }));
-    assert!(matches!(open(disk.copy(), Some([1; 32])), Error::Key { .. }));
-    let taken = disk.copy();
-    let (_held, _) = Log::open(taken.clone(), options()).expect("opened");
-    assert!(matches!(open(taken, None), Error::Taken));
-    let sealed = SimDisk::default();
-    let secret = Some([1; 32]);
-    let (mut log, _) = Log::open(sealed.clone(), Options { secret, ..options() }).expect("opened");
+    assert!(matches!(open(disk.copy(), Some([1; 32])), Error::KeyMismatch { .. }));
+    let locked = disk.copy();
+    let (_open_log, _) = Log::open(locked.clone(), options()).expect("opened");
+    assert!(matches!(open(locked, None), Error::Locked));
+    let with_key = SimDisk::default();
+    let mac_key = Some([1; 32]);
+    let (mut log, _) = Log::open(with_key.clone(), Options { mac_key, ..options() }).expect("opened");
     log.stage(&Batch::new().put(&COUNTS, &1, &1).expect("a batch"))
         .and_then(|_| log.flush())
         .expect("written");
     assert!(matches!(
-        open(sealed.copy(), Some([2; 32])),
-        Error::Damaged { what: "sealed with another key", .. }
+        open(with_key.copy(), Some([2; 32])),
+        Error::Damaged { what: "written with another key", .. }
     ));
-    assert!(Log::open(sealed.copy(), Options { secret, ..options() }).is_ok());
+    assert!(Log::open(with_key.copy(), Options { mac_key, ..options() }).is_ok());
 }
 
 fn crc32fast_of(bytes: &[u8]) -> u32 {
@@ -178,20 +194,21 @@
 }
 
 fn open(path: &Path) -> Store {
-    let options = Options { segment: 4_096, ..Options::default() };
+    let options = Options { segment_bytes: 4_096, ..Options::default() };
     Store::open(Folder::new(path).expect("a folder"), options).expect("opened").0
 }
 
-/// Guards the real disk and the thread: what was acknowledged is there after a restart, a view stays as it was while
-/// writers and compaction go on, a snapshot opens, and one process at a time has the folder.
+/// Guards the file system and the store's thread: acknowledged writes are there after a restart, a view does
+/// not change while writers and compaction continue, a snapshot opens, and only one process at a time opens
+/// the folder.
 #[test]
-fn the_machines_disk_keeps_what_was_acknowledged() {
+fn the_file_system_keeps_acknowledged_writes() {
     let top = tempfile::tempdir().expect("a folder");
     let (path, copy) = (top.path().join("store"), top.path().join("copy"));
     let store = open(&path);
     assert!(matches!(
         Store::open(Folder::new(&path).expect("a folder"), Options::default()),
-        Err(Error::Taken)
+        Err(Error::Locked)
     ));
     let put = |n: u64, v: u64| Batch::new().put(&COUNTS, &n, &v).expect("a batch");
     for n in 0..500 {
@@ -199,22 +216,23 @@
     }
     let before = store.view();
     for n in 500..5_000 {
-        store.submit(put(n % 50, n), Durability::Buffered, |_| ()).expect("taken");
+        store.submit(put(n % 50, n), Durability::Buffered, |_| ()).expect("accepted");
         if n % 1_000 == 0 {
             store.write(Batch::new(), Durability::Synced).expect("synced");
         }
     }
     let last = store.write(put(7, 1_000_000), Durability::Synced).expect("written");
-    assert_eq!(COUNTS.get(&before, &7, 0).expect("readable"), Some(457), "a view stays as it was");
-    let (value, version) = COUNTS.get_versioned(&store.view(), &7, 0).expect("readable").expect("there");
+    assert_eq!(COUNTS.get(&before, &7, 0).expect("readable"), Some(457), "a view does not change");
+    let (value, version) =
+        COUNTS.get_versioned(&store.view(), &7, 0).expect("readable").expect("the key exists");
     assert_eq!((value, version), (1_000_000, last));
-    // Compare and set: only for whoever saw the last value.
+    // Compare-and-set succeeds only with the latest version.
     let stale = put(7, 1).expect(&COUNTS, &7, Some(version - 1));
-    assert!(matches!(store.write(stale, Durability::Flushed), Err(Error::Conflict)));
+    assert!(matches!(store.write(stale, Durability::Flushed), Err(Error::VersionConflict)));
     store.write(put(7, 8).expect(&COUNTS, &7, Some(version)), Durability::Flushed).expect("written");
     store.snapshot(Folder::new(&copy).expect("a folder"), 0).expect("copied");
-    let figures = store.figures();
-    assert!(figures.groups < figures.batches, "{figures:?}");
+    let stats = store.stats();
+    assert!(stats.groups < stats.batches, "{stats:?}");
     drop(store);
     for path in [&path, &copy] {
         let store = open(path);
@@ -224,9 +242,10 @@
     }
 }
 
-/// Guards values that expire: gone by the caller's clock at once, from the disk with compaction, and never back.
+/// Guards values that expire: they cannot be read from their expiry on, compaction removes them, and they
+/// never reappear.
 #[test]
-fn what_has_expired_does_not_come_back() {
+fn expired_values_do_not_reappear() {
     let disk = SimDisk::default();
     let (mut log, _) = Log::open(disk.clone(), options()).expect("opened");
     let put = |log: &mut Log<SimDisk>, v: &str, until: Option<u64>| {
--- a/crates/store/tests/kill.rs
+++ b/crates/store/tests/kill.rs
@@ -1,4 +1,4 @@
-//! A process that is killed while it writes keeps what it was told was there.
+//! A process that is killed while it writes keeps what it acknowledged.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -11,34 +11,34 @@
 const KEYS: u64 = 16;
 
 fn open(path: &Path) -> Store {
-    let mut options = Options { segment: 16 << 10, ..Options::default() };
-    // Compaction all the time, so that kills fall into it too.
-    options.compaction.worth = 1 << 10;
+    let mut options = Options { segment_bytes: 16 << 10, ..Options::default() };
+    // Compaction runs all the time, so that kills interrupt it, too.
+    options.compaction.min_dead_bytes = 1 << 10;
     Store::open(Folder::new(path).expect("a folder"), options).expect("opened").0
 }
 
-fn newest(store: &Store) -> u64 {
+fn highest_count(store: &Store) -> u64 {
     let view = store.view();
     (0..KEYS).filter_map(|key| COUNTS.get(&view, &key, 0).expect("readable")).max().unwrap_or(0)
 }
 
-/// The process that is killed: counts on from what it finds and tells each count once it is acknowledged.
+/// The process that is killed. It counts on from what it finds and prints each count once it is acknowledged.
 #[test]
-#[ignore = "the other test runs it, in a process of its own"]
+#[ignore = "run by the other test, in a separate process"]
 fn child() {
     let store = open(Path::new(&std::env::var_os(FOLDER).expect("a folder")));
-    let mut n = newest(&store);
+    let mut count = highest_count(&store);
     loop {
-        n += 1;
+        count += 1;
         store
-            .write(Batch::new().put(&COUNTS, &(n % KEYS), &n).expect("a batch"), Durability::Flushed)
+            .write(Batch::new().put(&COUNTS, &(count % KEYS), &count).expect("a batch"), Durability::Flushed)
             .expect("written");
-        println!("\nacknowledged {n}");
+        println!("\nacknowledged {count}");
     }
 }
 
-/// Guards what operators are owed: SIGKILL at any moment, in the middle of a write or of a compaction, takes back
-/// nothing that was acknowledged as flushed, and the store opens. `GLENRAIL_KILLS` has it killed more often.
+/// Guards against lost writes: SIGKILL at any moment, also during a write or a compaction, loses nothing that
+/// was acknowledged as flushed, and the store opens again. `GLENRAIL_KILLS` sets the number of kills.
 #[test]
 fn a_killed_process_keeps_what_it_acknowledged() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -55,20 +55,24 @@
         let lines = BufReader::new(child.stdout.take().expect("its output")).lines();
         let counts =
             lines.map_while(Result::ok).filter_map(|l| l.strip_prefix("acknowledged ")?.parse::<u64>().ok());
-        // What it still said between the kill being sent and being felt counts too.
-        let mut told = Vec::new();
+        // Counts that are printed before the signal takes effect are acknowledged, too.
+        let mut acknowledged_counts = Vec::new();
         for count in counts {
-            told.push(count);
-            if told.len() as u64 == 50 + 37 * (kill % 7) {
+            acknowledged_counts.push(count);
+            if acknowledged_counts.len() as u64 == 50 + 37 * (kill % 7) {
                 child.kill().expect("killed");
             }
         }
         child.wait().expect("ended");
-        assert_eq!(told.first().copied(), Some(last + 1), "kill {kill}: it went on from what was there");
-        let acknowledged = *told.last().expect("a count");
+        assert_eq!(
+            acknowledged_counts.first().copied(),
+            Some(last + 1),
+            "kill {kill}: it continues from the recovered count"
+        );
+        let acknowledged = *acknowledged_counts.last().expect("a count");
         let store = open(folder.path());
-        last = newest(&store);
-        // The one that was being written may be there as well.
+        last = highest_count(&store);
+        // The count that was being written may be there as well.
         assert!((acknowledged..=acknowledged + 1).contains(&last), "kill {kill}: {acknowledged} and {last}");
         assert_eq!(store.view().len() as u64, KEYS);
     }
--- a/crates/store/tests/model.rs
+++ b/crates/store/tests/model.rs
@@ -1,8 +1,8 @@
-//! The store against a plain map, on a disk that lies: a crash at every call, a full disk, failed syncs.
+//! The store against a plain map on a simulated disk: a crash at every call, a full disk, failed syncs.
 
 use std::collections::BTreeMap;
 
-use glenrail_store::sim::{SimDisk, Trouble};
+use glenrail_store::sim::{Fault, SimDisk};
 use glenrail_store::{Batch, Error, Keyspace, Log, Options};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Put(bool, u64, usize),
-    /// Both keyspaces at once.
+    /// Puts into both keyspaces in one batch.
     Both(u64, usize),
     Delete(bool, u64),
     Flush,
@@ -37,9 +37,9 @@
 }
 
 fn options() -> Options {
-    let mut options = Options { segment: 500, ..Options::default() };
-    options.compaction.garbage = 0.2;
-    options.compaction.worth = 1;
+    let mut options = Options { segment_bytes: 500, ..Options::default() };
+    options.compaction.min_dead_share = 0.2;
+    options.compaction.min_dead_bytes = 1;
     options
 }
 
@@ -53,22 +53,23 @@
     all(false, &A).into_iter().chain(all(true, &B)).collect()
 }
 
-/// What a run leaves: every state after each batch taken, which was flushed last and which synced last.
-struct Ran {
+/// Result of a run: the state after each accepted batch, and the indices of the last flushed and the last
+/// synced state.
+struct Outcome {
     states: Vec<Map>,
     flushed: usize,
     synced: usize,
 }
 
-/// Plays the steps until the disk gives out.
-fn play(disk: &SimDisk, steps: &[Step]) -> Ran {
-    let mut ran = Ran { states: vec![Map::new()], flushed: 0, synced: 0 };
-    let Ok((mut log, _)) = Log::open(disk.clone(), options()) else { return ran };
-    // What is staged and not flushed.
+/// Runs the steps until the disk fails.
+fn run_steps(disk: &SimDisk, steps: &[Step]) -> Outcome {
+    let mut outcome = Outcome { states: vec![Map::new()], flushed: 0, synced: 0 };
+    let Ok((mut log, _)) = Log::open(disk.clone(), options()) else { return outcome };
+    // States of the batches that are staged and not flushed.
     let mut staged = Vec::new();
     for (n, step) in steps.iter().enumerate() {
         let fill = |size: &usize| vec![n as u8; *size];
-        let mut next = staged.last().or(ran.states.last()).cloned().expect("a state");
+        let mut next = staged.last().or(outcome.states.last()).cloned().expect("a state");
         let batch = match step {
             Step::Put(space, key, size) => {
                 next.insert((*space, *key), fill(size));
@@ -84,123 +85,130 @@
                 Ok(Batch::new().delete(if *space { &B } else { &A }, key))
             }
             Step::Flush | Step::Sync | Step::Compact => {
-                let done = match step {
+                let result = match step {
                     Step::Compact => log.compact(0, 200).map(|_| ()),
                     _ => log.flush(),
                 };
-                // A compaction that began has flushed and synced what was staged before it went on, or failed.
-                let began = log.sequence().1 as usize >= ran.states.len() - 1 + staged.len();
-                match done {
-                    Ok(()) | Err(Error::Full) if matches!(step, Step::Compact) => {
-                        if log.sequence().0 as usize + 1 == ran.states.len() {
-                            // The disk was full for what was staged.
+                // A compaction that began has first flushed and synced what was staged, even if it failed
+                // later.
+                let began_compaction = log.sequences().1 as usize >= outcome.states.len() - 1 + staged.len();
+                match result {
+                    Ok(()) | Err(Error::DiskFull) if matches!(step, Step::Compact) => {
+                        if log.sequences().0 as usize + 1 == outcome.states.len() {
+                            // The disk was full for the staged batches, so that none of them was written.
                             staged.clear();
-                        } else if began {
-                            ran.states.append(&mut staged);
-                            ran.flushed = ran.states.len() - 1;
-                            ran.synced = ran.flushed;
+                        } else if began_compaction {
+                            outcome.states.append(&mut staged);
+                            outcome.flushed = outcome.states.len() - 1;
+                            outcome.synced = outcome.flushed;
                         }
                     }
                     Ok(()) => {
-                        ran.states.append(&mut staged);
-                        ran.flushed = ran.states.len() - 1;
+                        outcome.states.append(&mut staged);
+                        outcome.flushed = outcome.states.len() - 1;
                     }
-                    // None of it is there, and the store goes on.
-                    Err(Error::Full) => staged.clear(),
+                    // None of the staged batches was written, and the store continues.
+                    Err(Error::DiskFull) => staged.clear(),
                     Err(_) => {
-                        ran.states.append(&mut staged);
-                        return ran;
+                        outcome.states.append(&mut staged);
+                        return outcome;
                     }
                 }
                 if matches!(step, Step::Sync) {
                     if log.sync().is_err() {
-                        return ran;
+                        return outcome;
                     }
-                    ran.synced = ran.flushed;
+                    outcome.synced = outcome.flushed;
                 }
                 continue;
             }
         };
         match log.stage(&batch.expect("a batch")) {
             Ok(_) => staged.push(next),
-            Err(Error::Full) => {}
+            Err(Error::DiskFull) => {}
             Err(_) => {
-                ran.states.append(&mut staged);
-                return ran;
+                outcome.states.append(&mut staged);
+                return outcome;
             }
         }
-        ran.synced = ran.synced.max((log.sequence().1 as usize).min(ran.states.len() - 1));
+        outcome.synced = outcome.synced.max((log.sequences().1 as usize).min(outcome.states.len() - 1));
     }
-    // Staged and never flushed: lost, or not, as a crash would have it. Here nothing was handed over.
-    assert_eq!(contents(&log), ran.states[ran.flushed], "what readers see");
-    ran
+    // Readers do not see batches that were staged and never flushed.
+    assert_eq!(contents(&log), outcome.states[outcome.flushed], "what readers see");
+    outcome
 }
 
-/// What a store opens to must be one of the states from here on.
-fn opens_to_a_prefix(disk: &SimDisk, ran: &Ran, least: usize, why: &str) {
+/// Checks that the store opens to one of the states from `oldest_allowed` on.
+fn opens_to_a_prefix(disk: &SimDisk, outcome: &Outcome, oldest_allowed: usize, why: &str) {
     let (log, _) = Log::open(disk.clone(), options()).unwrap_or_else(|e| panic!("{why}: {e}"));
     let found = contents(&log);
-    let known = ran.states[least..].contains(&found);
-    assert!(known, "{why}: {found:?} is none of {:?}", &ran.states[least..]);
+    let is_allowed = outcome.states[oldest_allowed..].contains(&found);
+    assert!(is_allowed, "{why}: {found:?} is none of {:?}", &outcome.states[oldest_allowed..]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever the steps and wherever the machine stops: what comes back is a state that was, no older than the last
-    /// sync; where only the process ends, no older than the last flush. And a crash while recovering changes nothing.
+    /// Guards against invented and lost batches: wherever the machine stops, the store opens to an earlier
+    /// state, no older than the last sync, or than the last flush if only the process has ended. A crash
+    /// during the recovery does not change this.
     #[test]
     fn a_crash_at_any_call_leaves_a_prefix(steps in prop::collection::vec(step(), 1..40), seed: u64) {
         let whole = SimDisk::default();
-        play(&whole, &steps);
+        run_steps(&whole, &steps);
         for call in 0..=whole.calls() {
             let disk = SimDisk::default();
-            disk.trouble_at(call, Trouble::Crash);
-            let ran = play(&disk, &steps);
-            let kind = disk.after_crash(seed, true);
-            opens_to_a_prefix(&kind, &ran, ran.flushed, &format!("process ended at call {call}"));
+            disk.inject_fault(call, Fault::Crash);
+            let outcome = run_steps(&disk, &steps);
+            let process_ended = disk.after_crash(seed, true);
+            opens_to_a_prefix(&process_ended, &outcome, outcome.flushed, &format!("process ended at call {call}"));
             for n in 0..2 {
                 let crashed = disk.after_crash(seed.wrapping_add(n), false);
                 crashed.short_reads();
-                opens_to_a_prefix(&crashed.copy(), &ran, ran.synced, &format!("crash at call {call}"));
-                // A crash at every call of the recovery itself.
+                opens_to_a_prefix(&crashed.copy(), &outcome, outcome.synced, &format!("crash at call {call}"));
+                // A crash at every call of the recovery.
                 let recovering = crashed.copy();
                 let _ = Log::open(recovering.clone(), options());
                 for again in 0..recovering.calls() {
                     let twice = crashed.copy();
-                    twice.trouble_at(again, Trouble::Crash);
+                    twice.inject_fault(again, Fault::Crash);
                     let _ = Log::open(twice.clone(), options());
                     let why = format!("crash at call {call}, and at {again} of the recovery");
-                    opens_to_a_prefix(&twice.after_crash(seed, false), &ran, ran.synced, &why);
+                    opens_to_a_prefix(&twice.after_crash(seed, false), &outcome, outcome.synced, &why);
                 }
             }
         }
     }
 
-    /// A disk that is full at any call: the batch is turned down whole, and the store goes on; what it says it took is
-    /// there after a restart.
+    /// Guards against a full disk at any call: the whole batch is rejected, the store continues, and what was
+    /// flushed is there after a restart.
     #[test]
-    fn a_full_disk_turns_down_and_goes_on(steps in prop::collection::vec(step(), 1..40)) {
+    fn a_full_disk_rejects_batches_and_the_store_continues(steps in prop::collection::vec(step(), 1..40)) {
         let whole = SimDisk::default();
-        play(&whole, &steps);
+        run_steps(&whole, &steps);
         for call in 0..=whole.calls() {
             let disk = SimDisk::default();
-            disk.trouble_at(call, Trouble::Full);
-            let ran = play(&disk, &steps);
-            opens_to_a_prefix(&disk.after_crash(0, true), &ran, ran.flushed, &format!("full at call {call}"));
+            disk.inject_fault(call, Fault::Full);
+            let outcome = run_steps(&disk, &steps);
+            opens_to_a_prefix(
+                &disk.after_crash(0, true), &outcome, outcome.flushed, &format!("full at call {call}")
+            );
         }
     }
 
-    /// A disk that fails at any call, a sync among them: nothing more is taken, and nothing synced is lost.
+    /// Guards against a disk that fails at any call, also at a sync: the store accepts nothing more, and
+    /// nothing that was synced is lost.
     #[test]
     fn a_failing_disk_stops_the_store(steps in prop::collection::vec(step(), 1..40), seed: u64) {
         let whole = SimDisk::default();
-        play(&whole, &steps);
+        run_steps(&whole, &steps);
         for call in 0..=whole.calls() {
             let disk = SimDisk::default();
-            disk.trouble_at(call, Trouble::Io);
-            let ran = play(&disk, &steps);
-            opens_to_a_prefix(&disk.after_crash(seed, false), &ran, ran.synced, &format!("failed at call {call}"));
+            disk.inject_fault(call, Fault::Io);
+            let outcome = run_steps(&disk, &steps);
+            opens_to_a_prefix(
+                &disk.after_crash(seed, false), &outcome, outcome.synced, &format!("failed at call {call}")
+            );
         }
     }
 }
--- a/crates/store/tests/stored_files.rs
+++ b/crates/store/tests/stored_files.rs
@@ -1,34 +1,36 @@
-//! The files of a store as an earlier build wrote them: the present code writes the same bytes and reads them back.
+//! The files of a store as an earlier build wrote them: the present code writes the same bytes and reads them
+//! back.
 //!
-//! Where the bytes differ, what was written is left under the target folder, at the path that the failure names.
+//! If the bytes differ, the written files are kept under the target folder, at the path in the failure
+//! message.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use glenrail_store::disk::{Disk, LOCK};
+use glenrail_store::disk::{Disk, LOCK_FILE};
 use glenrail_store::sim::SimDisk;
-use glenrail_store::{Batch, Folder, Keyspace, Log, Options, Recovered, Store, View};
+use glenrail_store::{Batch, Folder, Keyspace, Log, Options, RecoveryReport, Store, View};
 
 const WORDS: Keyspace<str, String> = Keyspace::new(1);
 const COUNTS: Keyspace<u64, u64> = Keyspace::new(2);
 const PARTS: Keyspace<[u8], Vec<u8>> = Keyspace::new(0x0301);
 
-/// Time of the compaction: one value has expired by then, another one has not.
-const COMPACTION: u64 = 2_000;
+/// Time of the compaction (ms). One value has expired by then, another one has not.
+const COMPACTION_TIME_MS: u64 = 2_000;
 
 type Files = BTreeMap<String, Vec<u8>>;
 
-fn options(sealed: bool) -> Options {
-    let secret = sealed.then_some([7; 32]);
-    let mut options = Options { segment: 300, secret, ..Options::default() };
-    options.compaction.worth = 1;
+fn options(with_key: bool) -> Options {
+    let mac_key = with_key.then_some([7; 32]);
+    let mut options = Options { segment_bytes: 300, mac_key, ..Options::default() };
+    options.compaction.min_dead_bytes = 1;
     options
 }
 
-/// Options with which a store that is open leaves the files as they are.
-fn without_compaction(sealed: bool) -> Options {
-    Options { compaction: Options::default().compaction, ..options(sealed) }
+/// Returns options with which opening a store does not change its files.
+fn without_compaction(with_key: bool) -> Options {
+    Options { compaction: Options::default().compaction, ..options(with_key) }
 }
 
 fn word(key: &str, value: &str) -> Batch {
@@ -39,7 +41,7 @@
     Batch::new().put_until(&WORDS, key, &value.to_string(), expires).expect("a batch")
 }
 
-/// Versions 1 to 12, each flushed alone.
+/// Returns the batches with versions 1 to 12, each of which is flushed alone.
 fn before_compaction() -> Vec<Batch> {
     let mut batches = vec![
         word("kept", "first").put(&COUNTS, &7, &49).expect("a batch"),
@@ -53,7 +55,8 @@
     batches
 }
 
-/// Versions 13 to 16, flushed together: one log with several frames.
+/// Returns the batches with versions 13 to 16, which are flushed together, so that one file has several
+/// frames.
 fn after_compaction() -> Vec<Batch> {
     vec![
         word("status", "last"),
@@ -63,16 +66,16 @@
     ]
 }
 
-fn write(sealed: bool) -> SimDisk {
+fn write(with_key: bool) -> SimDisk {
     let disk = SimDisk::default();
-    let (mut log, _) = Log::open(disk.clone(), options(sealed)).expect("opened");
+    let (mut log, _) = Log::open(disk.clone(), options(with_key)).expect("opened");
     for batch in before_compaction() {
         log.stage(&batch).expect("staged");
         log.flush().expect("flushed");
     }
     log.sync().expect("synced");
-    while log.compact(COMPACTION, 1 << 20).expect("compacted") {}
-    assert!(log.copied > 0, "something was compacted");
+    while log.compact(COMPACTION_TIME_MS, 1 << 20).expect("compacted") {}
+    assert!(log.copied_bytes > 0, "something was compacted");
     for batch in after_compaction() {
         log.stage(&batch).expect("staged");
     }
@@ -81,7 +84,7 @@
     disk
 }
 
-/// A snapshot of the stored files without a key.
+/// Returns a snapshot of the stored files that were written without a key.
 fn snapshot() -> SimDisk {
     let (store, _) = Store::open(disk_of(&stored("plain")), without_compaction(false)).expect("opened");
     let copy = SimDisk::default();
@@ -91,7 +94,7 @@
 
 fn files(disk: &SimDisk) -> Files {
     let names = disk.list().expect("listed").into_iter();
-    names.map(|name| (name.clone(), disk.bytes(&name).expect("there"))).collect()
+    names.map(|name| (name.clone(), disk.bytes(&name).expect("the file exists"))).collect()
 }
 
 fn disk_of(files: &Files) -> SimDisk {
@@ -133,7 +136,7 @@
     pairs.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect()
 }
 
-/// Values and versions that every one of the stored sets of files holds.
+/// Checks the values and versions that each of the stored sets of files holds.
 fn assert_contents(view: &View) {
     let lasting = [("kept", "second"), ("short", ""), ("status", "last")];
     let before_expiry = [("expires", "later"), lasting[0], lasting[1], lasting[2]];
@@ -148,14 +151,20 @@
     assert_eq!(view.len(), 7);
 }
 
-/// Opens stored files on the simulated disk; nothing in them is cut, removed or changed.
-fn assert_opens(name: &str, sealed: bool) {
+/// Checks that stored files open on the simulated disk, and that nothing in them is cut, removed or changed.
+fn assert_opens(name: &str, with_key: bool) {
     let stored = stored(name);
     let disk = disk_of(&stored);
-    let (log, recovered) = Log::open(disk.clone(), without_compaction(sealed)).expect("opened");
+    let (log, recovered) = Log::open(disk.clone(), without_compaction(with_key)).expect("opened");
     assert_contents(&log.view());
     let bytes = stored.values().map(|file| file.len() as u64).sum();
-    let expected = Recovered { files: stored.len(), keys: 7, bytes, sequence: 16, ..Recovered::default() };
+    let expected = RecoveryReport {
+        files: stored.len(),
+        keys: 7,
+        bytes,
+        last_sequence: 16,
+        ..RecoveryReport::default()
+    };
     assert_eq!(recovered, expected);
     assert_eq!(files(&disk), stored);
 }
@@ -166,7 +175,7 @@
 }
 
 #[test]
-fn the_same_batches_are_sealed_as_the_same_bytes() {
+fn the_same_batches_are_written_with_a_key_as_the_same_bytes() {
     assert_same_as_stored("sealed", &files(&write(true)));
 }
 
@@ -181,7 +190,7 @@
 }
 
 #[test]
-fn sealed_stored_files_open_to_their_contents() {
+fn stored_files_with_a_key_open_to_their_contents() {
     assert_opens("sealed", true);
 }
 
@@ -199,6 +208,6 @@
     assert_contents(&store.view());
     drop(store);
     let mut after = files_of_folder(folder.path());
-    assert_eq!(after.remove(LOCK), Some(Vec::new()));
+    assert_eq!(after.remove(LOCK_FILE), Some(Vec::new()));
     assert_eq!(after, stored);
 }
