--- a/crates/overload/examples/figures/talking.rs
+++ b/crates/overload/examples/figures/coordinated.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeMap;
 
-use glenrail_overload::alone::Alone;
 use glenrail_overload::amplification::{Amplification, Guard};
 use glenrail_overload::budget::{Budget, Message, Spare, Terms};
 use glenrail_overload::level::{Class, Fleet, Heard, Level, RoleWait, Wish, Word, GONE};
-use glenrail_overload::order::{Admission, Request, RetryAfter, Served, Verdict};
+use glenrail_overload::priority::{Admission, Request, RetryAfter, Served, Verdict};
+use glenrail_overload::standalone::Alone;
 use glenrail_overload::{wire, Ms, PerMille};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::gates::{Gates, Turn, AIM, GATEWAYS};
+use super::policy::{Gates, Turn, AIM, GATEWAYS};
 
 /// Words are told so often (ms); one in twenty datagrams is lost.
 const EACH: Ms = 200;
--- a/crates/overload/examples/figures/cost.rs
+++ b/crates/overload/examples/figures/cost.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use glenrail_overload::level::{Class, Fleet, Heard, RoleWait, Word};
-use glenrail_overload::order::{Admission, Place, Request, RetryAfter, Served};
+use glenrail_overload::priority::{Admission, Place, Request, RetryAfter, Served};
 use glenrail_overload::wire;
 
 const TIMES: u32 = 10_000;
--- a/crates/overload/examples/figures/lone.rs
+++ b/crates/overload/examples/figures/independent.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::gates::{Gates, Turn, AIM, GATEWAYS};
+use super::policy::{Gates, Turn, AIM, GATEWAYS};
 
 const LATEST: f64 = 0.7;
 const EARN: f64 = 0.1;
--- a/crates/overload/examples/figures/main.rs
+++ b/crates/overload/examples/figures/main.rs
@@ -3,14 +3,14 @@
 //!
 //! `cargo run --release -p glenrail-overload --example figures`
 
+mod coordinated;
 mod cost;
-mod gates;
-mod lone;
-mod talking;
-mod world;
+mod independent;
+mod policy;
+mod simulation;
 
-use gates::Way;
-use world::{Day, Figures};
+use policy::Way;
+use simulation::{Day, Figures};
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
@@ -20,7 +20,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for day in [Day::Calm, Day::Rush, Day::Killed, Day::Skewed] {
         for way in [Way::Lone, Way::NoTalk, Way::Talking] {
-            let runs: Vec<Figures> = SEEDS.map(|seed| world::play(day, way, seed)).collect();
+            let runs: Vec<Figures> = SEEDS.map(|seed| simulation::play(day, way, seed)).collect();
             let cell = |value: fn(&Figures) -> f64, worst_is_least: bool| {
                 let values = || runs.iter().map(value);
                 let worst = if worst_is_least {
--- a/crates/overload/examples/figures/gates.rs
+++ b/crates/overload/examples/figures/policy.rs
@@ -1,9 +1,9 @@
 //! What a way of admitting decides; the world asks it.
 
-use glenrail_overload::order::Place;
+use glenrail_overload::priority::Place;
 use glenrail_overload::Ms;
 
-use super::{lone::Lone, talking::Talking};
+use super::{coordinated::Talking, independent::Lone};
 
 pub const GATEWAYS: usize = 3;
 /// To the first token.
--- a/crates/overload/examples/figures/world.rs
+++ b/crates/overload/examples/figures/simulation.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BinaryHeap;
 
-use glenrail_overload::order::{band, Place, Repeat};
+use glenrail_overload::priority::{band, Place, Repeat};
 use glenrail_overload::Ms;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::gates::{gates, Gates, Turn, Way, AIM, GATEWAYS};
+use super::policy::{gates, Gates, Turn, Way, AIM, GATEWAYS};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Day {
--- a/crates/overload/src/budget/machine.rs
+++ b/crates/overload/src/budget/machine.rs
@@ -2,11 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::held::Held as Leases;
-use super::tenure::{Estates, Votes};
+use super::borrower::Held as Leases;
+use super::share_voting::{Estates, Votes};
 #[cfg(feature = "mutants")]
 use super::Fault;
-use super::{lent::Lent, purse::Purse, Ask, Grant, HearError, Held, Hold, Spare, Terms, TermsError, Units};
+use super::{
+    lender::Lent, token_bucket::Purse, Ask, Grant, HearError, Held, Hold, Spare, Terms, TermsError, Units,
+};
 use crate::{portion, Life, Member, Ms, PerMille, WHOLE};
 
 /// What travels between two members. Lost, doubled, late and reordered ones do no harm.
--- a/crates/overload/src/budget/mod.rs
+++ b/crates/overload/src/budget/mod.rs
@@ -6,25 +6,25 @@
 //! lost, doubled, late, stopped or dead. What a dead member owned is inherited where the terms name witnesses, and lies
 //! idle until it is back where they do not. [`Budget`] is the machine; a [`Message`] is what travels between members.
 
+mod borrower;
+mod config;
 mod error;
 #[cfg(feature = "mutants")]
 mod fault;
-mod held;
-mod lent;
+mod lender;
 mod machine;
 mod plan;
-mod purse;
-mod tenure;
-mod terms;
+mod share_voting;
+mod token_bucket;
 
+pub use borrower::{Ask, Grant};
+pub use config::Terms;
 pub use error::{HearError, TermsError};
 #[cfg(feature = "mutants")]
 pub use fault::Fault;
-pub use held::{Ask, Grant};
 pub use machine::{Budget, Message, Permit};
 pub use plan::Spare;
-pub use tenure::{Held, Hold};
-pub use terms::Terms;
+pub use share_voting::{Held, Hold};
 
 /// A rate of spending: thousandths of a retry or probe a second.
 pub type Units = u32;
--- a/crates/overload/src/level/mod.rs
+++ b/crates/overload/src/level/mod.rs
@@ -4,17 +4,17 @@
 //! members come to the same from the same words in any order; what each acts on follows it at a bounded rate
 //! ([`Level`]), and whoever has heard the same for [`SETTLES`] milliseconds stands at the same.
 
+mod applied;
+mod desired;
 mod fleet;
-mod follow;
+mod report;
 mod traffic;
-mod wish;
-mod word;
 
+pub use applied::{Level, MOST_A_SECOND, SETTLES};
+pub use desired::{Wish, CALM, FULL};
 pub use fleet::{Fleet, Heard, FRESH, GONE};
-pub use follow::{Level, MOST_A_SECOND, SETTLES};
+pub use report::{Class, RoleWait, Word, WordError};
 pub use traffic::{capped, Told};
-pub use wish::{Wish, CALM, FULL};
-pub use word::{Class, RoleWait, Word, WordError};
 
 #[cfg(test)]
 mod tests;
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,17 +1,17 @@
 //! What a fleet of gateways decides together when there is more to do than it can do: how much is turned away
-//! ([`level`]), who goes first ([`order`]), who may spend how much of a budget that the whole fleet shares
-//! ([`budget`]), and how far tries beget tries ([`amplification`]). Where gateways may not talk, [`alone`] makes the
+//! ([`level`]), who goes first ([`priority`]), who may spend how much of a budget that the whole fleet shares
+//! ([`budget`]), and how far tries beget tries ([`amplification`]). Where gateways may not talk, [`standalone`] makes the
 //! same decisions from what one of them has.
 //!
 //! Decisions only: no socket, no clock, no thread. Time is an argument in milliseconds on the caller's clock, which
 //! must not go back and must go on while the process is stopped. What decides is whole numbers, so that all
 //! members come to the same from the same words. `docs/one-fleet.md` has the promises and their limits.
 
-pub mod alone;
 pub mod amplification;
 pub mod budget;
 pub mod level;
-pub mod order;
+pub mod priority;
+pub mod standalone;
 pub mod wire;
 
 /// Milliseconds on a clock of the caller's; moments and lengths.
--- a/crates/overload/src/order/mod.rs
+++ b/crates/overload/src/priority/mod.rs
@@ -6,17 +6,17 @@
 
 mod admission;
 mod band;
-mod cut;
-mod place;
+mod cutoff;
 mod retry_after;
 mod served;
+mod session_hash;
 
 pub use admission::{Admission, Request, Verdict};
 pub use band::{band, Repeat};
-pub use cut::Cut;
-pub use place::Place;
+pub use cutoff::Cut;
 pub use retry_after::RetryAfter;
 pub use served::Served;
+pub use session_hash::Place;
 
 #[cfg(test)]
 mod tests;
--- a/crates/overload/tests/fleets.rs
+++ b/crates/overload/tests/fleets.rs
@@ -1,16 +1,16 @@
 //! The simulated fleets of the example `figures`, with bounds that its figures keep by far.
 
-#[path = "../examples/figures/gates.rs"]
-mod gates;
-#[path = "../examples/figures/lone.rs"]
-mod lone;
-#[path = "../examples/figures/talking.rs"]
-mod talking;
-#[path = "../examples/figures/world.rs"]
-mod world;
+#[path = "../examples/figures/coordinated.rs"]
+mod coordinated;
+#[path = "../examples/figures/independent.rs"]
+mod independent;
+#[path = "../examples/figures/policy.rs"]
+mod policy;
+#[path = "../examples/figures/simulation.rs"]
+mod simulation;
 
-use gates::Way;
-use world::{play, Day};
+use policy::Way;
+use simulation::{play, Day};
 
 /// Guards what the crate is for: more worth in a rush with a gateway killed, by fewer attempts, and an end to it.
 #[test]
@@ -21,7 +21,7 @@
         assert!(fleet.attempts <= 1.2 && fleet.attempts <= lone.attempts, "{day:?}: {fleet:?}");
         assert!(fleet.tries < lone.tries && fleet.back <= 5.0, "{day:?}: {fleet:?}");
         // The budget of a second, and what may be saved up of it.
-        assert!(fleet.retries <= f64::from(2 * talking::RETRIES / 1_000), "{day:?}: {fleet:?}");
+        assert!(fleet.retries <= f64::from(2 * coordinated::RETRIES / 1_000), "{day:?}: {fleet:?}");
     }
 }
 
