--- a/crates/overload/examples/figures/coordinated.rs
+++ b/crates/overload/examples/figures/coordinated.rs
@@ -1,4 +1,5 @@
-//! This crate's decisions, with words and messages that come late and are lost, or without talk.
+//! Gateways with this crate's decisions: they exchange reports and messages that arrive late or are lost, or
+//! none at all.
 
 use std::collections::BTreeMap;
 
@@ -16,13 +17,15 @@
 
 use super::policy::{AdmissionPolicy, Turn, FIRST_TOKEN_TARGET, GATEWAY_COUNT};
 
-/// Words are told so often (ms); one in twenty datagrams is lost.
+/// Interval of reports in milliseconds.
 const REPORT_INTERVAL: Ms = 200;
+/// Share of datagrams that are lost.
 const DATAGRAM_LOSS: f64 = 0.05;
-/// Queues that are aimed at.
+/// Target (ms) for the wait in the queues of engines.
 const QUEUE_WAIT_TARGET: Ms = FIRST_TOKEN_TARGET * 3 / 10;
-/// Retries of the whole fleet, and of first tries (thousandths).
+/// Retries per second of the whole fleet, in thousandths.
 pub const RETRY_BUDGET: u32 = 40_000;
+/// Further attempts in thousandths of first ones.
 const RETRY_RATIO: PerMille = 180;
 
 struct Gateway {
@@ -36,7 +39,7 @@
     class_rates: BTreeMap<u8, ClassRates>,
     work_by_band: BTreeMap<u8, u32>,
     sequence: u64,
-    /// The newest word of each member, and when it was told.
+    /// Newest report of each member, and the time at which it was sent.
     reports: BTreeMap<usize, (Ms, MemberReport)>,
     view: FleetView,
 }
@@ -50,7 +53,7 @@
     exchanges_messages: bool,
     rng: StdRng,
     gateways: Vec<Gateway>,
-    /// What is under way: when it comes, and to whom.
+    /// Datagrams in transit: arrival time, receiver and content.
     network: Vec<(Ms, usize, Datagram)>,
 }
 
@@ -76,7 +79,7 @@
             } else {
                 standalone.budget(RETRY_BUDGET, 1_000, 0)
             }
-            .expect("good terms");
+            .expect("a valid configuration");
             Gateway {
                 is_running: true,
                 desired: DesiredLevel::new(0),
@@ -119,7 +122,7 @@
             }
             match datagram {
                 Datagram::Report(from, sent_at, bytes) => {
-                    let report: MemberReport = wire::decode(&bytes).expect("our own format");
+                    let report: MemberReport = wire::decode(&bytes).expect("a report of this build");
                     let is_newer = gateway
                         .reports
                         .get(&from)
@@ -129,11 +132,11 @@
                     }
                 }
                 Datagram::Budget(from, bytes) => {
-                    let message: Message = wire::decode(&bytes).expect("our own format");
+                    let message: Message = wire::decode(&bytes).expect("a message of this build");
                     let share = gateway.view.traffic_shares.get(&(from as u64)).copied().unwrap_or(0);
                     if let Ok(Some(reply)) = gateway.budget.handle_message(now, from as u64, &message, share)
                     {
-                        let bytes = wire::encode(&reply).expect("a small message");
+                        let bytes = wire::encode(&reply).expect("a message within the maximum size");
                         self.send(now, from, Datagram::Budget(to, bytes));
                     }
                 }
@@ -141,7 +144,7 @@
         }
     }
 
-    /// One gateway tells its word, and takes in what it has heard.
+    /// Has one gateway evaluate the reports that it has received, and send its own.
     fn update_gateway(&mut self, now: Ms, n: usize, wait: Ms) {
         let gateway = &mut self.gateways[n];
         let queue_waits = vec![RoleQueueWait { role: 0, wait, target: QUEUE_WAIT_TARGET }];
@@ -158,7 +161,7 @@
             observed_fleet_attempts: None,
             spare_units: vec![gateway.budget.spare_units(now)],
         };
-        // Counts fade over about a second.
+        // Rates decay over about a second.
         for c in gateway.class_rates.values_mut() {
             for count in [
                 &mut c.arrivals,
@@ -202,8 +205,8 @@
         };
         let offers: Vec<LendingOffer> = gateway.reports.iter().filter_map(offer).collect();
         let lease_requests = gateway.budget.due_lease_requests(now, &offers);
-        let bytes = wire::encode(&report).expect("few classes");
-        // Whoever has told nothing for as long as a word counts is gone.
+        let bytes = wire::encode(&report).expect("a report within the maximum size");
+        // A member counts as unreachable once its last report is too old to count.
         let others = (0..GATEWAY_COUNT).filter(|other| *other != n);
         let (reachable, unreachable): (Vec<usize>, Vec<usize>) = others.partition(|other| {
             gateway.reports.get(other).is_some_and(|(sent_at, _)| now - sent_at < MAX_REPORT_AGE)
@@ -216,7 +219,7 @@
         let share_requests =
             share_requests.into_iter().map(|(to, request)| (to, Message::ShareRequest(request)));
         for (to, message) in lease_requests.chain(share_requests).collect::<Vec<_>>() {
-            let message = wire::encode(&message).expect("a small message");
+            let message = wire::encode(&message).expect("a message within the maximum size");
             self.send(now, to as usize, Datagram::Budget(n, message));
         }
         for to in (0..GATEWAY_COUNT).filter(|to| *to != n) {
--- a/crates/overload/examples/figures/cost.rs
+++ b/crates/overload/examples/figures/cost.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost: bytes of a word, and time on one core.
+//! Cost of the decisions: the size of a report, and the time on one core.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 
 const REPETITIONS: u32 = 10_000;
 
-/// A word of a busy member: eight classes, twelve bands.
+/// Returns the report of a busy member: eight classes, twelve bands.
 fn report() -> MemberReport {
     let class = |class| ClassRates {
         class,
@@ -42,12 +42,12 @@
 }
 
 pub fn print() {
-    println!("\na word: {} bytes", wire::encode(&report()).map_or(0, |bytes| bytes.len()));
+    println!("\na report: {} bytes", wire::encode(&report()).map_or(0, |bytes| bytes.len()));
     for members in [3, 12, 50] {
         let reports: Vec<ReceivedReport> =
             (0..members).map(|member| ReceivedReport { member, age: 100, report: report() }).collect();
         let elapsed = mean_nanoseconds(|_| _ = black_box(FleetView::from_reports(black_box(&reports))));
-        println!("the fleet from {members} words: {:.1} us", elapsed / 1_000.0);
+        println!("fleet view from {members} reports: {:.1} us", elapsed / 1_000.0);
     }
     let bounds = RetryAfterBounds { enabled: true, min: 200, max: 5_000 };
     let mut admission = Admission::new(bounds, ServedSessions::new(10_000, 60_000, 0));
@@ -60,5 +60,5 @@
         let session = SessionHash::new(&[3; 32], b"owner", &n.to_le_bytes());
         black_box(admission.decide(u64::from(n), &Request { band: 20, session, is_later_turn: false }));
     });
-    println!("a request's place and verdict: {decide:.0} ns");
+    println!("session hash and decision for a request: {decide:.0} ns");
 }
--- a/crates/overload/examples/figures/independent.rs
+++ b/crates/overload/examples/figures/independent.rs
@@ -1,5 +1,6 @@
-//! Each gateway for itself, by the rules of `crates/router/src/policy/load_shedding.rs` and `crates/router/src/policy/retries.rs`: refused by chance where a
-//! first token is expected late, and a retry is paid from a tenth of a retry that each request earns.
+//! Gateways that decide independently, by the rules of `crates/router/src/policy/load_shedding.rs` and
+//! `crates/router/src/policy/retries.rs`: requests are rejected at random when the first token is expected
+//! late, and each request earns a tenth of a retry.
 
 use glenrail_overload::Ms;
 use rand::rngs::StdRng;
@@ -7,10 +8,13 @@
 
 use super::policy::{AdmissionPolicy, Turn, FIRST_TOKEN_TARGET, GATEWAY_COUNT};
 
+/// Part of the target above which requests are rejected.
 const SHED_ABOVE: f64 = 0.7;
+/// Retries that each request earns.
 const RETRY_EARNED_PER_REQUEST: f64 = 0.1;
+/// Maximum number of retries that a gateway saves up.
 const MAX_SAVED_RETRIES: f64 = 30.0;
-/// What a retry after a quick error costs.
+/// Cost of a retry after an immediate error, in retries.
 const QUICK_ERROR_RETRY_COST: f64 = 0.1;
 
 pub struct IndependentGateways {
--- a/crates/overload/examples/figures/main.rs
+++ b/crates/overload/examples/figures/main.rs
@@ -1,5 +1,6 @@
-//! Prints what the fleet's decisions are worth beside each gateway for itself, in simulated fleets: a rush at twice
-//! the capacity for 20 s, engines that err at once, clients that come back at once, one of three gateways killed.
+//! Compares this crate's decisions with gateways that decide independently, in simulated fleets: a surge of
+//! twice the capacity for 20 s, engines that fail at once, clients that retry at once, and the failure of one
+//! of three gateways.
 //!
 //! `cargo run --release -p glenrail-overload --example figures`
 
@@ -15,8 +16,10 @@
 const SEEDS: std::ops::Range<u64> = 1..6;
 
 fn main() {
-    println!("mean (worst) of seeds {SEEDS:?}; worth served in the rush as a share of what first tries asked for\n");
-    println!("| day | way | worth served | attempts a first try | tries a turn | most retries in 1 s | back to 0.95 (s) |");
+    println!(
+        "mean (worst) of seeds {SEEDS:?}; value served in the surge as a share of the value requested\n"
+    );
+    println!("| scenario | policy | value served | attempts/request | tries/turn | max retries in 1 s | recovery (s) |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for scenario in
         [Scenario::BelowCapacity, Scenario::Surge, Scenario::SurgeGatewayLost, Scenario::SurgeSkewed]
--- a/crates/overload/examples/figures/policy.rs
+++ b/crates/overload/examples/figures/policy.rs
@@ -1,4 +1,4 @@
-//! What a way of admitting decides; the world asks it.
+//! Interface of the admission policies that the simulation compares.
 
 use glenrail_overload::priority::SessionHash;
 use glenrail_overload::Ms;
@@ -6,21 +6,21 @@
 use super::{coordinated::CoordinatedGateways, independent::IndependentGateways};
 
 pub const GATEWAY_COUNT: usize = 3;
-/// To the first token.
+/// Target (ms) for the time to the first token.
 pub const FIRST_TOKEN_TARGET: Ms = 2_000;
 
-/// How gateways decide.
+/// Admission policies that are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// As the program does today.
+    /// Each gateway alone by the rules of the router, without this crate.
     Independent,
-    /// This crate's decisions without talk.
+    /// This crate's decisions without messages between gateways.
     Standalone,
-    /// And with it.
+    /// This crate's decisions with messages between gateways.
     Coordinated,
 }
 
-/// One turn of a session at a gateway.
+/// One turn of a session, as it arrives at a gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct Turn {
     pub class: u8,
@@ -32,13 +32,13 @@
 }
 
 pub trait AdmissionPolicy {
-    /// Time passes: each 10 ms. `wait`: how long a request would wait at the engines.
+    /// Advances the time; called every 10 ms. `wait` is the time that a request would wait at the engines.
     fn tick(&mut self, now: Ms, wait: Ms);
     fn stop_gateway(&mut self, gateway: usize);
     fn admits(&mut self, now: Ms, gateway: usize, turn: &Turn, wait: Ms) -> bool;
-    /// An attempt goes out; a first one or a further one.
+    /// Records that an attempt is sent: the first one of a request or a further one.
     fn record_attempt(&mut self, now: Ms, gateway: usize, turn: &Turn, is_first: bool);
-    /// Whether an attempt that erred at once may be followed by another.
+    /// Returns whether an attempt that failed at once may be followed by another.
     fn may_retry(&mut self, now: Ms, gateway: usize) -> bool;
     fn record_served(&mut self, now: Ms, gateway: usize, turn: &Turn);
 }
--- a/crates/overload/examples/figures/simulation.rs
+++ b/crates/overload/examples/figures/simulation.rs
@@ -1,4 +1,4 @@
-//! Engines with queues, and clients with sessions of some turns, in steps of 10 ms.
+//! Simulation of engines with queues, and of clients with sessions of several turns, in ticks of 10 ms.
 
 use std::collections::BinaryHeap;
 
@@ -11,44 +11,48 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nine tenths of the capacity all day.
+    /// 0.85 of the capacity throughout.
     BelowCapacity,
     /// Twice the capacity for 20 s.
     Surge,
-    /// And one of three gateways killed 5 s into it.
+    /// A surge in which one of three gateways fails after 5 s.
     SurgeGatewayLost,
-    /// And four fifths of all clients at one of them.
+    /// A surge in which four fifths of all clients use the same gateway.
     SurgeSkewed,
 }
 
-/// What a day gave.
+/// Results of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
+    /// Value served in the surge as a share of the value requested.
     pub value_served: f64,
     pub attempts_per_request: f64,
     pub tries_per_turn: f64,
-    /// Most in any second.
+    /// Maximum number of retries in any second.
     pub max_retries_per_second: f64,
-    /// Seconds after the rush until 0.95 of the calm share is served again, and stays for two seconds.
+    /// Seconds after the surge until 0.95 of the share served before it is served again for two seconds.
     pub recovery_seconds: f64,
 }
 
 const TICK: Ms = 10;
 const SURGE: std::ops::Range<Ms> = 20_000..40_000;
 const END: Ms = 65_000;
-/// Turns that are still being served at the end are not counted.
+/// Seconds that are evaluated: turns that are still being served at the end do not count.
 const COUNTED_SECONDS: usize = 60;
 const ENGINE_COUNT: usize = 8;
-/// Tokens a millisecond of one engine: with the classes below some 350 turns a second of all.
+/// Tokens per millisecond of one engine: with the classes below, all engines serve about 350 turns per
+/// second.
 const TOKENS_PER_MS: f64 = 50.0;
-/// Share of attempts that an engine errs at once: in the rush, and else.
+/// Share of attempts that an engine fails at once: during the surge, and otherwise.
 const ERROR_RATES: (f64, f64) = (0.2, 0.005);
 const TURNS_PER_SESSION: u8 = 4;
+/// Time (ms) between the end of a turn and the next one of its session.
 const THINK_TIME: Ms = 1_000;
-/// How soon the refused come back, to any gateway, and how often.
+/// Time (ms) after which a client that was rejected or lost its gateway retries, at any gateway.
 const RETRY_DELAY: Ms = 50;
+/// Maximum number of tries per turn.
 const MAX_TRIES: u8 = 8;
-/// Worth in thousandths, work in tokens, share of sessions.
+/// Value in thousandths, work in tokens and share of sessions of each class.
 const CLASSES: [(u32, u32, f64); 3] = [(3_000, 1_000, 0.2), (1_000, 1_000, 0.5), (300, 1_500, 0.3)];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,7 +62,7 @@
     turn: u8,
     previous_tries: u8,
     class: u8,
-    /// When the turn was first tried.
+    /// Time at which the turn was first tried.
     first_tried_at: Ms,
 }
 
@@ -71,17 +75,17 @@
 
 struct Simulation {
     policy: Box<dyn AdmissionPolicy>,
-    /// Share of clients that go to the first gateway, whatever the others.
+    /// Share of clients that always use the first gateway; the others use any.
     skew: f64,
     rng: StdRng,
     engine_free_at: [f64; ENGINE_COUNT],
     running_gateways: Vec<usize>,
     arrivals: BinaryHeap<Arrival>,
     completions: BinaryHeap<Completion>,
-    /// By second of the turn's first try.
+    /// Value of turns by the second of their first try.
     requested_value: Vec<f64>,
     served_value: Vec<f64>,
-    /// In the rush: first attempts, further ones, tries, turns.
+    /// Counts during the surge: first attempts, further ones, tries and turns.
     first_attempts: f64,
     further_attempts: f64,
     tries: f64,
@@ -112,7 +116,7 @@
     let (mut sessions, mut credit) = (0, 0.0);
     for now in (0..END).step_by(TICK as usize) {
         let is_surge = scenario != Scenario::BelowCapacity && SURGE.contains(&now);
-        // A session comes with its turns, so that the rush is a rush of sessions.
+        // Load is offered as sessions with all their turns, so that the surge is one of new sessions.
         let offered_sessions =
             if is_surge { 2.0 } else { 0.85 } * capacity / f64::from(TURNS_PER_SESSION) * TICK as f64;
         credit += offered_sessions;
@@ -150,7 +154,7 @@
         0
     }
 
-    /// Its clients lose what they wait for, and come to the others.
+    /// Stops a gateway: its clients lose the turns in progress and retry at the other gateways.
     fn stop_gateway(&mut self, now: Ms, gateway: usize) {
         self.running_gateways.retain(|g| *g != gateway);
         self.policy.stop_gateway(gateway);
@@ -204,7 +208,7 @@
         let is_counted = SURGE.contains(&now);
         self.tries += f64::from(u8::from(is_counted));
         self.turns += f64::from(u8::from(is_counted && arrival.previous_tries == 0));
-        // Any gateway: shopping around is free.
+        // Clients may use any gateway, also for a retry.
         let any_gateway = self.running_gateways[self.rng.random_range(0..self.running_gateways.len())];
         let gateway =
             if self.rng.random::<f64>() < self.skew { self.running_gateways[0] } else { any_gateway };
--- a/crates/overload/src/amplification.rs
+++ b/crates/overload/src/amplification.rs
@@ -1,14 +1,14 @@
-//! How far tries beget tries: attempts a first try, and tries a turn, over the whole fleet.
+//! How strongly retries amplify the load: attempts per request and tries per turn, over the whole fleet.
 
 use crate::level::{ClassRates, ReceivedReport, MAX_REPORT_AGE};
 use crate::{scale_by_ratio, Ms, PerMille, PER_MILLE_SCALE};
 
-/// What a fleet's words show, in thousandths; a thousand where there is nothing to go by.
+/// Amplification factors in thousandths; 1000 (no amplification) where there is no data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Amplification {
-    /// Attempts at engines for each request that got a first one.
+    /// Attempts at engines per request that got a first attempt.
     pub attempts_per_request: PerMille,
-    /// Requests of clients, marked tries included, for each that was no try of an earlier one.
+    /// Requests from clients, marked retries included, per request that was not a retry.
     pub tries_per_turn: PerMille,
 }
 
@@ -25,12 +25,13 @@
 }
 
 impl Amplification {
-    /// How much clients press, in thousandths: nothing at one try a turn, all of it at five.
+    /// Returns how strongly clients retry, in thousandths: 0 at one try per turn, 1000 at five or more.
     pub fn retry_pressure(&self) -> PerMille {
         (self.tries_per_turn.saturating_sub(PER_MILLE_SCALE) / 4).min(PER_MILLE_SCALE)
     }
 }
 
+/// Returns the ratio in thousandths, at least 1000; 1000 if the denominator is 0.
 fn per_mille_ratio(numerator: u64, denominator: u64) -> PerMille {
     if denominator == 0 {
         return PER_MILLE_SCALE;
@@ -40,9 +41,9 @@
         .max(PER_MILLE_SCALE)
 }
 
-/// Keeps one member's further attempts to a share of its first ones. A sum of such members keeps the same share, so
-/// that the fleet's bound needs no talk: attempts <= first tries x (1 + share) + `saved` a member. The fleet's
-/// budget bounds their number besides.
+/// Limits the further attempts of one member to a ratio of its first attempts. A sum over such members has
+/// the same ratio, so that the bound holds for the fleet without communication: attempts <= first attempts x
+/// (1 + ratio) + `max_saved` per member. The budget of the fleet bounds their number in addition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryRatioLimiter {
     ratio: PerMille,
@@ -51,11 +52,12 @@
     decayed_at: Ms,
 }
 
-/// In which what was saved up fades to half (ms): a calm night is no leave for a storm in the morning.
+/// Half-life (ms) of the saved attempts, so that those from a quiet night do not allow a burst of retries in
+/// the morning.
 const HALF_LIFE: Ms = 10_000;
 
 impl RetryRatioLimiter {
-    /// `ratio` in thousandths of first tries; at most `max_saved` attempts may be saved up.
+    /// `ratio` is in thousandths of first attempts; at most `max_saved` further attempts may be saved up.
     pub fn new(ratio: PerMille, max_saved: u32, now: Ms) -> Self {
         RetryRatioLimiter {
             ratio,
@@ -65,13 +67,13 @@
         }
     }
 
-    /// A request gets its first attempt.
+    /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self, now: Ms) {
         self.decay(now);
         self.saved = (self.saved + u64::from(self.ratio)).min(self.max_saved);
     }
 
-    /// Whether a further attempt may follow. It is counted as made.
+    /// Returns whether a further attempt may follow; if so, it counts as made.
     pub fn try_retry(&mut self, now: Ms) -> bool {
         self.decay(now);
         let allowed = self.saved >= u64::from(PER_MILLE_SCALE);
@@ -95,7 +97,8 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever is asked of whichever member: attempts of the fleet stay under its share of first tries.
+        /// The further attempts of the fleet stay within the ratio of its first attempts, for any sequence of
+        /// requests at any members.
         #[test]
         fn retries_stay_within_the_ratio_of_first_attempts(
             steps in prop::collection::vec((0usize..5, any::<bool>(), 0u64..3_000), 1..400),
@@ -115,7 +118,7 @@
             }
         }
 
-        /// What is measured over the fleet is what its members counted, and never under one.
+        /// The ratios over the fleet follow from the counts of its members, and are never below one.
         #[test]
         fn ratios_are_measured_over_the_whole_fleet(
             counts in prop::collection::vec((1u32..1_000, 0u32..1_000, 0u32..1_000), 1..9)
--- a/crates/overload/src/budget/borrower.rs
+++ b/crates/overload/src/budget/borrower.rs
@@ -1,4 +1,4 @@
-//! A borrower's side: what it has asked for, and the leases that it holds.
+//! Leases of a borrower: what it has requested, and what it holds.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,30 @@
 use super::{MessageError, Units};
 use crate::{Incarnation, Member, Ms};
 
-/// A member asks another for a part, or says what it holds and lets go of the rest.
+/// Request for units of the receiver, which also reports what the sender still holds of them; it has given up
+/// the rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The asking life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Grows with each ask of this life to this member.
+    /// Grows with each request of this incarnation to this member.
     pub sequence: u32,
-    /// Nothing gives back what was lent.
+    /// Units wanted in all; 0 gives back what was lent.
     pub want: Units,
-    /// The ask whose grant is still held; no other grant before this ask is or will be.
+    /// Sequence number of the request whose grant is still held. No other grant for an earlier request is or
+    /// will be held.
     pub held_request: Option<u32>,
 }
 
-/// The answer to an ask. It goes in place of what was held from this lender.
+/// Reply to a lease request. It replaces what was held from this lender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The life that asked.
+    /// Incarnation that sent the request.
     pub incarnation: Incarnation,
-    /// The ask that it answers.
+    /// Sequence number of the request.
     pub sequence: u32,
     pub amount: Units,
-    /// How long it may be spent, from the moment of asking, on the borrower's clock.
+    /// Time for which the units may be spent, counted from the request on the borrower's clock.
     pub duration: Ms,
 }
 
@@ -41,40 +43,43 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct LenderState {
-    /// The newest ask to this lender.
+    /// Sequence number of the newest request to this lender.
     last_request: u32,
     requested_at: Ms,
     is_pending: bool,
     lease: Option<Lease>,
 }
 
-/// What is held, by lender.
+/// Leases held, by lender.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Leases {
-    /// Asks of this life, to whomever, so that no number comes twice when a side was forgotten.
+    /// Requests of this incarnation to any lender, so that no sequence number is used twice after the state
+    /// of a lender was removed.
     last_sequence: u32,
     lenders: BTreeMap<Member, LenderState>,
 }
 
 impl Leases {
-    /// What may be spent of others' shares.
+    /// Returns the units that may be spent of other members' shares.
     pub fn total(&self, now: Ms) -> Units {
         self.active(now).fold(0, |total, (_, lease)| total.saturating_add(lease.amount))
     }
 
+    /// Returns the leases that have not expired, with their lenders.
     pub fn active(&self, now: Ms) -> impl Iterator<Item = (Member, Lease)> + '_ {
         let is_active = move |lease: &Lease| lease.expires_at > now;
         self.lenders.iter().filter_map(move |(lender, state)| Some((*lender, state.lease.filter(is_active)?)))
     }
 
-    /// Whether an ask to this lender may still be answered.
+    /// Returns whether a request to this lender may still be answered.
     pub fn is_pending(&self, now: Ms, lender: Member, lease_duration: Ms) -> bool {
         self.lenders
             .get(&lender)
             .is_some_and(|s| s.is_pending && now < s.requested_at.saturating_add(lease_duration))
     }
 
-    /// The next ask to a lender. An ask for nothing gives up what is held, before anybody is told.
+    /// Creates the next request to a lender. A request for 0 units gives up what is held before any message
+    /// is sent. `keep_returned` plants a fault.
     pub fn request(
         &mut self, now: Ms, incarnation: Incarnation, lender: Member, want: Units, keep_returned: bool,
     ) -> LeaseRequest {
@@ -93,8 +98,9 @@
         }
     }
 
-    /// Takes a grant, if it answers the newest ask, and that for the first time. Its lease counts from the ask, which
-    /// came before the lender's promise, and no earlier than `earliest_start`; `accept_stale` takes every grant. Faults use both.
+    /// Accepts a grant if it is the first answer to the newest request. Its duration counts from the request,
+    /// which came before the lender's grant, and from no earlier than `earliest_start`; with `accept_stale`,
+    /// any grant is accepted. Only planted faults use these two parameters.
     pub fn accept_grant(
         &mut self, earliest_start: Ms, lender: Member, grant: &LeaseGrant, accept_stale: bool,
     ) -> Result<(), MessageError> {
@@ -110,7 +116,8 @@
         Ok(())
     }
 
-    /// Drops what has ended and what nobody waits for, so that the memory is bounded by who lends.
+    /// Removes expired leases and requests that cannot be answered any more, so that the memory is bounded by
+    /// the number of lenders.
     pub fn prune(&mut self, now: Ms, lease_duration: Ms) {
         for state in self.lenders.values_mut() {
             state.lease = state.lease.filter(|l| l.expires_at > now);
--- a/crates/overload/src/budget/config.rs
+++ b/crates/overload/src/budget/config.rs
@@ -1,29 +1,31 @@
-//! What all members of a fleet must be told alike by their operators' files.
+//! Configuration of a budget from the operators' files.
 
 use super::{ConfigError, Units};
 use crate::{scale_by_ratio, Ms, PerMille, PER_MILLE_SCALE};
 
-/// A budget's terms. All members need the same but for `owns_share`; a list of seats may grow while fewer run (raise it
-/// at every member, then start the new one) and shrink after the last of those that leave has ended.
+/// Configuration of a budget. It must be the same at all members but for `owns_share`. The number of owners
+/// may grow while fewer are running (raise it at every member, then start the new one), and shrink after the
+/// last member that leaves has terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetConfig {
-    /// What the whole fleet may spend.
+    /// Rate that the whole fleet may spend.
     pub total: Units,
-    /// Members that own a share, running or not.
+    /// Number of members that own a share, running or not.
     pub share_owners: u32,
-    /// Whether this member is one of them; others live on what they are lent.
+    /// Whether this member is one of them; others spend only what they borrow.
     pub owns_share: bool,
-    /// Share of what a member owns that it never lends, and may spend from its first moment.
+    /// Part of its own share that a member never lends, and may spend from the start.
     pub floor: PerMille,
-    /// Length of a lease on its borrower's clock.
+    /// Duration of a lease on the borrower's clock.
     pub lease_duration: Ms,
-    /// How far a clock may run from true time: parts of 10,000.
+    /// Maximum deviation of a clock from true time, in parts of 10,000.
     pub max_clock_drift: u32,
-    /// Others that must have pledged a seat's lendable share to its owner lately; with none, it is the owner's for good,
-    /// and lies idle when the owner is gone. With so many, as many members may be gone at once and what they owned
-    /// is inherited; a piece of a cut fleet needs one more than that to keep its own. At most half of the seats.
+    /// Number of other members that must have voted recently for an owner to hold its lendable share. With 0,
+    /// each owner always holds its own, which is unused while the owner is unreachable. With more, that many
+    /// members may be unreachable at once and their shares are inherited, and one side of a partition needs
+    /// one member more than that to keep its own shares. At most half of the owners.
     pub witnesses: u32,
-    /// How long a member may save up its part.
+    /// Time over which a member may save up what it does not spend.
     pub burst_duration: Ms,
 }
 
@@ -50,7 +52,7 @@
         Ok(())
     }
 
-    /// What this member owns. What cannot be shared out evenly is nobody's.
+    /// Returns the units that this member owns. The remainder of an uneven division is unused.
     pub fn own_share(&self) -> Units {
         if self.owns_share {
             self.total / self.share_owners.max(1)
@@ -59,7 +61,7 @@
         }
     }
 
-    /// What this member may lend.
+    /// Returns the units of its own share that this member may lend.
     pub fn lendable_share(&self) -> Units {
         let unlendable = scale_by_ratio(
             u64::from(self.own_share()),
@@ -69,8 +71,8 @@
         self.own_share() - u32::try_from(unlendable).unwrap_or(u32::MAX).min(self.own_share())
     }
 
-    /// How long a lender waits by its own clock for a lease of that length to have ended on any other that drifts
-    /// within the bound: a fast clock here, a slow one there.
+    /// Returns how long a lender waits by its own clock until a lease of that duration has expired on any
+    /// other clock within the drift bound: the own clock may be fast and the other one slow.
     pub fn drift_safe_wait(&self, duration: Ms) -> Ms {
         let (fast, slow) =
             (10_000 + u64::from(self.max_clock_drift), 10_000 - u64::from(self.max_clock_drift.min(9_999)));
--- a/crates/overload/src/budget/error.rs
+++ b/crates/overload/src/budget/error.rs
@@ -1,64 +1,64 @@
-//! What can be wrong with a budget's terms and with what is heard.
+//! Errors in budget configurations and in received messages.
 
 use thiserror::Error;
 
-/// Why terms cannot be kept.
+/// Reason why a configuration is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    #[error("a budget for no seats has no shares")]
+    #[error("a budget needs at least one share owner")]
     NoShareOwners,
-    #[error("a floor of {per_mille} thousandths of a share is more than the whole of it")]
+    #[error("a floor of {per_mille} thousandths is more than the whole share")]
     FloorAboveShare { per_mille: u32 },
-    #[error("a lease of {lease_ms} ms is not between 100 and 60000 ms")]
+    #[error("a lease duration of {lease_ms} ms is not between 100 and 60000 ms")]
     LeaseOutOfBounds { lease_ms: u64 },
-    #[error("a clock drift of {drift} of 10000 is not under 5000")]
+    #[error("a clock drift of {drift} in 10000 is not less than 5000")]
     DriftOutOfBounds { drift: u32 },
-    #[error("{witnesses} witnesses are more than half of {share_owners} seats")]
+    #[error("{witnesses} witnesses are more than half of the {share_owners} share owners")]
     TooManyWitnesses { witnesses: u32, share_owners: u32 },
 }
 
 impl ConfigError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            ConfigError::NoShareOwners => "Name the gateways, or their number, in the operators' file.",
+            ConfigError::NoShareOwners => "List the gateways, or set their number, in the operators' file.",
             ConfigError::FloorAboveShare { .. } => "Set the floor to 1000 thousandths or less; 250 is usual.",
             ConfigError::LeaseOutOfBounds { .. } => "Set the lease to a few seconds; 5000 ms is usual.",
             ConfigError::TooManyWitnesses { .. } => {
-                "Set the witnesses to the number of gateways that may be gone at once, or to 0 for none."
+                "Set the witnesses to the number of gateways that may fail at once, or to 0 for none."
             }
             ConfigError::DriftOutOfBounds { .. } => {
-                "Set the drift that clocks may have; 100 of 10000 is usual."
+                "Set the drift that clocks may have; 100 in 10000 is usual."
             }
         }
     }
 }
 
-/// Why a message changes nothing. None of them is a danger to the budget.
+/// Reason why a message has no effect. None of these cases endangers the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    #[error("an ask that is older than one already heard from its member")]
+    #[error("the lease request is outdated: a newer one was received, or its grant is no longer valid")]
     StaleRequest,
-    #[error("a grant that answers no ask under way here")]
+    #[error("the reply matches no pending request")]
     StaleReply,
-    #[error("a message for another life of this member")]
+    #[error("the message is for another incarnation of this member, or this one has retired")]
     OtherIncarnation,
-    #[error("the member {sender:016x} asks while {max} others hold leases from here")]
+    #[error("the request of member {sender:016x} cannot be recorded: all {max} records are in use")]
     TableFull { sender: u64, max: usize },
-    #[error("the share of member {owner:016x} is in other hands, or nobody here may speak for it yet")]
+    #[error("the share of member {owner:016x} has another holder, or this member may not vote on it")]
     ShareUnavailable { owner: u64 },
 }
 
 impl MessageError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             MessageError::StaleRequest | MessageError::StaleReply => {
-                "Nothing: late and doubled datagrams are usual. If they are many, look at the network between gateways."
+                "Nothing: late and duplicated datagrams are usual. If there are many, check the network."
             }
-            MessageError::OtherIncarnation => "Nothing: the member was restarted while a datagram was under way.",
+            MessageError::OtherIncarnation => "Nothing: the member restarted with a datagram in transit.",
             MessageError::ShareUnavailable { .. } => {
-                "Nothing: the share changes hands within two leases. If it goes on, look which gateways are cut off."
+                "Nothing: a share changes holders within two leases. If it takes longer, check reachability."
             }
             MessageError::TableFull { .. } => "Check that members keep their names over restarts.",
         }
--- a/crates/overload/src/budget/fault.rs
+++ b/crates/overload/src/budget/fault.rs
@@ -1,31 +1,33 @@
-//! Faults that can be planted in the machine, for the explorer to show that it finds each.
+//! Faults that can be planted in the state machine, to show that the model checker finds each of them.
 
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Fault {
-    /// The borrower counts its lease from the grant's arrival, not from its asking.
+    /// The borrower counts its lease from the arrival of the grant instead of from its request.
     CountsFromArrival,
-    /// The lender waits for the bare length, as if all clocks ran alike.
+    /// The lender waits for the duration itself, without allowance for clock drift.
     WaitsBareLength,
-    /// A new life uses and lends all of its share at once, though its former life may have lent of it.
+    /// A new incarnation uses and lends its whole share at once, though a former one may have lent parts of
+    /// it.
     ForgetsAtRestart,
-    /// The borrower takes a grant that answers an ask given up long ago.
+    /// The borrower accepts a grant for a request that it has given up.
     TakesOldGrant,
-    /// The borrower judges its leases by the clock of its last step, so that it wakes with an old lease in hand.
+    /// The borrower checks its leases against the time of its last step, and so keeps an expired lease after
+    /// it was suspended.
     TrustsOldClock,
-    /// The lender sets aside the newest grant only, though the borrower may still hold the one before.
+    /// The lender reserves only the newest grant, though the borrower may still hold the one before.
     ForgetsFormerGrant,
-    /// The lender goes on spending what it has lent.
+    /// The lender continues to spend what it has lent.
     SpendsLent,
-    /// A borrower that asks for less goes on spending what it says it no longer holds.
+    /// A borrower continues to spend what it has given back.
     KeepsGivenBack,
-    /// An heir is content with one voter's word less.
+    /// A successor holds a share with one vote fewer than required.
     InheritsByTooFew,
-    /// A voter promises an estate to an heir while its pledge to the owner holds.
+    /// A voter votes for a successor while its vote for the owner is valid.
     ForgetsPledge,
-    /// A voter renews the owner while its promise to an heir holds.
+    /// A voter votes for the owner while its vote for a successor is valid.
     ForgetsPromise,
-    /// A lender lends for longer than it holds what it lends of.
+    /// A lender lends for longer than it holds the share that it lends from.
     LendsBeyondTenure,
 }
--- a/crates/overload/src/budget/lender.rs
+++ b/crates/overload/src/budget/lender.rs
@@ -1,35 +1,38 @@
-//! A lender's books: what of its own share is out, and until when it must be set aside.
+//! Ledger of a lender: which of its units are lent, and until when they stay reserved.
 
 use std::collections::BTreeMap;
 
 use super::{LeaseRequest, MessageError, Units};
 use crate::{Incarnation, Member, Ms};
 
-/// Most lives of members that hold leases from one lender.
+/// Maximum number of borrowing incarnations that one lender keeps records of.
 const MAX_BORROWERS: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GrantedLease {
     sequence: u32,
     amount: Units,
-    /// On its borrower's clock, from its asking.
+    /// Duration on the borrower's clock, from the time of its request.
     duration: Ms,
-    /// On the lender's clock: from here on it has surely ended at its borrower.
+    /// Time on the lender's clock from which the lease has certainly expired at the borrower.
     expires_at: Ms,
 }
 
-/// One life of a borrower. A later life says nothing of an earlier one's leases: those run out.
+/// Leases of one incarnation of a borrower. A later incarnation reports nothing about the leases of an
+/// earlier one: those expire.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct BorrowerRecord {
-    /// The newest ask that was heard.
+    /// Sequence number of the newest request received.
     last_request: u32,
-    /// Until here the book is kept though nothing is promised, so that a late ask is not taken for a new one.
+    /// Time until which the record is kept even without leases, so that a late request is not taken for a new
+    /// one.
     retain_until: Ms,
     leases: Vec<GrantedLease>,
 }
 
 impl BorrowerRecord {
-    /// The borrower holds at most one of its promises, and nobody here knows which.
+    /// Returns the units reserved for the borrower: it holds at most one of these leases, and the lender does
+    /// not know which.
     fn reserved(&self, now: Ms) -> Units {
         self.leases.iter().filter(|lease| lease.expires_at > now).map(|lease| lease.amount).max().unwrap_or(0)
     }
@@ -41,19 +44,19 @@
 }
 
 impl LenderLedger {
-    /// What is set aside for others.
+    /// Returns the units reserved for all borrowers.
     pub fn reserved(&self, now: Ms) -> Units {
         self.borrowers.values().fold(0, |sum, record| sum.saturating_add(record.reserved(now)))
     }
 
-    /// What is set aside for all but one life of a member.
+    /// Returns the units reserved for all but one incarnation of a member.
     pub fn reserved_except(&self, now: Ms, borrower: (Member, Incarnation)) -> Units {
         let excepted = self.borrowers.get(&borrower).map_or(0, |record| record.reserved(now));
         self.reserved(now) - excepted
     }
 
-    /// Takes an ask into the books. What was promised to it already is answered again as it was; otherwise nothing
-    /// is promised yet.
+    /// Registers a request. If it repeats one that was granted, returns the amount and duration of that grant
+    /// again; if it is new, returns `None` and nothing is granted yet.
     pub fn register_request(
         &mut self, now: Ms, sender: Member, request: &LeaseRequest, retention: Ms,
     ) -> Result<Option<(Units, Ms)>, MessageError> {
@@ -77,12 +80,12 @@
                 .ok_or(MessageError::StaleRequest);
         }
         (record.last_request, record.retain_until) = (request.sequence, now.saturating_add(retention));
-        // Whatever was granted before this ask and is not held now will never be taken.
+        // Earlier grants that the borrower does not hold now will never be accepted.
         record.leases.retain(|lease| lease.expires_at > now && Some(lease.sequence) == request.held_request);
         Ok(None)
     }
 
-    /// Forgets what has ended.
+    /// Removes what has expired.
     pub fn prune(&mut self, now: Ms) {
         for record in self.borrowers.values_mut() {
             record.leases.retain(|lease| lease.expires_at > now);
@@ -97,7 +100,7 @@
         record.leases.push(GrantedLease { sequence: request.sequence, amount, duration, expires_at });
     }
 
-    /// Forgets all but the newest promise to a life of a member.
+    /// Removes all but the newest grant to an incarnation of a member.
     #[cfg(feature = "mutants")]
     pub fn drop_former_grants(&mut self, borrower: (Member, Incarnation)) {
         if let Some(record) = self.borrowers.get_mut(&borrower) {
--- a/crates/overload/src/budget/machine.rs
+++ b/crates/overload/src/budget/machine.rs
@@ -1,4 +1,4 @@
-//! The machine of one member and one budget.
+//! State machine of one member for one budget.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
 };
 use crate::{scale_by_ratio, Incarnation, Member, Ms, PerMille, PER_MILLE_SCALE};
 
-/// What travels between two members. Lost, doubled, late and reordered ones do no harm.
+/// Message between two members. Messages that are lost, duplicated, late or reordered do no harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     LeaseRequest(LeaseRequest),
@@ -21,7 +21,8 @@
     ShareVote(ShareVote),
 }
 
-/// Leave to spend one retry or probe now. Look again right before it is used: the process may have been stopped.
+/// Permission to spend one retry or probe now. Callers check it again right before they use it, since the
+/// process may have been suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     valid_until: Ms,
@@ -33,16 +34,16 @@
     }
 }
 
-/// One member's hold on one budget. All methods that take `now` may be called in any order; a clock that goes back
-/// counts as standing still.
+/// State of one member for one budget. Methods that take `now` may be called in any order; while a clock goes
+/// back, it counts as stopped.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub(super) config: BudgetConfig,
     pub(super) member: Member,
     pub(super) incarnation: Incarnation,
-    /// From here on no lease of a former life is left anywhere.
+    /// Time from which nothing that a former incarnation lent or voted for is in force any more.
     pub(super) former_leases_end: Ms,
-    /// The last moment that was seen.
+    /// Latest time that a call has passed.
     latest_time: Ms,
     lent: LenderLedger,
     pub(super) leases: BorrowedLeases,
@@ -55,8 +56,8 @@
 }
 
 impl Budget {
-    /// A new life of a member. It may have lent and voted in a former one, and does not remember: until that has ended it
-    /// has the floor of its share alone, lends nothing, and speaks for nobody's.
+    /// Starts a new incarnation of a member. It does not know what a former one lent and voted for: until
+    /// that has expired, it spends only the floor of its share, lends nothing, and casts no votes.
     pub fn new(
         config: BudgetConfig, member: Member, incarnation: Incarnation, now: Ms,
     ) -> Result<Self, ConfigError> {
@@ -88,8 +89,9 @@
         }
     }
 
-    /// For the explorer: forgets what has ended and what makes no difference to parts any more, so that what behaves
-    /// alike is alike. Its clocks never go back, and it looks at parts, not at what is saved up of them.
+    /// For the model checker: discards what has expired and no longer affects what may be spent, so that
+    /// states that behave alike are equal. Its clocks never go back, and it checks spendable rates, not saved
+    /// tokens.
     #[cfg(feature = "mutants")]
     pub fn discard_past(&mut self, now: Ms) {
         self.bucket = TokenBucket::new(0);
@@ -106,7 +108,7 @@
         }
     }
 
-    /// What this member may spend of what it owns or has inherited.
+    /// Returns the units that this member may spend of shares that it owns or has inherited.
     pub fn own_units(&self, now: Ms) -> Units {
         let now = now.max(self.latest_time);
         let reserved = self.lent.reserved(now);
@@ -115,7 +117,7 @@
         self.floor().saturating_add(self.lendable(now).saturating_sub(reserved))
     }
 
-    /// What it may spend of others' shares.
+    /// Returns the units that it has borrowed from other members.
     pub fn borrowed(&self, now: Ms) -> Units {
         #[cfg(feature = "mutants")]
         if self.fault == Some(Fault::TrustsOldClock) {
@@ -124,24 +126,25 @@
         self.leases.total(now.max(self.latest_time))
     }
 
-    /// What it may spend of one lender's share.
+    /// Returns the units that it has borrowed from one lender.
     pub fn borrowed_from(&self, now: Ms, lender: Member) -> Units {
         let leases = self.leases.active(now.max(self.latest_time));
         leases.filter(|(from, _)| *from == lender).map(|(_, lease)| lease.amount).sum()
     }
 
-    /// What may be spent here a second, now. Summed over all members it never exceeds the budget.
+    /// Returns the units that this member may spend now. Over all members they never sum to more than the
+    /// budget.
     pub fn spendable(&self, now: Ms) -> Units {
         self.own_units(now).saturating_add(self.borrowed(now))
     }
 
-    /// What this member does not need of its own and would lend; told in its words.
+    /// Returns the units that this member does not need itself and would lend, for its report.
     pub fn spare_units(&mut self, now: Ms) -> Units {
         let now = self.advance(now);
         self.unused_after_demand(now, self.lendable(now).saturating_sub(self.lent.reserved(now)))
     }
 
-    /// Asks for one retry or probe.
+    /// Spends one retry or probe, if enough tokens are saved up.
     pub fn try_spend(&mut self, now: Ms) -> Option<Permit> {
         let now = self.advance(now);
         let first_expiry = self.leases.active(now).map(|(_, lease)| lease.expires_at).min();
@@ -150,7 +153,8 @@
         self.bucket.try_spend(now).then_some(Permit { valid_until })
     }
 
-    /// An ask to a lender for so much in all; for nothing, what is held from it is given back.
+    /// Creates a request to a lender for `want` units in all; with 0, what was borrowed from it is given
+    /// back.
     pub fn request_lease(&mut self, now: Ms, lender: Member, want: Units) -> LeaseRequest {
         let now = self.advance(now);
         #[cfg(not(feature = "mutants"))]
@@ -162,8 +166,9 @@
         request
     }
 
-    /// Takes a message, and gives the answer to it, if any. `share` is the sender's part of the fleet's traffic by
-    /// what others see: so much it may have of what is lent here even where it is needed here.
+    /// Handles a message, and returns the reply to it, if any. `sender_share` is the sender's share of the
+    /// fleet's traffic by what others observe: the sender may borrow up to that share of the lendable units
+    /// even if this member needs them itself.
     pub fn handle_message(
         &mut self, now: Ms, sender: Member, message: &Message, sender_share: PerMille,
     ) -> Result<Option<Message>, MessageError> {
@@ -230,7 +235,7 @@
         let max_amount =
             self.unused_after_demand(now, available).max(u32::try_from(entitled).unwrap_or(u32::MAX));
         let amount = request.want.min(available).min(max_amount);
-        // Nothing is lent for longer than all of what is lent of is held.
+        // A lease never outlasts any of the held shares that it may be lent from.
         let duration = self.config.lease_duration.min(self.earliest_share_expiry(now).saturating_sub(now));
         #[cfg(feature = "mutants")]
         let duration =
@@ -262,12 +267,12 @@
         Ok(())
     }
 
-    /// What is never lent.
+    /// Returns the units that are never lent.
     fn floor(&self) -> Units {
         self.config.own_share() - self.config.lendable_share()
     }
 
-    /// What this member may lend in all, by now.
+    /// Returns the units that this member may lend, including those that are lent already.
     fn lendable(&self, now: Ms) -> Units {
         if now < self.former_leases_end {
             return 0;
@@ -276,13 +281,14 @@
         self.config.lendable_share().saturating_mul(share_count)
     }
 
-    /// What is left of that after this member's own need.
+    /// Returns what is left of `available` after the demand of this member itself.
     fn unused_after_demand(&mut self, now: Ms, available: Units) -> Units {
         available.saturating_sub(self.bucket.demanded_rate(now).saturating_sub(self.floor()))
     }
 
-    /// Lets time pass. Between two steps estates and leases only end, and what is set aside only comes back: the least
-    /// that the part can have been is what is left of the former beside all of the latter.
+    /// Advances the time. Between two calls, shares and leases only expire and reserved units only become
+    /// free, so that the spendable rate was at least what the remaining shares and leases allow less what was
+    /// reserved at the start.
     pub(super) fn advance(&mut self, now: Ms) -> Ms {
         let now = now.max(self.latest_time);
         let min_available = self
@@ -295,20 +301,21 @@
         now
     }
 
-    /// Gives up all for good: nothing is spent, lent or asked for any more. For a process whose name goes on in another
-    /// one, before that one makes its own [`Budget`], which waits for what was lent here until now.
+    /// Gives up everything permanently: nothing is spent, lent or requested any more. For a process whose
+    /// name passes to another process, before that one creates its own [`Budget`], which waits until what was
+    /// lent here until now has expired.
     pub fn retire(&mut self, now: Ms) {
         let now = self.advance(now);
         self.config.owns_share = false;
         self.leases = BorrowedLeases::default();
         self.held_shares = HeldShares::default();
         self.bucket = TokenBucket::new(now);
-        // No grant that is still under way is for this life any more.
+        // Grants that are still in transit are not accepted any more.
         self.retired = true;
     }
 
-    /// Asks that are due: renewals of what is still needed, what is needed no more given back, and the rest from
-    /// those who told the most to spare. To be called a few times in the length of a lease.
+    /// Returns the lease requests that are due: renewals of what is still needed, returns of what is not, and
+    /// requests for the rest to the members that offer the most. To be called a few times per lease duration.
     pub fn due_lease_requests(&mut self, now: Ms, offers: &[LendingOffer]) -> Vec<(Member, LeaseRequest)> {
         let now = self.advance(now);
         if self.retired {
--- a/crates/overload/src/budget/mod.rs
+++ b/crates/overload/src/budget/mod.rs
@@ -1,10 +1,12 @@
-//! A budget of the whole fleet (retries, probes) of which each member spends a part.
+//! Rate budget of the whole fleet, for retries or probes, of which each member spends a part.
 //!
-//! Each seated member owns an equal share by the operators' list, and lends of it by leases. What is lent is set
-//! aside at its owner until the borrower has said that it no longer holds it, or until its lease has surely ended
-//! there by both clocks. So the sum of all parts never exceeds the budget, with no leader and no vote, whatever is
-//! lost, doubled, late, stopped or dead. What a dead member owned is inherited where the terms name witnesses, and lies
-//! idle until it is back where they do not. [`Budget`] is the machine; a [`Message`] is what travels between members.
+//! Each member on the operators' list of owners has an equal share, and lends parts of it under leases. The
+//! owner reserves what it has lent until the borrower reports that it no longer holds it, or until the lease
+//! has certainly expired there by both clocks. Thus the rates that members may spend never sum to more than
+//! the budget, without a leader or a majority, whatever messages are lost, duplicated or late and whatever
+//! members are suspended or fail. If the configuration requires witnesses, the share of a failed member
+//! passes to a successor; if not, it is unused until the member is back. [`Budget`] is the state machine of
+//! one member, and members exchange [`Message`]s.
 
 mod borrower;
 mod config;
@@ -26,7 +28,7 @@
 pub use plan::LendingOffer;
 pub use share_voting::{ShareRequest, ShareVote};
 
-/// A rate of spending: thousandths of a retry or probe a second.
+/// Spending rate in thousandths of a retry or probe per second.
 pub type Units = u32;
 
 #[cfg(test)]
--- a/crates/overload/src/budget/plan.rs
+++ b/crates/overload/src/budget/plan.rs
@@ -1,12 +1,13 @@
-//! Whom a member asks for how much. Nothing here bears on the safety of the budget, only on how well it is used.
+//! Planning of requests: which members are asked for which units and votes. It affects how well the budget is
+//! used, never its safety.
 
 use super::{Budget, ShareRequest, Units};
 use crate::{Member, Ms};
 
-/// Most members that are asked for something new at a time.
+/// Maximum number of members that are asked for a new lease at a time.
 const MAX_NEW_LENDERS: usize = 4;
 
-/// What a member tells that it would lend.
+/// Units that a member reports it would lend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LendingOffer {
     pub lender: Member,
@@ -14,8 +15,8 @@
 }
 
 impl Budget {
-    /// Asks a voter for an estate: the own one, or a gone member's. The own word as a voter is taken at once, and needs
-    /// no message.
+    /// Requests the vote of `voter` for holding a share: the own one, or that of an unreachable member. The
+    /// vote of this member itself is recorded at once and needs no message.
     pub fn request_share(&mut self, now: Ms, owner: Member, voter: Member) -> Option<ShareRequest> {
         let now = self.advance(now);
         if owner == voter || !self.config.owns_share || !self.config.requires_witnesses() {
@@ -34,8 +35,9 @@
         None
     }
 
-    /// Asks for estates that are due: the own one, and of the seats that are gone those that fall to this member by
-    /// rendezvous among the living. `reachable`: the other seated members that are. To be called a few times a lease.
+    /// Returns the share requests that are due: for the own share, and for the shares of unreachable owners
+    /// for which this member is the successor by rendezvous hashing among the reachable owners. `reachable`
+    /// are the other reachable owners. To be called a few times per lease duration.
     pub fn due_share_requests(
         &mut self, now: Ms, reachable: &[Member], unreachable: &[Member],
     ) -> Vec<(Member, ShareRequest)> {
@@ -64,7 +66,8 @@
             let mut voters: Vec<Member> = reachable.iter().copied().chain([own_id]).collect();
             voters.sort_by_key(|voter| rendezvous_weight(owner, *voter));
             if owner == own_id && remaining > vote_duration / 4 {
-                // One to spare, so that a lost datagram costs nothing; all of them when time runs short.
+                // One voter more than required, so that a lost datagram does no harm; all voters when time
+                // runs short.
                 voters.retain(|voter| *voter != own_id);
                 voters.truncate(self.config.required_votes(true) + 1);
             }
@@ -75,10 +78,10 @@
         requests
     }
 
-    /// How much to ask of whom, by what is needed beyond the own share.
+    /// Returns how much to request from whom, by the demand that the own share does not cover.
     pub(super) fn wanted_leases(&mut self, now: Ms, offers: &[LendingOffer]) -> Vec<(Member, Units)> {
         let demanded = self.bucket.demanded_rate(now);
-        // A quarter more than was asked for, so that what grows is seen to grow.
+        // A quarter more than the demand, so that it has room to grow.
         let mut uncovered = demanded.saturating_add(demanded / 4).saturating_sub(self.own_units(now));
         let mut wanted_leases = Vec::new();
         let lease_duration = self.config.lease_duration;
@@ -95,7 +98,8 @@
             offer.units > 0 && !is_lender && !self.leases.is_pending(now, offer.lender, lease_duration)
         };
         let mut available: Vec<&LendingOffer> = offers.iter().filter(is_available).collect();
-        // Those with the most first; among equals each life begins elsewhere, so that not all ask the same.
+        // Largest offers first; among equal ones each incarnation starts at another, so that members do not
+        // all ask the same one.
         available.sort_by_key(|offer| {
             (std::cmp::Reverse(offer.units), offer.lender ^ self.incarnation.rotate_left(32))
         });
@@ -110,9 +114,9 @@
     }
 }
 
-/// A member's turn at an estate, the same at all members.
+/// Returns a member's rendezvous weight for a share, the same at all members.
 fn rendezvous_weight(owner: Member, member: Member) -> u64 {
-    // A plain mix of two hashes.
+    // A simple mix of the arguments, which are hashes already.
     (owner.rotate_left(23) ^ member)
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .rotate_left(29)
--- a/crates/overload/src/budget/share_voting.rs
+++ b/crates/overload/src/budget/share_voting.rs
@@ -1,7 +1,8 @@
-//! Who holds an *estate*: the lendable share of a seat. Its owner holds it while so many others (the witnesses) have
-//! pledged it lately; when the owner is gone, one heir holds it with the promises of so many that no set of witnesses is
-//! left for the owner. So what a dead member owned comes back to the living, with no majority and no leader, and a
-//! part of a cut fleet keeps its own as long as it has the witnesses for it.
+//! Votes on who holds a *share*: the lendable part of what a member owns. Its owner holds it while enough
+//! others (the witnesses) have voted for it recently. When the owner is unreachable, one successor holds it
+//! with so many votes that the owner could not have enough witnesses among the other voters. So the share of
+//! a failed member returns to the others without a majority or a leader, and one side of a partition keeps
+//! its own shares as long as it has the witnesses for them.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +13,20 @@
 use super::{Budget, BudgetConfig, MessageError};
 use crate::{Incarnation, Member, Ms};
 
-/// Most estates that a voter keeps books of.
+/// Maximum number of shares that a voter keeps records of.
 const MAX_TRACKED_SHARES: usize = 256;
 
-/// A member asks a voter for an estate: its own, or as heir a gone member's.
+/// Request to a voter for holding a share: the own one, or as successor that of an unreachable member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShareRequest {
     pub incarnation: Incarnation,
-    /// Grows with each ask of this life for an estate.
+    /// Grows with each share request of this incarnation.
     pub sequence: u32,
-    /// The member that owns it.
+    /// Member that owns the share.
     pub owner: Member,
 }
 
-/// A voter's word, counted from the moment of asking on the asker's clock.
+/// Vote for holding a share. Its duration counts from the time of the request on the requester's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShareVote {
     pub incarnation: Incarnation,
@@ -34,24 +35,25 @@
     pub duration: Ms,
 }
 
-/// What a voter has said of one estate, on its own clock.
+/// Votes that a voter has given on one share, by its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct ShareRecord {
-    /// Pledged to the owner until then.
+    /// Time until which its vote for the owner is valid.
     owner_until: Ms,
-    /// Promised to an heir until then.
+    /// Successor that it has voted for, and the time until which that vote is valid.
     successor: Option<(Member, Ms)>,
-    /// The owner is back and waits for the heir to end: no heir is renewed until then.
+    /// Time until which the vote for the successor is not renewed, because the owner is back and waits for it
+    /// to expire.
     reclaimed_until: Ms,
 }
 
-/// A voter's books.
+/// Records of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct VoterLedger {
     records: BTreeMap<Member, ShareRecord>,
 }
 
-/// Rules that a fault leaves out.
+/// Checks that a planted fault leaves out.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SkippedChecks {
     pub owner_vote: bool,
@@ -59,7 +61,8 @@
 }
 
 impl VoterLedger {
-    /// Whether `sender` may hold the estate for `wait` more, by this voter's clock.
+    /// Votes on whether `sender` may hold the share for `wait` more milliseconds of this voter's clock; an
+    /// error is a rejection.
     pub fn vote(
         &mut self, now: Ms, sender: Member, owner: Member, wait: Ms, skipped: SkippedChecks,
     ) -> Result<(), MessageError> {
@@ -97,13 +100,13 @@
     }
 }
 
-/// Estates that a member holds or has asked for.
+/// Shares that a member holds or has requested.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct HeldShares {
     last_sequence: u32,
-    /// The newest ask for an estate to a voter, and when it went out.
+    /// Sequence number and time of the newest request, by owner and voter.
     pending: BTreeMap<(Member, Member), (u32, Ms)>,
-    /// Until when each voter's word holds.
+    /// Time until which each vote is valid, by owner and voter.
     votes: BTreeMap<(Member, Member), Ms>,
 }
 
@@ -127,7 +130,7 @@
         Ok(())
     }
 
-    /// Until when an estate is held with so many voters' words; nothing where too few have spoken.
+    /// Returns the time until which a share is held with `required_votes` votes; 0 if there are fewer.
     pub fn held_until(&self, owner: Member, required_votes: usize) -> Ms {
         let expiries = self.votes.range((owner, 0)..=(owner, Member::MAX));
         let mut sorted: Vec<Ms> = expiries.map(|(_, until)| *until).collect();
@@ -135,7 +138,7 @@
         required_votes.checked_sub(1).and_then(|n| sorted.get(n)).copied().unwrap_or(0)
     }
 
-    /// Estates for which any word was heard.
+    /// Returns the owners of the shares for which any vote has been received.
     pub fn owners(&self) -> impl Iterator<Item = Member> + '_ {
         let mut last = None;
         self.votes.keys().map(|(owner, _)| *owner).filter(move |owner| last.replace(*owner) != Some(*owner))
@@ -148,17 +151,18 @@
 }
 
 impl BudgetConfig {
-    /// Whether estates must be witnessed at all; else each owner holds its own for good.
+    /// Returns whether holding a share requires votes at all; otherwise each owner always holds its own.
     pub fn requires_witnesses(&self) -> bool {
         self.witnesses > 0
     }
 
-    /// Length of a voter's word on its asker's clock.
+    /// Returns the duration of a vote on the requester's clock.
     pub fn vote_duration(&self) -> Ms {
         self.lease_duration.saturating_mul(2)
     }
 
-    /// Voters' words that an owner needs, and an heir: any two such sets have a voter in common.
+    /// Returns the number of votes that the owner or a successor needs for a share. Any two sets of voters
+    /// for different holders have a voter in common.
     pub(super) fn required_votes(&self, is_owner: bool) -> usize {
         let required_votes =
             if is_owner { self.witnesses } else { self.share_owners.saturating_sub(self.witnesses) };
@@ -167,12 +171,12 @@
 }
 
 impl Budget {
-    /// Whether a member's lendable share is in these hands: its own, or another's that is gone.
+    /// Returns whether this member holds a lendable share: its own, or that of an unreachable member.
     pub fn holds_share(&self, now: Ms, owner: Member) -> bool {
         self.share_held_until(owner) > now
     }
 
-    /// This member's word on whether another may hold an estate.
+    /// Votes on whether another member may hold a share.
     pub(super) fn vote(&mut self, now: Ms, sender: Member, owner: Member) -> Result<(), MessageError> {
         let may_vote = self.config.owns_share
             && self.config.requires_witnesses()
@@ -191,7 +195,7 @@
         self.votes.vote(now, sender, owner, self.config.drift_safe_wait(self.config.vote_duration()), skipped)
     }
 
-    /// Until when an estate is held here.
+    /// Returns the time until which this member holds a share.
     pub(super) fn share_held_until(&self, owner: Member) -> Ms {
         if owner == self.member && !self.config.requires_witnesses() {
             return Ms::MAX;
@@ -203,7 +207,7 @@
         self.held_shares.held_until(owner, required_votes)
     }
 
-    /// Tenures of all estates that are held now, the own one among them.
+    /// Returns the times at which the shares that are held now expire, the own one included.
     pub(super) fn held_share_expiries(&self, now: Ms) -> impl Iterator<Item = Ms> + '_ {
         let other_owners = self.held_shares.owners().filter(|owner| *owner != self.member);
         other_owners
@@ -212,7 +216,7 @@
             .filter(move |until| *until > now)
     }
 
-    /// The first moment at which any of them ends.
+    /// Returns the earliest of these times; `now` if no share is held.
     pub(super) fn earliest_share_expiry(&self, now: Ms) -> Ms {
         self.held_share_expiries(now).min().unwrap_or(now)
     }
--- a/crates/overload/src/budget/tests.rs
+++ b/crates/overload/src/budget/tests.rs
@@ -1,4 +1,5 @@
-//! Whatever is lost, doubled, late, stopped or dead: parts and spending stay within the budget.
+//! Spendable rates and actual spending stay within the budget, whatever messages are lost, duplicated or late
+//! and whatever members are suspended or restarted.
 
 use proptest::prelude::*;
 
@@ -81,7 +82,7 @@
     }
 
     fn now(&self, n: usize) -> Ms {
-        // Each clock has its own rate, and its own beginning.
+        // Each clock has its own rate and its own offset.
         (n as u64) * CLOCK_OFFSET + self.at * self.clock_rates[n] / 10_000_000
     }
 
@@ -151,8 +152,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
-    /// The sum of all parts is within the budget at every moment, and what is spent is within what was earned; a
-    /// stopped member counts with what it would spend if it woke now.
+    /// The sum of all spendable rates is within the budget at every moment, and what was spent is within what
+    /// was earned. A suspended member counts with what it would spend if it resumed now.
     #[test]
     fn sum_of_spendable_rates_stays_within_the_budget(
         steps in prop::collection::vec(step(), 1..160), total in 1_000u32..200_000, floor in 0u32..=1_000,
@@ -169,12 +170,13 @@
                 "{} of {total} after {step:?}", fleet.total_spendable()
             );
         }
-        // Purses begin empty and fill by their own clocks, which are at most so fast.
+        // Buckets start empty and are refilled by their own clocks, which are at most this fast.
         let earned = u128::from(fleet.at) * u128::from(total) * (10_000 + u128::from(drift));
         prop_assert!(u128::from(fleet.spent) <= earned / 10_000 / 1_000_000_000 + 1);
     }
 
-    /// Once all is quiet for the time of a lease, each has its own share again, whatever went before.
+    /// After the time of a lease without any message, each member has its own share again, whatever happened
+    /// before.
     #[test]
     fn own_shares_return_after_a_lease_without_messages(
         steps in prop::collection::vec(step(), 1..120), floor in 0u32..=1_000
@@ -188,7 +190,8 @@
         }
     }
 
-    /// While a list of seats grows member by member, the sum of what they own stays within the budget.
+    /// While the number of owners is raised member by member, the sum of what they own stays within the
+    /// budget.
     #[test]
     fn owner_list_may_grow_member_by_member(
         total in 1u32..1_000_000, share_owners in 1u32..60, moved in 0u32..60
@@ -205,14 +208,14 @@
     }
 }
 
-/// Two members who are alone, with their first leases' wait behind them.
+/// Returns two members, and the time from which neither has to wait for leases of a former incarnation.
 fn two() -> (Budget, Budget, Ms) {
     let config = BudgetConfig { share_owners: 2, ..config(20_000, 250, 100) };
     let after = config.drift_safe_wait(config.lease_duration);
     (Budget::new(config, 1, 1, 0).unwrap(), Budget::new(config, 2, 2, 0).unwrap(), after)
 }
 
-/// A has what it needs from B, who needs nothing.
+/// Lends `want` units of B, which needs none, to A, and returns the grant.
 fn lend(a: &mut Budget, b: &mut Budget, now: Ms, want: Units) -> Option<Message> {
     let request = Message::LeaseRequest(a.request_lease(now, 2, want));
     let grant = b.handle_message(now, 1, &request, 0).unwrap()?;
@@ -225,9 +228,9 @@
     let (mut a, mut b, now) = two();
     lend(&mut a, &mut b, now, 7_500);
     assert_eq!((a.spendable(now), b.spendable(now)), (17_500, 2_500));
-    let permit = a.try_spend(now + 900).expect("it has saved up");
+    let permit = a.try_spend(now + 900).expect("tokens are saved up");
     assert!(permit.is_valid(now + 999) && !permit.is_valid(now + 8_000));
-    // Eight seconds later it has its own alone, and what it saved up of the other's is gone.
+    // Eight seconds later it has only its own share, and what it saved up of the other one is lost.
     assert_eq!((a.spendable(now + 8_000), b.spendable(now + 8_000)), (10_000, 10_000));
     let granted = (0..100).filter(|_| a.try_spend(now + 8_000).is_some()).count();
     assert_eq!(granted, 10);
@@ -243,7 +246,8 @@
     let grant = b.handle_message(now, 1, &Message::LeaseRequest(requests[0].1), 0).unwrap().unwrap();
     a.handle_message(now, 2, &grant, 0).unwrap();
     assert_eq!((a.spendable(now), b.spendable(now)), (17_500, 2_500));
-    // Two quiet seconds later it needs no more, and the lender has it back at once.
+    // The demand of the previous second still counts, so that nothing is given back yet. Once the lease is
+    // given back, the lender has it at once.
     let later_requests = a.due_lease_requests(now + 500 + 1_500 - 1_001, &[]);
     assert!(later_requests.iter().all(|(_, request)| request.want > 0));
     lend(&mut a, &mut b, now + 400, 7_500);
@@ -257,12 +261,12 @@
     let (mut a, mut b, now) = two();
     (0..40).for_each(|_| _ = b.try_spend(now));
     let request = Message::LeaseRequest(a.request_lease(now, 2, 7_500));
-    // Whatever a member says of itself, it gets what others see of it.
+    // The lender grants by the traffic share that others observe, whatever the borrower asks for.
     let Message::LeaseGrant(grant) = b.handle_message(now, 1, &request, 400).unwrap().unwrap() else {
-        panic!("an ask")
+        panic!("the reply is not a grant")
     };
     assert_eq!(grant.amount, 3_000);
-    // The same again answers the same, and an older one nothing.
+    // A repeated request gets the same reply, and an older one is rejected.
     assert_eq!(b.handle_message(now + 1, 1, &request, 1_000), Ok(Some(Message::LeaseGrant(grant))));
     let newer = Message::LeaseRequest(a.request_lease(now + 2, 2, 0));
     b.handle_message(now + 3, 1, &newer, 0).unwrap();
@@ -304,7 +308,8 @@
     let start = config.drift_safe_wait(config.vote_duration());
     assert_eq!(round(&mut members, start - 1, &[0, 1, 2], &[]), [0, 0, 0]);
     assert_eq!(round(&mut members, start, &[0, 1, 2], &[]), [10_000; 3]);
-    // The third dies: its share is nobody's until all that was pledged to it has ended, then one of the others has it.
+    // The third member fails: nobody holds its share until all votes for it have expired, then one of the
+    // others does.
     let mut now = start;
     while now < start + config.drift_safe_wait(config.vote_duration()) {
         assert_eq!(round(&mut members, now, &[0, 1], &[2])[..2], [10_000; 2]);
@@ -312,7 +317,7 @@
     }
     let spendable = round(&mut members, now, &[0, 1], &[2]);
     assert_eq!(spendable[0] + spendable[1], 30_000);
-    // It is back, and the heir lets go within a tenure by the voters' clocks.
+    // It is back, and the successor gives the share up within a vote duration by the voters' clocks.
     members[2] = Budget::new(config, 2, 9, now).unwrap();
     for _ in 0..20 {
         now += 300;
@@ -320,7 +325,7 @@
         assert!(spendable.iter().sum::<Units>() <= 30_000);
     }
     assert_eq!(round(&mut members, now, &[0, 1, 2], &[]), [10_000; 3]);
-    // Alone it keeps its share for a tenure and no longer.
+    // Without the others it keeps its share for a vote duration and no longer.
     now += config.vote_duration();
     assert_eq!(members[2].spendable(now), 0);
     let invalid = BudgetConfig { witnesses: 2, ..config };
--- a/crates/overload/src/budget/token_bucket.rs
+++ b/crates/overload/src/budget/token_bucket.rs
@@ -1,38 +1,40 @@
-//! What a member has saved up of its part, and how much it asks for.
+//! Token bucket of one member, and the demand for its tokens.
 
 use super::Units;
 use crate::Ms;
 
-/// One retry or probe: thousandths, times the milliseconds of a second.
+/// Tokens of one retry or probe: 1000 thousandths times the milliseconds of a second.
 const TOKENS_PER_SPEND: u64 = 1_000_000;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct TokenBucket {
-    /// Thousandths times milliseconds.
+    /// Saved tokens: units times milliseconds.
     tokens: u64,
     refilled_at: Ms,
-    /// Spending that was asked for in this second and the one before, granted or not.
+    /// Second in which `demand[0]` was counted.
     demand_second: Ms,
+    /// Attempts to spend in that second and the one before, successful or not.
     demand: [u32; 2],
 }
 
 impl TokenBucket {
-    /// A new purse is empty: what an earlier life saved up may have been spent by it.
+    /// Creates an empty bucket: a former incarnation may have spent what it had saved up.
     pub fn new(now: Ms) -> Self {
         TokenBucket { refilled_at: now, ..TokenBucket::default() }
     }
 
-    /// Lets time pass, in which the part was at least `min_rate`, and is `rate` now.
+    /// Adds the tokens of the time since the last refill, in which the rate was at least `min_rate`, and
+    /// limits them by the current `rate`.
     pub fn refill(&mut self, now: Ms, min_rate: Units, rate: Units, burst_duration: Ms) {
         let earned = now.saturating_sub(self.refilled_at).saturating_mul(u64::from(min_rate));
-        // Room for one at least, or the smallest parts could never spend.
+        // Room for at least one spend, or the lowest rates could never spend.
         let capacity =
             u64::from(rate).saturating_mul(burst_duration).max(if rate > 0 { TOKENS_PER_SPEND } else { 0 });
         self.tokens = self.tokens.saturating_add(earned).min(capacity);
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Spends one, if so much is saved up.
+    /// Spends one retry or probe, if enough tokens are saved up.
     pub fn try_spend(&mut self, now: Ms) -> bool {
         self.rotate_demand(now);
         self.demand[0] = self.demand[0].saturating_add(1);
@@ -41,7 +43,7 @@
         allowed
     }
 
-    /// What this member would spend if it could.
+    /// Returns the rate that this member would spend if it could.
     pub fn demanded_rate(&mut self, now: Ms) -> Units {
         self.rotate_demand(now);
         self.demand[0].max(self.demand[1]).saturating_mul(1_000)
--- a/crates/overload/src/level/applied.rs
+++ b/crates/overload/src/level/applied.rs
@@ -1,14 +1,16 @@
-//! The level that a member acts on: it follows the fleet's at a bounded rate.
+//! Level that a member applies: it follows the fleet's level at a bounded rate.
 
 use crate::{Ms, PerMille, PER_MILLE_SCALE};
 
-/// Most change a second, in thousandths.
+/// Maximum change of the applied level per second, in thousandths.
 pub const MAX_CHANGE_PER_SECOND: u64 = 300;
-/// After so long under the same words, members stand at the same level, whatever they came from.
+/// Time (ms) after which members with the same reports apply the same level, whatever level they started
+/// from.
 pub const SETTLING_TIME: Ms = 1_000 * PER_MILLE_SCALE as Ms / MAX_CHANGE_PER_SECOND + 1;
-/// Longest time that one step counts; a process that was stopped goes on gently.
+/// Longest time (ms) that one step counts, so that the level does not jump after the process was suspended.
 const MAX_STEP: Ms = 1_000;
 
+/// Applied level, stored in millionths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AppliedLevel {
     millionths: u64,
@@ -20,7 +22,8 @@
         AppliedLevel { millionths: 0, updated_at: now }
     }
 
-    /// Lets time pass while the fleet's words give this level.
+    /// Moves the level towards `target`, the fleet's level, as far as the elapsed time allows, and returns
+    /// it.
     pub fn step(&mut self, now: Ms, target: PerMille) -> PerMille {
         let max_change = now.saturating_sub(self.updated_at).min(MAX_STEP) * MAX_CHANGE_PER_SECOND;
         self.updated_at = self.updated_at.max(now);
--- a/crates/overload/src/level/fleet.rs
+++ b/crates/overload/src/level/fleet.rs
@@ -1,15 +1,17 @@
-//! What all members derive alike from what they have heard.
+//! View of the whole fleet, which all members derive alike from the reports they have received.
 
 use std::collections::BTreeMap;
 
 use super::{capped_attempts, MemberReport, TrafficClaim};
 use crate::{scale_by_ratio, Member, Ms, PerMille, PER_MILLE_SCALE};
 
-/// Up to this age a word counts whole; from there on less, down to nothing.
+/// Age (ms) up to which a report has full weight; beyond it the weight falls linearly to zero at
+/// [`MAX_REPORT_AGE`].
 pub const FULL_WEIGHT_AGE: Ms = 1_500;
+/// Age (ms) from which a report is ignored.
 pub const MAX_REPORT_AGE: Ms = 5_000;
 
-/// A word, and how long ago it was told.
+/// A report of a member, with the milliseconds since it was sent as its `age`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedReport {
     pub member: Member,
@@ -18,28 +20,28 @@
 }
 
 impl ReceivedReport {
-    /// How much it counts, in thousandths.
+    /// Returns the weight that the report has by its age, in thousandths.
     fn age_weight(&self) -> u64 {
         let remaining = MAX_REPORT_AGE.saturating_sub(self.age).min(MAX_REPORT_AGE - FULL_WEIGHT_AGE);
         remaining * u64::from(PER_MILLE_SCALE) / (MAX_REPORT_AGE - FULL_WEIGHT_AGE)
     }
 }
 
-/// The fleet as its members' words show it.
+/// Aggregate of the newest report of each member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Share of the work to be turned away.
+    /// Share of the work to shed.
     pub level: PerMille,
-    /// Members that count at all.
+    /// Number of members that have a report with any weight.
     pub member_count: usize,
-    /// Each member's part of the traffic, capped by what others see.
+    /// Each member's share of the fleet's traffic, capped by what others observe.
     pub traffic_shares: BTreeMap<Member, PerMille>,
-    /// Work by band of the order, smallest band first, on a scale of its own.
+    /// Work by priority band, lowest band first. Only the proportions matter: the scale is arbitrary.
     pub work_by_band: Vec<(u8, u64)>,
 }
 
 impl FleetView {
-    /// From the newest word of each member, own word included, in any order.
+    /// Aggregates reports, the own one included, in any order. Only the newest of each member counts.
     pub fn from_reports(reports: &[ReceivedReport]) -> FleetView {
         let mut newest: BTreeMap<Member, &ReceivedReport> = BTreeMap::new();
         for r in reports.iter().filter(|r| r.age_weight() > 0) {
@@ -52,7 +54,7 @@
         }
         let reports: Vec<&ReceivedReport> = newest.into_values().collect();
         let claims: Vec<TrafficClaim> = reports.iter().map(|r| r.claimed_traffic()).collect();
-        // One more than nothing, so that a fleet without traffic has a level too.
+        // Plus one, so that a fleet without traffic has a level too.
         let weighted = capped_attempts(&claims)
             .into_iter()
             .zip(&reports)
@@ -72,7 +74,8 @@
         for (r, w) in reports.iter().zip(&weights) {
             let member_work: u64 = r.report.work_by_band.iter().map(|(_, work)| u64::from(*work)).sum();
             for (band, work) in &r.report.work_by_band {
-                // A member tells how its traffic is made up; how much of it there is, others see.
+                // A member reports how its work is distributed over the bands; how much it counts depends on
+                // its capped traffic.
                 *work_by_band.entry(*band).or_default() += scale_by_ratio(*w, u64::from(*work), member_work);
             }
         }
@@ -87,7 +90,7 @@
 
 impl ReceivedReport {
     fn claimed_traffic(&self) -> TrafficClaim {
-        // Kept small enough that sums of all members stay in their bounds.
+        // Limited so that sums over all members do not overflow.
         let own_attempts = self.report.total_attempts().min(u64::from(u32::MAX));
         TrafficClaim {
             member: self.member,
--- a/crates/overload/src/level/mod.rs
+++ b/crates/overload/src/level/mod.rs
@@ -1,8 +1,12 @@
-//! How much of the work is turned away. Each member makes a *wish* from its own pressure, with hysteresis, and tells
-//! it with its traffic ([`MemberReport`]); the fleet's level is the mean of the wishes, weighed by traffic that is capped by
-//! what others see ([`FleetView`]). The mean is a function of the words and their ages alone, in whole numbers, so that all
-//! members come to the same from the same words in any order; what each acts on follows it at a bounded rate
-//! ([`AppliedLevel`]), and whoever has heard the same for [`SETTLING_TIME`] milliseconds stands at the same.
+//! Load-shedding level: the share of the work that the fleet rejects.
+//!
+//! Each member derives a desired level from the pressure on its own queues, with hysteresis
+//! ([`DesiredLevel`]), and sends it with its traffic in a [`MemberReport`]. The fleet's level is the mean of
+//! the desired levels, weighted by traffic that is capped by what others observe ([`FleetView`]). It depends
+//! on the reports and their ages alone and is computed in integers, so that all members derive the same level
+//! from the same reports in any order. The level that a member applies follows the fleet's at a bounded rate
+//! ([`AppliedLevel`]): members that have had the same reports for [`SETTLING_TIME`] milliseconds apply the
+//! same level.
 
 mod applied;
 mod desired;
--- a/crates/overload/src/level/report.rs
+++ b/crates/overload/src/level/report.rs
@@ -1,95 +1,96 @@
-//! What a member tells.
+//! Report that each member sends to the others.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::{budget::Units, Incarnation, Ms, PerMille, PER_MILLE_SCALE};
 
-/// Most that a word has room for, so that the largest goes into one datagram.
+/// Maximum numbers of entries in a report, so that the largest one fits into a datagram.
 const MAX_CLASSES: usize = 20;
 const MAX_BANDS: usize = 48;
 const MAX_ROLES: usize = 8;
 const MAX_BUDGETS: usize = 8;
 
-/// Counts of one class in a member's last seconds, each in thousandths a second.
+/// Rates of one request class over a member's last seconds, in thousandths per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClassRates {
-    /// The class, by its place in the settings.
+    /// Index of the class in the settings.
     pub class: u8,
-    /// Requests that clients sent.
+    /// Requests from clients, rejected ones included.
     pub arrivals: u32,
-    /// Those of them that a client marked as another try.
+    /// Arrivals that the client marked as retries.
     pub marked_retries: u32,
-    /// Those that were turned away.
+    /// Arrivals that were rejected.
     pub rejected: u32,
-    /// Requests that got their first attempt.
+    /// First attempts of requests at engines.
     pub first_attempts: u32,
-    /// All attempts, the first ones among them.
+    /// All attempts at engines, first ones included.
     pub attempts: u32,
 }
 
-/// How long requests wait in the queues of a role's servers.
+/// Time that requests wait in the queues of a role's servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RoleQueueWait {
     pub role: u8,
     pub wait: Ms,
-    /// What is aimed at.
+    /// Wait that the settings aim at.
     pub target: Ms,
 }
 
 impl RoleQueueWait {
-    /// The wait in thousandths of its aim.
+    /// Returns the wait in thousandths of its target.
     pub fn pressure(&self) -> PerMille {
         let pressure = self.wait.saturating_mul(u64::from(PER_MILLE_SCALE)) / self.target.max(1);
         u32::try_from(pressure).unwrap_or(u32::MAX)
     }
 }
 
-/// A member's own facts, told anew a few times a second.
+/// Measurements and state of a member, sent a few times per second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberReport {
     pub incarnation: Incarnation,
-    /// Grows with each word of a life.
+    /// Grows with each report of an incarnation.
     pub sequence: u64,
-    /// What this member would have the fleet turn away.
+    /// Share of the work that this member wants the fleet to shed.
     pub desired_level: PerMille,
-    /// The greatest of its roles' waits, in thousandths of their aims.
+    /// Largest of its roles' queue waits, in thousandths of their targets.
     pub pressure: PerMille,
     pub queue_waits: Vec<RoleQueueWait>,
     pub classes: Vec<ClassRates>,
-    /// Work that arrives a second by band of the order, each band once.
+    /// Work that arrives per second by priority band; each band occurs once.
     pub work_by_band: Vec<(u8, u32)>,
-    /// Attempts a second of the whole fleet, in thousandths, by the engines' own reports; none where they do not tell.
+    /// Attempts per second of the whole fleet, in thousandths, by the engines' reports; `None` if they send
+    /// none.
     pub observed_fleet_attempts: Option<u32>,
-    /// What it would lend, by budget.
+    /// Units that the member would lend, by budget.
     pub spare_units: Vec<Units>,
 }
 
-/// Why a word is not taken.
+/// Reason why a report is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReportError {
-    #[error("a member's word names {found} {what}, and {max} are the most")]
+    #[error("a member report has {found} {what}, but the maximum is {max}")]
     TooMany { what: &'static str, found: usize, max: usize },
-    #[error("a member's word would have {desired_level} thousandths of the work turned away")]
+    #[error("a member report asks to shed {desired_level} thousandths of the work, but the maximum is 1000")]
     LevelOutOfRange { desired_level: PerMille },
-    #[error("a member's word names the class {class} twice")]
+    #[error("a member report contains class {class} twice")]
     DuplicateClass { class: u8 },
 }
 
 impl ReportError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            ReportError::TooMany { .. } => "Give all gateways the same settings, with no more than that.",
+            ReportError::TooMany { .. } => "Give all gateways the same settings, within that maximum.",
             ReportError::LevelOutOfRange { .. } | ReportError::DuplicateClass { .. } => {
-                "The member is not a build of this program, or its key is in other hands: take it out and change the key."
+                "The member runs another program or its key has leaked: remove it and change the key."
             }
         }
     }
 }
 
 impl MemberReport {
-    /// Whether it can be a word at all; to be asked of whatever is decoded.
+    /// Checks the bounds of a report. Callers check every report that they decode.
     pub fn check(&self) -> Result<(), ReportError> {
         let counts = [
             ("classes", self.classes.len(), MAX_CLASSES),
@@ -112,7 +113,8 @@
         Ok(())
     }
 
-    /// Attempts a second, in thousandths: what others can see of a member's traffic, as engines take it.
+    /// Returns the member's attempts per second in thousandths: the part of its traffic that others can
+    /// observe at the engines.
     pub fn total_attempts(&self) -> u64 {
         self.classes.iter().map(|c| u64::from(c.attempts)).sum()
     }
--- a/crates/overload/src/level/tests.rs
+++ b/crates/overload/src/level/tests.rs
@@ -33,7 +33,8 @@
 }
 
 proptest! {
-    /// The same words give the same fleet in any order, through the wire, and within the wishes.
+    /// The same reports give the same view in any order and after encoding, with a level within the desired
+    /// levels.
     #[test]
     fn every_member_derives_the_same_view(
         reports in prop::collection::vec(received_report(), 0..30), rotation in 0usize..30
@@ -56,8 +57,8 @@
         prop_assert!(fleet.traffic_shares.values().sum::<u32>() <= PER_MILLE_SCALE);
     }
 
-    /// Members that come from different levels stand at the same after the same words for SETTLES, and never move
-    /// faster than the bound.
+    /// Members that start at different levels apply the same level after the same reports for SETTLING_TIME,
+    /// and never change it faster than the bound.
     #[test]
     fn applied_levels_converge_within_the_settling_time(
         from in prop::collection::vec(0u32..=1_000, 2..6), target in 0u32..=1_000,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// The wish moves by a bounded step, up above one bound and down below the other alone.
+    /// The desired level changes by a bounded step; it rises only above one pressure bound and falls only
+    /// below the other.
     #[test]
     fn desired_level_has_hysteresis(
         pressures in prop::collection::vec(0u32..4_000, 1..80), step in 1u64..1_500
@@ -99,8 +101,8 @@
         }
     }
 
-    /// A liar counts at most its true traffic or an honest member's, and an honest member's weight is cut only where
-    /// it has more than that.
+    /// A false claim counts for at most the true traffic or the largest honest claim, and an honest claim is
+    /// only cut where it exceeds what the false one counts.
     #[test]
     fn false_traffic_claim_gains_a_bounded_weight(
         true_traffic in prop::collection::vec(1_000u64..1_000_000, 3..20), factor in 1u64..50,
@@ -114,7 +116,7 @@
         }).collect();
         let capped = capped_attempts(&claims);
         let largest_honest = true_traffic[1..].iter().max().unwrap();
-        // The reports' lag is a tenth of the whole.
+        // The allowance for the lag of engine reports is a tenth of the total.
         prop_assert!(capped[0] <= (true_traffic[0] + total / 10 + 1).max(*largest_honest));
         prop_assert!(capped.iter().sum::<u64>() <= (total + total / 10).max(total) || factor == 1);
         for (n, attempts) in true_traffic.iter().enumerate().skip(1) {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// What is gone does not count: a level without it is the level with it at that age.
+    /// A report that has reached its maximum age does not change the view.
     #[test]
     fn expired_reports_have_no_weight(
         reports in prop::collection::vec(received_report(), 1..12),
@@ -149,7 +151,8 @@
         };
         FleetView::from_reports(&honest.chain([liar]).collect::<Vec<_>>())
     };
-    // Its true traffic is a tenth; believed, it would be more than half, and the level 573.
+    // Its true traffic is a tenth. With the full claim it would have more than half of the weight, and the
+    // level would be 573.
     assert_eq!(fleet(1).level, 190);
     assert!(fleet(10).level <= 265, "{}", fleet(10).level);
 }
--- a/crates/overload/src/level/traffic.rs
+++ b/crates/overload/src/level/traffic.rs
@@ -1,13 +1,15 @@
-//! What a member's told traffic counts: no more than others see.
+//! Caps on the traffic that members claim in their reports, by what others observe.
 
 use crate::{scale_by_ratio, Member};
 
-/// What engines report may lag what members tell, by so many thousandths.
+/// Maximum of all claims together, in thousandths of the fleet's traffic by engine reports, which may lag
+/// behind the claims.
 const CLAIM_LIMIT_PER_MILLE: u64 = 1_100;
-/// Where no engines' reports bear witness, a member counts at most so many times what the middle one of all tells.
+/// Maximum of one claim as a multiple of the median claim, where too few members have engine reports.
 const MAX_TIMES_MEDIAN: u64 = 3;
 
-/// What a member tells of traffic: its own, and the whole fleet's by the engines' reports.
+/// Traffic that a member claims, in thousandths of an attempt per second: its own, and the whole fleet's by
+/// engine reports (`None` without such reports).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrafficClaim {
     pub member: Member,
@@ -15,10 +17,11 @@
     pub observed_fleet_attempts: Option<u64>,
 }
 
-/// What each told traffic counts, in the order given. Where most members see the whole by engines' reports, all are
-/// cut to one height such that together they are no more than the middle one of those sees; a liar then counts at
-/// most its true traffic, or the greatest of an honest member's, whichever is more. Else each is cut to a multiple
-/// of the middle one of all.
+/// Returns the attempts with which each claim counts, in the order given. If a majority of members observes
+/// the whole fleet by engine reports, one common cap limits the sum of all claims to the median of these
+/// observations plus an allowance for their lag. A false claim then counts for at most the member's true
+/// traffic or the largest honest claim, whichever is more. Otherwise the cap is a multiple of the median
+/// claim.
 pub fn capped_attempts(claims: &[TrafficClaim]) -> Vec<u64> {
     let mut observed: Vec<u64> = claims.iter().filter_map(|claim| claim.observed_fleet_attempts).collect();
     let mut sorted: Vec<u64> = claims.iter().map(|claim| claim.own_attempts).collect();
@@ -34,7 +37,8 @@
     claims.iter().map(|claim| claim.own_attempts.min(cap)).collect()
 }
 
-/// The greatest height to which all of these, smallest first, may reach so that together they are no more.
+/// Returns the highest cap at which these claims, smallest first, sum to at most `limit` (max-min fairness);
+/// `u64::MAX` if they need no cap.
 fn max_min_cap(sorted: &[u64], limit: u64) -> u64 {
     let mut remaining = limit;
     for (n, attempts) in sorted.iter().enumerate() {
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,11 +1,12 @@
-//! What a fleet of gateways decides together when there is more to do than it can do: how much is turned away
-//! ([`level`]), who goes first ([`priority`]), who may spend how much of a budget that the whole fleet shares
-//! ([`budget`]), and how far tries beget tries ([`amplification`]). Where gateways may not talk, [`standalone`] makes the
-//! same decisions from what one of them has.
+//! Fleet-wide overload control for gateways: how much load the fleet sheds ([`level`]), which requests it
+//! admits first ([`priority`]), how its members share a rate budget for retries and probes ([`budget`]), and
+//! how strongly retries amplify the load ([`amplification`]). Where gateways may not exchange messages,
+//! [`standalone`] makes the same decisions from the measurements of one gateway.
 //!
-//! Decisions only: no socket, no clock, no thread. Time is an argument in milliseconds on the caller's clock, which
-//! must not go back and must go on while the process is stopped. What decides is whole numbers, so that all
-//! members come to the same from the same words. `docs/one-fleet.md` has the promises and their limits.
+//! The crate only decides: it has no sockets, clocks or threads. Callers pass the time in milliseconds on
+//! their own clock, which must not go back and must keep running while the process is suspended. Decisions
+//! use integer arithmetic, so that all members derive the same result from the same reports.
+//! `docs/one-fleet.md` describes the guarantees and their limits.
 
 pub mod amplification;
 pub mod budget;
@@ -14,22 +15,23 @@
 pub mod standalone;
 pub mod wire;
 
-/// Milliseconds on a clock of the caller's; moments and lengths.
+/// Milliseconds on the caller's clock, for points in time and for durations.
 pub type Ms = u64;
 
-/// A gateway under its name, as a hash of it.
+/// Identity of a gateway in the fleet: a hash of its name.
 pub type Member = u64;
 
-/// One run of a member; later ones go before earlier ones.
+/// Number of one run of a member. A later run has a higher number and supersedes earlier ones.
 pub type Incarnation = u64;
 
-/// Thousandths: of work that is turned away, of a wait that is aimed at.
+/// Thousandths, such as a share of the work to shed or a wait relative to its target. May exceed
+/// [`PER_MILLE_SCALE`] where a ratio above one is possible.
 pub type PerMille = u32;
 
-/// All of it, in thousandths.
+/// One whole (100 %) in thousandths.
 pub const PER_MILLE_SCALE: PerMille = 1000;
 
-/// `numerator` of `denominator`, scaled to `amount`; nothing where there is nothing to be a part of.
+/// Returns `amount * numerator / denominator`, rounded down and at most `u64::MAX`; 0 if `denominator` is 0.
 pub(crate) fn scale_by_ratio(amount: u64, numerator: u64, denominator: u64) -> u64 {
     let scaled = u128::from(amount) * u128::from(numerator) / u128::from(denominator.max(1));
     if denominator == 0 {
--- a/crates/overload/src/priority/admission.rs
+++ b/crates/overload/src/priority/admission.rs
@@ -1,19 +1,19 @@
-//! One gateway's word on a request.
+//! Decision of one gateway whether to admit a request.
 
 use super::{band::later_turn_band, Cutoff, RetryAfterBounds, ServedSessions, SessionHash};
 use crate::{Ms, PerMille, PER_MILLE_SCALE};
 
-/// A request as the order sees it.
+/// Properties of a request that decide whether it is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
     pub band: u8,
     pub session: SessionHash,
-    /// Whether it says that it is a later turn of its session.
+    /// Whether the client says that it is a later turn of its session.
     pub is_later_turn: bool,
 }
 
 impl Request {
-    /// The band that it counts in, when work is told by band.
+    /// Returns the band in which the request counts, both for its own admission and in reported work.
     pub fn effective_band(&self) -> u8 {
         if self.is_later_turn {
             later_turn_band(self.band)
@@ -26,13 +26,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     Admitted,
-    /// Turned away, and told to come back after so long where the settings allow it.
+    /// The request is rejected; `retry_after` is the delay that the client is given, if the settings allow
+    /// one.
     Rejected {
         retry_after: Option<Ms>,
     },
 }
 
-/// The cut, and the sessions that go before it.
+/// Cutoff, and the served sessions that are exempt from it.
 #[derive(Clone, Debug)]
 pub struct Admission {
     served: ServedSessions,
@@ -47,17 +48,18 @@
         Admission { served, bounds, level: 0, retry_pressure: 0, cutoff: Cutoff::ADMIT_ALL }
     }
 
-    /// The level and the fleet's work by band are these now, and clients come back so much
-    /// ([`Amplification::retry_pressure`](crate::amplification::Amplification::retry_pressure)): where they press, the refused are told
-    /// to come later than the level alone would have it.
+    /// Sets the level, the retry pressure of clients
+    /// ([`Amplification::retry_pressure`](crate::amplification::Amplification::retry_pressure)) and the
+    /// fleet's work by band. A retry pressure above the level makes the retry delays longer than the level
+    /// alone would.
     pub fn update(&mut self, level: PerMille, retry_pressure: PerMille, work_by_band: &[(u8, u64)]) {
         (self.level, self.retry_pressure, self.cutoff) =
             (level, retry_pressure, Cutoff::for_level(level, work_by_band));
     }
 
-    /// Whether a request goes on. A later turn of a session that was served here always does, unless everything is
-    /// turned away; one that was served elsewhere stands higher than its first turn did, by band and by rank, so that
-    /// no gateway refuses it at the level at which any admitted its first turn.
+    /// Decides on a request. A session that this gateway remembers is admitted unless everything is rejected.
+    /// A later turn of any other session has a higher band and rank than its first turn had, so that no
+    /// gateway rejects it at a level at which another one admitted the first turn.
     pub fn decide(&mut self, now: Ms, request: &Request) -> Decision {
         let bypasses_cutoff = self.level < PER_MILLE_SCALE && self.served.contains(now, request.session);
         let session = request.session;
@@ -68,12 +70,12 @@
         Decision::Rejected { retry_after: self.bounds.delay(self.level.max(self.retry_pressure), session) }
     }
 
-    /// What the settings allow clients to be told.
+    /// Returns the bounds of the retry delay.
     pub fn retry_after_bounds(&self) -> &RetryAfterBounds {
         &self.bounds
     }
 
-    /// A turn of a session was served.
+    /// Records that a turn of the session was served.
     pub fn record_served(&mut self, now: Ms, session: SessionHash) {
         self.served.insert(now, session);
     }
--- a/crates/overload/src/priority/band.rs
+++ b/crates/overload/src/priority/band.rs
@@ -1,9 +1,10 @@
-//! Bands of requests that the level does not tell apart but by hash.
+//! Priority bands: requests in the same band are told apart by their session hash alone.
 
-/// Bands to each doubling of worth a unit of work.
+/// Bands for each doubling of the value per unit of work.
 const BANDS_PER_OCTAVE: u8 = 4;
-/// Octaves: from a 65,536th of a unit of worth a unit of work to half of 65,536 of them.
+/// Number of octaves. They cover 1/65,536 of a unit of value per unit of work up to half of 65,536 units.
 const OCTAVES: u32 = 31;
+/// Fixed-point representation of one unit of value per unit of work.
 const RATE_SCALE: u64 = 1 << 16;
 
 /// Whether a request may be sent again after an attempt that may have had its effect.
@@ -13,7 +14,8 @@
     NonIdempotent,
 }
 
-/// The band of a request; higher goes first. `value` is in thousandths of what the settings count, `work` in tokens.
+/// Returns the band of a request; higher bands are admitted first. `value` is in thousandths of the unit that
+/// the settings use, `work` in tokens; `over_share` is whether the tenant is over its share.
 pub fn priority_band(value: u32, work: u32, idempotency: Idempotency, over_share: bool) -> u8 {
     let rate = u64::from(value) * RATE_SCALE / 1_000 / u64::from(work.max(1));
     let octave = rate.checked_ilog2().map_or(0, |log| (log + 1).min(OCTAVES));
@@ -23,7 +25,8 @@
         + u8::from(!over_share)
 }
 
-/// The band of a later turn: what was read for a session so far is worth as much again.
+/// Returns the band of a later turn, which is one octave higher: the work done for the session so far counts
+/// as much value again.
 pub(super) fn later_turn_band(band: u8) -> u8 {
     band.saturating_add(BANDS_PER_OCTAVE)
 }
--- a/crates/overload/src/priority/cutoff.rs
+++ b/crates/overload/src/priority/cutoff.rs
@@ -1,25 +1,26 @@
-//! Where the level cuts the order.
+//! Cutoff that a level makes in the priority order.
 
 use crate::{PerMille, PER_MILLE_SCALE};
 
-/// Everything below this band is refused, and of this band what stands below the rank.
+/// Rejects everything below a band, and in that band the ranks below `below_rank`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Cutoff {
     band: u8,
-    /// Of 65,536.
+    /// First rank that is admitted, of 65,536.
     below_rank: u32,
 }
 
+/// Number of ranks in a band.
 const RANK_COUNT: u128 = 1 << 16;
 
 impl Cutoff {
-    /// Nothing is refused.
+    /// Rejects nothing.
     pub const ADMIT_ALL: Cutoff = Cutoff { band: 0, below_rank: 0 };
-    /// Everything is.
+    /// Rejects everything.
     pub const REJECT_ALL: Cutoff = Cutoff { band: u8::MAX, below_rank: RANK_COUNT as u32 };
 
-    /// The cut that turns away this share of the work that the bands have, lowest first; each band once, smallest
-    /// first. Where nobody knows the work, all bands lose alike, by rank.
+    /// Returns the cutoff that rejects the share `level` of the work, lowest bands first. `work_by_band` has
+    /// each band once, lowest band first. If it has no work, all bands are cut alike, by rank.
     pub fn for_level(level: PerMille, work_by_band: &[(u8, u64)]) -> Cutoff {
         if level == 0 {
             return Cutoff::ADMIT_ALL;
@@ -28,7 +29,7 @@
             return Cutoff::REJECT_ALL;
         }
         let total_work: u128 = work_by_band.iter().map(|(_, work)| u128::from(*work)).sum();
-        // In thousandths of work, so that nothing is lost by rounding.
+        // In thousandths of work, so that rounding loses nothing.
         let mut to_reject = total_work * u128::from(level);
         for (band, work) in work_by_band {
             let work = u128::from(*work) * u128::from(PER_MILLE_SCALE);
@@ -44,7 +45,7 @@
     }
 
     pub fn rejects(&self, band: u8, rank: u16) -> bool {
-        // Where no band is known, the cut goes through all of them.
+        // Without known work, the cutoff applies to the ranks of every band.
         let all_bands_alike = self.band == u8::MAX && self.below_rank < RANK_COUNT as u32;
         let at_cutoff = band == self.band || all_bands_alike;
         band < self.band && !all_bands_alike || at_cutoff && u32::from(rank) < self.below_rank
--- a/crates/overload/src/priority/mod.rs
+++ b/crates/overload/src/priority/mod.rs
@@ -1,8 +1,11 @@
-//! Who goes first at a level. Requests fall into bands by what they are worth a unit of work, then whether they may
-//! not be repeated, then whether their tenant is within its share ([`band`]); the level's share of the work is taken
-//! from the lowest bands, and of the band in which it ends by a hash of owner and session ([`Cutoff`]). The hash is the
-//! same at all gateways, so a session that is refused here is refused everywhere, and coming back or shopping around
-//! gains nothing. [`Admission`] adds what a gateway remembers of sessions it has served.
+//! Priority order in which requests are shed.
+//!
+//! Requests fall into bands by their value per unit of work, then by whether they must not be repeated, then
+//! by whether their tenant is within its share ([`priority_band`]). The level's share of the work is rejected
+//! from the lowest bands, and in the band where that share ends by a keyed hash of owner and session
+//! ([`Cutoff`], [`SessionHash`]). The hash is the same at all gateways, so that a session that one gateway
+//! rejects is rejected by all of them, and neither retries nor other gateways give the client an advantage.
+//! [`Admission`] adds the sessions that this gateway remembers to have served.
 
 mod admission;
 mod band;
--- a/crates/overload/src/priority/retry_after.rs
+++ b/crates/overload/src/priority/retry_after.rs
@@ -1,20 +1,21 @@
-//! When the refused are told to come back.
+//! Delay after which rejected clients may retry.
 
 use super::SessionHash;
 use crate::{scale_by_ratio, Ms, PerMille, PER_MILLE_SCALE};
 
-/// The settings' bounds.
+/// Bounds of the retry delay, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RetryAfterBounds {
-    /// Whether clients may be told at all.
+    /// Whether rejections give clients a retry delay at all.
     pub enabled: bool,
     pub min: Ms,
     pub max: Ms,
 }
 
 impl RetryAfterBounds {
-    /// How long a refused session is told to wait: within the bounds, the later the higher the level, and the refused of
-    /// one moment spread evenly over a window that grows with the level.
+    /// Returns the retry delay for a rejected session; `None` if the settings disable it. The delay is within
+    /// the bounds and grows with the level, and sessions rejected at the same time are spread evenly over a
+    /// window whose width grows with the level.
     pub fn delay(&self, level: PerMille, session: SessionHash) -> Option<Ms> {
         let window = scale_by_ratio(
             self.max.saturating_sub(self.min),
--- a/crates/overload/src/priority/served.rs
+++ b/crates/overload/src/priority/served.rs
@@ -1,12 +1,13 @@
-//! Sessions that were served, in bounded memory.
+//! Bounded memory of the sessions that a gateway has served.
 
 use std::collections::HashSet;
 
 use super::SessionHash;
 use crate::Ms;
 
-/// Two generations: the older one goes when the newer is full or has served its time. A session stays for at least
-/// `generation_capacity` others after its last turn, if they come within `max_generation_age`, and never longer than twice the age.
+/// Two generations of sessions: the previous one is dropped when the current one is full or has reached its
+/// maximum age. A session is remembered for at least the next `generation_capacity` other sessions, if they
+/// come within `max_generation_age`, and never for longer than twice that age.
 #[derive(Clone, Debug)]
 pub struct ServedSessions {
     generation_capacity: usize,
@@ -17,7 +18,7 @@
 }
 
 impl ServedSessions {
-    /// Room for twice `generation_capacity` sessions, eight bytes and a little each.
+    /// Remembers at most twice `generation_capacity` sessions; each takes eight bytes plus overhead.
     pub fn new(generation_capacity: usize, max_generation_age: Ms, now: Ms) -> Self {
         ServedSessions {
             generation_capacity: generation_capacity.max(1),
--- a/crates/overload/src/priority/session_hash.rs
+++ b/crates/overload/src/priority/session_hash.rs
@@ -1,36 +1,39 @@
-//! Where a session stands among those of its band.
+//! Hash by which the sessions of a band are ordered.
 
-/// From owner and session under the fleet's key: the same at all gateways, and nothing that a client can choose.
+/// Hash of owner and session under the fleet's key: the same at all gateways, and beyond the control of
+/// clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SessionHash(u64);
 
 impl SessionHash {
-    /// `key`: any 32 bytes that all gateways share and clients do not know.
+    /// Hashes owner and session under `key`, 32 bytes that all gateways share and clients do not know.
     pub fn new(key: &[u8; 32], owner: &[u8], session: &[u8]) -> SessionHash {
         let mut hasher = blake3::Hasher::new_keyed(key);
-        // The length keeps "ab" of "c" apart from "a" of "bc".
+        // The length prefix tells owner "ab" with session "c" from owner "a" with session "bc".
         hasher.update(&(owner.len() as u64).to_le_bytes()).update(owner).update(session);
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
         SessionHash(u64::from_le_bytes(bytes))
     }
 
-    /// In its band, of 65,536; higher goes first.
+    /// Returns the rank in its band, of 65,536; higher ranks are admitted first.
     pub fn rank(self) -> u16 {
         (self.0 >> 48) as u16
     }
 
-    /// Of a later turn without memory: in the upper eighth, and never before where the first turn stood.
+    /// Returns the rank of a later turn at a gateway that does not remember the session: in the upper eighth,
+    /// and never below the rank of the first turn.
     pub fn later_turn_rank(self) -> u16 {
         u16::MAX - (u16::MAX - self.rank()) / 8
     }
 
-    /// In the window of returns; bits that the rank does not use, or the refused would all return at once.
+    /// Returns the position in the window of retry delays, of `u32::MAX`. It uses bits that the rank does not
+    /// use, since rejected sessions have similar ranks and would otherwise all retry at the same time.
     pub fn retry_jitter(self) -> u32 {
         self.0 as u32
     }
 
-    /// What a gateway remembers a session by.
+    /// Returns the identifier by which a gateway remembers the session.
     pub fn id(self) -> u64 {
         self.0
     }
--- a/crates/overload/src/priority/tests.rs
+++ b/crates/overload/src/priority/tests.rs
@@ -26,7 +26,7 @@
 }
 
 proptest! {
-    /// The cut turns away the level's share of the work, lowest bands first, within a rank.
+    /// The cutoff rejects the share of the work that the level sets, to within one rank, lowest bands first.
     #[test]
     fn cutoff_rejects_the_share_of_work_that_the_level_sets(level in 0u32..=1_000, bands in bands()) {
         let cutoff = Cutoff::for_level(level, &bands);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What is refused at a level is refused at any higher one, and at every gateway alike.
+    /// A request that is rejected at a level is rejected at any higher one, and at every gateway alike.
     #[test]
     fn rejection_is_the_same_at_every_gateway(
         level in 0u32..=1_000, more in 0u32..=1_000, bands in bands(), n: u32, band in 0u8..120,
@@ -56,7 +56,8 @@
         prop_assert!(admitted || !admits(&mut gateway(higher, &bands), 0, &request));
     }
 
-    /// A later turn of a session that was admitted is admitted: anywhere at the same level, here at any but the last.
+    /// A later turn of an admitted session is admitted: by any gateway at the same level, and by the gateway
+    /// that served it at any level below the maximum.
     #[test]
     fn later_turn_of_an_admitted_session_is_admitted(
         level in 0u32..1_000, other in 0u32..1_000, bands in bands(), n: u32, band in 0u8..120
@@ -72,7 +73,8 @@
         }
     }
 
-    /// More worth, less work, an effect that may not come twice and a tenant within its share never go later.
+    /// A band never falls with more value, with less work, for a request that must not be repeated, or for a
+    /// tenant within its share.
     #[test]
     fn band_rises_with_value(
         value in 0u32..1_000_000, more in 0u32..1_000_000, work in 1u32..1_000_000,
@@ -98,7 +100,7 @@
         prop_assert!(priority_band(value, work, Idempotency::NonIdempotent, false) < u8::MAX - 4);
     }
 
-    /// Waits stay in the bounds, grow with the level, and spread over the window.
+    /// Delays stay within the bounds, grow with the level, and are spread over the window.
     #[test]
     fn retry_delays_are_spread_over_the_window(
         min in 0u64..5_000, width in 100u64..60_000, level in 1u32..1_000, more in 0u32..1_000
@@ -116,7 +118,7 @@
         prop_assert_eq!(RetryAfterBounds { enabled: false, ..bounds }.delay(level, session(0)), None);
     }
 
-    /// The memory is bounded, and holds a session over the next `capacity` ones.
+    /// The memory is bounded, and keeps a session while `capacity` more sessions are added, itself included.
     #[test]
     fn served_sessions_are_bounded(capacity in 1usize..50, sessions in 1u32..300) {
         let mut served = ServedSessions::new(capacity, 10_000, 0);
@@ -133,7 +135,9 @@
 fn client_retry_pressure_lengthens_the_retry_delay() {
     let request = Request { band: 9, session: session(3), is_later_turn: false };
     let mut gateway = gateway(1_000, &[(9, 1)]);
-    let Decision::Rejected { retry_after } = gateway.decide(0, &request) else { panic!("all is refused") };
+    let Decision::Rejected { retry_after } = gateway.decide(0, &request) else {
+        panic!("the level rejects everything")
+    };
     gateway.update(400, 0, &[(9, 1)]);
     let delay_without_pressure = gateway.retry_after_bounds().delay(400, request.session);
     gateway.update(400, 1_000, &[(20, 1), (21, 1)]);
--- a/crates/overload/src/standalone.rs
+++ b/crates/overload/src/standalone.rs
@@ -1,15 +1,19 @@
-//! The same decisions where gateways may not talk: from the settings' number of routers and a gateway's own counts.
-//! All see the same engines' queues, so their wishes are alike, and the order's hash is the same at all of them;
-//! budgets are cut into equal parts, which is what each seat owns when nothing is lent.
+//! Overload control for gateways that may not exchange messages: the same decisions from the number of
+//! routers in the settings and from the gateway's own counts.
+//!
+//! All gateways see the queues of the same engines, so that their desired levels are similar, and the session
+//! hash is the same at all of them. Budgets are divided into equal parts, which is what each owner has while
+//! nothing is lent.
 
 use crate::budget::{Budget, BudgetConfig, ConfigError, Units};
 use crate::level::{AppliedLevel, DesiredLevel, FleetView, MemberReport, ReceivedReport};
 use crate::{Ms, PerMille, PER_MILLE_SCALE};
 
-/// Requests a second, in thousandths, from which on a gateway trusts its own mix of bands whole.
+/// Arrivals, in thousandths of a request per second, from which the latest distribution of work over bands
+/// replaces the former one completely.
 const FULL_TRUST_ARRIVALS: u64 = 20_000;
 
-/// One gateway of so many that do not talk.
+/// One of several gateways that do not exchange messages.
 #[derive(Clone, Debug)]
 pub struct StandaloneGateway {
     routers: u32,
@@ -19,7 +23,7 @@
 }
 
 impl StandaloneGateway {
-    /// `routers` as the settings say.
+    /// `routers` is the number of gateways according to the settings.
     pub fn new(routers: u32, now: Ms) -> Self {
         StandaloneGateway {
             routers: routers.max(1),
@@ -29,8 +33,9 @@
         }
     }
 
-    /// Takes what this gateway would have told, and gives the level that it acts on. The fewer requests it has, the
-    /// slower its mix of bands follows: one of hundreds of routers sees too few for a second to say anything.
+    /// Takes the report that this gateway would send, and returns the level to apply. The fewer requests
+    /// arrive, the more slowly the distribution over bands is updated: one of hundreds of routers receives
+    /// too few requests for one second to be representative.
     pub fn step(&mut self, now: Ms, report: &MemberReport) -> PerMille {
         let desired_level = self.desired.step(now, report.pressure);
         let own_report =
@@ -43,12 +48,13 @@
         self.applied.step(now, view.level)
     }
 
-    /// Work by band, smallest band first, for the order's cut.
+    /// Returns the work by band, lowest band first, for the [`Cutoff`](crate::priority::Cutoff).
     pub fn work_by_band(&self) -> &[(u8, u64)] {
         &self.work_by_band
     }
 
-    /// This gateway's part of a budget: an n-th, whatever others do. It lends nothing, since it is all floor.
+    /// Returns this gateway's equal part of a budget, whatever the other gateways do. It lends nothing, since
+    /// the floor is the whole share.
     pub fn budget(&self, total: Units, burst_duration: Ms, now: Ms) -> Result<Budget, ConfigError> {
         let floor = PER_MILLE_SCALE;
         let (share_owners, lease_duration) = (self.routers, 5_000);
@@ -65,7 +71,8 @@
         Budget::new(config, 0, 0, now)
     }
 
-    /// Moves the bands by so many thousandths to what is seen now, each on a scale of a million.
+    /// Replaces `weight` thousandths of the distribution by the observed one; each is scaled to a sum of one
+    /// million.
     fn blend(&mut self, observed: &[(u8, u64)], weight: u64) {
         let total_work: u64 = observed.iter().map(|b| b.1).sum();
         if total_work == 0 {
@@ -93,7 +100,8 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Parts of all routers that the settings count are within the budget, from their first moment.
+        /// The equal parts of all configured routers stay within the budget and use it up as far as possible,
+        /// from the start.
         #[test]
         fn spendable_rate_is_an_equal_part_of_the_budget(
             routers in 1u32..400, total in 0u32..1_000_000, now in 0u64..100_000
@@ -104,7 +112,8 @@
             prop_assert!(u64::from(spendable + 1) * u64::from(routers) > u64::from(total));
         }
 
-        /// Two gateways that see the same queues act on the same level, and their mixes stay mixes.
+        /// Two gateways that see the same queues apply the same level, whatever their traffic. Distributions
+        /// stay sorted by band and within their total of one million.
         #[test]
         fn equal_queues_give_equal_levels(
             pressures in prop::collection::vec(0u32..3_000, 1..50),
--- a/crates/overload/src/wire.rs
+++ b/crates/overload/src/wire.rs
@@ -1,40 +1,43 @@
-//! Words and messages as bytes, with a format version before them, for a table or datagrams.
+//! Encoding of member reports and budget messages as bytes with a leading format version, for a shared table
+//! or for datagrams.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use thiserror::Error;
 
-/// The format that this build writes; a build reads its own and none other.
+/// Format version that this build writes, and the only one that it reads.
 pub const FORMAT_VERSION: u8 = 1;
 
-/// Most bytes that are taken for one value: a datagram has 1,200.
+/// Maximum size of an encoded value in bytes, version included; a datagram holds 1,200.
 pub const MAX_VALUE_BYTES: usize = 1_100;
 
-/// Why bytes are no word and no message of this build.
+/// Reason why a value cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    #[error("an overload value of {bytes} bytes is more than the {MAX_VALUE_BYTES} that one may have")]
+    #[error("an overload value of {bytes} bytes exceeds the maximum of {MAX_VALUE_BYTES}")]
     TooLong { bytes: usize },
-    #[error("an overload value is of format {found}, and this build reads format {FORMAT_VERSION}")]
+    #[error(
+        "an overload value has format version {found}, but this build reads version {FORMAT_VERSION} only"
+    )]
     UnknownFormat { found: u8 },
-    #[error("an overload value of {bytes} bytes cannot be read as format {FORMAT_VERSION}")]
+    #[error("an overload value of {bytes} bytes is not valid in format version {FORMAT_VERSION}")]
     Malformed { bytes: usize },
 }
 
 impl WireError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            WireError::TooLong { .. } => "Name fewer classes in the settings, or find who else sends to this port.",
+            WireError::TooLong { .. } => "Configure fewer classes, or check what else sends to this port.",
             WireError::UnknownFormat { .. } => {
-                "Two builds run side by side: bring all gateways to one build. Until then the member counts as cut off."
+                "Bring all gateways to one build. Until then, members of other builds count as unreachable."
             }
-            WireError::Malformed { .. } => "Look for another program at the port, or a member built from other code.",
+            WireError::Malformed { .. } => "Check the port for another program or a member of another build.",
         }
     }
 }
 
-/// The bytes of a value.
+/// Encodes a value, preceded by the format version.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, WireError> {
     let bytes =
         postcard::to_extend(value, vec![FORMAT_VERSION]).map_err(|_| WireError::Malformed { bytes: 0 })?;
@@ -44,7 +47,7 @@
     Ok(bytes)
 }
 
-/// The value of these bytes, which must be all of them.
+/// Decodes a value that takes up all of `bytes`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, WireError> {
     let malformed = WireError::Malformed { bytes: bytes.len() };
     if bytes.len() > MAX_VALUE_BYTES {
