--- a/crates/overload/src/budget/borrower.rs
+++ b/crates/overload/src/budget/borrower.rs
@@ -16,7 +16,7 @@
     /// Grows with each request of this incarnation to this member.
     pub sequence: u32,
     /// Units wanted in all; 0 gives back what was lent.
-    pub want: Units,
+    pub wanted_units: Units,
     /// Sequence number of the request whose grant is still held. No other grant for an earlier request is or
     /// will be held.
     pub held_request: Option<u32>,
@@ -81,11 +81,12 @@
     /// Creates the next request to a lender. A request for 0 units gives up what is held before any message
     /// is sent. `keep_returned` plants a fault.
     pub fn request(
-        &mut self, now: Ms, incarnation: Incarnation, lender: Member, want: Units, keep_returned: bool,
+        &mut self, now: Ms, incarnation: Incarnation, lender: Member, wanted_units: Units,
+        keep_returned: bool,
     ) -> LeaseRequest {
         self.last_sequence = self.last_sequence.saturating_add(1);
         let state = self.lenders.entry(lender).or_default();
-        let held = state.lease.filter(|lease| lease.expires_at > now && want > 0);
+        let held = state.lease.filter(|lease| lease.expires_at > now && wanted_units > 0);
         if !keep_returned {
             state.lease = held;
         }
@@ -93,7 +94,7 @@
         LeaseRequest {
             incarnation,
             sequence: state.last_request,
-            want,
+            wanted_units,
             held_request: held.map(|lease| lease.sequence),
         }
     }
--- a/crates/overload/src/budget/machine.rs
+++ b/crates/overload/src/budget/machine.rs
@@ -45,7 +45,7 @@
     pub(super) former_leases_end: Ms,
     /// Latest time that a call has passed.
     latest_time: Ms,
-    lent: LenderLedger,
+    ledger: LenderLedger,
     pub(super) leases: BorrowedLeases,
     pub(super) votes: VoterLedger,
     pub(super) held_shares: HeldShares,
@@ -70,7 +70,7 @@
             incarnation,
             former_leases_end: now.saturating_add(config.drift_safe_wait(longest_grant)),
             latest_time: now,
-            lent: LenderLedger::default(),
+            ledger: LenderLedger::default(),
             leases: BorrowedLeases::default(),
             votes: VoterLedger::default(),
             held_shares: HeldShares::default(),
@@ -99,7 +99,7 @@
             return;
         }
         self.leases.prune(now, self.config.lease_duration);
-        self.lent.prune(now);
+        self.ledger.prune(now);
         self.votes.prune(now);
         self.held_shares.prune(now, self.config.vote_duration());
         self.latest_time = 0;
@@ -111,7 +111,7 @@
     /// Returns the units that this member may spend of shares that it owns or has inherited.
     pub fn own_units(&self, now: Ms) -> Units {
         let now = now.max(self.latest_time);
-        let reserved = self.lent.reserved(now);
+        let reserved = self.ledger.reserved(now);
         #[cfg(feature = "mutants")]
         let reserved = if self.fault == Some(Fault::SpendsLent) { 0 } else { reserved };
         self.floor().saturating_add(self.lendable(now).saturating_sub(reserved))
@@ -141,7 +141,7 @@
     /// Returns the units that this member does not need itself and would lend, for its report.
     pub fn spare_units(&mut self, now: Ms) -> Units {
         let now = self.advance(now);
-        self.unused_after_demand(now, self.lendable(now).saturating_sub(self.lent.reserved(now)))
+        self.unused_after_demand(now, self.lendable(now).saturating_sub(self.ledger.reserved(now)))
     }
 
     /// Spends one retry or probe, if enough tokens are saved up.
@@ -153,15 +153,15 @@
         self.bucket.try_spend(now).then_some(Permit { valid_until })
     }
 
-    /// Creates a request to a lender for `want` units in all; with 0, what was borrowed from it is given
+    /// Creates a request to a lender for `wanted_units` units in all; with 0, what was borrowed from it is given
     /// back.
-    pub fn request_lease(&mut self, now: Ms, lender: Member, want: Units) -> LeaseRequest {
+    pub fn request_lease(&mut self, now: Ms, lender: Member, wanted_units: Units) -> LeaseRequest {
         let now = self.advance(now);
         #[cfg(not(feature = "mutants"))]
         let keep_returned = false;
         #[cfg(feature = "mutants")]
         let keep_returned = self.fault == Some(Fault::KeepsGivenBack);
-        let request = self.leases.request(now, self.incarnation, lender, want, keep_returned);
+        let request = self.leases.request(now, self.incarnation, lender, wanted_units, keep_returned);
         self.bucket.refill(now, 0, self.spendable(now), self.config.burst_duration);
         request
     }
@@ -216,7 +216,7 @@
             amount,
             duration,
         };
-        if let Some((amount, duration)) = self.lent.register_request(
+        if let Some((amount, duration)) = self.ledger.register_request(
             now,
             sender,
             request,
@@ -226,7 +226,7 @@
         }
         let lendable = self.lendable(now);
         let available =
-            lendable.saturating_sub(self.lent.reserved_except(now, (sender, request.incarnation)));
+            lendable.saturating_sub(self.ledger.reserved_except(now, (sender, request.incarnation)));
         let entitled = scale_by_ratio(
             u64::from(lendable),
             u64::from(sender_share.min(PER_MILLE_SCALE)),
@@ -234,7 +234,7 @@
         );
         let max_amount =
             self.unused_after_demand(now, available).max(u32::try_from(entitled).unwrap_or(u32::MAX));
-        let amount = request.want.min(available).min(max_amount);
+        let amount = request.wanted_units.min(available).min(max_amount);
         // A lease never outlasts any of the held shares that it may be lent from.
         let duration = self.config.lease_duration.min(self.earliest_share_expiry(now).saturating_sub(now));
         #[cfg(feature = "mutants")]
@@ -244,11 +244,11 @@
         #[cfg(feature = "mutants")]
         let wait = if self.fault == Some(Fault::WaitsBareLength) { duration } else { wait };
         if amount > 0 {
-            self.lent.record_grant(sender, request, amount, duration, now.saturating_add(wait));
+            self.ledger.record_grant(sender, request, amount, duration, now.saturating_add(wait));
         }
         #[cfg(feature = "mutants")]
         if self.fault == Some(Fault::ForgetsFormerGrant) {
-            self.lent.drop_former_grants((sender, request.incarnation));
+            self.ledger.drop_former_grants((sender, request.incarnation));
         }
         Ok(grant(amount, duration))
     }
@@ -294,7 +294,7 @@
         let min_available = self
             .lendable(now)
             .min(self.lendable(self.latest_time))
-            .saturating_sub(self.lent.reserved(self.latest_time));
+            .saturating_sub(self.ledger.reserved(self.latest_time));
         let min_spendable = self.floor().saturating_add(min_available).saturating_add(self.borrowed(now));
         self.bucket.refill(now, min_spendable, self.spendable(now), self.config.burst_duration);
         self.latest_time = now;
@@ -325,7 +325,7 @@
         let wanted_leases = self.wanted_leases(now, offers);
         wanted_leases
             .into_iter()
-            .map(|(lender, want)| (lender, self.request_lease(now, lender, want)))
+            .map(|(lender, wanted_units)| (lender, self.request_lease(now, lender, wanted_units)))
             .collect()
     }
 }
--- a/crates/overload/src/budget/plan.rs
+++ b/crates/overload/src/budget/plan.rs
@@ -104,10 +104,10 @@
             (std::cmp::Reverse(offer.units), offer.lender ^ self.incarnation.rotate_left(32))
         });
         for offer in available.into_iter().take(MAX_NEW_LENDERS) {
-            let want = offer.units.min(uncovered);
-            uncovered -= want;
-            if want > 0 {
-                wanted_leases.push((offer.lender, want));
+            let wanted_units = offer.units.min(uncovered);
+            uncovered -= wanted_units;
+            if wanted_units > 0 {
+                wanted_leases.push((offer.lender, wanted_units));
             }
         }
         wanted_leases
--- a/crates/overload/src/budget/tests.rs
+++ b/crates/overload/src/budget/tests.rs
@@ -40,7 +40,7 @@
     prop_oneof![
         4 => (1u64..700).prop_map(Step::Advance),
         3 => (member.clone(), member.clone(), 0u32..40_000)
-            .prop_map(|(a, b, want)| Step::RequestLease(a, b, want)),
+            .prop_map(|(a, b, wanted_units)| Step::RequestLease(a, b, wanted_units)),
         2 => member.clone().prop_map(Step::RequestDueLeases),
         3 => (member.clone(), 0..=MEMBERS)
             .prop_map(|(a, unreachable)| Step::RequestDueShares(a, unreachable)),
@@ -109,9 +109,9 @@
                     Budget::new(self.config, n as Member, self.last_incarnation, self.now(n)).unwrap();
             }
             Step::Pause(n, pause) => self.paused[n] = pause,
-            Step::RequestLease(a, b, want) if a != b && !self.paused[a] => {
+            Step::RequestLease(a, b, wanted_units) if a != b && !self.paused[a] => {
                 let now = self.now(a);
-                let request = self.members[a].request_lease(now, b as Member, want);
+                let request = self.members[a].request_lease(now, b as Member, wanted_units);
                 self.network.push((a, b, Message::LeaseRequest(request)));
             }
             Step::RequestDueLeases(a) if !self.paused[a] => {
@@ -215,9 +215,9 @@
     (Budget::new(config, 1, 1, 0).unwrap(), Budget::new(config, 2, 2, 0).unwrap(), after)
 }
 
-/// Lends `want` units of B, which needs none, to A, and returns the grant.
-fn lend(a: &mut Budget, b: &mut Budget, now: Ms, want: Units) -> Option<Message> {
-    let request = Message::LeaseRequest(a.request_lease(now, 2, want));
+/// Lends `wanted_units` units of B, which needs none, to A, and returns the grant.
+fn lend(a: &mut Budget, b: &mut Budget, now: Ms, wanted_units: Units) -> Option<Message> {
+    let request = Message::LeaseRequest(a.request_lease(now, 2, wanted_units));
     let grant = b.handle_message(now, 1, &request, 0).unwrap()?;
     a.handle_message(now, 2, &grant, 0).unwrap();
     Some(grant)
@@ -249,7 +249,7 @@
     // The demand of the previous second still counts, so that nothing is given back yet. Once the lease is
     // given back, the lender has it at once.
     let later_requests = a.due_lease_requests(now + 500 + 1_500 - 1_001, &[]);
-    assert!(later_requests.iter().all(|(_, request)| request.want > 0));
+    assert!(later_requests.iter().all(|(_, request)| request.wanted_units > 0));
     lend(&mut a, &mut b, now + 400, 7_500);
     let give_back = Message::LeaseRequest(a.request_lease(now + 500, 2, 0));
     b.handle_message(now + 500, 1, &give_back, 0).unwrap();
--- a/crates/overload/src/level/tests.rs
+++ b/crates/overload/src/level/tests.rs
@@ -144,12 +144,12 @@
             age: 0,
             report: report(100, 50_000, Some(500_000)),
         });
-        let liar = ReceivedReport {
+        let false_claim = ReceivedReport {
             member: 0,
             age: 0,
             report: report(1_000, 50_000 * factor, Some(500_000 * factor)),
         };
-        FleetView::from_reports(&honest.chain([liar]).collect::<Vec<_>>())
+        FleetView::from_reports(&honest.chain([false_claim]).collect::<Vec<_>>())
     };
     // Its true traffic is a tenth. With the full claim it would have more than half of the weight, and the
     // level would be 573.
