--- a/crates/overload/examples/figures/main.rs
+++ b/crates/overload/examples/figures/main.rs
@@ -19,7 +19,7 @@
     println!(
         "mean (worst) of seeds {SEEDS:?}; value served in the surge as a share of the value requested\n"
     );
-    println!("| scenario | policy | value served | attempts/request | tries/turn | max retries in 1 s | recovery (s) |");
+    println!("| scenario | policy | value served | attempts/request | tries/turn | max retries in 1 s | recovery to 0.95 (s) |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for scenario in
         [Scenario::BelowCapacity, Scenario::Surge, Scenario::SurgeGatewayLost, Scenario::SurgeSkewed]
--- a/crates/overload/src/budget/error.rs
+++ b/crates/overload/src/budget/error.rs
@@ -54,11 +54,11 @@
     pub fn advice(&self) -> &'static str {
         match self {
             MessageError::StaleRequest | MessageError::StaleReply => {
-                "Nothing: late and duplicated datagrams are usual. If there are many, check the network."
+                "Nothing: late and duplicate datagrams are usual. If many, check the network between gateways."
             }
             MessageError::OtherIncarnation => "Nothing: the member restarted with a datagram in transit.",
             MessageError::ShareUnavailable { .. } => {
-                "Nothing: a share changes holders within two leases. If it takes longer, check reachability."
+                "Nothing: a share changes holders within two leases. If not, look for unreachable gateways."
             }
             MessageError::TableFull { .. } => "Check that members keep their names over restarts.",
         }
--- a/crates/overload/src/budget/lender.rs
+++ b/crates/overload/src/budget/lender.rs
@@ -31,8 +31,8 @@
 }
 
 impl BorrowerRecord {
-    /// Returns the units reserved for the borrower: it holds at most one of these leases, and the lender does
-    /// not know which.
+    /// Returns the units reserved for the borrower: it holds at most one of these leases, and the lender
+    /// cannot tell which.
     fn reserved(&self, now: Ms) -> Units {
         self.leases.iter().filter(|lease| lease.expires_at > now).map(|lease| lease.amount).max().unwrap_or(0)
     }
--- a/crates/overload/src/budget/machine.rs
+++ b/crates/overload/src/budget/machine.rs
@@ -56,7 +56,7 @@
 }
 
 impl Budget {
-    /// Starts a new incarnation of a member. It does not know what a former one lent and voted for: until
+    /// Starts a new incarnation of a member. It has no record of what a former one lent and voted for: until
     /// that has expired, it spends only the floor of its share, lends nothing, and casts no votes.
     pub fn new(
         config: BudgetConfig, member: Member, incarnation: Incarnation, now: Ms,
@@ -153,8 +153,7 @@
         self.bucket.try_spend(now).then_some(Permit { valid_until })
     }
 
-    /// Creates a request to a lender for `wanted_units` units in all; with 0, what was borrowed from it is given
-    /// back.
+    /// Creates a request to a lender for `wanted_units` in all; 0 gives back what was borrowed from it.
     pub fn request_lease(&mut self, now: Ms, lender: Member, wanted_units: Units) -> LeaseRequest {
         let now = self.advance(now);
         #[cfg(not(feature = "mutants"))]
--- a/crates/overload/src/budget/plan.rs
+++ b/crates/overload/src/budget/plan.rs
@@ -1,10 +1,10 @@
-//! Planning of requests: which members are asked for which units and votes. It affects how well the budget is
+//! Planning of requests: from which members units and votes are requested. It affects how well the budget is
 //! used, never its safety.
 
 use super::{Budget, ShareRequest, Units};
 use crate::{Member, Ms};
 
-/// Maximum number of members that are asked for a new lease at a time.
+/// Maximum number of members to which requests for a new lease are sent at a time.
 const MAX_NEW_LENDERS: usize = 4;
 
 /// Units that a member reports it would lend.
@@ -99,7 +99,7 @@
         };
         let mut available: Vec<&LendingOffer> = offers.iter().filter(is_available).collect();
         // Largest offers first; among equal ones each incarnation starts at another, so that members do not
-        // all ask the same one.
+        // all use the same lender.
         available.sort_by_key(|offer| {
             (std::cmp::Reverse(offer.units), offer.lender ^ self.incarnation.rotate_left(32))
         });
--- a/crates/overload/src/budget/tests.rs
+++ b/crates/overload/src/budget/tests.rs
@@ -261,7 +261,7 @@
     let (mut a, mut b, now) = two();
     (0..40).for_each(|_| _ = b.try_spend(now));
     let request = Message::LeaseRequest(a.request_lease(now, 2, 7_500));
-    // The lender grants by the traffic share that others observe, whatever the borrower asks for.
+    // The lender grants by the traffic share that others observe, whatever amount the borrower requests.
     let Message::LeaseGrant(grant) = b.handle_message(now, 1, &request, 400).unwrap().unwrap() else {
         panic!("the reply is not a grant")
     };
@@ -308,7 +308,7 @@
     let start = config.drift_safe_wait(config.vote_duration());
     assert_eq!(round(&mut members, start - 1, &[0, 1, 2], &[]), [0, 0, 0]);
     assert_eq!(round(&mut members, start, &[0, 1, 2], &[]), [10_000; 3]);
-    // The third member fails: nobody holds its share until all votes for it have expired, then one of the
+    // The third member fails: no member holds its share until all votes for it have expired, then one of the
     // others does.
     let mut now = start;
     while now < start + config.drift_safe_wait(config.vote_duration()) {
--- a/crates/overload/src/level/desired.rs
+++ b/crates/overload/src/level/desired.rs
@@ -1,4 +1,4 @@
-//! Level that one member wants the fleet to apply, by the pressure on its own queues.
+//! Level that one member requests for the fleet, by the pressure on its own queues.
 
 use crate::{Ms, PerMille, PER_MILLE_SCALE};
 
--- a/crates/overload/src/level/report.rs
+++ b/crates/overload/src/level/report.rs
@@ -51,7 +51,7 @@
     pub incarnation: Incarnation,
     /// Grows with each report of an incarnation.
     pub sequence: u64,
-    /// Share of the work that this member wants the fleet to shed.
+    /// Share of the work that the fleet should shed in the view of this member.
     pub desired_level: PerMille,
     /// Largest of its roles' queue waits, in thousandths of their targets.
     pub pressure: PerMille,
@@ -71,7 +71,7 @@
 pub enum ReportError {
     #[error("a member report has {found} {what}, but the maximum is {max}")]
     TooMany { what: &'static str, found: usize, max: usize },
-    #[error("a member report asks to shed {desired_level} thousandths of the work, but the maximum is 1000")]
+    #[error("a member report has a desired level of {desired_level} thousandths, but the maximum is 1000")]
     LevelOutOfRange { desired_level: PerMille },
     #[error("a member report contains class {class} twice")]
     DuplicateClass { class: u8 },
--- a/crates/overload/src/priority/admission.rs
+++ b/crates/overload/src/priority/admission.rs
@@ -8,7 +8,7 @@
 pub struct Request {
     pub band: u8,
     pub session: SessionHash,
-    /// Whether the client says that it is a later turn of its session.
+    /// Whether the client marks it as a later turn of its session.
     pub is_later_turn: bool,
 }
 
@@ -58,8 +58,8 @@
     }
 
     /// Decides on a request. A session that this gateway remembers is admitted unless everything is rejected.
-    /// A later turn of any other session has a higher band and rank than its first turn had, so that no
-    /// gateway rejects it at a level at which another one admitted the first turn.
+    /// A later turn of any other session has a higher band and no lower rank than its first turn had, so that
+    /// no gateway rejects it at a level at which another one admitted the first turn.
     pub fn decide(&mut self, now: Ms, request: &Request) -> Decision {
         let bypasses_cutoff = self.level < PER_MILLE_SCALE && self.served.contains(now, request.session);
         let session = request.session;
--- a/crates/overload/src/priority/band.rs
+++ b/crates/overload/src/priority/band.rs
@@ -1,4 +1,4 @@
-//! Priority bands: requests in the same band are told apart by their session hash alone.
+//! Priority bands: among requests of the same band, only the session hash decides.
 
 /// Bands for each doubling of the value per unit of work.
 const BANDS_PER_OCTAVE: u8 = 4;
--- a/crates/overload/src/priority/session_hash.rs
+++ b/crates/overload/src/priority/session_hash.rs
@@ -6,7 +6,8 @@
 pub struct SessionHash(u64);
 
 impl SessionHash {
-    /// Hashes owner and session under `key`, 32 bytes that all gateways share and clients do not know.
+    /// Hashes owner and session under `key`, a secret of 32 bytes that all gateways share and clients do not
+    /// have.
     pub fn new(key: &[u8; 32], owner: &[u8], session: &[u8]) -> SessionHash {
         let mut hasher = blake3::Hasher::new_keyed(key);
         // The length prefix tells owner "ab" with session "c" from owner "a" with session "bc".
--- a/crates/overload/src/priority/tests.rs
+++ b/crates/overload/src/priority/tests.rs
@@ -118,7 +118,7 @@
         prop_assert_eq!(RetryAfterBounds { enabled: false, ..bounds }.delay(level, session(0)), None);
     }
 
-    /// The memory is bounded, and keeps a session while `capacity` more sessions are added, itself included.
+    /// The memory is bounded, and keeps a session at least while the next `capacity` - 1 sessions are added.
     #[test]
     fn served_sessions_are_bounded(capacity in 1usize..50, sessions in 1u32..300) {
         let mut served = ServedSessions::new(capacity, 10_000, 0);
