--- a/crates/overload/src/budget/error.rs
+++ b/crates/overload/src/budget/error.rs
@@ -1,66 +1,66 @@
-//! What can be wrong with a budget's terms and with what is heard.
+//! Errors in budget configurations and in received messages.
 
 use thiserror::Error;
 
-/// Why terms cannot be kept.
+/// Reason why a configuration is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum TermsError {
-    #[error("a budget for no seats has no shares")]
-    NoSeats,
-    #[error("a floor of {per_mille} thousandths of a share is more than the whole of it")]
+pub enum ConfigError {
+    #[error("a budget needs at least one share owner")]
+    NoShareOwners,
+    #[error("a floor of {per_mille} thousandths is more than the whole share")]
     FloorAboveShare { per_mille: u32 },
-    #[error("a lease of {lease} ms is not between 100 and 60000 ms")]
-    LeaseOutOfBounds { lease: u64 },
-    #[error("a clock drift of {drift} of 10000 is not under 5000")]
+    #[error("a lease duration of {lease_ms} ms is not between 100 and 60000 ms")]
+    LeaseOutOfBounds { lease_ms: u64 },
+    #[error("a clock drift of {drift} in 10000 is not less than 5000")]
     DriftOutOfBounds { drift: u32 },
-    #[error("{witnesses} witnesses are more than half of {seats} seats")]
-    TooManyWitnesses { witnesses: u32, seats: u32 },
+    #[error("{witnesses} witnesses are more than half of the {share_owners} share owners")]
+    TooManyWitnesses { witnesses: u32, share_owners: u32 },
 }
 
-impl TermsError {
-    /// What an operator can do about it.
+impl ConfigError {
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            TermsError::NoSeats => "Name the gateways, or their number, in the operators' file.",
-            TermsError::FloorAboveShare { .. } => "Set the floor to 1000 thousandths or less; 250 is usual.",
-            TermsError::LeaseOutOfBounds { .. } => "Set the lease to a few seconds; 5000 ms is usual.",
-            TermsError::TooManyWitnesses { .. } => {
-                "Set the witnesses to the number of gateways that may be gone at once, or to 0 for none."
+            ConfigError::NoShareOwners => "List the gateways, or set their number, in the operators' file.",
+            ConfigError::FloorAboveShare { .. } => "Set the floor to 1000 thousandths or less; 250 is usual.",
+            ConfigError::LeaseOutOfBounds { .. } => "Set the lease to a few seconds; 5000 ms is usual.",
+            ConfigError::TooManyWitnesses { .. } => {
+                "Set the witnesses to the number of gateways that may fail at once, or to 0 for none."
             }
-            TermsError::DriftOutOfBounds { .. } => {
-                "Set the drift that clocks may have; 100 of 10000 is usual."
+            ConfigError::DriftOutOfBounds { .. } => {
+                "Set the drift that clocks may have; 100 in 10000 is usual."
             }
         }
     }
 }
 
-/// Why a message changes nothing. None of them is a danger to the budget.
+/// Reason why a message has no effect. None of these cases endangers the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum HearError {
-    #[error("an ask that is older than one already heard from its member")]
-    OldAsk,
-    #[error("a grant that answers no ask under way here")]
-    OldGrant,
-    #[error("a message for another life of this member")]
-    OtherLife,
-    #[error("the member {from:016x} asks while {most} others hold leases from here")]
-    TooManyBorrowers { from: u64, most: usize },
-    #[error("the share of member {estate:016x} is in other hands, or nobody here may speak for it yet")]
-    InOtherHands { estate: u64 },
+pub enum MessageError {
+    #[error("the lease request is outdated: a newer one was received, or its grant is no longer valid")]
+    StaleRequest,
+    #[error("the reply matches no pending request")]
+    StaleReply,
+    #[error("the message is for another incarnation of this member, or this one has retired")]
+    OtherIncarnation,
+    #[error("the request of member {sender:016x} cannot be recorded: all {max} records are in use")]
+    TableFull { sender: u64, max: usize },
+    #[error("the share of member {owner:016x} has another holder, or this member may not vote on it")]
+    ShareUnavailable { owner: u64 },
 }
 
-impl HearError {
-    /// What an operator can do about it.
+impl MessageError {
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            HearError::OldAsk | HearError::OldGrant => {
-                "Nothing: late and doubled datagrams are usual. If they are many, look at the network between gateways."
+            MessageError::StaleRequest | MessageError::StaleReply => {
+                "Nothing: late and duplicate datagrams are usual. If many, check the network between gateways."
             }
-            HearError::OtherLife => "Nothing: the member was restarted while a datagram was under way.",
-            HearError::InOtherHands { .. } => {
-                "Nothing: the share changes hands within two leases. If it goes on, look which gateways are cut off."
+            MessageError::OtherIncarnation => "Nothing: the member restarted with a datagram in transit.",
+            MessageError::ShareUnavailable { .. } => {
+                "Nothing: a share changes holders within two leases. If not, look for unreachable gateways."
             }
-            HearError::TooManyBorrowers { .. } => "Check that members keep their names over restarts.",
+            MessageError::TableFull { .. } => "Check that members keep their names over restarts.",
         }
     }
 }
--- a/crates/overload/src/level/mod.rs
+++ b/crates/overload/src/level/mod.rs
@@ -1,20 +1,24 @@
-//! How much of the work is turned away. Each member makes a *wish* from its own pressure, with hysteresis, and tells
-//! it with its traffic ([`Word`]); the fleet's level is the mean of the wishes, weighed by traffic that is capped by
-//! what others see ([`Fleet`]). The mean is a function of the words and their ages alone, in whole numbers, so that all
-//! members come to the same from the same words in any order; what each acts on follows it at a bounded rate
-//! ([`Level`]), and whoever has heard the same for [`SETTLES`] milliseconds stands at the same.
+//! Load-shedding level: the share of the work that the fleet rejects.
+//!
+//! Each member derives a desired level from the pressure on its own queues, with hysteresis
+//! ([`DesiredLevel`]), and sends it with its traffic in a [`MemberReport`]. The fleet's level is the mean of
+//! the desired levels, weighted by traffic that is capped by what others observe ([`FleetView`]). It depends
+//! on the reports and their ages alone and is computed in integers, so that all members derive the same level
+//! from the same reports in any order. The level that a member applies follows the fleet's at a bounded rate
+//! ([`AppliedLevel`]): members that have had the same reports for [`SETTLING_TIME`] milliseconds apply the
+//! same level.
 
+mod applied;
+mod desired;
 mod fleet;
-mod follow;
+mod report;
 mod traffic;
-mod wish;
-mod word;
 
-pub use fleet::{Fleet, Heard, FRESH, GONE};
-pub use follow::{Level, MOST_A_SECOND, SETTLES};
-pub use traffic::{capped, Told};
-pub use wish::{Wish, CALM, FULL};
-pub use word::{Class, RoleWait, Word, WordError};
+pub use applied::{AppliedLevel, MAX_CHANGE_PER_SECOND, SETTLING_TIME};
+pub use desired::{DesiredLevel, LOWER_BELOW_PRESSURE, RAISE_ABOVE_PRESSURE};
+pub use fleet::{FleetView, ReceivedReport, FULL_WEIGHT_AGE, MAX_REPORT_AGE};
+pub use report::{ClassRates, MemberReport, ReportError, RoleQueueWait};
+pub use traffic::{capped_attempts, TrafficClaim};
 
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/overload/src/priority/cutoff.rs
@@ -0,0 +1,53 @@
+//! Cutoff that a level makes in the priority order.
+
+use crate::{PerMille, PER_MILLE_SCALE};
+
+/// Rejects everything below a band, and in that band the ranks below `below_rank`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Cutoff {
+    band: u8,
+    /// First rank that is admitted, of 65,536.
+    below_rank: u32,
+}
+
+/// Number of ranks in a band.
+const RANK_COUNT: u128 = 1 << 16;
+
+impl Cutoff {
+    /// Rejects nothing.
+    pub const ADMIT_ALL: Cutoff = Cutoff { band: 0, below_rank: 0 };
+    /// Rejects everything.
+    pub const REJECT_ALL: Cutoff = Cutoff { band: u8::MAX, below_rank: RANK_COUNT as u32 };
+
+    /// Returns the cutoff that rejects the share `level` of the work, lowest bands first. `work_by_band` has
+    /// each band once, lowest band first. If it has no work, all bands are cut alike, by rank.
+    pub fn for_level(level: PerMille, work_by_band: &[(u8, u64)]) -> Cutoff {
+        if level == 0 {
+            return Cutoff::ADMIT_ALL;
+        }
+        if level >= PER_MILLE_SCALE {
+            return Cutoff::REJECT_ALL;
+        }
+        let total_work: u128 = work_by_band.iter().map(|(_, work)| u128::from(*work)).sum();
+        // In thousandths of work, so that rounding loses nothing.
+        let mut to_reject = total_work * u128::from(level);
+        for (band, work) in work_by_band {
+            let work = u128::from(*work) * u128::from(PER_MILLE_SCALE);
+            if to_reject < work {
+                return Cutoff { band: *band, below_rank: (to_reject * RANK_COUNT / work) as u32 };
+            }
+            to_reject -= work;
+        }
+        Cutoff {
+            band: u8::MAX,
+            below_rank: (u128::from(level) * RANK_COUNT / u128::from(PER_MILLE_SCALE)) as u32,
+        }
+    }
+
+    pub fn rejects(&self, band: u8, rank: u16) -> bool {
+        // Without known work, the cutoff applies to the ranks of every band.
+        let all_bands_alike = self.band == u8::MAX && self.below_rank < RANK_COUNT as u32;
+        let at_cutoff = band == self.band || all_bands_alike;
+        band < self.band && !all_bands_alike || at_cutoff && u32::from(rank) < self.below_rank
+    }
+}
