--- a/crates/request-lifecycle/src/client/mod.rs
+++ b/crates/request-lifecycle/src/client/mod.rs
@@ -1,9 +1,9 @@
-//! A client's connection: what may be read from it, how long it may stay where it is, and when another process can
-//! continue it.
+//! Connection of a client: what may be read from it, which time limit applies to it, and when it can be closed or
+//! handed over to another process.
 //!
-//! One request at a time passes. Nothing of the next one is let through before the response to this one is written, so
-//! that whoever closes the connection or hands it over knows whether a request is crossing. [`Connection`] owns the
-//! state; the driver owns the socket and the clock.
+//! A connection carries one request at a time. The next request is not processed before the response to the current
+//! one is written, so it is always known whether a request is in progress when the connection is closed or handed
+//! over. [`Connection`] owns the state; the driver owns the socket and the clock.
 
 mod planted_faults;
 
@@ -15,158 +15,158 @@
 pub use self::planted_faults::Fault;
 use crate::InvalidTransition;
 
-/// Where a connection stands.
+/// Stage of a client connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Nothing has been received yet.
+    /// No byte has been received yet.
     #[default]
     New,
-    /// A part of a request's head has been received.
+    /// A part of a request head has been received.
     Head,
-    /// A request's head is complete, its body is not.
+    /// The head of a request is complete, its body is not.
     Body,
-    /// The request is complete, its response is not.
+    /// A request is complete, its response is not.
     Response,
-    /// Kept alive, with no open request.
+    /// Kept alive after a response, with no request in progress.
     Idle,
-    /// Nothing more is served on it.
+    /// No further request is served on the connection.
     Closing,
-    /// Another process owns it.
+    /// Another process owns the connection.
     HandedOver,
 }
 
-/// What a complete head says about its body.
+/// Framing of a request body, as given by the complete head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Framing {
-    /// All of it has been received already.
+    /// The whole body has been received already.
     #[serde(rename = "Here")]
     Complete,
-    /// Its length is known, and some of it is still to come.
+    /// The length is known, and a part of the body has not been received.
     #[serde(rename = "Told")]
     KnownLength,
-    /// Its end is found only by reading it, so the connection closes after it.
+    /// The end of the body is found only by reading it, so the connection closes after the response.
     #[serde(rename = "Unknown")]
     UnknownLength,
 }
 
-/// What happens on the connection, or is asked of it.
+/// An event on the connection, or a command of the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Input {
-    /// The first bytes of a head were read.
+    /// The first bytes of a request head were read.
     #[serde(rename = "Begun")]
     HeadStarted,
-    /// A complete head was read.
+    /// A complete request head was read.
     #[serde(rename = "Head")]
     HeadComplete(Framing),
-    /// What was read is no valid head.
+    /// The bytes read are not a valid request head.
     #[serde(rename = "Unreadable")]
     MalformedHead,
     /// The last byte of a body of known length was read.
     #[serde(rename = "BodyRead")]
     BodyComplete,
-    /// The response is written, or never will be.
+    /// The response was written completely, or will not be written.
     #[serde(rename = "Answered")]
     ResponseFinished,
-    /// The connection came from another process, with a response in progress that continues here.
+    /// The connection was received from another process, and its response in progress continues here.
     #[serde(rename = "Resumed")]
     StreamResumed,
-    /// The response in progress can continue in another process.
+    /// The response in progress can be continued by another process from now on.
     #[serde(rename = "Leaves")]
     StreamDetached,
-    /// The successor process asks for the connection.
+    /// The successor process requests the connection.
     #[serde(rename = "Asked")]
     HandOverRequested,
     /// The time limit of [`Connection::timeout_kind`] passed.
     #[serde(rename = "Due")]
     TimedOut,
-    /// The connection table is full: the connection should make room for another client.
+    /// The connection table is full, and this connection is to be closed if nothing is lost by that.
     Evicted,
-    /// Whether the client has stopped reading what is written.
+    /// Whether the client has stopped reading, so that writes are blocked.
     #[serde(rename = "Blocked")]
     WriteBlocked(bool),
-    /// Whether bytes of a request were read that have not been passed on.
+    /// Whether bytes of a request were read that have not been processed.
     #[serde(rename = "Ahead")]
     PipelinedBytes(bool),
 }
 
-/// What the driver must do.
+/// An action for the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
-    /// Nothing.
+    /// No action.
     #[serde(rename = "Nothing")]
     None,
     /// Close the connection.
     Close,
     /// Hand the connection over to the successor process.
     HandOver {
-        /// Whether a response in progress goes with it.
+        /// Whether a response in progress is handed over with the connection.
         stream: bool,
     },
 }
 
-/// Which time limit applies to a connection where it stands.
+/// Kind of time limit that applies to a connection in its current stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TimeoutKind {
-    /// Until the first byte.
+    /// Limit until the first byte is received.
     FirstByte,
-    /// Until the rest of a head.
+    /// Limit until the rest of a request head is received.
     PartialHead,
-    /// Between two requests (keep-alive).
+    /// Limit between two requests (keep-alive).
     Idle,
-    /// Until the client reads the rest of a response.
+    /// Limit until the client continues to read a response.
     WriteStall,
-    /// For what the client still sends after the end.
+    /// Limit for reading what the client still sends after the last response.
     Linger,
-    /// None of its own: the request and its response have timers.
+    /// No limit of the connection: the request and its response have timers of their own.
     Request,
 }
 
-/// The state machine of one client connection.
+/// State machine of one client connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
     stage: Stage,
-    /// The client has stopped reading what is written.
+    /// Whether the client has stopped reading, so that writes are blocked.
     blocked: bool,
-    /// Bytes of a request have been read that the stage does not show yet.
+    /// Whether bytes of a request have been read that the stage does not reflect yet.
     pipelined_bytes: bool,
-    /// The open request is the last on this connection.
+    /// Whether the current request is the last one on this connection.
     last_request: bool,
-    /// The response in progress can continue in another process.
+    /// Whether the response in progress can be continued by another process.
     stream_detached: bool,
     #[cfg(feature = "mutants")]
     fault: Option<Fault>,
 }
 
 impl Connection {
-    /// A connection in this stage, for listing the rows of the transition table.
+    /// Creates a connection in the given stage, for listing the rows of the transition table.
     #[cfg(feature = "mutants")]
     pub fn at(stage: Stage) -> Self {
         Connection { stage, ..Connection::default() }
     }
 
-    /// Where the connection stands.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether the connection must close after the open request. That is also so while its body has not been read to
-    /// the end: nobody knows then where the next request begins.
+    /// Returns whether the connection must close after the current request. This also holds while the body has not
+    /// been read completely, because it is then unknown where the next request begins.
     pub fn closes_after_response(&self) -> bool {
         self.last_request || self.stage != Stage::Response
     }
 
-    /// Whether nothing is lost by closing it now.
+    /// Returns whether the connection can be closed now without losing a request or a response.
     pub fn is_evictable(&self) -> bool {
         let has_open_request = matches!(self.stage, Stage::Body | Stage::Response);
         !self.blocked && (!has_open_request || self.has_fault(Fault::EvictsOpenRequest))
     }
 
-    /// Whether bytes that arrive now belong to a request, which will be read.
+    /// Returns whether bytes that arrive now belong to a request that will be read.
     pub fn awaits_request(&self) -> bool {
         !self.blocked && matches!(self.stage, Stage::New | Stage::Head | Stage::Idle)
     }
 
-    /// Whether nothing at all is under way on it, in either direction.
+    /// Returns whether nothing is in progress on the connection in either direction.
     pub fn is_idle(&self) -> bool {
         !self.blocked && !self.pipelined_bytes && self.is_between_requests()
     }
@@ -175,13 +175,13 @@
         matches!(self.stage, Stage::New | Stage::Idle)
     }
 
-    /// Whether bytes have been read that belong to a further request.
+    /// Returns whether bytes of a further request have been read.
     pub fn has_pipelined_bytes(&self) -> bool {
         self.pipelined_bytes
     }
 
-    /// Whether another process can take it as it is: nothing is in a buffer in either direction, and it is between
-    /// two requests or its response can continue elsewhere.
+    /// Returns whether another process can take over the connection: nothing is buffered in either direction, and the
+    /// connection is between two requests or its response can be continued elsewhere.
     pub fn can_hand_over(&self) -> bool {
         let nothing_unwritten = !self.blocked || self.has_fault(Fault::HandsOverUnwritten);
         let nothing_unread = !self.pipelined_bytes || self.has_fault(Fault::HandsOverHalfHead);
@@ -189,7 +189,7 @@
         buffers_empty && (self.is_between_requests() || self.stream_detached)
     }
 
-    /// Which time limit applies now.
+    /// Returns the kind of time limit that applies in the current stage.
     pub fn timeout_kind(&self) -> TimeoutKind {
         match self.stage {
             Stage::Body | Stage::Response | Stage::HandedOver => TimeoutKind::Request,
@@ -201,10 +201,10 @@
         }
     }
 
-    /// Handles one input and returns what must be done.
+    /// Processes one input and returns the resulting effect.
     ///
     /// # Errors
-    /// An input that cannot occur in the present stage changes nothing.
+    /// Returns [`InvalidTransition`] if the input is not valid in the current stage; nothing is changed then.
     pub fn step(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
         if self.stage == Stage::HandedOver {
             return Err(self.invalid_transition(&input));
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Moves on to the stage that follows.
+    /// Applies an input that may change the stage.
     fn advance(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
         let Some(next) = self.next_stage(input) else { return Err(self.invalid_transition(&input)) };
         match input {
@@ -245,7 +245,7 @@
         Ok(Effect::None)
     }
 
-    /// The transition table of requests and responses; `None` where the input cannot occur.
+    /// Looks up the next stage in the transition table of requests and responses; `None` if the input is not valid.
     fn next_stage(&self, input: Input) -> Option<Stage> {
         match (self.stage, input) {
             (Stage::New | Stage::Head | Stage::Idle, Input::HeadStarted) => Some(Stage::Head),
@@ -253,7 +253,7 @@
             (Stage::Head | Stage::Idle, Input::HeadComplete(_)) => Some(Stage::Body),
             (Stage::Head | Stage::Idle, Input::MalformedHead) => Some(Stage::Closing),
             (Stage::Body, Input::BodyComplete) => Some(Stage::Response),
-            // The response came before the end of the body: what still arrives is read and dropped.
+            // The response was complete before the body; the rest of the body is read and dropped.
             (Stage::Closing, Input::BodyComplete) => Some(Stage::Closing),
             (Stage::Body | Stage::Response, Input::ResponseFinished) => Some(self.stage_after_response()),
             (Stage::New, Input::StreamResumed) => Some(Stage::Response),
@@ -279,7 +279,7 @@
         Effect::HandOver { stream }
     }
 
-    /// An open request has timers of its own, so that the connection's cannot expire.
+    /// Handles an expired time limit of the connection. While a request is in progress no such limit applies.
     fn on_timeout(&self) -> Result<Effect, InvalidTransition> {
         match self.stage {
             Stage::Body | Stage::Response => Err(self.invalid_transition(&Input::TimedOut)),
--- a/crates/request-lifecycle/src/client/tests.rs
+++ b/crates/request-lifecycle/src/client/tests.rs
@@ -1,4 +1,4 @@
-//! What a connection's state promises to whoever closes it, over any sequence of inputs.
+//! Property tests of what a connection's state guarantees before it is closed, for any sequence of inputs.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -29,14 +29,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(30), ..ProptestConfig::default() })]
 
-    /// Guards what a client is owed when its connection is closed: an idle connection has no open request, nothing
-    /// unwritten and nothing of the next request; and where bytes that arrive belong to a request, none is open.
+    /// Guards against closing a connection with unfinished work: an idle connection has no request in progress, no
+    /// blocked writes and no bytes of the next request. Bytes are awaited as a new request only if none is in
+    /// progress.
     #[test]
     fn idle_connection_owes_its_client_nothing(inputs in prop::collection::vec(any_input(), 1..40)) {
         let mut connection = Connection::default();
         let (mut open, mut blocked, mut pipelined) = (false, false, false);
         for input in inputs {
-            // An input that cannot occur there changes nothing.
+            // An input that is not valid in the current state changes nothing.
             if connection.step(input).is_err() {
                 continue;
             }
@@ -50,7 +51,7 @@
             let owes_nothing = !open && !blocked && !pipelined;
             prop_assert!(!connection.is_idle() || owes_nothing, "{input:?}: {connection:?}");
             prop_assert!(!connection.awaits_request() || !open && !blocked, "{input:?}: {connection:?}");
-            // Whatever is idle may be evicted, and may be handed over.
+            // An idle connection may be evicted, and may be handed over.
             let may_leave = connection.is_evictable() && connection.can_hand_over();
             prop_assert!(!connection.is_idle() || may_leave, "{input:?}: {connection:?}");
             prop_assert_eq!(connection.has_pipelined_bytes(), pipelined);
@@ -58,7 +59,8 @@
     }
 }
 
-/// A planned shutdown once dropped a request that the gateway had read while the response before it was written.
+/// Guards against a shutdown that closes a connection as idle and loses a pipelined request, which was read while the
+/// previous response was being written.
 #[test]
 fn connection_with_pipelined_request_is_not_idle() {
     let mut connection = Connection::default();
@@ -68,9 +70,9 @@
         Input::PipelinedBytes(true),
         Input::ResponseFinished,
     ] {
-        connection.step(input).expect("possible");
+        connection.step(input).expect("a valid input");
     }
     assert!(connection.stage() == Stage::Idle && connection.has_pipelined_bytes() && !connection.is_idle());
-    connection.step(Input::PipelinedBytes(false)).expect("possible");
+    connection.step(Input::PipelinedBytes(false)).expect("a valid input");
     assert!(connection.is_idle());
 }
--- a/crates/request-lifecycle/src/discovery_polling/backoff.rs
+++ b/crates/request-lifecycle/src/discovery_polling/backoff.rs
@@ -1,64 +1,67 @@
-//! Durations of the polling of discovery: backoff, holds and time-outs, where lists are pushed and where they are polled.
+//! Backoff, holds and time limits of polls, for push mode and for polling.
 //!
-//! Constants and pure functions; the schedule that uses them is [`PollSchedule`](super::PollSchedule).
+//! The module has constants and pure functions only; [`PollSchedule`](super::PollSchedule) uses them.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What discovery has counts as known to the gateway so long after discovery could be reached (the protocol's figure),
-/// whatever failed in between.
+/// Freshness limit: time after discovery becomes reachable by which a gateway is expected to have its list, whatever
+/// polls failed in between. Given by the protocol.
 const FRESHNESS_LIMIT: Duration = Duration::from_millis(6_000);
-/// The same after a new configuration has moved discovery to another address.
+/// Freshness limit after a new configuration has moved discovery to another address.
 const FRESHNESS_LIMIT_AFTER_MOVE: Duration = Duration::from_millis(4_000);
-/// The part of that time that is left to the poll that is answered in the end.
+/// Part of the freshness limit that is reserved for the poll that succeeds.
 const ANSWER_TIME: Duration = Duration::from_millis(1_000);
-/// Where discovery is polled, each gateway is allotted so much of discovery's time: a hundred that start together and
-/// poll within 5 s are all answered (measured; within 2 s a third of them are rejected, at once nearly all).
+/// Share of a round that each gateway is given. If a hundred gateways start together and poll within 5 s, all of them
+/// are answered; within 2 s a third of them are rejected, and without a delay nearly all.
 const TIME_PER_GATEWAY: Duration = Duration::from_millis(50);
-/// A gateway that is rejected repeatedly leaves discovery so many times that: it may have time for a fifth of the polls.
+/// Maximum ratio of the mean backoff after repeated rejections to one round. It allows for a discovery service that
+/// can answer only a fifth of the polls of a round.
 const MAX_ROUND_FACTOR: u32 = 4;
-/// But such a gateway polls again after this mean backoff at the latest.
+/// Upper bound of the mean backoff after repeated rejections.
 const MAX_ROUND: Duration = Duration::from_millis(20_000);
-/// A backoff is drawn between half its mean and so many times its mean.
+/// Maximum ratio of a backoff to its mean; the minimum is 0.5.
 const MAX_JITTER: f64 = 1.5;
 
-/// How long discovery has been at its present address, as far as limits depend on it.
+/// State of discovery's current address, on which the freshness limit depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Address {
-    /// It has answered a poll there, or never moved.
+    /// A poll has succeeded at this address, or discovery has never moved.
     Established,
-    /// It has just moved there, and has not answered any poll yet.
+    /// Discovery has moved to this address, and no poll has succeeded there yet.
     JustMoved,
 }
 
-/// How backoff is drawn, and how long polls may take.
+/// Parameters of backoff and of the time limits of polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BackoffPolicy {
-    /// The mean backoff after one lost poll: if the next poll comes soon enough, discovery continues the same watch.
+    /// Mean backoff after the first lost poll. If it is short enough, discovery continues the same watch.
     pub initial_backoff: Duration,
-    /// The longest mean backoff after lost polls.
+    /// Maximum mean backoff after lost polls.
     pub max_backoff: Duration,
-    /// The time in which all gateways together poll once; zero where a poll costs discovery nothing.
+    /// Duration of a round, in which every gateway polls once; zero in push mode, where polls cost discovery nothing.
     pub round: Duration,
-    /// The longest mean backoff of a gateway that is rejected repeatedly.
+    /// Maximum mean backoff after repeated rejections.
     pub longest_round: Duration,
-    /// How long discovery may hold a poll for changes before it answers.
+    /// Maximum time for which discovery may hold a poll for changes.
     pub hold: Duration,
-    /// How soon after its hold a poll must be answered before it counts as lost.
+    /// Time after the hold within which a response must begin; the poll counts as lost afterwards.
     pub answer_grace: Duration,
-    /// How soon a poll for the full list is answered, where an agent on the same machine does so at once.
+    /// Time within which a response to a poll for the full list must begin in push mode; `None` where discovery is
+    /// polled.
     pub full_list_timeout: Option<Duration>,
-    /// How long a poll that failed, the backoff after it and the answer to the next one may take together: usually, and
-    /// at an address to which discovery has just moved.
+    /// Maximum total duration of a failed poll, the backoff after it and the response to the next poll: usually,
+    /// and at an address to which discovery has just moved.
     pub freshness_limit: (Duration, Duration),
 }
 
 impl BackoffPolicy {
-    /// Where lists are pushed: polls go to an agent on the same machine and cost nothing.
+    /// Policy of push mode, in which polls go to an agent on the same machine and cost nothing.
     ///
-    /// What the agent has counts as known whether or not a watch is open, and a drain may have to be obeyed within
-    /// 250 ms: no poll and no backoff takes longer.
+    /// A gateway is expected to have the agent's list whether or not a watch is open, and may have to obey a drain
+    /// within 250 ms, so the time limit of a poll for the full list and the backoff after it stay below that
+    /// together.
     pub const PUSHED: BackoffPolicy = BackoffPolicy {
         initial_backoff: Duration::from_millis(30),
         max_backoff: Duration::from_millis(30),
@@ -70,9 +73,10 @@
         freshness_limit: (Duration::ZERO, Duration::ZERO),
     };
 
-    /// Where so many gateways poll discovery.
+    /// Policy for a number of gateways (`routers`) that poll discovery.
     ///
-    /// A gateway that has not polled for `ask_within` counts as informed all the same; zero if there is no such rule.
+    /// A gateway is expected to have the list even if it has not polled for `ask_within`, which bounds the freshness
+    /// limit; zero means that there is no such rule.
     pub fn polled(routers: u32, ask_within: Duration) -> BackoffPolicy {
         let freshness_limit =
             if ask_within.is_zero() { FRESHNESS_LIMIT } else { FRESHNESS_LIMIT.min(ask_within) };
@@ -82,7 +86,7 @@
             max_backoff: Duration::from_millis(2_500),
             round: (TIME_PER_GATEWAY * routers).min(freshness_limit.saturating_sub(ANSWER_TIME)),
             longest_round: (TIME_PER_GATEWAY * MAX_ROUND_FACTOR * routers).min(MAX_ROUND),
-            // Short, so that a lost watch is noticed soon.
+            // Short, so that a lost watch is detected soon.
             hold: Duration::from_millis(2_000),
             answer_grace: Duration::from_millis(1_000),
             full_list_timeout: None,
@@ -90,12 +94,12 @@
         }
     }
 
-    /// The longest mean backoff after a poll that took so long, if the next poll is to be answered in time.
+    /// Returns the maximum mean backoff after a failed poll of this duration that leaves time for the next response.
     pub(super) fn max_mean_backoff(&self, address: Address, poll_duration: Duration) -> Duration {
         self.freshness_limit(address).saturating_sub(ANSWER_TIME + poll_duration).div_f64(MAX_JITTER)
     }
 
-    /// How long a poll may take so that the shortest backoff still fits after it.
+    /// Returns the maximum duration of a poll that leaves time for the initial backoff and the next response.
     pub(super) fn max_poll_duration(&self, address: Address) -> Duration {
         self.freshness_limit(address)
             .saturating_sub(ANSWER_TIME + self.initial_backoff.mul_f64(MAX_JITTER))
--- a/crates/request-lifecycle/src/discovery_polling/mod.rs
+++ b/crates/request-lifecycle/src/discovery_polling/mod.rs
@@ -1,20 +1,22 @@
-//! The polling schedule of discovery: a poll that was answered is followed by the next at once, one that failed by a
+//! Polling schedule for discovery: a successful poll is followed by the next one immediately, a failed one by a
 //! backoff.
 //!
-//! Discovery is one service for all gateways. Polls queue there, and one that has waited for too long has cost discovery
-//! as much as one that it answers. Gateways start together: if all polled in the same moment, and again as soon as they
-//! were rejected, each poll would keep the others out for good. So each gateway draws its own moment, from a seed that
-//! no two share, out of a round that gives every gateway its turn, and draws from twice the time whenever it is rejected
-//! again. But what discovery has counts as known some seconds after it could be reached, whatever happened to the polls
-//! in between: a poll that failed, the backoff after it and the next answer must fit into that freshness limit together,
-//! for as long as all gateways fit into it.
+//! All gateways share one discovery service. Polls queue there, and a poll that times out in the queue costs
+//! discovery as much as one that it answers in time. Gateways start together: if all of them polled at the same
+//! moment, and again immediately after each rejection, they would overload discovery permanently. Each gateway
+//! therefore draws the time of its polls at random, from a seed of its own, out of a round that has room for all
+//! gateways, and doubles the range each time it is rejected again. There is an upper bound, the freshness limit: a
+//! few seconds after discovery becomes reachable, a gateway is expected to have its list, whatever happened to the
+//! polls in between. As long as discovery can answer all gateways within that limit, a failed poll, the backoff
+//! after it and the next response together stay within it.
 //!
-//! Where lists are pushed, polls go to an agent on the gateway's own machine, which answers at once and at no cost, but
-//! is silent while discovery is down; and what it has counts as known whether or not anybody polls. So nothing waits for
-//! its turn there, and until a poll has been answered the full list is requested repeatedly: a missing answer to that is
-//! noticed after a moment, one to a poll for changes only after a whole hold.
+//! In push mode, polls go to an agent on the gateway's own machine, which responds immediately and at no cost, but
+//! does not respond while discovery is unavailable. A gateway is expected to have the agent's list whether or not
+//! it polls. There are therefore no rounds in push mode, and until a poll succeeds the full list is requested
+//! repeatedly: a missing response to such a poll is noticed after a short time, one to a poll for changes only
+//! after the whole hold.
 //!
-//! [`PollSchedule`] owns the failures counted and the random draws; the caller owns the clock and makes the calls.
+//! [`PollSchedule`] owns the failure counts and the random state; the caller owns the clock and makes the calls.
 
 mod backoff;
 
@@ -25,63 +27,63 @@
 use self::backoff::Address;
 pub use self::backoff::BackoffPolicy;
 
-/// The mean backoff doubles at most so many times.
+/// Maximum number of times that the mean backoff is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// What the next poll requests.
+/// Kind of a poll, with its time limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Poll {
-    /// The full list.
+    /// Requests the full list.
     FullList {
-        /// The answer must have begun within this time.
+        /// Time within which the response must begin.
         within: Duration,
     },
-    /// Changes since the version known; discovery may hold the poll until there are some.
+    /// Requests the changes since the known version; discovery may hold the poll until there are changes.
     Changes {
-        /// How long discovery may hold the poll.
+        /// Maximum time for which discovery may hold the poll.
         hold: Duration,
-        /// The answer must have begun within this time, the hold included.
+        /// Time within which the response must begin, including the hold.
         within: Duration,
     },
 }
 
-/// The time limits of one poll, which is given up when it reaches any of them.
+/// Time limits of one poll, which fails when any of them is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Until its answer has begun, the time to connect included.
+    /// Limit until the response begins, including the time to connect.
     pub first_byte: Duration,
-    /// Between one part of its answer and the next.
+    /// Limit between two parts of the response.
     pub between_parts: Duration,
-    /// Until its answer is complete.
+    /// Limit until the response is complete.
     pub total: Duration,
 }
 
-/// Why a poll brought no list.
+/// Why a poll returned no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PollFailure {
-    /// Its connection broke, it was not answered in time, or its answer could not be parsed.
+    /// The connection broke, no response arrived in time, or the response could not be parsed.
     Lost,
-    /// Discovery is overloaded; it may say how long the gateway should wait (`Retry-After`).
+    /// Discovery is overloaded. The duration is that of the `Retry-After` header, if there was one.
     Throttled(Option<Duration>),
 }
 
-/// The schedule of one gateway's polls.
+/// Polling schedule of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PollSchedule {
     policy: BackoffPolicy,
-    /// Polls that failed since the last one that was answered.
+    /// Number of polls that failed since the last successful one.
     failures: u32,
-    /// Of these, polls that discovery rejected because it is overloaded.
+    /// Number of these polls that discovery rejected because it was overloaded.
     throttled: u32,
-    /// The last poll was answered, by the present address.
+    /// Whether the last poll succeeded, and at the current address.
     is_current: bool,
-    /// Discovery has a new address, which has not answered any poll yet.
+    /// Whether discovery has moved to a new address and no poll has succeeded there yet.
     address_changed: bool,
-    /// State of the random number generator, never zero.
+    /// State of the random number generator. It must not be zero.
     random: u64,
 }
 
-/// How the mean backoff grows: it begins at `initial_mean` and doubles with each earlier failure of the same kind.
+/// Growth of the mean backoff: it begins at `initial_mean` and doubles with each earlier failure of the same kind.
 struct Growth {
     initial_mean: Duration,
     doublings: u32,
@@ -89,23 +91,23 @@
 }
 
 impl PollSchedule {
-    /// The schedule of one gateway; no two gateways may have the same seed.
+    /// Creates the schedule of one gateway. No two gateways may use the same seed.
     pub fn new(policy: BackoffPolicy, seed: u64) -> Self {
         let random = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
         PollSchedule { policy, failures: 0, throttled: 0, is_current: false, address_changed: false, random }
     }
 
-    /// Polls that failed since the last one that was answered.
+    /// Returns the number of polls that failed since the last successful one.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// How long a gateway that can already serve by an older list waits before its first poll.
+    /// Returns the delay before the first poll of a gateway that can already serve with an older list.
     pub fn initial_delay(&mut self) -> Duration {
         self.policy.round.mul_f64(self.next_unit())
     }
 
-    /// What the next poll requests; `known` says whether there is a version since which changes can be requested.
+    /// Returns the next poll; `known` states whether a version is known since which changes can be requested.
     pub fn next_poll(&self, known: bool) -> Poll {
         let BackoffPolicy { hold, answer_grace, full_list_timeout, .. } = self.policy;
         match full_list_timeout {
@@ -118,25 +120,26 @@
         }
     }
 
-    /// The time limits of this poll.
+    /// Returns the time limits of this poll.
     pub fn limits(&self, poll: Poll) -> Limits {
         let BackoffPolicy { answer_grace, full_list_timeout, .. } = self.policy;
         let (Poll::FullList { within } | Poll::Changes { within, .. }) = poll;
         match full_list_timeout {
-            // An agent that stops in the middle of an answer has become unresponsive; a long list may come in parts.
+            // An agent that stops in the middle of a response is unresponsive. A long list may arrive in several
+            // parts.
             Some(between_parts) => Limits { first_byte: within, between_parts, total: within + answer_grace },
             None => Limits { first_byte: within, between_parts: answer_grace, total: within },
         }
     }
 
-    /// A poll was answered: the next one follows at once, and earlier failures are forgotten.
+    /// Records a successful poll. The next one is due immediately, and earlier failures no longer count.
     pub fn poll_succeeded(&mut self) {
         self.reset_failures();
         self.is_current = true;
         self.address_changed = false;
     }
 
-    /// Discovery has another address: failures of the former one do not count for it.
+    /// Records that discovery moved to another address. Failures at the former address no longer count.
     pub fn address_changed(&mut self) {
         self.reset_failures();
         self.is_current = false;
@@ -156,12 +159,12 @@
         self.throttled = 0;
     }
 
-    /// Notes that a poll failed after `took`, and returns the backoff before the next one.
+    /// Records that a poll failed after `took`, and returns the backoff before the next one.
     ///
-    /// It is drawn between half its mean and one and a half times its mean. The failed poll, the backoff and the next
-    /// answer fit into the freshness limit together, so that what discovery has when it can be reached again is here
-    /// before it counts as known. Only where so many gateways poll that discovery cannot answer all of them in that time
-    /// does a gateway that is rejected again wait longer.
+    /// The backoff is drawn between 0.5 and 1.5 times its mean. The failed poll, the backoff and the next response
+    /// together stay within the freshness limit, so that the list of a discovery service that becomes reachable
+    /// again is received in time. Only if so many gateways poll that discovery cannot answer all of them within
+    /// that limit does a gateway that is rejected repeatedly wait longer.
     pub fn poll_failed(&mut self, why: PollFailure, took: Duration) -> Duration {
         let Growth { initial_mean, doublings, max_mean } = self.growth(why, took);
         self.failures = self.failures.saturating_add(1);
@@ -174,7 +177,7 @@
         let backoff = mean.mul_f64(0.5 + self.next_unit());
         match why {
             PollFailure::Throttled(Some(retry_after)) => {
-                // Gateways that received the same Retry-After must not poll in the same moment.
+                // Gateways that received the same Retry-After must not poll at the same moment.
                 let spread = retry_after.min(max_mean).mul_f64(1.0 + self.next_unit() / 2.0);
                 backoff.max(spread)
             }
@@ -182,7 +185,7 @@
         }
     }
 
-    /// How the mean backoff grows with failures of this kind, by the failures before this one.
+    /// Returns the growth of the mean backoff for a failure of this kind, given the failures before it.
     fn growth(&self, why: PollFailure, took: Duration) -> Growth {
         let BackoffPolicy { initial_backoff, max_backoff, round, longest_round, .. } = self.policy;
         let max_in_time = self.policy.max_mean_backoff(self.address(), took);
@@ -193,7 +196,8 @@
                 max_mean: max_backoff.min(max_in_time).max(initial_backoff),
             },
             PollFailure::Throttled(_) => {
-                // Whether discovery has time for all gateways within the freshness limit, however often it rejects them.
+                // Whether discovery can answer all gateways within the freshness limit, so that even the longest
+                // backoff after repeated rejections stays within it.
                 let all_fit =
                     longest_round <= self.policy.max_mean_backoff(Address::Established, Duration::ZERO);
                 let must_be_in_time = self.throttled == 0 || all_fit;
@@ -207,7 +211,7 @@
         }
     }
 
-    /// The next random number in [0, 1) (xorshift64).
+    /// Returns the next random number in [0, 1) (xorshift64).
     fn next_unit(&mut self) -> f64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
--- a/crates/request-lifecycle/src/discovery_polling/tests.rs
+++ b/crates/request-lifecycle/src/discovery_polling/tests.rs
@@ -1,4 +1,4 @@
-//! Polls of discovery, played against services and agents that fail in many ways.
+//! Tests of the polling schedule against simulated services and agents that fail in various ways.
 
 use std::collections::VecDeque;
 
@@ -8,12 +8,12 @@
 
 const NO_TIME: Duration = Duration::ZERO;
 
-/// What a hundred gateways that poll one discovery service use.
+/// Policy of a hundred gateways that poll one discovery service.
 fn policy_of_many() -> BackoffPolicy {
     BackoffPolicy::polled(100, Duration::from_secs(10))
 }
 
-/// What two gateways that poll one discovery service use.
+/// Policy of two gateways that poll one discovery service.
 fn policy_of_few() -> BackoffPolicy {
     BackoffPolicy::polled(2, Duration::from_secs(10))
 }
@@ -42,8 +42,8 @@
     }
 }
 
-/// Guards against a service that asks for patience repeatedly, and guards the freshness limit against one that asks for
-/// it once, or from gateways so few that it has time for all of them.
+/// Guards the bounds of Retry-After: after repeated rejections it is followed up to a maximum backoff; after the
+/// first one, or with few gateways, it must not exceed the freshness limit.
 #[test]
 fn retry_after_is_obeyed_up_to_a_maximum() {
     let throttled = |seconds| PollFailure::Throttled(Some(Duration::from_secs(seconds)));
@@ -60,31 +60,31 @@
     }
 }
 
-/// How long a caller waits for an answer, in milliseconds.
+/// Time for which a gateway waits for a response, in milliseconds.
 const CALLER_TIMEOUT: u64 = 2_000;
-/// The longest queue that the service accepts, in milliseconds.
+/// Maximum length of the service's queue, in milliseconds of processing time.
 const MAX_QUEUE: u64 = 4_000;
 
-/// A service that works through polls one after the other, also those whose callers have given up, and rejects at once
-/// what would wait longer than [`MAX_QUEUE`]. Times in milliseconds.
+/// Simulated service that processes polls one after another, including those whose callers have timed out, and
+/// rejects polls immediately that would wait longer than [`MAX_QUEUE`]. All times are in milliseconds.
 struct Service {
-    /// What one poll takes.
+    /// Processing time of one poll.
     service_time: u64,
-    /// Until then it rejects every poll.
+    /// Time before which it rejects every poll.
     down_until: u64,
-    /// When it will have worked through its queue.
+    /// Time at which its queue will be empty.
     idle_from: u64,
 }
 
-/// What it took until every gateway was answered.
+/// Cost of a rollout until every gateway was answered.
 #[derive(Debug, PartialEq)]
 struct Rollout {
-    /// When the last gateway was answered, in milliseconds.
+    /// Time at which the last gateway was answered, in milliseconds.
     duration: u64,
     polls: usize,
 }
 
-/// Plays gateways that start within 100 ms until each has been answered; `None` if that takes more than two minutes.
+/// Simulates gateways that start within 100 ms until each was answered; `None` if that takes more than two minutes.
 fn roll_out(gateways: usize, mut service: Service, policy: BackoffPolicy) -> Option<Rollout> {
     let mut schedules: Vec<PollSchedule> =
         (0..gateways).map(|gateway| PollSchedule::new(policy, gateway as u64 + 1)).collect();
@@ -118,12 +118,13 @@
     Some(rollout)
 }
 
-/// Polls that are repeated at once lock a hundred gateways out for good; drawn out of a round, all are answered with
-/// hardly more polls than gateways.
+/// Guards against a permanent overload: a hundred gateways that repeat rejected polls at once are never all
+/// answered. With polls spread over a round all are answered, with few polls more than gateways.
 #[test]
 fn gateways_that_start_together_do_not_lock_each_other_out() {
     let service = || Service { service_time: 60, down_until: 0, idle_from: 0 };
-    let Rollout { duration, polls } = roll_out(100, service(), policy_of_many()).expect("all answered");
+    let Rollout { duration, polls } =
+        roll_out(100, service(), policy_of_many()).expect("every gateway is answered");
     assert!(duration < 30_000 && polls < 200, "{duration} ms, {polls} polls");
     let eager = BackoffPolicy {
         round: Duration::ZERO,
@@ -134,57 +135,61 @@
     assert_eq!(roll_out(100, service(), eager), None);
 }
 
-/// The same with a service that could answer a fifth of them in time if all polled at once, less than poll in a round.
+/// Guards the same with a slower service, which can answer only a fifth of the gateways in time if all poll at
+/// once, and not all that poll in one round.
 #[test]
 fn service_with_capacity_for_a_fifth_of_the_polls_answers_all_in_the_end() {
     let service = Service { service_time: 100, down_until: 0, idle_from: 0 };
-    let Rollout { duration, polls } = roll_out(100, service, policy_of_many()).expect("all answered");
+    let Rollout { duration, polls } =
+        roll_out(100, service, policy_of_many()).expect("every gateway is answered");
     assert!(duration < 90_000 && polls < 500, "{duration} ms, {polls} polls");
 }
 
-/// Ten seconds in which every poll is rejected do not leave all gateways in step.
+/// Guards against synchronized polls after an outage of ten seconds in which every poll is rejected.
 #[test]
 fn end_of_an_outage_does_not_cause_a_second_one() {
     let service = Service { service_time: 60, down_until: 10_000, idle_from: 0 };
-    let Rollout { duration, polls } = roll_out(100, service, policy_of_many()).expect("all answered");
+    let Rollout { duration, polls } =
+        roll_out(100, service, policy_of_many()).expect("every gateway is answered");
     assert!(duration < 40_000 && polls < 500, "{duration} ms, {polls} polls");
 }
 
-/// A gateway alone, or one of a few, does not have to wait: discovery has capacity for it.
+/// Guards against needless delays: discovery has capacity for a few gateways at once.
 #[test]
 fn few_gateways_poll_nearly_at_once() {
     let service = Service { service_time: 60, down_until: 0, idle_from: 0 };
-    let Rollout { duration, polls } = roll_out(2, service, policy_of_few()).expect("answered");
+    let Rollout { duration, polls } =
+        roll_out(2, service, policy_of_few()).expect("every gateway is answered");
     assert!(duration <= 200 && polls == 2, "{duration} ms, {polls} polls");
 }
 
-/// Three hundred are more than discovery can answer in time; they must not lock each other out all the same.
+/// Guards against a permanent overload by three hundred gateways, more than discovery can answer in time.
 #[test]
 fn three_hundred_gateways_are_all_answered_in_the_end() {
     let policy = BackoffPolicy::polled(300, Duration::from_secs(10));
     for down_until in [0, 10_000] {
         let service = Service { service_time: 60, down_until, idle_from: 0 };
-        let Rollout { duration, polls } = roll_out(300, service, policy).expect("all answered");
+        let Rollout { duration, polls } = roll_out(300, service, policy).expect("every gateway is answered");
         assert!(duration < 90_000 && polls < 2_000, "{duration} ms, {polls} polls");
     }
 }
 
-/// Where lists are pushed, and where they are polled.
+/// The policy of push mode or that of polling.
 fn any_policy() -> impl Strategy<Value = BackoffPolicy> {
     prop_oneof![Just(BackoffPolicy::PUSHED), Just(BackoffPolicy { round: NO_TIME, ..policy_of_few() })]
 }
 
-/// When discovery does not answer. Times in milliseconds.
+/// Times at which discovery does not respond, in milliseconds.
 #[derive(Clone, Copy)]
 struct Silence {
-    /// Discovery answers nothing from the first time to the second.
+    /// Start and end of an outage, during which no poll is answered.
     outage: (u64, u64),
-    /// The poll that is open at this moment is never answered.
+    /// Time of a failure after which the poll in flight is never answered.
     breaks_at: u64,
 }
 
-/// When a change made at `change` is received by a gateway that polls from 0 on, in milliseconds. Outside of the
-/// silence every poll is answered at once.
+/// Returns when a gateway that polls from 0 on receives a change made at `change`, in milliseconds. Outside the given
+/// failures every poll is answered immediately.
 fn change_received_at(change: u64, silence: Silence, policy: BackoffPolicy, seed: u64) -> u64 {
     let millis = |duration: Duration| duration.as_millis() as u64;
     let (down, up) = silence.outage;
@@ -214,16 +219,16 @@
 }
 
 proptest! {
-    /// Guards the protocol's clocks: what discovery has counts as known 6 s after a watch became unresponsive; where lists
-    /// are pushed, at once, whether or not a watch is open, so also to a new process and after an outage. A drain may
-    /// have to be obeyed within 300 ms of that.
+    /// Guards the protocol's time limits. Where discovery is polled, a gateway is expected to have the list 6 s
+    /// after a watch became unresponsive. In push mode it is expected to have it immediately, whether or not a
+    /// watch is open, so also in a new process and after an outage; a drain may have to be obeyed within 300 ms.
     #[test]
     fn change_is_received_before_it_counts_as_known(
         change in 0u64..20_000, down in 0u64..20_000, length in 1u64..10_000, outage: bool,
         policy in any_policy(), seed: u64,
     ) {
         let pushed = policy.full_list_timeout.is_some();
-        // A watch that becomes unresponsive is opened anew well before the 6 s are over.
+        // An unresponsive watch is reopened well within the 6 s.
         let reopened = down + if pushed { 2_000 } else { 3_500 };
         let (received, limit) = if outage {
             let up = down + length;
@@ -239,12 +244,12 @@
         };
         prop_assert!(
             received <= limit,
-            "change {change}, silent from {down} on ({length}): {received}, not by {limit}"
+            "change at {change}, failure at {down} (length {length}): received at {received}, limit {limit}"
         );
     }
 }
 
-/// Guards a new process, and one whose discovery has moved: the full list is requested at once, and soon again.
+/// Guards a new process and one whose discovery has moved: the full list is requested immediately, and repeated soon.
 #[test]
 fn agent_that_has_not_answered_is_polled_for_the_full_list() {
     let mut schedule = PollSchedule::new(BackoffPolicy::PUSHED, 7);
@@ -262,16 +267,16 @@
     assert_eq!(schedule.failures(), 0);
 }
 
-/// How a poll fails while discovery brings nothing. Times in milliseconds.
+/// A way in which a poll fails. All times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 enum PollFault {
     ConnectionRefused,
-    /// Rejected, with a Retry-After or without.
+    /// Rejected, with the given Retry-After or without one.
     Rejected(Option<u64>),
     Unresponsive,
-    /// Its answer begins after so long, and stops.
+    /// The response begins after this time, and stops before it is complete.
     StopsMidAnswer(u64),
-    /// Its connection is reset after so long.
+    /// The connection is reset after this time.
     Reset(u64),
 }
 
@@ -286,7 +291,7 @@
     prop::collection::vec(fault, 1..12)
 }
 
-/// How long a poll with this fault takes, and why it counts as failed.
+/// Returns the duration of a poll with this fault, and how the failure is classified.
 fn failed_poll(fault: PollFault, limits: Limits) -> (Duration, PollFailure) {
     let millis = Duration::from_millis;
     match fault {
@@ -301,8 +306,8 @@
     }
 }
 
-/// The longest time from a moment at which discovery can be reached until its list is here: a poll that has begun by
-/// then fails all the same, with any of these faults, and the next one is answered 1 s after it began.
+/// Returns the maximum time from when discovery becomes reachable until its list is received: a poll that began
+/// earlier still fails with one of these faults, and the next one is answered 1 s after it began.
 fn longest_until_list(schedule: &mut PollSchedule, known: bool, faults: &[PollFault]) -> Duration {
     let mut longest = if known { schedule.initial_delay() } else { NO_TIME };
     for fault in faults {
@@ -316,8 +321,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Guards the freshness limit: what discovery has counts as known 6 s after it could be reached, 4 s after it has
-    /// moved, whatever failed, was rejected or given up in between.
+    /// Guards the freshness limit: a gateway must have the list 6 s after discovery became reachable, or 4 s after
+    /// it has moved, whichever polls failed, timed out or were rejected in between.
     #[test]
     fn freshness_limit_holds_over_all_polls_and_backoffs(
         routers in 1u32..=16, known: bool, moved: bool, faults in any_faults(), seed: u64,
@@ -331,7 +336,7 @@
         prop_assert!(longest <= Duration::from_secs(if moved { 4 } else { 6 }), "{longest:?}");
     }
 
-    /// The same for a fleet that discovery cannot answer in that time, as long as a gateway is rejected only once.
+    /// Guards the same for more gateways than discovery can answer in that time, if a gateway is rejected only once.
     #[test]
     fn freshness_limit_holds_if_a_gateway_is_rejected_once(
         routers in 17u32..400, known: bool, faults in any_faults(), position: prop::sample::Index,
@@ -346,8 +351,9 @@
         prop_assert!(longest <= Duration::from_secs(6), "{longest:?}");
     }
 
-    /// Guards drains that must be obeyed within 250 ms where lists are pushed: what the agent has counts as known as soon
-    /// as it answers. It answers at once or not at all; its answer may stop, or be rejected by a proxy before it.
+    /// Guards drains that must be obeyed within 250 ms in push mode: a gateway is expected to have the agent's list
+    /// as soon as the agent responds. The agent responds immediately or not at all; a response may stop, or a proxy
+    /// in front of the agent may reject the poll.
     #[test]
     fn agent_that_recovers_is_heard_at_once(known: bool, moved: bool, faults in any_faults(), seed: u64) {
         let answers_at_once = |fault| match fault {
--- a/crates/request-lifecycle/src/evidence/cut_work.rs
+++ b/crates/request-lifecycle/src/evidence/cut_work.rs
@@ -1,28 +1,30 @@
-//! Whether a server still works on an attempt that was cut off.
+//! Whether a server still works on an interrupted attempt.
 
 use serde::{Deserialize, Serialize};
 
 use super::Observation;
 
-/// What is known of a server's work on an attempt that was cut off.
+/// What is known about a server's work on an interrupted attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CutWork {
-    /// Nothing shows that the server has noticed the cut.
+    /// There is no evidence that the server has noticed the interruption.
     #[default]
     MayRun,
-    /// The connection was reset from the other side, by the server or by what stands between: the server need not know, and a
-    /// process that stands still goes on with it later. A connection that is begun now shows which it is.
+    /// The connection was reset by the server or by a device in between. The server may not have received the
+    /// reset, and a suspended process continues its work later. A connection that is opened now shows which of
+    /// these is the case.
     Reset,
-    /// The server does nothing more for it.
+    /// The server has stopped working on the attempt.
     Ended,
 }
 
 impl CutWork {
-    /// What is known once this has been seen, too.
+    /// Returns what is known after a further observation.
     ///
-    /// A process that has ended refuses connections, and its work has ended with it. One that answers on a connection begun
-    /// after the reset runs, so it does not stand still: the reset is presumed to reach it within the propagation delay that
-    /// [`Observation::AnswerAfterReset`] includes. Silence after a reset shows nothing.
+    /// A terminated process refuses connections, and its work has ended with it. A process that responds on a
+    /// connection opened after the reset is not suspended, so the reset is presumed to reach it within the
+    /// propagation delay that [`Observation::AnswerAfterReset`] includes. A missing response after a reset proves
+    /// nothing.
     pub fn after(self, observation: Observation) -> CutWork {
         match (self, observation) {
             (CutWork::Ended, _) => CutWork::Ended,
--- a/crates/request-lifecycle/src/evidence/delivery.rs
+++ b/crates/request-lifecycle/src/evidence/delivery.rs
@@ -1,28 +1,29 @@
-//! Whether an attempt that was written has reached its server, while no response to it has come.
+//! Whether an attempt that was written has reached its server, while it has no response yet.
 
 use super::Observation;
 
-/// What is known of the delivery of an attempt that was written on a connection that worked immediately before.
+/// What is known about the delivery of an attempt that was written to a connection that worked immediately before.
 ///
-/// The connection may have fallen silent in the one round trip between its check and the write, and a decode server may take any
-/// time to its first token. What silences connections with no error (a translation table that was lost, a balancer that failed
-/// over) strikes those that stand; a newer one may work beside them.
+/// The connection may have failed without an error in the one round trip between its check and the write, and a
+/// decode server may take any time to its first token. Such failures (a lost address translation table, a load
+/// balancer failover) break the connections that are open at that time; a connection that is opened later may work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// Nothing shows it.
+    /// There is no evidence about the delivery.
     #[default]
     Unknown,
-    /// A connection that stood when the attempt was written gives no answer any more, so the attempt's own may not either.
+    /// A connection that was open when the attempt was written has stopped responding, so the attempt's own
+    /// connection may have failed too.
     Doubted,
-    /// It is taken to have arrived.
+    /// The attempt is considered delivered.
     Shown,
 }
 
 impl Delivery {
-    /// What is known once this has been seen, too.
+    /// Returns what is known after a further observation.
     ///
-    /// For an answer on a newer connection where no standing one was asked, this is a presumption: that the attempt's own
-    /// connection has not fallen silent in the round trip between its check and the write.
+    /// An answer on a newer connection counts only while no call on an earlier one has failed. It is then presumed
+    /// that the attempt's own connection did not fail in the round trip between its check and the write.
     pub fn after(self, observation: Observation) -> Delivery {
         match (self, observation) {
             (Delivery::Shown, _) => Delivery::Shown,
--- a/crates/request-lifecycle/src/evidence/mod.rs
+++ b/crates/request-lifecycle/src/evidence/mod.rs
@@ -1,9 +1,9 @@
 //! Evidence: what an observation on a connection proves about the server at its other end.
 //!
-//! This is the one place that decides it; whoever checks a connection, confirms a delivery or a close, releases or rejects asks
-//! here. Nothing orders what passes on one connection with what passes on another, and no clock of the gateway says when a
-//! server received something. [`CutWork`] collects what is seen of an attempt that was cut off, [`Delivery`] what is seen of
-//! one that was written and has no response yet.
+//! All such conclusions are drawn here, for checks of connections, confirmations of deliveries and closes, releases
+//! and rejections. Two facts limit them: events on different connections have no defined order, and the gateway's
+//! clock does not show when a server received something. [`CutWork`] accumulates the observations on an interrupted
+//! attempt, [`Delivery`] those on an attempt that was written and has no response yet.
 
 mod cut_work;
 mod delivery;
@@ -13,36 +13,37 @@
 pub use self::delivery::Delivery;
 pub use self::standing::{StandingCall, WrittenAttempt};
 
-/// Something that was seen of a connection to a server, after something was written on it.
+/// An observation on a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Observation {
-    /// The connection came up.
+    /// The connection was opened.
     Connected,
-    /// The gateway has ended the connection, or its sending on it.
+    /// The gateway closed the connection, or its sending direction.
     OwnClose,
-    /// A response on this connection, to what was written on it before; also one that cannot be parsed.
+    /// A response was received on this connection to what was written to it, even if it cannot be parsed.
     AnswerHere,
-    /// The server's answer, on a connection that was open before the attempt was written, to a call that was written after it.
+    /// A call was answered that was sent after the attempt was written, on a connection that was open before.
     AnswerOnStanding,
-    /// No answer came in time to a call on a connection that was open before the attempt was written.
+    /// A call was not answered in time on a connection that was open before the attempt was written.
     SilenceOnStanding,
-    /// The server's answer on a connection that was opened after the attempt was written.
+    /// A call was answered on a connection that was opened after the attempt was written.
     AnswerOnNewer,
-    /// The server's orderly end of this connection.
+    /// The server closed this connection in an orderly way.
     ServerClose,
-    /// The connection was reset from the other side.
+    /// The connection was reset by the server or by a device in between.
     Reset,
-    /// A connection that was begun after the reset was refused.
+    /// A connection attempt that began after the reset was refused.
     RefusedAfterReset,
-    /// The server answered on a connection that was begun after the reset, and the time in which a reset reaches its server
-    /// has passed since.
+    /// A call was answered on a connection that was opened after the reset, and the time that a reset needs to
+    /// reach the server has passed since.
     AnswerAfterReset,
-    /// No answer came in time on a connection that was begun after the reset.
+    /// A connection attempt or a call that began after the reset was not answered in time.
     SilenceAfterReset,
 }
 
 impl Observation {
-    /// Whether what is written on this connection now reaches the server, as far as can be known before it is written.
+    /// Returns whether this observation shows that the connection works, so that what is written to it next can be
+    /// expected to reach the server.
     pub fn proves_connection_works(self) -> bool {
         self == Observation::AnswerHere
     }
--- a/crates/request-lifecycle/src/evidence/standing.rs
+++ b/crates/request-lifecycle/src/evidence/standing.rs
@@ -1,36 +1,37 @@
-//! What a call on a connection that stood when an attempt was written says of the attempt's own connection.
+//! What a call on another connection to the same server shows about the delivery of an attempt.
 
-/// An attempt that was written; times are on one clock of the caller's.
+/// Times of an attempt that was written. All times are read from one clock of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WrittenAttempt<T> {
     /// When the attempt's connection was opened.
     pub connection_opened: T,
-    /// When its first byte was written, right after the connection had answered.
+    /// When its first byte was written, immediately after a call on the connection was answered.
     pub written: T,
 }
 
-/// A call on another connection to the same server.
+/// Times of a call on another connection to the server of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandingCall<T> {
-    /// When that connection was opened.
+    /// When the connection of the call was opened.
     pub connection_opened: T,
-    /// When that connection last carried an answer before the call, or was opened.
+    /// When the connection last carried a response before the call; when it was opened if it carried none.
     pub last_answer: T,
-    /// When the call was written.
+    /// When the call was sent.
     pub asked: T,
 }
 
 impl<T: Copy + Ord> StandingCall<T> {
-    /// Whether the connection stood when the attempt was written, and was asked after that. If so its answer shows that nothing
-    /// has silenced the connections that stood at the write.
+    /// Returns whether an answer to this call confirms the delivery of the attempt: the connection was open when the
+    /// attempt was written, and the call was sent after that. An answer then shows that no failure has broken the
+    /// connections that were open at the write.
     pub fn answer_shows_delivery(&self, attempt: &WrittenAttempt<T>) -> bool {
         self.connection_opened < attempt.written && attempt.written <= self.asked
     }
 
-    /// Whether the connection's silence speaks against the attempt's own connection, too.
+    /// Returns whether a missing answer to this call makes the delivery of the attempt doubtful.
     ///
-    /// Only if it has worked since the attempt's connection was opened: what silenced it after that met both. An older one
-    /// may have been struck before the attempt's connection was there.
+    /// This requires that the connection has worked since the attempt's connection was opened, because a failure
+    /// after that affects both. Otherwise it may have failed before the attempt's connection was opened.
     pub fn silence_doubts_delivery(&self, attempt: &WrittenAttempt<T>) -> bool {
         self.answer_shows_delivery(attempt) && self.last_answer >= attempt.connection_opened
     }
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -1,10 +1,14 @@
-//! Sans-I/O state machines of a request with its attempts, of a client's connection, and of a connection to a server;
-//! and plain decisions: which server to ask for a release, what stands beside an attempt, and when to poll discovery.
+//! Sans-I/O state machines of a request and its attempts, of a client connection and of a server connection.
 //!
-//! Inputs go in, effects come out; there is no clock, no socket and no task in here. What runs in the gateway is what
-//! the model checker explores: `gateway/src/core` drives [`request`], the front drives [`client`], the engine drives
-//! [`server`]. Each transition table stands in one place, and `docs/lifecycle.md` has it beside the rule that it
-//! guards. An input that cannot occur in a state is an [`InvalidTransition`], never a panic, and changes nothing.
+//! The remaining modules are decision functions without I/O: [`evidence`] interprets what is observed on connections,
+//! [`reachability`] orders servers for a release, [`sentinel`] selects pooled connections, and [`discovery_polling`]
+//! schedules polls.
+//!
+//! A machine takes inputs and returns effects; it has no clock, no sockets and no tasks. `gateway/src/core` drives
+//! [`request`], the front drives [`client`] and the engine drives [`server`]. The model checker explores the same
+//! code. Each transition table is defined in one place, and `docs/lifecycle.md` lists it with the rules that it
+//! enforces. An input that is not valid in the current state returns an [`InvalidTransition`] and changes nothing;
+//! it never panics.
 //!
 //! ```
 //! use glenrail_request_lifecycle::request::{
@@ -32,17 +36,17 @@
 pub mod sentinel;
 pub mod server;
 
-/// An input that cannot occur in the state that the machine is in. The machine is unchanged.
+/// Error for an input that is not valid in the current state of a machine. The machine is unchanged.
 ///
-/// It points to an error of the driver, or to an event that was reported twice; the machine goes on without it.
+/// It indicates a bug in the driver or an event that was reported twice. The machine accepts further inputs.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{machine}: {input} cannot come while {state}")]
+#[error("{machine}: input {input} is not valid in state {state}")]
 pub struct InvalidTransition {
-    /// Which machine: "request", "client connection" or "server connection".
+    /// Kind of machine: "request", "client connection" or "server connection".
     pub machine: &'static str,
-    /// The input, in its `Debug` form.
+    /// `Debug` form of the rejected input.
     pub input: String,
-    /// The machine's state, in its `Debug` form.
+    /// `Debug` form of the whole machine at that time.
     pub state: String,
 }
 
--- a/crates/request-lifecycle/src/planting.rs
+++ b/crates/request-lifecycle/src/planting.rs
@@ -1,20 +1,20 @@
-//! How a fault is planted in a machine, to show that the model checker finds it.
+//! Planting of faults in state machines, to verify that the model checker finds them.
 //!
-//! Only the `mutants` feature, which the model checker alone enables, can plant one. In any other build `has_fault` is
-//! the constant `false`, and the compiler removes what depends on it.
+//! Faults can be planted only with the `mutants` feature, which only the model checker enables. In any other build
+//! `has_fault` is the constant `false`, and the compiler removes the code that depends on it.
 
-/// Lets faults of type `$fault` be planted in `$machine`, which keeps the planted one in its field `fault` under the feature.
-/// Called in a module below the machine's own.
+/// Implements the planting of faults of type `$fault` in `$machine`, which stores the planted fault in its field
+/// `fault` if the feature is enabled. Must be invoked in a child module of the machine's module.
 macro_rules! plantable {
     ($machine:ty, $fault:ty) => {
         #[cfg(feature = "mutants")]
         impl $machine {
-            /// Plants a fault, or removes the one planted.
+            /// Plants a fault in place of any planted before; `None` removes it.
             pub fn plant(&mut self, fault: Option<$fault>) {
                 self.fault = fault;
             }
 
-            /// Whether this fault is planted.
+            /// Returns whether this fault is planted.
             pub(super) fn has_fault(&self, fault: $fault) -> bool {
                 self.fault == Some(fault)
             }
@@ -22,7 +22,7 @@
 
         #[cfg(not(feature = "mutants"))]
         impl $machine {
-            /// Whether this fault is planted: never, in a build without the feature.
+            /// Returns `false`, since no fault can be planted without the feature.
             #[inline(always)]
             pub(super) fn has_fault(&self, _: $fault) -> bool {
                 false
--- a/crates/request-lifecycle/src/reachability/mod.rs
+++ b/crates/request-lifecycle/src/reachability/mod.rs
@@ -1,55 +1,56 @@
-//! Reachability of servers, as far as calls have shown, and the order in which to ask them for a release.
+//! Reachability of servers as observed by calls, and the order in which servers are called for a release.
 //!
-//! Any server that runs can release what all of them hold for a request, and the release must reach one in time. So the
-//! caller does not wait for a server that may be cut off: the one most likely to answer is asked first, and while nobody
-//! has answered, others are asked too, of another zone each time, since networks fail by zones.
+//! Any running server can release the reservations of a request at all servers, and the release must reach one of
+//! them in time. The caller therefore does not wait for a server that may be unreachable: it first calls the server
+//! most likely to respond, and until a server has responded, it calls further ones, alternating between zones
+//! because network failures tend to affect whole zones.
 //!
-//! [`Reachability`] is what one server's calls have shown, [`release_order`] ranks servers by it, and [`ReleaseRounds`] is one release
-//! in progress. The caller owns the clock and the calls.
+//! [`Reachability`] records the calls to one server, [`release_order`] ranks servers by it, and [`ReleaseRounds`]
+//! tracks one release in progress. The caller owns the clock and makes the calls.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Milliseconds on one clock of the caller's.
+/// Time or duration in milliseconds, on one clock of the caller.
 pub type Millis = u64;
 
-/// Time between two rounds of asking while nobody has answered, in milliseconds: an idle server answers within it.
+/// Interval between two rounds of calls while no server has responded. An idle server responds within it.
 pub const ROUND_INTERVAL: Millis = 50;
-/// Servers asked in each round after the first. In the first round one is asked alone: mostly it answers.
+/// Number of servers called in each round after the first. The first round calls one server, which usually responds.
 const SERVERS_PER_LATER_ROUND: usize = 2;
-/// A call that has been unanswered for so long, in milliseconds, makes its server suspect.
+/// Time after which a call without a response makes its server suspect.
 const SUSPECT_AFTER: Millis = 100;
 
-/// What calls have shown of one server.
+/// Results of the calls to one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reachability {
-    /// When it last answered anything.
+    /// When the server last responded to any call.
     answered: Option<Millis>,
-    /// When a call to it was last lost: no connection came up, or a short call was not answered in time.
+    /// When a call last failed: no connection could be opened, or a short call was not answered in time.
     query_lost: Option<Millis>,
-    /// Since when short calls have been in flight without any answer from it.
+    /// Since when short calls have been in flight without any response from the server.
     waiting_since: Option<Millis>,
 }
 
 impl Reachability {
-    /// A short call was sent, whose answer is due at once.
+    /// Records that a short call was sent, to which a server responds immediately.
     pub fn query_sent(&mut self, now: Millis) {
         self.waiting_since.get_or_insert(now);
     }
 
-    /// The server answered.
+    /// Records that the server responded.
     pub fn answered(&mut self, now: Millis) {
         self.answered = Some(now);
         self.waiting_since = None;
     }
 
-    /// A call to the server was lost.
+    /// Records that a call failed: no connection could be opened, or no response arrived in time.
     pub fn query_lost(&mut self, now: Millis) {
         self.query_lost = Some(now);
         self.waiting_since = None;
     }
 
-    /// When it last failed to answer in time, unless it has answered since.
+    /// Returns when the server last failed to respond in time; `None` if it never did or has responded since.
     fn suspected_since(&self, now: Millis) -> Option<Millis> {
         let overdue_since = self.waiting_since.filter(|since| now >= since + SUSPECT_AFTER);
         let last_failure = self.query_lost.max(overdue_since)?;
@@ -58,20 +59,20 @@
     }
 }
 
-/// A server that may be asked.
+/// A server that may be called for a release.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<S> {
-    /// The server's identifier.
+    /// Identifier of the server; the lower one is preferred among equal candidates.
     pub server: S,
-    /// The zone that it stands in; servers of one zone are likely to be cut off together.
+    /// Zone of the server. Servers of one zone are likely to become unreachable together.
     pub zone: u32,
-    /// Whether an open connection to it is idle.
+    /// Whether an idle connection to the server is open.
     pub has_idle_connection: bool,
-    /// What calls have shown of it.
+    /// Results of earlier calls to the server.
     pub reachability: Reachability,
 }
 
-/// The latest signs of life and of failure from any server of a zone.
+/// Latest response and latest failure of any server in a zone.
 #[derive(Clone, Copy, Default)]
 struct ZoneSigns {
     answered: Option<Millis>,
@@ -79,18 +80,19 @@
 }
 
 impl ZoneSigns {
-    /// Whether the last failure is later than the last answer.
+    /// Returns whether the latest failure is later than the latest response.
     fn is_suspect(&self) -> bool {
         self.suspected > self.answered
     }
 }
 
-/// The servers in the order in which they are to be asked: the zones in turn, of each the most likely to answer first.
+/// Returns the servers in the order in which to call them: zones alternate, and within a zone the server most
+/// likely to respond comes first.
 pub fn release_order<S: Copy + Ord>(candidates: &[Candidate<S>], now: Millis) -> Vec<S> {
     interleave_zones(&by_likelihood(candidates, now))
 }
 
-/// The candidates, the most likely to answer first.
+/// Sorts the candidates so that those most likely to respond come first.
 fn by_likelihood<S: Copy + Ord>(candidates: &[Candidate<S>], now: Millis) -> Vec<&Candidate<S>> {
     let zones = zone_signs(candidates, now);
     let mut sorted: Vec<&Candidate<S>> = candidates.iter().collect();
@@ -119,7 +121,7 @@
     zones
 }
 
-/// Takes one server of each zone in turn. Zones come in the order of their first candidate.
+/// Takes one server of each zone in turn. Zones are ordered by their first candidate.
 fn interleave_zones<S: Copy>(sorted: &[&Candidate<S>]) -> Vec<S> {
     let mut zones: Vec<(u32, VecDeque<S>)> = Vec::new();
     for candidate in sorted {
@@ -135,23 +137,24 @@
     order
 }
 
-/// One release in progress: which servers are asked when. It has ended once one has answered.
+/// Progress of one release: which servers are called when. The caller drops it once a server has accepted the
+/// release.
 #[derive(Clone, Debug)]
 pub struct ReleaseRounds<S> {
-    /// Servers that have not been asked yet.
+    /// Servers that have not been called yet.
     remaining: VecDeque<S>,
-    /// Calls without an outcome.
+    /// Number of calls without an outcome.
     in_flight: usize,
     /// When the next round is due.
     next_round: Millis,
-    /// When the release is given up.
+    /// When the release is abandoned.
     deadline: Millis,
     /// Whether the first round has been sent.
     started: bool,
 }
 
 impl<S: Copy> ReleaseRounds<S> {
-    /// A release that asks these servers in turn, until one answers or the time `until` has come.
+    /// Creates a release that calls these servers in order, and is abandoned at the time `until`.
     pub fn new(order: Vec<S>, now: Millis, until: Millis) -> Self {
         ReleaseRounds {
             remaining: order.into(),
@@ -162,7 +165,7 @@
         }
     }
 
-    /// The servers to ask now; none if no round is due.
+    /// Returns the servers to call now; empty if no round is due.
     pub fn next_round(&mut self, now: Millis) -> Vec<S> {
         if now < self.next_round || now >= self.deadline {
             return Vec::new();
@@ -175,13 +178,15 @@
         servers
     }
 
-    /// One of those asked could not be reached, or did not accept the release: the next round is due at once.
+    /// Records that a called server could not be reached or did not accept the release. The next round is due at
+    /// once.
     pub fn failed(&mut self, now: Millis) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.next_round = self.next_round.min(now);
     }
 
-    /// When to call [`ReleaseRounds::next_round`] again if nobody answers before; `None` once the release cannot succeed any more.
+    /// Returns when to call [`ReleaseRounds::next_round`] again if no server accepts the release before; `None`
+    /// once the release can no longer succeed.
     pub fn next_wake(&self, now: Millis) -> Option<Millis> {
         if now >= self.deadline {
             return None;
@@ -189,7 +194,7 @@
         if !self.remaining.is_empty() {
             return Some(self.next_round.min(self.deadline));
         }
-        // Everybody was asked: an answer may still come.
+        // All servers were called; a response may still arrive.
         (self.in_flight > 0).then_some(self.deadline)
     }
 }
--- a/crates/request-lifecycle/src/reachability/tests.rs
+++ b/crates/request-lifecycle/src/reachability/tests.rs
@@ -1,4 +1,4 @@
-//! Releases played against servers of which some cannot be reached.
+//! Tests of releases while some servers are unreachable.
 
 use proptest::prelude::*;
 
@@ -8,9 +8,9 @@
     Candidate { server, zone, has_idle_connection: false, reachability: Reachability::default() }
 }
 
-/// Plays one release against servers of which some answer after a time, the others never.
+/// Simulates one release against servers that respond after a given time or never.
 ///
-/// Returns when the first answer came, if any did, and how many servers were asked.
+/// Returns the time of the first response, if there was one, and the number of servers called.
 fn play_release(
     order: Vec<u32>, answer_time: impl Fn(u32) -> Option<Millis>, limit: Millis,
 ) -> (Option<Millis>, usize) {
@@ -31,14 +31,14 @@
     }
 }
 
-/// A zone is cut off for 6 s while 40 KV states are held there and no connection comes up: each release reaches a
-/// server of another zone long before the lease limit, whichever server answered last. One server after the other,
-/// 100 ms each and five in all, would end at 500 ms with nothing.
+/// Guards releases while a zone is unreachable for 6 s and holds 40 KV states: each release reaches a server of
+/// another zone long before the lease limit, whichever servers responded last. Calling five servers one after
+/// another, with 100 ms for each, would end after 500 ms without success.
 #[test]
 fn release_reaches_another_zone_when_one_is_cut_off() {
     const CUT_OFF_ZONE: u32 = 1;
     for round in 0..40u32 {
-        // The servers of the zone that is cut off answered last, and have connections that seem to be open.
+        // The servers of the unreachable zone responded last, and have connections that seem to be open.
         let candidates: Vec<Candidate<u32>> = (0..30)
             .map(|index| {
                 let zone = index % 3;
@@ -58,7 +58,8 @@
     }
 }
 
-/// Once a call to a zone was lost and no server there has answered since, its servers are asked last.
+/// Guards the order of zones: once a call to a zone has failed and no server there has responded since, its servers
+/// are called last.
 #[test]
 fn zone_known_to_be_cut_off_is_asked_last() {
     let mut candidates: Vec<Candidate<u32>> = (0..9).map(|server| candidate(server, server % 3)).collect();
@@ -68,14 +69,14 @@
     assert_eq!(release_order(&candidates, 300).last(), Some(&1));
     candidates[4].reachability.answered(250);
     assert_eq!(release_order(&candidates, 300)[0], 4);
-    // A short call that stays unanswered makes a server suspect before it is lost.
+    // A short call without a response makes a server suspect before the call has failed.
     candidates[4].reachability.query_sent(260);
     assert_eq!(release_order(&candidates, 300)[0], 4);
     assert_ne!(release_order(&candidates, 400)[0] % 3, 1);
 }
 
 proptest! {
-    /// Whichever servers are cut off, one that answers is enough: every server is asked in time, each once.
+    /// A single reachable server is enough, whichever it is: every server is called once, and in time.
     #[test]
     fn one_server_that_answers_is_found(
         zones in prop::collection::vec(0u32..4, 1..24), reachable in 0usize..24, answer_time in 1u64..400,
@@ -94,7 +95,7 @@
         prop_assert_eq!(answered, Some(rounds * ROUND_INTERVAL + answer_time));
     }
 
-    /// A release ends in time also when no server answers.
+    /// A release also ends in time if no server responds.
     #[test]
     fn release_ends_when_no_server_answers(servers in 0usize..60, limit in 1u64..2_000) {
         let (answered, asked) = play_release((0..servers as u32).collect(), |_| None, limit);
--- a/crates/request-lifecycle/src/request/attempts.rs
+++ b/crates/request-lifecycle/src/request/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a request: from the router's order to the one outcome of each.
+//! Attempts of a request, from the router's send command to the single outcome of each.
 
 use super::planted_faults::Fault;
 use super::transitions::Unexpected;
@@ -13,7 +13,7 @@
         self.attempts.get(attempt).map(|attempt| attempt.state)
     }
 
-    /// Queues the attempt that the router orders, or ends it as not sent if it must not go.
+    /// Queues the attempt that the router requests, or ends it with [`Status::NotSent`] if it must not be sent.
     pub(super) fn queue_attempt(
         &mut self, server: Server, stage: Stage, permitted: bool, effects: &mut Effects,
     ) {
@@ -25,8 +25,8 @@
         }
     }
 
-    /// The rules for a further attempt: one in flight at a time, none beyond the maximum, none for a closed request,
-    /// and no second run of a request that may have run unless it is idempotent.
+    /// Checks the rules for a further attempt: one in flight at a time, none beyond the maximum, none for a closed
+    /// request, and no repeated execution of a request that may have run unless it is idempotent.
     fn may_start_attempt(&self, stage: Stage) -> bool {
         let second = self.in_flight() && !self.has_fault(Fault::SecondAttempt);
         let closed = self.is_closed() && !self.has_fault(Fault::SendsAfterEnd);
@@ -37,7 +37,7 @@
         !second && !closed && !runs_again && self.attempts.len() < self.policy.max_attempts
     }
 
-    /// Starts the attempt that waits, once no release is due or in progress.
+    /// Starts the queued attempt, if there is one, once no release is due or in progress.
     pub(super) fn start_queued_attempt(&mut self, effects: &mut Effects) {
         let may_start = self.release == Release::None || self.has_fault(Fault::SendsBeforeRelease);
         if !may_start {
@@ -50,21 +50,21 @@
         }
     }
 
-    /// Cancels an attempt whose answer has not begun.
+    /// Cancels an attempt whose response has not begun; does nothing in any other state.
     pub(super) fn cancel_attempt(&mut self, attempt: usize, effects: &mut Effects) {
         match self.attempt_state(attempt) {
-            // Nothing of it was sent.
+            // Nothing was sent.
             Some(AttemptState::Queued) => self.end_attempt(attempt, Status::NotSent, effects),
             Some(AttemptState::InFlight) => {
                 self.attempts[attempt].state = AttemptState::Cancelling;
                 effects.push(Effect::CancelAttempt { attempt });
             }
-            // Already cancelled or ended; or its answer has begun and belongs to the client.
+            // Already cancelled or ended, or its response is being forwarded to the client.
             Some(AttemptState::Cancelling | AttemptState::Streaming | AttemptState::Ended(_)) | None => {}
         }
     }
 
-    /// Cancels what is in flight and not known to have arrived.
+    /// Cancels attempts in flight whose delivery is not confirmed.
     pub(super) fn cancel_undelivered(&mut self, effects: &mut Effects) {
         if self.has_fault(Fault::KeepsUndelivered) {
             return;
@@ -78,20 +78,21 @@
         }
     }
 
-    /// Cancels everything whose answer has not begun: nobody waits for it any more.
+    /// Cancels all attempts whose response has not begun, as far as the deployment's policy allows, because the
+    /// client no longer waits for them.
     pub(super) fn cancel_all(&mut self, effects: &mut Effects) {
         if self.has_fault(Fault::KeepsCallAfterGone) {
             return;
         }
         for attempt in 0..self.attempts.len() {
-            // A queued attempt is not at a server, so the deployment's setting for cancellation does not concern it.
+            // A queued attempt was not sent to a server, so the cancellation policy does not apply to it.
             if self.policy.cancellation || self.attempts[attempt].state == AttemptState::Queued {
                 self.cancel_attempt(attempt, effects);
             }
         }
     }
 
-    /// How a cancelled attempt ends.
+    /// Returns the outcome of a cancelled attempt.
     fn cancelled_status(&self, attempt: usize) -> Status {
         if self.attempts[attempt].undelivered {
             Status::Undelivered
@@ -100,19 +101,19 @@
         }
     }
 
-    /// Something came back for an attempt.
+    /// Handles the result of an attempt's call.
     pub(super) fn on_reply(
         &mut self, attempt: usize, reply: Reply, effects: &mut Effects,
     ) -> Result<(), Unexpected> {
         match (self.attempt_state(attempt), reply) {
             (Some(AttemptState::InFlight), _) => self.on_reply_in_flight(attempt, reply, effects),
-            // The first token crossed the cancellation: the call is about to be dropped, and the attempt ends then.
+            // The first token was received during the cancellation. The attempt ends once the engine drops the call.
             (Some(AttemptState::Cancelling), Reply::FirstEvent) => {}
-            // Nothing of it was written, so it had no effect, and its reservations were unused all the time.
+            // Nothing was written, so the attempt had no effect and never used its reservations.
             (Some(AttemptState::Cancelling), Reply::NotSent) => {
                 self.end_attempt(attempt, Status::NotSent, effects);
             }
-            // Its call ended by itself before it was dropped.
+            // The call ended before the engine dropped it.
             (Some(AttemptState::Cancelling), reply) => {
                 let status = self.cancelled_status(attempt);
                 self.end_attempt_with(attempt, status, reply.known_work(), effects);
@@ -127,7 +128,7 @@
     pub(super) fn on_delivered(&mut self, attempt: usize) -> Result<(), Unexpected> {
         match self.attempt_state(attempt) {
             Some(AttemptState::InFlight) => self.attempts[attempt].delivered = true,
-            // The sign of delivery crossed the attempt's end.
+            // The delivery was confirmed only after the attempt was cancelled, began to stream or ended.
             Some(AttemptState::Cancelling | AttemptState::Streaming | AttemptState::Ended(_)) => {}
             Some(AttemptState::Queued) | None => return Err(Unexpected),
         }
@@ -167,11 +168,11 @@
         Ok(())
     }
 
-    /// What came back either begins the client's answer or ends the attempt.
+    /// Handles the result of a call in flight, which either begins the client's stream or ends the attempt.
     fn on_reply_in_flight(&mut self, attempt: usize, reply: Reply, effects: &mut Effects) {
         let status = match reply {
             Reply::FirstEvent => return self.begin_stream(attempt, effects),
-            // It did not run, so it left no reservation.
+            // The request did not run, so it left no reservation.
             Reply::Unprocessable => {
                 self.respond_unprocessable(effects);
                 Status::NotSent
@@ -187,10 +188,11 @@
         self.end_attempt_with(attempt, status, reply.known_work(), effects);
     }
 
-    /// The attempt's first event is here: its answer is the client's from now on.
+    /// Handles the first event of an attempt: its response is forwarded to the client from now on.
     fn begin_stream(&mut self, attempt: usize, effects: &mut Effects) {
         if self.response != ResponseState::Pending {
-            // Nobody waits for it. It ends only once it is dropped, so that nothing is released while it runs.
+            // The client no longer waits. The attempt ends only once its call is dropped, so that nothing is released
+            // while it may still run.
             self.attempts[attempt].state = AttemptState::Cancelling;
             effects.push(Effect::CancelAttempt { attempt });
             return;
@@ -199,8 +201,8 @@
         self.attempts[attempt].delivered = true;
         self.response = ResponseState::Streaming;
         self.may_have_executed = true;
-        // The decode server has fetched the KV state, and its own slot is the stream's; a slot elsewhere must still be
-        // released.
+        // The decode server has fetched the KV state, and a slot of its own is used by the stream. A slot at another
+        // server must still be released.
         let server = self.attempts[attempt].server;
         let slot_elsewhere = matches!(self.reservation, Reservation::Slot(holder) if holder != server);
         if !slot_elsewhere {
@@ -210,12 +212,12 @@
         effects.push(Effect::ForwardStream { attempt });
     }
 
-    /// Ends an attempt of whose server nothing is known but what its status shows.
+    /// Ends an attempt when nothing is known about its server's work beyond what the status shows.
     fn end_attempt(&mut self, attempt: usize, status: Status, effects: &mut Effects) {
         self.end_attempt_with(attempt, status, CutWork::MayRun, effects);
     }
 
-    /// Ends an attempt and reports its one outcome; `known` is what is known of its server's work.
+    /// Ends an attempt and reports its single outcome; `known` is what is known about its server's work.
     fn end_attempt_with(&mut self, attempt: usize, status: Status, known: CutWork, effects: &mut Effects) {
         let Attempt { state, delivered, .. } = self.attempts[attempt];
         self.attempts[attempt].state = AttemptState::Ended(status);
@@ -235,22 +237,22 @@
         }
     }
 
-    /// Notes what an attempt that was sent may have left at its server; `state` is the one before its end.
+    /// Records what a dispatched attempt may have left at its server; `state` is its state before it ended.
     fn note_left_behind(&mut self, attempt: usize, state: AttemptState, status: Status, known: CutWork) {
         let stage = self.attempts[attempt].stage;
         let cut_by = status.cut_by().filter(|_| state != AttemptState::Streaming);
-        // Stays set until a release has waited for it: a call for a slot may have been cut before. Nothing is waited for where
-        // the end is known.
+        // The flag stays set until a release has been delayed for it, because a slot call may have been interrupted
+        // before. If the server's work is known to have ended, no delay is needed.
         self.cut_since_release |= cut_by.is_some() && known != CutWork::Ended;
-        // A prefill may have completed just as its connection was cut. The KV state that it left must be released
-        // before the request is sent again, or that attempt would find it.
+        // A prefill may have completed just as its connection was interrupted. The KV state that it left must be
+        // released before the request is sent again, or the next attempt would find it.
         if let Some(seen) = cut_by.filter(|_| stage == Stage::Prefill) {
             self.note_cut_prefill(attempt, known.after(seen));
         }
         if status == Status::Prefilled {
             self.reserve(Reservation::KvState);
         }
-        // The request may have run, so a prefill may have left its state; its server works on it no more.
+        // After an error the prefill may have left KV state, but its server has stopped working on it.
         if status == Status::Error && stage == Stage::Prefill && !self.has_fault(Fault::ForgetsFailedRead) {
             self.reserve(Reservation::KvState);
             self.make_release_due();
--- a/crates/request-lifecycle/src/request/messages/attempt.rs
+++ b/crates/request-lifecycle/src/request/messages/attempt.rs
@@ -1,55 +1,55 @@
-//! One attempt of a request at one server: its states, and what can come back for it.
+//! An attempt of a request at one server: its states, replies and outcomes.
 
 use serde::{Deserialize, Serialize};
 
 use super::Server;
 use crate::evidence::{CutWork, Observation};
 
-/// What an attempt asks of its server.
+/// Part of the request that an attempt has its server perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// To read the prompt and hold its KV state. This has no effect that a client could notice.
+    /// Process the prompt and keep its KV state. This has no effect that is visible to a client.
     #[serde(rename = "Read")]
     Prefill,
-    /// To answer the request. This may have the request's effect.
+    /// Execute the request and produce its response. This may have the request's side effects.
     #[serde(rename = "Run")]
     Execute,
 }
 
-/// How an attempt ended. The router gets exactly one for each attempt.
+/// Outcome of an attempt. The router is notified of exactly one for each attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// Its answer came to its end, or another process continues it.
+    /// The response is complete, or another process continues it.
     Served,
-    /// The prompt was read, and its KV state waits at the server.
+    /// The server processed the prompt and holds its KV state.
     #[serde(rename = "Read")]
     Prefilled,
-    /// The server answered with an error. The request may have run.
+    /// The server responded with an error. The request may have run.
     Error,
-    /// The server rejected it (load shedding): it did not run.
+    /// The server rejected the attempt before running it, for example by load shedding.
     #[serde(rename = "Declined")]
     Rejected,
-    /// Nothing came back in time. The request may have run.
+    /// No response, or no further event of a stream, arrived in time. The request may have run.
     Timeout,
-    /// It cannot have run: its last byte was never written.
+    /// The last byte of the attempt was never written, so it cannot have run.
     #[serde(rename = "Connect")]
     ConnectFailed,
-    /// Its connection broke after the request was written. The request may have run.
+    /// The connection broke after the attempt was written. The request may have run.
     Reset,
-    /// What came back could not be parsed. The request may have run.
+    /// The response could not be parsed. The request may have run.
     #[serde(rename = "Spoilt")]
     MalformedResponse,
-    /// It was cancelled, or its client left. The request may have run.
+    /// The attempt was cancelled, or the client stopped reading its stream. The request may have run.
     Cancelled,
-    /// It was written, but nothing showed in time that it had arrived, and was cancelled, since the reservation that it
-    /// was to use may not wait longer. The request may have run.
+    /// The attempt was cancelled because its delivery was not confirmed before the lease limit of the reservation
+    /// that it was to use. The request may have run.
     Undelivered,
-    /// The gateway never sent it.
+    /// The gateway did not send the attempt, or its server found the request itself invalid. It did not run.
     NotSent,
 }
 
 impl Status {
-    /// Whether this can only come back from a server that had received the attempt.
+    /// Returns whether this outcome proves that the server had received the attempt.
     pub fn shows_arrival(self) -> bool {
         matches!(
             self,
@@ -57,7 +57,8 @@
         )
     }
 
-    /// What was seen last of an attempt that was cut off before its answer was complete; `None` for any other.
+    /// Returns what was observed last on the connection of an attempt that was interrupted before its response was
+    /// complete; `None` for any other outcome.
     pub fn cut_by(self) -> Option<Observation> {
         match self {
             Status::Cancelled | Status::Undelivered | Status::Timeout => Some(Observation::OwnClose),
@@ -72,105 +73,105 @@
         }
     }
 
-    /// Whether the server may have begun what was asked.
+    /// Returns whether the server may have run the attempt. A completed prefill does not count.
     ///
-    /// The rule behind it: a request that may have run must not be run again unless it is idempotent.
+    /// A request that may have run must not be run again unless it is idempotent.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Prefilled)
     }
 }
 
-/// Where one attempt stands.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AttemptState {
-    /// Ordered by the router; it waits until earlier reservations of this request are released.
+    /// Requested by the router; it waits until earlier reservations of the request are released.
     Queued,
-    /// Being sent to its server, or already there; [`Attempt::delivered`] says what is known.
+    /// Being sent to its server or received by it, with no reply yet; see [`Attempt::delivered`].
     InFlight,
-    /// Cancelled, but its call is not dropped yet.
+    /// Cancelled; the engine has not dropped its call yet.
     Cancelling,
-    /// Its answer is being forwarded to the client; it can no longer be cancelled.
+    /// Its response is being forwarded to the client; it can no longer be cancelled.
     Streaming,
-    /// It has ended.
+    /// Ended with this outcome.
     Ended(Status),
 }
 
-/// One attempt at one server.
+/// An attempt of a request at one server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The server that it is for.
+    /// Server that the attempt is sent to.
     pub server: Server,
-    /// What it asks of the server.
+    /// Part of the request that the server performs.
     pub stage: Stage,
-    /// Where it stands.
+    /// Progress of the attempt, [`AttemptState::Queued`] at first.
     pub state: AttemptState,
-    /// Something has shown that its last byte reached a server that runs. Being written is not enough: a write onto a
-    /// dead connection succeeds too, so it may not stop the lease limit.
+    /// Whether there is evidence that its last byte reached a running server. A completed write is no evidence,
+    /// because a write to a dead connection succeeds too; so it must not stop the lease limit.
     pub delivered: bool,
-    /// It was cancelled because no sign of delivery came in time.
+    /// Whether it was cancelled because its delivery was not confirmed in time.
     pub undelivered: bool,
-    /// It was cut off, and nothing proves that its server will not work on it any more.
+    /// Whether it is an interrupted prefill whose server is not proven to have stopped working on it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub unnoticed_close: bool,
 }
 
 impl Attempt {
-    /// An attempt that the router has ordered and that is not sent yet.
+    /// Creates an attempt that the router has requested and that has not been sent.
     pub fn new(server: Server, stage: Stage) -> Attempt {
         let state = AttemptState::Queued;
         Attempt { server, stage, state, delivered: false, undelivered: false, unnoticed_close: false }
     }
 
-    /// Whether it has ended and may have had the request's effect.
+    /// Returns whether the attempt has ended and may have executed the request.
     pub fn may_have_run(&self) -> bool {
         self.stage == Stage::Execute
             && matches!(self.state, AttemptState::Ended(status) if status.may_have_run())
     }
 
-    /// Whether its outcome is still to come.
+    /// Returns whether the attempt, queued or sent, has no outcome yet.
     pub fn is_open(&self) -> bool {
         !matches!(self.state, AttemptState::Ended(_))
     }
 
-    /// Whether it is at its server, or may be.
+    /// Returns whether the attempt was dispatched to its server and has not ended.
     pub(crate) fn may_be_at_server(&self) -> bool {
         matches!(self.state, AttemptState::InFlight | AttemptState::Cancelling | AttemptState::Streaming)
     }
 }
 
-/// What came back for an attempt before any of its answer was forwarded.
+/// Result of the call of an attempt, before any part of its response was forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// The server has read the prompt and holds its KV state.
+    /// The server has processed the prompt and holds its KV state.
     #[serde(rename = "Read")]
     Prefilled,
-    /// The first complete event of the answer is here.
+    /// The first complete event of the response was received.
     #[serde(rename = "Begins")]
     FirstEvent,
-    /// The server rejected it (load shedding).
+    /// The server rejected the attempt before running it, for example by load shedding.
     #[serde(rename = "Declined")]
     Rejected,
-    /// The request itself is at fault; every server would find the same.
+    /// The server found the request itself invalid; every server would reject it.
     #[serde(rename = "Unfit")]
     Unprocessable,
-    /// The server failed.
+    /// The server responded with an error.
     Error,
-    /// No connection came up, or it failed before the last byte was written.
+    /// No connection could be opened, or it failed before the last byte was written.
     #[serde(rename = "Connect")]
     ConnectFailed,
-    /// The connection broke after the request was written, and its server may still work on it.
+    /// The connection broke after the attempt was written, and the server may still be working on it.
     Reset,
-    /// The connection broke after the request was written, and its server is known to work on it no more.
+    /// The connection broke after the attempt was written, and the server is known to have stopped working on it.
     ResetAndEnded,
-    /// The answer could not be parsed.
+    /// The response could not be parsed.
     #[serde(rename = "Spoilt")]
     MalformedResponse,
-    /// The gateway withheld it: by then its server was to receive nothing new.
+    /// The gateway wrote nothing, for example because the server must not receive new requests by then.
     NotSent,
 }
 
 impl Reply {
-    /// What is known of the server's work on the attempt, besides what the attempt's status shows.
+    /// Returns what is known about the server's work on the attempt beyond what the attempt's status shows.
     pub(crate) fn known_work(self) -> CutWork {
         match self {
             Reply::ResetAndEnded => CutWork::Ended,
@@ -179,30 +180,30 @@
     }
 }
 
-/// How an answer that was being forwarded ended.
+/// How the stream of a response that was being forwarded ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StreamEnd {
-    /// Its last event was forwarded.
+    /// The last event was forwarded.
     #[serde(rename = "Whole")]
     Complete,
-    /// Another process continues it.
+    /// Another process continues the stream.
     #[serde(rename = "Moved")]
     HandedOver,
-    /// The server's connection broke.
+    /// The connection to the server broke.
     Reset,
-    /// The rest of it could not be parsed.
+    /// A later part of the response could not be parsed.
     #[serde(rename = "Spoilt")]
     MalformedResponse,
-    /// No event came for too long.
+    /// No event was received within the idle limit.
     #[serde(rename = "Silent")]
     IdleTimeout,
-    /// The client no longer reads what is forwarded.
+    /// The client stopped reading the stream.
     #[serde(rename = "Untaken")]
     ClientStalled,
 }
 
 impl StreamEnd {
-    /// The outcome of the attempt whose stream ended so.
+    /// Returns the outcome of an attempt whose stream ended in this way.
     pub fn status(self) -> Status {
         match self {
             StreamEnd::Complete | StreamEnd::HandedOver => Status::Served,
--- a/crates/request-lifecycle/src/request/messages/effect.rs
+++ b/crates/request-lifecycle/src/request/messages/effect.rs
@@ -1,84 +1,85 @@
-//! What comes out of the machine of a request: what the driver must do, in the order given.
+//! Effects of the request's state machine: actions that the driver carries out in the order given.
 
 use serde::{Deserialize, Serialize};
 
 use super::{FinalResponse, Server, Status, Timer};
 
-/// One thing to be done. Attempts are named by their index in the order in which they were ordered.
+/// An action for the driver. Attempts are identified by their index in
+/// [`Request::attempts`](crate::request::Request::attempts).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
-    /// To the engine: send the attempt now, once.
+    /// To the engine: send the attempt now, exactly once.
     #[serde(rename = "Start")]
     StartAttempt {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// To the engine: drop the attempt's call, and report with [`Input::CancelCompleted`](super::Input::CancelCompleted)
-    /// when that is done.
+    /// To the engine: drop the attempt's call, and report
+    /// [`Input::CancelCompleted`](super::Input::CancelCompleted) when that is done.
     #[serde(rename = "CallBack")]
     CancelAttempt {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// To the engine: release what servers hold.
+    /// To the engine: release everything that servers hold for the request.
     Release {
-        /// Whether a call was cut off since the last release, so that its server may not have noticed yet and could
-        /// still reserve something.
+        /// Whether a call was interrupted since the last release started. Its server may not have noticed yet and
+        /// could still reserve something, so the release is sent after a short delay.
         after_cut: bool,
     },
-    /// To the engine: ask a decode server to reserve a slot.
+    /// To the engine: call a decode server to reserve a slot.
     #[serde(rename = "AskPlace")]
     RequestSlot {
-        /// The decode server.
+        /// Identifier of the decode server.
         server: Server,
     },
-    /// To the engine: drop the call that reserves a slot.
+    /// To the engine: drop the call that was to reserve a slot.
     #[serde(rename = "DropPlace")]
     CancelSlotRequest,
-    /// To the front: send the client this final answer at once.
+    /// To the front: send this final response to the client immediately.
     #[serde(rename = "Answer")]
     Respond(FinalResponse),
-    /// To the front: forward this attempt's answer to the client from its first event on.
+    /// To the front: forward the attempt's response to the client from its first event on.
     #[serde(rename = "PassOn")]
     ForwardStream {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// To the router: the attempt's first token is here.
+    /// To the router: the first token of the attempt was received.
     #[serde(rename = "TellFirst")]
     NotifyFirstToken {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// To the router: the one outcome of an attempt.
+    /// To the router: an attempt ended. Every attempt causes exactly one such effect.
     #[serde(rename = "TellOutcome")]
     NotifyOutcome {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
-        /// How it ended.
+        /// Outcome of the attempt.
         status: Status,
-        /// Whether the client is owed nothing more, so that no retry can help.
+        /// Whether the client's response has ended, so that a retry is pointless.
         closed: bool,
     },
-    /// To the router: nobody waits for the request any more.
+    /// To the router: the client no longer waits, because it disconnected or the deadline passed.
     #[serde(rename = "TellGone")]
     NotifyClientDisconnected,
-    /// To the router: a decode server's answer to the call that reserves a slot.
+    /// To the router: a decode server responded to the call that reserves a slot.
     #[serde(rename = "TellPlace")]
     NotifySlot {
-        /// The decode server.
+        /// Identifier of the decode server.
         server: Server,
-        /// Whether it reserved the slot.
+        /// Whether the server reserved the slot.
         #[serde(rename = "held")]
         reserved: bool,
     },
-    /// To the caller's clock: start this timer.
+    /// To the driver's clock: start this timer.
     #[serde(rename = "Arm")]
     ArmTimer(Timer),
-    /// To the caller's clock: stop this timer.
+    /// To the driver's clock: stop this timer.
     #[serde(rename = "Disarm")]
     DisarmTimer(Timer),
-    /// Nothing of the request is left: the driver forgets it, and its identifier is free.
+    /// To the driver: remove the request, which has finished. Its identifier may be used again.
     #[serde(rename = "Over")]
     Finished,
 }
--- a/crates/request-lifecycle/src/request/messages/input.rs
+++ b/crates/request-lifecycle/src/request/messages/input.rs
@@ -1,92 +1,94 @@
-//! What goes into the machine of a request: orders of the router and reports of what happened.
+//! Inputs of the request's state machine: commands of the router, and reports of the engine, the front and the
+//! driver.
 
 use serde::{Deserialize, Serialize};
 
 use super::{FinalResponse, Reply, Server, Stage, StreamEnd, Timer};
 
-/// One input. Attempts are named by their index in the order in which they were ordered.
+/// A command or a report. Attempts are identified by their index in
+/// [`Request::attempts`](crate::request::Request::attempts).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Input {
-    /// Order of the router: send an attempt.
+    /// Router command: send an attempt.
     Send {
-        /// The server to send it to.
+        /// Server to send it to.
         server: Server,
-        /// What to ask of the server.
+        /// Part of the request that the server is to perform.
         stage: Stage,
-        /// False if the caller knows that this server must receive nothing, or that no time is left.
+        /// `false` if the driver knows that the server must not receive new requests, or that no time is left.
         #[serde(rename = "may")]
         permitted: bool,
     },
-    /// Order of the router: cancel an attempt.
+    /// Router command: cancel an attempt.
     Cancel {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// Order of the router: release everything that servers hold for the request.
+    /// Router command: release everything that servers hold for the request.
     Release,
-    /// Order of the router: the final answer.
+    /// Router command: send the client this final response.
     #[serde(rename = "Answer")]
     Respond(FinalResponse),
-    /// Order of the router: ask a decode server to reserve a slot.
+    /// Router command: reserve a slot at a decode server.
     #[serde(rename = "Hold")]
     ReserveSlot {
-        /// The decode server.
+        /// Identifier of the decode server.
         server: Server,
     },
-    /// Report of the front: the client's connection ended.
+    /// Report of the front: the client disconnected.
     #[serde(rename = "ClientGone")]
     ClientDisconnected,
-    /// Report of the engine: something showed that an attempt has arrived at its server.
+    /// Report of the engine: there is evidence that an attempt was delivered to its server.
     #[serde(rename = "Arrived")]
     Delivered {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// Report of the engine: what came back for an attempt, before any of it was forwarded.
+    /// Report of the engine: the result of an attempt's call, before any part of its response was forwarded.
     Replied {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
-        /// What came back.
+        /// Result of the call.
         reply: Reply,
     },
-    /// Report of the engine: a stream that was being forwarded has ended.
+    /// Report of the engine: a stream that was being forwarded ended.
     StreamEnded {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
-        /// How it ended.
+        /// Why the stream ended.
         end: StreamEnd,
     },
-    /// Report of the caller: its time limit for an attempt passed before anything came back.
+    /// Report of the driver: its time limit for an attempt passed before any reply was received.
     TimedOut {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// Report of the engine: the call of a cancelled attempt is dropped and its connection closed.
+    /// Report of the engine: the call of a cancelled attempt was dropped and its connection closed.
     #[serde(rename = "Dropped")]
     CancelCompleted {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// Report of the engine: the server of a prefill that was cut off works on it no more, as its end of the connection
-    /// proves, or since the longest time is over in which it may.
+    /// Report of the engine: the server of an interrupted prefill has stopped working on it. Either an observation
+    /// on a connection proves this, or the maximum time for which the server may work on the prefill has passed.
     #[serde(rename = "CutSeen")]
     CloseConfirmed {
-        /// The attempt.
+        /// Index of the attempt.
         attempt: usize,
     },
-    /// Report of the engine: a decode server's answer to the call that reserves a slot.
+    /// Report of the engine: a decode server responded to the call that reserves a slot, or the call failed.
     #[serde(rename = "Placed")]
     SlotAnswered {
-        /// Whether the slot is reserved; `None` if that is not known.
+        /// Whether the slot is reserved; `None` if this is unknown.
         #[serde(rename = "held")]
         reserved: Option<bool>,
     },
-    /// Report of the engine: the release that waited for servers to notice a cut is sent now.
+    /// Report of the engine: the release that was delayed because of an interrupted call is sent now.
     #[serde(rename = "ReleaseOut")]
     ReleaseSent,
-    /// Report of the engine: a release has ended, successfully or not.
+    /// Report of the engine: a release ended, successfully or not.
     Released,
-    /// Report of the caller's clock: an armed timer expired.
+    /// Report of the driver's clock: an armed timer expired.
     #[serde(rename = "Due")]
     TimerExpired(Timer),
 }
--- a/crates/request-lifecycle/src/request/messages/mod.rs
+++ b/crates/request-lifecycle/src/request/messages/mod.rs
@@ -1,7 +1,7 @@
-//! Values that go in and come out of the state machine of a request.
+//! Inputs, effects and state values of the request's state machine.
 //!
-//! Plain data with no logic beyond classification. Serde renames keep the spellings of traces and of states that are
-//! handed over between processes; an identifier may change, its stored spelling may not.
+//! They are plain data; their only logic is classification. The serde renames keep the names that stored traces use
+//! and that are handed over between processes: an identifier may change, its serialized name may not.
 
 mod attempt;
 mod effect;
@@ -19,15 +19,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifier of a server, assigned by the caller.
+/// Server identifier, assigned by the caller.
 pub type Server = u64;
 
-/// A timer of a request. The caller owns the clock: it arms, disarms and expires timers as [`Effect`]s ask.
+/// A timer of a request. The caller owns the clock: it starts and stops timers as [`Effect`]s require, and reports
+/// their expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Timer {
-    /// The request's deadline, a little later than the router's own.
+    /// The request's deadline. It expires slightly later than the router's own timer.
     Deadline,
-    /// The longest time that servers may hold a reservation while no attempt that uses it is known to have arrived.
+    /// Maximum time for which servers may hold a reservation while no attempt that uses it is known to be delivered.
     #[serde(rename = "Pin")]
     LeaseLimit,
 }
--- a/crates/request-lifecycle/src/request/messages/policy.rs
+++ b/crates/request-lifecycle/src/request/messages/policy.rs
@@ -1,28 +1,29 @@
-//! What a request is allowed: repeats, attempts and cancellation.
+//! Policy of a request: retry safety, number of attempts and cancellation.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request may run at servers more than once.
+/// Whether a request may be executed by servers more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RetrySafety {
-    /// It may run any number of times: it changes nothing, or servers drop repeats by its idempotency key.
+    /// It may run any number of times: it has no side effects, or servers drop repeats by its idempotency key.
     #[serde(rename = "Freely")]
     Idempotent,
-    /// It may run at most once: after an attempt that may have run, no other may execute it.
+    /// It may run at most once: after an attempt that may have run, no other attempt may execute it.
     #[serde(rename = "Never")]
     AtMostOnce,
 }
 
-/// Limits of one request, fixed when it arrives.
+/// Policy of one request, fixed when the request arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestPolicy {
-    /// Whether a request that may have run may be run again.
+    /// Whether the request may be run again after an attempt that may have run.
     #[serde(rename = "repeat")]
     pub retry_safety: RetrySafety,
-    /// Most attempts in all, of either stage.
+    /// Maximum number of attempts, counting both stages.
     #[serde(rename = "most")]
     pub max_attempts: usize,
-    /// Whether the deployment allows cancelling an attempt in flight whose answer nobody waits for any more.
+    /// Whether the deployment allows cancelling an attempt in flight once its client no longer waits for the
+    /// response.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
 }
--- a/crates/request-lifecycle/src/request/messages/reservation.rs
+++ b/crates/request-lifecycle/src/request/messages/reservation.rs
@@ -1,41 +1,42 @@
-//! What servers may hold for a request, and the calls that reserve and release it.
+//! Reservations that servers may hold for a request, and the calls that make and release them.
 
 use serde::{Deserialize, Serialize};
 
 use super::Server;
 
-/// What servers hold under the request's identifier, or may hold as far as the gateway knows.
+/// What servers may hold under the request's identifier, as far as the gateway knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reservation {
-    /// Nothing.
+    /// No server holds anything for the request.
     None,
     /// A prefill server may hold the prompt's KV state.
     KvState,
-    /// This decode server may hold a slot; a prefill server may hold KV state too.
+    /// This decode server may hold a slot, and a prefill server may hold KV state too.
     Slot(Server),
 }
 
-/// The release of what servers hold.
+/// Progress of the release of the request's reservations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Release {
-    /// None is due or in progress.
+    /// No release is due or in progress.
     None,
-    /// It starts as soon as no attempt is at a server.
+    /// A release is due. It starts once no attempt in flight may use the reservations.
     Due,
-    /// It started after a cut, and is sent a little later, or as soon as the servers are known to have noticed.
+    /// A release was started after an interrupted call. It is sent after a short delay, or as soon as the servers are
+    /// known to have stopped working on interrupted attempts.
     Waiting,
-    /// It is in progress.
+    /// A release is in progress.
     InProgress {
-        /// Whether something was reserved after it began, so that another release must follow.
+        /// Whether something may have been reserved after the release began, so that another one must follow.
         repeat: bool,
     },
 }
 
-/// The call that reserves a slot at a decode server ahead of the attempt that will use it.
+/// State of the call that reserves a slot at a decode server ahead of the attempt that will use it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SlotRequest {
-    /// No such call is in flight.
+    /// No call is in flight.
     None,
-    /// The call to this server is in flight.
+    /// A call to this server is in flight.
     InFlight(Server),
 }
--- a/crates/request-lifecycle/src/request/messages/response.rs
+++ b/crates/request-lifecycle/src/request/messages/response.rs
@@ -1,34 +1,34 @@
-//! The client's side of a request: its one final answer.
+//! The client's side of a request: its final response and how far it has been sent.
 
 use serde::{Deserialize, Serialize};
 
-/// The final answer of a request whose client received no server's stream.
+/// Final response that the gateway itself sends to a client that has received no server's stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FinalResponse {
-    /// Rejected before it ran: it is safe for the client to send it again.
+    /// The request was rejected before it ran; the client can safely send it again.
     #[serde(rename = "Refused")]
     Rejected,
-    /// No server that was tried answered it; it may have run.
+    /// No attempt produced a response. The request may have run.
     Failed,
-    /// Its deadline passed first.
+    /// The deadline passed before a response began. The request may have run.
     #[serde(rename = "Deadline")]
     DeadlineExceeded,
-    /// The request itself is at fault, as a server found: every server would reject it.
+    /// A server found the request itself invalid; every server would reject it.
     #[serde(rename = "Unfit")]
     Unprocessable,
 }
 
-/// How far the client's answer has come.
+/// Progress of the client's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ResponseState {
-    /// The client has received nothing yet.
+    /// Nothing has been sent to the client yet.
     Pending,
     /// An attempt's stream is being forwarded to the client.
     Streaming,
-    /// The client received a final answer of the gateway's own.
+    /// The gateway sent this final response of its own.
     Final(FinalResponse),
-    /// The forwarded stream has ended, complete or broken off.
+    /// The forwarded stream has ended, either complete or interrupted.
     StreamEnded,
-    /// The client disconnected before its answer was complete.
+    /// The client disconnected before its response was complete.
     Abandoned,
 }
--- a/crates/request-lifecycle/src/request/mod.rs
+++ b/crates/request-lifecycle/src/request/mod.rs
@@ -1,19 +1,19 @@
-//! One request from its arrival until nothing of it is left: its attempts, what servers may hold for it, and its one
-//! final answer.
+//! Lifecycle of one request: its attempts, the reservations that servers may hold for it, and its final response.
 //!
-//! The router orders ([`Input::Send`], [`Input::Cancel`], [`Input::Release`], ...), the outside reports
-//! ([`Input::Replied`], [`Input::ClientDisconnected`], ...), and the machine answers with what must be done
-//! ([`Effect`]). It trusts neither: an order that would break a rule ends with [`Status::NotSent`] and is never carried
-//! out, whatever the router or a plug-in believes.
+//! The router issues commands ([`Input::Send`], [`Input::Cancel`], [`Input::Release`], ...); the engine, the front
+//! and the clock report events ([`Input::Replied`], [`Input::ClientDisconnected`], ...). The machine returns the
+//! actions to carry out ([`Effect`]). It validates both kinds of input: a command that would break a rule is not
+//! carried out, whatever the router or a plug-in expects, and a send of this kind ends with [`Status::NotSent`].
 //!
-//! The rules that it guards:
-//! - A client gets one final answer or one stream, never both.
+//! The machine enforces these rules:
+//! - A client receives either one final response or one stream, never both.
 //! - At most one attempt is in flight at a time, and each attempt has exactly one outcome.
-//! - A request that may have run must not be run again unless it is idempotent.
-//! - What servers hold for a request is released, never while an attempt is at a server, and before the next is sent.
+//! - A request that may have run is not run again unless it is idempotent.
+//! - Reservations are released before the next attempt is sent, and never while an attempt may still need them.
 //!
 //! [`Request`] owns all state of the request; the driver owns the clock, the sockets and the order of inputs. The
-//! transition table is in `transitions.rs`.
+//! machine finishes once no attempt, reservation or release of the request is left. The transition table is in
+//! `transitions.rs`.
 
 mod attempts;
 mod messages;
@@ -32,10 +32,10 @@
 #[cfg(feature = "mutants")]
 pub use self::planted_faults::Fault;
 
-/// Effects in the order in which they must be carried out. The caller provides the buffer and may reuse it.
+/// Effects in the order in which they must be carried out. The caller owns the buffer and may reuse it.
 type Effects = Vec<Effect>;
 
-/// The state machine of one request.
+/// State machine of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
     policy: RequestPolicy,
@@ -44,9 +44,9 @@
     reservation: Reservation,
     release: Release,
     slot_request: SlotRequest,
-    /// An attempt that has ended may have had the request's effect.
+    /// Whether an attempt that has ended, or whose stream has begun, may have executed the request.
     may_have_executed: bool,
-    /// A call was cut off since the last release, and its server may not have noticed yet.
+    /// Whether a call was interrupted since the last release started, so that its server may still be working on it.
     cut_since_release: bool,
     deadline_armed: bool,
     lease_armed: bool,
@@ -56,7 +56,7 @@
 }
 
 impl Request {
-    /// A request that has been received completely. Its deadline is armed at once.
+    /// Creates the machine of a request that was received completely, and arms its deadline timer.
     pub fn new(policy: RequestPolicy, effects: &mut Effects) -> Self {
         effects.push(Effect::ArmTimer(Timer::Deadline));
         Request {
@@ -76,77 +76,77 @@
         }
     }
 
-    /// What the request is allowed.
+    /// Returns the retry, attempt and cancellation policy that was fixed when the request arrived.
     pub fn policy(&self) -> RequestPolicy {
         self.policy
     }
 
-    /// All attempts, in the order in which the router ordered them.
+    /// Returns all attempts in the order of the router's [`Input::Send`] commands, those that were not sent included.
     pub fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
 
-    /// How far the client's answer has come.
+    /// Returns the progress of the client's response.
     pub fn response(&self) -> ResponseState {
         self.response
     }
 
-    /// Whether the client is owed nothing more.
+    /// Returns whether the client's response has ended: it was sent, its stream broke, or the client disconnected.
     pub fn is_closed(&self) -> bool {
         !matches!(self.response, ResponseState::Pending | ResponseState::Streaming)
     }
 
-    /// Whether an attempt's outcome is still to come.
+    /// Returns whether an attempt, queued or sent, has no outcome yet.
     pub fn in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_open)
     }
 
-    /// Whether an attempt is at a server, or may be.
+    /// Returns whether an attempt was dispatched to a server and has not ended.
     fn at_server(&self) -> bool {
         self.attempts.iter().any(Attempt::may_be_at_server)
     }
 
-    /// Whether an attempt is at a server, or may be, that may need what servers hold for the request or leave something behind.
-    /// One whose answer has begun does neither.
+    /// Returns whether a dispatched attempt may still use the request's reservations or create new ones. An attempt
+    /// whose stream has begun does neither.
     fn may_use_reservations(&self) -> bool {
         let may_use =
             |attempt: &Attempt| attempt.may_be_at_server() && attempt.state != AttemptState::Streaming;
         self.attempts.iter().any(may_use)
     }
 
-    /// Whether an attempt may have had the request's effect, or may still run.
+    /// Returns whether the request may have run or may still run at a server.
     ///
-    /// Nobody knows this of an attempt in flight or of one whose server may not have noticed that it was cut off, of a
-    /// prefill neither, so they count as attempts that may have.
+    /// The answer is unknown for an attempt in flight and for an interrupted attempt whose server may not have
+    /// noticed the interruption, so both count as attempts that may run. This includes prefills.
     pub fn may_have_run(&self) -> bool {
         let may_still_run =
             self.has_unnoticed_close() && !self.has_fault(planted_faults::Fault::RefusesBesideUnnoticedClose);
         self.may_have_executed || self.at_server() || may_still_run
     }
 
-    /// Whether servers hold something for the request, or may.
+    /// Returns whether servers hold, or may hold, a reservation for the request.
     pub fn has_reservation(&self) -> bool {
         self.reservation != Reservation::None || self.has_unnoticed_close()
     }
 
-    /// Whether a prefill that was cut off may still complete at its server.
+    /// Returns whether an interrupted prefill may still complete at its server.
     pub fn has_unnoticed_close(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.unnoticed_close)
     }
 
-    /// Whether nothing is in flight for a request that its client has the answer of; only servers that may still work on what
-    /// was cut off have not been heard of.
+    /// Returns whether a closed request waits only for proof that servers have stopped working on interrupted
+    /// prefills: it has no open attempt, and no release is due or in progress.
     pub fn only_awaits_close_notices(&self) -> bool {
         let is_at_rest = !self.in_flight() && self.release == Release::None;
         self.is_closed() && is_at_rest && self.has_unnoticed_close()
     }
 
-    /// Whether nothing of the request is left; it takes no further input.
+    /// Returns whether the machine has finished. A finished machine accepts no further input.
     pub fn is_finished(&self) -> bool {
         self.is_finished
     }
 
-    /// Whether this timer is armed.
+    /// Returns whether `timer` is running: it was armed and has neither expired nor been disarmed.
     pub fn is_armed(&self, timer: Timer) -> bool {
         match timer {
             Timer::Deadline => self.deadline_armed,
--- a/crates/request-lifecycle/src/request/planted_faults.rs
+++ b/crates/request-lifecycle/src/request/planted_faults.rs
@@ -1,31 +1,32 @@
-//! Faults that can be planted in the machine, to show that the model checker finds each of them.
-//! [`planting`](crate::planting) has how.
+//! Faults that can be planted in the request's machine, to verify that the model checker finds each of them.
+//!
+//! The mechanism is in [`planting`](crate::planting).
 
 use serde::{Deserialize, Serialize};
 
 use super::Request;
 use crate::planting::plantable;
 
-/// A fault of the machine.
+/// A fault of the request's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Fault {
-    /// A second final answer follows the first.
+    /// A second final response follows the first.
     AnswersTwice,
-    /// A final answer follows the beginning of a stream.
+    /// A final response follows the beginning of a stream.
     AnswersAfterStream,
     /// An attempt may start while another is in flight.
     SecondAttempt,
-    /// A request that may have run is executed again, although it is not idempotent.
+    /// A request that may have run is executed again although it is not idempotent.
     RunsOrderTwice,
-    /// KV state that a cut-off prefill may have left is not released.
+    /// KV state that an interrupted prefill may have left is not released.
     ForgetsCutRead,
-    /// What a prefill may have left that its server answered with an error is not released.
+    /// KV state that a prefill may have left is not released if its server responded with an error.
     ForgetsFailedRead,
     /// Reservations are not released when the request is closed.
     ForgetsHeldAtEnd,
-    /// A release starts while an attempt is at a server.
+    /// A release starts while a dispatched attempt may still use the reservations.
     ReleasesWhileOut,
-    /// An attempt starts before the release ahead of it has ended.
+    /// An attempt starts before the preceding release has ended.
     SendsBeforeRelease,
     /// An attempt starts after the request was closed.
     SendsAfterEnd,
@@ -35,33 +36,35 @@
     TwoOutcomes,
     /// The request never finishes.
     NeverOver,
-    /// The deadline is never armed.
+    /// The deadline timer is disarmed by the first input.
     NoDeadline,
     /// The lease limit is never armed.
     NoPinLimit,
-    /// Attempts go on after the request was closed.
+    /// Attempts are not cancelled when the request is closed.
     KeepsCallAfterGone,
     /// A slot that a decode server may hold is not released.
     ForgetsPlace,
     /// The request finishes before its release has ended.
     OverTooEarly,
-    /// The deadline stays armed after the request was closed.
+    /// The deadline timer stays armed after the response has begun or the request was closed.
     LeavesTimer,
-    /// The client is notified of a rejection although its request may have run.
+    /// The client receives a rejection although its request may have run.
     RefusesWhatMayHaveRun,
     /// An attempt that was only written counts as delivered.
     CountsWrittenAsArrived,
-    /// The gateway's own close counts as noticed by the server.
+    /// The gateway's own close of a connection counts as proof that the server has stopped working on the attempt.
     TakesCloseAsNoticed,
-    /// A reset counts as the end of its server's work, though the server may stand still and go on.
+    /// A reset counts as proof that the server has stopped working, although a suspended process may continue later.
     TakesResetAsEnd,
-    /// A release that any server has answered counts as proof that the servers of cut-off prefills have noticed.
+    /// A completed release, at whichever server, counts as proof that the servers of interrupted prefills have
+    /// stopped working on them.
     TakesReleaseAsNotice,
-    /// The deadline that servers were told counts as proof that they work no more, although it began at their clock.
+    /// The expiry of the deadline counts as proof that servers have stopped working, although each server measures it
+    /// on its own clock from the arrival of the attempt.
     TakesDeadlineAsNotice,
-    /// The client is notified of a rejection although a prefill that was cut off may still run.
+    /// The client receives a rejection although an interrupted prefill may still run.
     RefusesBesideUnnoticedClose,
-    /// An attempt that was not delivered before the lease limit is not cancelled.
+    /// An attempt whose delivery was not confirmed before the lease limit is not cancelled.
     KeepsUndelivered,
 }
 
--- a/crates/request-lifecycle/src/request/reservations.rs
+++ b/crates/request-lifecycle/src/request/reservations.rs
@@ -1,14 +1,15 @@
-//! What servers hold for a request: KV state, a slot, and their release.
+//! Reservations that servers hold for a request (KV state and slots), and their release.
 
 use super::planted_faults::Fault;
 use super::transitions::Unexpected;
 use super::{Effect, Effects, Release, Request, Reservation, Server, SlotRequest};
 
 impl Request {
-    /// The router orders a release.
+    /// Handles the router's command to release all reservations.
     ///
-    /// Only what may be reserved is released: a needless call costs a server work, and could hit another request of
-    /// the same identifier. What was reserved after a release began has asked for another release by itself.
+    /// Nothing is done if nothing can be reserved: a needless call costs a server work, and could hit another request
+    /// with the same identifier. Nothing is done either if a release has started: it is still delayed and covers all
+    /// reservations, or [`Request::reserve`] has scheduled another one for those made since.
     pub(super) fn order_release(&mut self) {
         let has_started = matches!(self.release, Release::Waiting | Release::InProgress { .. });
         if self.has_reservation() && !has_started {
@@ -16,8 +17,8 @@
         }
     }
 
-    /// Asks a decode server to reserve a slot, only while an attempt is at a server: a slot that no attempt is going
-    /// to use would pin the decode server's memory.
+    /// Calls a decode server to reserve a slot, but only while an attempt is dispatched: a slot that no attempt is
+    /// going to use would pin the decode server's memory.
     pub(super) fn request_slot(&mut self, server: Server, effects: &mut Effects) {
         if self.slot_request == SlotRequest::None && !self.is_closed() && self.at_server() {
             self.slot_request = SlotRequest::InFlight(server);
@@ -30,7 +31,7 @@
     ) -> Result<(), Unexpected> {
         let SlotRequest::InFlight(server) = self.slot_request else { return Err(Unexpected) };
         self.slot_request = SlotRequest::None;
-        // An unknown answer may mean a reserved slot, even while a stream runs that has begun without it.
+        // With an unknown result the slot may be reserved, even if a stream has begun without it in the meantime.
         let may_be_reserved = reserved != Some(false) && !self.has_fault(Fault::ForgetsPlace);
         if may_be_reserved {
             self.reserve(Reservation::Slot(server));
@@ -41,7 +42,7 @@
         Ok(())
     }
 
-    /// The release that waited is sent: what servers reserve from now on is met only by another one.
+    /// Handles the sending of a delayed release, which does not cover what servers reserve from now on.
     pub(super) fn on_release_sent(&mut self) -> Result<(), Unexpected> {
         if self.release != Release::Waiting {
             return Err(Unexpected);
@@ -68,7 +69,8 @@
         Ok(())
     }
 
-    /// The server of a prefill that was cut off works on it no more: what it has left is met by a release sent from now on.
+    /// Handles the proof that the server of an interrupted prefill has stopped working on it. A release that is sent
+    /// from now on covers whatever the prefill has left.
     pub(super) fn on_close_confirmed(&mut self, attempt: usize) -> Result<(), Unexpected> {
         if !self.take_unnoticed_close(attempt)? {
             return Ok(());
@@ -77,14 +79,14 @@
             return Ok(());
         }
         self.reserve(Reservation::KvState);
-        // Of an attempt that may use or renew what is released the end decides.
+        // If an attempt may use or renew the reservations, its outcome decides whether they are released.
         if !self.may_use_reservations() {
             self.make_release_due();
         }
         Ok(())
     }
 
-    /// Whether nothing had proved so far that the attempt's server has noticed.
+    /// Clears the attempt's flag for an unnoticed close, and returns whether it was set.
     fn take_unnoticed_close(&mut self, attempt: usize) -> Result<bool, Unexpected> {
         let attempt = self.attempts.get_mut(attempt).ok_or(Unexpected)?;
         if attempt.is_open() {
@@ -93,14 +95,15 @@
         Ok(std::mem::take(&mut attempt.unnoticed_close))
     }
 
-    /// What the planted faults take for proof that servers have noticed.
+    /// Clears the flags for unnoticed closes. Only planted faults do so, which accept insufficient evidence.
     pub(super) fn forget_unnoticed_closes(&mut self) {
         for attempt in &mut self.attempts {
             attempt.unnoticed_close = false;
         }
     }
 
-    /// Notes that servers may hold this from now on. A slot is the larger reservation and stays noted.
+    /// Records that servers may hold this reservation from now on. A recorded slot is kept, since it also covers KV
+    /// state.
     pub(super) fn reserve(&mut self, reservation: Reservation) {
         if !matches!(self.reservation, Reservation::Slot(_)) {
             self.reservation = reservation;
@@ -110,17 +113,17 @@
         }
     }
 
-    /// Has a release start as soon as it may, or another follow the one in progress.
+    /// Schedules a release as soon as one may start, or another one after the release in progress.
     pub(super) fn make_release_due(&mut self) {
         match &mut self.release {
             Release::InProgress { repeat } => *repeat = true,
-            // It is sent later, so it meets this too.
+            // The delayed release is sent later, so it covers this too.
             Release::Waiting => {}
             release => *release = Release::Due,
         }
     }
 
-    /// Drops the call for a slot that nobody will use; what it may have reserved has to be released.
+    /// Cancels the call that was to reserve a slot. The server may have reserved it, so it must be released.
     pub(super) fn cancel_slot_request(&mut self, effects: &mut Effects) {
         if let SlotRequest::InFlight(server) = self.slot_request {
             self.slot_request = SlotRequest::None;
@@ -130,7 +133,7 @@
         }
     }
 
-    /// A closed request gives up its call for a slot and has everything released.
+    /// Cancels the slot call of a closed request and schedules the release of its reservations.
     pub(super) fn release_reservations_of_closed(&mut self, effects: &mut Effects) {
         self.cancel_slot_request(effects);
         let needs_release = self.reservation != Reservation::None && self.release == Release::None;
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Starts a release that is due once no attempt is at a server that could still use or renew what is released.
+    /// Starts a release that is due, once no dispatched attempt may use or renew the reservations.
     pub(super) fn start_due_release(&mut self, effects: &mut Effects) {
         let may_start = !self.may_use_reservations() || self.has_fault(Fault::ReleasesWhileOut);
         if self.release == Release::Due && may_start {
--- a/crates/request-lifecycle/src/request/responses.rs
+++ b/crates/request-lifecycle/src/request/responses.rs
@@ -1,10 +1,11 @@
-//! The client's one answer: a final answer of the gateway's own, or nothing because the client left.
+//! The client's response: a final response of the gateway, or none because the client disconnected.
 
 use super::planted_faults::Fault;
 use super::{Effect, Effects, FinalResponse, Request, ResponseState, RetrySafety};
 
 impl Request {
-    /// Gives the final answer, unless one was given or a stream has begun. What is in flight is then of use to nobody.
+    /// Sends the client a final response unless one was sent, a stream has begun or the client has disconnected.
+    /// Attempts are then cancelled, since their responses can no longer be used.
     pub(super) fn respond(&mut self, response: FinalResponse, effects: &mut Effects) {
         if !self.may_respond() {
             return;
@@ -15,7 +16,7 @@
         self.cancel_all(effects);
     }
 
-    /// Whether the client has received neither an answer nor the beginning of one.
+    /// Returns whether a final response may be sent: nothing was sent to the client so far, and it is connected.
     fn may_respond(&self) -> bool {
         match self.response {
             ResponseState::Pending => true,
@@ -25,8 +26,8 @@
         }
     }
 
-    /// A rejection tells the client that it may safely send the request again: of a request that may have run and is
-    /// not idempotent, that would be untrue, so it becomes a failure.
+    /// Replaces a rejection by a failure if the request may have run and is not idempotent, because a rejection
+    /// guarantees the client that it can safely send the request again.
     fn truthful(&self, response: FinalResponse) -> FinalResponse {
         let misleading = response == FinalResponse::Rejected
             && self.policy.retry_safety == RetrySafety::AtMostOnce
@@ -39,8 +40,8 @@
         }
     }
 
-    /// A server found the request itself at fault, which is final. The attempt has ended by this, so there is nothing to
-    /// cancel.
+    /// Sends the final response for a request that a server found invalid. The attempt ends with this reply, so there
+    /// is nothing to cancel.
     pub(super) fn respond_unprocessable(&mut self, effects: &mut Effects) {
         if self.response == ResponseState::Pending {
             self.response = ResponseState::Final(FinalResponse::Unprocessable);
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The client disconnected.
+    /// Handles the client's disconnection, which is ignored once the response has ended.
     pub(super) fn abandon(&mut self, effects: &mut Effects) {
         if !self.is_closed() {
             self.response = ResponseState::Abandoned;
--- a/crates/request-lifecycle/src/request/timers.rs
+++ b/crates/request-lifecycle/src/request/timers.rs
@@ -1,4 +1,4 @@
-//! The two timers of a request: its deadline, and the limit of what servers hold for it.
+//! Timers of a request: its deadline, and the limit on how long servers hold reservations for it.
 
 use super::planted_faults::Fault;
 use super::transitions::Unexpected;
@@ -26,12 +26,13 @@
         }
         if self.response == ResponseState::Pending {
             self.respond(FinalResponse::DeadlineExceeded, effects);
-            // To the router this is the same as a client that left: nobody waits any more.
+            // For the router this equals a disconnected client: the response is no longer awaited.
             effects.push(Effect::NotifyClientDisconnected);
         }
     }
 
-    /// Whatever is reserved may wait no longer: nothing that would use it is known to have arrived.
+    /// Handles the lease limit: reservations are released, because no attempt that would use them is known to have
+    /// been delivered in time.
     fn on_lease_limit(&mut self, effects: &mut Effects) {
         self.lease_armed = false;
         self.cancel_slot_request(effects);
@@ -39,7 +40,7 @@
         self.make_release_due();
     }
 
-    /// Arms the timers that the present state needs and disarms the others.
+    /// Arms the timers that the current state needs and disarms the others.
     pub(super) fn update_timers(&mut self, effects: &mut Effects) {
         let needs_deadline = self.needs_deadline();
         let needs_lease_limit = self.needs_lease_limit();
@@ -47,17 +48,19 @@
         set_timer(&mut self.lease_armed, Timer::LeaseLimit, needs_lease_limit, effects);
     }
 
-    /// Armed from the start, until it expires or the answer has begun.
+    /// Returns whether the deadline timer stays armed: from the start until it expires or the response has begun.
     fn needs_deadline(&self) -> bool {
         let waits_for_answer = self.response == ResponseState::Pending || self.has_fault(Fault::LeavesTimer);
         self.deadline_armed && waits_for_answer && !self.has_fault(Fault::NoDeadline)
     }
 
-    /// Whether servers may hold something that no delivered attempt uses.
+    /// Returns whether servers may hold a reservation that no delivered attempt uses and no release in progress
+    /// covers.
     fn needs_lease_limit(&self) -> bool {
-        // A call for a slot may have succeeded before its answer is here.
+        // A slot may be reserved before the response to the call that reserves it is received.
         let may_be_reserved = self.has_reservation() || self.slot_request != SlotRequest::None;
-        // An attempt that is only written may never arrive: it neither stops the clock nor may it delay a release for ever.
+        // An attempt that was only written may never arrive, so it must neither stop the timer nor delay a release
+        // indefinitely.
         let clock_runs = match self.release {
             Release::None => !self.is_closed() || self.has_unnoticed_close(),
             Release::Due => self
@@ -69,7 +72,7 @@
         may_be_reserved && !self.has_delivered_attempt() && clock_runs && !self.has_fault(Fault::NoPinLimit)
     }
 
-    /// Whether an attempt waits for its answer that is known to have arrived at its server.
+    /// Returns whether an attempt that awaits its response is known to have been delivered to its server.
     fn has_delivered_attempt(&self) -> bool {
         if self.has_fault(Fault::CountsWrittenAsArrived) {
             return self.in_flight();
--- a/crates/request-lifecycle/src/request/transitions.rs
+++ b/crates/request-lifecycle/src/request/transitions.rs
@@ -1,28 +1,28 @@
-//! The transition table of a request.
+//! Transition table of a request.
 //!
-//! An input is handled in two steps: its handler changes the state that it concerns, and [`Request::settle`] then does
-//! what the state reached demands, whichever way it was reached.
+//! An input is processed in two steps: its handler changes the state that it concerns, and [`Request::settle`] then
+//! applies whatever the resulting state requires, regardless of the input that led to it.
 
 use super::planted_faults::Fault;
 use super::{Effect, Effects, Input, Release, Request, SlotRequest};
 use crate::InvalidTransition;
 
-/// The input cannot occur in the state that the request is in. The handler has changed nothing.
+/// Error of a handler whose input is not valid in the current state. The handler has changed nothing.
 pub(super) struct Unexpected;
 
 impl Request {
-    /// Handles one input and appends what must be done, in order.
+    /// Processes one input and appends the resulting effects in the order in which they must be carried out.
     ///
     /// # Errors
-    /// An input that cannot occur in the present state changes nothing.
+    /// Returns [`InvalidTransition`] if the input is not valid in the current state, which is then unchanged.
     pub fn step(&mut self, input: Input, effects: &mut Effects) -> Result<(), InvalidTransition> {
         self.handle(input, effects).map_err(|Unexpected| InvalidTransition::new("request", &input, self))?;
         self.settle(effects);
         Ok(())
     }
 
-    /// The transition table. Orders and the client's disconnect are possible in any state; a report is possible only
-    /// where its handler expects it.
+    /// Applies the transition table. Commands and the client's disconnection are valid until the request has
+    /// finished, other reports only in the states that their handlers expect.
     fn handle(&mut self, input: Input, effects: &mut Effects) -> Result<(), Unexpected> {
         if self.is_finished {
             return Err(Unexpected);
@@ -50,7 +50,7 @@
         Ok(())
     }
 
-    /// Does what the state reached demands. The order matters: a release goes before the next attempt.
+    /// Applies what the current state requires. The order matters, since a due release precedes the next attempt.
     fn settle(&mut self, effects: &mut Effects) {
         if self.is_closed() {
             self.release_reservations_of_closed(effects);
--- a/crates/request-lifecycle/src/sentinel/mod.rs
+++ b/crates/request-lifecycle/src/sentinel/mod.rs
@@ -1,33 +1,35 @@
-//! Sentinels: an attempt that a lease waits for is written while another connection to its server stands idle.
+//! Sentinels: idle connections to the server of an attempt that a lease waits for, used to confirm its delivery.
 //!
-//! What silences connections without an error strikes those that stand. After the write the sentinel is asked: its answer or its
-//! silence tells what the attempt's own connection, which carries no second call, cannot
-//! ([`evidence`](crate::evidence)). This module decides which connection is used and whether one more is opened; the caller
-//! owns the pool and its limits.
+//! A failure that breaks connections without an error affects those that are open at that time. After the attempt
+//! was written, a call on the sentinel shows whether there was such a failure; the attempt's own connection cannot
+//! carry a second call ([`evidence`](crate::evidence)). This module decides which connection an attempt uses and
+//! whether one more is opened; the caller owns the pool and its limits.
 
-/// The policy of this release.
+/// Sentinel policy of this version of the gateway.
 pub const SENTINEL_POLICY: SentinelPolicy = SentinelPolicy::Kept;
 
-/// Whether a connection is opened only to stand beside an attempt. Each one that is opened costs its server work.
+/// Whether a connection is opened for the sole purpose of a sentinel. Each opened connection costs the server work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SentinelPolicy {
-    /// Where no idle connection would stand beside the attempt, one is opened.
+    /// A connection is opened if no idle one is available as a sentinel.
     Kept,
-    /// Only a connection that stands already is a sentinel.
+    /// Only connections that are already open serve as sentinels.
     IfStanding,
 }
 
 impl SentinelPolicy {
-    /// Whether a connection is opened beside an attempt while so many idle ones stand.
+    /// Returns whether a sentinel is to be opened for an attempt while `standing` other connections are idle.
     pub fn opens_one(self, standing: usize) -> bool {
         self == SentinelPolicy::Kept && standing == 0
     }
 }
 
-/// Which of so many idle connections an attempt takes, counted from the one that became idle last; `None`: a new one.
+/// Returns which of `idle` connections an attempt uses, counted from the one that became idle last; `None` means a
+/// new connection.
 ///
-/// The one that became idle last is left as the sentinel: it has worked since the other one was last used, so its silence speaks
-/// against that one, too. The two take turns, so that neither reaches its idle time while there are attempts; further ones do.
+/// The connection that became idle last remains as the sentinel: it has worked since the other one was last used,
+/// so a missing answer on it also makes the other one doubtful. The two connections alternate, so neither reaches
+/// the idle limit while attempts continue; any further ones do.
 pub fn connection_to_take(idle: usize) -> Option<usize> {
     match idle {
         0 => None,
--- a/crates/request-lifecycle/src/sentinel/tests.rs
+++ b/crates/request-lifecycle/src/sentinel/tests.rs
@@ -1,11 +1,12 @@
-//! Which connections are used, and when one is opened.
+//! Tests of which connections attempts use, and when a sentinel is opened.
 
 use super::{connection_to_take, SentinelPolicy};
 
-/// A connection of the pool, by the order of its opening.
+/// A connection of the pool, numbered in the order of opening.
 type Connection = usize;
 
-/// A pool through attempts one after the other; gives the connections that were opened, and those that the last attempts used.
+/// Simulates a pool that serves attempts one after another. Returns the number of connections opened, and the
+/// connection that each attempt used.
 fn play(policy: SentinelPolicy, attempts: usize) -> (usize, Vec<Connection>) {
     let (mut idle, mut opened, mut used): (Vec<Connection>, usize, Vec<Connection>) = (vec![], 0, vec![]);
     for _ in 0..attempts {
@@ -26,20 +27,20 @@
     (opened, used)
 }
 
-/// Guards the price of sentinels: one connection more a server, however many attempts follow.
+/// Guards the cost of sentinels: one additional connection per server, regardless of the number of attempts.
 #[test]
 fn a_sentinel_costs_one_connection_once() {
     assert_eq!(play(SentinelPolicy::Kept, 100).0, 2);
     assert_eq!(play(SentinelPolicy::IfStanding, 100).0, 1);
 }
 
-/// Guards both connections against their idle time.
+/// Guards against closing either connection at the idle limit while attempts continue.
 #[test]
 fn the_two_connections_take_turns() {
     assert_eq!(play(SentinelPolicy::Kept, 4).1, [1, 2, 1, 2]);
 }
 
-/// Guards the choice: with several idle ones the last stays, and none is opened.
+/// Guards the selection: of several idle connections the one that became idle last remains, and none is opened.
 #[test]
 fn the_connection_that_became_idle_last_stays() {
     assert_eq!([0, 1, 2, 3, 9].map(connection_to_take), [None, Some(0), Some(1), Some(1), Some(1)]);
--- a/crates/request-lifecycle/src/server/mod.rs
+++ b/crates/request-lifecycle/src/server/mod.rs
@@ -1,8 +1,8 @@
-//! A connection to a server: whether a request may be written to it, and what its end says about the request.
+//! Connection to a server: whether a request may be written to it, and what its end implies for the request.
 //!
-//! One request at a time. The one thing that this machine must never get wrong is whether a request's last byte can
-//! have reached its server: before it, the request never ran; after it, the request may have run. [`Connection`] owns
-//! the state; the driver owns the socket and the clock.
+//! A connection carries one request at a time. The critical fact is whether the last byte of a request can have
+//! reached the server: until that byte is written the request cannot have run, afterwards it may have run.
+//! [`Connection`] owns the state; the driver owns the socket and the clock.
 
 mod planted_faults;
 
@@ -14,129 +14,129 @@
 pub use self::planted_faults::Fault;
 use crate::InvalidTransition;
 
-/// Where a connection stands.
+/// Stage of a connection to a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Being opened.
+    /// The connection is being opened.
     #[default]
     Connecting,
-    /// Up, with no request on it.
+    /// Open, with no request in progress.
     Idle,
-    /// A request is being written; its last byte is not written yet.
+    /// A request is being written; its last byte has not been written.
     Writing,
-    /// The request is written; the head of its response has not been received.
+    /// The request was written; the head of its response has not been received.
     AwaitingHead,
     /// The body of the response is being received.
     Streaming,
-    /// The server closed it, or sent something unasked, while it was idle.
+    /// The server closed the connection, or sent unexpected data, while it was idle.
     Stale,
-    /// Closed, or about to be.
+    /// Closed, or being closed.
     Closing,
-    /// Another process reads on.
+    /// Another process continues to read the response.
     HandedOver,
 }
 
-/// What happens on the connection, or is asked of it.
+/// An event on the connection, or a command of the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Input {
-    /// It is up.
+    /// The connection was opened.
     #[serde(rename = "Up")]
     Connected,
-    /// It did not come up.
+    /// The connection could not be opened.
     #[serde(rename = "Refused")]
     ConnectFailed,
-    /// A request is to be written.
+    /// The driver is about to write a request.
     Send {
-        /// Whether its server may receive something new at this moment.
+        /// Whether the server may receive new requests at this moment.
         serving: bool,
     },
-    /// Some bytes of the request were passed to the operating system.
+    /// Some bytes of the request were passed to the operating system, but not the last one.
     #[serde(rename = "Wrote")]
     BytesWritten,
-    /// So was its last byte.
+    /// The last byte of the request was passed to the operating system.
     #[serde(rename = "WroteAll")]
     LastByteWritten,
-    /// The complete head of the response was received.
+    /// The complete response head was received.
     #[serde(rename = "Head")]
     HeadReceived,
-    /// The response has come to its end.
+    /// The end of the response was received.
     #[serde(rename = "End")]
     ResponseComplete,
-    /// Reading has stopped between two chunks, for another process to continue.
+    /// Reading stopped between two chunks, so that another process can continue.
     #[serde(rename = "Stands")]
     ReadPaused,
-    /// The server closed it, reset it or sent something that cannot be parsed.
+    /// The server closed or reset the connection, or sent data that cannot be parsed.
     #[serde(rename = "Broke")]
     Broken,
-    /// Whoever waited for it gave up, or it has been idle for too long.
+    /// The driver gave up on the request, or the idle limit of the connection passed.
     #[serde(rename = "Dropped")]
     Abandoned,
-    /// The server must receive nothing new (it drains).
+    /// The server drains, so it must not receive new requests.
     Drained,
 }
 
-/// What the driver must do, or what is known of the request.
+/// An action for the driver, or a conclusion about the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
-    /// Nothing.
+    /// No action.
     #[serde(rename = "Nothing")]
     None,
     /// Write the request.
     Write,
-    /// Send the same request on another connection: not a byte was written, and this one had been idle in the pool, so
-    /// that is no second attempt.
+    /// Send the same request on another connection. No byte of it was written on this one, which was reused from the
+    /// pool, so this is not a second attempt.
     Replace,
     /// The request cannot have run.
     NeverRan,
     /// The request may have run.
     MayHaveRun,
-    /// The server must receive nothing: nothing was written, and the connection is closed.
+    /// Write nothing and close the connection, because the server must not receive new requests.
     #[serde(rename = "KeptBack")]
     Withheld,
-    /// Return it to the pool for the next request.
+    /// Return the connection to the pool for the next request.
     #[serde(rename = "Keep")]
     Reuse,
-    /// Close it.
+    /// Close the connection.
     Close,
-    /// The open response continues in another process.
+    /// Hand the connection over to another process, which continues the response.
     HandOver,
 }
 
-/// The state machine of one connection to a server.
+/// State machine of one connection to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Connection {
     stage: Stage,
-    /// It has carried a request before this one.
+    /// Whether an earlier request was completed on this connection.
     used: bool,
-    /// A byte of the open request is written.
+    /// Whether a byte of the current request was written.
     has_written: bool,
-    /// Its server must receive nothing new.
+    /// Whether the server must not receive new requests.
     drained: bool,
     #[cfg(feature = "mutants")]
     fault: Option<Fault>,
 }
 
 impl Connection {
-    /// A connection in this stage, for listing the rows of the transition table.
+    /// Creates a connection in the given stage, for listing the rows of the transition table.
     #[cfg(feature = "mutants")]
     pub fn at(stage: Stage) -> Self {
         Connection { stage, ..Connection::default() }
     }
 
-    /// Where the connection stands.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether a byte of the open request is written.
+    /// Returns whether a byte of the current request was written.
     pub fn has_written(&self) -> bool {
         self.has_written
     }
 
-    /// Handles one input and returns what must be done.
+    /// Processes one input and returns the resulting effect.
     ///
     /// # Errors
-    /// An input that cannot occur in the present stage changes nothing.
+    /// Returns [`InvalidTransition`] if the input is not valid in the current stage; nothing is changed then.
     pub fn step(&mut self, input: Input) -> Result<Effect, InvalidTransition> {
         let Some((next, effect)) = self.transition(input) else {
             return Err(InvalidTransition::new("server connection", &input, self));
@@ -146,11 +146,11 @@
         Ok(effect)
     }
 
-    /// The transition table; `None` where the input cannot occur.
+    /// Looks up the next stage and the effect in the transition table; `None` if the input is not valid.
     fn transition(&self, input: Input) -> Option<(Stage, Effect)> {
         let row = match (self.stage, input) {
             (Stage::Stale, Input::Send { .. }) => (Stage::Stale, Effect::Replace),
-            // After its end, what was on its way may still arrive, and changes nothing.
+            // Events that were already under way may arrive after the connection has ended, and change nothing.
             (
                 Stage::Stale | Stage::Closing | Stage::HandedOver,
                 Input::Abandoned | Input::Drained | Input::Broken,
@@ -163,7 +163,7 @@
             (Stage::Writing, Input::BytesWritten) => (Stage::Writing, Effect::None),
             (Stage::Writing, Input::LastByteWritten) => (Stage::AwaitingHead, Effect::None),
             (Stage::Writing, Input::Broken) => (Stage::Closing, self.lost_while_writing()),
-            // A response before the request's last byte: the server has decided without the rest.
+            // A response may begin before the last byte of the request, if the server does not need the rest.
             (Stage::Writing | Stage::AwaitingHead, Input::HeadReceived) => (Stage::Streaming, Effect::None),
             (Stage::AwaitingHead | Stage::Streaming, Input::Broken) => {
                 (Stage::Closing, self.lost_after_write())
@@ -171,7 +171,7 @@
             (Stage::Streaming, Input::ResponseComplete) => self.on_response_complete(),
             (Stage::Streaming, Input::ReadPaused) => (Stage::HandedOver, Effect::HandOver),
             (_, Input::Abandoned) => (Stage::Closing, Effect::Close),
-            // An idle connection is closed; a request in progress may end.
+            // An idle connection is closed; a request in progress may complete.
             (Stage::Idle, Input::Drained) => (Stage::Closing, Effect::Close),
             (_, Input::Drained) => (self.stage, Effect::None),
             _ => return None,
@@ -179,7 +179,7 @@
         Some(row)
     }
 
-    /// Notes what the input shows beyond the stage. Called before the stage changes.
+    /// Records what the input implies besides the stage. Called before the stage changes.
     fn record(&mut self, input: Input, effect: Effect) {
         match input {
             Input::Send { .. } if effect == Effect::Write => self.has_written = false,
@@ -197,7 +197,8 @@
         matches!(self.stage, Stage::Stale | Stage::Closing | Stage::HandedOver)
     }
 
-    /// Connecting takes time, so whether the server drains is decided here, at the first byte.
+    /// Decides whether a request may be written. The server may have started to drain while the connection was being
+    /// opened, so this is checked immediately before the first byte.
     fn on_send(&self, serving: bool) -> (Stage, Effect) {
         let permitted = serving && !self.drained;
         if permitted || self.has_fault(Fault::WritesToDrained) {
@@ -207,7 +208,7 @@
         }
     }
 
-    /// The connection broke before the last byte of the request was written.
+    /// Returns the effect for a connection that broke before the last byte of the request was written.
     fn lost_while_writing(&self) -> Effect {
         let nothing_written = !self.has_written || self.has_fault(Fault::ReplacesAfterByte);
         if self.used && nothing_written {
@@ -217,7 +218,7 @@
         }
     }
 
-    /// The connection broke after the last byte of the request was written.
+    /// Returns the effect for a connection that broke after the last byte of the request was written.
     fn lost_after_write(&self) -> Effect {
         if self.has_fault(Fault::CallsSentNeverRan) {
             Effect::NeverRan
