--- a/crates/request-lifecycle/src/evidence/mod.rs
+++ b/crates/request-lifecycle/src/evidence/mod.rs
@@ -5,13 +5,13 @@
 //! clock does not show when a server received something. [`CutWork`] accumulates the observations on an interrupted
 //! attempt, [`Delivery`] those on an attempt that was written and has no response yet.
 
-mod cut_work;
+mod check_call;
 mod delivery;
-mod standing;
+mod interrupted_work;
 
-pub use self::cut_work::CutWork;
+pub use self::check_call::{StandingCall, WrittenAttempt};
 pub use self::delivery::Delivery;
-pub use self::standing::{StandingCall, WrittenAttempt};
+pub use self::interrupted_work::CutWork;
 
 /// An observation on a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
