--- a/crates/request-lifecycle/src/evidence/delivery.rs
+++ b/crates/request-lifecycle/src/evidence/delivery.rs
@@ -14,9 +14,9 @@
     Unknown,
     /// A connection that was open when the attempt was written has stopped responding, so the attempt's own
     /// connection may have failed too.
-    Doubted,
+    Doubtful,
     /// The attempt is considered delivered.
-    Shown,
+    Confirmed,
 }
 
 impl Delivery {
@@ -26,10 +26,12 @@
     /// that the attempt's own connection did not fail in the round trip between its check and the write.
     pub fn after(self, observation: Observation) -> Delivery {
         match (self, observation) {
-            (Delivery::Shown, _) => Delivery::Shown,
-            (_, Observation::AnswerHere | Observation::AnswerOnStanding) => Delivery::Shown,
-            (_, Observation::SilenceOnStanding) => Delivery::Doubted,
-            (Delivery::Unknown, Observation::AnswerOnNewer) => Delivery::Shown,
+            (Delivery::Confirmed, _) => Delivery::Confirmed,
+            (_, Observation::ResponseOnConnection | Observation::ResponseOnEarlierConnection) => {
+                Delivery::Confirmed
+            }
+            (_, Observation::TimeoutOnEarlierConnection) => Delivery::Doubtful,
+            (Delivery::Unknown, Observation::ResponseOnLaterConnection) => Delivery::Confirmed,
             (known, _) => known,
         }
     }
--- a/crates/request-lifecycle/src/evidence/interrupted_work.rs
+++ b/crates/request-lifecycle/src/evidence/interrupted_work.rs
@@ -6,7 +6,7 @@
 
 /// What is known about a server's work on an interrupted attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum CutWork {
+pub enum InterruptedWork {
     /// There is no evidence that the server has noticed the interruption.
     #[default]
     MayRun,
@@ -18,20 +18,20 @@
     Ended,
 }
 
-impl CutWork {
+impl InterruptedWork {
     /// Returns what is known after a further observation.
     ///
     /// A terminated process refuses connections, and its work has ended with it. A process that responds on a
     /// connection opened after the reset is not suspended, so the reset is presumed to reach it within the
-    /// propagation delay that [`Observation::AnswerAfterReset`] includes. A missing response after a reset proves
+    /// propagation delay that [`Observation::ResponseAfterReset`] includes. A missing response after a reset proves
     /// nothing.
-    pub fn after(self, observation: Observation) -> CutWork {
+    pub fn after(self, observation: Observation) -> InterruptedWork {
         match (self, observation) {
-            (CutWork::Ended, _) => CutWork::Ended,
-            (_, Observation::AnswerHere | Observation::ServerClose) => CutWork::Ended,
-            (_, Observation::Reset) => CutWork::Reset,
-            (CutWork::Reset, Observation::RefusedAfterReset | Observation::AnswerAfterReset) => {
-                CutWork::Ended
+            (InterruptedWork::Ended, _) => InterruptedWork::Ended,
+            (_, Observation::ResponseOnConnection | Observation::ServerClose) => InterruptedWork::Ended,
+            (_, Observation::Reset) => InterruptedWork::Reset,
+            (InterruptedWork::Reset, Observation::RefusedAfterReset | Observation::ResponseAfterReset) => {
+                InterruptedWork::Ended
             }
             (known, _) => known,
         }
--- a/crates/request-lifecycle/src/evidence/mod.rs
+++ b/crates/request-lifecycle/src/evidence/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! All such conclusions are drawn here, for checks of connections, confirmations of deliveries and closes, releases
 //! and rejections. Two facts limit them: events on different connections have no defined order, and the gateway's
-//! clock does not show when a server received something. [`CutWork`] accumulates the observations on an interrupted
-//! attempt, [`Delivery`] those on an attempt that was written and has no response yet.
+//! clock does not show when a server received something. [`InterruptedWork`] accumulates the observations on an
+//! interrupted attempt, [`Delivery`] those on an attempt that was written and has no response yet.
 
 mod check_call;
 mod delivery;
 mod interrupted_work;
 
-pub use self::check_call::{StandingCall, WrittenAttempt};
+pub use self::check_call::{CheckCall, WrittenAttempt};
 pub use self::delivery::Delivery;
-pub use self::interrupted_work::CutWork;
+pub use self::interrupted_work::InterruptedWork;
 
 /// An observation on a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -19,15 +19,15 @@
     /// The connection was opened.
     Connected,
     /// The gateway closed the connection, or its sending direction.
-    OwnClose,
+    LocalClose,
     /// A response was received on this connection to what was written to it, even if it cannot be parsed.
-    AnswerHere,
+    ResponseOnConnection,
     /// A call was answered that was sent after the attempt was written, on a connection that was open before.
-    AnswerOnStanding,
+    ResponseOnEarlierConnection,
     /// A call was not answered in time on a connection that was open before the attempt was written.
-    SilenceOnStanding,
+    TimeoutOnEarlierConnection,
     /// A call was answered on a connection that was opened after the attempt was written.
-    AnswerOnNewer,
+    ResponseOnLaterConnection,
     /// The server closed this connection in an orderly way.
     ServerClose,
     /// The connection was reset by the server or by a device in between.
@@ -36,16 +36,16 @@
     RefusedAfterReset,
     /// A call was answered on a connection that was opened after the reset, and the time that a reset needs to
     /// reach the server has passed since.
-    AnswerAfterReset,
+    ResponseAfterReset,
     /// A connection attempt or a call that began after the reset was not answered in time.
-    SilenceAfterReset,
+    TimeoutAfterReset,
 }
 
 impl Observation {
     /// Returns whether this observation shows that the connection works, so that what is written to it next can be
     /// expected to reach the server.
     pub fn proves_connection_works(self) -> bool {
-        self == Observation::AnswerHere
+        self == Observation::ResponseOnConnection
     }
 }
 
--- a/crates/request-lifecycle/src/request/attempts.rs
+++ b/crates/request-lifecycle/src/request/attempts.rs
@@ -6,7 +6,7 @@
     Attempt, AttemptState, Effect, Effects, Release, Reply, Request, Reservation, ResponseState, RetrySafety,
     Server, Stage, Status, StreamEnd,
 };
-use crate::evidence::CutWork;
+use crate::evidence::InterruptedWork;
 
 impl Request {
     fn attempt_state(&self, attempt: usize) -> Option<AttemptState> {
@@ -214,11 +214,13 @@
 
     /// Ends an attempt when nothing is known about its server's work beyond what the status shows.
     fn end_attempt(&mut self, attempt: usize, status: Status, effects: &mut Effects) {
-        self.end_attempt_with(attempt, status, CutWork::MayRun, effects);
+        self.end_attempt_with(attempt, status, InterruptedWork::MayRun, effects);
     }
 
     /// Ends an attempt and reports its single outcome; `known` is what is known about its server's work.
-    fn end_attempt_with(&mut self, attempt: usize, status: Status, known: CutWork, effects: &mut Effects) {
+    fn end_attempt_with(
+        &mut self, attempt: usize, status: Status, known: InterruptedWork, effects: &mut Effects,
+    ) {
         let Attempt { state, delivered, .. } = self.attempts[attempt];
         self.attempts[attempt].state = AttemptState::Ended(status);
         self.attempts[attempt].delivered = match status {
@@ -238,12 +240,14 @@
     }
 
     /// Records what a dispatched attempt may have left at its server; `state` is its state before it ended.
-    fn note_left_behind(&mut self, attempt: usize, state: AttemptState, status: Status, known: CutWork) {
+    fn note_left_behind(
+        &mut self, attempt: usize, state: AttemptState, status: Status, known: InterruptedWork,
+    ) {
         let stage = self.attempts[attempt].stage;
         let cut_by = status.cut_by().filter(|_| state != AttemptState::Streaming);
         // The flag stays set until a release has been delayed for it, because a slot call may have been interrupted
         // before. If the server's work is known to have ended, no delay is needed.
-        self.cut_since_release |= cut_by.is_some() && known != CutWork::Ended;
+        self.cut_since_release |= cut_by.is_some() && known != InterruptedWork::Ended;
         // A prefill may have completed just as its connection was interrupted. The KV state that it left must be
         // released before the request is sent again, or the next attempt would find it.
         if let Some(seen) = cut_by.filter(|_| stage == Stage::Prefill) {
@@ -260,14 +264,14 @@
         self.may_have_executed |= stage == Stage::Execute && status.may_have_run();
     }
 
-    fn note_cut_prefill(&mut self, attempt: usize, known: CutWork) {
+    fn note_cut_prefill(&mut self, attempt: usize, known: InterruptedWork) {
         if self.has_fault(Fault::ForgetsCutRead) {
             return;
         }
         self.attempts[attempt].unnoticed_close = match known {
-            CutWork::MayRun => !self.has_fault(Fault::TakesCloseAsNoticed),
-            CutWork::Reset => !self.has_fault(Fault::TakesResetAsEnd),
-            CutWork::Ended => false,
+            InterruptedWork::MayRun => !self.has_fault(Fault::TakesCloseAsNoticed),
+            InterruptedWork::Reset => !self.has_fault(Fault::TakesResetAsEnd),
+            InterruptedWork::Ended => false,
         };
         self.reserve(Reservation::KvState);
         self.make_release_due();
--- a/crates/request-lifecycle/src/request/messages/attempt.rs
+++ b/crates/request-lifecycle/src/request/messages/attempt.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Server;
-use crate::evidence::{CutWork, Observation};
+use crate::evidence::{InterruptedWork, Observation};
 
 /// Part of the request that an attempt has its server perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -61,9 +61,9 @@
     /// complete; `None` for any other outcome.
     pub fn cut_by(self) -> Option<Observation> {
         match self {
-            Status::Cancelled | Status::Undelivered | Status::Timeout => Some(Observation::OwnClose),
+            Status::Cancelled | Status::Undelivered | Status::Timeout => Some(Observation::LocalClose),
             Status::Reset => Some(Observation::Reset),
-            Status::MalformedResponse => Some(Observation::AnswerHere),
+            Status::MalformedResponse => Some(Observation::ResponseOnConnection),
             Status::Served
             | Status::Prefilled
             | Status::Error
@@ -172,10 +172,10 @@
 
 impl Reply {
     /// Returns what is known about the server's work on the attempt beyond what the attempt's status shows.
-    pub(crate) fn known_work(self) -> CutWork {
+    pub(crate) fn known_work(self) -> InterruptedWork {
         match self {
-            Reply::ResetAndEnded => CutWork::Ended,
-            _ => CutWork::MayRun,
+            Reply::ResetAndEnded => InterruptedWork::Ended,
+            _ => InterruptedWork::MayRun,
         }
     }
 }
--- a/gateway/src/core/delivery.rs
+++ b/gateway/src/core/delivery.rs
@@ -45,8 +45,8 @@
             match known {
                 Delivery::Unknown => sleep(DELIVERY_CHECK_RETRY_DELAY).await,
                 // The lease limit cancels the attempt, unless its own response comes before.
-                Delivery::Doubted => return pending().await,
-                Delivery::Shown => {
+                Delivery::Doubtful => return pending().await,
+                Delivery::Confirmed => {
                     self.confirm_delivered(id, attempt);
                     return pending().await;
                 }
--- a/gateway/src/core/reset_inquiry.rs
+++ b/gateway/src/core/reset_inquiry.rs
@@ -3,7 +3,7 @@
 //! A reset comes from the server or from what stands between, and a process that stands still knows nothing of it. Only what a
 //! connection shows that is begun after the reset tells a process that is gone, or runs, from one that stands still.
 
-use glenrail_request_lifecycle::evidence::{CutWork, Observation};
+use glenrail_request_lifecycle::evidence::{InterruptedWork, Observation};
 use glenrail_request_lifecycle::request::Stage;
 use glenrail_router::ServerId;
 use tokio::time::{sleep, timeout, timeout_at, Duration, Instant};
@@ -19,7 +19,7 @@
     pub(super) async fn resolve_reset(
         &self, id: u64, attempt: usize, token: &CancelToken, deadline: Instant,
     ) {
-        if token.cut_work() != CutWork::Reset {
+        if token.cut_work() != InterruptedWork::Reset {
             return;
         }
         if let Some((Stage::Prefill, server)) = self.stage_and_server(id, attempt) {
@@ -36,9 +36,9 @@
 
     /// Waits until the server works on an attempt no more that was cut off; asks it at intervals once its connection was reset.
     pub(super) async fn await_work_end(&self, server: ServerId, token: &CancelToken) {
-        let was_asked = token.cut_work() == CutWork::Reset;
+        let was_asked = token.cut_work() == InterruptedWork::Reset;
         let mut pause = if was_asked { RESET_INQUIRY_FIRST_PAUSE } else { Duration::ZERO };
-        while token.reset_or_ended().await != CutWork::Ended {
+        while token.reset_or_ended().await != InterruptedWork::Ended {
             if timeout(pause, token.work_ended()).await.is_ok() {
                 return;
             }
@@ -58,9 +58,9 @@
             ServerAfterReset::Refuses => Observation::RefusedAfterReset,
             ServerAfterReset::Answers => {
                 sleep(CANCEL_PROPAGATION_DELAY).await;
-                Observation::AnswerAfterReset
+                Observation::ResponseAfterReset
             }
-            ServerAfterReset::Silent => Observation::SilenceAfterReset,
+            ServerAfterReset::Silent => Observation::TimeoutAfterReset,
         });
     }
 
--- a/gateway/src/core/tests/delivery.rs
+++ b/gateway/src/core/tests/delivery.rs
@@ -27,7 +27,7 @@
 fn a_doubted_delivery_ends_in_a_release_in_time() {
     for class in CLASSES {
         paused(async move {
-            let signs = [Observation::SilenceOnStanding, Observation::AnswerOnNewer];
+            let signs = [Observation::TimeoutOnEarlierConnection, Observation::ResponseOnLaterConnection];
             let servers = first_decode(0, ScriptedReply::NoReply, &signs);
             let core = core(&servers);
             let client = core.submit(request(class, 10_000.0));
@@ -52,7 +52,7 @@
 /// Guards slow decode servers: one that answers on a standing connection keeps its request, however late the first sign comes.
 #[test]
 fn a_slow_decode_is_kept_once_a_standing_connection_has_answered() {
-    for sign in [Observation::AnswerOnStanding, Observation::AnswerOnNewer] {
+    for sign in [Observation::ResponseOnEarlierConnection, Observation::ResponseOnLaterConnection] {
         for class in CLASSES {
             paused(async move {
                 let servers = first_decode(SLOW_DECODE_MS, ScriptedReply::Stream, &[sign]);
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -125,7 +125,7 @@
             max_in_flight: Rc::default(),
             releases_to_lose: Rc::default(),
             unreachable: Rc::default(),
-            delivery_signs: Rc::new(RefCell::new(vec![Observation::AnswerOnNewer])),
+            delivery_signs: Rc::new(RefCell::new(vec![Observation::ResponseOnLaterConnection])),
             misses_closes: Rc::default(),
             after_reset: Rc::new(Cell::new(ServerAfterReset::Silent)),
             attempt_tokens: Rc::default(),
--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -57,7 +57,7 @@
         let head = ResponseHead { status: parts.status, headers: parts.headers };
         if head.status != StatusCode::OK {
             // Its work is done, whether or not the rest of the answer comes.
-            request.cancel_token.note(Observation::AnswerHere);
+            request.cancel_token.note(Observation::ResponseOnConnection);
         }
         if head.status == StatusCode::OK && mode == ResponseMode::Streamed {
             self.streamed_reply(server, head, body, connection).await
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -208,7 +208,7 @@
     if error.is_incomplete_message() {
         Observation::ServerClose
     } else if error.is_parse() {
-        Observation::AnswerHere
+        Observation::ResponseOnConnection
     } else {
         Observation::Reset
     }
--- a/gateway/src/engine/standing.rs
+++ b/gateway/src/engine/standing.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_request_lifecycle::evidence::{Observation, StandingCall, WrittenAttempt};
+use glenrail_request_lifecycle::evidence::{CheckCall, Observation, WrittenAttempt};
 use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
 use http::Request;
@@ -48,21 +48,21 @@
 /// A check of a connection.
 #[derive(Clone)]
 pub(super) struct Check {
-    call: StandingCall<Instant>,
+    call: CheckCall<Instant>,
     outcome: watch::Receiver<Outcome>,
 }
 
 impl Check {
     fn outcome(&self) -> Outcome {
         match *self.outcome.borrow() {
-            Outcome::Pending if self.call.asked.elapsed() >= OVERDUE_AFTER => Outcome::Silent,
+            Outcome::Pending if self.call.sent.elapsed() >= OVERDUE_AFTER => Outcome::Silent,
             outcome => outcome,
         }
     }
 
     /// Waits until the outcome is not pending.
     async fn settled(mut self) {
-        let overdue_at = self.call.asked + OVERDUE_AFTER;
+        let overdue_at = self.call.sent + OVERDUE_AFTER;
         let outcome = self.outcome.wait_for(|outcome| *outcome != Outcome::Pending);
         // What comes of it is read from the check.
         let _ = timeout_at(overdue_at, outcome).await;
@@ -76,7 +76,7 @@
 
 /// A call that serves as a check, until its response has begun. One that is given up counts as silent if it was overdue.
 pub(super) struct CallInFlight {
-    asked: Instant,
+    sent: Instant,
     outcome: watch::Sender<Outcome>,
 }
 
@@ -98,7 +98,7 @@
 
 impl Drop for CallInFlight {
     fn drop(&mut self) {
-        let is_silent = self.asked.elapsed() >= OVERDUE_AFTER;
+        let is_silent = self.sent.elapsed() >= OVERDUE_AFTER;
         self.outcome.send_if_modified(|outcome| {
             let is_pending = *outcome == Outcome::Pending;
             if is_pending {
@@ -124,8 +124,8 @@
     /// The last check with this outcome that speaks for the attempt.
     fn find(&self, outcome: Outcome, attempt: &WrittenAttempt<Instant>) -> Option<Check> {
         let speaks_for_attempt = |check: &&Check| match outcome {
-            Outcome::Silent => check.call.silence_doubts_delivery(attempt),
-            _ => check.call.answer_shows_delivery(attempt),
+            Outcome::Silent => check.call.timeout_makes_delivery_doubtful(attempt),
+            _ => check.call.response_confirms_delivery(attempt),
         };
         let with_outcome = self.0.iter().rev().filter(|check| check.outcome() == outcome);
         with_outcome.clone().find(speaks_for_attempt).cloned()
@@ -141,7 +141,7 @@
         let attempt = cancel_token.written_attempt().ok_or(CallError::NotSent)?;
         loop {
             if self.find_check(server, Outcome::Answered, &attempt).is_some() {
-                return Ok(Reply::Observed(Observation::AnswerOnStanding));
+                return Ok(Reply::Observed(Observation::ResponseOnEarlierConnection));
             }
             if let Some(check) = self.find_check(server, Outcome::Pending, &attempt) {
                 check.settled().await;
@@ -156,11 +156,11 @@
         // The call may have gone out on a connection that stood, and has come back to the pool since.
         let is_shown = self.find_check(server, Outcome::Answered, &attempt).is_some();
         Ok(Reply::Observed(match silent {
-            _ if is_shown => Observation::AnswerOnStanding,
+            _ if is_shown => Observation::ResponseOnEarlierConnection,
             // A server that stood still answers on all of its connections.
-            Some(silent) if silent.clone().answers_late().await => Observation::AnswerOnStanding,
-            Some(_) => Observation::SilenceOnStanding,
-            None => Observation::AnswerOnNewer,
+            Some(silent) if silent.clone().answers_late().await => Observation::ResponseOnEarlierConnection,
+            Some(_) => Observation::TimeoutOnEarlierConnection,
+            None => Observation::ResponseOnLaterConnection,
         }))
     }
 
@@ -184,14 +184,14 @@
 
     /// Notes a call that a server answers at once, and that so serves as a check of its connection.
     pub(super) fn add_check(&self, server: ServerId, connection: &Connection) -> CallInFlight {
-        let asked = Instant::now();
+        let sent = Instant::now();
         let (connection_opened, last_answer) = (connection.opened, connection.last_answer);
         let (sender, outcome) = watch::channel(Outcome::Pending);
         if let Some(record) = self.0.servers.borrow_mut().get_mut(server) {
-            let call = StandingCall { connection_opened, last_answer, asked };
+            let call = CheckCall { connection_opened, last_answer, sent };
             record.checks.add(Check { call, outcome });
         }
-        CallInFlight { asked, outcome: sender }
+        CallInFlight { sent, outcome: sender }
     }
 
     async fn check(
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenrail_request_lifecycle::evidence::{CutWork, Observation, WrittenAttempt};
+use glenrail_request_lifecycle::evidence::{InterruptedWork, Observation, WrittenAttempt};
 use http::{HeaderMap, Method, StatusCode, Uri};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -62,7 +62,7 @@
     parts: Option<mpsc::WeakSender<ResponsePart>>,
     first_byte_at: Rc<watch::Sender<Option<Instant>>>,
     connection_opened_at: Rc<Cell<Option<Instant>>>,
-    cut_work: Rc<watch::Sender<CutWork>>,
+    cut_work: Rc<watch::Sender<InterruptedWork>>,
     server_address: Rc<RefCell<Option<String>>>,
 }
 
@@ -118,26 +118,26 @@
     }
 
     /// What is known of the server's work on the attempt, if it was cut off.
-    pub fn cut_work(&self) -> CutWork {
+    pub fn cut_work(&self) -> InterruptedWork {
         *self.cut_work.borrow()
     }
 
     /// Whether the server is known to work on the attempt no more.
     pub fn has_work_ended(&self) -> bool {
-        self.cut_work() == CutWork::Ended
+        self.cut_work() == InterruptedWork::Ended
     }
 
     /// Waits until the server is known to work on the attempt no more.
     pub async fn work_ended(&self) {
-        self.wait_for_work(|known| known == CutWork::Ended).await;
+        self.wait_for_work(|known| known == InterruptedWork::Ended).await;
     }
 
     /// Waits until the connection was reset, or the server is known to work on the attempt no more.
-    pub async fn reset_or_ended(&self) -> CutWork {
-        self.wait_for_work(|known| known != CutWork::MayRun).await
+    pub async fn reset_or_ended(&self) -> InterruptedWork {
+        self.wait_for_work(|known| known != InterruptedWork::MayRun).await
     }
 
-    async fn wait_for_work(&self, is_awaited: impl Fn(CutWork) -> bool) -> CutWork {
+    async fn wait_for_work(&self, is_awaited: impl Fn(InterruptedWork) -> bool) -> InterruptedWork {
         let mut known = self.cut_work.subscribe();
         // An error would be the sender's end, and `self` has the sender.
         let awaited = known.wait_for(|known| is_awaited(*known)).await.map(|known| *known);
@@ -147,7 +147,7 @@
     /// Says that the attempt is written next on a connection to this address, of which nothing was seen yet.
     pub fn set_server_address(&self, address: &str) {
         self.server_address.replace(Some(address.to_string()));
-        self.cut_work.send_replace(CutWork::default());
+        self.cut_work.send_replace(InterruptedWork::default());
     }
 
     /// The address of the server that the attempt was written to last.
--- a/gateway/tests/delivery_confirmation.rs
+++ b/gateway/tests/delivery_confirmation.rs
@@ -92,7 +92,7 @@
         let engine = decode.engine(SLOTS);
         decode.answers_attempts.set(false);
         let (token, _task) = unanswered_attempt(&engine).await;
-        assert_eq!(confirm(&engine, &token).await, Some(Observation::AnswerOnStanding));
+        assert_eq!(confirm(&engine, &token).await, Some(Observation::ResponseOnEarlierConnection));
         assert_eq!(decode.server.connections.get(), 2);
     });
 }
@@ -106,8 +106,12 @@
         decode.answers_attempts.set(false);
         let (token, _task) = unanswered_attempt(&engine).await;
         decode.silence();
-        assert_eq!(confirm(&engine, &token).await, Some(Observation::SilenceOnStanding));
-        assert_eq!(confirm(&engine, &token).await, Some(Observation::SilenceOnStanding), "asked again");
+        assert_eq!(confirm(&engine, &token).await, Some(Observation::TimeoutOnEarlierConnection));
+        assert_eq!(
+            confirm(&engine, &token).await,
+            Some(Observation::TimeoutOnEarlierConnection),
+            "asked again"
+        );
     });
 }
 
@@ -129,7 +133,7 @@
         assert_eq!(confirm(&engine, &token).await, None, "nothing answers");
         goes_on.set(true);
         sleep(Duration::from_millis(20)).await;
-        assert_eq!(confirm(&engine, &token).await, Some(Observation::AnswerOnStanding));
+        assert_eq!(confirm(&engine, &token).await, Some(Observation::ResponseOnEarlierConnection));
     });
 }
 
@@ -144,8 +148,11 @@
         let (second, _second_task) = unanswered_attempt(&engine).await;
         let before = engine.counts().probes;
         let seen = tokio::join!(confirm(&engine, &first), confirm(&engine, &second));
-        assert_eq!(seen, (Some(Observation::AnswerOnStanding), Some(Observation::AnswerOnStanding)));
-        assert_eq!(confirm(&engine, &first).await, Some(Observation::AnswerOnStanding));
+        assert_eq!(
+            seen,
+            (Some(Observation::ResponseOnEarlierConnection), Some(Observation::ResponseOnEarlierConnection))
+        );
+        assert_eq!(confirm(&engine, &first).await, Some(Observation::ResponseOnEarlierConnection));
         assert_eq!(engine.counts().probes - before, 1);
     });
 }
@@ -166,7 +173,7 @@
         engine.update_servers(true, &[address(SERVER, &server, true)], &[]);
         let (token, _task) = unanswered_attempt(&engine).await;
         closes.set(true);
-        assert_eq!(confirm(&engine, &token).await, Some(Observation::AnswerOnNewer));
+        assert_eq!(confirm(&engine, &token).await, Some(Observation::ResponseOnLaterConnection));
     });
 }
 
@@ -215,7 +222,7 @@
         decode.silence();
         let second = send_attempt(&engine, CancelToken::default()).await;
         assert!(matches!(second, Err(CallError::ConnectFailed)));
-        assert_eq!(confirm(&engine, &first).await, Some(Observation::SilenceOnStanding));
+        assert_eq!(confirm(&engine, &first).await, Some(Observation::TimeoutOnEarlierConnection));
     });
 }
 
@@ -230,7 +237,7 @@
         decode.silence();
         let probe = spawn_local(engine.clone().oneshot(Call::Probe { server: SERVER }));
         back_to_the_pool().await;
-        assert_eq!(confirm(&engine, &token).await, Some(Observation::SilenceOnStanding));
+        assert_eq!(confirm(&engine, &token).await, Some(Observation::TimeoutOnEarlierConnection));
         probe.abort();
     });
 }
@@ -246,7 +253,7 @@
         let probe = engine.clone().oneshot(Call::Probe { server: SERVER }).await;
         assert!(matches!(probe, Ok(Reply::Probed { .. })));
         let probes = engine.counts().probes;
-        assert_eq!(confirm(&engine, &token).await, Some(Observation::AnswerOnStanding));
+        assert_eq!(confirm(&engine, &token).await, Some(Observation::ResponseOnEarlierConnection));
         assert_eq!(engine.counts().probes, probes);
     });
 }
