--- a/crates/request-lifecycle/src/reachability/mod.rs
+++ b/crates/request-lifecycle/src/reachability/mod.rs
@@ -15,19 +15,19 @@
 pub type Millis = u64;
 
 /// Interval between two rounds of calls while no server has responded. An idle server responds within it.
-pub const ROUND_INTERVAL: Millis = 50;
+pub const ROUND_INTERVAL_MS: Millis = 50;
 /// Number of servers called in each round after the first. The first round calls one server, which usually responds.
 const SERVERS_PER_LATER_ROUND: usize = 2;
 /// Time after which a call without a response makes its server suspect.
-const SUSPECT_AFTER: Millis = 100;
+const SUSPECT_AFTER_MS: Millis = 100;
 
 /// Results of the calls to one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reachability {
     /// When the server last responded to any call.
-    answered: Option<Millis>,
+    last_answered: Option<Millis>,
     /// When a call last failed: no connection could be opened, or a short call was not answered in time.
-    query_lost: Option<Millis>,
+    last_query_lost: Option<Millis>,
     /// Since when short calls have been in flight without any response from the server.
     waiting_since: Option<Millis>,
 }
@@ -40,21 +40,21 @@
 
     /// Records that the server responded.
     pub fn answered(&mut self, now: Millis) {
-        self.answered = Some(now);
+        self.last_answered = Some(now);
         self.waiting_since = None;
     }
 
     /// Records that a call failed: no connection could be opened, or no response arrived in time.
     pub fn query_lost(&mut self, now: Millis) {
-        self.query_lost = Some(now);
+        self.last_query_lost = Some(now);
         self.waiting_since = None;
     }
 
     /// Returns when the server last failed to respond in time; `None` if it never did or has responded since.
     fn suspected_since(&self, now: Millis) -> Option<Millis> {
-        let overdue_since = self.waiting_since.filter(|since| now >= since + SUSPECT_AFTER);
-        let last_failure = self.query_lost.max(overdue_since)?;
-        let answered_since = self.answered.is_some_and(|answered| answered >= last_failure);
+        let overdue_since = self.waiting_since.filter(|since| now >= since + SUSPECT_AFTER_MS);
+        let last_failure = self.last_query_lost.max(overdue_since)?;
+        let answered_since = self.last_answered.is_some_and(|answered| answered >= last_failure);
         (!answered_since).then_some(last_failure)
     }
 }
@@ -74,15 +74,15 @@
 
 /// Latest response and latest failure of any server in a zone.
 #[derive(Clone, Copy, Default)]
-struct ZoneSigns {
-    answered: Option<Millis>,
-    suspected: Option<Millis>,
+struct ZoneReachability {
+    last_answered: Option<Millis>,
+    last_failure: Option<Millis>,
 }
 
-impl ZoneSigns {
+impl ZoneReachability {
     /// Returns whether the latest failure is later than the latest response.
     fn is_suspect(&self) -> bool {
-        self.suspected > self.answered
+        self.last_failure > self.last_answered
     }
 }
 
@@ -94,29 +94,29 @@
 
 /// Sorts the candidates so that those most likely to respond come first.
 fn by_likelihood<S: Copy + Ord>(candidates: &[Candidate<S>], now: Millis) -> Vec<&Candidate<S>> {
-    let zones = zone_signs(candidates, now);
+    let zones = zone_reachability(candidates, now);
     let mut sorted: Vec<&Candidate<S>> = candidates.iter().collect();
     sorted.sort_by_key(|candidate| {
         let server_is_suspect = candidate.reachability.suspected_since(now).is_some();
-        let zone_is_suspect = zones.get(&candidate.zone).is_some_and(ZoneSigns::is_suspect);
-        let latest_answer_first = Reverse(candidate.reachability.answered);
+        let zone_is_suspect = zones.get(&candidate.zone).is_some_and(ZoneReachability::is_suspect);
+        let latest_response_first = Reverse(candidate.reachability.last_answered);
         (
             server_is_suspect,
             zone_is_suspect,
             !candidate.has_idle_connection,
-            latest_answer_first,
+            latest_response_first,
             candidate.server,
         )
     });
     sorted
 }
 
-fn zone_signs<S>(candidates: &[Candidate<S>], now: Millis) -> BTreeMap<u32, ZoneSigns> {
-    let mut zones: BTreeMap<u32, ZoneSigns> = BTreeMap::new();
+fn zone_reachability<S>(candidates: &[Candidate<S>], now: Millis) -> BTreeMap<u32, ZoneReachability> {
+    let mut zones: BTreeMap<u32, ZoneReachability> = BTreeMap::new();
     for candidate in candidates {
-        let signs = zones.entry(candidate.zone).or_default();
-        signs.answered = signs.answered.max(candidate.reachability.answered);
-        signs.suspected = signs.suspected.max(candidate.reachability.suspected_since(now));
+        let zone = zones.entry(candidate.zone).or_default();
+        zone.last_answered = zone.last_answered.max(candidate.reachability.last_answered);
+        zone.last_failure = zone.last_failure.max(candidate.reachability.suspected_since(now));
     }
     zones
 }
@@ -174,7 +174,7 @@
         self.started = true;
         let servers: Vec<S> = self.remaining.drain(..round_size.min(self.remaining.len())).collect();
         self.in_flight += servers.len();
-        self.next_round = now + ROUND_INTERVAL;
+        self.next_round = now + ROUND_INTERVAL_MS;
         servers
     }
 
--- a/crates/request-lifecycle/src/reachability/tests.rs
+++ b/crates/request-lifecycle/src/reachability/tests.rs
@@ -11,7 +11,7 @@
 /// Simulates one release against servers that respond after a given time or never.
 ///
 /// Returns the time of the first response, if there was one, and the number of servers called.
-fn play_release(
+fn simulate_release(
     order: Vec<u32>, answer_time: impl Fn(u32) -> Option<Millis>, limit: Millis,
 ) -> (Option<Millis>, usize) {
     let mut release = ReleaseRounds::new(order, 0, limit);
@@ -53,8 +53,8 @@
             candidates.iter().any(|candidate| candidate.server == server && candidate.zone == CUT_OFF_ZONE)
         };
         let answer_time = |server: u32| (!is_cut_off(server)).then_some(5);
-        let (answered, asked) = play_release(release_order(&candidates, 1_000), answer_time, 600);
-        assert_eq!((answered, asked), (Some(ROUND_INTERVAL + 5), 3));
+        let (answered, asked) = simulate_release(release_order(&candidates, 1_000), answer_time, 600);
+        assert_eq!((answered, asked), (Some(ROUND_INTERVAL_MS + 5), 3));
     }
 }
 
@@ -91,14 +91,14 @@
         let position = order.iter().position(|server| *server == reachable).unwrap_or(0) as u64;
         let rounds = position.div_ceil(SERVERS_PER_LATER_ROUND as u64);
         let (answered, _) =
-            play_release(order, |server| (server == reachable).then_some(answer_time), 10_000);
-        prop_assert_eq!(answered, Some(rounds * ROUND_INTERVAL + answer_time));
+            simulate_release(order, |server| (server == reachable).then_some(answer_time), 10_000);
+        prop_assert_eq!(answered, Some(rounds * ROUND_INTERVAL_MS + answer_time));
     }
 
     /// A release also ends in time if no server responds.
     #[test]
     fn release_ends_when_no_server_answers(servers in 0usize..60, limit in 1u64..2_000) {
-        let (answered, asked) = play_release((0..servers as u32).collect(), |_| None, limit);
+        let (answered, asked) = simulate_release((0..servers as u32).collect(), |_| None, limit);
         prop_assert_eq!(answered, None);
         prop_assert!(asked <= servers);
     }
--- a/crates/request-lifecycle/src/sentinel/mod.rs
+++ b/crates/request-lifecycle/src/sentinel/mod.rs
@@ -6,26 +6,26 @@
 //! whether one more is opened; the caller owns the pool and its limits.
 
 /// Sentinel policy of this version of the gateway.
-pub const SENTINEL_POLICY: SentinelPolicy = SentinelPolicy::Kept;
+pub const SENTINEL_POLICY: SentinelPolicy = SentinelPolicy::OpenIfNone;
 
 /// Whether a connection is opened for the sole purpose of a sentinel. Each opened connection costs the server work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SentinelPolicy {
     /// A connection is opened if no idle one is available as a sentinel.
-    Kept,
+    OpenIfNone,
     /// Only connections that are already open serve as sentinels.
-    IfStanding,
+    ExistingOnly,
 }
 
 impl SentinelPolicy {
-    /// Returns whether a sentinel is to be opened for an attempt while `standing` other connections are idle.
-    pub fn opens_one(self, standing: usize) -> bool {
-        self == SentinelPolicy::Kept && standing == 0
+    /// Returns whether a sentinel is to be opened for an attempt while `idle` other connections are idle.
+    pub fn should_open(self, idle: usize) -> bool {
+        self == SentinelPolicy::OpenIfNone && idle == 0
     }
 }
 
-/// Returns which of `idle` connections an attempt uses, counted from the one that became idle last; `None` means a
-/// new connection.
+/// Returns which of `idle` connections an attempt uses, as an index counted from the one that became idle last; `None`
+/// means a new connection.
 ///
 /// The connection that became idle last remains as the sentinel: it has worked since the other one was last used,
 /// so a missing answer on it also makes the other one doubtful. The two connections alternate, so neither reaches
--- a/crates/request-lifecycle/src/sentinel/tests.rs
+++ b/crates/request-lifecycle/src/sentinel/tests.rs
@@ -7,7 +7,7 @@
 
 /// Simulates a pool that serves attempts one after another. Returns the number of connections opened, and the
 /// connection that each attempt used.
-fn play(policy: SentinelPolicy, attempts: usize) -> (usize, Vec<Connection>) {
+fn simulate_pool(policy: SentinelPolicy, attempts: usize) -> (usize, Vec<Connection>) {
     let (mut idle, mut opened, mut used): (Vec<Connection>, usize, Vec<Connection>) = (vec![], 0, vec![]);
     for _ in 0..attempts {
         let taken = match connection_to_take(idle.len()) {
@@ -17,7 +17,7 @@
                 opened
             }
         };
-        if policy.opens_one(idle.len()) {
+        if policy.should_open(idle.len()) {
             opened += 1;
             idle.push(opened);
         }
@@ -30,19 +30,19 @@
 /// Guards the cost of sentinels: one additional connection per server, regardless of the number of attempts.
 #[test]
 fn a_sentinel_costs_one_connection_once() {
-    assert_eq!(play(SentinelPolicy::Kept, 100).0, 2);
-    assert_eq!(play(SentinelPolicy::IfStanding, 100).0, 1);
+    assert_eq!(simulate_pool(SentinelPolicy::OpenIfNone, 100).0, 2);
+    assert_eq!(simulate_pool(SentinelPolicy::ExistingOnly, 100).0, 1);
 }
 
 /// Guards against closing either connection at the idle limit while attempts continue.
 #[test]
-fn the_two_connections_take_turns() {
-    assert_eq!(play(SentinelPolicy::Kept, 4).1, [1, 2, 1, 2]);
+fn the_two_connections_alternate() {
+    assert_eq!(simulate_pool(SentinelPolicy::OpenIfNone, 4).1, [1, 2, 1, 2]);
 }
 
 /// Guards the selection: of several idle connections the one that became idle last remains, and none is opened.
 #[test]
-fn the_connection_that_became_idle_last_stays() {
+fn the_connection_that_became_idle_last_remains_as_sentinel() {
     assert_eq!([0, 1, 2, 3, 9].map(connection_to_take), [None, Some(0), Some(1), Some(1), Some(1)]);
-    assert!(!SentinelPolicy::Kept.opens_one(1));
+    assert!(!SentinelPolicy::OpenIfNone.should_open(1));
 }
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -92,7 +92,7 @@
     pub(super) fn open_sentinel(&self, server: ServerId) {
         let mut servers = self.0.servers.borrow_mut();
         let Some(record) = servers.get_mut(server) else { return };
-        if record.is_opening_sentinel || !SENTINEL_POLICY.opens_one(record.idle.len()) {
+        if record.is_opening_sentinel || !SENTINEL_POLICY.should_open(record.idle.len()) {
             return;
         }
         let Ok(slot) = self.0.connection_slots.clone().try_acquire_owned() else { return };
