--- a/crates/request-lifecycle/src/request/attempts.rs
+++ b/crates/request-lifecycle/src/request/attempts.rs
@@ -28,7 +28,7 @@
     /// Checks the rules for a further attempt: one in flight at a time, none beyond the maximum, none for a closed
     /// request, and no repeated execution of a request that may have run unless it is idempotent.
     fn may_start_attempt(&self, stage: Stage) -> bool {
-        let second = self.in_flight() && !self.has_fault(Fault::SecondAttempt);
+        let second = self.has_open_attempt() && !self.has_fault(Fault::SecondAttempt);
         let closed = self.is_closed() && !self.has_fault(Fault::SendsAfterEnd);
         let runs_again = self.policy.retry_safety == RetrySafety::AtMostOnce
             && stage == Stage::Execute
@@ -225,10 +225,10 @@
         self.attempts[attempt].state = AttemptState::Ended(status);
         self.attempts[attempt].delivered = match status {
             Status::ConnectFailed | Status::NotSent => false,
-            _ => delivered || status.shows_arrival(),
+            _ => delivered || status.proves_delivery(),
         };
         if state != AttemptState::Queued {
-            self.note_left_behind(attempt, state, status, known);
+            self.record_residual_state(attempt, state, status, known);
         }
         if self.has_fault(Fault::LosesOutcome) && status == Status::Cancelled {
             return;
@@ -240,18 +240,18 @@
     }
 
     /// Records what a dispatched attempt may have left at its server; `state` is its state before it ended.
-    fn note_left_behind(
+    fn record_residual_state(
         &mut self, attempt: usize, state: AttemptState, status: Status, known: InterruptedWork,
     ) {
         let stage = self.attempts[attempt].stage;
-        let cut_by = status.cut_by().filter(|_| state != AttemptState::Streaming);
+        let interrupted_by = status.interrupted_by().filter(|_| state != AttemptState::Streaming);
         // The flag stays set until a release has been delayed for it, because a slot call may have been interrupted
         // before. If the server's work is known to have ended, no delay is needed.
-        self.cut_since_release |= cut_by.is_some() && known != InterruptedWork::Ended;
+        self.interrupted_since_release |= interrupted_by.is_some() && known != InterruptedWork::Ended;
         // A prefill may have completed just as its connection was interrupted. The KV state that it left must be
         // released before the request is sent again, or the next attempt would find it.
-        if let Some(seen) = cut_by.filter(|_| stage == Stage::Prefill) {
-            self.note_cut_prefill(attempt, known.after(seen));
+        if let Some(observation) = interrupted_by.filter(|_| stage == Stage::Prefill) {
+            self.record_interrupted_prefill(attempt, known.after(observation));
         }
         if status == Status::Prefilled {
             self.reserve(Reservation::KvState);
@@ -264,11 +264,11 @@
         self.may_have_executed |= stage == Stage::Execute && status.may_have_run();
     }
 
-    fn note_cut_prefill(&mut self, attempt: usize, known: InterruptedWork) {
+    fn record_interrupted_prefill(&mut self, attempt: usize, known: InterruptedWork) {
         if self.has_fault(Fault::ForgetsCutRead) {
             return;
         }
-        self.attempts[attempt].unnoticed_close = match known {
+        self.attempts[attempt].unconfirmed_close = match known {
             InterruptedWork::MayRun => !self.has_fault(Fault::TakesCloseAsNoticed),
             InterruptedWork::Reset => !self.has_fault(Fault::TakesResetAsEnd),
             InterruptedWork::Ended => false,
--- a/crates/request-lifecycle/src/request/messages/attempt.rs
+++ b/crates/request-lifecycle/src/request/messages/attempt.rs
@@ -50,7 +50,7 @@
 
 impl Status {
     /// Returns whether this outcome proves that the server had received the attempt.
-    pub fn shows_arrival(self) -> bool {
+    pub fn proves_delivery(self) -> bool {
         matches!(
             self,
             Status::Served | Status::Prefilled | Status::Error | Status::Rejected | Status::MalformedResponse
@@ -59,7 +59,7 @@
 
     /// Returns what was observed last on the connection of an attempt that was interrupted before its response was
     /// complete; `None` for any other outcome.
-    pub fn cut_by(self) -> Option<Observation> {
+    pub fn interrupted_by(self) -> Option<Observation> {
         match self {
             Status::Cancelled | Status::Undelivered | Status::Timeout => Some(Observation::LocalClose),
             Status::Reset => Some(Observation::Reset),
@@ -111,15 +111,16 @@
     /// Whether it was cancelled because its delivery was not confirmed in time.
     pub undelivered: bool,
     /// Whether it is an interrupted prefill whose server is not proven to have stopped working on it.
+    #[serde(rename = "unnoticed_close")]
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub unnoticed_close: bool,
+    pub unconfirmed_close: bool,
 }
 
 impl Attempt {
     /// Creates an attempt that the router has requested and that has not been sent.
     pub fn new(server: Server, stage: Stage) -> Attempt {
         let state = AttemptState::Queued;
-        Attempt { server, stage, state, delivered: false, undelivered: false, unnoticed_close: false }
+        Attempt { server, stage, state, delivered: false, undelivered: false, unconfirmed_close: false }
     }
 
     /// Returns whether the attempt has ended and may have executed the request.
@@ -134,7 +135,7 @@
     }
 
     /// Returns whether the attempt was dispatched to its server and has not ended.
-    pub(crate) fn may_be_at_server(&self) -> bool {
+    pub(crate) fn is_dispatched(&self) -> bool {
         matches!(self.state, AttemptState::InFlight | AttemptState::Cancelling | AttemptState::Streaming)
     }
 }
--- a/crates/request-lifecycle/src/request/messages/effect.rs
+++ b/crates/request-lifecycle/src/request/messages/effect.rs
@@ -25,7 +25,8 @@
     Release {
         /// Whether a call was interrupted since the last release started. Its server may not have noticed yet and
         /// could still reserve something, so the release is sent after a short delay.
-        after_cut: bool,
+        #[serde(rename = "after_cut")]
+        after_interruption: bool,
     },
     /// To the engine: call a decode server to reserve a slot.
     #[serde(rename = "AskPlace")]
--- a/crates/request-lifecycle/src/request/mod.rs
+++ b/crates/request-lifecycle/src/request/mod.rs
@@ -47,7 +47,8 @@
     /// Whether an attempt that has ended, or whose stream has begun, may have executed the request.
     may_have_executed: bool,
     /// Whether a call was interrupted since the last release started, so that its server may still be working on it.
-    cut_since_release: bool,
+    #[serde(rename = "cut_since_release")]
+    interrupted_since_release: bool,
     deadline_armed: bool,
     lease_armed: bool,
     is_finished: bool,
@@ -67,7 +68,7 @@
             release: Release::None,
             slot_request: SlotRequest::None,
             may_have_executed: false,
-            cut_since_release: false,
+            interrupted_since_release: false,
             deadline_armed: true,
             lease_armed: false,
             is_finished: false,
@@ -97,20 +98,19 @@
     }
 
     /// Returns whether an attempt, queued or sent, has no outcome yet.
-    pub fn in_flight(&self) -> bool {
+    pub fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(Attempt::is_open)
     }
 
     /// Returns whether an attempt was dispatched to a server and has not ended.
-    fn at_server(&self) -> bool {
-        self.attempts.iter().any(Attempt::may_be_at_server)
+    fn has_dispatched_attempt(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_dispatched)
     }
 
     /// Returns whether a dispatched attempt may still use the request's reservations or create new ones. An attempt
     /// whose stream has begun does neither.
     fn may_use_reservations(&self) -> bool {
-        let may_use =
-            |attempt: &Attempt| attempt.may_be_at_server() && attempt.state != AttemptState::Streaming;
+        let may_use = |attempt: &Attempt| attempt.is_dispatched() && attempt.state != AttemptState::Streaming;
         self.attempts.iter().any(may_use)
     }
 
@@ -119,26 +119,26 @@
     /// The answer is unknown for an attempt in flight and for an interrupted attempt whose server may not have
     /// noticed the interruption, so both count as attempts that may run. This includes prefills.
     pub fn may_have_run(&self) -> bool {
-        let may_still_run =
-            self.has_unnoticed_close() && !self.has_fault(planted_faults::Fault::RefusesBesideUnnoticedClose);
-        self.may_have_executed || self.at_server() || may_still_run
+        let may_still_run = self.has_unconfirmed_close()
+            && !self.has_fault(planted_faults::Fault::RefusesBesideUnnoticedClose);
+        self.may_have_executed || self.has_dispatched_attempt() || may_still_run
     }
 
     /// Returns whether servers hold, or may hold, a reservation for the request.
     pub fn has_reservation(&self) -> bool {
-        self.reservation != Reservation::None || self.has_unnoticed_close()
+        self.reservation != Reservation::None || self.has_unconfirmed_close()
     }
 
     /// Returns whether an interrupted prefill may still complete at its server.
-    pub fn has_unnoticed_close(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.unnoticed_close)
+    pub fn has_unconfirmed_close(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.unconfirmed_close)
     }
 
     /// Returns whether a closed request waits only for proof that servers have stopped working on interrupted
     /// prefills: it has no open attempt, and no release is due or in progress.
-    pub fn only_awaits_close_notices(&self) -> bool {
-        let is_at_rest = !self.in_flight() && self.release == Release::None;
-        self.is_closed() && is_at_rest && self.has_unnoticed_close()
+    pub fn only_awaits_close_confirmations(&self) -> bool {
+        let is_idle = !self.has_open_attempt() && self.release == Release::None;
+        self.is_closed() && is_idle && self.has_unconfirmed_close()
     }
 
     /// Returns whether the machine has finished. A finished machine accepts no further input.
--- a/crates/request-lifecycle/src/request/reservations.rs
+++ b/crates/request-lifecycle/src/request/reservations.rs
@@ -10,7 +10,7 @@
     /// Nothing is done if nothing can be reserved: a needless call costs a server work, and could hit another request
     /// with the same identifier. Nothing is done either if a release has started: it is still delayed and covers all
     /// reservations, or [`Request::reserve`] has scheduled another one for those made since.
-    pub(super) fn order_release(&mut self) {
+    pub(super) fn request_release(&mut self) {
         let has_started = matches!(self.release, Release::Waiting | Release::InProgress { .. });
         if self.has_reservation() && !has_started {
             self.make_release_due();
@@ -20,7 +20,7 @@
     /// Calls a decode server to reserve a slot, but only while an attempt is dispatched: a slot that no attempt is
     /// going to use would pin the decode server's memory.
     pub(super) fn request_slot(&mut self, server: Server, effects: &mut Effects) {
-        if self.slot_request == SlotRequest::None && !self.is_closed() && self.at_server() {
+        if self.slot_request == SlotRequest::None && !self.is_closed() && self.has_dispatched_attempt() {
             self.slot_request = SlotRequest::InFlight(server);
             effects.push(Effect::RequestSlot { server });
         }
@@ -64,7 +64,7 @@
         self.release = Release::None;
         self.reservation = Reservation::None;
         if self.has_fault(Fault::TakesReleaseAsNotice) {
-            self.forget_unnoticed_closes();
+            self.discard_unconfirmed_closes();
         }
         Ok(())
     }
@@ -72,7 +72,7 @@
     /// Handles the proof that the server of an interrupted prefill has stopped working on it. A release that is sent
     /// from now on covers whatever the prefill has left.
     pub(super) fn on_close_confirmed(&mut self, attempt: usize) -> Result<(), Unexpected> {
-        if !self.take_unnoticed_close(attempt)? {
+        if !self.take_unconfirmed_close(attempt)? {
             return Ok(());
         }
         if self.release == Release::Waiting {
@@ -86,19 +86,19 @@
         Ok(())
     }
 
-    /// Clears the attempt's flag for an unnoticed close, and returns whether it was set.
-    fn take_unnoticed_close(&mut self, attempt: usize) -> Result<bool, Unexpected> {
+    /// Clears the attempt's flag for an unconfirmed close, and returns whether it was set.
+    fn take_unconfirmed_close(&mut self, attempt: usize) -> Result<bool, Unexpected> {
         let attempt = self.attempts.get_mut(attempt).ok_or(Unexpected)?;
         if attempt.is_open() {
             return Err(Unexpected);
         }
-        Ok(std::mem::take(&mut attempt.unnoticed_close))
+        Ok(std::mem::take(&mut attempt.unconfirmed_close))
     }
 
-    /// Clears the flags for unnoticed closes. Only planted faults do so, which accept insufficient evidence.
-    pub(super) fn forget_unnoticed_closes(&mut self) {
+    /// Clears the flags for unconfirmed closes. Only planted faults do so, which accept insufficient evidence.
+    pub(super) fn discard_unconfirmed_closes(&mut self) {
         for attempt in &mut self.attempts {
-            attempt.unnoticed_close = false;
+            attempt.unconfirmed_close = false;
         }
     }
 
@@ -127,7 +127,7 @@
     pub(super) fn cancel_slot_request(&mut self, effects: &mut Effects) {
         if let SlotRequest::InFlight(server) = self.slot_request {
             self.slot_request = SlotRequest::None;
-            self.cut_since_release = true;
+            self.interrupted_since_release = true;
             self.reserve(Reservation::Slot(server));
             effects.push(Effect::CancelSlotRequest);
         }
@@ -146,9 +146,10 @@
     pub(super) fn start_due_release(&mut self, effects: &mut Effects) {
         let may_start = !self.may_use_reservations() || self.has_fault(Fault::ReleasesWhileOut);
         if self.release == Release::Due && may_start {
-            let after_cut = std::mem::take(&mut self.cut_since_release);
-            self.release = if after_cut { Release::Waiting } else { Release::InProgress { repeat: false } };
-            effects.push(Effect::Release { after_cut });
+            let after_interruption = std::mem::take(&mut self.interrupted_since_release);
+            self.release =
+                if after_interruption { Release::Waiting } else { Release::InProgress { repeat: false } };
+            effects.push(Effect::Release { after_interruption });
         }
     }
 }
--- a/crates/request-lifecycle/src/request/responses.rs
+++ b/crates/request-lifecycle/src/request/responses.rs
@@ -10,7 +10,7 @@
         if !self.may_respond() {
             return;
         }
-        let response = self.truthful(response);
+        let response = self.corrected_response(response);
         self.response = ResponseState::Final(response);
         effects.push(Effect::Respond(response));
         self.cancel_all(effects);
@@ -28,12 +28,12 @@
 
     /// Replaces a rejection by a failure if the request may have run and is not idempotent, because a rejection
     /// guarantees the client that it can safely send the request again.
-    fn truthful(&self, response: FinalResponse) -> FinalResponse {
-        let misleading = response == FinalResponse::Rejected
+    fn corrected_response(&self, response: FinalResponse) -> FinalResponse {
+        let is_unsafe = response == FinalResponse::Rejected
             && self.policy.retry_safety == RetrySafety::AtMostOnce
             && self.may_have_run()
             && !self.has_fault(Fault::RefusesWhatMayHaveRun);
-        if misleading {
+        if is_unsafe {
             FinalResponse::Failed
         } else {
             response
@@ -50,7 +50,7 @@
     }
 
     /// Handles the client's disconnection, which is ignored once the response has ended.
-    pub(super) fn abandon(&mut self, effects: &mut Effects) {
+    pub(super) fn on_client_disconnected(&mut self, effects: &mut Effects) {
         if !self.is_closed() {
             self.response = ResponseState::Abandoned;
             effects.push(Effect::NotifyClientDisconnected);
--- a/crates/request-lifecycle/src/request/timers.rs
+++ b/crates/request-lifecycle/src/request/timers.rs
@@ -22,7 +22,7 @@
     fn on_deadline(&mut self, effects: &mut Effects) {
         self.deadline_armed = false;
         if self.has_fault(Fault::TakesDeadlineAsNotice) {
-            self.forget_unnoticed_closes();
+            self.discard_unconfirmed_closes();
         }
         if self.response == ResponseState::Pending {
             self.respond(FinalResponse::DeadlineExceeded, effects);
@@ -50,8 +50,8 @@
 
     /// Returns whether the deadline timer stays armed: from the start until it expires or the response has begun.
     fn needs_deadline(&self) -> bool {
-        let waits_for_answer = self.response == ResponseState::Pending || self.has_fault(Fault::LeavesTimer);
-        self.deadline_armed && waits_for_answer && !self.has_fault(Fault::NoDeadline)
+        let awaits_response = self.response == ResponseState::Pending || self.has_fault(Fault::LeavesTimer);
+        self.deadline_armed && awaits_response && !self.has_fault(Fault::NoDeadline)
     }
 
     /// Returns whether servers may hold a reservation that no delivered attempt uses and no release in progress
@@ -61,24 +61,25 @@
         let may_be_reserved = self.has_reservation() || self.slot_request != SlotRequest::None;
         // An attempt that was only written may never arrive, so it must neither stop the timer nor delay a release
         // indefinitely.
-        let clock_runs = match self.release {
-            Release::None => !self.is_closed() || self.has_unnoticed_close(),
+        let timer_runs = match self.release {
+            Release::None => !self.is_closed() || self.has_unconfirmed_close(),
             Release::Due => self
                 .attempts
                 .iter()
                 .any(|attempt| attempt.state == AttemptState::InFlight && !attempt.delivered),
             Release::Waiting | Release::InProgress { .. } => false,
         };
-        may_be_reserved && !self.has_delivered_attempt() && clock_runs && !self.has_fault(Fault::NoPinLimit)
+        may_be_reserved && !self.has_delivered_attempt() && timer_runs && !self.has_fault(Fault::NoPinLimit)
     }
 
     /// Returns whether an attempt that awaits its response is known to have been delivered to its server.
     fn has_delivered_attempt(&self) -> bool {
         if self.has_fault(Fault::CountsWrittenAsArrived) {
-            return self.in_flight();
+            return self.has_open_attempt();
         }
-        let waits = |attempt: &Attempt| attempt.is_open() && attempt.state != AttemptState::Streaming;
-        self.attempts.iter().any(|attempt| waits(attempt) && attempt.delivered)
+        let awaits_response =
+            |attempt: &Attempt| attempt.is_open() && attempt.state != AttemptState::Streaming;
+        self.attempts.iter().any(|attempt| awaits_response(attempt) && attempt.delivered)
     }
 }
 
--- a/crates/request-lifecycle/src/request/transitions.rs
+++ b/crates/request-lifecycle/src/request/transitions.rs
@@ -1,6 +1,6 @@
 //! Transition table of a request.
 //!
-//! An input is processed in two steps: its handler changes the state that it concerns, and [`Request::settle`] then
+//! An input is processed in two steps: its handler changes the state that it concerns, and [`Request::reconcile`] then
 //! applies whatever the resulting state requires, regardless of the input that led to it.
 
 use super::planted_faults::Fault;
@@ -17,7 +17,7 @@
     /// Returns [`InvalidTransition`] if the input is not valid in the current state, which is then unchanged.
     pub fn step(&mut self, input: Input, effects: &mut Effects) -> Result<(), InvalidTransition> {
         self.handle(input, effects).map_err(|Unexpected| InvalidTransition::new("request", &input, self))?;
-        self.settle(effects);
+        self.reconcile(effects);
         Ok(())
     }
 
@@ -32,10 +32,10 @@
                 self.queue_attempt(server, stage, permitted, effects);
             }
             Input::Cancel { attempt } => self.cancel_attempt(attempt, effects),
-            Input::Release => self.order_release(),
+            Input::Release => self.request_release(),
             Input::Respond(response) => self.respond(response, effects),
             Input::ReserveSlot { server } => self.request_slot(server, effects),
-            Input::ClientDisconnected => self.abandon(effects),
+            Input::ClientDisconnected => self.on_client_disconnected(effects),
             Input::Replied { attempt, reply } => self.on_reply(attempt, reply, effects)?,
             Input::Delivered { attempt } => self.on_delivered(attempt)?,
             Input::StreamEnded { attempt, end } => self.on_stream_ended(attempt, end, effects)?,
@@ -51,7 +51,7 @@
     }
 
     /// Applies what the current state requires. The order matters, since a due release precedes the next attempt.
-    fn settle(&mut self, effects: &mut Effects) {
+    fn reconcile(&mut self, effects: &mut Effects) {
         if self.is_closed() {
             self.release_reservations_of_closed(effects);
         }
@@ -64,8 +64,8 @@
     fn finish_if_nothing_left(&mut self, effects: &mut Effects) {
         let closed = self.is_closed() && !self.has_fault(Fault::NeverOver);
         let releasing = self.release != Release::None;
-        let may_be_left = self.slot_request != SlotRequest::None || self.has_unnoticed_close();
-        let pending = self.in_flight() || releasing || may_be_left;
+        let is_outstanding = self.slot_request != SlotRequest::None || self.has_unconfirmed_close();
+        let pending = self.has_open_attempt() || releasing || is_outstanding;
         let pending = pending && !(self.has_fault(Fault::OverTooEarly) && releasing);
         if closed && !pending {
             self.is_finished = true;
--- a/gateway/src/core/close_notice.rs
+++ b/gateway/src/core/close_notice.rs
@@ -82,7 +82,7 @@
         let inner = self.inner.borrow();
         let Some(request) = inner.requests.get(&id) else { return Vec::new() };
         let attempts = request.machine.attempts().iter().zip(&request.calls).enumerate();
-        let unnoticed = attempts.filter(|(_, (state, _))| state.unnoticed_close);
+        let unnoticed = attempts.filter(|(_, (state, _))| state.unconfirmed_close);
         unnoticed.map(|(attempt, (_, call))| (attempt, call.cancel_token.clone())).collect()
     }
 }
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -19,7 +19,7 @@
         match effect {
             Effect::StartAttempt { attempt } => self.start_attempt(id, attempt),
             Effect::CancelAttempt { attempt } => self.cancel_attempt(id, attempt),
-            Effect::Release { after_cut } => self.start_release(id, after_cut),
+            Effect::Release { after_interruption } => self.start_release(id, after_interruption),
             Effect::RequestSlot { server } => self.request_slot(id, ServerId(server)),
             Effect::CancelSlotRequest => self.cancel_slot_request(id),
             Effect::Respond(response) => self.respond(id, response),
@@ -155,7 +155,7 @@
         if let Some(written) = call.cancel_token.first_byte_at() {
             request.record.first_byte_written(attempt, inner.clock.at(written));
         }
-        if state.unnoticed_close {
+        if state.unconfirmed_close {
             spawn_local(self.clone().confirm_close(id, attempt));
         }
         let outcome = AttemptOutcome {
--- a/gateway/src/core/routing.rs
+++ b/gateway/src/core/routing.rs
@@ -161,7 +161,7 @@
             request.forget_content();
         }
         // What servers have not noticed may take long, and adds nothing to the line.
-        if !request.is_recorded && request.machine.only_awaits_close_notices() {
+        if !request.is_recorded && request.machine.only_awaits_close_confirmations() {
             request.is_recorded = true;
             request.write_record(now);
         }
--- a/model-checker/src/request/effects.rs
+++ b/model-checker/src/request/effects.rs
@@ -16,7 +16,7 @@
             }
             match effect {
                 Effect::StartAttempt { attempt } => self.start_attempt(setup, attempt),
-                Effect::Release { after_cut } => self.start_release(after_cut),
+                Effect::Release { after_interruption } => self.start_release(after_interruption),
                 Effect::RequestSlot { server } => {
                     self.slot_call = SlotCall::InFlight { server: server as u8, reserved: false };
                 }
--- a/model-checker/src/request/enabled.rs
+++ b/model-checker/src/request/enabled.rs
@@ -97,7 +97,7 @@
     /// The server's end of a connection that was cut off proves that it has noticed, and comes only after that; so does the
     /// end of the longest time in which it may still work.
     fn enabled_for_close(&self, attempt: u8, call: &Call, actions: &mut Vec<Action>) {
-        let is_unnoticed = self.machine.attempts()[usize::from(attempt)].unnoticed_close;
+        let is_unnoticed = self.machine.attempts()[usize::from(attempt)].unconfirmed_close;
         if !self.is_finished && is_unnoticed && call.work != ServerWork::Abandoned {
             actions.push(Action::ConfirmClose(attempt));
         }
