--- a/crates/request-lifecycle/src/discovery_polling/mod.rs
+++ b/crates/request-lifecycle/src/discovery_polling/mod.rs
@@ -24,7 +24,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use self::backoff::Address;
+use self::backoff::AddressState;
 pub use self::backoff::BackoffPolicy;
 
 /// Maximum number of times that the mean backoff is doubled.
@@ -84,7 +84,7 @@
 }
 
 /// Growth of the mean backoff: it begins at `initial_mean` and doubles with each earlier failure of the same kind.
-struct Growth {
+struct BackoffGrowth {
     initial_mean: Duration,
     doublings: u32,
     max_mean: Duration,
@@ -107,14 +107,14 @@
         self.policy.round.mul_f64(self.next_unit())
     }
 
-    /// Returns the next poll; `known` states whether a version is known since which changes can be requested.
-    pub fn next_poll(&self, known: bool) -> Poll {
+    /// Returns the next poll; `has_version` states whether a version is known since which changes can be requested.
+    pub fn next_poll(&self, has_version: bool) -> Poll {
         let BackoffPolicy { hold, answer_grace, full_list_timeout, .. } = self.policy;
         match full_list_timeout {
             Some(within) if !self.is_current => Poll::FullList { within },
-            _ if known => Poll::Changes { hold, within: hold + answer_grace },
+            _ if has_version => Poll::Changes { hold, within: hold + answer_grace },
             _ => {
-                let max_duration = self.policy.max_poll_duration(self.address());
+                let max_duration = self.policy.max_poll_duration(self.address_state());
                 Poll::FullList { within: (hold + answer_grace).min(max_duration) }
             }
         }
@@ -146,11 +146,11 @@
         self.address_changed = true;
     }
 
-    fn address(&self) -> Address {
+    fn address_state(&self) -> AddressState {
         if self.address_changed {
-            Address::JustMoved
+            AddressState::JustMoved
         } else {
-            Address::Established
+            AddressState::Established
         }
     }
 
@@ -159,23 +159,23 @@
         self.throttled = 0;
     }
 
-    /// Records that a poll failed after `took`, and returns the backoff before the next one.
+    /// Records that a poll failed after `poll_duration`, and returns the backoff before the next one.
     ///
     /// The backoff is drawn between 0.5 and 1.5 times its mean. The failed poll, the backoff and the next response
     /// together stay within the freshness limit, so that the list of a discovery service that becomes reachable
     /// again is received in time. Only if so many gateways poll that discovery cannot answer all of them within
     /// that limit does a gateway that is rejected repeatedly wait longer.
-    pub fn poll_failed(&mut self, why: PollFailure, took: Duration) -> Duration {
-        let Growth { initial_mean, doublings, max_mean } = self.growth(why, took);
+    pub fn poll_failed(&mut self, failure: PollFailure, poll_duration: Duration) -> Duration {
+        let BackoffGrowth { initial_mean, doublings, max_mean } = self.growth(failure, poll_duration);
         self.failures = self.failures.saturating_add(1);
-        if matches!(why, PollFailure::Throttled(_)) {
+        if matches!(failure, PollFailure::Throttled(_)) {
             self.throttled = self.throttled.saturating_add(1);
         }
         self.is_current = false;
         let factor = 1 << doublings.min(MAX_DOUBLINGS);
         let mean = initial_mean.saturating_mul(factor).min(max_mean);
         let backoff = mean.mul_f64(0.5 + self.next_unit());
-        match why {
+        match failure {
             PollFailure::Throttled(Some(retry_after)) => {
                 // Gateways that received the same Retry-After must not poll at the same moment.
                 let spread = retry_after.min(max_mean).mul_f64(1.0 + self.next_unit() / 2.0);
@@ -186,11 +186,11 @@
     }
 
     /// Returns the growth of the mean backoff for a failure of this kind, given the failures before it.
-    fn growth(&self, why: PollFailure, took: Duration) -> Growth {
-        let BackoffPolicy { initial_backoff, max_backoff, round, longest_round, .. } = self.policy;
-        let max_in_time = self.policy.max_mean_backoff(self.address(), took);
-        match why {
-            PollFailure::Lost => Growth {
+    fn growth(&self, failure: PollFailure, poll_duration: Duration) -> BackoffGrowth {
+        let BackoffPolicy { initial_backoff, max_backoff, round, max_throttled_backoff, .. } = self.policy;
+        let max_in_time = self.policy.max_mean_backoff(self.address_state(), poll_duration);
+        match failure {
+            PollFailure::Lost => BackoffGrowth {
                 initial_mean: initial_backoff,
                 doublings: self.failures - self.throttled,
                 max_mean: max_backoff.min(max_in_time).max(initial_backoff),
@@ -198,11 +198,12 @@
             PollFailure::Throttled(_) => {
                 // Whether discovery can answer all gateways within the freshness limit, so that even the longest
                 // backoff after repeated rejections stays within it.
-                let all_fit =
-                    longest_round <= self.policy.max_mean_backoff(Address::Established, Duration::ZERO);
-                let must_be_in_time = self.throttled == 0 || all_fit;
-                let max_mean = if must_be_in_time { max_in_time } else { longest_round.max(max_in_time) };
-                Growth {
+                let all_gateways_fit = max_throttled_backoff
+                    <= self.policy.max_mean_backoff(AddressState::Established, Duration::ZERO);
+                let must_be_in_time = self.throttled == 0 || all_gateways_fit;
+                let max_mean =
+                    if must_be_in_time { max_in_time } else { max_throttled_backoff.max(max_in_time) };
+                BackoffGrowth {
                     initial_mean: round.max(initial_backoff),
                     doublings: self.throttled,
                     max_mean: max_mean.max(initial_backoff),
--- a/crates/request-lifecycle/src/discovery_polling/tests.rs
+++ b/crates/request-lifecycle/src/discovery_polling/tests.rs
@@ -6,15 +6,15 @@
 
 use super::*;
 
-const NO_TIME: Duration = Duration::ZERO;
+const ZERO: Duration = Duration::ZERO;
 
 /// Policy of a hundred gateways that poll one discovery service.
-fn policy_of_many() -> BackoffPolicy {
+fn policy_for_100_gateways() -> BackoffPolicy {
     BackoffPolicy::polled(100, Duration::from_secs(10))
 }
 
 /// Policy of two gateways that poll one discovery service.
-fn policy_of_few() -> BackoffPolicy {
+fn policy_for_2_gateways() -> BackoffPolicy {
     BackoffPolicy::polled(2, Duration::from_secs(10))
 }
 
@@ -24,21 +24,21 @@
         let backoff_ms = backoff.as_millis() as u64;
         assert!((mean / 2..=mean * 3 / 2).contains(&backoff_ms), "{backoff_ms} ms, mean {mean}");
     };
-    let mut schedule = PollSchedule::new(policy_of_many(), 7);
+    let mut schedule = PollSchedule::new(policy_for_100_gateways(), 7);
     for mean in [100, 200, 400, 800, 1_600, 2_500, 2_500] {
-        assert_drawn_from(schedule.poll_failed(PollFailure::Lost, NO_TIME), mean);
+        assert_drawn_from(schedule.poll_failed(PollFailure::Lost, ZERO), mean);
     }
     for _ in 0..100 {
-        assert_drawn_from(schedule.poll_failed(PollFailure::Lost, NO_TIME), 2_500);
+        assert_drawn_from(schedule.poll_failed(PollFailure::Lost, ZERO), 2_500);
     }
     schedule.poll_succeeded();
-    assert_drawn_from(schedule.poll_failed(PollFailure::Lost, NO_TIME), 100);
+    assert_drawn_from(schedule.poll_failed(PollFailure::Lost, ZERO), 100);
     schedule.poll_succeeded();
     for mean in [3_333, 10_000, 20_000, 20_000] {
-        assert_drawn_from(schedule.poll_failed(PollFailure::Throttled(None), NO_TIME), mean);
+        assert_drawn_from(schedule.poll_failed(PollFailure::Throttled(None), ZERO), mean);
     }
     for _ in 0..100 {
-        assert!(schedule.initial_delay() < policy_of_many().round);
+        assert!(schedule.initial_delay() < policy_for_100_gateways().round);
     }
 }
 
@@ -48,15 +48,17 @@
 fn retry_after_is_obeyed_up_to_a_maximum() {
     let throttled = |seconds| PollFailure::Throttled(Some(Duration::from_secs(seconds)));
     let (min, freshness_limit) = (Duration::from_secs(3), Duration::from_secs(5));
-    let mut schedule = PollSchedule::new(policy_of_many(), 7);
-    assert!((min..=freshness_limit).contains(&schedule.poll_failed(throttled(3), NO_TIME)));
-    assert!(schedule.poll_failed(throttled(9), NO_TIME) >= Duration::from_secs(9));
-    assert!(schedule.poll_failed(throttled(900), NO_TIME) <= policy_of_many().longest_round * 2);
+    let mut schedule = PollSchedule::new(policy_for_100_gateways(), 7);
+    assert!((min..=freshness_limit).contains(&schedule.poll_failed(throttled(3), ZERO)));
+    assert!(schedule.poll_failed(throttled(9), ZERO) >= Duration::from_secs(9));
+    assert!(
+        schedule.poll_failed(throttled(900), ZERO) <= policy_for_100_gateways().max_throttled_backoff * 2
+    );
     schedule.poll_succeeded();
-    assert!(schedule.poll_failed(throttled(900), NO_TIME) <= freshness_limit);
-    let mut schedule = PollSchedule::new(policy_of_few(), 7);
+    assert!(schedule.poll_failed(throttled(900), ZERO) <= freshness_limit);
+    let mut schedule = PollSchedule::new(policy_for_2_gateways(), 7);
     for _ in 0..20 {
-        assert!(schedule.poll_failed(throttled(900), NO_TIME) <= freshness_limit);
+        assert!(schedule.poll_failed(throttled(900), ZERO) <= freshness_limit);
     }
 }
 
@@ -85,7 +87,7 @@
 }
 
 /// Simulates gateways that start within 100 ms until each was answered; `None` if that takes more than two minutes.
-fn roll_out(gateways: usize, mut service: Service, policy: BackoffPolicy) -> Option<Rollout> {
+fn simulate_rollout(gateways: usize, mut service: Service, policy: BackoffPolicy) -> Option<Rollout> {
     let mut schedules: Vec<PollSchedule> =
         (0..gateways).map(|gateway| PollSchedule::new(policy, gateway as u64 + 1)).collect();
     let mut due: VecDeque<(u64, usize)> = VecDeque::new();
@@ -107,10 +109,10 @@
             service.idle_from += service.service_time;
         }
         if rejected || queued_for > CALLER_TIMEOUT {
-            let took = if rejected { 0 } else { CALLER_TIMEOUT };
+            let poll_duration = if rejected { 0 } else { CALLER_TIMEOUT };
             let failure = PollFailure::Throttled(None);
-            let backoff = schedules[gateway].poll_failed(failure, Duration::from_millis(took));
-            due.push_back((now + took + backoff.as_millis() as u64, gateway));
+            let backoff = schedules[gateway].poll_failed(failure, Duration::from_millis(poll_duration));
+            due.push_back((now + poll_duration + backoff.as_millis() as u64, gateway));
         } else {
             rollout.duration = rollout.duration.max(now + queued_for);
         }
@@ -121,18 +123,18 @@
 /// Guards against a permanent overload: a hundred gateways that repeat rejected polls at once are never all
 /// answered. With polls spread over a round all are answered, with few polls more than gateways.
 #[test]
-fn gateways_that_start_together_do_not_lock_each_other_out() {
+fn gateways_that_start_together_are_all_answered() {
     let service = || Service { service_time: 60, down_until: 0, idle_from: 0 };
     let Rollout { duration, polls } =
-        roll_out(100, service(), policy_of_many()).expect("every gateway is answered");
+        simulate_rollout(100, service(), policy_for_100_gateways()).expect("every gateway is answered");
     assert!(duration < 30_000 && polls < 200, "{duration} ms, {polls} polls");
-    let eager = BackoffPolicy {
+    let without_rounds = BackoffPolicy {
         round: Duration::ZERO,
-        longest_round: policy_of_many().initial_backoff,
-        freshness_limit: (NO_TIME, NO_TIME),
-        ..policy_of_many()
+        max_throttled_backoff: policy_for_100_gateways().initial_backoff,
+        freshness_limit: (ZERO, ZERO),
+        ..policy_for_100_gateways()
     };
-    assert_eq!(roll_out(100, service(), eager), None);
+    assert_eq!(simulate_rollout(100, service(), without_rounds), None);
 }
 
 /// Guards the same with a slower service, which can answer only a fifth of the gateways in time if all poll at
@@ -141,7 +143,7 @@
 fn service_with_capacity_for_a_fifth_of_the_polls_answers_all_in_the_end() {
     let service = Service { service_time: 100, down_until: 0, idle_from: 0 };
     let Rollout { duration, polls } =
-        roll_out(100, service, policy_of_many()).expect("every gateway is answered");
+        simulate_rollout(100, service, policy_for_100_gateways()).expect("every gateway is answered");
     assert!(duration < 90_000 && polls < 500, "{duration} ms, {polls} polls");
 }
 
@@ -150,7 +152,7 @@
 fn end_of_an_outage_does_not_cause_a_second_one() {
     let service = Service { service_time: 60, down_until: 10_000, idle_from: 0 };
     let Rollout { duration, polls } =
-        roll_out(100, service, policy_of_many()).expect("every gateway is answered");
+        simulate_rollout(100, service, policy_for_100_gateways()).expect("every gateway is answered");
     assert!(duration < 40_000 && polls < 500, "{duration} ms, {polls} polls");
 }
 
@@ -159,7 +161,7 @@
 fn few_gateways_poll_nearly_at_once() {
     let service = Service { service_time: 60, down_until: 0, idle_from: 0 };
     let Rollout { duration, polls } =
-        roll_out(2, service, policy_of_few()).expect("every gateway is answered");
+        simulate_rollout(2, service, policy_for_2_gateways()).expect("every gateway is answered");
     assert!(duration <= 200 && polls == 2, "{duration} ms, {polls} polls");
 }
 
@@ -169,30 +171,31 @@
     let policy = BackoffPolicy::polled(300, Duration::from_secs(10));
     for down_until in [0, 10_000] {
         let service = Service { service_time: 60, down_until, idle_from: 0 };
-        let Rollout { duration, polls } = roll_out(300, service, policy).expect("every gateway is answered");
+        let Rollout { duration, polls } =
+            simulate_rollout(300, service, policy).expect("every gateway is answered");
         assert!(duration < 90_000 && polls < 2_000, "{duration} ms, {polls} polls");
     }
 }
 
 /// The policy of push mode or that of polling.
 fn any_policy() -> impl Strategy<Value = BackoffPolicy> {
-    prop_oneof![Just(BackoffPolicy::PUSHED), Just(BackoffPolicy { round: NO_TIME, ..policy_of_few() })]
+    prop_oneof![Just(BackoffPolicy::PUSHED), Just(BackoffPolicy { round: ZERO, ..policy_for_2_gateways() })]
 }
 
 /// Times at which discovery does not respond, in milliseconds.
 #[derive(Clone, Copy)]
-struct Silence {
+struct FailureTimes {
     /// Start and end of an outage, during which no poll is answered.
     outage: (u64, u64),
     /// Time of a failure after which the poll in flight is never answered.
-    breaks_at: u64,
+    failure_at: u64,
 }
 
 /// Returns when a gateway that polls from 0 on receives a change made at `change`, in milliseconds. Outside the given
 /// failures every poll is answered immediately.
-fn change_received_at(change: u64, silence: Silence, policy: BackoffPolicy, seed: u64) -> u64 {
+fn change_received_at(change: u64, failures: FailureTimes, policy: BackoffPolicy, seed: u64) -> u64 {
     let millis = |duration: Duration| duration.as_millis() as u64;
-    let (down, up) = silence.outage;
+    let (down, up) = failures.outage;
     let mut schedule = PollSchedule::new(policy, seed);
     let mut now = millis(schedule.initial_delay());
     let mut known = false;
@@ -202,11 +205,11 @@
             Poll::Changes { hold, .. } if now < change => change.min(now + millis(hold)),
             _ => now,
         };
-        let silent = now < up && answer >= down || (now..answer).contains(&silence.breaks_at);
-        let took = schedule.limits(poll).first_byte;
-        if silent {
-            now += millis(took);
-            now += millis(schedule.poll_failed(PollFailure::Lost, took));
+        let is_unanswered = now < up && answer >= down || (now..answer).contains(&failures.failure_at);
+        let poll_duration = schedule.limits(poll).first_byte;
+        if is_unanswered {
+            now += millis(poll_duration);
+            now += millis(schedule.poll_failed(PollFailure::Lost, poll_duration));
             continue;
         }
         now = answer;
@@ -223,7 +226,7 @@
     /// after a watch became unresponsive. In push mode it is expected to have it immediately, whether or not a
     /// watch is open, so also in a new process and after an outage; a drain may have to be obeyed within 300 ms.
     #[test]
-    fn change_is_received_before_it_counts_as_known(
+    fn change_is_received_in_time(
         change in 0u64..20_000, down in 0u64..20_000, length in 1u64..10_000, outage: bool,
         policy in any_policy(), seed: u64,
     ) {
@@ -232,15 +235,15 @@
         let reopened = down + if pushed { 2_000 } else { 3_500 };
         let (received, limit) = if outage {
             let up = down + length;
-            let silence = Silence { outage: (down, up), breaks_at: u64::MAX };
+            let failures = FailureTimes { outage: (down, up), failure_at: u64::MAX };
             let available = if (down..up).contains(&change) { up } else { change };
             let from = if change >= down { available.max(reopened) } else { available };
             let limit = from + if pushed { 250 } else { 6_000 };
-            (change_received_at(change, silence, policy, seed), limit)
+            (change_received_at(change, failures, policy, seed), limit)
         } else {
-            let silence = Silence { outage: (0, 0), breaks_at: down };
+            let failures = FailureTimes { outage: (0, 0), failure_at: down };
             let limit = if change >= down { change.max(reopened) } else { change };
-            (change_received_at(change, silence, policy, seed), limit)
+            (change_received_at(change, failures, policy, seed), limit)
         };
         prop_assert!(
             received <= limit,
@@ -260,7 +263,7 @@
     schedule.address_changed();
     assert_eq!(schedule.next_poll(true), full_list);
     for _ in 0..50 {
-        assert!(schedule.poll_failed(PollFailure::Lost, NO_TIME) < Duration::from_millis(100));
+        assert!(schedule.poll_failed(PollFailure::Lost, ZERO) < Duration::from_millis(100));
     }
     assert_eq!(schedule.next_poll(true), full_list);
     schedule.address_changed();
@@ -295,8 +298,8 @@
 fn failed_poll(fault: PollFault, limits: Limits) -> (Duration, PollFailure) {
     let millis = Duration::from_millis;
     match fault {
-        PollFault::ConnectionRefused => (NO_TIME, PollFailure::Lost),
-        PollFault::Rejected(retry_after) => (NO_TIME, PollFailure::Throttled(retry_after.map(millis))),
+        PollFault::ConnectionRefused => (ZERO, PollFailure::Lost),
+        PollFault::Rejected(retry_after) => (ZERO, PollFailure::Throttled(retry_after.map(millis))),
         PollFault::Unresponsive => (limits.first_byte, PollFailure::Lost),
         PollFault::StopsMidAnswer(begins) => {
             let first_part = millis(begins).min(limits.first_byte);
@@ -309,11 +312,11 @@
 /// Returns the maximum time from when discovery becomes reachable until its list is received: a poll that began
 /// earlier still fails with one of these faults, and the next one is answered 1 s after it began.
 fn longest_until_list(schedule: &mut PollSchedule, known: bool, faults: &[PollFault]) -> Duration {
-    let mut longest = if known { schedule.initial_delay() } else { NO_TIME };
+    let mut longest = if known { schedule.initial_delay() } else { ZERO };
     for fault in faults {
         let limits = schedule.limits(schedule.next_poll(known));
-        let (took, failure) = failed_poll(*fault, limits);
-        longest = longest.max(took + schedule.poll_failed(failure, took));
+        let (poll_duration, failure) = failed_poll(*fault, limits);
+        longest = longest.max(poll_duration + schedule.poll_failed(failure, poll_duration));
     }
     longest + Duration::from_secs(1)
 }
@@ -325,9 +328,9 @@
     /// it has moved, whichever polls failed, timed out or were rejected in between.
     #[test]
     fn freshness_limit_holds_over_all_polls_and_backoffs(
-        routers in 1u32..=16, known: bool, moved: bool, faults in any_faults(), seed: u64,
+        gateway_count in 1u32..=16, known: bool, moved: bool, faults in any_faults(), seed: u64,
     ) {
-        let policy = BackoffPolicy::polled(routers, Duration::from_secs(10));
+        let policy = BackoffPolicy::polled(gateway_count, Duration::from_secs(10));
         let mut schedule = PollSchedule::new(policy, seed);
         if moved {
             schedule.address_changed();
@@ -339,13 +342,13 @@
     /// Guards the same for more gateways than discovery can answer in that time, if a gateway is rejected only once.
     #[test]
     fn freshness_limit_holds_if_a_gateway_is_rejected_once(
-        routers in 17u32..400, known: bool, faults in any_faults(), position: prop::sample::Index,
+        gateway_count in 17u32..400, known: bool, faults in any_faults(), position: prop::sample::Index,
         retry_after: Option<u64>, seed: u64,
     ) {
         let mut faults: Vec<PollFault> =
             faults.into_iter().filter(|fault| !matches!(fault, PollFault::Rejected(_))).collect();
         faults.insert(position.index(faults.len() + 1), PollFault::Rejected(retry_after));
-        let policy = BackoffPolicy::polled(routers, Duration::from_secs(10));
+        let policy = BackoffPolicy::polled(gateway_count, Duration::from_secs(10));
         let mut schedule = PollSchedule::new(policy, seed);
         let longest = longest_until_list(&mut schedule, known, &faults);
         prop_assert!(longest <= Duration::from_secs(6), "{longest:?}");
@@ -355,7 +358,9 @@
     /// as soon as the agent responds. The agent responds immediately or not at all; a response may stop, or a proxy
     /// in front of the agent may reject the poll.
     #[test]
-    fn agent_that_recovers_is_heard_at_once(known: bool, moved: bool, faults in any_faults(), seed: u64) {
+    fn list_of_a_recovered_agent_is_received_at_once(
+        known: bool, moved: bool, faults in any_faults(), seed: u64,
+    ) {
         let answers_at_once = |fault| match fault {
             PollFault::StopsMidAnswer(begins) => PollFault::StopsMidAnswer(begins % 10),
             PollFault::Reset(after) => PollFault::Reset(after % 10),
--- a/crates/request-lifecycle/src/reachability/tests.rs
+++ b/crates/request-lifecycle/src/reachability/tests.rs
@@ -16,16 +16,16 @@
 ) -> (Option<Millis>, usize) {
     let mut release = ReleaseRounds::new(order, 0, limit);
     let mut now = 0;
-    let mut asked = 0;
+    let mut called = 0;
     let mut answers = Vec::new();
     loop {
         for server in release.next_round(now) {
-            asked += 1;
+            called += 1;
             answers.extend(answer_time(server).map(|after| now + after));
         }
-        let Some(wake) = release.next_wake(now) else { return (None, asked) };
+        let Some(wake) = release.next_wake(now) else { return (None, called) };
         match answers.iter().min() {
-            Some(first) if *first <= wake => return (Some(*first), asked),
+            Some(first) if *first <= wake => return (Some(*first), called),
             _ => now = wake.max(now),
         }
     }
@@ -53,8 +53,8 @@
             candidates.iter().any(|candidate| candidate.server == server && candidate.zone == CUT_OFF_ZONE)
         };
         let answer_time = |server: u32| (!is_cut_off(server)).then_some(5);
-        let (answered, asked) = simulate_release(release_order(&candidates, 1_000), answer_time, 600);
-        assert_eq!((answered, asked), (Some(ROUND_INTERVAL_MS + 5), 3));
+        let (answered, called) = simulate_release(release_order(&candidates, 1_000), answer_time, 600);
+        assert_eq!((answered, called), (Some(ROUND_INTERVAL_MS + 5), 3));
     }
 }
 
@@ -98,8 +98,8 @@
     /// A release also ends in time if no server responds.
     #[test]
     fn release_ends_when_no_server_answers(servers in 0usize..60, limit in 1u64..2_000) {
-        let (answered, asked) = simulate_release((0..servers as u32).collect(), |_| None, limit);
+        let (answered, called) = simulate_release((0..servers as u32).collect(), |_| None, limit);
         prop_assert_eq!(answered, None);
-        prop_assert!(asked <= servers);
+        prop_assert!(called <= servers);
     }
 }
