--- a/crates/request-lifecycle/src/client/tests.rs
+++ b/crates/request-lifecycle/src/client/tests.rs
@@ -33,7 +33,7 @@
     /// blocked writes and no bytes of the next request. Bytes are awaited as a new request only if none is in
     /// progress.
     #[test]
-    fn idle_connection_owes_its_client_nothing(inputs in prop::collection::vec(any_input(), 1..40)) {
+    fn idle_connection_has_no_unfinished_work(inputs in prop::collection::vec(any_input(), 1..40)) {
         let mut connection = Connection::default();
         let (mut open, mut blocked, mut pipelined) = (false, false, false);
         for input in inputs {
@@ -48,12 +48,12 @@
                 Input::PipelinedBytes(now) => pipelined = now,
                 _ => {}
             }
-            let owes_nothing = !open && !blocked && !pipelined;
-            prop_assert!(!connection.is_idle() || owes_nothing, "{input:?}: {connection:?}");
+            let has_no_unfinished_work = !open && !blocked && !pipelined;
+            prop_assert!(!connection.is_idle() || has_no_unfinished_work, "{input:?}: {connection:?}");
             prop_assert!(!connection.awaits_request() || !open && !blocked, "{input:?}: {connection:?}");
             // An idle connection may be evicted, and may be handed over.
-            let may_leave = connection.is_evictable() && connection.can_hand_over();
-            prop_assert!(!connection.is_idle() || may_leave, "{input:?}: {connection:?}");
+            let may_be_closed_or_moved = connection.is_evictable() && connection.can_hand_over();
+            prop_assert!(!connection.is_idle() || may_be_closed_or_moved, "{input:?}: {connection:?}");
             prop_assert_eq!(connection.has_pipelined_bytes(), pipelined);
         }
     }
--- a/crates/request-lifecycle/src/server/mod.rs
+++ b/crates/request-lifecycle/src/server/mod.rs
@@ -162,11 +162,11 @@
             (Stage::Idle, Input::Broken) => (Stage::Stale, Effect::Close),
             (Stage::Writing, Input::BytesWritten) => (Stage::Writing, Effect::None),
             (Stage::Writing, Input::LastByteWritten) => (Stage::AwaitingHead, Effect::None),
-            (Stage::Writing, Input::Broken) => (Stage::Closing, self.lost_while_writing()),
+            (Stage::Writing, Input::Broken) => (Stage::Closing, self.on_broken_while_writing()),
             // A response may begin before the last byte of the request, if the server does not need the rest.
             (Stage::Writing | Stage::AwaitingHead, Input::HeadReceived) => (Stage::Streaming, Effect::None),
             (Stage::AwaitingHead | Stage::Streaming, Input::Broken) => {
-                (Stage::Closing, self.lost_after_write())
+                (Stage::Closing, self.on_broken_after_write())
             }
             (Stage::Streaming, Input::ResponseComplete) => self.on_response_complete(),
             (Stage::Streaming, Input::ReadPaused) => (Stage::HandedOver, Effect::HandOver),
@@ -209,7 +209,7 @@
     }
 
     /// Returns the effect for a connection that broke before the last byte of the request was written.
-    fn lost_while_writing(&self) -> Effect {
+    fn on_broken_while_writing(&self) -> Effect {
         let nothing_written = !self.has_written || self.has_fault(Fault::ReplacesAfterByte);
         if self.used && nothing_written {
             Effect::Replace
@@ -219,7 +219,7 @@
     }
 
     /// Returns the effect for a connection that broke after the last byte of the request was written.
-    fn lost_after_write(&self) -> Effect {
+    fn on_broken_after_write(&self) -> Effect {
         if self.has_fault(Fault::CallsSentNeverRan) {
             Effect::NeverRan
         } else {
