--- a/crates/request-lifecycle/src/request/timers.rs
+++ b/crates/request-lifecycle/src/request/timers.rs
@@ -77,9 +77,9 @@
         if self.has_fault(Fault::CountsWrittenAsArrived) {
             return self.has_open_attempt();
         }
-        let awaits_response =
+        let is_awaiting_response =
             |attempt: &Attempt| attempt.is_open() && attempt.state != AttemptState::Streaming;
-        self.attempts.iter().any(|attempt| awaits_response(attempt) && attempt.delivered)
+        self.attempts.iter().any(|attempt| is_awaiting_response(attempt) && attempt.delivered)
     }
 }
 
