--- a/crates/request-lifecycle/src/request/responses.rs
+++ b/crates/request-lifecycle/src/request/responses.rs
@@ -1,21 +1,22 @@
-//! The client's one answer: a final answer of the gateway's own, or nothing because the client left.
+//! The client's response: a final response of the gateway, or none because the client disconnected.
 
 use super::planted_faults::Fault;
 use super::{Effect, Effects, FinalResponse, Request, ResponseState, RetrySafety};
 
 impl Request {
-    /// Gives the final answer, unless one was given or a stream has begun. What is in flight is then of use to nobody.
+    /// Sends the client a final response unless one was sent, a stream has begun or the client has disconnected.
+    /// Attempts are then cancelled, since their responses can no longer be used.
     pub(super) fn respond(&mut self, response: FinalResponse, effects: &mut Effects) {
         if !self.may_respond() {
             return;
         }
-        let response = self.truthful(response);
+        let response = self.corrected_response(response);
         self.response = ResponseState::Final(response);
         effects.push(Effect::Respond(response));
         self.cancel_all(effects);
     }
 
-    /// Whether the client has received neither an answer nor the beginning of one.
+    /// Returns whether a final response may be sent: nothing was sent to the client so far, and it is connected.
     fn may_respond(&self) -> bool {
         match self.response {
             ResponseState::Pending => true,
@@ -25,22 +26,22 @@
         }
     }
 
-    /// A rejection tells the client that it may safely send the request again: of a request that may have run and is
-    /// not idempotent, that would be untrue, so it becomes a failure.
-    fn truthful(&self, response: FinalResponse) -> FinalResponse {
-        let misleading = response == FinalResponse::Rejected
+    /// Replaces a rejection by a failure if the request may have run and is not idempotent, because a rejection
+    /// guarantees the client that it can safely send the request again.
+    fn corrected_response(&self, response: FinalResponse) -> FinalResponse {
+        let is_unsafe = response == FinalResponse::Rejected
             && self.policy.retry_safety == RetrySafety::AtMostOnce
             && self.may_have_run()
             && !self.has_fault(Fault::RefusesWhatMayHaveRun);
-        if misleading {
+        if is_unsafe {
             FinalResponse::Failed
         } else {
             response
         }
     }
 
-    /// A server found the request itself at fault, which is final. The attempt has ended by this, so there is nothing to
-    /// cancel.
+    /// Sends the final response for a request that a server found invalid. The attempt ends with this reply, so there
+    /// is nothing to cancel.
     pub(super) fn respond_unprocessable(&mut self, effects: &mut Effects) {
         if self.response == ResponseState::Pending {
             self.response = ResponseState::Final(FinalResponse::Unprocessable);
@@ -48,8 +49,8 @@
         }
     }
 
-    /// The client disconnected.
-    pub(super) fn abandon(&mut self, effects: &mut Effects) {
+    /// Handles the client's disconnection, which is ignored once the response has ended.
+    pub(super) fn on_client_disconnected(&mut self, effects: &mut Effects) {
         if !self.is_closed() {
             self.response = ResponseState::Abandoned;
             effects.push(Effect::NotifyClientDisconnected);
