--- a/crates/router/src/api/actions.rs
+++ b/crates/router/src/api/actions.rs
@@ -1,90 +1,90 @@
-//! What the router asks its caller to do.
+//! Actions that the router returns to its caller.
 
 use super::{Millis, RejectReason, RequestId, ServerId};
 
-/// Something to be done by the caller, in the order in which it is listed.
+/// An operation that the caller performs. The actions of one event are performed in list order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends an attempt of a request. Attempts of a request are numbered from 0 in the order of their sends.
     Send {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// The server to send it to.
+        /// Destination of the attempt.
         server: ServerId,
         /// Time after which the attempt ends with [`Timeout`](super::AttemptStatus::Timeout).
         timeout: Millis,
     },
     /// Cancels an attempt in flight.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// Attempt number, from 0 in send order.
         attempt: u32,
     },
     /// Releases every state lease and slot reservation of a request.
     Release {
-        /// The request.
+        /// Request that holds the leases and reservations.
         id: RequestId,
     },
-    /// Final answer that promises that trying again is harmless.
+    /// Ends a request with a final response that promises that a retry by the client is harmless.
     Reject {
-        /// The request.
+        /// Request that is rejected.
         id: RequestId,
-        /// Time after which its client may retry; 0: nothing is said about it.
+        /// Time after which the client may retry; 0 if no time is suggested.
         retry_after: Millis,
-        /// Why it is rejected.
+        /// Cause of the rejection.
         reason: RejectReason,
     },
-    /// Final answer that promises nothing: an attempt may have run.
+    /// Ends a request with a final response that makes no promise: an attempt may have been executed.
     Fail {
-        /// The request.
+        /// Request that failed.
         id: RequestId,
-        /// Why it failed.
+        /// Cause of the failure.
         reason: RejectReason,
     },
     /// Ends a running stream so that its client reconnects and resumes it at another server.
     Migrate {
-        /// The request.
+        /// Request that is being streamed.
         id: RequestId,
     },
     /// Reserves a slot for a request at a server.
     ReserveSlot {
-        /// The request.
+        /// Request that the slot is for.
         id: RequestId,
-        /// The server.
+        /// Server that owns the slot.
         server: ServerId,
     },
-    /// Asks a server for its load report.
+    /// Requests a load report from a server.
     Probe {
-        /// The server.
+        /// Server to probe.
         server: ServerId,
     },
     /// Closes the idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// Server at the other end of the connections.
         server: ServerId,
     },
     /// Sends gossip to other routers.
     SendGossip {
-        /// Index of the router to send to; `None`: to all.
+        /// Index of the destination router; `None` broadcasts to all routers.
         to: Option<u32>,
-        /// What to send.
+        /// Encoded gossip message.
         bytes: Vec<u8>,
     },
     /// Starts or ends the subscription to the server list.
     Subscribe {
-        /// Whether to subscribe.
+        /// `true` starts the subscription, `false` ends it.
         on: bool,
     },
     /// Fetches the server list once.
     FetchList,
-    /// Delivers [`Event::Timer`](super::Event::Timer) with this key at a time.
+    /// Schedules an [`Event::Timer`](super::Event::Timer) with this key.
     Timer {
-        /// When it is due.
+        /// Time at which the timer is due.
         at: Millis,
-        /// The key to deliver.
+        /// Opaque value that the timer event carries.
         key: u64,
-        /// The timer may be dropped once this request is closed; `None`: it must be delivered.
+        /// Request after whose end the timer may be dropped; `None` if the timer must always be delivered.
         request: Option<RequestId>,
     },
     /// Writes a line to the log.
--- a/crates/router/src/api/events.rs
+++ b/crates/router/src/api/events.rs
@@ -1,72 +1,71 @@
-//! What the caller reports to the router.
+//! Events that the caller reports to the router.
 
 use super::{
     AttemptOutcome, AttemptStatus, ListUpdate, LoadReport, Millis, Request, RequestId, ServerEntry, ServerId,
 };
 
-/// Something that happened, passed to [`Router::handle`](crate::Router::handle) in the order in which it
-/// happened.
+/// Input of [`Router::handle`](crate::Router::handle). Events are passed in the order in which they occur.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A server list, or a change to it, came from discovery.
+    /// Discovery delivered a server list or a change to it.
     ServerList {
-        /// How it relates to the list before.
+        /// Relation of `servers` to the previous list.
         update: ListUpdate,
-        /// The entries that it brings.
+        /// Entries of the list or of the change.
         servers: Vec<ServerEntry>,
     },
     /// A request arrived.
     Request(Request),
-    /// The timer with this key, set by [`Action::Timer`](super::Action::Timer), is due.
+    /// A timer that was set by [`Action::Timer`](super::Action::Timer) is due.
     Timer {
-        /// The key that the timer was set with.
+        /// Key from the action that set the timer.
         key: u64,
     },
-    /// The client of a request has disconnected; nothing more is to be answered.
+    /// The client of a request disconnected, so no response can be delivered any more.
     ClientDisconnected {
-        /// The request.
+        /// Request of the client.
         id: RequestId,
     },
-    /// The first token of an answer came.
+    /// The first token of an answer was received.
     FirstToken {
-        /// The request.
+        /// Request that is answered.
         id: RequestId,
-        /// Number of the attempt that answers.
+        /// Number of the attempt that produced the token.
         attempt: u32,
-        /// The server that answers.
+        /// Server that produced the token.
         server: ServerId,
-        /// Time from the send of that attempt to its first token.
+        /// Time from the send of the attempt to its first token.
         elapsed: Millis,
     },
-    /// An attempt came to its end.
+    /// An attempt ended.
     Outcome(AttemptOutcome),
-    /// A server answered [`Action::ReserveSlot`](super::Action::ReserveSlot).
+    /// A server replied to [`Action::ReserveSlot`](super::Action::ReserveSlot).
     SlotReservation {
-        /// The request.
+        /// Request that the slot is for.
         id: RequestId,
         /// Number of the attempt that the slot is for.
         attempt: u32,
-        /// The server that was asked.
+        /// Server that replied.
         server: ServerId,
-        /// Whether the slot is reserved.
+        /// Whether the slot was granted.
         reserved: bool,
     },
-    /// A probe, sent by [`Action::Probe`](super::Action::Probe), was answered or failed.
+    /// A probe that was sent by [`Action::Probe`](super::Action::Probe) was answered or failed.
     ProbeResult {
-        /// The server that was probed.
+        /// Server that was probed.
         server: ServerId,
-        /// [`Served`](AttemptStatus::Served) for an answer, or how the probe failed.
+        /// [`Served`](AttemptStatus::Served) if the probe was answered, otherwise the kind of failure.
         status: AttemptStatus,
-        /// Time from the probe to this result.
+        /// Time from the send of the probe to this result.
         elapsed: Millis,
-        /// The load report in the answer.
+        /// Load report in the response; `None` if the response has none.
         report: Option<LoadReport>,
     },
-    /// Gossip of another router came.
+    /// Gossip was received from another router.
     Gossip {
-        /// Index of the router that sent it.
+        /// Index of the sending router.
         from: u32,
-        /// What it sent.
+        /// Encoded gossip message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/router/src/api/ids.rs
+++ b/crates/router/src/api/ids.rs
@@ -1,9 +1,9 @@
 //! Identifiers and the unit of time.
 
-/// A point in time or a duration, in milliseconds.
+/// Point in time or duration, in milliseconds.
 pub type Millis = f64;
 
-/// Identifier of a request, chosen by the caller and never used twice.
+/// Identifier of a request. The caller assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/crates/router/src/api/mod.rs
+++ b/crates/router/src/api/mod.rs
@@ -1,8 +1,8 @@
-//! Interface of the router: data types only.
+//! Public interface of the router: data types without behaviour.
 //!
-//! A [`Settings`] value is passed once, to [`Router::new`](crate::Router::new). From then on every [`Event`]
-//! is answered by a list of [`Action`]s. All times and durations are [`Millis`] on one monotonic clock that
-//! the caller owns.
+//! The caller passes a [`Settings`] value once, to [`Router::new`](crate::Router::new). After that the router
+//! responds to every [`Event`] with a list of [`Action`]s. All times and durations are [`Millis`] on one
+//! monotonic clock that the caller owns.
 
 mod actions;
 mod events;
--- a/crates/router/src/api/requests.rs
+++ b/crates/router/src/api/requests.rs
@@ -1,72 +1,72 @@
-//! Requests, how their attempts end, and why a request is rejected.
+//! Requests, outcomes of their attempts, and reasons for a rejection.
 
 use super::{LoadReport, Millis, RequestId, ServerId};
 
-/// A request as it arrives.
+/// Request as it arrives at the gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Identifier, chosen by the caller.
+    /// Identifier that the caller assigned.
     pub id: RequestId,
     /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: u32,
     /// Index of its tenant in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: u32,
-    /// Session (conversation) that it belongs to; prefix affinity keeps a session at one server.
+    /// Session (conversation) of the request; prefix affinity keeps a session at one server.
     pub session: u64,
-    /// Identifier of the prompt prefix that it shares with other sessions; `None`: it shares none.
+    /// Identifier of the prompt prefix that it shares with other sessions; `None` if it shares none.
     pub prefix: Option<u64>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: f64,
-    /// Length of the shared prefix, in tokens; part of `prompt_tokens`.
+    /// Length of the shared prefix, in tokens; included in `prompt_tokens`.
     pub prefix_tokens: f64,
-    /// Most tokens that the answer may have.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: f64,
-    /// Estimated duration of the answer's stream, at the inter-token objective of its class.
+    /// Estimated duration of the stream at the inter-token objective of the class; `None` if unknown.
     pub expected_duration: Option<Millis>,
-    /// Time after its arrival at which its client gives up.
+    /// Time after arrival at which the client gives up.
     pub client_timeout: Millis,
-    /// Whether its client says that this is a retry of an earlier request.
+    /// Whether the client marks this as a retry of an earlier request.
     pub client_retry: bool,
-    /// Whether it resumes a stream that broke or was migrated.
+    /// Whether the request resumes a stream that broke or was migrated.
     pub resumed: bool,
 }
 
-/// How an attempt or a probe ended.
+/// Result of an attempt or of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// The answer was streamed to its end, or the probe was answered.
+    /// The answer was streamed completely, or the probe was answered.
     Served,
-    /// The prefill is done, and its state waits at the prefill server under a lease.
+    /// The prefill is complete, and the prefill server holds its state under a lease.
     Prefilled,
-    /// The server answered with an error; the attempt may have run.
+    /// The server responded with an error; the attempt may have been executed.
     Error,
-    /// The server rejected the attempt without running it.
+    /// The server rejected the attempt without executing it.
     Rejected,
-    /// No answer came within the attempt's time-out; it may have run.
+    /// No answer was received within the time-out of the attempt, which may have been executed.
     Timeout,
     /// No connection could be established; nothing was sent.
     ConnectFailed,
-    /// The connection broke; the attempt may have run.
+    /// The connection broke; the attempt may have been executed.
     Reset,
-    /// The response could not be parsed; the attempt may have run.
+    /// The response could not be parsed; the attempt may have been executed.
     MalformedResponse,
-    /// The attempt was cancelled by the router or by its client; it may have run.
+    /// The router or the client cancelled the attempt, which may have been executed.
     Cancelled,
-    /// The request was written, and no sign of its delivery came in time: the attempt was cancelled and its
-    /// state lease released. It may have run.
+    /// The request was written but its delivery was not confirmed in time. The attempt was cancelled and its
+    /// state lease released; it may have been executed.
     Undelivered,
-    /// The attempt ended before anything was written.
+    /// The attempt ended before any byte was written.
     NotSent,
 }
 
 impl AttemptStatus {
-    /// Whether an attempt with this end can have reached its server.
+    /// Returns whether an attempt with this status may have reached its server.
     pub fn may_have_arrived(self) -> bool {
         !matches!(self, AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
     }
 
-    /// The name of this status in a line of the access log. The names stay as earlier versions wrote them, so
-    /// that logs of all versions can be searched alike.
+    /// Returns the name of this status in the access log. The names never change, so that one search covers
+    /// the logs of all versions.
     pub fn log_label(self) -> &'static str {
         match self {
             AttemptStatus::Served => "Served",
@@ -84,58 +84,59 @@
     }
 }
 
-/// The end of one attempt.
+/// Outcome of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub id: RequestId,
-    /// Number of the attempt, from 0 in the order of its sends.
+    /// Attempt number, from 0 in send order.
     pub attempt: u32,
-    /// The server that it was sent to.
+    /// Destination of the attempt.
     pub server: ServerId,
-    /// How it ended.
+    /// Result of the attempt.
     pub status: AttemptStatus,
-    /// Time from the send to this end.
+    /// Time from the send to the end of the attempt.
     pub elapsed: Millis,
     /// Detail whose meaning depends on `status`:
     ///
-    /// - [`Prefilled`](AttemptStatus::Prefilled) and [`Served`](AttemptStatus::Served): prompt tokens that
-    ///   the server found in its prefix cache.
-    /// - [`Rejected`](AttemptStatus::Rejected): 1 when a decode server found no state to fetch; 0 when it had
-    ///   no capacity.
+    /// - [`Prefilled`](AttemptStatus::Prefilled) and [`Served`](AttemptStatus::Served): number of prompt
+    ///   tokens that the server found in its prefix cache.
+    /// - [`Rejected`](AttemptStatus::Rejected): 1 if a decode server found no state to fetch, 0 if the server
+    ///   has no capacity.
     /// - Any other status: unused.
     pub note: f64,
-    /// The request is closed, by this outcome or earlier: no further attempt may follow.
+    /// Whether the request is closed, by this outcome or earlier, so that no further attempt may follow.
     pub closed: bool,
-    /// The attempt is known to have reached its server, so that the lease of a prefilled state did not run
-    /// meanwhile.
+    /// Whether the attempt is known to have reached its server. If so, the lease of a prefilled state did not
+    /// run during the attempt.
     pub delivered: bool,
-    /// Load report that came with the response.
+    /// Load report in the response; `None` if the response has none.
     pub report: Option<LoadReport>,
 }
 
-/// Why a request is rejected or failed.
+/// Cause of a rejection or a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The settings have no such class.
+    /// The settings do not define the class of the request.
     UnknownClass,
-    /// Load shedding: the request would be late, or no decode server would have room for its state.
+    /// Load shedding: the request would miss its objective, or no decode server would have capacity for its
+    /// state.
     LoadShed,
-    /// No server may accept it at present.
+    /// No server may receive the request at present.
     NoServerAvailable,
-    /// All attempts that the settings allow have been made.
+    /// The request has used the maximum number of attempts.
     AttemptsExhausted,
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     RetryBudgetExhausted,
-    /// An attempt may have run, and the class must not be repeated.
+    /// An attempt may have been executed, and requests of the class must not be repeated.
     MayHaveRun,
-    /// Its deadline has come.
+    /// The deadline of the request was reached.
     DeadlineExceeded,
 }
 
 impl RejectReason {
-    /// The name of this reason in a line of the access log. The names stay as earlier versions wrote them, so
-    /// that logs of all versions can be searched alike.
+    /// Returns the name of this reason in the access log. The names never change, so that one search covers
+    /// the logs of all versions.
     pub fn log_label(self) -> &'static str {
         match self {
             RejectReason::UnknownClass => "UnknownClass",
--- a/crates/router/src/api/servers.rs
+++ b/crates/router/src/api/servers.rs
@@ -1,61 +1,62 @@
-//! The endpoint list and the load reports of servers.
+//! Entries of the endpoint list and load reports of servers.
 
 use super::{Millis, ServerId};
 
-/// State in which a server is listed.
+/// State of a server according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Accepts new requests.
+    /// The server accepts new requests.
     #[default]
     Ready,
-    /// Finishes what it has and must not get new requests.
+    /// The server finishes its current requests and must not receive new ones.
     Draining,
-    /// Has left the deployment.
+    /// The server has left the deployment.
     Terminated,
 }
 
-/// One entry of the server list.
+/// Entry of the server list.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEntry {
-    /// The server that is described.
+    /// Server that the entry describes.
     pub server: ServerId,
-    /// Its zone.
+    /// Index of the zone in which the server runs.
     pub zone: u32,
-    /// Its cell in that zone.
+    /// Index of the cell within the zone.
     pub cell: u32,
-    /// Index of its kind in [`Settings::kinds`](super::Settings::kinds); an unknown one counts as mixed.
+    /// Index of its kind in [`Settings::kinds`](super::Settings::kinds); an index that is out of range counts
+    /// as [`Role::Mixed`](super::Role::Mixed).
     pub kind: u32,
-    /// Whether it accepts requests.
+    /// State according to discovery.
     pub state: ServerState,
-    /// Its capacity relative to other servers of its role.
+    /// Capacity relative to other servers of the same role.
     pub weight: f64,
-    /// When its process last started; `None`: so long ago that slow start is over.
+    /// Start time of the server process; `None` if it started so long ago that slow start is over.
     pub started: Option<Millis>,
 }
 
-/// How a delivered server list relates to the one before.
+/// Relation of a delivered server list to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Only the entries that changed; all others remain.
+    /// The entries that changed; all other entries remain.
     Delta,
-    /// The complete list; a server that is missing has left.
+    /// The complete list; servers that are missing from it have left the deployment.
     Full,
     /// A complete list that was stored earlier and may be out of date.
     Cached,
-    /// Discovery failed: no list came, and the previous one stands.
+    /// Discovery failed: no list was delivered, and the previous list remains in use.
     Failed,
 }
 
-/// Load of a server as it reports it. Only what the deployment reports is set.
+/// Load that a server reports. Fields that the deployment does not report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests in flight at the server, from all routers.
+    /// Number of requests in flight at the server, from all routers.
     pub in_flight: Option<f64>,
-    /// Requests that wait at the server, from all routers.
+    /// Number of requests that wait at the server, from all routers.
     pub queue: Option<f64>,
-    /// Share of its computing capacity in use, from 0 to 1.
+    /// Share of the compute capacity in use, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Share of its memory for request state in use, from 0 to 1.
+    /// Share of the memory for request state in use, from 0 to 1.
     pub memory_share: Option<f64>,
     /// Prompt tokens, in thousands, that wait for their prefill or for the transfer of their state.
     pub backlog_kilotokens: Option<f64>,
