--- a/crates/router/src/state/health.rs
+++ b/crates/router/src/state/health.rs
@@ -1,24 +1,24 @@
-//! Health of one server, as outlier detection sees it.
+//! Health of a server, as determined by outlier detection.
 
 use crate::api::{AttemptStatus, Millis};
 
-/// A failure that counts against a server.
+/// Kind of failure that counts against a server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FailureKind {
-    /// It answered with an error.
+    /// The server responded with an error.
     Error,
-    /// The connection to it broke.
+    /// The connection to the server broke.
     Reset,
-    /// Its response could not be parsed.
+    /// The response could not be parsed.
     MalformedResponse,
-    /// It gave no sign of life while work waited there.
+    /// The server showed no progress while work was pending, or an attempt was not confirmed as delivered.
     Unresponsive,
-    /// No connection to it could be established.
+    /// No connection to the server could be established.
     ConnectFailed,
 }
 
 impl FailureKind {
-    /// The failure that the end of an attempt shows, if any.
+    /// Returns the failure that an attempt with this status indicates, if any.
     pub fn from_status(status: AttemptStatus) -> Option<Self> {
         match status {
             AttemptStatus::ConnectFailed => Some(FailureKind::ConnectFailed),
@@ -31,30 +31,31 @@
     }
 }
 
-/// Failures of one server and its ejection.
+/// Failure score and ejection state of a server.
 #[derive(Default)]
 pub struct Health {
-    /// Weighted failures that success has not yet made up for; 1 ejects.
+    /// Weighted failures, reduced by successes; the server is ejected at 1.
     pub score: f64,
-    /// Ejections that success has not yet made up for; each doubles the time of the next.
+    /// Ejections, reduced by successes; each doubles the duration of the next one.
     pub ejections: u32,
-    /// Ejected until then; afterwards on trial until an attempt sent since has succeeded.
+    /// End of the ejection; afterwards the server stays on trial until an attempt sent since has succeeded.
     pub ejected_until: Millis,
-    /// When it was last ejected.
+    /// Time of the last ejection.
     pub ejected_at: Millis,
-    /// It was ejected, and no attempt sent since has succeeded.
+    /// Whether no attempt sent since the last ejection has succeeded; `false` before the first ejection.
     pub on_trial: bool,
-    /// The failure that ejected it.
+    /// Failure that caused the ejection; `None` unless the server is on trial.
     pub cause: Option<FailureKind>,
 }
 
 impl Health {
-    /// Whether it is ejected at `now`.
+    /// Returns whether the server is ejected at `now`.
     pub fn is_ejected(&self, now: Millis) -> bool {
         self.on_trial && now < self.ejected_until
     }
 
-    /// Whether it was ejected as unreachable, which the panic threshold does not overrule.
+    /// Returns whether the server was ejected as unreachable, which the panic threshold does not override
+    /// while other servers remain.
     pub fn is_unreachable(&self) -> bool {
         matches!(self.cause, Some(FailureKind::Unresponsive | FailureKind::ConnectFailed))
     }
--- a/crates/router/src/state/location.rs
+++ b/crates/router/src/state/location.rs
@@ -1,25 +1,25 @@
-//! Where servers stand, and which of them share idempotency keys.
+//! Locations of servers, and the scope of idempotency keys.
 
 use crate::api::{DeduplicationScope, ServerEntry};
 
-/// A zone, and a cell in it.
+/// Zone and cell of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Location {
-    /// The zone.
+    /// Index of the zone.
     pub zone: u32,
-    /// The cell in that zone.
+    /// Index of the cell within the zone.
     pub cell: u32,
 }
 
 impl ServerEntry {
-    /// Where this server stands.
+    /// Returns the location of this server.
     pub(crate) fn location(&self) -> Location {
         Location { zone: self.zone, cell: self.cell }
     }
 }
 
 impl DeduplicationScope {
-    /// Whether a server at one location recognises an idempotency key that was used at the other.
+    /// Returns whether a server at one location recognises an idempotency key that was used at the other.
     pub(crate) fn covers(self, one: Location, other: Location) -> bool {
         match self {
             DeduplicationScope::All => true,
--- a/crates/router/src/state/math.rs
+++ b/crates/router/src/state/math.rs
@@ -1,11 +1,11 @@
-//! Small calculations on figures that come from outside or fade with time.
+//! Calculations with untrusted input values and with values that decay over time.
 
 use crate::api::Millis;
 
-/// Largest figure accepted from outside, whatever its unit: sums of such figures stay finite.
+/// Maximum accepted input value in any unit, so that sums of input values stay finite.
 const MAX_FIGURE: f64 = 1e12;
 
-/// A figure from outside, forced into the range in which it can mean something.
+/// Returns an input value clamped to the valid range, or 0 if it is not finite.
 pub fn sanitize(figure: f64) -> f64 {
     if figure.is_finite() {
         figure.clamp(0.0, MAX_FIGURE)
@@ -14,13 +14,13 @@
     }
 }
 
-/// The lower median; 0 of no values.
+/// Returns the lower median, or 0 if there are no values.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
 }
 
-/// A sum whose parts fade exponentially with their age.
+/// Sum whose parts decay exponentially with their age.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingValue {
     value: f64,
@@ -28,12 +28,12 @@
 }
 
 impl DecayingValue {
-    /// A sum of nothing.
+    /// Creates an empty sum.
     pub fn zero(now: Millis) -> Self {
         DecayingValue { value: 0.0, updated_at: now }
     }
 
-    /// What is left of the sum at `now`. A part falls to 1/e of itself in `decay_time`.
+    /// Returns the sum at `now`. Each part decays to 1/e of its value in `decay_time`.
     pub fn value_at(&self, now: Millis, decay_time: Millis) -> f64 {
         self.value * ((self.updated_at - now) / decay_time).exp()
     }
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What the router knows of servers, requests and the traffic as a whole: plain data and look-ups.
+//! State of servers, requests and total traffic: plain data and look-ups without decisions.
 //!
-//! Nothing here decides anything. [`Router`](crate::Router) owns the values, `policy` reads and updates them,
-//! and the caller owns the clock, which comes in as `now`.
+//! [`Router`](crate::Router) owns the values, and `policy` reads and updates them. The caller owns the clock
+//! and passes the time as `now`.
 
 mod health;
 mod location;
@@ -23,7 +23,7 @@
 
 use crate::api::Millis;
 
-/// Time for which a load report replaces a probe (ms). Servers renew their reports about as often.
+/// Time for which a load report makes a probe unnecessary (ms). Servers renew their reports about as often.
 pub const LOAD_REPORT_TTL: Millis = 500.0;
-/// Decay time of the counts of requests for each prefix and of sends to each server (ms).
+/// Decay time of the request count of each prefix and of the send count of each server (ms).
 pub const REQUEST_RATE_DECAY: Millis = 40_000.0;
--- a/crates/router/src/state/placement.rs
+++ b/crates/router/src/state/placement.rs
@@ -1,8 +1,8 @@
-//! Where a request goes next, and by which key it is tied to a server.
+//! Placement of an attempt, and keys of the prefix table.
 
 use crate::api::{Millis, Role, ServerId};
 
-/// What the prefix table maps to a server.
+/// Key of the prefix table.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub enum AffinityKey {
     /// All requests of a session.
@@ -11,27 +11,27 @@
     Prefix(u64),
 }
 
-/// The server whose prefix cache should hold what a key stands for.
+/// Server whose cache should contain the session or prefix of a key.
 #[derive(Clone, Copy, Debug)]
 pub struct AffinityEntry {
-    /// The server.
+    /// Server that the key maps to.
     pub server: ServerId,
-    /// When a prefill for the key was last completed there.
+    /// Time at which the last prefill for the key was completed at this server.
     pub updated_at: Millis,
 }
 
-/// The part of a request's work that an attempt does.
+/// Part of a request that an attempt executes.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub enum Stage {
-    /// Only the prefill: the state then waits for a decode server.
+    /// Only the prefill, after which the prefill server holds the state for a decode server.
     #[default]
     Prefill,
-    /// The answer, after a transfer of the state or, at a mixed server, after a prefill in place.
+    /// The answer, after a transfer of the state or, at a mixed server, after a local prefill.
     Decode,
 }
 
 impl Stage {
-    /// The first stage of a request at a server of this role.
+    /// Returns the first stage of a request at a server of this role.
     pub fn first_for(role: Role) -> Self {
         match role {
             Role::Prefill => Stage::Prefill,
@@ -40,13 +40,13 @@
     }
 }
 
-/// The next attempt of a request.
+/// Destination and stage of the next attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement {
-    /// The server to send it to.
+    /// Destination of the attempt.
     pub server: ServerId,
-    /// What it is to do there.
+    /// Stage that the attempt executes.
     pub stage: Stage,
-    /// Prompt tokens that the server's prefix cache should still hold.
+    /// Estimated number of prompt tokens in the prefix cache of the server.
     pub cached_tokens: f64,
 }
--- a/crates/router/src/state/statistics.rs
+++ b/crates/router/src/state/statistics.rs
@@ -1,27 +1,29 @@
 //! Statistics over all requests: prompt length, service time, waits and throughput.
 //!
-//! They survive an upgrade of the gateway: `snapshot` passes most of them on to the next process.
+//! [`Router`](crate::Router) owns them, and `snapshot` passes most of them to the successor process of an
+//! upgrade.
 
 use super::Stage;
 use crate::api::{Millis, Role};
 
-/// Weight of a new prompt in the mean length.
+/// Weight of a new prompt in the moving mean of the length.
 const PROMPT_BLEND: f64 = 0.05;
-/// Weight of a new service time that is shorter than the estimate, and of one that is not. The estimate
-/// follows the fastest samples, because the others may have waited in a queue.
+/// Weight of a service time that is shorter than the estimate. It is high so that the estimate follows the
+/// fastest samples, because the others may include a wait in a queue.
 const FASTER_BLEND: f64 = 0.5;
+/// Weight of a service time that is not shorter than the estimate.
 const SLOWER_BLEND: f64 = 0.05;
 
-/// What all requests together have shown.
+/// Statistics over all requests at this router.
 #[derive(Clone, Copy, Default)]
 pub struct RoutingStatistics {
-    /// Mean length of a prompt, in tokens; 0 before the first.
+    /// Moving mean of the prompt length, in tokens; 0 before the first prompt.
     pub mean_prompt_tokens: f64,
-    /// Service time at all servers, indexed by [`Stage`].
+    /// Service time over all servers, indexed by [`Stage`].
     pub service_time_by_stage: [ServiceTime; 2],
-    /// Recent wait at all servers of a role, indexed by [`Role`].
+    /// Recent wait over all servers of a role, indexed by [`Role`].
     pub wait_by_role: [RoleWait; 3],
-    /// Throughput of all servers of a role, indexed by [`Role`].
+    /// Throughput over all servers of a role, indexed by [`Role`].
     pub throughput_by_role: [RoleThroughput; 3],
 }
 
@@ -32,72 +34,72 @@
         self.mean_prompt_tokens += blend * (tokens - self.mean_prompt_tokens);
     }
 
-    /// Service time of a stage at all servers.
+    /// Returns the service time of a stage over all servers.
     pub fn service_time(&self, stage: Stage) -> ServiceTime {
         self.service_time_by_stage[stage as usize]
     }
 
-    /// Adds the service time of an attempt, in milliseconds a token.
+    /// Adds the service time of an attempt, in milliseconds per token.
     pub fn record_service_time(&mut self, stage: Stage, per_token: Millis) {
         self.service_time_by_stage[stage as usize].record(per_token);
     }
 
-    /// Recent wait at all servers of a role.
+    /// Returns the recent wait over all servers of a role.
     pub fn wait(&self, role: Role) -> &RoleWait {
         &self.wait_by_role[role as usize]
     }
 
-    /// Adds the wait of an attempt at a server of this role, with its weight in the mean.
+    /// Adds the wait of an attempt at a server of this role to the moving mean, with weight `blend`.
     pub fn record_wait(&mut self, role: Role, wait: Millis, blend: f64, now: Millis) {
         let recent = &mut self.wait_by_role[role as usize];
         recent.mean += blend * (wait - recent.mean);
         recent.updated_at = now;
     }
 
-    /// Throughput of all servers of a role.
+    /// Returns the throughput over all servers of a role.
     pub fn throughput(&self, role: Role) -> &RoleThroughput {
         &self.throughput_by_role[role as usize]
     }
 
-    /// Throughput of all servers of a role, to be updated.
+    /// Returns a mutable reference to the throughput over all servers of a role.
     pub fn throughput_mut(&mut self, role: Role) -> &mut RoleThroughput {
         &mut self.throughput_by_role[role as usize]
     }
 }
 
-/// Wait before service at all servers of a role.
+/// Wait in the queue over all servers of a role.
 #[derive(Clone, Copy, Default)]
 pub struct RoleWait {
     /// Moving mean of the waits.
     pub mean: Millis,
-    /// When the last one was added.
+    /// Time at which the last wait was added.
     pub updated_at: Millis,
 }
 
-/// What the servers of a role have completed for this router.
+/// Requests of this router that the servers of a role have completed.
 #[derive(Clone, Copy, Default)]
 pub struct RoleThroughput {
-    /// Requests completed, a count that decays.
+    /// Number of completed requests, with exponential decay.
     pub completions: f64,
-    /// When the last one was added.
+    /// Time at which the last completion was added.
     pub updated_at: Millis,
-    /// Capacity of the servers that completed them, in units of weight outside slow start.
+    /// Capacity of the servers that completed them; a server outside slow start contributes its weight.
     pub capacity_units: f64,
-    /// Highest rate of late, in completions a second for a unit of capacity.
+    /// Highest recent rate, in completions per second and unit of capacity.
     pub peak_rate: f64,
 }
 
-/// Estimate of the time that a token of work takes without a queue.
+/// Estimate of the time for a token of work, without the wait in a queue.
 #[derive(Clone, Copy, Default)]
 pub struct ServiceTime {
-    /// Milliseconds a token.
+    /// Time per token.
     pub per_token: Millis,
-    /// Samples that the estimate rests on.
+    /// Number of samples in the estimate.
     pub samples: u32,
 }
 
 impl ServiceTime {
-    /// Adds a sample, in milliseconds a token.
+    /// Adds a sample, in milliseconds per token.
     pub fn record(&mut self, per_token: Millis) {
         let blend = match self.samples {
             0 => 1.0,
