--- a/crates/router/src/policy/affinity.rs
+++ b/crates/router/src/policy/affinity.rs
@@ -1,19 +1,20 @@
-//! Prefix affinity: requests of a session or with a shared prefix go to the prefill server that has it
+//! Prefix affinity: requests of a session or with a shared prefix are sent to the prefill server that has it
 //! cached.
 //!
-//! State: none of its own; the prefix table maps keys to servers, and a consistent hash serves where it has
-//! no entry. Guards the prefix caches, which pay only if every router sends a prefix to the same few servers.
+//! This module has no state of its own. It looks up servers in the prefix table, and uses a consistent hash
+//! if there is no entry. Prefix caches are effective only if every router sends a prefix to the same few
+//! servers.
 
 use super::Router;
 use crate::api::{Action, Request, Role, ServerId};
 use crate::state::{AffinityKey, Placement, RequestState, ServerRecord, Stage};
 use crate::{fleet_load, rendezvous};
 
-/// A popular prefix gets one preferred server for each so many times an average server's share of all
+/// Load of a preferred server of a popular prefix, as a multiple of an average server's share of all
 /// requests.
 const LOAD_PER_PREFERRED_SERVER: f64 = 1.0;
 
-/// A server found in the prefix table, and the key it was found by.
+/// Server that was found in the prefix table, and the key of its entry.
 #[derive(Clone, Copy)]
 struct AffinityMatch {
     server: ServerId,
@@ -21,8 +22,8 @@
 }
 
 impl Router {
-    /// Chooses by session, else by shared prefix, else by consistent hash; then diverts from an overloaded
-    /// server.
+    /// Selects a prefill server by session, else by shared prefix, else by consistent hash, and diverts the
+    /// request if that server is overloaded.
     pub(super) fn choose_prefill_server(
         &mut self, request: &mut RequestState, actions: &mut Vec<Action>,
     ) -> Option<Placement> {
@@ -47,7 +48,7 @@
         Some(Placement { server, stage, cached_tokens })
     }
 
-    /// The eligible server that the prefix table names for the session, or else for the prefix of a request.
+    /// Returns the eligible server in the prefix table for the session, or else for the prefix of a request.
     /// A prefix with several preferred servers is hashed instead.
     fn match_affinity(
         &mut self, request: &RequestState, eligible: &[ServerId], preferred_count: usize,
@@ -62,27 +63,27 @@
         (!self.has_excess_sends(server, eligible)).then_some(AffinityMatch { server, key })
     }
 
-    /// The first server in hash order that has not been sent too much of late, or else the first.
+    /// Returns the first server in hash order without excess sends, or else the first one.
     fn first_without_excess(&self, ranked: &[ServerId], eligible: &[ServerId]) -> Option<ServerId> {
         let below_excess = ranked.iter().find(|id| !self.has_excess_sends(**id, eligible));
         below_excess.or(ranked.first()).copied()
     }
 
-    /// How many preferred servers the prefix of a request has.
+    /// Returns the number of preferred servers of the request's prefix.
     ///
-    /// A prefix with more requests than one server can bear gets several, and each session one of them: in a
-    /// large fleet no router's own counts would show that all together overload a single one. Cost: each
-    /// further server prefills the prefix once.
+    /// A prefix with more requests than one server can handle gets several preferred servers, and each of its
+    /// sessions is sent to one of them. In a large fleet, a router's own counts would not reveal that all
+    /// routers together overload a single server. Each further server has to prefill the prefix once.
     fn preferred_server_count(&self, request: &RequestState, eligible: &[ServerId]) -> usize {
         let routers = self.router_count();
         let recent = request.recent_requests;
         fleet_load::preferred_servers(recent, eligible.len(), routers, LOAD_PER_PREFERRED_SERVER)
     }
 
-    /// Eligible servers in the order in which every router tries them for a request, by weight.
+    /// Returns the eligible servers in the order in which every router tries them for a request.
     ///
-    /// A mixed server counts for as much as gives it, of all requests, its share of all servers: a prefill
-    /// server also works for the decode servers, a mixed one only for itself.
+    /// The weight of a mixed server is such that its share of all requests equals its share of all servers. A
+    /// prefill server receives a larger share, because it also prefills for the decode servers.
     fn hash_order(
         &self, eligible: &[ServerId], request: &RequestState, preferred_count: usize,
     ) -> Vec<ServerId> {
@@ -90,7 +91,8 @@
         let (prefill_count, decode_count) = (count(Role::Prefill), count(Role::Decode));
         let mixed_weight =
             if prefill_count > 0.0 { prefill_count / (prefill_count + decode_count) } else { 1.0 };
-        // In a large fleet a server in slow start is preferred for what it can be sent, at all routers alike.
+        // In a large fleet, all routers weight a server in slow start by the share of its capacity that it
+        // may receive.
         let slow_start_weight = |server: &ServerRecord| match self.probes_before_send() {
             true => self.capacity_share(server),
             false => 1.0,
--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -1,28 +1,29 @@
-//! Decode placement: the decode server with the least projected memory, near the prefill server where that
-//! costs little.
+//! Decode placement: selects the decode server with the lowest projected memory use, preferring one near the
+//! prefill server if the difference is small.
 //!
-//! State: none of its own; it reads memory reports and the streams sent since. Guards the memory of decode
-//! servers, and the price of transfers between cells and zones.
+//! This module has no state of its own. It uses memory reports and the streams sent since. It balances the
+//! memory use of decode servers against the cost of transfers between cells and zones.
 
 use super::Router;
 use crate::api::{Action, Millis, Role, ServerId};
 use crate::slow_start_budget;
 use crate::state::{Location, RequestState, ServerRecord, Stage, LOAD_REPORT_TTL};
 
-/// Share of memory by which a nearby server may be above the lowest: where its memory is known, and where it
-/// is a guess.
+/// Share of memory by which a nearby server with a current memory report may exceed the lowest projection.
 const NEARBY_MARGIN: f64 = 0.05;
+/// Share of memory by which a nearby server with unknown memory may exceed the lowest projection.
 const NEARBY_MARGIN_UNKNOWN: f64 = 0.4;
 /// Decay time of the confidence in a memory report (ms).
 pub(super) const MEMORY_REPORT_DECAY: Millis = 10_000.0;
-/// Where memory is unknown, a projection may be up to this far above the average.
+/// Maximum random addition to the average memory share in a projection for unknown memory.
 const UNKNOWN_SPREAD: f64 = 0.2;
-/// From this projection on a decode server is full: by its reports, and by the waits met there where there
-/// are none.
+/// Projected memory share above which a decode server is full according to its memory reports.
 const FULL: f64 = 0.85;
+/// Projected memory share above which a decode server without memory reports is full, as estimated from its
+/// waits.
 const FULL_BY_WAITS: f64 = 0.5;
 
-/// Memory that a server is projected to have in use, as a share of its capacity; above 1 it has a queue.
+/// Projected memory use of a server as a share of its capacity; a value above 1 indicates a queue.
 #[derive(Clone, Copy)]
 struct Projection {
     server: ServerId,
@@ -30,7 +31,7 @@
 }
 
 impl Router {
-    /// Chooses the decode server for a state that waits at its prefill server.
+    /// Selects the decode server for a state that is held by its prefill server.
     pub(super) fn choose_decode_server(
         &mut self, request: &RequestState, actions: &mut Vec<Action>,
     ) -> Option<ServerId> {
@@ -42,7 +43,7 @@
             let wait = self.expected_time(projection.server, 0.0);
             projection.memory_share += (1.0 - confidence) * wait * wait_weight;
         }
-        // Mixed servers decode for others only while every decode server is nearly full.
+        // Mixed servers decode states of other servers only while every decode server is nearly full.
         if projections.iter().all(|projection| self.is_nearly_full(*projection, wait_weight)) {
             let mixed = self.eligible_servers(&[Role::Mixed], request, Stage::Decode, actions);
             projections.extend(self.projected_memory(&mixed));
@@ -54,8 +55,9 @@
         self.prefer_nearby(&projections, prefilled_at, request)
     }
 
-    /// What a millisecond of wait counts for as memory. Without probes the waits met at a server stand in for
-    /// its memory: one as long as the objective is as bad as a full memory.
+    /// Returns the memory share that a millisecond of wait is equivalent to. Without probes, the memory use
+    /// of a server is estimated from its waits: a wait as long as the objective is equivalent to a full
+    /// memory. With probes the weight is 0.
     fn wait_weight(&self, request: &RequestState) -> f64 {
         if self.settings.limits.probes {
             0.0
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Whether a server is full, as far as its reports, or else the waits met there, are trusted.
+    /// Returns whether a server is full according to its memory reports, or to its waits if there are no
+    /// reports. Both are weighted by the confidence in the report.
     fn is_nearly_full(&self, projection: Projection, wait_weight: f64) -> bool {
         let Projection { server, memory_share } = projection;
         let confidence = self.memory_confidence(server);
@@ -73,8 +76,8 @@
         full_by_report || full_by_waits
     }
 
-    /// The lowest projection in the same cell, or else in the same zone, if it is acceptable beside the
-    /// lowest of all; else that one.
+    /// Returns the server with the lowest projection in the same cell, or else in the same zone, if it is
+    /// acceptable compared to the lowest of all projections. Returns the server with the latter otherwise.
     fn prefer_nearby(
         &self, projections: &[Projection], location: Location, request: &RequestState,
     ) -> Option<ServerId> {
@@ -86,15 +89,16 @@
         Some(acceptable.next().unwrap_or(best).server)
     }
 
-    /// The lowest projection of the servers at such a location.
+    /// Returns the lowest projection among the servers whose location satisfies `is_near`.
     fn lowest(&self, projections: &[Projection], is_near: impl Fn(Location) -> bool) -> Option<Projection> {
         let location = |id| self.servers.get(&id).map(|server| server.entry.location());
         let near = projections.iter().copied().filter(|p| location(p.server).is_some_and(&is_near));
         near.min_by(|a, b| a.memory_share.total_cmp(&b.memory_share))
     }
 
-    /// Whether a nearby server may be chosen over the one with the lowest projection. Unknown memory does not
-    /// count against it, and known free memory is enough.
+    /// Returns whether a nearby server may be selected instead of the one with the lowest projection. This is
+    /// the case if its projection is close enough, with a larger margin for unknown memory, or if it has
+    /// reported enough free memory.
     fn is_acceptable_nearby(&self, candidate: Projection, best: Projection, request: &RequestState) -> bool {
         let confidence = self.memory_confidence(candidate.server);
         let margin = NEARBY_MARGIN * confidence + NEARBY_MARGIN_UNKNOWN * (1.0 - confidence);
@@ -107,13 +111,13 @@
         is_reported && candidate.memory_share + request.memory_share(server) <= FULL
     }
 
-    /// Projected memory of these servers: the last report, believed less with its age (then the average, plus
-    /// a random part), and the streams sent since.
+    /// Returns the projected memory use of these servers, which is the last report plus the streams sent
+    /// since. As the confidence in the report decays, it is replaced by the average plus a random addition.
     ///
-    /// This router's own streams stand for those of the others only where it sent many: a few say nothing
-    /// about a large fleet, and would raise all alike.
+    /// This router's own streams are extrapolated to all routers only if it has sent many of them. A few
+    /// streams are not representative in a large fleet, and would raise all projections equally.
     fn projected_memory(&mut self, ids: &[ServerId]) -> Vec<Projection> {
-        // Routers that know the same must not all choose the same server.
+        // Routers with the same information must not all choose the same server.
         let draws: Vec<f64> = ids.iter().map(|_| self.random.next_unit()).collect();
         let servers: Vec<&ServerRecord> = ids.iter().filter_map(|id| self.servers.get(id)).collect();
         let average = self.average_memory(&servers);
@@ -131,9 +135,9 @@
         servers.iter().zip(draws).map(project).collect()
     }
 
-    /// Mean reported memory, weighted by the confidence in the reports.
+    /// Returns the mean of the reported memory shares, weighted by the confidence in the reports.
     fn average_memory(&self, servers: &[&ServerRecord]) -> f64 {
-        // Avoids a division by 0 where nothing has been reported.
+        // Avoids a division by 0 if there are no reports.
         let (mut sum, mut weight) = (0.0, 1e-9);
         for server in servers {
             let confidence = server.memory_report_confidence(self.now, MEMORY_REPORT_DECAY);
--- a/crates/router/src/policy/diversion.rs
+++ b/crates/router/src/policy/diversion.rs
@@ -1,28 +1,31 @@
-//! Overload diversion: a preferred server with far more load than its peers is passed over.
+//! Overload diversion: skips a preferred server with a much higher load than its peers.
 //!
-//! State: none of its own; it reads this router's own counts, so it serves small fleets (`probes` serves
-//! large ones). Guards a prefill server that many prefixes prefer, at the price of a prefill that finds
-//! nothing cached.
+//! This module has no state of its own. It uses this router's own counts and therefore applies to small
+//! fleets; `probes` applies to large ones. It protects a prefill server that is preferred by many prefixes.
+//! The cost is a prefill at a server that has nothing cached.
 
 use super::Router;
 use crate::api::{Millis, ServerId};
 use crate::state::{median, RequestState, REQUEST_RATE_DECAY};
 
-/// A server is overloaded when its requests in flight exceed this many times the median of its role ...
+/// A server is overloaded if its requests in flight exceed this multiple of the median of its role, and
+/// exceed the median by more than [`IN_FLIGHT_FLOOR`].
 const IN_FLIGHT_FACTOR: f64 = 2.0;
-/// ... and the median by this many, over all routers together.
+/// Minimum difference between the requests in flight at an overloaded server and the median, over all
+/// routers.
 const IN_FLIGHT_FLOOR: f64 = 8.0;
-/// A server has excess sends when it was sent this many times the mean of late. Sends vary less than requests
-/// in flight.
+/// A server has excess sends if its recent sends exceed this multiple of the mean. The factor is lower than
+/// that for requests in flight, because sends vary less.
 const SENDS_FACTOR: f64 = 1.6;
-/// A prefill that would end after this share of the objective goes where it would end before that ...
+/// Share of the objective after which the end of a prefill counts as late. A late prefill is sent to a server
+/// at which it would not be late.
 const LATE_OBJECTIVE_SHARE: f64 = 0.35;
-/// ... and within this part of the time.
+/// Maximum expected time at that server, as a share of the time at the preferred server.
 const FASTER_FACTOR: f64 = 0.6;
 
 impl Router {
-    /// Whether this router has sent a server far more than the mean of late. That still shows an overloaded
-    /// server where requests in flight are too few to show it.
+    /// Returns whether the recent sends of this router to a server are far above the mean. This also detects
+    /// an overloaded server if there are too few requests in flight.
     pub(super) fn has_excess_sends(&self, id: ServerId, eligible: &[ServerId]) -> bool {
         let recent_sends = |id: &ServerId| {
             let server = self.servers.get(id);
@@ -32,7 +35,8 @@
         recent_sends(&id) > SENDS_FACTOR * mean + 1.0
     }
 
-    /// The preferred server, or the least loaded of its role if it is overloaded by this router's own counts.
+    /// Returns the preferred server, or the least loaded one of its role if the preferred server is
+    /// overloaded according to this router's own counts.
     fn divert_by_in_flight(&self, preferred: ServerId, eligible: &[ServerId]) -> ServerId {
         let role = |id: &ServerId| self.servers.get(id).map(|server| server.role);
         let in_flight =
@@ -46,11 +50,11 @@
         peers().min_by(|a, b| in_flight(a).total_cmp(&in_flight(b))).unwrap_or(preferred)
     }
 
-    /// The server that gets a request: the preferred one, unless it is overloaded or its prefill would end
-    /// late, as at a slow server, and another's would not. The request must not be rejected for the sake of
-    /// affinity.
+    /// Returns the destination of a request. This is the preferred server unless it is overloaded, or the
+    /// prefill would end late there, as at a slow server, but not at another server. Without the second
+    /// condition, requests would be rejected only because of affinity.
     ///
-    /// Cost: a complete prefill there. So where all would be late, affinity is kept.
+    /// A diverted request requires a complete prefill, so the preferred server is used if all would be late.
     pub(super) fn divert(
         &self, preferred: ServerId, cached_tokens: f64, eligible: &[ServerId], request: &RequestState,
     ) -> ServerId {
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -1,9 +1,9 @@
-//! Load shedding: requests that can hardly be in time are rejected at once, those of tenants over their quota
-//! first.
+//! Load shedding: rejects requests immediately if they will probably be late, and first those of tenants that
+//! exceed their quota.
 //!
-//! State: none of its own; it reads the wait estimates and slow-start allowances, and `shedding_trials`
-//! counts the rejections. Guards clients from waiting in vain, and prefill servers from work that no decode
-//! server can follow up.
+//! This module has no state of its own. It uses the wait estimates and slow-start allowances, and
+//! `shedding_trials` counts the rejections. Load shedding saves clients a useless wait, and prefill servers
+//! work whose result no decode server could use.
 
 use super::slow_start::NO_PREFIX_DEMAND;
 use super::Router;
@@ -11,24 +11,24 @@
 use crate::state::{Placement, RequestState, ServerRecord};
 use crate::wait_estimate;
 
-/// Share of the objective within which the first token must be expected, and that of a tenant over its quota.
+/// Share of the objective after which an expected first token counts as late.
 const OBJECTIVE_SHARE: f64 = 0.7;
+/// The same share for a request that exceeds its tenant's quota.
 const OVER_QUOTA_OBJECTIVE_SHARE: f64 = 0.35;
-/// The probability of a rejection grows by this for each such share that the first token is expected later
-/// ...
+/// Increase of the rejection probability for each further such share of expected delay.
 const REJECT_SLOPE: f64 = 3.0;
-/// ... up to this.
+/// Maximum rejection probability of a late request.
 const MAX_REJECT_PROBABILITY: f64 = 0.95;
 
 impl RequestState {
-    /// Work of its prefill, in tokens, where so many of its tokens are cached.
+    /// Returns the work of the prefill, in tokens, if `cached_tokens` of the prompt are cached.
     pub(super) fn prefill_work(&self, cached_tokens: f64) -> f64 {
         (self.request.prompt_tokens - cached_tokens).max(0.0) + wait_estimate::FIXED_WORK
     }
 }
 
 impl Router {
-    /// Whether a request is rejected at once instead of being placed there as its first attempt.
+    /// Returns whether a request is rejected instead of being sent to this placement as its first attempt.
     pub(super) fn should_shed(&mut self, request: &RequestState, placement: Placement) -> bool {
         let first_token = self.expected_first_token(request, placement);
         let lacks_decode_server = self.lacks_decode_server(first_token);
@@ -36,7 +36,7 @@
         (lacks_decode_server || is_late) && self.shedding_trials.should_reject(self.now)
     }
 
-    /// Time until the first token of a request that is placed there now.
+    /// Returns the expected time until the first token of a request that is sent to this placement now.
     fn expected_first_token(&self, request: &RequestState, placement: Placement) -> Millis {
         let decode_servers =
             self.servers.values().filter(|s| s.role == Role::Decode && !s.health.is_ejected(self.now));
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Whether no decode server would take the state of a new prefill before its lease ends, beside the
-    /// requests that need one already. Only known where routers probe, and only while every decode server is
-    /// in slow start.
+    /// Returns whether the capacity of all decode servers until the end of the lease of a new prefill is
+    /// needed by other requests. This can be determined only if routers probe, and only
+    /// while every decode server is in slow start.
     fn lacks_decode_server(&self, prefill_time: Millis) -> bool {
         if !self.probes_before_send() {
             return false;
@@ -70,8 +70,8 @@
         capacity <= needed
     }
 
-    /// Whether a request is rejected as late: by chance, so that routers with the same view do not reject
-    /// alike.
+    /// Returns whether a request is rejected as late. The decision is random, so that routers with the same
+    /// information do not all reject at the same time.
     fn draws_late_rejection(&mut self, request: &RequestState, first_token: Millis) -> bool {
         let share = if request.over_quota { OVER_QUOTA_OBJECTIVE_SHARE } else { OBJECTIVE_SHARE };
         let lateness = first_token / (request.first_token_objective() * share).max(1.0);
@@ -79,8 +79,8 @@
         lateness > 1.0 && self.random.next_unit() < probability
     }
 
-    /// Time until a prefill of so much work would end at a server, or at a decode or mixed server a stream
-    /// would begin, if it were sent now.
+    /// Returns the expected time until a request that is sent now would complete its prefill, or would begin
+    /// its stream at a decode or mixed server.
     pub(super) fn expected_time(&self, id: ServerId, work_tokens: f64) -> Millis {
         let Some(server) = self.servers.get(&id) else { return 0.0 };
         wait_estimate::time_to_serve(server, &self.statistics, self.router_count(), self.now, work_tokens)
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -1,9 +1,10 @@
-//! Routing policy: which server a request goes to, whether it is retried, and when it is rejected.
+//! Routing policy: selects the servers of a request and decides whether to retry or reject it.
 //!
-//! [`Router`] owns all state; each module adds one concern to it. The caller owns the clock and carries the
-//! actions out. On the usual path the prefix table, or else a consistent hash, names the prefill server
-//! (`affinity`); an overloaded one is passed over (`diversion`, or `probes` in a large fleet); and the state
-//! goes to the decode server with the least projected memory (`decode_placement`).
+//! [`Router`] owns all state, and each module implements one concern of it. The caller owns the clock and
+//! executes the actions. In the normal case the prefix table, or else a consistent hash, determines the
+//! prefill server (`affinity`). An overloaded prefill server is skipped (`diversion`, or `probes` in a large
+//! fleet). The resulting state is sent to the decode server with the lowest projected memory use
+//! (`decode_placement`).
 
 mod affinity;
 mod decode_placement;
@@ -32,46 +33,47 @@
 };
 use crate::tenant_quota::TenantQuotas;
 
-/// Housekeeping period (ms).
+/// Interval of housekeeping (ms).
 const HOUSEKEEPING_INTERVAL: Millis = 100.0;
-/// A housekeeping timer that is late by this much is taken for lost (ms).
+/// Delay after which a housekeeping timer is considered lost (ms).
 const HOUSEKEEPING_LOST_AFTER: Millis = 10.0 * HOUSEKEEPING_INTERVAL;
-/// Longest pause before the router subscribes again after a failure of discovery (ms).
+/// Maximum delay before the router subscribes again after a failure of discovery (ms).
 const MAX_RESUBSCRIBE_PAUSE: Millis = 5_000.0;
 
-/// The routing decisions of one gateway. It does no I/O and reads no clock: events come in, actions go out.
+/// Routing state of one gateway. It performs no I/O and reads no clock: it turns events into actions.
 ///
-/// The same seed, settings and events always give the same actions.
+/// The same seed, settings and events always produce the same actions.
 pub struct Router {
     settings: Settings,
-    /// Time of the last event. It never goes back.
+    /// Time of the last event; never decreases.
     pub(crate) now: Millis,
     random: Random,
-    /// Time of the first event, or the age that was imported.
+    /// Time of the first event, or the start time that follows from an imported age.
     pub(crate) started_at: Option<Millis>,
     servers: ServerMap,
     requests: BTreeMap<RequestId, RequestState>,
-    /// Prefix table: where the prefix cache of a session or a shared prefix is.
+    /// Prefix table: the server that has a session or a shared prefix in its cache.
     pub(crate) affinity_table: RecentEntries<AffinityKey, AffinityEntry>,
-    /// Requests of late by hash key, and of all keys together (`None`), in usual requests.
+    /// Recent requests for each hash key, and for all keys together (`None`), as multiples of a request with
+    /// a prompt of mean length.
     request_rates: RecentEntries<Option<u64>, DecayingValue>,
     pub(crate) statistics: RoutingStatistics,
-    /// Retries that may still be paid for.
+    /// Retries that may be sent before the budget is exhausted.
     retry_budget: f64,
-    /// Probes that have been earned and not sent.
+    /// Probes that may be sent before the budget is exhausted.
     probe_budget: f64,
     tenant_quotas: TenantQuotas,
     shedding_trials: SheddingTrials,
     log_limiter: LogLimiter,
-    /// When to subscribe to the server list again, after a failure of discovery.
+    /// Time of the next subscription after a failure of discovery; `None` if none is scheduled.
     resubscribe_at: Option<Millis>,
-    /// When the housekeeping timer is due.
+    /// Due time of the housekeeping timer; `None` before the first event.
     tick_due: Option<Millis>,
 }
 
 impl Router {
-    /// A router that knows no server yet. `seed` determines its random draws; routers of one fleet should
-    /// differ in it.
+    /// Creates a router with an empty server list. `seed` initializes its random numbers and should differ
+    /// among the routers of a fleet.
     pub fn new(seed: u64, settings: Settings) -> Self {
         Router {
             settings,
@@ -93,9 +95,9 @@
         }
     }
 
-    /// Processes one event and appends what is to be done about it to `actions`.
+    /// Processes one event and appends the resulting actions to `actions`.
     ///
-    /// A `now` that is earlier than that of the event before, or not finite, counts as the same time.
+    /// If `now` is earlier than the time of the previous event, or not finite, the previous time is used.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = if now.is_finite() { now.max(self.now) } else { self.now };
         self.initialize(actions);
@@ -113,12 +115,13 @@
         }
     }
 
-    /// Whether this server is known and yet gets no new requests at present: ejected, draining or terminated.
+    /// Returns whether this server is listed but receives no new requests at present, because it is ejected
+    /// or draining.
     pub fn is_avoided(&self, id: ServerId) -> bool {
         self.servers.get(&id).is_some_and(|server| !server.is_available(self.now))
     }
 
-    /// Completes the start at the first event, and keeps housekeeping going.
+    /// Completes initialization at the first event, and schedules housekeeping again if its timer was lost.
     fn initialize(&mut self, actions: &mut Vec<Action>) {
         if self.started_at.is_none() {
             self.started_at = Some(self.now);
@@ -129,13 +132,13 @@
                 actions.push(Action::Subscribe { on: true });
             }
         }
-        // A timer that was lost must not stop housekeeping for good.
+        // A lost timer must not stop housekeeping permanently.
         if self.tick_due.is_none_or(|due| self.now > due + HOUSEKEEPING_LOST_AFTER) {
             self.schedule_tick(actions);
         }
     }
 
-    /// Number of routers that share the servers, at least 1.
+    /// Returns the number of routers that share the servers, at least 1.
     fn router_count(&self) -> f64 {
         f64::from(self.settings.router_count.max(1))
     }
@@ -154,10 +157,10 @@
         }
     }
 
-    /// Takes in a server list, or subscribes again after a pause when discovery failed.
+    /// Applies a server list, or schedules a new subscription if discovery failed.
     fn on_server_list(&mut self, update: ListUpdate, entries: Vec<ServerEntry>) {
         if update == ListUpdate::Failed {
-            // The previous list stands until then.
+            // The previous list remains in use until then.
             let pause = self.settings.rules.discovery_poll_limit / 4.0;
             self.resubscribe_at = Some(self.now + pause.clamp(HOUSEKEEPING_INTERVAL, MAX_RESUBSCRIBE_PAUSE));
             return;
@@ -166,7 +169,8 @@
         server_list::apply_update(&mut self.servers, update, entries, kinds, &mut self.random, self.now);
     }
 
-    /// Housekeeping: time-out detection, a due subscription, and probes of quiet servers.
+    /// Performs housekeeping: detects time-outs, sends a due subscription, and probes servers without a
+    /// recent load report.
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
         self.schedule_tick(actions);
         self.detect_timeouts(actions);
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
-//! Outlier ejection and the panic threshold: which servers may get work at present.
+//! Outlier ejection and the panic threshold: determine the servers that may receive attempts at present.
 //!
-//! State: [`Health`] in each server's record. Guards requests from servers that fail, and the fleet from
-//! ejecting its servers for a fault that is not theirs.
+//! The state is [`Health`] in each server's record. Ejection protects requests from failing servers. The
+//! panic threshold prevents the ejection of most servers because of a fault elsewhere.
 
 use super::slow_start::NO_PREFIX_DEMAND;
 use super::state_leases::NOTE_NO_STATE;
@@ -11,28 +11,29 @@
     sanitize, Attempt, FailureKind, Health, PrefillSample, RequestState, ServerRecord, Stage,
 };
 
-/// Time of a first ejection (ms). Each further one takes twice as long ...
+/// Duration of a first ejection (ms). Each further ejection takes twice as long, up to [`MAX_DOUBLINGS`].
 pub(super) const BASE_EJECTION_TIME: Millis = 500.0;
-/// ... up to so many doublings.
+/// Maximum number of times that the duration of an ejection is doubled.
 const MAX_DOUBLINGS: u32 = 4;
-/// Score of a broken connection and of a malformed response. Any other failure has a score of 1, which
-/// ejects.
+/// Score of a broken connection. A server is ejected at a total score of 1, which any failure without a score
+/// of its own has.
 const RESET_SCORE: f64 = 0.6;
+/// Score of a malformed response.
 const MALFORMED_RESPONSE_SCORE: f64 = 0.2;
-/// Part of the score that a success leaves.
+/// Factor by which a success reduces the score.
 const SCORE_AFTER_SUCCESS: f64 = 0.8;
-/// Panic threshold: below this share of servers that are not ejected, ejections for soft failures are
-/// overruled.
+/// Panic threshold: minimum share of servers that are not ejected. Below it, ejections are ignored unless the
+/// server is unreachable.
 const PANIC_SHARE: f64 = 0.5;
 
-/// How long a server is ejected that was ejected so many times before (ms).
+/// Returns the duration of an ejection (ms) after this number of doublings.
 fn ejection_time(doublings: u32) -> Millis {
     BASE_EJECTION_TIME * f64::from(1u32 << doublings)
 }
 
 impl Router {
-    /// Servers of these roles that may get an attempt of a request now: ready, not ejected, and within slow
-    /// start's allowance.
+    /// Returns the servers of these roles that may receive an attempt of a request now. They are ready, not
+    /// ejected, within the slow-start allowance, and permitted by the idempotency of the request.
     pub(super) fn eligible_servers(
         &mut self, roles: &[Role], request: &RequestState, stage: Stage, actions: &mut Vec<Action>,
     ) -> Vec<ServerId> {
@@ -46,8 +47,8 @@
         let mut healthy: Vec<&ServerRecord> =
             ready.iter().copied().filter(|server| !server.health.is_ejected(now)).collect();
         if (healthy.len() as f64) < PANIC_SHARE * ready.len() as f64 {
-            // Most servers of a role look bad, so the fault is elsewhere. Unreachable ones stay out while
-            // others remain.
+            // If most servers are ejected, the fault is probably elsewhere. Unreachable servers remain
+            // excluded while there are others.
             healthy = ready.iter().copied().filter(|server| !server.health.is_unreachable()).collect();
             if healthy.is_empty() {
                 healthy.clone_from(&ready);
@@ -55,7 +56,7 @@
             let text = format!("using {} of {}", healthy.len(), ready.len());
             self.log_limiter.log("panic threshold", text, now, actions);
         }
-        // A prefill server in slow start is probed first, which then decides.
+        // A prefill server is probed before the send, and the allowance is checked after the probe.
         let is_probed_first = stage == Stage::Prefill && self.probes_before_send();
         healthy.retain(|server| {
             is_probed_first
@@ -64,7 +65,8 @@
         let healthy: Vec<ServerId> = healthy.iter().map(|server| server.entry.server).collect();
         let untried: Vec<ServerId> =
             healthy.iter().copied().filter(|id| !request.has_failed_on(*id, stage)).collect();
-        // All have been tried: wait a little, or refused connections would use up every attempt in a moment.
+        // If all servers have been tried, a delay prevents refused connections from using up all attempts at
+        // once.
         let can_try_again = now >= request.idle_since + HOUSEKEEPING_INTERVAL;
         if untried.is_empty() && can_try_again {
             healthy
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Updates a server's health and service time by the end of an attempt. `work_tokens` is that of a
-    /// prefill.
+    /// Updates a server's health and measurements with the outcome of an attempt. `work_tokens` is the work
+    /// of its prefill.
     pub(super) fn record_attempt_health(
         &mut self, outcome: &AttemptOutcome, attempt: &Attempt, work_tokens: f64, actions: &mut Vec<Action>,
     ) {
@@ -94,7 +96,7 @@
                 }
             }
             AttemptStatus::Rejected if outcome.note < NOTE_NO_STATE => {
-                // It counts as full until its next report, whatever the last one said.
+                // The server counts as full until its next report, regardless of the last one.
                 if let Some(server) = self.servers.get_mut(&outcome.server) {
                     server.memory_share = Some(server.memory_share.unwrap_or(0.0).max(1.0));
                     server.memory_reported_at = self.now;
@@ -104,9 +106,9 @@
         }
     }
 
-    /// Counts a failure of a server, and ejects the server once its failures are enough.
+    /// Adds a failure to the score of a server, and ejects the server if the score is high enough.
     ///
-    /// Cost: a server that is merely busy may be skipped; the panic threshold bounds that.
+    /// A server that is only busy may be ejected, too. The panic threshold limits the effect.
     pub(super) fn record_failure(&mut self, id: ServerId, kind: FailureKind, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&id) else { return };
@@ -115,7 +117,8 @@
             FailureKind::MalformedResponse => MALFORMED_RESPONSE_SCORE,
             FailureKind::Error | FailureKind::Unresponsive | FailureKind::ConnectFailed => 1.0,
         };
-        // On trial one failure is enough, except while it is still ejected and except a malformed response.
+        // During a trial, any failure but a malformed response ejects the server again once its ejection has
+        // ended.
         let is_on_trial = server.health.on_trial && kind != FailureKind::MalformedResponse;
         let is_tolerated =
             if is_on_trial { now < server.health.ejected_until } else { server.health.score < 1.0 };
@@ -139,14 +142,15 @@
         }
     }
 
-    /// Counts a success of a server by an attempt sent at `sent_at`, which ends a trial that began before.
+    /// Records a success of a server with an attempt sent at `sent_at`, which ends a trial if the attempt was
+    /// sent after the ejection.
     pub(super) fn record_success(&mut self, id: ServerId, sent_at: Millis) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.last_progress_at = now;
         server.health.score *= SCORE_AFTER_SUCCESS;
         if server.health.on_trial && sent_at >= server.health.ejected_at {
-            // One that could not be reached may have restarted without an entry in the list.
+            // A server that could not be reached may have restarted without a new list entry.
             if server.health.cause == Some(FailureKind::ConnectFailed) {
                 server.enter_slow_start(Some(now), now, self.random.next_unit());
             }
--- a/crates/router/src/policy/prefix_table.rs
+++ b/crates/router/src/policy/prefix_table.rs
@@ -1,17 +1,17 @@
-//! Prefix table: which server has the prefix of a session or a shared prefix in its cache.
+//! Prefix table: maps sessions and shared prefixes to the server that has them in its cache.
 //!
-//! State: the router's `affinity_table`, bounded and least recently used first out. Guards against entries
-//! that outlive the cache they stand for.
+//! The state is the router's `affinity_table`, a bounded map with least-recently-used eviction. Entries
+//! expire, because a server evicts prefixes from its cache.
 
 use super::Router;
 use crate::api::{Millis, RequestId, ServerId};
 use crate::state::{AffinityEntry, AffinityKey, RequestState};
 
-/// Most entries; a session and a prefix take one each.
+/// Maximum number of entries. A session and a prefix use one entry each.
 pub(super) const CAPACITY: usize = 50_000;
-/// Time to live of an entry (ms), about that of a cached prefix.
+/// Time to live of an entry (ms), similar to that of a prefix in a server's cache.
 const TIME_TO_LIVE: Millis = 30_000.0;
-/// Share of a session's prompt that its last prefill server should still have cached.
+/// Estimated share of a session's prompt that is cached at its last prefill server.
 const SESSION_CACHED_SHARE: f64 = 0.8;
 
 impl AffinityEntry {
@@ -21,7 +21,7 @@
 }
 
 impl RequestState {
-    /// Prompt tokens that a server found by this key should have cached.
+    /// Returns the estimated number of prompt tokens that are cached at a server found by this key.
     pub(super) fn cached_tokens(&self, key: Option<AffinityKey>) -> f64 {
         match key {
             Some(AffinityKey::Session(_)) => self.request.prompt_tokens * SESSION_CACHED_SHARE,
@@ -32,17 +32,17 @@
 }
 
 impl Router {
-    /// The server that a key is tied to. The look-up counts as a use of the entry.
+    /// Returns the server that a key maps to. The look-up counts as a use of the entry.
     pub(super) fn affinity_server(&mut self, key: &AffinityKey) -> Option<ServerId> {
         let now = self.now;
         self.affinity_table.get(key).filter(|entry| entry.is_live(now)).map(|entry| entry.server)
     }
 
-    /// Ties a request's session to the server that has done its prefill, and its prefix unless that has a
-    /// live entry.
+    /// Maps a request's session to the server that completed its prefill, and also its prefix unless that
+    /// already maps to another listed server.
     ///
-    /// One request that was diverted must not move the prefix, or a short overload would scatter all
-    /// prefixes, each move costing a prefill from the start.
+    /// A single diverted request must not move the prefix. Otherwise a short overload would scatter all
+    /// prefixes, and each move causes a complete prefill.
     pub(super) fn record_affinity(&mut self, id: RequestId, server: ServerId) {
         let Some(state) = self.requests.get(&id) else { return };
         let now = self.now;
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -1,7 +1,8 @@
-//! Load probes: on behalf of a request in a large fleet, or to hear from a server that has been quiet.
+//! Load probes: sent on behalf of a request in a large fleet, and to servers without a recent load report.
 //!
-//! State: the router's probe budget, earned by requests, and the probes sent for each request. Guards the
-//! price of probes over the whole fleet, and preferred servers that no single router sees to be overloaded.
+//! The state is the router's probe budget, which requests replenish, and the probes sent for each request.
+//! The budget bounds the cost of probes over the whole fleet. In a large fleet, probes detect the overload of
+//! preferred servers that no router can detect from its own traffic.
 
 use super::decode_placement::MEMORY_REPORT_DECAY;
 use super::outlier_detection::BASE_EJECTION_TIME;
@@ -11,17 +12,18 @@
 use crate::slow_start_budget::{self, Allowance};
 use crate::state::{Location, RequestState, SentProbe, ServerRecord, LOAD_REPORT_TTL};
 
-/// A server that has not been heard from for this long is probed (ms).
+/// Time without a load report or a probe after which a server is probed (ms).
 pub(super) const PROBE_INTERVAL: Millis = 1_000.0;
-/// Small fleet: probes earned by a request, and most that are saved up.
+/// Small fleet: number of probes that a request adds to the budget.
 const PROBES_PER_REQUEST: f64 = 1.0;
+/// Small fleet: maximum number of probes in the budget.
 const MAX_PROBE_BUDGET: f64 = 2.0;
-/// Large fleet: probes that are saved up for requests, not to be spent on quiet servers.
+/// Large fleet: number of probes in the budget that only requests may use.
 const PROBES_RESERVED_FOR_REQUESTS: f64 = 12.0;
-/// Quiet servers with pending work are probed before all others.
+/// Rank advantage of servers with pending work (ms), so that they are probed before all others.
 const PENDING_WORK_URGENCY: Millis = 1e12;
 
-/// What one request knows of the prefill servers that it may go to.
+/// Information about the candidate prefill servers of a request.
 struct FleetView<'a> {
     router: &'a Router,
     request: &'a RequestState,
@@ -34,19 +36,19 @@
         self.router.servers.get(&id)
     }
 
-    /// What slow start permits to be sent there for the prefix of the request.
+    /// Returns the slow-start allowance of a server for the prefix of the request.
     fn allowance(&self, server: &ServerRecord) -> Allowance {
         let demand_units = self.demand.at_server(server);
         self.router.slow_start_allowance(server, demand_units, self.router.now)
     }
 
-    /// Whether slow start permits the request to be sent there now.
+    /// Returns whether slow start permits a send to the server now.
     fn permits_send(&self, id: ServerId) -> bool {
         self.server(id).is_some_and(|server| self.allowance(server).permits_send(server, self.router.now))
     }
 
-    /// What is known of a server's load. One in slow start whose report does not count is treated like one
-    /// that does not answer.
+    /// Returns the load information about a server. If the server is in slow start and this router may not
+    /// rely on its report, the server is treated as one that does not answer.
     fn knowledge(&self, id: ServerId) -> LoadKnowledge {
         let Some(server) = self.server(id).filter(|server| self.allowance(server).trusts_report()) else {
             return LoadKnowledge::NoAnswer;
@@ -56,7 +58,8 @@
         fleet_load::load_knowledge(server, probed_at, self.router.now, self.typical_load, capacity_share)
     }
 
-    /// The server to fall back on: one that was probed already, or else one with the least estimated load.
+    /// Returns the fallback server: one that has already been probed, or else one with the lowest estimated
+    /// load.
     fn fallback(&self, others: &[ServerId], draw: f64) -> Option<ServerId> {
         if let Some(probed) = others.iter().find(|id| self.request.probed_at(**id).is_some()) {
             return Some(*probed);
@@ -75,14 +78,15 @@
 }
 
 impl Router {
-    /// Whether load reports decide instead of this router's own counts, which say too little in a large
-    /// fleet. A request may then have to wait for a probe before it is sent.
+    /// Returns whether placement uses load reports instead of this router's own counts, which are not
+    /// representative in a large fleet. A request may then wait for a probe before it is sent.
     pub(super) fn probes_before_send(&self) -> bool {
         fleet_load::is_large_fleet(self.router_count()) && self.settings.limits.probes
     }
 
-    /// Overload diversion in a large fleet: the first server in order that is not overloaded by its load
-    /// report, which is probed for. `None` while an answer is awaited.
+    /// Performs overload diversion in a large fleet: returns the first server in order of preference that is
+    /// not overloaded according to its load report, and sends probes for missing reports. Returns `None`
+    /// while probes are in flight, or if no candidate remains.
     pub(super) fn choose_by_load_probe(
         &mut self, matched: Option<ServerId>, ranked: &[ServerId], request: &mut RequestState,
         actions: &mut Vec<Action>,
@@ -95,7 +99,7 @@
         let mut others = candidates.split_off(candidates.len().min(fleet_load::MAX_PROBED_CANDIDATES));
         others.retain(|id| view.permits_send(*id));
         candidates.extend(view.fallback(&others, draw));
-        // A server in slow start gets nothing without a load report.
+        // Excludes servers in slow start for which no load report can be obtained.
         candidates.retain(|id| view.permits_send(*id) || view.knowledge(*id).can_be_known(budget));
         let knowledge: Vec<LoadKnowledge> = candidates.iter().map(|id| view.knowledge(*id)).collect();
         match fleet_load::next_step(&knowledge, budget) {
@@ -111,7 +115,8 @@
         None
     }
 
-    /// What the request knows of the candidates, of which the first is preferred.
+    /// Collects the information about the candidates of a request, of which the first is the preferred
+    /// server.
     fn fleet_view<'a>(
         &'a self, ranked: &[ServerId], candidates: &[ServerId], request: &'a RequestState,
     ) -> FleetView<'a> {
@@ -123,7 +128,7 @@
         FleetView { router: self, request, demand, typical_load: fleet_load::typical_load(loads) }
     }
 
-    /// Sends a probe, and pays for it.
+    /// Sends a probe and deducts it from the budget.
     fn send_probe(&mut self, id: ServerId, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.last_probed_at = self.now;
@@ -131,8 +136,8 @@
         actions.push(Action::Probe { server: id });
     }
 
-    /// Probes some decode servers near a prefill for their memory while it runs, so that its state need not
-    /// leave its cell for a server of which more is known.
+    /// Probes some decode servers in the cell of a prefill for their memory while it runs, so that its state
+    /// does not leave the cell only because more is known about a server elsewhere.
     pub(super) fn probe_nearby_decode_servers(&mut self, location: Location, actions: &mut Vec<Action>) {
         let now = self.now;
         let Prices { probe, cell_transfer } = self.settings.prices;
@@ -144,8 +149,9 @@
         self.probe_decode_servers(is_unknown_nearby, count, actions);
     }
 
-    /// Probes some decode servers for a state that none of them may take: one in slow start gets nothing
-    /// without a fresh report, and what it reported at the start of a prefill is old at its end.
+    /// Probes some decode servers for a state that no decode server may receive at present. A server in slow
+    /// start receives nothing without a fresh report, and a report from the start of a prefill is too old at
+    /// its end.
     pub(super) fn probe_stale_decode_servers(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_stale = |server: &ServerRecord| {
@@ -155,7 +161,7 @@
         self.probe_decode_servers(is_stale, fleet_load::MAX_PROBED_DECODE_SERVERS, actions);
     }
 
-    /// Probes up to `max_count` available decode servers, drawn at random.
+    /// Probes up to `max_count` available decode servers, selected at random.
     fn probe_decode_servers(
         &mut self, is_wanted: impl Fn(&ServerRecord) -> bool, max_count: usize, actions: &mut Vec<Action>,
     ) {
@@ -172,7 +178,7 @@
         }
     }
 
-    /// Takes in the result of a probe, and continues the requests that waited for it.
+    /// Handles the result of a probe, and advances the requests that wait for it.
     pub(super) fn on_probe_result(
         &mut self, id: ServerId, status: AttemptStatus, report: Option<LoadReport>, actions: &mut Vec<Action>,
     ) {
@@ -199,8 +205,8 @@
         }
     }
 
-    /// Spends the probe budget on quiet servers: first those with pending work, then the one quiet for
-    /// longest.
+    /// Uses the probe budget for servers without a recent load report or probe. Servers with pending work
+    /// come first, then those with the oldest report or probe.
     pub(super) fn probe_quiet_servers(&mut self, actions: &mut Vec<Action>) {
         let is_large_fleet = fleet_load::is_large_fleet(self.router_count());
         let reserved = if is_large_fleet { PROBES_RESERVED_FOR_REQUESTS } else { 0.0 };
@@ -216,14 +222,14 @@
         }
     }
 
-    /// Takes in a load report of a server, if there is one.
+    /// Records a load report of a server, if there is one.
     pub(super) fn record_load_report(&mut self, id: ServerId, report: Option<LoadReport>) {
         if let (Some(server), Some(report)) = (self.servers.get_mut(&id), report) {
             server.record_load_report(report, self.statistics.mean_prompt_tokens, self.now);
         }
     }
 
-    /// Adds to the probe budget what a new request earns.
+    /// Replenishes the probe budget for a new request.
     pub(super) fn earn_probes(&mut self) {
         let (earned, max_budget) = match fleet_load::is_large_fleet(self.router_count()) {
             true => {
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -1,7 +1,7 @@
 //! Request life cycle: the steps of a request from its arrival to its first token.
 //!
-//! State: [`RequestState`] in the router's map, from arrival until the last attempt has ended. Guards the
-//! deadline, the limit of attempts, and one attempt in flight at a time.
+//! The state is a [`RequestState`] in the router's map, from the arrival until the last attempt has ended.
+//! This module enforces the deadline, the maximum number of attempts, and a limit of one attempt in flight.
 
 use super::outlier_detection::BASE_EJECTION_TIME;
 use super::retries::{MAX_RETRY_BUDGET, RETRIES_PER_REQUEST};
@@ -14,31 +14,32 @@
 };
 use crate::wait_estimate;
 
-/// Pause before a request that found no server tries again (ms).
+/// Delay before the next placement of a request for which no server was found (ms).
 pub(super) const PLACEMENT_RETRY_INTERVAL: Millis = 20.0;
-/// A timer may fire early by this much (ms). One that is due so soon counts as fired, or the step would be
-/// lost.
+/// Maximum time by which a timer may fire early (ms). A timer that is due within this time counts as fired,
+/// because otherwise its step would be lost.
 const TIMER_TOLERANCE: Millis = 0.5;
 
-/// Clock ticks before its deadline at which a request is answered at the latest.
+/// Minimum time between the answer to a request and its deadline, in clock ticks.
 const ANSWER_MARGIN_TICKS: f64 = 2.0;
-/// Least time-out of an attempt (ms).
+/// Minimum time-out of an attempt (ms).
 const MIN_TIMEOUT: Millis = 1.0;
 
-/// What a request does next.
+/// Next step of a request.
 enum Step {
-    /// No step: an attempt is in flight, the request is closed, or a timer is set.
+    /// No step, because an attempt is in flight, the request is closed, or a timer is set.
     None,
-    /// Send an attempt.
+    /// An attempt is sent.
     Send(Placement),
-    /// Set a timer to try again.
+    /// A timer is set for the next placement.
     RetryLater,
-    /// Reject or fail it.
+    /// The request is rejected or failed.
     Abandon(RejectReason),
 }
 
 impl Router {
-    /// Takes in a request that arrives: rejects one of an unknown class, ignores one that is known already.
+    /// Processes the arrival of a request. A request of an unknown class is rejected, and a duplicate is
+    /// ignored.
     pub(super) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(request.class as usize).cloned() else {
@@ -71,12 +72,12 @@
         self.advance(id, actions);
     }
 
-    /// Time before its deadline at which a request is answered at the latest.
+    /// Returns the minimum time between the answer to a request and its deadline.
     fn answer_margin(&self) -> Millis {
         ANSWER_MARGIN_TICKS * self.settings.tick_interval
     }
 
-    /// Counts a request that arrives, for all requests and for its prefix.
+    /// Counts an arriving request, in total and for its prefix.
     fn count_request(&mut self, request: &Request) -> RecentRequests {
         let now = self.now;
         let relative = request.prompt_tokens / self.statistics.mean_prompt_tokens.max(1.0);
@@ -89,7 +90,7 @@
         RecentRequests { total, same_prefix }
     }
 
-    /// Takes the next step of a request that has no attempt in flight.
+    /// Advances a request that has no attempt in flight to its next step.
     pub(super) fn advance(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         let step = self.next_step(&mut request, actions);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Decides the next step, and sends the probes that it needs.
+    /// Determines the next step of a request, and sends the probes that are required for it.
     fn next_step(&mut self, request: &mut RequestState, actions: &mut Vec<Action>) -> Step {
         let in_progress = request.closed || request.is_streaming() || request.has_attempt_in_flight();
         let exhausted = request.attempts.len() as u32 >= self.settings.limits.max_attempts;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Chooses a decode server for a request that has been prefilled, or else a prefill server.
+    /// Selects a decode server for a request whose prefill is complete, or else a prefill server.
     fn choose_placement(
         &mut self, request: &mut RequestState, actions: &mut Vec<Action>,
     ) -> Option<Placement> {
@@ -147,7 +148,7 @@
         Some(Placement { server, stage: Stage::Decode, cached_tokens: 0.0 })
     }
 
-    /// Sends an attempt, and notes it wherever it counts.
+    /// Sends an attempt, and records it in the request, the server and the shedding trials.
     fn send_attempt(&mut self, id: RequestId, placement: Placement, actions: &mut Vec<Action>) {
         let Placement { server: target, stage, cached_tokens } = placement;
         let now = self.now;
@@ -159,12 +160,12 @@
             return;
         };
         let tokens = request.prefill_work(cached_tokens);
-        // A prefill server's memory is filled by the tokens that it has not cached yet, not by the number of
-        // requests.
+        // At a prefill server the load depends on the number of tokens that are not cached, not on the number
+        // of requests.
         let relative = if server.role == Role::Decode { 1.0 } else { tokens / typical_work };
         server.record_send(id, SentWork { tokens, relative, remaining_credit: credit - 1.0 }, now);
         if server.health.on_trial {
-            // Only one trial at a time.
+            // Ejects the server again, so that only one trial is in flight.
             server.health.ejected_until = now + BASE_EJECTION_TIME;
         }
         let location = server.entry.location();
@@ -173,8 +174,8 @@
             server.unreported_streams.insert(id, UnreportedStream { sent_at: now, memory_share });
             request.possible_execution.get_or_insert(PossibleExecution { location, sent_at: now });
         }
-        // The time-out is the deadline: a retry of slow work that gets on would start it over. Work that does
-        // not get on is left to time-out detection.
+        // The time-out is the deadline, because a retry of slow work that makes progress would restart it.
+        // Work without progress is handled by time-out detection.
         let timeout = (request.deadline - now - answer_margin).max(MIN_TIMEOUT);
         request.record_send(target, stage, tokens, now);
         actions.push(Action::Send { id, server: target, timeout });
@@ -184,19 +185,19 @@
         }
     }
 
-    /// The pause before the next step is over.
+    /// Handles the timer for the next step of a request.
     pub(super) fn on_step_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.get(&id).is_some_and(RequestState::awaits_first_token) {
             self.advance(id, actions);
         }
     }
 
-    /// The time to answer a request has come.
+    /// Handles the timer for the deadline of a request.
     pub(super) fn on_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.reject_or_fail(id, RejectReason::DeadlineExceeded, actions);
     }
 
-    /// Takes in the first token of an attempt, which is a success of its server.
+    /// Handles the first token of an attempt, which counts as a success of its server.
     pub(super) fn on_first_token(&mut self, id: RequestId, attempt: u32, elapsed: Millis) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.record_first_token(attempt, self.now) else { return };
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -1,7 +1,8 @@
-//! Retry policy and retry budget: whether another attempt may follow one that ended.
+//! Retry policy and retry budget: decide whether another attempt may follow one that ended.
 //!
-//! State: the attempts in [`RequestState`], and the router's one budget. Guards idempotency (what may have
-//! run is repeated only where that is harmless) and bounds the load that retries add to a fleet in trouble.
+//! The state is the attempts in [`RequestState`] and the retry budget of the router. The policy repeats a
+//! request that may have been executed only if that is harmless. The budget limits the load that retries add
+//! to an overloaded or failing fleet.
 
 use super::Router;
 use crate::api::{
@@ -10,17 +11,17 @@
 };
 use crate::state::{sanitize, RequestState};
 
-/// Retries that each request adds to the budget.
+/// Number of retries that each request adds to the budget.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Most retries that all routers together may have saved up.
+/// Maximum budget of all routers together, in retries.
 pub(super) const MAX_RETRY_BUDGET: f64 = 30.0;
-/// Least that a retry takes from the budget, whose usual price is 1.
+/// Minimum cost of a retry; the maximum is 1.
 const MIN_RETRY_COST: f64 = 0.1;
-/// No retry is sent when less than this many clock ticks are left before the deadline.
+/// Minimum time before the deadline at which a retry is sent, in clock ticks.
 const MIN_TICKS_LEFT: f64 = 3.0;
 
 impl RequestState {
-    /// Whether it may be rejected, which tells its client that trying again is harmless.
+    /// Returns whether the request may be rejected, which promises its client that a retry is harmless.
     pub(super) fn can_reject(&self) -> bool {
         let never_ran = self.possible_execution.is_none() && !self.has_attempt_in_flight();
         match self.class.idempotency {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Whether another attempt may be sent to any server at all.
+    /// Returns whether another attempt may be sent, to any server.
     pub(super) fn can_retry(&self, now: Millis) -> bool {
         let Some(execution) = self.possible_execution else { return true };
         match self.class.idempotency {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Whether another attempt may be sent to this server.
+    /// Returns whether another attempt may be sent to this server.
     pub(super) fn can_send_to(&self, server: &ServerEntry, now: Millis) -> bool {
         if !self.can_retry(now) {
             return false;
@@ -57,7 +58,7 @@
 }
 
 impl Router {
-    /// Takes in the end of an attempt, and decides what follows.
+    /// Handles the end of an attempt, and advances or closes the request.
     pub(super) fn on_outcome(&mut self, outcome: AttemptOutcome, actions: &mut Vec<Action>) {
         self.record_load_report(outcome.server, outcome.report);
         let Some(request) = self.requests.get_mut(&outcome.id) else { return };
@@ -75,7 +76,7 @@
         self.retry_or_finish(outcome.id, outcome.status, actions);
     }
 
-    /// Decides what follows the end of an attempt.
+    /// Advances, retries, rejects or closes a request after the end of an attempt.
     fn retry_or_finish(&mut self, id: RequestId, status: AttemptStatus, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.closed {
@@ -95,8 +96,8 @@
         self.advance(id, actions);
     }
 
-    /// What a retry takes from the budget. It is the time that the lost attempt took, as a share of the
-    /// objective, so that quick errors do not use up what few requests earn.
+    /// Returns the cost of a retry. It is the duration of the failed attempt as a share of the objective, so
+    /// that quick errors do not exhaust a budget to which only a few requests contribute.
     fn retry_cost(&self, request: &RequestState, status: AttemptStatus) -> f64 {
         let objective = request.first_token_objective();
         let is_late = self.now > request.arrived_at + objective;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Why no retry may follow, if so.
+    /// Returns the reason for which no retry may follow, or `None` if a retry is permitted.
     fn retry_obstacle(&self, request: &RequestState, cost: f64) -> Option<RejectReason> {
         if !request.can_retry(self.now) {
             return Some(RejectReason::MayHaveRun);
--- a/crates/router/src/policy/slow_start.rs
+++ b/crates/router/src/policy/slow_start.rs
@@ -1,23 +1,24 @@
-//! Slow start: how much traffic a server that has just started may receive from this router.
+//! Slow start: limits the traffic from this router to a server that has just started.
 //!
-//! State: `slow_start_since` and the send credit in each [`ServerRecord`]. Guards the overload bound that all
-//! routers must keep together; `slow_start_budget` has the calculation.
+//! The state is `slow_start_since` and the send credit in each [`ServerRecord`]. This module enforces the
+//! overload bound that applies to all routers together. `slow_start_budget` contains the calculation.
 
 use super::Router;
 use crate::api::{Millis, ServerId};
 use crate::slow_start_budget::{self, Allowance};
 use crate::state::ServerRecord;
 
-/// Demand where the requests of no prefix in particular are concerned, in units of capacity.
+/// Demand for an allowance that does not concern a specific prefix, in units of capacity.
 pub(super) const NO_PREFIX_DEMAND: f64 = 0.0;
 
 impl Router {
-    /// Share of its capacity, from 0 to 1, that a server can be sent at present.
+    /// Returns the share of its capacity, from 0 to 1, that a server may receive at present.
     pub(super) fn capacity_share(&self, server: &ServerRecord) -> f64 {
         slow_start_budget::capacity_share(&self.settings.rules, server.slow_start_since, self.now)
     }
 
-    /// Sends that this router may make to a server in slow start at time `when`, if it makes none before.
+    /// Returns the number of sends that this router may make to a server in slow start at time `when`,
+    /// provided that it makes none before.
     pub(super) fn send_credit(&self, server: &ServerRecord, when: Millis) -> f64 {
         let units = slow_start_budget::capacity_units(server, self.capacity_share(server));
         let throughput = self.statistics.throughput(server.role);
@@ -25,8 +26,8 @@
         slow_start_budget::send_credit(server, units, throughput, rules, self.router_count(), when)
     }
 
-    /// What this router may send to a server at time `when`, for a prefix that keeps `demand_units` of
-    /// capacity busy.
+    /// Returns the allowance of this router for a server at time `when`, for a prefix whose requests keep
+    /// `demand_units` of capacity busy.
     pub(super) fn slow_start_allowance(
         &self, server: &ServerRecord, demand_units: f64, when: Millis,
     ) -> Allowance {
@@ -39,7 +40,8 @@
         Allowance { capacity_share, send_credit, report_threshold }
     }
 
-    /// Counts a completion at a server towards the throughput of its role, from which the credit grows.
+    /// Adds a completion at a server to the throughput of its role, which determines the growth of the
+    /// credit.
     pub(super) fn record_completion(&mut self, id: ServerId) {
         let Some(role) = self.servers.get(&id).map(|server| server.role) else { return };
         let same_role = self.servers.values().filter(|server| server.role == role);
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -1,23 +1,24 @@
-//! State leases: how long a prefill server holds a request's state, and its release.
+//! State leases: the time for which a prefill server holds the state of a request, and the release of the
+//! state.
 //!
-//! State: `prefilled_on` and `lease_since` in [`RequestState`]; the prefill server enforces the lease by its
-//! own clock. Guards the lease limit, and that each state is released exactly when nothing can fetch it any
-//! more.
+//! The state is `prefilled_on` and `lease_since` in [`RequestState`]. The prefill server enforces the lease
+//! by its own clock. This module keeps leases within their limit, and releases a state exactly when no decode
+//! server can fetch it any more.
 
 use super::request_steps::PLACEMENT_RETRY_INTERVAL;
 use super::Router;
 use crate::api::{Action, AttemptOutcome, AttemptStatus, Millis, RejectReason, RequestId};
 use crate::state::RequestState;
 
-/// Share of the lease limit that is used; the rest covers the differences between the clocks.
+/// Share of the lease limit that is used. The rest allows for differences between the clocks.
 const USED_LEASE_SHARE: f64 = 0.8;
-/// A rejection asks for a retry after at most this part of the time left to the deadline.
+/// Divisor of the time until the deadline that gives the maximum retry time of a rejection.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
-/// [`AttemptOutcome::note`] of a rejection from this on: the decode server found no state to fetch.
+/// Minimum [`AttemptOutcome::note`] of a rejection by a decode server that found no state to fetch.
 pub(super) const NOTE_NO_STATE: f64 = 1.0;
 
 impl Router {
-    /// Gives the final answer to a request that awaits its first token, and ends it.
+    /// Rejects or fails a request that has not produced its first token, and closes it.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, reason: RejectReason, actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
         let max_retry_after = if limits.retry_after { limits.max_retry_after } else { 0.0 };
@@ -34,7 +35,8 @@
         self.finish(id, actions);
     }
 
-    /// Closes a request: cancels what is in flight and, once nothing is, releases its state and forgets it.
+    /// Closes a request: cancels its attempts in flight. Once no attempt is in flight, releases its state and
+    /// removes the request.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.closed = true;
@@ -50,8 +52,8 @@
         self.requests.remove(&id);
     }
 
-    /// Releases a state that a decode attempt has lost or used up. The prefill server may only be cut off
-    /// from the decode server, so the release is sent in any case.
+    /// Releases a state that was lost or consumed by a decode attempt. The release is always sent, because
+    /// the prefill server may still hold the state and only be unreachable from the decode server.
     pub(super) fn release_lost_state(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
         let is_lost = match outcome.status {
             AttemptStatus::Rejected => outcome.note >= NOTE_NO_STATE,
@@ -67,9 +69,9 @@
         }
     }
 
-    /// Releases a state whose decode servers could not be reached before its lease ran out, while there is
-    /// time for a new prefill. A state for which there was no decode server at all is left: a new one would
-    /// fare no better.
+    /// Releases a state if no decode attempt reached its server and the lease is about to expire, so that the
+    /// prompt can be prefilled again. If there was no decode server for an attempt, the state is kept,
+    /// because there would be no decode server for a new state either.
     pub(super) fn release_late_lease(&self, request: &mut RequestState, actions: &mut Vec<Action>) {
         let was_tried = request.prefilled_on.is_some() && request.idle_since > request.lease_since;
         if was_tried && !self.lease_outlasts_retry(request) {
@@ -78,12 +80,12 @@
         }
     }
 
-    /// How long a prefilled state is kept for a decode server.
+    /// Returns the time for which a prefilled state is kept for a decode server.
     pub(super) fn used_lease_time(&self) -> Millis {
         USED_LEASE_SHARE * self.settings.rules.lease_limit
     }
 
-    /// Whether the lease of its state, if it has one, still lasts when the request tries again.
+    /// Returns whether the lease of the request's state lasts until the next placement, or there is no state.
     pub(super) fn lease_outlasts_retry(&self, request: &RequestState) -> bool {
         let lease_end = request.lease_since + self.used_lease_time();
         request.prefilled_on.is_none() || self.now + PLACEMENT_RETRY_INTERVAL <= lease_end
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -1,8 +1,8 @@
-//! Outlier detection by time-out: servers that give no sign of life, and attempts that are lost at one that
-//! does.
+//! Outlier detection by time-out: detects servers without progress, and attempts that are lost at a working
+//! server.
 //!
-//! State: the last signs of life in each server's record. Guards requests that wait at a dead, disconnected
-//! or hung server: it is ejected, and its attempts are cancelled in time for a retry.
+//! The state is the time of the last progress and of the last load report in each server's record. A server
+//! that is terminated, disconnected or hung is ejected, and its attempts are cancelled in time for a retry.
 
 use super::probes::PROBE_INTERVAL;
 use super::Router;
@@ -10,40 +10,41 @@
 use crate::state::{Attempt, FailureKind, RequestState, ServerRecord, Stage};
 use crate::{fleet_load, wait_estimate};
 
-/// A server must show progress within so many times the shortest objective of a class, where an objective
-/// counts for no more than a quarter of its class's deadline.
+/// Maximum time without progress at a server, as a multiple of the shortest objective of all classes.
 const OBJECTIVES_WITHOUT_PROGRESS: f64 = 3.0;
+/// Maximum objective of a class in this calculation, as a share of the deadline of the class.
 const MAX_OBJECTIVE_OF_DEADLINE: f64 = 0.25;
-/// Longest objective that is reckoned with (ms).
+/// Maximum objective in this calculation (ms).
 const MAX_OBJECTIVE: Millis = 1e6;
-/// A server whose load reports still come is given this many times as long.
+/// Factor by which that time is longer at a server that still sends load reports.
 const REPORTING_PATIENCE: f64 = 2.5;
-/// Reports still come if the last sign of life is no older than this (ms).
+/// Maximum age of the last load report of a server that still sends load reports (ms).
 const REPORTING_WITHIN: Millis = 2.0 * PROBE_INTERVAL;
-/// An attempt is lost, when later ones at its server have overtaken it or the server has restarted, after
-/// this share of its objective and twice the time of its own work.
+/// Share of its objective after which an attempt is lost that was overtaken by later ones at its server, or
+/// whose server has restarted. The time for its own work, multiplied by [`LOST_WORK_FACTOR`], is added.
 const LOST_OBJECTIVE_SHARE: f64 = 0.3;
+/// Multiple of the estimated time for the work of an attempt before the attempt is lost.
 const LOST_WORK_FACTOR: f64 = 2.0;
-/// A prefill that is alone at its server is lost after this many times that share, if others have got on
-/// elsewhere.
+/// Factor by which the share of the objective is larger for a prefill that is the only attempt at its server,
+/// if other servers have progressed.
 const ALONE_PATIENCE: f64 = 2.0;
 
-/// When a server last showed progress.
+/// Time of the last progress of a server.
 struct ServerProgress {
     server: ServerId,
     role: Role,
     last_progress_at: Millis,
 }
 
-/// What tells a lost attempt from one that waits its turn.
+/// Information that distinguishes a lost attempt from one that waits in a queue.
 struct LostAttempts {
     now: Millis,
-    /// Progress of all servers; empty in a large fleet, where a router's own attempts say too little.
+    /// Progress of all servers; empty in a large fleet, where a router's own attempts are not representative.
     progress: Vec<ServerProgress>,
 }
 
 impl LostAttempts {
-    /// Whether an attempt in flight at this server is lost.
+    /// Returns whether an attempt in flight at this server is lost.
     fn includes(&self, server: &ServerRecord, request: &RequestState, attempt: &Attempt) -> bool {
         let is_overtaken =
             server.pending.get(&request.request.id).is_none_or(|pending| !pending.reflects_queue());
@@ -55,8 +56,8 @@
         self.now > attempt.sent_at + share * request.first_token_objective() + work_time
     }
 
-    /// Whether a prefill is the only attempt at its server while others have got on at other servers since:
-    /// nothing can overtake it there.
+    /// Returns whether a prefill is the only attempt at its server, where no attempt can overtake it, and
+    /// other servers of the same role have progressed since its send.
     fn is_left_alone(&self, server: &ServerRecord, attempt: &Attempt) -> bool {
         let has_progressed_elsewhere = |other: &ServerProgress| {
             other.server != attempt.server
@@ -72,7 +73,7 @@
 impl Router {
     /// Ejects servers that have been unresponsive for too long, and cancels attempts that are lost.
     ///
-    /// Cost: a pause as long as that counts too.
+    /// A server that only pauses for as long is ejected, too.
     pub(super) fn detect_timeouts(&mut self, actions: &mut Vec<Action>) {
         for id in self.unresponsive_servers() {
             self.record_failure(id, FailureKind::Unresponsive, actions);
@@ -93,7 +94,7 @@
         self.cancel_lost_attempts(is_lost, actions);
     }
 
-    /// Servers with an attempt that has waited for too long without any progress there.
+    /// Returns the servers with an attempt that has waited for too long without any progress of the server.
     fn unresponsive_servers(&self) -> Vec<ServerId> {
         let objective_of =
             |class: &RequestClass| class.latency_objective.min(class.deadline * MAX_OBJECTIVE_OF_DEADLINE);
@@ -106,8 +107,8 @@
         self.servers.values().filter(is_unresponsive).map(|server| server.entry.server).collect()
     }
 
-    /// Whether a server has shown no progress with work sent at `sent_at` for longer than `patience`, and for
-    /// longer than that work can take.
+    /// Returns whether a server with work sent at `sent_at` has made no progress for longer than `patience`,
+    /// and for longer than the work sent until then can take.
     fn is_unresponsive_since(&self, server: &ServerRecord, sent_at: Millis, patience: Millis) -> bool {
         let is_reporting = self.now < server.last_heard_at + REPORTING_WITHIN;
         let factor = if is_reporting { REPORTING_PATIENCE } else { 1.0 };
@@ -117,8 +118,8 @@
         has_waited(factor * patience) && has_waited(busy_time())
     }
 
-    /// Cancels the last attempt of each request where it `is_lost` and a retry is harmless, instead of
-    /// waiting for its time-out. A prefill has no effect, so it may always be repeated.
+    /// Cancels the last attempt of each request if it `is_lost` and a retry is harmless, instead of waiting
+    /// for its time-out. A prefill may always be repeated, because it has no side effects.
     pub(super) fn cancel_lost_attempts(
         &mut self, is_lost: impl Fn(&ServerRecord, &RequestState, &Attempt) -> bool,
         actions: &mut Vec<Action>,
--- a/crates/router/src/policy/timer_key.rs
+++ b/crates/router/src/policy/timer_key.rs
@@ -1,23 +1,23 @@
-//! Timer keys: what a timer of the router is for, packed into the number that the caller hands back.
+//! Timer keys: the purpose of a timer, encoded as the number that the caller returns when the timer is due.
 
 use crate::api::{Action, Millis, RequestId};
 
-/// Key of the housekeeping timer. No request may have half of it as its identifier.
+/// Key of the housekeeping timer. Half of this value must not be used as a request identifier.
 const HOUSEKEEPING_KEY: u64 = 1 << 52;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TimerKey {
-    /// Housekeeping, every [`HOUSEKEEPING_INTERVAL`](super::HOUSEKEEPING_INTERVAL).
+    /// Runs housekeeping every [`HOUSEKEEPING_INTERVAL`](super::HOUSEKEEPING_INTERVAL).
     Housekeeping,
-    /// The request has to be answered now.
+    /// Answers the request, because its deadline is near.
     Deadline(RequestId),
-    /// The request takes its next step.
+    /// Advances the request to its next step.
     NextStep(RequestId),
 }
 
 impl TimerKey {
-    /// The key that the caller handed back.
+    /// Decodes a key that the caller returned.
     pub(super) fn decode(key: u64) -> Self {
         let id = RequestId(key >> 1);
         match key {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Sets a timer with this key, due at a time.
+    /// Returns the action that sets a timer with this key.
     pub(super) fn set(self, due: Millis) -> Action {
         let request = match self {
             TimerKey::Housekeeping => None,
