--- a/crates/router/src/fleet_load.rs
+++ b/crates/router/src/fleet_load.rs
@@ -1,59 +1,63 @@
-//! Load estimate where many routers share the fleet and none sees the others' traffic.
+//! Load estimates for a fleet of many routers, none of which observes the traffic of the others.
 //!
-//! In a small fleet a router's own counts stand for all. In a large one they say too little, so servers are
-//! probed for their load: this module decides how many preferred servers a prefix gets, which servers to
-//! probe, and which of them gets a request. Pure functions; the router owns the state, and the caller owns
-//! the clock.
+//! In a small fleet, a router's own counts are representative of all routers. In a large fleet they are not,
+//! so servers are probed for their load. This module determines the number of preferred servers of a prefix,
+//! the servers to probe, and the probed server that receives a request. All functions are pure; the router
+//! owns the state, and the caller owns the clock.
 
 use crate::api::{Millis, ServerId};
 use crate::slow_start_budget;
 use crate::state::{median, RecentRequests, ServerRecord, LOAD_REPORT_TTL};
 
-/// Up to this many routers a router's own counts stand for all: the floor of diversion, divided among the
-/// routers, is then still a request or more.
+/// Maximum number of routers at which a router's own counts are representative of all routers. The in-flight
+/// floor of the overload diversion, divided by the number of routers, is then still at least one request.
 const SMALL_FLEET: f64 = 4.0;
-/// Large fleet: requests that are added to a router's own count, as if each were for another prefix. A prefix
-/// that came once among few requests is so taken for one of many alike.
+/// Large fleet: number of requests, each with a different prefix, that are added to a router's own count. A
+/// prefix that occurs once among a few requests is thereby estimated as one of many prefixes.
 const PRIOR_REQUESTS: f64 = 30.0;
-/// Large fleet: least number of preferred servers of a prefix. The second has it cached when the first is
-/// overloaded.
+/// Large fleet: minimum number of preferred servers of a prefix. The second one has the prefix cached when
+/// the first one is overloaded.
 const MIN_PREFERRED_SERVERS: usize = 2;
-/// A server is overloaded when its requests in flight exceed the typical load by this factor and by this
-/// many.
+/// A server is overloaded if its requests in flight exceed the typical load by more than this factor and by
+/// more than [`OVERLOAD_FLOOR`].
 const OVERLOAD_FACTOR: f64 = 2.0;
+/// Minimum difference between the load of an overloaded server and the typical load, in requests in flight.
 const OVERLOAD_FLOOR: f64 = 4.0;
-/// Servers whose loads make a median. Those not heard from count as having the default load.
+/// Minimum number of loads in the median for the typical load. Missing loads are replaced by the default
+/// load.
 const MIN_LOAD_SAMPLES: usize = 12;
+/// Load that is assumed for a server without a known load, in requests in flight.
 const DEFAULT_LOAD: f64 = 1.0;
-/// Candidates, in order, that are probed for a request before one elsewhere.
+/// Number of candidates, in order of preference, that are probed for a request before a fallback server.
 pub const MAX_PROBED_CANDIDATES: usize = 3;
-/// Time within which a probe must be answered (ms). A server that is slower counts as overloaded.
+/// Time-out of a probe (ms). A server that does not answer within this time is treated as overloaded.
 pub const PROBE_TIMEOUT: Millis = 120.0;
-/// Large fleet: samples from which a service time is used.
+/// Large fleet: minimum number of samples of a service time.
 const MIN_SERVICE_TIME_SAMPLES: u32 = 5;
-/// Most probes that a request can use, and the part of its value that probes for its prefill server may cost.
-/// Measured: without any, a day with a popular prefix loses 0.3 of its result, a day without one some 0.01.
+/// Maximum number of probes that a request can use.
 const MAX_PROBES_PER_REQUEST: f64 = 4.0;
+/// Maximum cost of the probes for a prefill server, as a share of the value of the request. Without probes,
+/// the total value of a workload drops by 0.3 if it has a popular prefix, and by about 0.01 otherwise.
 const PROBE_COST_LIMIT: f64 = 0.012;
-/// The first probe of a decode server near a prefill saves this share of the tokens that would leave their
-/// cell, and each further one this part of what the one before saved. Measured: 0.96 of the tokens leave with
-/// none, 0.48 with one, 0.34 with two (docs/fleet.md).
+/// Share of all tokens that stay in their cell because of the first probe of a decode server near a prefill.
+/// 0.96 of the tokens leave their cell without probes, 0.48 with one and 0.34 with two (docs/fleet.md).
 const FIRST_PROBE_SAVING: f64 = 0.48;
+/// Saving of each further probe, relative to the previous one.
 const FURTHER_PROBE_FACTOR: f64 = 0.29;
-/// Most decode servers that are probed at a time.
+/// Maximum number of decode servers that are probed at a time.
 pub const MAX_PROBED_DECODE_SERVERS: usize = 4;
-/// Loads that differ by no more than this count as equal.
+/// Difference up to which two loads are considered equal, in requests in flight.
 const LOAD_TOLERANCE: f64 = 0.5;
 /// Decay time of the confidence in a load report (ms).
 const LOAD_REPORT_DECAY: Millis = 3_000.0;
 
-/// Whether each router's own counts are too few to show what all routers do together.
+/// Returns whether a router's own counts are too small to represent the traffic of all routers.
 pub fn is_large_fleet(routers: f64) -> bool {
     routers > SMALL_FLEET
 }
 
-/// Samples from which a service time shows a server's own speed whatever its queue. A router that sees much
-/// of the traffic has more of them the next moment.
+/// Returns the minimum number of samples with which a service time indicates the speed of a server regardless
+/// of its queue. One sample is enough in a small fleet, because the next samples follow soon.
 pub fn min_service_time_samples(routers: f64) -> u32 {
     if is_large_fleet(routers) {
         MIN_SERVICE_TIME_SAMPLES
@@ -62,29 +66,30 @@
     }
 }
 
-/// Probes that a request earns where each costs this part of its value.
+/// Returns the number of probes that a request adds to the budget, for a probe cost as a share of its value.
 pub fn probes_earned(probe_price: f64) -> f64 {
     (PROBE_COST_LIMIT / probe_price.max(1e-9)).min(MAX_PROBES_PER_REQUEST)
 }
 
-/// How many decode servers near a prefill to probe while it runs: as many as save more, by what they keep in
-/// its cell, than they cost. `transfer_price` is what the transfer of all tokens out of their cell costs.
+/// Returns the number of decode servers near a prefill to probe while it runs, such that each probe saves
+/// more transfer cost than it costs. `transfer_price` is the cost of transferring all tokens out of their
+/// cell.
 pub fn decode_servers_to_probe(probe_price: f64, transfer_price: f64) -> usize {
     let saving = |index: usize| transfer_price * FIRST_PROBE_SAVING * FURTHER_PROBE_FACTOR.powi(index as i32);
     (0..MAX_PROBED_DECODE_SERVERS).take_while(|index| saving(*index) > probe_price).count()
 }
 
-/// How many of so many prefill servers a prefix prefers: its share of all requests, in units of
-/// `load_per_server` average servers.
+/// Returns the number of preferred servers of a prefix among `servers` prefill servers. This is the share of
+/// the prefix in all requests, divided by `load_per_server` times the share of an average server.
 ///
-/// In a large fleet a count of one or two says little, so it is weighed against what one of many alike would
-/// show; the more a router has seen, the more its own count says.
+/// In a large fleet a count of one or two is not significant, so the share is estimated with
+/// [`PRIOR_REQUESTS`], whose weight decreases as the router receives more requests.
 pub fn preferred_servers(
     recent: RecentRequests, servers: usize, routers: f64, load_per_server: f64,
 ) -> usize {
     let max_count = servers.max(1);
     if !is_large_fleet(routers) {
-        // The request itself is counted already and does not show how often others come.
+        // The count includes the current request, which does not indicate the rate of other requests.
         let share = (recent.same_prefix - 1.0) / recent.total.max(1.0);
         return ((share * servers as f64 / load_per_server).round() as usize).clamp(1, max_count);
     }
@@ -93,33 +98,32 @@
     count.max(MIN_PREFERRED_SERVERS).clamp(1, max_count)
 }
 
-/// A prefix's share of all requests, as one router of a large fleet estimates it.
+/// Returns the estimated share of a prefix in all requests, for a router of a large fleet.
 fn prefix_share(same_prefix: f64, total: f64) -> f64 {
     same_prefix / (total + PRIOR_REQUESTS)
 }
 
-/// Capacity that the requests for a prefix keep busy, over all routers.
+/// Capacity that the requests for a prefix from all routers keep busy.
 pub struct PrefixDemand {
     units: f64,
     preferred: Option<ServerId>,
 }
 
 impl PrefixDemand {
-    /// The demand of a prefix with so many requests of late, at these prefill servers, of which one is
-    /// preferred.
+    /// Estimates the demand of a prefix from its recent requests and the capacity of the prefill servers.
     pub fn new<'a>(
         recent: RecentRequests, servers: impl Iterator<Item = &'a ServerRecord>, preferred: Option<&ServerId>,
     ) -> PrefixDemand {
-        // The request itself is counted already and does not show how often others come.
+        // The count includes the current request, which does not indicate the rate of other requests.
         let others = (recent.same_prefix - 1.0).max(0.0);
         let total_units = servers.map(|server| slow_start_budget::capacity_units(server, 1.0)).sum::<f64>();
         let units = prefix_share(others, recent.total) * total_units;
         PrefixDemand { units, preferred: preferred.copied() }
     }
 
-    /// The part of it that may come to a server, in units of capacity: to the preferred one no more than its
-    /// own capacity, as there is a preferred server for each such part; to any other all of it, since all
-    /// routers send what overflows to the first that is not overloaded.
+    /// Returns the part of the demand that a server may receive, in units of capacity. The preferred server
+    /// receives at most its own capacity, because there is a preferred server for each such part. Any other
+    /// server may receive all of it, because all routers divert to the first server that is not overloaded.
     pub fn at_server(&self, server: &ServerRecord) -> f64 {
         if self.preferred == Some(server.entry.server) {
             self.units.min(slow_start_budget::capacity_units(server, 1.0))
@@ -129,29 +133,30 @@
     }
 }
 
-/// Typical load of a server: the median of those known. Of too few, an overloaded one would be the median
-/// itself, so they are filled up with the default load.
+/// Returns the typical load of a server, which is the median of the known loads. If only a few are known, the
+/// load of an overloaded server could be the median, so default loads are added up to the minimum number.
 pub fn typical_load(mut loads: Vec<f64>) -> f64 {
     loads.resize(loads.len().max(MIN_LOAD_SAMPLES), DEFAULT_LOAD);
     median(loads)
 }
 
-/// Whether a load is clearly above the typical one.
+/// Returns whether a load is far above the typical load.
 pub fn is_overloaded(load: f64, typical: f64) -> bool {
     load > (OVERLOAD_FACTOR * typical).max(typical + OVERLOAD_FLOOR)
 }
 
-/// Whether a server has just started.
+/// Start phase of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// In slow start.
+    /// The server is in slow start.
     SlowStart,
-    /// At full capacity.
+    /// The server has its full capacity.
     WarmedUp,
 }
 
-/// Load of a server that is not probed: its report fades into the typical load. One in slow start without a
-/// report counts as empty: each router may send it little, and few requests would get there otherwise.
+/// Returns the estimated load of a server that is not probed. The estimate decays from the reported load to
+/// the typical load. A server in slow start without a report is treated as idle: each router may send it only
+/// a few requests, and otherwise hardly any request would be sent there.
 pub fn estimated_load(server: &ServerRecord, now: Millis, typical: f64, phase: Phase) -> f64 {
     let unreported = typical.max(DEFAULT_LOAD);
     match (server.reported_load, phase) {
@@ -165,8 +170,8 @@
     }
 }
 
-/// One of the servers with the least estimated load, by a draw in [0, 1): routers that know the same must not
-/// all choose the same.
+/// Returns one of the servers with the lowest estimated load. `draw`, a random number in [0, 1), selects
+/// among them, so that routers with the same information do not all choose the same server.
 pub fn least_loaded(estimates: &[(f64, ServerId)], draw: f64) -> Option<ServerId> {
     let lowest = estimates.iter().map(|(load, _)| *load).fold(f64::MAX, f64::min);
     let is_low = |estimate: &&(f64, ServerId)| estimate.0 <= lowest + LOAD_TOLERANCE;
@@ -174,8 +179,9 @@
     low.get((draw * low.len() as f64) as usize).copied()
 }
 
-/// Time (ms) that a server needs for what it has in flight by a fresh load report, with so much work each. 0
-/// in a small fleet, where a router knows the wait from its own requests.
+/// Returns the time (ms) that a server needs for the requests in flight according to a fresh load report,
+/// each with `work_tokens` of work. Returns 0 without such a report, and in a small fleet, where the router
+/// measures the wait with its own requests.
 pub fn reported_wait(
     server: &ServerRecord, routers: f64, now: Millis, time_per_token: Millis, work_tokens: f64,
 ) -> Millis {
@@ -186,26 +192,26 @@
     load.map_or(0.0, |load| load * work_tokens * time_per_token)
 }
 
-/// What is known of the load of a server that a request may go to.
+/// State of the information about the load of a candidate server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadKnowledge {
-    /// It has reported.
+    /// There is a fresh load report.
     Reported {
-        /// Requests in flight, as they would be at full capacity.
+        /// Requests in flight, scaled to full capacity.
         load: f64,
-        /// Whether that is clearly above the typical load.
+        /// Whether the load is far above the typical load.
         is_overloaded: bool,
     },
     /// There is no fresh report, and no probe has been sent.
     Unknown,
-    /// A probe has been sent, and its answer may still come.
+    /// A probe is in flight.
     Probing,
-    /// A probe has failed or was not answered in time.
+    /// A probe failed or timed out, or the load report may not be used.
     NoAnswer,
 }
 
 impl LoadKnowledge {
-    /// Whether a report is there or can still come.
+    /// Returns whether a load report is present or can still be obtained.
     pub fn can_be_known(self, budget: ProbeBudget) -> bool {
         match self {
             LoadKnowledge::Reported { .. } | LoadKnowledge::Probing => true,
@@ -215,8 +221,8 @@
     }
 }
 
-/// What a request knows of a server with this share of its capacity, for which it last sent a probe at
-/// `probed_at`.
+/// Returns the load information about a server for a request. `probed_at` is the time at which the server was
+/// probed on behalf of the request, and `capacity_share` the server's current share of its capacity.
 pub fn load_knowledge(
     server: &ServerRecord, probed_at: Option<Millis>, now: Millis, typical: f64, capacity_share: f64,
 ) -> LoadKnowledge {
@@ -231,32 +237,33 @@
     }
 }
 
-/// Whether a probe can be paid for.
+/// State of the probe budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeBudget {
-    /// At least one.
+    /// The budget covers at least one probe.
     Available,
-    /// None.
+    /// The budget covers no probe.
     Exhausted,
 }
 
-/// What a request whose candidates have been looked over does next.
+/// Next step of a request after an evaluation of its candidates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// It is sent to the candidate with this index.
+    /// The request is sent to the candidate with this index.
     Send(usize),
     /// The candidates with these indices are probed.
     Probe(Vec<usize>),
-    /// It waits for the answer to a probe.
+    /// The request waits for the answer to a probe.
     Wait,
 }
 
-/// The next step of a request whose candidates stand in the order in which all routers try them.
+/// Returns the next step of a request. All routers have the candidates in the same order.
 ///
-/// The first that is not overloaded gets it. So an overloaded preferred server overflows to the same next one
-/// from every router, and its load is reported by the server, not guessed from a router's own few requests.
-/// The first is probed alone, then all others at once. If none will do, the least loaded of them gets it; if
-/// none answers, the last, which is the one elsewhere.
+/// The first candidate that is not overloaded receives the request. Requests for an overloaded preferred
+/// server are thereby diverted to the same next server by every router, based on the reported load instead of
+/// a router's own few requests. The first candidate is probed alone, then all others at once. If all are
+/// overloaded, the least loaded one receives the request. If none answers, the last candidate receives it,
+/// which is normally the fallback server.
 pub fn next_step(candidates: &[LoadKnowledge], budget: ProbeBudget) -> NextStep {
     for (index, knowledge) in candidates.iter().enumerate() {
         match knowledge {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,9 @@
 //! Routing decisions for LLM serving in which *prefill* servers process prompts and *decode* servers stream
 //! answers.
 //!
-//! The library decides and does nothing else: no sockets, no clock, no threads. A gateway passes [`Event`]s
-//! to [`Router::handle`] and carries out the [`Action`]s that come back. The same seed, settings and events
-//! always give the same actions.
+//! The library contains decision logic only: it uses no sockets, clock or threads. A gateway passes
+//! [`Event`]s to [`Router::handle`] and executes the [`Action`]s that it returns. The same seed, settings and
+//! events always produce the same actions.
 //!
 //! ```
 //! use glenrail_router::*;
--- a/crates/router/src/log_limit.rs
+++ b/crates/router/src/log_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limit of the router's log lines: a fault that repeats must not fill the log.
+//! Rate limit of the router's log lines, so that a repeated fault does not fill the log.
 //!
 //! The router owns this state, and the caller owns the clock.
 
@@ -6,15 +6,16 @@
 
 use crate::api::{Action, Millis};
 
-/// At most one line of each kind is written in this time (ms).
+/// Minimum interval between two lines of the same kind (ms).
 const MIN_INTERVAL: Millis = 5_000.0;
 
-/// When a line of each kind was last written.
+/// Time at which a line of each kind was last written.
 #[derive(Default)]
 pub struct LogLimiter(BTreeMap<&'static str, Millis>);
 
 impl LogLimiter {
-    /// Appends a line to the actions, unless one of its kind was written a short time ago.
+    /// Appends a log line to the actions, unless a line of the same kind was written within the minimum
+    /// interval.
     pub fn log(&mut self, kind: &'static str, text: String, now: Millis, actions: &mut Vec<Action>) {
         let last_written = self.0.get(kind);
         if last_written.is_none_or(|written_at| now >= written_at + MIN_INTERVAL) {
--- a/crates/router/src/rendezvous.rs
+++ b/crates/router/src/rendezvous.rs
@@ -1,14 +1,14 @@
-//! Rendezvous hashing: the order in which every router tries the prefill servers for a request.
+//! Rendezvous hashing: the order in which all routers try the prefill servers for a request.
 //!
-//! Pure functions: the same servers and keys give the same order at all routers.
+//! The functions are pure, so the same servers and keys result in the same order at all routers.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
 use crate::api::ServerId;
 
-/// Score of a server for a key. The highest is tried first; the weight is the server's share of all keys,
-/// relative to the other servers.
+/// Returns the score of a server for a key. The server with the highest score is tried first. The weight is
+/// the server's share of all keys relative to the other servers.
 fn score(server: ServerId, weight: f64, key: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (server.0, key).hash(&mut hasher);
@@ -16,8 +16,9 @@
     -weight / unit.ln()
 }
 
-/// These servers, each with its weight, in order for a hash key (a prefix, or else a session). Among the
-/// first `preferred_count` the session is hashed again, so that every router sends a session to one of them.
+/// Returns the servers, given with their weights, in the order for a hash key (a prefix, or else a session).
+/// The first `preferred_count` servers are ordered by a hash of the session, so that every router sends a
+/// session to the same one of them.
 pub fn ranked_servers(
     mut servers: Vec<(ServerId, f64)>, hash_key: u64, session: u64, preferred_count: usize,
 ) -> Vec<ServerId> {
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: servers that join, leave or restart.
+//! Endpoint list: applies updates in which servers join, leave or restart.
 //!
 //! The router owns the map of servers, and the caller owns the clock.
 
@@ -7,16 +7,16 @@
 use crate::api::{ListUpdate, Millis, Role, ServerEntry, ServerId, ServerKind, ServerState};
 use crate::state::{Random, ServerRecord};
 
-/// Memory of a server whose kind does not say, in tokens.
+/// Memory of a server whose kind does not specify it, in tokens.
 const DEFAULT_MEMORY_TOKENS: f64 = 1e5;
 
 /// All listed servers, by identifier.
 pub type ServerMap = BTreeMap<ServerId, ServerRecord>;
 
-/// Applies a list, or a change to it.
+/// Applies a server list or a change to it.
 ///
-/// A server that is new or has restarted begins with a random part of a send as slow-start credit, because
-/// all routers learn of it at the same time.
+/// A server that is new or has restarted receives a random fraction of a send as slow-start credit, because
+/// all routers are notified of it at the same time.
 pub fn apply_update(
     servers: &mut ServerMap, update: ListUpdate, entries: Vec<ServerEntry>, kinds: &[ServerKind],
     random: &mut Random, now: Millis,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A server that has just been listed: not probed yet, and taken to be alive.
+/// Creates the record of a newly listed server, which counts as responsive and has not been probed.
 fn new_record(entry: ServerEntry, kinds: &[ServerKind], send_credit: f64, now: Millis) -> ServerRecord {
     let kind = kinds.get(entry.kind as usize);
     let memory_tokens = kind.map(|kind| kind.memory_tokens).filter(|tokens| *tokens > 0.0);
--- a/crates/router/src/slow_start_budget.rs
+++ b/crates/router/src/slow_start_budget.rs
@@ -1,44 +1,48 @@
-//! Slow-start budget: what all routers together may send to a server that has just started, though none of
-//! them sees the others.
+//! Slow-start budget: bounds the total traffic of all routers to a server in slow start, without
+//! communication between the routers.
 //!
-//! A router that sees a good part of the traffic spends a credit, which grows with its own part of the
-//! server's capacity. In a fleet of a hundred routers that alone would not do: each would earn a whole send
-//! only once in a minute, mostly for servers that its few requests do not need, while the warmed-up servers
-//! are overloaded. There a fresh load report of the server stands for the traffic of all routers.
+//! A router that receives a large share of the traffic uses a credit that grows with its own share of the
+//! server's capacity. In a fleet of a hundred routers the credit alone is not sufficient: each router would
+//! gain a whole send only once per minute, mostly for servers that its few requests do not need, while the
+//! warmed-up servers are overloaded. In such a fleet a fresh load report of the server represents the traffic
+//! of all routers.
 //!
-//! Pure functions over [`ServerRecord`]; the router owns the state, and the caller owns the clock.
+//! All functions are pure functions of [`ServerRecord`]; the router owns the state, and the caller owns the
+//! clock.
 
 use crate::api::{Millis, Rules};
 use crate::state::{RoleThroughput, ServerRecord};
 
-/// Decay times of the count of completions and of their highest rate (ms).
+/// Decay time of the number of completions (ms).
 const COMPLETIONS_DECAY: Millis = 10_000.0;
+/// Decay time of the highest completion rate (ms).
 const PEAK_RATE_DECAY: Millis = 60_000.0;
-/// Credit grows at this part of the rate that overloads a server. The rest is left to the routers that go by
-/// its load report.
+/// Growth rate of the credit, as a share of the rate that overloads a server. The rest is available to
+/// routers that rely on the server's load report.
 const CREDIT_RATE_SHARE: f64 = 0.5;
-/// Routers for which it is the preferred server and routers that divert to it go by its report at the same
-/// time, so each of these two groups gets half of that rest.
+/// Number of groups of routers that rely on the same load report at the same time: those for which the server
+/// is the preferred server, and those that divert to it. Each group may use an equal part of that rest.
 const REPORT_USER_GROUPS: f64 = 2.0;
-/// Least rate at which credit for a server grows, in sends a second of all routers together.
+/// Minimum growth rate of the credit for a server, in sends per second over all routers.
 const MIN_FLEET_RATE: f64 = 0.5;
-/// Time for which a load report stands for the traffic of all routers (ms). Reports are already old when they
-/// arrive.
+/// Time after its receipt for which a load report represents the traffic of all routers (ms). It is short
+/// because a report is already old when it is received.
 pub const FLEET_REPORT_TTL: Millis = 250.0;
-/// A report that is equally old at all routers counts only for those with more credit than this, in sends;
-/// the others send elsewhere.
+/// Minimum credit, in sends, above which a router may rely on a load report. Routers with less credit send to
+/// other servers, because the report has the same age at all routers.
 const MIN_REPORT_THRESHOLD: f64 = 0.4;
-/// Least share of its capacity that a server is taken to start with, whatever the settings say.
+/// Minimum share of its capacity with which a server starts, regardless of the settings.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
-/// The rule leaves 2 * sqrt(n) + 2 sends beyond the overload bound n for chance. This times (sqrt(n) + 1) may
-/// be saved up as whole sends of credit.
+/// Whole sends of credit that all routers may accumulate for a server, as a multiple of (sqrt(n) + 1), where
+/// n is the overload bound. The slow-start rule tolerates 2 * sqrt(n) + 2 sends above n as random variation.
 const SAVED_SLACK: f64 = 1.0;
-/// Up to this many routers that slack has room for a whole send of each.
+/// Maximum number of routers at which that margin covers one accumulated send of every router.
 const SMALL_FLEET: f64 = 4.0;
-/// Least weight that a server is taken to have.
+/// Minimum weight of a server in calculations.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// Share of its capacity, from 0 to 1, that a server started at `since` can be sent (`None`: long ago).
+/// Returns the share of its capacity, from 0 to 1, that a server started at `since` may receive. `None` means
+/// that slow start is over.
 pub fn capacity_share(rules: &Rules, since: Option<Millis>, now: Millis) -> f64 {
     match since {
         Some(started) if now < started + rules.slow_start_window => {
@@ -50,17 +54,19 @@
     }
 }
 
-/// Capacity of a server at present, relative to other servers of its role.
+/// Returns the current capacity of a server relative to other servers of its role.
 pub fn capacity_units(server: &ServerRecord, capacity_share: f64) -> f64 {
     server.entry.weight.max(MIN_WEIGHT) * capacity_share
 }
 
-/// Sends that this router may make at `now` to a server in slow start with so many units of capacity.
+/// Returns the number of sends that this router may make at `now` to a server in slow start with `units` of
+/// capacity.
 ///
-/// The credit grows at half of the rate that overloads the server, estimated from what a unit of capacity has
-/// completed for this router. Each router counts its own part and starts anywhere below one send, so the sum
-/// stays within the overload bound although nobody knows the capacity. The growth since the last update is
-/// reckoned at the mean capacity over that time.
+/// The credit grows at half of the rate that overloads the server. That rate is estimated from the requests
+/// that a unit of capacity has completed for this router. Each router counts only its own share and starts
+/// with a random credit below one send, so the sum over all routers stays within the overload bound although
+/// the total capacity is not known to any router. The growth since the last update is calculated with the
+/// mean capacity over that time.
 pub fn send_credit(
     server: &ServerRecord, units: f64, throughput: &RoleThroughput, rules: &Rules, routers: f64, now: Millis,
 ) -> f64 {
@@ -72,24 +78,25 @@
     if credit < 1.0 || routers <= SMALL_FLEET {
         return credit.min(1.0);
     }
-    // Whole sends that many routers have saved up would all come in one burst. So a whole send expires: at
-    // any time no more of them stand, at all routers together, than the part of the rule's slack that may be
-    // saved.
+    // Whole sends that many routers have accumulated could all be used in one burst. Therefore a whole send
+    // expires, such that the unexpired ones of all routers do not exceed the permitted part of the margin.
     let fleet_bound = overload_rate(units) * routers * rules.overload_window / 1000.0;
     let time_to_live = (SAVED_SLACK * (fleet_bound.sqrt() + 1.0) / routers).min(1.0);
     let has_whole_send = credit.fract() <= time_to_live;
     credit.fract() + f64::from(u8::from(has_whole_send))
 }
 
-/// Counts a completion by servers that have so many units of capacity together, for a router of this age.
+/// Adds a completion to the throughput of a role. `units` is the total capacity of the servers of the role,
+/// and `router_age` the time since the start of the router.
 pub fn record_completion(throughput: &mut RoleThroughput, units: f64, router_age: Millis, now: Millis) {
     let elapsed = now - throughput.updated_at;
     let age = router_age.max(COMPLETIONS_DECAY / 2.0);
     let decay = (-elapsed / COMPLETIONS_DECAY).exp();
     throughput.completions = 1.0 + throughput.completions * decay;
-    // Servers that have just left the list still count: they completed part of what is counted.
+    // The capacity of servers that left the list decays slowly, because they completed part of the counted
+    // requests.
     throughput.capacity_units = units.max(throughput.capacity_units * decay).max(MIN_WEIGHT);
-    // A young router has not counted for the whole decay time.
+    // A router that started recently has not counted for the whole decay time.
     let counted_time = COMPLETIONS_DECAY * (1.0 - (-age / COMPLETIONS_DECAY).exp());
     let rate = 1000.0 * throughput.completions / counted_time;
     let earlier_peak = throughput.peak_rate * (-elapsed / PEAK_RATE_DECAY).exp();
@@ -97,37 +104,41 @@
     throughput.updated_at = now;
 }
 
-/// A load as it would be at full capacity: a server in slow start works through the same load so much more
-/// slowly.
+/// Returns a load scaled to full capacity. A server in slow start is slower in proportion to its capacity
+/// share, so the same load counts for more.
 pub fn normalized_load(load: f64, capacity_share: f64) -> f64 {
     load / capacity_share.max(MIN_CAPACITY_SHARE)
 }
 
-/// Credit, as a part of one send, from which a router may go by the load report of a server in slow start.
-/// `demand_units` is the capacity that the requests of the prefix keep busy, over all routers.
+/// Returns the credit, as a fraction of one send, above which a router may rely on the load report of a
+/// server in slow start. `demand_units` is the capacity that the requests for the prefix keep busy, over all
+/// routers.
 ///
-/// The age of a report is unknown, and until the next one all routers see the same free capacity. The first
-/// preferred server that is not overloaded would get the requests of a popular prefix from all of them. So
-/// the share of routers that go by the report is bounded: together they may send half of what the credit
-/// leaves of the overload bound, and the other half is for the routers that divert there.
+/// The age of a report is unknown, and until the next report all routers have the same information about free
+/// capacity. Otherwise the first preferred server that is not overloaded would receive the requests for a
+/// popular prefix from all routers. The threshold limits the share of routers that rely on the report.
+/// Together they may send half of the overload bound that the credit does not use, and the other half is left
+/// to routers that divert to the server.
 pub fn report_threshold(rules: &Rules, units: f64, demand_units: f64) -> f64 {
     let bound = (1.0 - CREDIT_RATE_SHARE) / REPORT_USER_GROUPS * rules.overload_multiple * units;
     (1.0 - bound / demand_units.max(MIN_WEIGHT)).max(MIN_REPORT_THRESHOLD)
 }
 
-/// What a router may send to a server on behalf of a request.
+/// Limit on the sends of a router to a server on behalf of a request.
 pub struct Allowance {
-    /// Share of its capacity that the server can be sent, from 0 to 1; 1 outside slow start.
+    /// Share of its capacity that the server may receive, from 0 to 1; 1 outside slow start.
     pub capacity_share: f64,
-    /// Whole sends that the router has in credit.
+    /// Slow-start credit of the router, in sends.
     pub send_credit: f64,
-    /// Credit from which the server's load report counts; `None` where routers do not probe before a send.
+    /// Credit above which the router relies on the server's load report; `None` if routers do not probe
+    /// before a send.
     pub report_threshold: Option<f64>,
 }
 
 impl Allowance {
-    /// Whether a request may be sent: always outside slow start, else from a whole send of credit, or where a
-    /// fresh load report counts. The caller then compares its load with that of other servers.
+    /// Returns whether a request may be sent. This is always the case outside slow start. In slow start it
+    /// requires a whole send of credit, or a fresh load report on which the router may rely. In the latter
+    /// case the caller compares the load with that of other servers.
     pub fn permits_send(&self, server: &ServerRecord, now: Millis) -> bool {
         if !self.is_slow_start() || self.send_credit >= 1.0 {
             return true;
@@ -135,15 +146,15 @@
         self.trusts_report() && server.current_load(now, FLEET_REPORT_TTL).is_some()
     }
 
-    /// Requests that the server will take from this router; `None` outside slow start, where there is no
-    /// limit.
+    /// Returns the number of requests that this router may send to the server, or `None` outside slow start,
+    /// where there is no limit.
     pub fn sends_left(&self) -> Option<usize> {
         self.is_slow_start().then(|| usize::from(self.trusts_report()))
     }
 
-    /// Whether the server's load report counts. It lets the router run ahead of its credit by less than one
-    /// send: of a popular prefix all routers have many requests and would send them all before the report
-    /// changes.
+    /// Returns whether the router may rely on the server's load report. In slow start the report allows the
+    /// router to exceed its credit by less than one send. Otherwise all routers would send their many
+    /// requests for a popular prefix before the report changes.
     pub fn trusts_report(&self) -> bool {
         !self.is_slow_start() || self.report_threshold.is_some_and(|threshold| self.send_credit > threshold)
     }
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshot: what a router has learned, as bytes for the process that takes over from it.
+//! Snapshot: the measurements and affinities of a router, encoded for the successor process of an upgrade.
 //!
-//! It holds the throughput of each role, the service times, and the newest entries of the prefix table;
-//! everything else comes with the server list. The form is fixed (`tests/stored_state.rs`): 64-bit
+//! A snapshot contains the throughput of each role, the service times, and the newest entries of the prefix
+//! table. All other state follows from the server list. The format is fixed (`tests/stored_state.rs`): 64-bit
 //! little-endian words, numbers as their IEEE 754 bits, and times as ages, because the two processes have
 //! different clocks.
 
@@ -9,17 +9,18 @@
 use crate::policy::Router;
 use crate::state::{sanitize, AffinityEntry, AffinityKey, RoleThroughput, RoutingStatistics, ServiceTime};
 
-/// Version of the form, the first word.
+/// Version of the format, which is the first word.
 const FORM: u64 = 1;
-/// Most entries of the prefix table that are passed on, the newest first.
+/// Maximum number of prefix table entries in a snapshot, from the most recently used one.
 const MAX_ENTRIES: usize = 4_000;
-/// Bytes of a word.
+/// Size of a word in bytes.
 const WORD_SIZE: usize = 8;
-/// Kinds of key.
+/// Kind of an entry whose key is a session.
 const SESSION: u64 = 0;
+/// Kind of an entry whose key is a shared prefix.
 const PREFIX: u64 = 1;
 
-/// Appends words in order.
+/// Encoder that appends words in order.
 #[derive(Default)]
 struct WordWriter(Vec<u8>);
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// Reads words in order; `None` at the end. An incomplete word at the end is ignored.
+/// Decoder that returns words in order, and `None` at the end. An incomplete word at the end is ignored.
 struct WordReader<'a>(std::slice::ChunksExact<'a, u8>);
 
 impl<'a> WordReader<'a> {
@@ -51,7 +52,7 @@
     }
 }
 
-/// The words before the entries.
+/// Values before the entries of the prefix table.
 struct Header {
     age: Millis,
     mean_prompt_tokens: f64,
@@ -60,7 +61,7 @@
 }
 
 impl Header {
-    /// The header, if it is complete.
+    /// Reads the header, or returns `None` if it is incomplete.
     fn read(reader: &mut WordReader, now: Millis) -> Option<Header> {
         let age = reader.number()?;
         let mean_prompt_tokens = reader.number()?;
@@ -83,7 +84,7 @@
     }
 }
 
-/// The next entry of the prefix table, if it is complete.
+/// Reads the next entry of the prefix table, or returns `None` if it is incomplete.
 fn read_entry(reader: &mut WordReader, now: Millis) -> Option<(AffinityKey, AffinityEntry)> {
     let kind = reader.word()?;
     let key = reader.word()?;
@@ -94,7 +95,8 @@
 }
 
 impl Router {
-    /// What this router has learned, for [`Router::import_state`] of another process.
+    /// Encodes the measurements and affinities of this router for [`Router::import_state`] in another
+    /// process.
     pub fn export_state(&self) -> Vec<u8> {
         let mut writer = WordWriter::default();
         writer.word(FORM);
@@ -123,10 +125,10 @@
         writer.0
     }
 
-    /// Takes in what another process has exported, in place of what this router has learned itself.
+    /// Replaces the measurements and affinities of this router by those that another process has exported.
     ///
-    /// Bytes of another form, or without a complete header, change nothing; an incomplete entry at the end is
-    /// ignored.
+    /// Bytes in another format, or without a complete header, have no effect. An incomplete entry at the end
+    /// is ignored.
     pub fn import_state(&mut self, bytes: &[u8]) {
         let now = self.now;
         let mut reader = WordReader::new(bytes);
@@ -146,7 +148,7 @@
             let Some(entry) = read_entry(&mut reader, now) else { break };
             entries.push(entry);
         }
-        // The newest comes first, and what is put last counts as the newest.
+        // The newest entry comes first, but the map treats the entry that is inserted last as the newest.
         for (key, entry) in entries.into_iter().rev() {
             self.affinity_table.put(key, entry);
         }
--- a/crates/router/src/tenant_quota.rs
+++ b/crates/router/src/tenant_quota.rs
@@ -1,44 +1,45 @@
-//! Tenant quotas: which tenants are beyond their quota, as one router of several sees it.
+//! Tenant quotas: detects tenants that exceed their quota, from the requests at one of several routers.
 //!
-//! A router knows the allowance of all routers together but not its own part of the traffic. Where clients
-//! are spread unevenly, or another router is down, every tenant sends it more than the allowance divided by
-//! the routers. The rate of the median tenant against its allowance is that part; one tenant's burst does not
-//! move it.
+//! The settings contain the allowance over all routers, but a router's own share of the traffic is not known.
+//! If clients are distributed unevenly, or another router is down, every tenant sends this router more than
+//! the allowance divided by the number of routers. The share is estimated as the median, over all tenants, of
+//! the tenant's rate relative to its allowance. A burst of one tenant does not change the median.
 //!
 //! The router owns this state, and the caller owns the clock.
 
 use crate::api::Millis;
 use crate::state::{median, DecayingValue};
 
-/// Decay time of the count of a tenant's requests (ms).
+/// Decay time of a tenant's request count (ms).
 const REQUESTS_DECAY: Millis = 10_000.0;
-/// A tenant may save up so much time's worth of its allowance (ms) ...
+/// Burst of a tenant, as the time over which its unused allowance accumulates (ms).
 const MAX_SAVED_TIME: Millis = 3_000.0;
-/// ... and at least so many requests at a router: one of hundreds of routers is granted less than one a
-/// second.
+/// Minimum burst of a tenant at a router, in requests. In a fleet of hundreds of routers, the allowance at
+/// one router is less than one request per second.
 const MIN_BURST: f64 = 5.0;
-/// A few requests show nothing: one of hundreds of routers sees no more of anybody.
+/// Number of recent requests that are ignored in the traffic share, because a few requests are not
+/// significant. In a fleet of hundreds of routers, a router receives no more than that from any tenant.
 const INSIGNIFICANT_REQUESTS: f64 = 2.0;
-/// Most that one router is taken to get of the traffic, in even parts.
+/// Maximum estimated traffic of a router, as a multiple of an even share.
 const MAX_TRAFFIC_SHARE: f64 = 3.0;
 
-/// Token bucket of one tenant at one router.
+/// Token bucket of one tenant at this router.
 #[derive(Clone, Copy, Debug)]
 struct TenantQuota {
-    /// Allowance of this router alone, in requests a second.
+    /// Allowance at this router, in requests per second.
     requests_per_s: f64,
-    /// Requests that are within the quota at `updated_at`.
+    /// Requests in the bucket at `updated_at`.
     saved_requests: f64,
     updated_at: Millis,
     recent_requests: DecayingValue,
 }
 
-/// Quotas of all tenants at one router, by their index in the settings.
+/// Quotas of all tenants at this router, by their index in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct TenantQuotas(Vec<TenantQuota>);
 
 impl TenantQuotas {
-    /// `rates`: allowance of each tenant at this router, in requests a second.
+    /// Creates the quotas from the allowance of each tenant at this router, in requests per second.
     pub fn new(rates: impl Iterator<Item = f64>, now: Millis) -> Self {
         let quota = |requests_per_s| TenantQuota {
             requests_per_s,
@@ -49,7 +50,7 @@
         TenantQuotas(rates.map(quota).collect())
     }
 
-    /// This router's part of the traffic, in even parts; never less than one.
+    /// Returns the traffic of this router as a multiple of an even share, at least 1.
     fn traffic_share(&self, now: Millis) -> f64 {
         let with_allowance = self.0.iter().filter(|quota| quota.requests_per_s > 0.0);
         let used_share = |quota: &TenantQuota| {
@@ -60,7 +61,7 @@
         median(with_allowance.map(used_share).collect()).clamp(1.0, MAX_TRAFFIC_SHARE)
     }
 
-    /// Counts a tenant's request and returns whether it is beyond the tenant's quota.
+    /// Counts a request of a tenant and returns whether it exceeds the tenant's quota.
     pub fn record_request(&mut self, tenant: usize, now: Millis) -> bool {
         let traffic_share = self.traffic_share(now);
         let Some(quota) = self.0.get_mut(tenant) else { return false };
--- a/crates/router/src/wait_estimate.rs
+++ b/crates/router/src/wait_estimate.rs
@@ -1,34 +1,39 @@
-//! Wait estimate: when a server would get to a request that is sent now.
+//! Wait estimate: the time until a server would serve a request that is sent now.
 //!
-//! It rests on what this router's own requests met there and, in a large fleet, on the server's load report.
-//! Pure functions over [`ServerRecord`] and [`RoutingStatistics`]; the caller owns the clock.
+//! The estimate uses the waits of this router's own requests at the server and, in a large fleet, the load
+//! report of the server. All functions are pure functions of [`ServerRecord`] and [`RoutingStatistics`]; the
+//! caller owns the clock.
 
 use crate::api::{Millis, Role};
 use crate::fleet_load;
 use crate::state::{PendingAttempt, RoutingStatistics, ServerRecord, Stage};
 
-/// Part of this router's own pending work that a new request waits for: a server works on several at once.
+/// Share of this router's own pending work that delays a new request. It is below 1 because a server
+/// processes several requests at once.
 const OWN_WORK_SHARE: f64 = 0.5;
-/// Time for the prefill of a token while none has been measured (ms).
+/// Default time for the prefill of a token until it has been measured (ms).
 const DEFAULT_TIME_PER_TOKEN: Millis = 0.06;
-/// Tokens of work that every prefill costs beside its own. It keeps the times of short prompts comparable.
+/// Work that every prefill adds to that of its tokens, in tokens. It keeps the times of short prompts
+/// comparable.
 pub const FIXED_WORK: f64 = 500.0;
-/// A typical prefill is one of a prompt of which this share is not cached.
+/// Share of the prompt that is not cached in a typical prefill.
 const TYPICAL_UNCACHED_SHARE: f64 = 0.5;
-/// How much longer than estimated a server's own work may take: a token of a long prompt takes up to half as
-/// long again (attention grows with the prompt), and as much work may be queued by other routers.
+/// Factor by which the work of this router may take longer at a server than estimated. A token of a long
+/// prompt takes up to 50 % longer, because the cost of attention grows with the prompt, and other routers may
+/// have queued as much work.
 const BUSY_SLACK: f64 = 3.0;
-/// Decay times of a server's own wait and of its role's wait (ms).
+/// Decay time of the confidence in the wait of a single server (ms).
 const SERVER_WAIT_DECAY: Millis = 1_000.0;
+/// Decay time of the wait of a role (ms).
 const ROLE_WAIT_DECAY: Millis = 4_000.0;
 
-/// Work of a typical prefill, in tokens.
+/// Returns the work of a typical prefill, in tokens.
 pub fn typical_work(statistics: &RoutingStatistics) -> f64 {
     TYPICAL_UNCACHED_SHARE * statistics.mean_prompt_tokens + FIXED_WORK
 }
 
-/// Time (ms) until a prefill of so much work would end at a server, or at a decode or mixed server a stream
-/// would begin, if it were sent now. A server of which nothing is known counts as idle.
+/// Returns the time (ms) until a request that is sent now would complete its prefill, or would begin its
+/// stream at a decode or mixed server. A server without measurements is treated as idle.
 pub fn time_to_serve(
     server: &ServerRecord, statistics: &RoutingStatistics, routers: f64, now: Millis, work_tokens: f64,
 ) -> Millis {
@@ -38,15 +43,15 @@
     }
     let per_token = time_per_token(server, statistics, routers);
     let reported_wait = fleet_load::reported_wait(server, routers, now, per_token, typical_work(statistics));
-    // Outcomes come too late to show what this router has sent there just now.
+    // Outcomes do not yet reflect the requests that this router has sent only recently.
     let own_work: f64 = server.pending.values().filter(|p| p.reflects_queue()).map(|p| p.work_tokens).sum();
-    // In a large fleet a router has few samples for a long time, and rejects nothing for a mere guess.
+    // In a large fleet a router has few samples for a long time, and a default must not cause rejections.
     let is_known = per_token > 0.0 || fleet_load::is_large_fleet(routers);
     let per_token = if is_known { per_token } else { DEFAULT_TIME_PER_TOKEN };
     wait.max(reported_wait).max(own_work * OWN_WORK_SHARE * per_token) + work_tokens * per_token
 }
 
-/// Wait (ms) at a server by what this router's own requests met there.
+/// Returns the wait (ms) at a server, as measured with this router's own requests.
 fn measured_wait(server: &ServerRecord, statistics: &RoutingStatistics, now: Millis) -> Millis {
     let queued = server.pending.values().filter(|pending| pending.reflects_queue());
     let oldest_sent_at = queued.map(|pending: &PendingAttempt| pending.sent_at).fold(now, f64::min);
@@ -54,8 +59,8 @@
         true => ((server.last_progress_at - now) / SERVER_WAIT_DECAY).exp(),
         false => 1.0,
     };
-    // A decode server's wait fades into its role's: in a large fleet a router meets it too seldom to know its
-    // own.
+    // The estimate for a decode server decays to the wait of its role, because in a large fleet a router uses
+    // a single decode server too rarely for a current measurement.
     let role_wait = match server.role {
         Role::Decode => {
             let recent = statistics.wait(Role::Decode);
@@ -66,16 +71,16 @@
     (server.queue_wait * confidence + role_wait * (1.0 - confidence)).max(now - oldest_sent_at)
 }
 
-/// Time (ms) that a server takes for the prefill of a token; 0 while that is unknown.
+/// Returns the time (ms) for the prefill of a token at a server, or 0 if it is unknown.
 fn time_per_token(server: &ServerRecord, statistics: &RoutingStatistics, routers: f64) -> Millis {
     let min_samples = fleet_load::min_service_time_samples(routers);
     server.time_per_token(statistics.service_time(Stage::Prefill), min_samples)
 }
 
-/// Longest time (ms) that a server may be busy with what this router had sent it by time `until`, without a
-/// sign of life. Prefills run one after the other, and a long prompt takes longer than the patience with an
-/// unresponsive server: without this it would be cancelled and sent elsewhere again and again. The begin of a
-/// stream at a decode server has no such work.
+/// Returns the maximum time (ms) for which a server may be busy, without progress, with the requests that
+/// this router had sent by time `until`. Prefills run sequentially, and the prefill of a long prompt takes
+/// longer than the time-out for progress. Without this bound it would repeatedly be cancelled and sent to
+/// another server. Returns 0 for a decode server, where the start of a stream involves no such work.
 pub fn max_busy_time(
     server: &ServerRecord, statistics: &RoutingStatistics, routers: f64, until: Millis,
 ) -> Millis {
