--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -1,8 +1,10 @@
-//! Which key of a settings object is at fault, before a gateway starts with it.
+//! Strict parser: validates a settings object before a gateway starts with it, and reports the first invalid
+//! key.
 //!
-//! What is left out (or null) has a default: a class's `aim` its deadline, `max-attempts` 4, `dial-timeout` 250 ms, `pin-limit`
-//! 300 ms, `ask-within` 10 s, `balancers` one, `semantics` that of a class that is never retried, `discovery` pushed; any other
-//! number 0 and any other switch off. What is there must be of its type and range.
+//! A key that is missing or null has a default: the class deadline for `aim`, 4 for `max-attempts`, 250 ms
+//! for `dial-timeout`, 300 ms for `pin-limit`, 10 s for `ask-within`, 1 for `balancers`, never retried for
+//! `semantics`, pushed lists for `discovery`, 0 for any other number and `false` for any other boolean. A key
+//! that is present must have the right type and be in its range.
 
 use std::fmt;
 
@@ -11,12 +13,12 @@
 
 use crate::settings;
 
-/// A key of the settings that is at fault, for the operator who wrote it.
+/// Error for an invalid key of the settings, reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// The key as a path from the settings on.
+    /// Path of the key, relative to the settings object; empty for the object itself.
     pub key: String,
-    /// What is expected there.
+    /// Description of the valid values.
     pub wanted: String,
 }
 
@@ -28,37 +30,39 @@
 
 impl std::error::Error for SettingsFault {}
 
-/// What a value has to be where one is given.
+/// Type and range of a value that is present.
 #[derive(Clone, Copy)]
 enum Expected {
-    /// Milliseconds, a rate, a price: from 0 on. A deployment may say "without bound" by any large number.
+    /// Milliseconds, rate or price of at least 0. A large number means that there is no limit.
     Amount,
-    /// A time in which something has to happen (ms): 0 leaves no time for it.
+    /// Time limit (ms), which must be greater than 0.
     PositiveTime,
-    /// A number from 0 to 1.
+    /// Number from 0 to 1.
     Share,
-    /// A count from 0 on.
+    /// Count of at least 0.
     Count,
-    /// A count from 1 on.
+    /// Count of at least 1.
     PositiveCount,
-    /// A switch.
+    /// Boolean.
     Flag,
-    /// One of these words.
+    /// One of these strings.
     OneOf(&'static [&'static str]),
-    /// A name that comes in a header.
+    /// Name that is used as the value of a header field.
     HeaderName,
 }
 use Expected::{Amount, Count, Flag, HeaderName, OneOf, PositiveCount, PositiveTime, Share};
 
-/// A key and what it expects.
+/// Key, and the type and range of its value.
 type KeySpec = (&'static str, Expected);
 
-/// A time in which something has to happen is a mistake beyond this (ms): some thirty years.
+/// Maximum time limit (ms), about 30 years. A larger value is an error, whose text in `check_number` contains
+/// the maximum.
 const MAX_TIME_MS: f64 = 1e12;
-/// A count is a mistake beyond this.
+/// Maximum count. A larger value is an error, whose text in `check_number` contains the maximum.
 const MAX_COUNT: f64 = 1e6;
 
-/// Keys of the settings object itself. `me` and `zone` are drawn by the platform; what is no number counts as 0.
+/// Keys of the settings object itself. `me` and `zone` are not checked, because the platform sets them; a
+/// value that is not a number counts as 0.
 const TOP_LEVEL: &[KeySpec] = &[("balancers", Count), ("quantum", Amount), ("over-share-worth", Amount)];
 const SERVICE: &[KeySpec] = &[
     ("name", HeaderName),
@@ -100,7 +104,7 @@
     &[("probe", Amount), ("handshake", Amount), ("discovery", Amount), ("waste", Amount)];
 const SECTIONS: &[(&str, &[KeySpec])] =
     &[("policy-limits", POLICY_LIMITS), ("rules", RULES), ("domain", DOMAIN), ("prices", PRICES)];
-/// Lists of the domain, and what each of their entries has to be.
+/// Lists of the domain, and the type and range of their entries.
 const DOMAIN_LISTS: &[KeySpec] = &[
     ("stage-of-kind", OneOf(&["read", "write", "both"])),
     ("tokens-by-kind", Amount),
@@ -108,17 +112,17 @@
     ("aim-us-per-1000-prompt-tokens", Amount),
 ];
 
-/// Reads a settings object, or names the first key that is at fault.
+/// Parses a settings object, or returns an error for the first invalid key.
 pub fn checked(object: &Value) -> Result<Settings, SettingsFault> {
     if !object.is_object() {
-        return fault("", "an object wanted");
+        return fault("", "expected an object");
     }
     check_keys("", object, TOP_LEVEL)?;
     check_named_list("services", object, SERVICE)?;
     check_named_list("tenants", object, TENANT)?;
     check_sections(object)?;
     check_domain_lists(&object["domain"])?;
-    // Where lists are pushed the key has no meaning.
+    // The key is not used if lists are pushed.
     if object["discovery"] == "subscribe" {
         check_value("rules.ask-within", &object["rules"]["ask-within"], PositiveTime)?;
     }
@@ -132,7 +136,7 @@
         match object.get(name) {
             None | Some(Value::Null) => {}
             Some(section @ Value::Object(_)) => check_keys(&format!("{name}."), section, keys)?,
-            Some(_) => return fault(*name, "an object wanted"),
+            Some(_) => return fault(*name, "expected an object"),
         }
     }
     Ok(())
@@ -148,23 +152,23 @@
     Ok(())
 }
 
-/// What several keys have to give together.
+/// Checks the requirements that involve several keys.
 fn check_together(settings: &Settings) -> Result<(), SettingsFault> {
     let at_least_one =
         [("services", settings.classes.is_empty()), ("domain.stage-of-kind", settings.kinds.is_empty())];
     for (key, is_empty) in at_least_one {
         if is_empty {
-            return fault(key, "at least one entry wanted");
+            return fault(key, "expected at least one entry");
         }
     }
     if let Some(index) = settings.classes.iter().position(|class| class.deadline <= 0.0) {
-        return fault(format!("services[{index}].deadline"), "milliseconds above 0 wanted");
+        return fault(format!("services[{index}].deadline"), "expected milliseconds greater than 0");
     }
-    // Apart, the attempt at a prefill server counts, and one at a decode server follows it.
+    // If prefill and decode servers are separate, a request needs one attempt at each.
     let one_stage =
         settings.kinds.iter().any(|kind| kind.role == Role::Mixed) || settings.decode_servers_prefill;
     if !one_stage && settings.limits.max_attempts < 2 {
-        return fault("policy-limits.max-attempts", "at least 2 wanted where readers and writers are apart");
+        return fault("policy-limits.max-attempts", "expected at least 2, because prefill and decode servers are separate");
     }
     Ok(())
 }
@@ -177,31 +181,31 @@
     match value {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(entries)) => Ok(entries),
-        Some(_) => fault(key, "a list wanted"),
+        Some(_) => fault(key, "expected a list"),
     }
 }
 
-/// Checks a list of objects of which no two may have one name.
+/// Checks a list of objects whose names must be unique.
 fn check_named_list(list: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsFault> {
     let all = entries(list, object.get(list))?;
     for (index, entry) in all.iter().enumerate() {
-        // A tenant may be a mere name.
+        // A tenant may be given by its name alone.
         if entry.is_string() && list == "tenants" {
             check_value(&format!("{list}[{index}]"), entry, HeaderName)?;
         } else if entry.is_object() {
             check_keys(&format!("{list}[{index}]."), entry, keys)?;
         } else {
-            return fault(format!("{list}[{index}]"), "an object wanted");
+            return fault(format!("{list}[{index}]"), "expected an object");
         }
         let name = entry_name(entry);
         if name.is_some() && all[..index].iter().any(|earlier| entry_name(earlier) == name) {
-            return fault(format!("{list}[{index}].name"), "a name of its own wanted");
+            return fault(format!("{list}[{index}].name"), "expected a unique name");
         }
     }
     Ok(())
 }
 
-/// The name of an item of a list: the item itself, or its key `name`.
+/// Returns the name of a list entry, which is the entry itself if it is a string, or else its key `name`.
 pub fn entry_name(entry: &Value) -> Option<&str> {
     entry.as_str().or_else(|| entry.get("name")?.as_str())
 }
@@ -218,18 +222,18 @@
         OneOf(words) => check_word(key, value, words),
         HeaderName => check_header_name(key, value),
         Flag if value.is_boolean() => Ok(()),
-        Flag => fault(key, "true or false wanted"),
+        Flag => fault(key, "expected true or false"),
         Amount | PositiveTime | Share | Count | PositiveCount => check_number(key, value, expected),
     }
 }
 
 fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
     let (is_valid, wanted): (fn(f64) -> bool, &str) = match expected {
-        PositiveTime => (|number| number > 0.0 && number <= MAX_TIME_MS, "milliseconds above 0 wanted"),
-        Share => (|number| (0.0..=1.0).contains(&number), "a number from 0 to 1 wanted"),
-        Count => (|number| (0.0..=MAX_COUNT).contains(&number), "a count wanted"),
-        PositiveCount => (|number| (1.0..=MAX_COUNT).contains(&number), "a count of at least 1 wanted"),
-        _ => (|number| number >= 0.0, "a number from 0 on wanted"),
+        PositiveTime => (|number| number > 0.0 && number <= MAX_TIME_MS, "expected milliseconds above 0, up to 1e12"),
+        Share => (|number| (0.0..=1.0).contains(&number), "expected a number from 0 to 1"),
+        Count => (|number| (0.0..=MAX_COUNT).contains(&number), "expected a count from 0 to 1000000"),
+        PositiveCount => (|number| (1.0..=MAX_COUNT).contains(&number), "expected a count from 1 to 1000000"),
+        _ => (|number| number >= 0.0, "expected a number of at least 0"),
     };
     if value.as_f64().is_some_and(is_valid) {
         return Ok(());
@@ -240,17 +244,17 @@
 fn check_word(key: &str, value: &Value, words: &[&str]) -> Result<(), SettingsFault> {
     match value.as_str() {
         Some(word) if words.contains(&word) => Ok(()),
-        Some(word) => fault(key, format!("{word:?} is none of {}", words.join(", "))),
-        // In a list each entry counts by its index; elsewhere a word may be left out.
+        Some(word) => fault(key, format!("{word:?} is not one of {}", words.join(", "))),
+        // A missing value is valid, except in a list, where entries are identified by their index.
         None if value.is_null() && !key.ends_with(']') => Ok(()),
-        None => fault(key, format!("one of {} wanted", words.join(", "))),
+        None => fault(key, format!("expected one of {}", words.join(", "))),
     }
 }
 
 fn check_header_name(key: &str, value: &Value) -> Result<(), SettingsFault> {
-    let Some(name) = value.as_str() else { return fault(key, "text wanted") };
+    let Some(name) = value.as_str() else { return fault(key, "expected a string") };
     if name == name.trim() && !name.chars().any(char::is_control) {
         return Ok(());
     }
-    fault(key, format!("{name:?} cannot be a header's value: text without a blank at its ends wanted"))
+    fault(key, format!("{name:?} is not a valid header value: it has control characters or blanks at an end"))
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings of a deployment: one reader of the settings JSON for the gateway and the simulator's adapter.
+//! Parser for the settings JSON of a deployment, used by the gateway and the simulator's adapter.
 //!
-//! This crate is the one place where the operators' key names meet the names of the code. [`settings`] reads leniently:
-//! unknown keys are skipped, and a value of the wrong type counts as left out. [`checked()`] names the first key that is at
-//! fault instead, and is what the gateway starts with.
+//! Only this crate maps the key names of the operators to the names in the code. [`settings`] is lenient: it
+//! ignores unknown keys and treats a value of the wrong type as missing. [`checked()`] returns an error for
+//! the first invalid key instead, and is used by the gateway at its start.
 
 #![deny(missing_docs)]
 
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! The settings JSON in the router's terms.
+//! Conversion of the settings JSON to the router's settings types.
 
 use glenrail_router::{
     DeduplicationScope, Discovery, Idempotency, Limits, LoadReport, Prices, RequestClass, Role, Rules,
@@ -8,25 +8,26 @@
 
 use crate::json::{count, count_or, flag, list, number, number_or, text};
 
-/// Attempts of a request where the settings give no number.
+/// Default maximum number of attempts of a request.
 const DEFAULT_MAX_ATTEMPTS: u32 = 4;
-/// Time in which a connection must come up where the settings give none (ms).
+/// Default time within which a connection must be established (ms).
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// Time for which state may be leased where the settings give none (ms): the shortest of all deployments.
+/// Default limit of a state lease (ms), which is the shortest limit of all deployments.
 const DEFAULT_LEASE_LIMIT_MS: f64 = 300.0;
-/// Time within which the endpoint list must be polled again where the settings give none (ms).
+/// Default time within which the endpoint list must be polled again (ms).
 const DEFAULT_POLL_LIMIT_MS: f64 = 10_000.0;
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The id of a server: FNV-1a of its name, the same number at every router, whatever order the lists came in.
+/// Returns the id of a server, which is the FNV-1a hash of its name. It is the same at every router,
+/// regardless of the order of the server lists.
 pub fn server_id(name: &str) -> ServerId {
     let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     ServerId(name.bytes().fold(FNV_OFFSET_BASIS, hash))
 }
 
-/// A load report from its named values, whichever of a field's names the carrier uses.
+/// Builds a load report from named values. Some fields have alternative names, depending on the source.
 pub fn load_report(value_of: impl Fn(&str) -> Option<f64>) -> LoadReport {
     LoadReport {
         in_flight: value_of("outstanding").or_else(|| value_of("inflight")),
@@ -37,7 +38,7 @@
     }
 }
 
-/// Reads a settings object leniently: what is left out or of the wrong type gets its default.
+/// Parses a settings object leniently: a value that is missing or has the wrong type gets its default.
 pub fn settings(object: &Value) -> Settings {
     let domain = &object["domain"];
     Settings {
@@ -64,7 +65,7 @@
     }
 }
 
-/// The kinds of servers; their roles and memory stand in two lists of the domain, by index.
+/// Parses the server kinds. Their roles and memory sizes are in two lists of the domain, by index.
 fn server_kinds(domain: &Value) -> Vec<ServerKind> {
     let memory = list(domain, "tokens-by-kind");
     let kind = |(index, role): (usize, &Value)| ServerKind {
@@ -87,12 +88,12 @@
     services.map(|(index, service)| request_class(&object["domain"], index, service)).collect()
 }
 
-/// One class; some of its figures stand in lists of the domain, by the class's index.
+/// Parses a request class. Some of its values are in lists of the domain, by the index of the class.
 fn request_class(domain: &Value, index: usize, service: &Value) -> RequestClass {
     let from_domain = |key: &str| list(domain, key).get(index).and_then(Value::as_f64).unwrap_or(0.0);
     RequestClass {
         latency_objective: number_or(service, "aim", number(service, "deadline")),
-        // The settings give microseconds.
+        // The settings contain microseconds.
         latency_objective_per_1000_tokens: from_domain("aim-us-per-1000-prompt-tokens") / 1000.0,
         deadline: number(service, "deadline"),
         inter_token_objective: from_domain("token-aim"),
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,4 @@
-//! The settings JSON in the router's terms.
+//! Tests of the lenient parser and of server ids.
 
 use glenrail_router::{Idempotency, Role};
 
