--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -1,4 +1,5 @@
-//! The simulator's events in the router's terms: the one place where the wire's keys and codes are read.
+//! Decoder from the simulator's JSON events to the router's events. Only this module reads the keys and codes
+//! of the protocol.
 
 use base64::{engine::general_purpose::STANDARD, Engine};
 use glenrail_router::{
@@ -73,7 +74,7 @@
     }
 }
 
-/// An event of the wire, or `None` for a verb that this version does not know.
+/// Decodes an event, or returns `None` for an unknown verb.
 pub(crate) fn decode_event(event: &Value) -> Option<Event> {
     let id = request_id(event);
     let attempt = integer(event, "attempt") as u32;
--- a/simulator-adapter/src/encode.rs
+++ b/simulator-adapter/src/encode.rs
@@ -1,10 +1,11 @@
-//! The router's actions on the simulator's wire: the one place where the wire's verbs and keys are written.
+//! Encoder from the router's actions to the simulator's JSON steps. Only this module writes the verbs and
+//! keys of the protocol.
 
 use base64::{engine::general_purpose::STANDARD, Engine};
 use glenrail_router::{Action, ServerId};
 use serde_json::{json, Value};
 
-/// An action as a step of the wire; `None` for one at a server whose address is not known.
+/// Encodes an action as a step, or returns `None` if the address of its server is unknown.
 pub(crate) fn encode_action<'a>(
     action: Action, address_of: impl Fn(ServerId) -> Option<&'a str>,
 ) -> Option<Value> {
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,22 +1,22 @@
-//! Why the adapter ends before the simulator does.
+//! Errors that terminate the adapter.
 
 use std::io;
 
 use thiserror::Error;
 
-/// A fault of the simulator's input, or of the pipes to it.
+/// Error in the simulator's input, or in the pipes to the simulator.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Standard input broke; look at the simulator's own output.
-    #[error("cannot read: {0}")]
+    /// Standard input failed. The output of the simulator may show the cause.
+    #[error("cannot read standard input: {0}")]
     Read(io::Error),
-    /// Standard output broke, mostly as the simulator has ended.
-    #[error("cannot write: {0}")]
+    /// Standard output failed, usually because the simulator has terminated.
+    #[error("cannot write standard output: {0}")]
     Write(io::Error),
-    /// A line is not JSON; the simulator and the adapter are of different versions.
-    #[error("a line is not JSON: {0}")]
+    /// An input line is not JSON, because the versions of the simulator and the adapter differ.
+    #[error("input line is not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// A line or an event lacks what each of them must have.
+    /// An input line or an event lacks a required part.
     #[error("{0}")]
     Missing(&'static str),
 }
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The router instances of one process, by the simulator's number of each.
+//! Router instances of this process, identified by the number that the simulator assigned to each.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 use crate::encode::encode_action;
 use crate::error::AdapterError;
 
-/// One router, and the addresses of the servers that its lists have named.
+/// Router, and the addresses of the servers in its server lists.
 pub(crate) struct Instance {
     router: Router,
     addresses: BTreeMap<ServerId, String>,
 }
 
 impl Instance {
-    /// Remembers the addresses that an event's list names: the router knows servers by their ids alone.
+    /// Records the server addresses in an event, because the router identifies servers only by their ids.
     fn remember_addresses(&mut self, event: &Value) {
         for item in list(event, "items") {
             let address = text(item, "host");
@@ -25,7 +25,7 @@
         }
     }
 
-    /// An action on the wire; `None` for one at a server that no list has named.
+    /// Encodes an action as a step of this instance, or returns `None` if no list contained its server.
     pub(crate) fn step(&self, number: u64, action: Action) -> Option<Value> {
         let address_of = |server: ServerId| self.addresses.get(&server).map(String::as_str);
         let mut step = encode_action(action, address_of)?;
@@ -41,15 +41,15 @@
 }
 
 impl Host {
-    /// Answers one line of input with the steps that its events lead to.
+    /// Processes one line of input, and returns the reply with the resulting steps.
     pub(crate) fn handle_batch(&mut self, line: &[u8]) -> Result<Value, AdapterError> {
         let batch: Value = serde_json::from_slice(line).map_err(AdapterError::NotJson)?;
         let batch: &Map<String, Value> =
-            batch.as_object().ok_or(AdapterError::Missing("a line is not an object"))?;
+            batch.as_object().ok_or(AdapterError::Missing("input line is not a JSON object"))?;
         let now = batch.get("sim-time").and_then(Value::as_f64);
-        let now = now.ok_or(AdapterError::Missing("a batch has no number in sim-time"))?;
+        let now = now.ok_or(AdapterError::Missing("batch has no number in `sim-time`"))?;
         let inbox = batch.get("inbox").and_then(Value::as_array);
-        let inbox = inbox.ok_or(AdapterError::Missing("a batch has no array in inbox"))?;
+        let inbox = inbox.ok_or(AdapterError::Missing("batch has no array in `inbox`"))?;
         let mut steps = Vec::new();
         for event in inbox {
             self.handle_event(now, event, &mut steps)?;
@@ -59,9 +59,9 @@
 
     fn handle_event(&mut self, now: f64, event: &Value, steps: &mut Vec<Value>) -> Result<(), AdapterError> {
         let verb = event.get("verb").and_then(Value::as_str);
-        let verb = verb.ok_or(AdapterError::Missing("an event has no verb"))?;
+        let verb = verb.ok_or(AdapterError::Missing("event has no string in `verb`"))?;
         let number = event.get("i").and_then(Value::as_u64);
-        let number = number.ok_or(AdapterError::Missing("an event has no instance in i"))?;
+        let number = number.ok_or(AdapterError::Missing("event has no instance number in `i`"))?;
         match verb {
             "INIT" => self.start(number, event),
             "DETACH" => _ = self.instances.remove(&number),
@@ -75,7 +75,8 @@
         self.instances.insert(number, Instance { router, addresses: BTreeMap::new() });
     }
 
-    /// Hands an event to its router; an unknown instance or a verb of a newer simulator is skipped.
+    /// Passes an event to its router. An event with an unknown instance or verb is ignored, because it may
+    /// come from a newer simulator.
     fn forward(&mut self, number: u64, now: f64, event: &Value, steps: &mut Vec<Value>) {
         let Some(instance) = self.instances.get_mut(&number) else { return };
         instance.remember_addresses(event);
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,7 +1,9 @@
-//! The simulator's adapter: one batch of events a line on standard input, one reply with steps a line on standard output.
+//! Adapter between the simulator and the router. It reads one batch of events per line from standard input,
+//! and writes one reply with steps per line to standard output.
 //!
-//! The simulator owns the clock and the random seeds; this program hosts as many routers as the simulator asks for and decides
-//! nothing itself. A malformed line ends it with one line on standard error and an exit code that is not 0.
+//! The simulator owns the clock and the random seeds. The adapter runs as many routers as the simulator
+//! requests and makes no decisions of its own. A malformed line terminates it with one line on standard error
+//! and a non-zero exit code.
 
 #![deny(missing_docs)]
 
--- a/simulator-adapter/src/tests.rs
+++ b/simulator-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Every action on the wire.
+//! Test of the encoding of every action.
 
 use glenrail_router::{Action, RejectReason, RequestId, ServerId};
 use glenrail_settings::server_id;
@@ -48,6 +48,6 @@
         wanted["i"] = json!(4);
         assert_eq!(host.instances[&4].step(4, action), Some(wanted));
     }
-    // A server that no list has named is never put on the wire.
+    // An action at a server that no list contained is not encoded.
     assert_eq!(host.instances[&4].step(4, Action::Probe { server: ServerId(1) }), None);
 }
--- a/simulator-adapter/tests/lines.rs
+++ b/simulator-adapter/tests/lines.rs
@@ -1,4 +1,4 @@
-//! The adapter on literal lines.
+//! Tests of the adapter program with literal input lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
