--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions in a large fleet keep their order and bounds whatever is known.
+//! Properties of the decisions in a large fleet, for any load information.
 
 use super::*;
 use crate::api::ServerEntry;
@@ -19,15 +19,15 @@
     RecentRequests { total, same_prefix }
 }
 
-/// A server that reported this load at time 0.
+/// Returns a server that reported this load at time 0.
 fn server_with_load(in_flight: f64) -> ServerRecord {
     let reported_load = Some(ReportedLoad { in_flight, reported_at: 0.0 });
     ServerRecord { reported_load, ..ServerRecord::default() }
 }
 
 proptest! {
-    /// Whatever is known, a request goes to one of its candidates, never past one that would do, and a server
-    /// that was probed is not probed again.
+    /// A request is sent to one of its candidates without skipping a suitable one, and a server is not probed
+    /// twice for a request.
     #[test]
     fn the_first_candidate_that_is_not_overloaded_is_chosen(
         candidates in prop::collection::vec(knowledge(), 1..6), can_probe: bool,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The probes for a request come to an end: two rounds of them at most.
+    /// A request causes at most two rounds of probes.
     #[test]
     fn probes_for_a_request_end_after_two_rounds(answers in prop::collection::vec(knowledge(), 1..6)) {
         let mut candidates = vec![LoadKnowledge::Unknown; answers.len()];
@@ -72,10 +72,11 @@
                 NextStep::Wait => prop_assert!(false, "no probe is in flight"),
             }
         }
-        prop_assert!(false, "still probing: {:?}", candidates);
+        prop_assert!(false, "probes after two rounds: {:?}", candidates);
     }
 
-    /// A higher price never gives more probes, and at the price of our deployments there are four and two.
+    /// A higher price never results in more probes. At the two prices of the deployments there are four and
+    /// two probes, and one of each.
     #[test]
     fn more_expensive_probes_are_fewer(a in 0.0..0.1f64, b in 0.0..0.1f64, transfer_price in 0.0..0.1f64) {
         let (low, high) = (a.min(b), a.max(b));
@@ -89,8 +90,8 @@
         prop_assert_eq!(decode_servers_to_probe(a.max(1e-6), 0.0), 0);
     }
 
-    /// More requests for a prefix never take a preferred server from it, and there are never more than
-    /// servers.
+    /// More requests for a prefix never reduce its number of preferred servers, which is at most the number
+    /// of servers.
     #[test]
     fn preferred_servers_grow_with_the_requests_for_a_prefix(
         same_prefix in 1.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
@@ -103,8 +104,8 @@
         prop_assert!(1 <= fewer && fewer <= more && more <= servers);
     }
 
-    /// The demand of a prefix grows with its requests and never exceeds the capacity; at its preferred server
-    /// it is never more than at another.
+    /// The demand of a prefix grows with its requests and never exceeds the total capacity. At its preferred
+    /// server it is never higher than at another.
     #[test]
     fn the_demand_of_a_prefix_grows_with_its_share_of_requests(
         same_prefix in 0.0..50.0, more in 0.0..50.0, others in 0.0..200.0,
@@ -127,8 +128,8 @@
         prop_assert!(at_preferred <= demand(same_prefix, None, first) && at_preferred <= weights[0]);
     }
 
-    /// A server with a typical load is not overloaded, give or take the floor; one overloaded server among
-    /// few that were heard from does not make its own load the typical one.
+    /// A server with a typical load, or up to the floor above it, is not overloaded. The load of an
+    /// overloaded server is not the typical load even if it is the only known one.
     #[test]
     fn the_typical_load_is_not_an_overload(
         loads in prop::collection::vec(0.0..60.0, 0..40), high in 10.0..80.0,
@@ -138,8 +139,7 @@
         prop_assert!(is_overloaded(high, typical_load(vec![high])));
     }
 
-    /// A wait is reckoned from the load that a server reports, by a fresh report only, and only in a large
-    /// fleet.
+    /// A wait is estimated from the reported load only if the report is fresh, and only in a large fleet.
     #[test]
     fn a_reported_wait_needs_a_fresh_report_and_a_large_fleet(
         load in 0.0..60.0, more in 0.1..10.0, age in 0.0..2_000.0,
@@ -149,7 +149,7 @@
         prop_assert_eq!(wait(load, 2.0), 0.0);
     }
 
-    /// A fresh report counts fully, and a very old one not at all.
+    /// A fresh report has full weight in the estimated load, and a very old one has none.
     #[test]
     fn a_reported_load_fades_into_the_typical_load(
         load in 0.0..60.0, typical in 1.0..20.0, age in 0.0..60_000.0,
--- a/crates/router/src/rendezvous/tests.rs
+++ b/crates/router/src/rendezvous/tests.rs
@@ -1,11 +1,11 @@
-//! Rendezvous hashing moves no more keys than it must.
+//! Stability of rendezvous hashing when the servers change.
 
 use super::*;
 use proptest::prelude::*;
 
 proptest! {
-    /// The loss of a server moves only the keys that it had, and one more preferred server takes sessions
-    /// only to itself.
+    /// The removal of a server moves only the keys of that server, and an additional preferred server
+    /// receives sessions without moving others.
     #[test]
     fn order_is_stable_when_a_server_leaves_or_a_preferred_server_is_added(
         count in 2u64..40, removed in 0u64..40, preferred in 1usize..6, hash_key: u64, session: u64,
--- a/crates/router/src/slow_start_budget/tests.rs
+++ b/crates/router/src/slow_start_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The slow-start budget by itself: capacity share, send credit, and who may go by a load report.
+//! Unit tests of the slow-start budget: capacity share, send credit, and reliance on load reports.
 
 use super::*;
 use crate::state::{server_record::ReportedLoad, Random};
@@ -17,8 +17,8 @@
     }
 }
 
-/// In every overload window, a server that started at 0 and completes so many requests a second at full
-/// capacity was sent no more than the rule leaves.
+/// Asserts that a server that started at 0, and completes `rate_per_s` requests per second at full capacity,
+/// received no more than the slow-start rule permits in any overload window.
 fn assert_no_overload(sent: &[Millis], rules: &Rules, rate_per_s: f64) -> Result<(), TestCaseError> {
     for start in sent {
         let window = *start..start + rules.overload_window;
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// A server that started at 0, as a router sees it that learns of it at `now`.
+/// Returns the record of a server that started at 0, at a router that is notified of it at `now`.
 fn started_server(random: &mut Random, now: Millis) -> ServerRecord {
     ServerRecord {
         send_credit: random.next_unit(),
@@ -44,13 +44,13 @@
     }
 }
 
-/// Overload multiple, overload window and initial share of some deployments.
+/// Generates the overload multiple, overload window and initial share of some deployments.
 fn overload_rules() -> impl Strategy<Value = (f64, f64, f64)> {
     prop::sample::select(vec![(4.0, 3_000.0, 0.31), (4.0, 2_000.0, 0.26), (2.5, 1_500.0, 0.27)])
 }
 
 proptest! {
-    /// The capacity share grows steadily from no less than the settings say to no more than 1.
+    /// The capacity share grows monotonically from the share in the settings to 1.
     #[test]
     fn the_capacity_share_grows_to_one(since in 0.0..1e6, early in 0.0..30_000.0, more in 0.0..30_000.0) {
         let share_at = |elapsed| capacity_share(&rules(), Some(since), since + elapsed);
@@ -61,10 +61,10 @@
         prop_assert_eq!(share_at(13_000.0), 1.0);
     }
 
-    /// Whatever the number of routers, whether each spends at once or all save up for one burst, with none, a
-    /// third or all of them restarted within a second, once or again every second and a half: all together
-    /// send a server in slow start, in any overload window, no more than the bound, though they estimate its
-    /// rate no lower than it is.
+    /// All routers together send a server in slow start no more than the bound in any overload window. This
+    /// holds for any number of routers, whether each uses its credit at once or all accumulate it for one
+    /// burst. None, a third or all of them restart within a second, once or every 1.5 s. The routers estimate
+    /// the rate of the server from its completions at a utilization of 50 % to 100 %.
     #[test]
     fn the_sum_of_all_send_credits_keeps_a_starting_server_from_overload(
         routers in prop::sample::select(vec![3usize, 20, 30, 100, 300]), rate_per_s in 1.0..30.0f64,
@@ -97,10 +97,10 @@
         assert_no_overload(&sent, &rules, rate_per_s)?;
     }
 
-    /// Whatever load a server reports, as long as it stays the same: requests for a prefix come to all
-    /// routers, and all have a fresh report of an empty server in slow start all the time. They send it, in
-    /// any overload window, no more than the bound, though each estimates the demand of the prefix somewhat
-    /// higher or lower than it is.
+    /// All routers together send a server in slow start no more than the bound in any overload window,
+    /// although its load report does not change: every router receives requests for the same prefix, and
+    /// always has a fresh report of an idle server. The routers estimate the demand of the prefix up to 25 %
+    /// too high or 20 % too low.
     #[test]
     fn an_unchanged_load_report_keeps_a_starting_server_from_overload(
         routers in prop::sample::select(vec![20usize, 30, 100, 300]),
@@ -133,8 +133,8 @@
         assert_no_overload(&sent, &rules, rate_per_s)?;
     }
 
-    /// The higher the demand of a prefix, the fewer routers go by a report; the more the server bears, the
-    /// more. Never all, and any from a whole send of credit on.
+    /// Fewer routers rely on a report if the demand of the prefix is higher, and more do if the server has
+    /// more capacity. The threshold is always between the minimum and a whole send of credit.
     #[test]
     fn fewer_routers_go_by_a_report_the_higher_the_demand(
         a in 0.0..50.0f64, b in 0.0..50.0f64, c in 0.01..10.0f64, d in 0.01..10.0f64,
@@ -146,7 +146,7 @@
         prop_assert_eq!(threshold(c, 0.0), MIN_REPORT_THRESHOLD);
     }
 
-    /// The load of a server in slow start counts for more, never for less, and that of any other as it is.
+    /// The load of a server in slow start is scaled up, and that of any other server is unchanged.
     #[test]
     fn the_load_of_a_starting_server_counts_for_more(
         load in 0.0..50.0, a in 0.05..1.0f64, b in 0.05..1.0f64,
@@ -155,7 +155,8 @@
         prop_assert_eq!(normalized_load(load, 1.0), load);
     }
 
-    /// A server in slow start gets nothing on an old report, nor on a fresh one where routers do not probe.
+    /// A server in slow start receives nothing without a whole send of credit if its report is old, or if
+    /// routers do not probe.
     #[test]
     fn a_starting_server_is_sent_requests_on_a_fresh_report_only(
         age in 0.0..5_000.0, credit in 0.0..0.99f64,
--- a/crates/router/src/tenant_quota/tests.rs
+++ b/crates/router/src/tenant_quota/tests.rs
@@ -1,10 +1,10 @@
-//! A tenant is judged by its own requests, whatever the others send.
+//! Independence of a tenant's quota from the requests of other tenants.
 
 use super::*;
 use proptest::prelude::*;
 
-/// Share of a tenant's requests that are beyond its quota, from 20 s to 30 s, where each tenant sends so many
-/// times its rate.
+/// Returns the share of a tenant's requests from 20 s to 30 s that exceed its quota, if each tenant sends
+/// this multiple of its rate.
 fn share_beyond_quota(load_factors: [f64; 3], judged_tenant: usize) -> f64 {
     let rates = [3.0, 2.5, 1.5];
     let mut quotas = TenantQuotas::new(rates.into_iter(), 0.0);
@@ -27,7 +27,7 @@
 }
 
 proptest! {
-    /// A tenant within its quota is never judged beyond it, however far beyond it one other is; that one is.
+    /// A tenant within its quota never exceeds it because of another tenant that does, which is detected.
     #[test]
     fn a_burst_of_one_tenant_does_not_affect_the_others(
         first in 0.3..0.95f64, last in 0.3..0.95f64, burst in 2.0..6.0f64,
@@ -38,7 +38,8 @@
         prop_assert!((beyond - (1.0 - 1.0 / burst)).abs() < 0.1, "{}", beyond);
     }
 
-    /// A router that gets another router's clients too judges no tenant beyond its quota for that.
+    /// A router that also receives the clients of another router does not treat tenants as exceeding their
+    /// quota.
     #[test]
     fn more_traffic_of_every_tenant_puts_none_beyond_its_quota(factor in 1.5..2.5f64, less in 0.6..0.9f64) {
         prop_assert!(share_beyond_quota([factor * less, factor, factor], 0) < 0.3);
--- a/crates/router/src/wait_estimate/tests.rs
+++ b/crates/router/src/wait_estimate/tests.rs
@@ -1,10 +1,10 @@
-//! The wait estimate keeps its order and its bounds whatever was measured.
+//! Order and bounds of the wait estimate, for any measurements.
 
 use super::*;
 use crate::api::RequestId;
 use proptest::prelude::*;
 
-/// A server with these attempts pending, each with its send time and its work in tokens.
+/// Returns a server with these pending attempts, given by send time and work in tokens.
 fn pending(attempts: impl Iterator<Item = (Millis, f64)>) -> ServerRecord {
     let attempt = |(id, (sent_at, work_tokens))| {
         (RequestId(id), PendingAttempt { sent_at, overtaken_by: 0, work_tokens })
@@ -13,8 +13,8 @@
 }
 
 proptest! {
-    /// More work, pending or new, never ends sooner, and a wait that was met fades with time, but not what is
-    /// pending.
+    /// More work, pending or new, never ends sooner. A measured wait decays over time, and pending work does
+    /// not.
     #[test]
     fn more_work_never_ends_sooner(
         own in prop::collection::vec(0.0..20_000.0f64, 0..6), work in 500.0..20_000.0f64,
@@ -35,8 +35,8 @@
         prop_assert!(pending_count == 0 || time(&busy, work, 60_000.0) >= 59_000.0);
     }
 
-    /// The patience with a server covers the prefills sent to it up to then, grows with each, and is finite
-    /// whatever was measured.
+    /// The maximum busy time of a server covers the prefills sent to it until then, grows with each of them,
+    /// and is finite for any measurement.
     #[test]
     fn a_server_may_be_busy_for_as_long_as_its_prefills_take(
         own in prop::collection::vec((0.0..9_000.0f64, 0.0..70_000.0f64), 0..6), until in 0.0..9_000.0f64,
@@ -52,7 +52,7 @@
         let work_before: f64 = sent_before.map(|(_, work)| work).sum();
         prop_assert!(allowed.is_finite() && allowed >= work_before * per_token.unwrap_or(0.0));
         prop_assert!(max_busy_time(&server, &statistics, 3.0, until + 1_000.0) >= allowed);
-        prop_assert!(work_before == 0.0 || allowed > 0.0, "without a measurement there is still patience");
+        prop_assert!(work_before == 0.0 || allowed > 0.0, "the maximum busy time is not 0 without a measurement");
         let decode_server = ServerRecord { role: Role::Decode, ..server };
         prop_assert_eq!(max_busy_time(&decode_server, &statistics, 3.0, until), 0.0);
     }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,22 +1,26 @@
-//! Helpers of the tests: settings, servers and requests with sensible defaults, and a router to script events
-//! for.
+//! Test helpers: sample settings, servers and requests, and a router with shorthands for its events.
 #![allow(dead_code)]
 
 use glenrail_router::*;
 
-/// Indices of the kinds in [`settings`].
+/// Index of the prefill kind in [`settings`].
 pub const PREFILL: u32 = 0;
+/// Index of the decode kind in [`settings`].
 pub const DECODE: u32 = 1;
+/// Index of the mixed kind in [`settings`].
 pub const MIXED: u32 = 2;
-/// Indices of the classes in [`settings`].
+/// Index of the idempotent class in [`settings`].
 pub const IDEMPOTENT: u32 = 0;
+/// Index of the class with idempotency keys in [`settings`].
 pub const IDEMPOTENCY_KEY: u32 = 1;
+/// Index of the non-idempotent class in [`settings`].
 pub const NON_IDEMPOTENT: u32 = 2;
-/// Servers of [`sample_servers`]: one of each role in a zone and cell of its own.
+/// Prefill servers of [`sample_servers`], each in a separate zone and cell.
 pub const PREFILL_SERVERS: [u64; 3] = [11, 12, 13];
+/// Decode servers of [`sample_servers`], each in a separate zone and cell.
 pub const DECODE_SERVERS: [u64; 3] = [21, 22, 23];
 
-/// Settings of one of two routers that may probe.
+/// Returns the settings of one of two routers that may probe.
 pub fn settings() -> Settings {
     let class = RequestClass {
         latency_objective: 1_000.0,
@@ -78,19 +82,20 @@
     }
 }
 
-/// A ready server of this kind, in the cell of its zone that has the zone's number.
+/// Returns a ready server of this kind, in the cell whose index is that of its zone.
 pub fn server_entry(id: u64, kind: u32, zone: u32) -> ServerEntry {
     ServerEntry { server: ServerId(id), zone, cell: zone, kind, weight: 1.0, ..ServerEntry::default() }
 }
 
-/// Three prefill servers and three decode servers, one of each in a zone and cell of its own.
+/// Returns three prefill servers and three decode servers. Each zone has one cell with one server of each
+/// role.
 pub fn sample_servers() -> Vec<ServerEntry> {
     let prefill = PREFILL_SERVERS.iter().zip(0..).map(|(id, zone)| server_entry(*id, PREFILL, zone));
     let decode = DECODE_SERVERS.iter().zip(0..).map(|(id, zone)| server_entry(*id, DECODE, zone));
     prefill.chain(decode).collect()
 }
 
-/// A request of its own session, whose prefix is that of all other sample requests.
+/// Returns a request with a session of its own and the prefix that all sample requests share.
 pub fn sample_request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -104,12 +109,12 @@
     }
 }
 
-/// A sample request with this prefix.
+/// Returns a sample request with this prefix.
 pub fn request_with_prefix(id: u64, prefix: u64) -> Request {
     Request { prefix: Some(prefix), ..sample_request(id) }
 }
 
-/// An attempt of a request in flight.
+/// Attempt of a request in flight.
 #[derive(Clone, Copy)]
 pub struct SentAttempt {
     pub id: u64,
@@ -117,7 +122,7 @@
     pub server: u64,
 }
 
-/// The end of an attempt that found nothing cached and came without a load report.
+/// Returns the outcome of an attempt with nothing cached and without a load report.
 pub fn attempt_outcome(
     id: u64, attempt: u32, server: u64, status: AttemptStatus, elapsed: Millis,
 ) -> AttemptOutcome {
@@ -134,12 +139,12 @@
     }
 }
 
-/// Key of the timer that gives a request its next step.
+/// Returns the key of the timer for the next step of a request.
 pub fn step_timer(id: u64) -> u64 {
     id << 1 | 1
 }
 
-/// Key of the timer at a request's deadline.
+/// Returns the key of the timer for the deadline of a request.
 pub fn deadline_timer(id: u64) -> u64 {
     id << 1
 }
@@ -147,7 +152,7 @@
 /// Key of the housekeeping timer.
 pub const HOUSEKEEPING_TIMER: u64 = 1 << 52;
 
-/// A router and the time at which it gets its next event.
+/// Router, and the time of its next event.
 pub struct TestRouter {
     pub inner: Router,
     pub now: Millis,
@@ -158,19 +163,19 @@
         TestRouter::seeded(3, settings, servers)
     }
 
-    /// A router whose random draws come from this seed.
+    /// Creates a router with this random seed.
     pub fn seeded(seed: u64, settings: Settings, servers: Vec<ServerEntry>) -> Self {
         let mut router = TestRouter { inner: Router::new(seed, settings), now: 0.0 };
         router.update_servers(ListUpdate::Full, servers);
         router
     }
 
-    /// A router with the sample settings and servers.
+    /// Creates a router with the sample settings and servers.
     pub fn with_defaults() -> Self {
         TestRouter::new(settings(), sample_servers())
     }
 
-    /// One router of two hundred, with the sample servers.
+    /// Creates one of 200 routers, with the sample servers.
     pub fn in_large_fleet() -> Self {
         TestRouter::new(Settings { router_count: 200, ..settings() }, sample_servers())
     }
@@ -181,7 +186,7 @@
         actions
     }
 
-    /// Sets the time.
+    /// Sets the time of the next event.
     pub fn at_time(&mut self, now: Millis) -> &mut Self {
         self.now = now;
         self
@@ -217,7 +222,7 @@
         self.handle(Event::Outcome(AttemptOutcome { note, report, ..outcome }))
     }
 
-    /// The end of a prefill after `elapsed`, with nothing cached.
+    /// Reports the end of a prefill after `elapsed`, with nothing cached.
     pub fn prefilled_after(&mut self, id: u64, server: u64, elapsed: Millis) -> Vec<Action> {
         self.handle(Event::Outcome(attempt_outcome(id, 0, server, AttemptStatus::Prefilled, elapsed)))
     }
@@ -230,36 +235,38 @@
         self.fire_timer(HOUSEKEEPING_TIMER)
     }
 
-    /// The answer of a server to a probe.
+    /// Reports the answer of a server to a probe.
     pub fn probe_answer(&mut self, server: u64, report: Option<LoadReport>) -> Vec<Action> {
         let (server, status) = (ServerId(server), AttemptStatus::Served);
         self.handle(Event::ProbeResult { server, status, elapsed: 1.0, report })
     }
 
-    /// A server's report of its memory, as the answer to a probe.
+    /// Reports the memory use of a server in the answer to a probe.
     pub fn report_memory(&mut self, server: u64, memory_share: f64) {
         let report = LoadReport { memory_share: Some(memory_share), ..LoadReport::default() };
         self.probe_answer(server, Some(report));
     }
 
-    /// A server's report of what it has in flight, as the answer to a probe.
+    /// Reports the requests in flight at a server in the answer to a probe.
     pub fn report_load(&mut self, server: u64, in_flight: f64) -> Vec<Action> {
         let report = LoadReport { in_flight: Some(in_flight), ..LoadReport::default() };
         self.probe_answer(server, Some(report))
     }
 
-    /// Submits a request in a fleet in which every server that is probed reports at once that it is idle.
+    /// Submits a request, and answers every probe immediately with the report of an idle server.
     pub fn submit_to_idle(&mut self, request: Request) -> Vec<Action> {
         let actions = self.submit(request);
         self.answer_probes_as_idle(actions)
     }
 
-    /// All that follows on these actions when each server that is probed reports at once that it is idle.
+    /// Answers every probe among these and the following actions immediately with the report of an idle
+    /// server. Returns all actions.
     pub fn answer_probes_as_idle(&mut self, actions: Vec<Action>) -> Vec<Action> {
         self.answer_probes_with_load(actions, 0.0)
     }
 
-    /// All that follows on these actions when each server that is probed reports this load at once.
+    /// Answers every probe among these and the following actions immediately with this load. Returns all
+    /// actions.
     pub fn answer_probes_with_load(&mut self, mut actions: Vec<Action>, in_flight: f64) -> Vec<Action> {
         let mut answered = 0;
         while let Some(server) = probed_servers(&actions).get(answered).copied() {
@@ -269,12 +276,12 @@
         actions
     }
 
-    /// Submits a request to an idle fleet and returns the prefill server that it is sent to.
+    /// Submits a request to an idle fleet, and returns the prefill server that it is sent to.
     pub fn prefill_server_for(&mut self, request: Request) -> u64 {
         sent_to(&self.submit_to_idle(request)).expect("a send")
     }
 
-    /// Requests with other prefixes than the sample's, so that none is popular.
+    /// Sends requests with prefixes other than that of the sample requests, so that no prefix is popular.
     pub fn send_mixed_traffic(&mut self) {
         for id in 100_000..100_030 {
             let server = self.prefill_server_for(request_with_prefix(id, id));
@@ -283,14 +290,14 @@
         }
     }
 
-    /// Ends a prefill, and returns the decode server that the state is sent to.
+    /// Reports the end of a prefill, and returns the decode server that the state is sent to.
     pub fn decode_server_after(&mut self, id: u64, prefill_server: u64) -> u64 {
         let actions = self.outcome(id, 0, prefill_server, AttemptStatus::Prefilled);
         sent_to(&actions).expect("a decode server")
     }
 }
 
-/// The server of the first send among these actions.
+/// Returns the server of the first send among these actions.
 pub fn sent_to(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(server.0),
@@ -298,7 +305,7 @@
     })
 }
 
-/// The servers probed by these actions, in order.
+/// Returns the servers probed by these actions, in order.
 pub fn probed_servers(actions: &[Action]) -> Vec<u64> {
     let probed = |action: &Action| match action {
         Action::Probe { server } => Some(server.0),
@@ -319,12 +326,12 @@
     actions.iter().any(|action| matches!(action, Action::Release { .. }))
 }
 
-/// Whether a line of this kind is logged.
+/// Returns whether a line of this kind is logged.
 pub fn logs(actions: &[Action], kind: &str) -> bool {
     actions.iter().any(|action| matches!(action, Action::Log(line) if line.starts_with(kind)))
 }
 
-/// Due times and keys of the timers set, in order.
+/// Returns the due times and keys of the timers that these actions set, in order.
 pub fn timers_set(actions: &[Action]) -> Vec<(Millis, u64)> {
     let timer = |action: &Action| match action {
         Action::Timer { at, key, .. } => Some((*at, *key)),
--- a/crates/router/tests/decode_capacity.rs
+++ b/crates/router/tests/decode_capacity.rs
@@ -1,6 +1,6 @@
-//! One of many routers while every decode server is in slow start: it runs no prefill whose state no decode
-//! server would take, and probes those again whose report was old at the end of a prefill. No sockets, no
-//! clock but the events'.
+//! Capacity of decode servers in slow start: one of many routers sends no prefill whose state no decode
+//! server would accept, and probes decode servers again if their reports are too old at the end of a prefill.
+//! The tests use simulated time and no sockets.
 
 mod common;
 
@@ -8,20 +8,20 @@
 use glenrail_router::*;
 
 const ROUTERS: u32 = 32;
-/// A prefill takes longer (ms) than the report of a server in slow start counts.
+/// Duration of a prefill (ms), which is longer than a report of a server in slow start may be used.
 const PREFILL_TIME: Millis = 400.0;
 
-/// How a request ended.
+/// Final result of a request.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 enum Ending {
     Served,
-    /// Rejected before it was sent.
+    /// The request was rejected before its first send.
     RejectedUnsent,
-    /// Rejected after its prefill: no decode server took its state.
+    /// The request was rejected after its prefill, because no decode server accepted its state.
     RejectedAfterPrefill,
 }
 
-/// How many requests ended in each way.
+/// Number of requests by final result.
 #[derive(Debug, Default)]
 struct Endings {
     served: u32,
@@ -39,7 +39,7 @@
     }
 }
 
-/// A router of many that has just learned that all decode servers are new.
+/// Returns one of many routers, which has just been notified that all decode servers have started.
 fn router_with_starting_decode_servers(seed: u64) -> TestRouter {
     let started = |entry: ServerEntry| match DECODE_SERVERS.contains(&entry.server.0) {
         true => ServerEntry { started: Some(0.0), ..entry },
@@ -49,7 +49,7 @@
     TestRouter::seeded(seed, Settings { router_count: ROUTERS, ..settings() }, servers)
 }
 
-/// Plays one request to its end, alone.
+/// Runs one request to its end while no other request is in flight.
 fn play(router: &mut TestRouter, id: u64) -> Ending {
     let actions = router.submit_to_idle(sample_request(id));
     let Some(prefill_server) = sent_to(&actions) else {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Guards the time of prefill servers: a prefill for no decode server is in vain, and delays those that wait
-/// behind it.
+/// Guards against useless work at prefill servers: a prefill whose state no decode server accepts delays the
+/// prefills that wait behind it.
 #[test]
 fn no_prefill_runs_whose_state_no_decode_server_would_take() {
     let mut endings = Endings::default();
@@ -89,18 +89,18 @@
     assert_eq!(endings.rejected_after_prefill, 0, "{endings:?}");
 }
 
-/// Guards against a report that was fresh at the start of a prefill and is old at its end: the decode server
-/// is probed again, and gets the state.
+/// Guards against a rejection because the report of a decode server was fresh at the start of a prefill and
+/// is too old at its end: the server is probed again, and receives the state.
 #[test]
 fn a_starting_decode_server_is_probed_again_at_the_end_of_a_prefill() {
     let endings: Vec<Ending> =
         (1..=40).map(|seed| play(&mut router_with_starting_decode_servers(seed), 1)).collect();
-    // Of three decode servers most routers go by the report of one.
+    // Most routers may rely on the report of one of the three decode servers.
     assert!(endings.iter().filter(|ending| **ending == Ending::Served).count() >= 30, "{endings:?}");
 }
 
-/// With no decode server listed, or all of them ejected, no prefill runs either; a trial goes on from time to
-/// time, or the router would never learn that they are back.
+/// Guards against prefills without any decode server in the list, and against a router that sends none at
+/// all: it needs occasional trials to detect that decode servers are available again.
 #[test]
 fn without_decode_servers_only_trials_are_prefilled() {
     let mut router = router_with_starting_decode_servers(1);
@@ -122,8 +122,8 @@
     );
 }
 
-/// Guards the panic threshold: where most decode servers look bad by resets alone, the fault is elsewhere,
-/// and prefills go on.
+/// Guards against rejections if most decode servers are ejected only because of resets: the fault is probably
+/// elsewhere, so the panic threshold applies and prefills continue.
 #[test]
 fn prefills_go_on_for_decode_servers_that_only_look_bad() {
     let settings = Settings { router_count: ROUTERS, ..settings() };
@@ -145,8 +145,8 @@
     assert!(server.is_some_and(|id| PREFILL_SERVERS.contains(&id)));
 }
 
-/// Guards against rejecting what a decode server could take by the end of its lease: where prefills are short
-/// and credit grows fast, a request that comes before the credit is prefilled for it.
+/// Guards against the rejection of a request whose state a decode server could accept before its lease ends:
+/// if prefills are short and credit grows fast, the credit is available after the prefill.
 #[test]
 fn a_prefill_runs_when_there_will_be_credit_within_its_lease() {
     let mut endings = Endings::default();
@@ -168,7 +168,7 @@
     assert!(endings.served >= 500, "{endings:?}");
 }
 
-/// Guards against several prefills for the same send: those that run already use the credit first.
+/// Guards against several prefills for the same credit: the credit is reserved for prefills that already run.
 #[test]
 fn running_prefills_use_the_credit_first() {
     for seed in 1..=40 {
--- a/crates/router/tests/decode_placement.rs
+++ b/crates/router/tests/decode_placement.rs
@@ -1,5 +1,5 @@
-//! Decode placement: the decode server with the least projected memory, near the prefill server where that
-//! costs little.
+//! Decode placement: the decode server with the lowest projected memory use is selected, or one near the
+//! prefill server if the difference is small.
 
 mod common;
 
@@ -30,7 +30,7 @@
         let prefill_server = router.prefill_server_for(large);
         chosen.push(router.decode_server_after(id, prefill_server));
     }
-    assert!(DECODE_SERVERS.iter().all(|id| chosen.contains(id)), "spread over all: {chosen:?}");
+    assert!(DECODE_SERVERS.iter().all(|id| chosen.contains(id)), "not distributed over all servers: {chosen:?}");
 }
 
 #[test]
@@ -59,5 +59,5 @@
         let decode_server = router.decode_server_after(1, prefill_server);
         far += u32::from(decode_server != prefill_server + 10);
     }
-    assert!(far <= 20, "{far} of 40 left the prefill server's cell with no report at all");
+    assert!(far <= 20, "{far} of 40 states left the prefill server's cell without any load report");
 }
--- a/crates/router/tests/large_fleet/main.rs
+++ b/crates/router/tests/large_fleet/main.rs
@@ -1,5 +1,6 @@
-//! Many routers in one process that see nothing of each other, against servers that report late: what is
-//! harmless when one does it and harmful when all do. Simulated time, a fixed seed, no sockets.
+//! Large fleet: 60 routers that do not communicate, and servers whose load reports are delayed. The tests
+//! cover decisions that are harmless at one router and harmful if all routers make them. They use simulated
+//! time, fixed seeds and no sockets.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,7 +14,7 @@
 use servers::{DecodeServer, PrefillServer};
 use simulation::*;
 
-/// A third of all requests share one prefix, the rest have sixty others.
+/// Assigns one popular prefix to a third of all requests, and sixty other prefixes to the rest.
 fn one_popular_prefix(id: u64) -> u64 {
     if id.is_multiple_of(3) {
         1
@@ -30,8 +31,8 @@
     assert!(fleet.share_in_time() > at_least, "in time {:.3}", fleet.share_in_time());
 }
 
-/// The cause of the failed calm day: no router sees more of the popular prefix than a request in some
-/// seconds, so none knows that its preferred server is overloaded, and all of them together overload it.
+/// Guards against the overload of the preferred server of a popular prefix. Each router receives a request
+/// for the prefix only every few seconds, so none of them can detect the overload from its own traffic.
 #[test]
 fn a_popular_prefix_that_no_router_sees_completely_does_not_overload_its_server() {
     let mut fleet = Fleet::new(one_popular_prefix);
@@ -41,14 +42,14 @@
     assert!(busiest < 4.0, "the busiest prefill server has {busiest:.1} times the mean");
     let per_request = fleet.probes as f64 / fleet.arrived_at.len() as f64;
     assert!(per_request < 4.1, "{per_request:.2} probes a request");
-    // The same without probes fails: what is tested is the probes, not the traffic.
+    // Without probes the results must be worse. Otherwise the test would not cover the probes.
     let mut without_probes = Fleet::without_probes(one_popular_prefix);
     without_probes.play(2_500, 8);
     let share = without_probes.share_in_time();
     assert!(share < fleet.share_in_time() - 0.04, "without probes {share:.3}");
 }
 
-/// Where a probe is expensive there are fewer, as many as the settings' price allows, and they still help.
+/// Guards against too many probes at a high price, and against a budget so small that probes have no benefit.
 #[test]
 fn expensive_probes_are_few_and_still_spread_a_popular_prefix() {
     let prices = Prices { probe: 0.012, ..settings().prices };
@@ -62,7 +63,7 @@
     assert!(some > none + 0.02, "in time {some:.3}, {none:.3} without probes");
 }
 
-/// A server with a long queue that still works gets less, and is not taken for dead by all.
+/// Guards against the ejection of a slow server that still works; it must only receive fewer requests.
 #[test]
 fn a_slow_prefill_server_is_passed_over_and_not_ejected() {
     let play = |mut fleet: Fleet| {
@@ -74,24 +75,24 @@
     assert_in_time(&fleet, 0.97);
     let without_probes = play(Fleet::without_probes(forty_prefixes));
     let (few, many) = (fleet.ejections, without_probes.ejections);
-    assert!(2 * few < many, "{few} ejections of a server that works, {many} by routers that do not probe");
+    assert!(2 * few < many, "{few} ejections of a working server, {many} by routers that do not probe");
 }
 
-/// A server that accepts requests and answers nothing is detected by its silence to probes, before each
-/// router has lost a request there.
+/// Guards against one lost request per router at a server that accepts requests and does not respond. It is
+/// detected earlier by its unanswered probes.
 #[test]
 fn an_unresponsive_prefill_server_costs_few_requests() {
     let mut fleet = Fleet::new(forty_prefixes);
     fleet.prefill_servers.get_mut(&107).expect("a prefill server").is_unresponsive = true;
     fleet.play(1_500, 16);
     let sent = fleet.prefill_servers[&107].prefills;
-    assert!(sent < 3, "{sent} requests went to a server that answers nobody");
+    assert!(sent < 3, "{sent} requests were sent to a server that does not respond");
     assert_in_time(&fleet, 0.97);
 }
 
-/// Servers that answer at once with an error look idle by their load reports, so they would draw requests
-/// from every router; each router finds out for itself, and a retry after so quick an error must not cost
-/// what a slow one does.
+/// Guards against lost requests at servers that immediately respond with an error. They report no load and
+/// therefore attract requests from every router, each of which has to detect the errors itself. A retry after
+/// such a quick error must cost less of the retry budget than one after a slow error.
 #[test]
 fn prefill_servers_that_fail_at_once_cost_few_requests() {
     let mut fleet = Fleet::new(forty_prefixes);
@@ -106,7 +107,7 @@
 }
 
 /// Replaces the servers of one step, two of each role, by new ones that start now. Returns the change of the
-/// list.
+/// server list.
 fn replace_servers(fleet: &mut Fleet, step: u64, now: u64) -> Vec<ServerEntry> {
     let mut update = Vec::new();
     for entry in server_list().into_iter().filter(|entry| entry.server.0 % 100 / 2 == step) {
@@ -124,8 +125,8 @@
     update
 }
 
-/// Six in ten servers are replaced within seven seconds; a third of the routers learn of it five seconds
-/// later, and go on trying those that have terminated.
+/// Guards against lost requests if 60 % of the servers are replaced within seven seconds, and a third of the
+/// routers receive the new list five seconds later and use terminated servers until then.
 #[test]
 fn servers_replaced_under_a_late_list_cost_few_requests() {
     let mut fleet = Fleet::new(forty_prefixes);
@@ -151,8 +152,8 @@
     assert_in_time(&fleet, 0.97);
 }
 
-/// Some servers accept fewer connections than there are routers that want one: a router without one goes
-/// elsewhere at once.
+/// Guards against lost requests at servers that accept fewer connections than there are routers. A router
+/// without a connection must use another server immediately.
 #[test]
 fn servers_with_too_few_connections_cost_few_requests() {
     let mut fleet = Fleet::new(forty_prefixes);
@@ -167,8 +168,9 @@
     assert!(used > 0, "routers with a connection use it");
 }
 
-/// A zone comes back in slow start with nothing cached, and every connection that a router had to it is dead:
-/// each router loses a probe or a request by each, once, and none of them, nor their sum, overloads a server.
+/// Guards against the overload of a zone that returns in slow start with empty caches, while all open
+/// connections to it are dead. Each router loses one probe or request per connection, and the retries must
+/// not overload a server.
 #[test]
 fn a_zone_that_returns_behind_dead_connections_is_not_overloaded() {
     let returned_at = 10_000;
@@ -206,7 +208,7 @@
     assert_in_time(&fleet, 0.97);
 }
 
-/// Puts the first so many servers of a kind into slow start at all routers, from time 0 on.
+/// Puts the first `count` servers of a kind into slow start at time 0, and notifies all routers.
 fn start_servers(fleet: &mut Fleet, count: u64, kind: u32) {
     let first = if kind == PREFILL { FIRST_PREFILL_SERVER } else { FIRST_DECODE_SERVER };
     for id in first..first + count {
@@ -223,8 +225,9 @@
     fleet.update_all_routers(ListUpdate::Delta, &update);
 }
 
-/// Most prefill servers are new at once. They get their share of the requests as they warm up, none is
-/// overloaded, and the others are not either: each router alone could send a starting one hardly anything.
+/// Guards against idle or overloaded prefill servers if most of them start at once. The credit of a single
+/// router permits hardly any request to them, so the remaining servers would be overloaded without load
+/// reports.
 #[test]
 fn starting_prefill_servers_get_their_share_and_are_not_overloaded() {
     let mut fleet = Fleet::new(one_popular_prefix);
@@ -238,9 +241,9 @@
     assert_in_time(&fleet, 0.97);
 }
 
-/// The cause of the loss on the day on which six in ten servers are replaced: the decode servers that stay
-/// run all streams that they can, and the new ones stand idle, for each router alone may send them one in a
-/// minute.
+/// Guards against idle decode servers in slow start while the others run as many streams as they can. The
+/// credit of a single router permits only one stream per minute to a server in slow start. This caused lost
+/// requests when 60 % of the servers were replaced.
 #[test]
 fn starting_decode_servers_get_their_share_and_are_not_overloaded() {
     let mut fleet = Fleet::new(forty_prefixes);
@@ -254,8 +257,8 @@
     assert_in_time(&fleet, 0.97);
 }
 
-/// Seven in ten routers restart at once, with empty tables: they have the order of the servers at once, and
-/// the load too.
+/// Guards against worse decisions after 70 % of the routers restart with empty tables. The hash order of the
+/// servers and the load reports are available to them immediately.
 #[test]
 fn restarted_routers_decide_like_the_others() {
     let mut fleet = Fleet::new(one_popular_prefix);
@@ -270,7 +273,8 @@
 /// Prefill servers of the first cell.
 const FIRST_CELL: std::ops::Range<u64> = FIRST_PREFILL_SERVER..FIRST_PREFILL_SERVER + 4;
 
-/// Makes the first cell unresponsive or responsive again, with nothing cached or in flight.
+/// Makes the prefill servers of the first cell unresponsive, or responsive again, with empty caches and
+/// queues.
 fn set_first_cell_unresponsive(fleet: &mut Fleet, is_unresponsive: bool) {
     for (_, server) in fleet.prefill_servers.iter_mut().filter(|(id, _)| FIRST_CELL.contains(id)) {
         server.is_unresponsive = is_unresponsive;
@@ -280,8 +284,8 @@
     }
 }
 
-/// A cell is unresponsive for five seconds and comes back with nothing cached; the server list never mentions
-/// it.
+/// Guards against lost requests if a cell is unresponsive for five seconds and returns with empty caches,
+/// without a change of the server list.
 #[test]
 fn an_unresponsive_cell_costs_only_what_was_in_flight_there() {
     let mut fleet = Fleet::new(forty_prefixes);
@@ -291,7 +295,7 @@
     fleet.reset_counts();
     fleet.run(10_000);
     let lost: usize = FIRST_CELL.map(|id| fleet.prefill_servers[&id].prefills).sum();
-    assert!(lost < 40, "{lost} of 625 requests went to servers that answer nobody");
+    assert!(lost < 40, "{lost} of 625 requests were sent to servers that do not respond");
     set_first_cell_unresponsive(&mut fleet, false);
     fleet.run(30_000);
     assert_in_time(&fleet, 0.95);
--- a/crates/router/tests/large_fleet/servers.rs
+++ b/crates/router/tests/large_fleet/servers.rs
@@ -1,5 +1,5 @@
-//! The servers of the large-fleet tests: how long they take, what they report, and how close to overload they
-//! came.
+//! Simulated servers of the large-fleet tests: processing times, load reports, and the peak load in relation
+//! to overload.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,24 @@
 
 use crate::common::settings;
 
-/// Interval at which load reports are renewed (ms).
+/// Interval at which a load report is renewed (ms).
 const REPORT_INTERVAL: u64 = 300;
-/// Time of a prefill (ms), and for each thousand tokens that are not cached.
+/// Fixed part of the duration of a prefill (ms).
 const PREFILL_TIME: u64 = 20;
+/// Duration of the prefill of 1,000 tokens that are not cached (ms).
 const PREFILL_PER_1000_TOKENS: u64 = 50;
-/// Length of each prompt, and of its shared prefix, in tokens.
+/// Length of each prompt, in tokens.
 pub const PROMPT_TOKENS: u64 = 3_000;
+/// Length of the shared prefix of each prompt, in tokens.
 pub const PREFIX_TOKENS: u64 = 2_000;
-/// Share of its memory that a prefill server reports to be in use.
+/// Share of memory in use that a prefill server reports.
 const PREFILL_MEMORY_SHARE: f64 = 0.1;
-/// Streams that a decode server runs at a time, each for so long (ms). More of them wait for one to end.
+/// Number of streams that a decode server runs at a time. Further streams wait for a free slot.
 const STREAM_SLOTS: usize = 40;
+/// Duration of a stream (ms).
 const STREAM_TIME: u64 = 3_000;
 
-/// A load report, as it was when it was last renewed.
+/// Load report, with the values of its last renewal.
 #[derive(Default)]
 struct Report {
     in_flight: f64,
@@ -40,7 +43,7 @@
     }
 }
 
-/// Share of its capacity that a server has which started then.
+/// Returns the share of its capacity that a server has, depending on its start time.
 fn capacity_share(started: Option<u64>, now: u64) -> f64 {
     let rules = settings().rules;
     let share = |started| {
@@ -50,8 +53,8 @@
     started.map_or(1.0, share).min(1.0)
 }
 
-/// The most that a server was sent in any overload window since it started, as a share of what overloads it.
-/// `rate_per_s` is what it can do at full capacity.
+/// Returns the maximum number of sends to a server in any overload window since its start, as a share of the
+/// number that overloads it. `rate_per_s` is its throughput at full capacity.
 fn peak_share_of_overload(sent: &[u64], started: u64, rate_per_s: f64) -> f64 {
     let rules = settings().rules;
     let share = |start: u64| {
@@ -64,21 +67,21 @@
 }
 
 pub struct PrefillServer {
-    /// When each request in flight there will be done.
+    /// End times of the requests in flight.
     pub ends: Vec<u64>,
     report: Report,
     pub cached_prefixes: BTreeSet<u64>,
-    /// Prefills that it has got.
+    /// Number of accepted prefills.
     pub prefills: usize,
-    /// It takes so many times as long.
+    /// Factor by which prefills take longer.
     pub slowness: u64,
-    /// It accepts requests and answers nothing.
+    /// Whether the server accepts requests and does not respond.
     pub is_unresponsive: bool,
-    /// It answers every request at once, with an error.
+    /// Whether the server immediately responds to every request with an error.
     pub fails_at_once: bool,
-    /// When it started, if that was during the run.
+    /// Start time; `None` if the server started before the run.
     pub started: Option<u64>,
-    /// When it was sent a request, each.
+    /// Times of the sends to the server.
     pub sent: Vec<u64>,
 }
 
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Accepts a prefill, and returns when it will be done.
+    /// Accepts a prefill, and returns its end time.
     pub fn accept(&mut self, prefix: u64, now: u64) -> u64 {
         let cached_tokens = if self.cached_prefixes.insert(prefix) { 0 } else { PREFIX_TOKENS };
         let tokens = PROMPT_TOKENS - cached_tokens;
@@ -118,8 +121,8 @@
         self.report.to_load_report()
     }
 
-    /// The most that it was sent in any overload window, as a share of what overloads it; 0 if it did not
-    /// start during the run.
+    /// Returns the maximum number of sends in any overload window, as a share of the number that overloads
+    /// the server, or 0 if the server did not start during the run.
     pub fn peak_share_of_overload(&self) -> f64 {
         let prefill_time = PREFILL_TIME + (PROMPT_TOKENS - PREFIX_TOKENS) * PREFILL_PER_1000_TOKENS / 1_000;
         let rate_per_s = 1_000.0 / prefill_time as f64;
@@ -128,12 +131,12 @@
 }
 
 pub struct DecodeServer {
-    /// When each stream that it runs or that waits there will end.
+    /// End times of the streams that run or wait.
     pub ends: Vec<u64>,
     report: Report,
-    /// When it started, if that was during the run.
+    /// Start time; `None` if the server started before the run.
     pub started: Option<u64>,
-    /// When it was sent a request, each.
+    /// Times of the sends to the server.
     pub sent: Vec<u64>,
 }
 
@@ -142,7 +145,7 @@
         DecodeServer { ends: Vec::new(), report: Report::default(), started, sent: Vec::new() }
     }
 
-    /// Accepts a stream, and returns when it will begin: at once, or when a slot is free.
+    /// Accepts a stream, and returns the time at which it begins, which is when a slot is free.
     pub fn accept(&mut self, now: u64) -> u64 {
         self.sent.push(now);
         self.ends.retain(|end| *end > now);
@@ -163,8 +166,8 @@
         self.report.to_load_report()
     }
 
-    /// The most that it was sent in any overload window, as a share of what overloads it; 0 if it did not
-    /// start during the run.
+    /// Returns the maximum number of sends in any overload window, as a share of the number that overloads
+    /// the server, or 0 if the server did not start during the run.
     pub fn peak_share_of_overload(&self) -> f64 {
         let rate_per_s = STREAM_SLOTS as f64 * 1_000.0 / STREAM_TIME as f64;
         self.started.map_or(0.0, |started| peak_share_of_overload(&self.sent, started, rate_per_s))
--- a/crates/router/tests/large_fleet/simulation.rs
+++ b/crates/router/tests/large_fleet/simulation.rs
@@ -1,5 +1,5 @@
-//! The environment of the large-fleet tests: sixty routers that see nothing of each other, and servers whose
-//! load reports are late. Simulated time, no randomness but the routers' own.
+//! Discrete-event simulation of the large-fleet tests: sixty routers that do not communicate, and servers
+//! whose load reports are delayed. Only the routers use random numbers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,18 +9,19 @@
 use crate::servers::{DecodeServer, PrefillServer, PREFIX_TOKENS, PROMPT_TOKENS};
 
 pub const ROUTERS: u64 = 60;
-/// Prefill servers, and as many decode servers.
+/// Number of prefill servers, and also of decode servers.
 pub const SERVERS: u64 = 20;
-/// Identifiers of the servers are these and the following.
+/// Identifier of the first prefill server; the others follow.
 pub const FIRST_PREFILL_SERVER: u64 = 100;
+/// Identifier of the first decode server; the others follow.
 pub const FIRST_DECODE_SERVER: u64 = 200;
-/// Time until a probe is answered (ms).
+/// Response time of a probe (ms).
 const PROBE_TIME: u64 = 10;
-/// Time after which a server that fails at once has answered, and after which a failed connection is noticed
-/// (ms).
+/// Response time of a server that immediately responds with an error (ms).
 const ERROR_TIME: u64 = 2;
+/// Time until a failed connection is detected (ms).
 const CONNECT_FAILURE_TIME: u64 = 1;
-/// Time from a stream's begin to its first token (ms).
+/// Time from the beginning of a stream to its first token (ms).
 const FIRST_TOKEN_TIME: u64 = 20;
 
 enum Occurrence {
@@ -31,7 +32,7 @@
         key: u64,
     },
     AttemptEnd(SentAttempt, AttemptStatus),
-    /// The first token, and with it the end: nothing is to be learned from the rest of the stream.
+    /// The first token and the end of a stream. The rest of the stream is not simulated.
     FirstToken(SentAttempt),
     ProbeAnswer {
         server: u64,
@@ -41,32 +42,32 @@
     },
 }
 
-/// Connections that a server accepts, and the routers that have one.
+/// Limit on the number of routers that a server accepts connections from.
 pub struct ConnectionLimit {
     pub max_routers: usize,
     pub connected: BTreeSet<u64>,
 }
 
-/// The prefix of a request, by its identifier.
+/// Function that returns the prefix of a request by its identifier.
 pub type PrefixOf = fn(u64) -> u64;
 
 pub struct Fleet {
     routers: Vec<Router>,
     pub prefill_servers: BTreeMap<u64, PrefillServer>,
     pub decode_servers: BTreeMap<u64, DecodeServer>,
-    /// Servers that no router can connect to.
+    /// Servers to which no router can connect.
     pub unreachable: BTreeSet<u64>,
     pub connection_limits: BTreeMap<u64, ConnectionLimit>,
-    /// Router and server of connections that are dead without the router's knowing: the next request on one
-    /// fails.
+    /// Router and server of each dead connection that the router has not detected. The next request or probe
+    /// on it fails.
     pub dead_connections: BTreeSet<(u64, u64)>,
-    /// Router and occurrence, by time and order.
+    /// Router and event, by time and sequence number.
     agenda: BTreeMap<(u64, u64), (u64, Occurrence)>,
     now: u64,
     occurrences: u64,
     attempts: BTreeMap<u64, u32>,
     ended: BTreeSet<(u64, u32)>,
-    /// When each request arrived that counts.
+    /// Arrival times of the requests that are counted.
     pub arrived_at: BTreeMap<u64, u64>,
     first_token_times: Vec<u64>,
     pub rejected: usize,
@@ -75,7 +76,7 @@
     prefix_of: PrefixOf,
 }
 
-/// The server list: five cells of four prefill servers and four decode servers.
+/// Returns the server list: five cells of four prefill servers and four decode servers each.
 pub fn server_list() -> Vec<ServerEntry> {
     let pair = |index| {
         let entry = |id, kind| ServerEntry { cell: (index / 4) as u32, ..server_entry(id, kind, 0) };
@@ -85,8 +86,8 @@
 }
 
 impl Fleet {
-    /// A fleet in which each request arrives at the next router in turn, with the prefix that this function
-    /// names.
+    /// Creates a fleet whose requests are distributed over the routers, with the prefixes that `prefix_of`
+    /// returns.
     pub fn new(prefix_of: PrefixOf) -> Fleet {
         Fleet::with_settings(settings(), prefix_of)
     }
@@ -134,7 +135,7 @@
         self.handle(router, Event::ServerList { update, servers: servers.to_vec() });
     }
 
-    /// The router restarts, with nothing but its list.
+    /// Restarts a router, which only receives the server list.
     pub fn restart(&mut self, router: u64) {
         let settings = Settings { router_count: ROUTERS as u32, ..settings() };
         self.routers[router as usize] = Router::new(router + 1_000, settings);
@@ -146,20 +147,20 @@
         self.agenda.insert((time, self.occurrences), (router, occurrence));
     }
 
-    /// Plays so many requests, one every `interval` ms, until nothing of them is left.
+    /// Runs a number of requests, one every `interval` ms, until all of them have ended.
     pub fn play(&mut self, requests: u64, interval: u64) {
         self.arrive(0..requests, interval);
         self.run(requests * interval + 10_000);
     }
 
-    /// Lets requests arrive, the request with identifier n at n times the interval.
+    /// Schedules the arrival of requests. The request with identifier n arrives at n times the interval.
     pub fn arrive(&mut self, ids: std::ops::Range<u64>, interval: u64) {
         for id in ids {
             self.schedule(id * interval, id * 7 % ROUTERS, Occurrence::Arrival { id });
         }
     }
 
-    /// Runs up to a time (ms).
+    /// Runs the simulation up to a time (ms).
     pub fn run(&mut self, end: u64) {
         while let Some(((time, _), (router, occurrence))) = self.agenda.pop_first() {
             if time > end {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Reports the end of an attempt to its router, unless it had ended before.
+    /// Reports the end of an attempt to its router, unless it has already ended.
     fn end_attempt(&mut self, router: u64, sent: SentAttempt, status: AttemptStatus) {
         if !self.ended.insert((sent.id, sent.attempt)) {
             return;
@@ -225,7 +226,7 @@
         self.handle(router, Event::Outcome(outcome));
     }
 
-    /// A server's load report, as it was when it was last renewed.
+    /// Returns the load report of a server, with the values of its last renewal.
     fn report(&mut self, id: u64) -> Option<LoadReport> {
         let now = self.now;
         if let Some(server) = self.decode_servers.get_mut(&id) {
@@ -241,7 +242,7 @@
             match action {
                 Action::Send { id, server, timeout } => self.send(router, id.0, server.0, timeout),
                 Action::Cancel { id, attempt } => {
-                    // The end of a cancelled attempt brings no load report, so it names no server.
+                    // No server is given, because the outcome of a cancelled attempt has no load report.
                     let sent = SentAttempt { id: id.0, attempt, server: 0 };
                     self.end_attempt(router, sent, AttemptStatus::Cancelled);
                 }
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Whether this router has a connection to the server, or gets one.
+    /// Returns whether this router has a connection to the server or can establish one.
     fn connects(&mut self, router: u64, server: u64) -> bool {
         let Some(limit) = self.connection_limits.get_mut(&server) else {
             return !self.unreachable.contains(&server);
@@ -320,20 +321,20 @@
         limit.connected.contains(&router)
     }
 
-    /// From now on only requests that are still to come count.
+    /// Resets the counts, so that only requests that arrive later are counted.
     pub fn reset_counts(&mut self) {
         self.arrived_at.clear();
         self.first_token_times.clear();
     }
 
-    /// Share of all requests whose first token came within the objective.
+    /// Returns the share of all requests whose first token was produced within the objective.
     pub fn share_in_time(&self) -> f64 {
         let objective = settings().classes[0].latency_objective as u64 + PROMPT_TOKENS * 60 / 1_000;
         let in_time = self.first_token_times.iter().filter(|time| **time <= objective).count();
         in_time as f64 / self.arrived_at.len() as f64
     }
 
-    /// Prefills of the busiest prefill server, as a multiple of the mean.
+    /// Returns the number of prefills at the busiest prefill server, as a multiple of the mean.
     pub fn busiest_prefill_server(&self) -> f64 {
         let prefills = self.prefill_servers.values().map(|server| server.prefills);
         let (most, sum) = (prefills.clone().max().unwrap_or(0), prefills.sum::<usize>());
--- a/crates/router/tests/load_shedding.rs
+++ b/crates/router/tests/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: requests that can hardly be in time are rejected at once, those of tenants over their quota
-//! first.
+//! Load shedding: requests that will probably be late are rejected immediately, and first those of tenants
+//! that exceed their quota.
 
 mod common;
 
@@ -10,7 +10,7 @@
 fn a_request_that_cannot_be_in_time_is_rejected_at_once() {
     let mut router = TestRouter::with_defaults();
     let preferred = router.prefill_server_for(sample_request(1));
-    // All prefill servers have been stuck for well over the objective.
+    // All prefill servers have made no progress for much longer than the objective.
     for id in 3..33 {
         router.submit(request_with_prefix(id, id));
     }
@@ -37,7 +37,7 @@
     assert!(rejections[0] > rejections[1] + 5, "{rejections:?}");
 }
 
-/// Serves a request whose prefill takes `elapsed`, and returns its prefill server.
+/// Completes a request whose prefill takes `elapsed`, and returns its prefill server.
 fn serve_with_prefill_time(router: &mut TestRouter, id: u64, elapsed: Millis) -> u64 {
     let request = Request { client_timeout: 20_000.0, ..request_with_prefix(id, id / 10) };
     let prefill_server = router.prefill_server_for(request);
@@ -49,8 +49,8 @@
     prefill_server
 }
 
-/// Guards a server from being shut out by one prefill that had waited in its queue: one of many routers has
-/// measured one or two such prefills there and no more.
+/// Guards against a server that receives no more requests after one slow prefill: the prefill had waited in
+/// the queue, and one of many routers has only one or two measurements of the server.
 #[test]
 fn one_prefill_that_waited_does_not_cause_rejections_at_an_idle_server() {
     let mut router = TestRouter::in_large_fleet();
@@ -67,17 +67,17 @@
     for id in 101..109 {
         router.now += 3_000.0;
         let actions = router.submit_to_idle(request_with_prefix(id, id / 10));
-        assert!(!is_rejected(&actions), "an idle server is passed over by a rejection: {actions:?}");
+        assert!(!is_rejected(&actions), "rejected although the server is idle: {actions:?}");
         let server = sent_to(&actions).expect("a prefill");
         returned += usize::from(server == slow_server);
         let decode_server = router.decode_server_after(id, server);
         router.outcome(id, 1, decode_server, AttemptStatus::Served);
     }
-    assert!(returned > 0, "no request went back to the server where one had waited");
+    assert!(returned > 0, "no request was sent to the server with the slow prefill again");
 }
 
-/// Guards a fleet whose prefill servers all have more in flight than can be in time: each router knows it
-/// from their load reports, not only once its own requests have waited there.
+/// Guards against late rejections if all prefill servers have too many requests in flight: each router
+/// detects this by their load reports, before its own requests have waited there.
 #[test]
 fn a_request_late_by_every_load_report_is_rejected_at_once() {
     let mut rejections = [0; 2];
@@ -101,7 +101,8 @@
 #[test]
 fn waits_met_at_some_decode_servers_are_expected_of_the_others() {
     let mut router = TestRouter::in_large_fleet();
-    // First tokens take 1.5 s at every decode server; the router uses each of them every few seconds only.
+    // First tokens take 1.5 s at every decode server, and the router uses each of them only every few
+    // seconds.
     let mut rejections = 0;
     for id in 0..30 {
         router.now = id as f64 * 1_500.0;
@@ -118,7 +119,8 @@
 
 #[test]
 fn a_tenant_within_its_quota_is_not_judged_over_it_by_chance() {
-    // A tenth of what the fleet grants: about one request in four seconds at each of two hundred routers.
+    // The allowance is 60 requests per second over all routers. With one request per 4 s, 200 routers receive
+    // 50 per second, and with one per 400 ms they receive 500.
     let mut rejections = [0; 2];
     for (case, interval) in [4_000.0, 400.0].into_iter().enumerate() {
         for seed in 1..=20 {
--- a/crates/router/tests/outlier_detection.rs
+++ b/crates/router/tests/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: servers that fail are ejected for a while, and the panic threshold bounds that.
+//! Outlier detection: failing servers are temporarily ejected, and the panic threshold limits the number of
+//! ejections.
 
 mod common;
 
@@ -26,7 +27,7 @@
         router.outcome(id, 0, server, AttemptStatus::Prefilled);
         later.push(server);
     }
-    assert!(later.contains(&preferred), "trial traffic comes back");
+    assert!(later.contains(&preferred), "the server received no trial traffic");
 }
 
 #[test]
@@ -40,8 +41,8 @@
     }
 }
 
-/// Guards healthy servers: malformed responses come from any server alike, so a few say nothing about one;
-/// many in a row do.
+/// Guards against the ejection of healthy servers: any server occasionally sends a malformed response, so
+/// only several consecutive ones indicate a faulty server.
 #[test]
 fn malformed_responses_eject_only_a_server_that_gives_no_other() {
     let mut router = TestRouter::with_defaults();
@@ -71,15 +72,15 @@
     for id in 1..=40 {
         let actions = router.submit(request_with_prefix(id, id));
         panicked |= logs(&actions, "panic threshold");
-        let server = sent_to(&actions).expect("traffic goes on whatever the servers do");
+        let server = sent_to(&actions).expect("a request is sent although all servers fail");
         router.disconnect(id);
         router.outcome(id, 0, server, AttemptStatus::Error);
     }
     assert!(panicked);
 }
 
-/// How many of thirty requests are decoded at server 21, which reports to be full, while the others are half
-/// full.
+/// Returns how many of thirty requests are decoded at server 21, which reports that it is full, while the
+/// others report that they are half full.
 fn decoded_at_full_server(router: &mut TestRouter, first_id: u64) -> u32 {
     let mut at_full_server = 0;
     for id in first_id..first_id + 30 {
@@ -92,13 +93,13 @@
     at_full_server
 }
 
-/// Guards a server that comes back from a restart: the load and the failures of its old process are dropped.
+/// Guards against a restarted server that inherits the load and the failures of its previous process.
 #[test]
 fn a_restarted_server_does_not_inherit_load_or_failures() {
     let mut router = TestRouter::with_defaults();
     router.at_time(30_000.0);
     decoded_at_full_server(&mut router, 1);
-    assert_eq!(decoded_at_full_server(&mut router, 100), 0, "a full decode server is left alone");
+    assert_eq!(decoded_at_full_server(&mut router, 100), 0, "a full decode server received requests");
     router.probe_answer(21, None);
     let restarted = ServerEntry { started: Some(15_000.0), ..server_entry(21, DECODE, 0) };
     router.update_servers(ListUpdate::Delta, vec![restarted]);
--- a/crates/router/tests/overload_diversion.rs
+++ b/crates/router/tests/overload_diversion.rs
@@ -1,5 +1,5 @@
-//! Overload diversion: a preferred server with too much load is passed over, by a router's own counts in a
-//! small fleet and by load probes in a large one.
+//! Overload diversion: an overloaded preferred server is skipped, based on a router's own counts in a small
+//! fleet and on load probes in a large one.
 
 mod common;
 
@@ -10,13 +10,14 @@
 fn an_overloaded_preferred_server_is_passed_over_for_the_least_loaded() {
     let mut router = TestRouter::with_defaults();
     let preferred = router.prefill_server_for(sample_request(1));
-    // Floor 8 for two routers: own counts up to 4 may stay, 5 exceeds the median by more than 4.
+    // With a floor of 8 for two routers, the preferred server is used up to an own count of 4. A count of 5
+    // exceeds the median by more than 4.
     assert_eq!(router.prefill_server_for(sample_request(2)), preferred);
     assert!((3..=6).any(|id| router.prefill_server_for(sample_request(id)) != preferred));
 }
 
-/// Guards the price of probes over a whole fleet: however long servers are quiet, probes go with the
-/// requests.
+/// Guards against too many probes over the whole fleet: their number is proportional to that of the requests,
+/// even if servers send no load reports for a long time.
 #[test]
 fn probes_are_earned_by_requests() {
     for (mut router, max_probes) in [(TestRouter::in_large_fleet(), 60), (TestRouter::with_defaults(), 22)] {
@@ -35,25 +36,26 @@
     }
 }
 
-/// Guards a preferred server in a large fleet: nobody's own counts show what all send there, but its load
-/// report does.
+/// Guards against the overload of a preferred server in a large fleet, which can be detected only by its load
+/// report and not by the counts of any single router.
 #[test]
 fn in_a_large_fleet_a_preferred_server_is_probed_and_passed_over_when_overloaded() {
     let mut router = TestRouter::in_large_fleet();
     let first = router.submit(sample_request(1));
     let [preferred] = probed_servers(&first)[..] else { panic!("one probe: {first:?}") };
-    assert_eq!(sent_to(&first), None, "nothing is sent before the answer");
+    assert_eq!(sent_to(&first), None, "sent before the answer to the probe");
     let second = router.report_load(preferred, 50.0);
     let next = probed_servers(&second).first().copied().expect("probes of all others");
     assert_eq!(sent_to(&router.report_load(next, 1.0)), Some(next));
-    // All routers go on to the same next server.
+    // All routers divert to the same next server.
     let settings = Settings { router_count: 200, ..settings() };
     let mut other = TestRouter::seeded(77, settings, sample_servers());
     assert_eq!(probed_servers(&other.submit(sample_request(1))), [preferred]);
     assert_eq!(probed_servers(&other.report_load(preferred, 50.0)).first(), Some(&next));
 }
 
-/// Guards a request from waiting for the report of a server that is dead, cut off or too busy to answer.
+/// Guards against a request that waits for the report of a server that is terminated, unreachable or too busy
+/// to respond.
 #[test]
 fn a_server_that_does_not_answer_a_probe_is_passed_over() {
     let mut router = TestRouter::in_large_fleet();
@@ -64,10 +66,10 @@
         actions.extend(router.at_time(now).fire_timer(step_timer(1)));
         if let [next, last] = probed_servers(&actions)[..] {
             assert!(next != preferred && now <= 200.0, "after {now} ms to {next}");
-            assert_eq!(sent_to(&router.report_load(last, 0.0)), None, "the next in order is waited for");
+            assert_eq!(sent_to(&router.report_load(last, 0.0)), None, "sent before the next server in order has answered");
             let (server, status) = (ServerId(next), AttemptStatus::ConnectFailed);
             let third = router.handle(Event::ProbeResult { server, status, elapsed: 1.0, report: None });
-            assert_eq!(sent_to(&third), Some(last), "one that cannot be reached is passed over at once");
+            assert_eq!(sent_to(&third), Some(last), "an unreachable server is skipped at once");
             return;
         }
     }
--- a/crates/router/tests/prefix_affinity.rs
+++ b/crates/router/tests/prefix_affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity: sessions and shared prefixes go to the prefill server that has them cached.
+//! Prefix affinity: requests are sent to the prefill server that has their session or shared prefix cached.
 
 mod common;
 
@@ -20,7 +20,7 @@
     let mut router = TestRouter::with_defaults();
     let preferred = router.prefill_server_for(sample_request(1));
     router.outcome(1, 0, preferred, AttemptStatus::Prefilled);
-    // Another prefix, whose hash leads elsewhere.
+    // A request with a prefix that hashes to another server.
     let other = (8..100)
         .map(|id| request_with_prefix(id, id))
         .find(|request| router.prefill_server_for(request.clone()) != preferred)
@@ -31,7 +31,7 @@
 
 #[test]
 fn table_entries_expire_after_thirty_seconds() {
-    // The first prefill failed at the server that the prefix hashes to, so the table points elsewhere.
+    // The first prefill failed at the server that the prefix hashes to, so the table contains another server.
     let mut router = TestRouter::with_defaults();
     let hashed = router.prefill_server_for(sample_request(1));
     let second = sent_to(&router.outcome(1, 0, hashed, AttemptStatus::Rejected)).expect("a retry");
@@ -89,7 +89,7 @@
         .expect("some prefix hashes to the mixed server");
     router.first_token(id, 0, 31, 9.0);
     router.outcome(id, 0, 31, AttemptStatus::Served);
-    // With a prefix that the session never had before, only the session leads there.
+    // The session has a new prefix, so only its own table entry selects the server.
     let same_session = Request { session: 1_000 + id, ..request_with_prefix(900, 5_000) };
     assert_eq!(router.prefill_server_for(same_session), 31);
 }
@@ -110,7 +110,7 @@
         router.outcome_with(id, 0, server, AttemptStatus::Prefilled, 1.0, None);
     }
     let server = router.prefill_server_for(sample_request(3));
-    assert_eq!(server, hashed, "50,000 newer entries have pushed it out");
+    assert_eq!(server, hashed, "50,000 newer entries have evicted it");
 }
 
 #[test]
@@ -130,7 +130,7 @@
     }
     assert!(
         preferred_servers.len() > 1 && returned > 20,
-        "{preferred_servers:?}, {returned} sessions came back"
+        "{preferred_servers:?}, {returned} sessions returned to their server"
     );
 }
 
@@ -141,7 +141,7 @@
     let preferred = router.prefill_server_for(sample_request(1));
     router.outcome_with(1, 0, preferred, AttemptStatus::Prefilled, 1.0, None);
     let server =
-        sent_to(&router.submit(sample_request(2))).filter(|to| *to == preferred).expect("the entry is live");
+        sent_to(&router.submit(sample_request(2))).filter(|to| *to == preferred).expect("the entry has not expired");
     let second = sent_to(&router.outcome(2, 0, server, AttemptStatus::Rejected)).expect("a retry");
     router.outcome_with(2, 1, second, AttemptStatus::Prefilled, 1.0, None);
     assert_ne!(second, preferred);
--- a/crates/router/tests/request_life_cycle.rs
+++ b/crates/router/tests/request_life_cycle.rs
@@ -1,5 +1,5 @@
-//! Request life cycle: a request is always answered before its deadline, and the server list is kept up to
-//! date.
+//! Request life cycle: a request is always answered before its deadline, and the subscription to the server
+//! list is renewed.
 
 mod common;
 
@@ -26,8 +26,8 @@
     assert_eq!(answers, 1);
 }
 
-/// Guards a request that waits for a server against standing still: its timer may fire slightly before its
-/// time.
+/// Guards against a request that waits for a server and receives no further step, because its timer fires
+/// slightly early.
 #[test]
 fn a_step_timer_that_fires_slightly_early_is_not_lost() {
     let mut router = TestRouter::new(settings(), vec![server_entry(11, PREFILL, 0)]);
@@ -54,11 +54,11 @@
         repeated += router.run_housekeeping().iter().filter(|action| **action == subscribe).count();
     }
     assert_eq!(repeated, 1);
-    assert!(sent_to(&router.submit(sample_request(1))).is_some(), "the previous list still stands");
+    assert!(sent_to(&router.submit(sample_request(1))).is_some(), "the previous list remains in use");
 }
 
-/// Guards a request against standing still up to its deadline: its timer fires while an attempt is in flight, and the
-/// attempt fails soon after with no other server there.
+/// Guards a request against standing still up to its deadline: its timer fires while an attempt is in flight,
+/// and the attempt fails soon after with no other server there.
 #[test]
 fn a_request_whose_timer_fired_beside_an_attempt_takes_its_next_step() {
     let servers = vec![server_entry(11, PREFILL, 0), server_entry(21, DECODE, 0)];
--- a/crates/router/tests/retries.rs
+++ b/crates/router/tests/retries.rs
@@ -1,11 +1,11 @@
-//! Retries: what may have run is repeated only where its class allows it.
+//! Retries: a request that may have been executed is repeated only if its class permits it.
 
 mod common;
 
 use common::*;
 use glenrail_router::*;
 
-/// Zone of a sample server.
+/// Returns the zone of a sample server.
 fn zone_of(server: u64) -> u32 {
     (server % 10 - 1) as u32
 }
@@ -20,7 +20,7 @@
         let actions = router.outcome(1, 1, decode_server, status);
         assert_eq!(sent_to(&actions), None);
         assert!(!is_rejected(&actions));
-        // At once, and its state is released: nobody may fetch it any more.
+        // The request fails immediately, and its state is released, because it must not be fetched any more.
         assert!(is_failed(&actions) && is_released(&actions), "{actions:?}");
     }
 }
@@ -34,8 +34,8 @@
     assert_ne!(sent_to(&actions).expect("another decode server"), decode_server);
 }
 
-/// Guards non-idempotent requests against a final failure, after which nobody tries again, where no decode
-/// server was ever reached.
+/// Guards against the failure of a non-idempotent request that never reached a decode server. Its client may
+/// retry only after a rejection.
 #[test]
 fn a_non_idempotent_request_that_never_connected_is_rejected_not_failed() {
     let mut router = TestRouter::with_defaults();
@@ -46,7 +46,7 @@
         router.now += 30.0;
         target = sent_to(&router.outcome(1, attempt, decode_server, AttemptStatus::ConnectFailed));
     }
-    // A third decode server is tried, and when none is left the request is rejected, not failed.
+    // The third decode server is used as well. After it the request is rejected, not failed.
     let third = target.expect("a third decode server");
     router.now += 30.0;
     let mut actions = router.outcome(1, 3, third, AttemptStatus::ConnectFailed);
@@ -63,7 +63,7 @@
     assert!(retry.is_none_or(|server| zone_of(server) == zone_of(decode_server)));
 }
 
-/// Guards a client that may try again against waiting for a retry that the class does not allow any more.
+/// Guards against a client that waits until its deadline for a retry that the class no longer permits.
 #[test]
 fn a_request_whose_idempotency_window_has_passed_is_answered_at_once() {
     let mut router = TestRouter::with_defaults();
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -1,9 +1,10 @@
-//! The five rules on random legal event orders, with fixed seeds; determinism; and input that makes no sense.
+//! Tests of the five routing rules on random valid event sequences with fixed seeds, of determinism, and of
+//! invalid input.
 //!
-//! 1. A request gets one final answer, in time.
-//! 2. What may have run is repeated or rejected only where its class allows it.
-//! 3. A draining or terminated server gets nothing new.
-//! 4. All routers together stay within slow start: see `slow_start` and `slow_start_trickle`.
+//! 1. A request receives exactly one final answer, in time.
+//! 2. A request that may have been executed is repeated or rejected only if its class permits it.
+//! 3. A draining or terminated server receives no new attempts.
+//! 4. All routers together stay within the slow-start bound; see `slow_start` and `slow_start_trickle`.
 //! 5. No state is kept beyond its lease.
 
 mod common;
@@ -13,14 +14,14 @@
 use common::*;
 use glenrail_router::*;
 
-/// Time after its deadline within which a request must be answered (ms), as in the sample settings.
+/// Maximum time after its deadline at which a request is answered (ms), as in the sample settings.
 const ANSWER_GRACE: Millis = 8.0;
-/// Longest lease of a state (ms), as in the sample settings.
+/// Maximum lease of a state (ms), as in the sample settings.
 const LEASE_LIMIT: Millis = 500.0;
-/// Time in which a repeat with an idempotency key is recognised (ms), as in the sample settings.
+/// Time for which an idempotency key is recognised (ms), as in the sample settings.
 const IDEMPOTENCY_WINDOW: Millis = 2_000.0;
 
-/// A linear congruential generator for the test's own draws.
+/// Linear congruential generator for the random decisions of the test.
 struct Draws(u64);
 
 impl Draws {
@@ -36,7 +37,7 @@
     may_have_run: bool,
 }
 
-/// What the environment knows of one request.
+/// Model of a request, against which the rules are checked.
 struct KnownRequest {
     class: u32,
     deadline: Millis,
@@ -44,7 +45,7 @@
     is_closed: bool,
     is_streaming: bool,
     attempts: Vec<KnownAttempt>,
-    /// Zone and send time of the first attempt that may have run.
+    /// Zone and send time of the first attempt that may have been executed.
     possible_execution: Option<(u32, Millis)>,
     has_state: bool,
     idle_since: Millis,
@@ -56,17 +57,17 @@
     }
 }
 
-/// Servers, clients and discovery around one router, which check the rules at each step.
+/// Simulated servers, clients and discovery of one router. The rules are checked at each step.
 struct Environment {
     router: TestRouter,
     draws: Draws,
     requests: BTreeMap<u64, KnownRequest>,
     timers: Vec<(Millis, u64)>,
-    /// Servers that are listed as draining or terminated.
+    /// Whether a server is listed as draining or terminated; servers that were never changed are missing.
     not_ready: BTreeMap<u64, bool>,
 }
 
-/// Zone of a sample server.
+/// Returns the zone of a sample server.
 fn zone_of(server: u64) -> u32 {
     (server % 10 - 1) as u32
 }
@@ -102,11 +103,11 @@
         assert!(!is_not_ready, "rule 3: sent to a server that is draining or terminated");
         let now = self.router.now;
         let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.is_closed, "rule 1: sent after the end");
+        assert!(!request.is_closed, "rule 1: sent after the final answer");
         assert!(!request.has_attempt_in_flight(), "no hedged requests are sent");
         if request.class == NON_IDEMPOTENT {
             let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
-            assert!(!may_have_run, "rule 2: not idempotent, and may have run");
+            assert!(!may_have_run, "rule 2: not idempotent, and may have been executed");
         }
         if let (IDEMPOTENCY_KEY, Some((zone, sent_at))) = (request.class, request.possible_execution) {
             let is_recognised = zone == zone_of(server) && now < sent_at + IDEMPOTENCY_WINDOW;
@@ -123,10 +124,10 @@
         let now = self.router.now;
         let request = self.requests.get_mut(&id).expect("a known request");
         assert!(!request.is_closed && !request.is_streaming, "rule 1: one final answer");
-        assert!(now <= request.deadline + ANSWER_GRACE, "rule 1: in time");
+        assert!(now <= request.deadline + ANSWER_GRACE, "rule 1: answered in time");
         let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run || attempt.in_flight);
         let is_unsafe_rejection = is_rejection && request.class > IDEMPOTENT && may_have_run;
-        assert!(!is_unsafe_rejection, "rule 2: rejected what may have run");
+        assert!(!is_unsafe_rejection, "rule 2: rejected although it may have been executed");
         request.answers += 1;
         request.is_closed = true;
     }
@@ -169,8 +170,8 @@
         self.apply(actions);
     }
 
-    /// Brings the attempt in flight of a request one step further: a failure, the end of its stage, or its
-    /// first token.
+    /// Advances the attempt in flight of a request by one step: a failure, the end of its stage, or its first
+    /// token.
     fn progress(&mut self, id: u64) {
         let request = &self.requests[&id];
         let Some(index) = request.attempts.iter().position(|attempt| attempt.in_flight) else { return };
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Changes the listed state of a server.
+    /// Changes the listed state of a random server.
     fn change_list(&mut self) {
         let mut entry = sample_servers()[self.draws.below(6) as usize].clone();
         let states = [ServerState::Ready, ServerState::Draining, ServerState::Terminated];
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Runs for nine seconds, and returns how many requests got one answer.
+    /// Runs for nine seconds, and returns the number of requests that received exactly one answer.
     fn run(seed: u64) -> u32 {
         let mut router = TestRouter { inner: Router::new(seed, settings()), now: 0.0 };
         let actions = router.update_servers(ListUpdate::Full, sample_servers());
@@ -243,7 +244,7 @@
         environment.requests.values().filter(|request| request.answers == 1).count() as u32
     }
 
-    /// One millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self, step: u64) {
         self.router.now = step as f64;
         let now = self.router.now;
@@ -304,7 +305,7 @@
 #[test]
 fn the_rules_hold_on_random_event_orders() {
     for seed in 1..=24 {
-        assert!(Environment::run(seed) > 50, "most requests end by an answer");
+        assert!(Environment::run(seed) > 50, "most requests receive exactly one answer");
     }
 }
 
--- a/crates/router/tests/shedding_trials.rs
+++ b/crates/router/tests/shedding_trials.rs
@@ -1,6 +1,6 @@
-//! Trials under load shedding: a router whose servers were late goes on trying them, so that it learns when
-//! that is over, and rejects no more than what comes between two trials. Simulated time, fixed seeds, no
-//! sockets.
+//! Trials under load shedding: a router whose servers were late continues to send trials, so that it detects
+//! their recovery, and rejects only requests between two trials. The tests use simulated time, fixed seeds
+//! and no sockets.
 
 mod common;
 
@@ -9,21 +9,22 @@
 use common::*;
 use glenrail_router::*;
 
-/// A router may not reject so many requests ...
+/// Number of rejections without an attempt in between from which [`MAX_TIME_WITHOUT_ATTEMPT`] applies.
 const MAX_REJECTIONS: usize = 15;
-/// ... over so long (ms) with no attempt between.
+/// Maximum time without an attempt during such rejections (ms).
 const MAX_TIME_WITHOUT_ATTEMPT: u64 = 4_000;
-/// End of a run (ms).
+/// Duration of a run (ms).
 const END: u64 = 30_000;
-/// Until then (ms) ...
+/// Time until which the servers of one role are late (ms).
 const LATE_UNTIL: u64 = 6_000;
-/// ... an attempt at the servers of one role takes so long (ms); otherwise this.
+/// Duration of an attempt at a late server (ms).
 const LATE_TIME: u64 = 3_500;
+/// Duration of an attempt at any other server (ms).
 const USUAL_TIME: u64 = 60;
-/// Time of a stream after its first token (ms).
+/// Duration of a stream after its first token (ms).
 const STREAM_TIME: u64 = 400;
 
-/// An attempt in flight.
+/// Attempt in flight.
 #[derive(Clone, Copy)]
 struct SentAttempt {
     id: u64,
@@ -41,23 +42,24 @@
     ProbeAnswer(u64),
 }
 
-/// One router before three prefill servers and three decode servers.
+/// Simulation of one router with three prefill servers and three decode servers.
 struct Simulation {
     router: Router,
-    /// What is to come, by time and order.
+    /// Future events, by time and sequence number.
     agenda: BTreeMap<(u64, u64), Occurrence>,
     occurrences: u64,
     attempts: BTreeMap<u64, u32>,
     late_role: Role,
-    /// When anything was last sent, and what has been rejected since.
+    /// Time of the last send.
     last_sent_at: u64,
+    /// Number of rejections since the last send.
     rejected_since: usize,
-    /// The longest time without an attempt in which so many requests were rejected.
+    /// Maximum time without an attempt in which at least [`MAX_REJECTIONS`] requests were rejected.
     longest_without_attempt: u64,
 }
 
 impl Simulation {
-    /// Requests come every `interval` ms.
+    /// Runs a simulation with one request every `interval` ms.
     fn run(seed: u64, settings: Settings, late_role: Role, interval: u64) -> Simulation {
         let mut simulation = Simulation {
             router: Router::new(seed, settings),
@@ -148,8 +150,8 @@
     Event::Outcome(attempt_outcome(sent.id, sent.attempt, sent.server, status, elapsed))
 }
 
-/// Guards a gateway against rejecting by what it learned when its servers were late: nothing that it does not
-/// send can teach it better.
+/// Guards against a router that rejects all requests because of old measurements of late servers: without
+/// sends, it receives no new measurements.
 #[test]
 fn a_router_whose_servers_were_late_goes_on_trying_them() {
     for late_role in [Role::Prefill, Role::Decode] {
@@ -164,7 +166,7 @@
                          interval {interval}"
                     );
                     let longest = simulation.longest_without_attempt;
-                    assert!(longest <= MAX_TIME_WITHOUT_ATTEMPT, "{case}: nothing was sent for {longest} ms");
+                    assert!(longest <= MAX_TIME_WITHOUT_ATTEMPT, "{case}: no attempt for {longest} ms");
                 }
             }
         }
--- a/crates/router/tests/slow_start/main.rs
+++ b/crates/router/tests/slow_start/main.rs
@@ -1,6 +1,7 @@
-//! What all routers together send to servers that have just started stays below what overloads one, though
-//! none sees the others: few routers and many, with and without probes, bursts, popular prefixes, late load
-//! reports, restarted routers, and a zone that returns. Simulated time, fixed seeds, no sockets.
+//! Slow start of servers in a fleet: all routers together do not overload a server that has just started,
+//! although they do not communicate. The scenarios cover few and many routers, with and without probes,
+//! bursts, popular prefixes, delayed load reports, restarted routers, and a zone that returns. They use
+//! simulated time, fixed seeds and no sockets.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,15 +12,15 @@
 use scenario::*;
 use simulation::{Peaks, Simulation};
 
-/// Asserts that what was sent to a starting server in any window stays under the bound N of the settings and
-/// 2 x root of N + 2.
+/// Asserts that the sends to a starting server in any window stay below the limit N + 2 * sqrt(N) + 2, where
+/// N is the overload bound of the settings.
 fn assert_below_limit(scenario: Scenario, case: &str) {
     let Peaks { prefill, decode } = Simulation::new(scenario).run();
     assert!(prefill < 1.0 && decode < 1.0, "{case}: {prefill} {decode}");
 }
 
-/// Every kind of scenario with so many routers, with probes and without. Fixed seeds: the limit leaves room
-/// for chance, and chance may use it up once in thousands of runs.
+/// Runs every kind of scenario with this number of routers, with and without probes. The seeds are fixed,
+/// because the margin of the limit for random variation may be exceeded once in thousands of runs.
 fn every_scenario_stays_below_the_limit(routers: usize, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         for (index, (name, scenario)) in scenarios().into_iter().enumerate() {
@@ -62,9 +63,8 @@
     every_scenario_stays_below_the_limit(300, 0..2);
 }
 
-/// Guards the share of routers that may go by one old load report: a quarter of all requests have the same
-/// prefix, a starting server is its first preferred server, and reports are as old as the deployments make
-/// them.
+/// Guards against too many routers that rely on the same old load report: a quarter of all requests have the
+/// same prefix, its first preferred server is in slow start, and reports are as old as in the deployments.
 #[test]
 fn a_popular_prefix_does_not_overload_its_starting_server() {
     for (routers, servers, starting, rate_per_s, seed) in
@@ -75,29 +75,32 @@
     }
 }
 
-/// The hard case: 300 routers learn of eight starting servers of each role at once, and in the same second a
-/// third of them restart and forget what they have sent; reports are as old as the deployments make them, a
-/// quarter of all requests have the same prefix, and half as much traffic again comes for two seconds.
+/// Guards against the overload of starting servers in the worst case: 300 routers are notified of eight
+/// starting servers of each role at once, and in the same second a third of the routers restart and lose the
+/// count of their sends. Reports are as old as in the deployments, a quarter of all requests have the same
+/// prefix, and the traffic is 50 % higher for two seconds.
 #[test]
 fn three_hundred_routers_do_not_overload_eight_starting_servers_though_a_third_restart() {
     assert_below_limit(Scenario { router_restarts: A_THIRD_RESTARTS, ..POPULAR_PREFIX }, "a third restarts");
 }
 
-/// Runs a hundred routers on load reports that are up to a second old.
+/// Runs 100 routers with load reports that are up to a second old.
 fn assert_below_limit_on_late_reports(seed: u64, starting: usize, popular_share: f64) {
     let fleet = Scenario { routers: 100, servers: 24, starting, ..BASE };
     let scenario = Scenario { rate_per_s: 10.0, report_interval: 1_000.0, popular_share, seed, ..fleet };
     assert_below_limit(scenario, &format!("{seed}"));
 }
 
-/// Guards against routers that all go by one old load report: those of a cell, at its starting decode server.
+/// Guards against the overload of a starting decode server if all routers of its cell rely on the same old
+/// load report.
 #[test]
 fn late_load_reports_do_not_overload_starting_servers() {
     assert_below_limit_on_late_reports(1, 8, 0.0);
     assert_below_limit_on_late_reports(8, 8, 0.0);
 }
 
-/// The same for those with a popular prefix, at its preferred server that starts.
+/// Guards against the overload of the starting preferred server of a popular prefix if all routers rely on
+/// the same old load report.
 #[test]
 fn late_load_reports_do_not_overload_the_starting_server_of_a_popular_prefix() {
     assert_below_limit_on_late_reports(2, 4, 0.25);
@@ -107,8 +110,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(12))]
 
-    /// Three routers that may not probe, as one of the deployments has: whenever a burst comes and however
-    /// large it is, and whichever of them restart.
+    /// Three routers without probes, as in one of the deployments, do not overload starting servers with
+    /// their credit. This holds for any time and size of a burst, with and without restarts of routers.
     #[test]
     fn few_routers_do_not_overload_starting_servers_by_their_credit(
         seed in 1u64..1_000_000, start in 0.0..6.0f64, factor in 1.0..8.0f64, restart: bool,
--- a/crates/router/tests/slow_start/scenario.rs
+++ b/crates/router/tests/slow_start/scenario.rs
@@ -1,13 +1,13 @@
-//! Scenarios of servers that start: how many routers and servers, what traffic, and what goes wrong.
+//! Scenarios with starting servers: size of the fleet, traffic, and faults.
 
-/// Routers that restart: this share of them, within so long, in so many rounds one after the other.
+/// Restarts of routers, in consecutive rounds.
 #[derive(Clone, Copy)]
 pub struct RouterRestarts {
-    /// Begin of the first round, in seconds after the start of the servers.
+    /// Beginning of the first round, in seconds after the start of the servers.
     pub start: f64,
     /// Share of all routers that restart in each round.
     pub share: f64,
-    /// Length of a round, in seconds.
+    /// Duration of a round, in seconds.
     pub within: f64,
     pub rounds: usize,
 }
@@ -16,47 +16,47 @@
 pub const A_THIRD_RESTARTS: RouterRestarts = RouterRestarts { share: 1.0 / 3.0, rounds: 1, ..NO_RESTARTS };
 pub const ALL_RESTART: RouterRestarts = RouterRestarts { share: 1.0, rounds: 1, ..NO_RESTARTS };
 
-/// More traffic for two seconds.
+/// Increased traffic for two seconds.
 #[derive(Clone, Copy)]
 pub struct Burst {
-    /// Its begin, in seconds after the start of the servers.
+    /// Beginning of the burst, in seconds after the start of the servers.
     pub start: f64,
-    /// The traffic is so many times the usual.
+    /// Traffic as a multiple of the usual traffic.
     pub factor: f64,
 }
 
-/// The settings that bound slow start.
+/// Settings that limit slow start.
 #[derive(Clone, Copy)]
 pub struct SlowStartRules {
     pub overload_multiple: f64,
-    /// In milliseconds.
+    /// Length of the window, in milliseconds.
     pub overload_window: f64,
     pub initial_share: f64,
 }
 
-/// One scenario.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     pub routers: usize,
-    /// Prefill servers, and as many decode servers.
+    /// Number of prefill servers, and also of decode servers.
     pub servers: usize,
-    /// How many of each role start during the run.
+    /// Number of servers of each role that start during the run.
     pub starting: usize,
     pub probes: bool,
-    /// Requests a second that a server completes at full capacity.
+    /// Throughput of a server at full capacity, in requests per second.
     pub rate_per_s: f64,
-    /// Traffic, as a share of what all servers can do.
+    /// Traffic as a share of the throughput of all servers.
     pub utilization: f64,
     pub burst: Burst,
-    /// Share of requests with one and the same prefix.
+    /// Share of requests that have the popular prefix.
     pub popular_share: f64,
     /// Interval at which a load report is renewed (ms).
     pub report_interval: f64,
-    /// Longest time that the answer to a probe takes (ms).
+    /// Maximum random part of the response time of a probe (ms).
     pub probe_time: f64,
     pub router_restarts: RouterRestarts,
-    /// The starting servers are a zone that was unreachable, and each router's open connections to it are
-    /// dead.
+    /// Whether the starting servers are a zone that was unreachable, to which all open connections of the
+    /// routers are dead.
     pub zone_returns: bool,
     pub rules: SlowStartRules,
     pub seed: u64,
@@ -79,18 +79,18 @@
     seed: 1,
 };
 
-/// The rules of two of the deployments, and a third's.
+/// Slow-start settings of three of the deployments.
 pub const RULES: [SlowStartRules; 3] = [
     SlowStartRules { overload_multiple: 2.5, overload_window: 1_500.0, initial_share: 0.27 },
     SlowStartRules { overload_multiple: 4.0, overload_window: 2_000.0, initial_share: 0.26 },
     SlowStartRules { overload_multiple: 4.0, overload_window: 3_000.0, initial_share: 0.31 },
 ];
-/// Load reports as old as the deployments make them.
+/// Scenario with load reports as old as in the deployments.
 pub const OLD_REPORTS: Scenario = Scenario { report_interval: 640.0, probe_time: 210.0, ..BASE };
 pub const POPULAR_PREFIX: Scenario = Scenario { popular_share: 0.25, ..OLD_REPORTS };
 
-/// A fleet of so many routers with as many servers as they would have. A sixth of them start, or half where a
-/// zone returns.
+/// Returns a scenario for this number of routers, with a number of servers that is typical for it. A sixth of
+/// the servers start, or half of them if a zone returns.
 pub fn sized(routers: usize, scenario: Scenario) -> Scenario {
     let servers = match routers {
         0..10 => 8,
@@ -102,7 +102,7 @@
     Scenario { routers, servers, starting, ..scenario }
 }
 
-/// Every kind of scenario, by name.
+/// Returns every kind of scenario with its name.
 pub fn scenarios() -> Vec<(&'static str, Scenario)> {
     let repeated = RouterRestarts { share: 0.97, within: 1.5, rounds: 4, ..NO_RESTARTS };
     vec![
--- a/crates/router/tests/slow_start/simulation.rs
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -1,5 +1,5 @@
-//! The environment that the scenarios run in: routers that see nothing of each other, and servers that report
-//! late, some of which start during the run. Simulated time, fixed seeds.
+//! Discrete-event simulation of the scenarios: routers that do not communicate, and servers with delayed load
+//! reports, some of which start during the run. It uses simulated time and fixed seeds.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -11,19 +11,19 @@
 
 mod starts;
 
-/// The starting servers start then (ms) ...
+/// Time at which the starting servers start (ms).
 const STARTED: f64 = 6_000.0;
-/// ... and what is sent to them is counted up to here.
+/// Time until which the sends to the starting servers are counted (ms).
 const END: f64 = 14_000.0;
-/// A zone that returns was unreachable for so long before (ms) ...
+/// Time for which a zone is unreachable before it returns (ms).
 const UNREACHABLE_TIME: f64 = 5_000.0;
-/// ... and a connection to it then fails after so long.
+/// Time after which a connection to an unreachable server fails (ms).
 const CONNECT_TIMEOUT: f64 = 250.0;
-/// Time of a stream at a decode server at full capacity (ms).
+/// Duration of a stream at a decode server with full capacity (ms).
 const STREAM_TIME: f64 = 2_000.0;
-/// Time from a stream's begin to its first token (ms).
+/// Time from the beginning of a stream to its first token (ms).
 const FIRST_TOKEN_TIME: f64 = 20.0;
-/// Decode servers have identifiers from here on.
+/// Lower bound of the identifiers of decode servers.
 const FIRST_DECODE_SERVER: u64 = 1_000;
 
 enum Occurrence {
@@ -47,18 +47,19 @@
 
 #[derive(Default)]
 struct Server {
-    /// When each request that it has will be done.
+    /// End times of the requests in flight.
     ends: Vec<f64>,
-    /// Requests in flight by its last report, and when that was made.
+    /// Requests in flight according to the last report.
     reported_load: f64,
+    /// Time of the last report.
     reported_at: f64,
     is_starting: bool,
     is_unreachable: bool,
-    /// When it was sent a request, each.
+    /// Times of the sends to the server.
     sent: Vec<f64>,
 }
 
-/// The most that was sent to any starting server of a role in any window, as a share of the limit.
+/// Maximum number of sends to any starting server of a role in any window, as a share of the limit.
 pub struct Peaks {
     pub prefill: f64,
     pub decode: f64,
@@ -69,9 +70,9 @@
     settings: Settings,
     routers: Vec<Router>,
     servers: BTreeMap<u64, Server>,
-    /// Time (microseconds) and number of each occurrence to come.
+    /// Time (microseconds) and number of each future event.
     agenda: BinaryHeap<Reverse<(u64, u64)>>,
-    /// Router and occurrence, by number.
+    /// Router and event, by number.
     occurrences: BTreeMap<u64, (usize, Occurrence)>,
     occurrence_count: u64,
     now: f64,
@@ -79,7 +80,7 @@
     random: u64,
     request_count: u64,
     popular_prefix: u64,
-    /// Routers whose open connection to a server is dead without their knowing.
+    /// Router and server of each dead connection that the router has not detected.
     dead_connections: BTreeSet<(usize, u64)>,
 }
 
@@ -114,7 +115,7 @@
         simulation
     }
 
-    /// The next random number, uniform in [0, 1).
+    /// Returns the next random number, uniformly distributed in [0, 1).
     fn unit(&mut self) -> f64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -122,7 +123,7 @@
         (self.random >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Share of its capacity that a starting server has.
+    /// Returns the share of its capacity that a starting server has.
     fn capacity_share(&self, time: f64) -> f64 {
         let rules = &self.settings.rules;
         let growth = 1.0 - rules.slow_start_initial_share;
@@ -204,7 +205,8 @@
         self.handle(router, Event::Outcome(outcome));
     }
 
-    /// A request at a router, some of which get several times as many as others; then the next one.
+    /// Processes the arrival of a request, and schedules the next arrival. Some routers receive several times
+    /// as many requests as others.
     fn arrive(&mut self) {
         let id = self.request_count;
         self.request_count += 1;
@@ -220,12 +222,12 @@
         self.schedule(self.now + interval, 0, Occurrence::Arrival);
     }
 
-    /// Requests that a decode server streams at a time.
+    /// Returns the number of streams that a decode server runs at a time.
     fn stream_slots(&self) -> f64 {
         self.scenario.rate_per_s * STREAM_TIME / 1_000.0
     }
 
-    /// A server's load report: its load when the report was last renewed.
+    /// Returns the load report of a server, with the values of its last renewal.
     fn report(&mut self, id: u64) -> LoadReport {
         let (now, slots) = (self.now, self.stream_slots());
         let Some(server) = self.servers.get_mut(&id) else { return LoadReport::default() };
@@ -263,7 +265,7 @@
         if self.dead_connections.remove(&(router, server)) {
             return self.schedule(self.now + 1.0, router, Occurrence::ProbeFailed { server });
         }
-        // The report is made now, and arrives at the end.
+        // The report has the values of now, although it is received later.
         let report = self.report(server);
         let answer_time = self.now + 5.0 + self.scenario.probe_time * self.unit();
         self.schedule(answer_time, router, Occurrence::ProbeAnswer { server, report });
@@ -285,7 +287,7 @@
         self.serve(router, sent);
     }
 
-    /// Schedules the events of an attempt that reaches its server.
+    /// Schedules the further events of an attempt that has reached its server.
     fn serve(&mut self, router: usize, sent: SentAttempt) {
         let (now, rate_per_s, slots) = (self.now, self.scenario.rate_per_s, self.stream_slots() as usize);
         let is_starting = self.servers.get(&sent.server).is_some_and(|server| server.is_starting);
@@ -306,8 +308,8 @@
         self.schedule(end, router, Occurrence::Completed(sent));
     }
 
-    /// The most that was sent to a starting server of this role in any window, as a share of the limit: what
-    /// the settings allow it at the window's begin, and twice the root of that and two for chance.
+    /// Returns the maximum number of sends to a starting server of this role in any window, as a share of the
+    /// limit.
     fn peak(&self, role: Role) -> f64 {
         let mut peak = 0.0f64;
         for (id, server) in &self.servers {
@@ -320,6 +322,9 @@
         peak
     }
 
+    /// Returns the number of sends in the window from `start`, as a share of the limit. The limit is the
+    /// bound of the settings at that time, plus a margin of twice its square root and two for random
+    /// variation.
     fn share_of_limit(&self, sent: &[f64], start: f64) -> f64 {
         let rules = &self.settings.rules;
         let window = start..start + rules.overload_window;
--- a/crates/router/tests/slow_start/simulation/starts.rs
+++ b/crates/router/tests/slow_start/simulation/starts.rs
@@ -1,4 +1,4 @@
-//! The servers that start, and what the routers learn of them.
+//! Start of servers during the simulation, and the notification of the routers.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::scenario::RouterRestarts;
 
 impl Simulation {
-    /// A prefix whose first preferred server, in the order that all routers share, will be one of the
+    /// Returns a prefix whose first preferred server, in the hash order of all routers, is one of the
     /// starting servers.
     pub(super) fn prefix_of_starting_server(&self) -> u64 {
         let starting = self.starting_servers();
@@ -33,7 +33,7 @@
         (self.scenario.seed * 1_000..).find(prefers_starting).unwrap_or_default()
     }
 
-    /// The server list as it is now: cells of four prefill servers and four decode servers.
+    /// Returns the current server list: cells of four prefill servers and four decode servers each.
     pub(super) fn server_list(&self) -> Vec<ServerEntry> {
         let entry = |(id, server): (&u64, &Server)| {
             let kind = if is_prefill_server(*id) { PREFILL } else { DECODE };
@@ -43,7 +43,7 @@
         self.servers.iter().map(entry).collect()
     }
 
-    /// Some servers start, all routers learn of it at once, and some routers restart.
+    /// Starts some servers, notifies all routers at the same time, and schedules the restarts of routers.
     pub(super) fn start_servers(&mut self) {
         let starting = self.starting_servers();
         for (id, server) in self.servers.iter_mut().filter(|(id, _)| starting.contains(id)) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The servers that start: those of a zone, or some of each role spread evenly.
+    /// Returns the servers that start: those of a zone, or else an evenly spaced selection of each role.
     pub(super) fn starting_servers(&self) -> BTreeSet<u64> {
         let count = self.scenario.starting as u64;
         let every = (self.scenario.servers / self.scenario.starting) as u64;
@@ -80,7 +80,8 @@
         self.servers.keys().copied().filter(is_starting).collect()
     }
 
-    /// The zone becomes unreachable: it answers nobody, and no connection to it is established.
+    /// Makes the zone unreachable: its requests in flight are lost, and no connection to it can be
+    /// established.
     pub(super) fn disconnect_zone(&mut self) {
         for id in self.starting_servers() {
             if let Some(server) = self.servers.get_mut(&id) {
--- a/crates/router/tests/slow_start_trickle.rs
+++ b/crates/router/tests/slow_start_trickle.rs
@@ -1,5 +1,5 @@
-//! Slow start of one server: it gets a trickle of requests at first, never a burst. `slow_start` has whole
-//! fleets.
+//! Slow start of a single server, which receives only a few requests at first and never a burst. `slow_start`
+//! tests whole fleets.
 
 mod common;
 
@@ -20,11 +20,11 @@
         }
         router.disconnect(id);
     }
-    assert!((1..=20).contains(&sent_to_starting), "got {sent_to_starting} of 200");
+    assert!((1..=20).contains(&sent_to_starting), "{sent_to_starting} of 200 requests");
 }
 
-/// Where routers cannot probe a starting server for what all of them together send it; `large_fleet` has the
-/// case where they can.
+/// Guards against a burst from 200 routers that cannot probe the starting server for their total load.
+/// `large_fleet` tests routers that can.
 #[test]
 fn the_trickle_to_a_starting_server_is_that_of_all_routers_together() {
     let mut sent_to_starting = 0;
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_starting_server_alone_in_its_role_gets_no_burst() {
-    // The other mixed servers drain and finish; what they completed must not count as completed by nobody.
+    // The other mixed servers drain. Their completions must still be divided by their capacity.
     let mut servers = vec![server_entry(31, MIXED, 0), server_entry(32, MIXED, 0)];
     let mut router = TestRouter::new(settings(), servers.clone());
     for id in 0..200 {
@@ -67,6 +67,7 @@
         router.now = started_at + (id - 200) as f64 * 15.0;
         sends += u32::from(sent_to(&router.submit(request_with_prefix(id, id))) == Some(33));
     }
-    // One of two servers completed 10 a second; at a share of 0.3, three times that for 1.5 s is 13.
+    // Each of the two servers completed 10 requests per second. At a share of 0.3, three times that in 1.5 s
+    // is 13.
     assert!((1..=13).contains(&sends), "{sends} sends in 1.5 s");
 }
--- a/crates/router/tests/state_leases.rs
+++ b/crates/router/tests/state_leases.rs
@@ -1,5 +1,5 @@
-//! State leases: a prefilled state is tried at other decode servers, released when it is lost, and never kept
-//! beyond its lease.
+//! State leases: a prefilled state is offered to other decode servers, released when it is lost, and never
+//! kept beyond its lease.
 
 mod common;
 
@@ -14,12 +14,12 @@
     let second = sent_to(&router.outcome(1, 1, first, AttemptStatus::Rejected)).expect("another server");
     assert!(DECODE_SERVERS.contains(&second) && second != first);
     let actions = router.outcome_with(1, 2, second, AttemptStatus::Rejected, 1.0, None);
-    assert!(is_released(&actions), "the prefill server may only be cut off from the decode server");
+    assert!(is_released(&actions), "the prefill server may still hold the state and only be unreachable from the decode server");
     assert!(PREFILL_SERVERS.contains(&sent_to(&actions).expect("a new prefill")));
 }
 
-/// Guards the retry of a malformed stream: the decode server has used the state up, so it is released and the
-/// prompt is prefilled again.
+/// Guards against a decode attempt without a state after a malformed stream: the decode server has consumed
+/// the state, so it is released and the prompt is prefilled again.
 #[test]
 fn a_request_whose_stream_was_malformed_is_prefilled_again() {
     let mut router = TestRouter::with_defaults();
@@ -38,22 +38,23 @@
     assert!(is_released(&router.outcome(1, 0, prefill_server, AttemptStatus::Prefilled)));
 }
 
-/// Guards the lease limit: an attempt that did not connect was never sent, so the lease runs from the end of
-/// the prefill. Seen on days on which engines are cut off: prefill, 250 ms and 250 ms without a connection,
-/// then a pause.
+/// Guards against a state that is kept beyond its lease: an attempt that did not connect was never sent, so
+/// the lease runs from the end of the prefill. This occurs when engines are unreachable, with a prefill, two
+/// connect time-outs of 250 ms, and then a delay.
 #[test]
 fn the_lease_runs_on_while_no_connection_is_established() {
     assert_lease_runs_on(AttemptStatus::ConnectFailed);
 }
 
-/// The same for an attempt that was cancelled while it connected: it costs no retry and does not stop the
-/// lease.
+/// Guards against the same fault for an attempt that was cancelled while it connected, which costs no retry
+/// and does not stop the lease.
 #[test]
 fn an_attempt_that_was_not_sent_costs_no_retry_and_does_not_stop_the_lease() {
     assert_lease_runs_on(AttemptStatus::NotSent);
 }
 
-/// Two decode attempts of a leased state end so, 250 ms and 460 ms after its prefill.
+/// Asserts that a state is released after two decode attempts that end with this status, 250 ms and 460 ms
+/// after its prefill.
 fn assert_lease_runs_on(status: AttemptStatus) {
     let decode_servers = [21, 22, 23].map(|id| server_entry(id, DECODE, 0));
     let servers = [server_entry(11, PREFILL, 0)].into_iter().chain(decode_servers).collect();
@@ -65,7 +66,7 @@
     let second = sent_to(&router.outcome(1, 1, first, status)).expect("another decode server");
     router.now = prefilled_at + 460.0;
     let actions = router.outcome(1, 2, second, status);
-    // Released, and prefilled again.
+    // The state is released, and the prompt is prefilled again.
     assert!(actions.contains(&Action::Release { id: RequestId(1) }), "{actions:?}");
     assert_eq!(sent_to(&actions), Some(11));
 }
--- a/crates/router/tests/stored_state.rs
+++ b/crates/router/tests/stored_state.rs
@@ -1,8 +1,7 @@
-//! The bytes of form 1 in which a router passes on what it has learned, against a fixture that an earlier
-//! build wrote.
+//! Compatibility of snapshots in format 1 with a fixture that an earlier build wrote.
 //!
-//! The export is deterministic for a fixed script. Its decays use the platform's `exp`, so a platform whose
-//! mathematics library rounds otherwise may differ in the last bit of a figure.
+//! The export is deterministic for a fixed script. Its decays use the platform's `exp`, so the last bit of a
+//! number may differ on a platform whose mathematics library rounds differently.
 
 mod common;
 
@@ -11,8 +10,8 @@
 
 const FIXTURE: &[u8] = include_bytes!("fixtures/router-state-form-1.bin");
 const MIXED_SERVER: u64 = 31;
-/// Words before the entries of the prefix table: the form, the age, the mean prompt, three roles of four
-/// figures, two service times of two.
+/// Number of words before the entries of the prefix table: the format, the age, the mean prompt length, four
+/// values for each of three roles, and two values for each of two service times.
 const HEADER_WORDS: usize = 3 + 3 * 4 + 2 * 2;
 
 fn words_of(bytes: &[u8]) -> Vec<u64> {
@@ -20,7 +19,7 @@
     bytes.chunks_exact(8).map(word).collect()
 }
 
-/// Every third request shares its prefix with no other.
+/// Returns a request of the script. Every third one has no shared prefix.
 fn scripted_request(id: u64) -> Request {
     let prefix = (!id.is_multiple_of(3)).then_some(id % 5);
     Request { prefix, prompt_tokens: 1_000.0 + 125.0 * id as f64, ..sample_request(id) }
@@ -31,7 +30,7 @@
     router.outcome(id, attempt, server, AttemptStatus::Served);
 }
 
-/// Serves a request at a prefill server and then a decode server.
+/// Completes a request at a prefill server and then at a decode server.
 fn serve_in_two_stages(router: &mut TestRouter, id: u64) {
     let prefill_server = router.prefill_server_for(scripted_request(id));
     router.now += 50.0;
@@ -42,7 +41,7 @@
     serve(router, id, 1, decode_server);
 }
 
-/// Serves a request at a mixed server alone, for the third role.
+/// Completes a request at a mixed server, for the statistics of the third role.
 fn serve_at_mixed(router: &mut TestRouter, id: u64) {
     let server = router.prefill_server_for(scripted_request(id));
     assert_eq!(server, MIXED_SERVER);
@@ -50,7 +49,8 @@
     serve(router, id, 0, server);
 }
 
-/// Requests at prefill and decode servers, then at a mixed server that replaces them.
+/// Returns a router after requests at prefill and decode servers, and then at a mixed server that replaces
+/// them.
 fn scripted_router() -> TestRouter {
     let mut router = TestRouter::with_defaults();
     router.at_time(1_000.0);
@@ -62,14 +62,14 @@
     router
 }
 
-/// Guards an upgrade between two builds: what one exports is, to the byte, what the other was built to read.
+/// Guards against an incompatible upgrade: this build must export the same bytes as an earlier one.
 #[test]
 fn the_same_script_exports_the_same_bytes() {
     assert_eq!(words_of(&scripted_router().inner.export_state()), words_of(FIXTURE));
     assert_eq!(scripted_router().inner.export_state(), FIXTURE);
 }
 
-/// Guards the import of what an earlier build exported: nothing is lost, reordered or changed by it.
+/// Guards against an import that loses, reorders or changes values of a snapshot from an earlier build.
 #[test]
 fn a_stored_state_that_is_imported_is_exported_again_the_same() {
     let mut router = Router::new(3, settings());
@@ -77,7 +77,7 @@
     assert_eq!(router.export_state(), FIXTURE);
 }
 
-/// Guards the two tests above against a fixture that holds next to nothing.
+/// Guards against a fixture with so few values that the two tests above would be ineffective.
 #[test]
 fn the_stored_state_has_a_value_in_every_field() {
     let words = words_of(FIXTURE);
@@ -92,7 +92,8 @@
     assert!(entries.len() > 30, "{} entries", entries.len());
 }
 
-/// Sends to a server in slow start, of 120 requests at a router that has imported this state.
+/// Returns how many of 120 requests are sent to a server in slow start, by a router that has imported this
+/// state.
 fn sends_to_starting_server(state: &[u8]) -> u32 {
     let mut router = TestRouter::with_defaults();
     router.inner.import_state(state);
@@ -110,9 +111,8 @@
     sends
 }
 
-/// Guards an upgrade: a router that takes over from another knows how much a server in slow start may be sent
-/// and where sessions are cached, at any time of its own clock; bytes that are no such state change nothing
-/// and break nothing.
+/// Guards against the loss of measurements and affinities at an upgrade: the successor knows the throughput
+/// for slow start and the servers of sessions, although its clock differs. Invalid bytes must have no effect.
 #[test]
 fn what_a_router_has_learned_is_passed_on() {
     let mut old = TestRouter::with_defaults();
--- a/crates/router/tests/timeout_detection.rs
+++ b/crates/router/tests/timeout_detection.rs
@@ -1,15 +1,15 @@
-//! Outlier detection by time-out: which servers are unresponsive, which are only busy, and which attempts are
-//! lost.
+//! Outlier detection by time-out: distinguishes unresponsive servers from busy ones, and detects lost
+//! attempts.
 
 mod common;
 
 use common::*;
 use glenrail_router::*;
 
-/// The class of [`router_with_known_service_time`] that may wait behind a long prompt.
+/// Class of [`router_with_known_service_time`] whose objective permits a wait behind a long prompt.
 const PATIENT: u32 = 1;
 
-/// One of so many routers, which has measured that a token takes a tenth of a millisecond to prefill.
+/// Returns one of `router_count` routers, which has measured a prefill time of 0.1 ms per token.
 fn router_with_known_service_time(router_count: u32) -> TestRouter {
     let mut settings = Settings { router_count, ..settings() };
     settings.classes.iter_mut().for_each(|class| class.latency_objective_per_1000_tokens = 200.0);
@@ -26,7 +26,8 @@
     router
 }
 
-/// After what time from now on the first attempt of a request is cancelled, if within so many milliseconds.
+/// Returns the time from now until the first attempt of a request is cancelled, or `None` if that takes
+/// longer than `within` milliseconds.
 fn cancelled_after(router: &mut TestRouter, id: u64, within: u32) -> Option<Millis> {
     let start = router.now;
     let cancel = Action::Cancel { id: RequestId(id), attempt: 0 };
@@ -34,8 +35,8 @@
     ticks.find(|elapsed| router.at_time(start + elapsed).run_housekeeping().contains(&cancel))
 }
 
-/// Guards against a long prefill in vain: the server works on it without a sign of life for longer than an
-/// idle one may, and a router that cancels it has it started over elsewhere, to be cancelled there.
+/// Guards against the repeated cancellation of a long prefill: the server processes it for longer than the
+/// time-out for progress, and the retry at another server would take just as long.
 #[test]
 fn a_long_prefill_is_not_cancelled_while_it_runs() {
     for router_count in [2, 300] {
@@ -51,7 +52,8 @@
     }
 }
 
-/// Prefills run in order: a short prompt behind a long one is no more a sign that the server hangs.
+/// Guards against the cancellation of a long prefill because of a short prompt that waits behind it. Prefills
+/// run sequentially, so this does not indicate a hung server.
 #[test]
 fn a_short_prompt_behind_a_long_prefill_does_not_have_it_cancelled() {
     let mut router = router_with_known_service_time(300);
@@ -60,13 +62,13 @@
     let server = router.prefill_server_for(long.clone());
     router.at_time(router.now + 10.0);
     let short = Request { id: RequestId(2), prompt_tokens: 500.0, class: PATIENT, ..long };
-    assert_eq!(router.prefill_server_for(short), server, "a session stays at its server");
+    assert_eq!(router.prefill_server_for(short), server, "the session stays at its server");
     let elapsed = cancelled_after(&mut router, 1, 20_000).expect("a hung server is still detected");
     assert!(elapsed > 8_000.0, "cancelled after {elapsed} ms");
 }
 
-/// Guards against one lost request that looks like a queue: a prefill that later ones overtake is cancelled
-/// and retried elsewhere, that of a non-idempotent request too, and the server goes on with its work.
+/// Guards against a lost request that is mistaken for a long queue: a prefill that later ones overtake is
+/// cancelled and retried at another server, also for a non-idempotent request, and its server is not ejected.
 #[test]
 fn an_overtaken_prefill_is_cancelled_and_its_server_stays() {
     for class in [IDEMPOTENT, NON_IDEMPOTENT] {
@@ -77,7 +79,7 @@
             router.at_time(f64::from(tick) * 100.0);
             id += 1;
             let actions = router.submit(sample_request(id));
-            assert!(!is_rejected(&actions), "the lost prefill is no queue");
+            assert!(!is_rejected(&actions), "rejected because of the lost prefill");
             let server = sent_to(&actions).expect("a send");
             router.at_time(router.now + 50.0);
             let decode_server = router.decode_server_after(id, server);
@@ -95,8 +97,8 @@
     }
 }
 
-/// Guards what must be left alone: a prefill that nothing overtakes, and a non-idempotent request at its
-/// decode server, which may have begun though later streams there did so before it.
+/// Guards against the cancellation of a slow prefill that no other overtakes, and of a non-idempotent request
+/// at its decode server, which may have been executed although later streams began before it.
 #[test]
 fn slow_attempts_and_non_idempotent_ones_are_not_cancelled() {
     let servers = vec![server_entry(11, PREFILL, 0), server_entry(21, DECODE, 0)];
@@ -109,12 +111,12 @@
         router.prefill_server_for(sample_request(id));
         router.outcome(id, 0, 11, AttemptStatus::Prefilled);
         router.first_token(id, 1, 21, 20.0);
-        assert!(!cancels(&router.run_housekeeping()), "the non-idempotent request");
+        assert!(!cancels(&router.run_housekeeping()), "cancelled the non-idempotent request");
     }
     router.prefill_server_for(sample_request(20));
     for tick in 12..30 {
         router.at_time(f64::from(tick) * 100.0);
-        assert!(!cancels(&router.run_housekeeping()), "the prefill");
+        assert!(!cancels(&router.run_housekeeping()), "cancelled the prefill");
     }
 }
 
@@ -136,14 +138,14 @@
     assert_ne!(retry, preferred);
 }
 
-/// Guards the detection of a dead server where deadlines are short beside objectives: it is unresponsive
-/// before its attempts have timed out, which does not count against it.
+/// Guards against an unresponsive server that is never ejected, because deadlines are short compared to
+/// objectives: it must be ejected before its attempts time out, since a time-out does not count as a failure.
 #[test]
 fn an_unresponsive_server_is_ejected_before_a_short_deadline() {
     let class =
         RequestClass { latency_objective: 1_500.0, deadline: 2_000.0, ..settings().classes[0].clone() };
     let mut router = TestRouter::new(Settings { classes: vec![class], ..settings() }, sample_servers());
-    // Long after the list, which was a sign of life.
+    // Long after the server list, whose receipt counts as progress and as a load report.
     router.at_time(10_000.0);
     let preferred = router.prefill_server_for(Request { client_timeout: 2_000.0, ..sample_request(1) });
     let mut ejected_at = None;
@@ -155,14 +157,14 @@
     assert!(ejected_at.is_some_and(|time| time > 11_000.0), "{ejected_at:?}");
 }
 
-/// Guards a server that has restarted against the silence of its old process: it is not ejected for work that
-/// it never got, and a prefill that was lost with the old process is cancelled in time for another.
+/// Guards against the ejection of a restarted server for requests that only its previous process received. A
+/// prefill that was lost with that process is cancelled in time for another one.
 #[test]
 fn a_restarted_server_is_not_ejected_for_the_waits_of_its_old_process() {
     let mut router = TestRouter::with_defaults();
     let preferred = router.prefill_server_for(sample_request(1));
     let listed =
-        sample_servers().into_iter().find(|entry| entry.server.0 == preferred).expect("it is listed");
+        sample_servers().into_iter().find(|entry| entry.server.0 == preferred).expect("the server is listed");
     router.at_time(100.0);
     let restarted = ServerEntry { started: Some(90.0), ..listed };
     router.update_servers(ListUpdate::Delta, vec![restarted]);
--- a/crates/router/tests/without_load_reports.rs
+++ b/crates/router/tests/without_load_reports.rs
@@ -1,5 +1,5 @@
-//! A few routers that get no load reports and may not probe: they go by the outcomes of their own requests.
-//! Simulated time, fixed seeds, no sockets.
+//! Routers without load reports and probes, which have to rely on the outcomes of their own requests. The
+//! tests use simulated time, fixed seeds and no sockets.
 
 mod common;
 
@@ -9,17 +9,18 @@
 use common::*;
 use glenrail_router::*;
 
-/// A mixed server takes so long (ms) for the prefill of a thousand tokens, one prompt after the other, and
-/// then streams. A prefill goes on, and costs its server, when it has been cancelled.
+/// Duration of the prefill of 1,000 tokens at a mixed server (ms). Prefills run sequentially, each followed
+/// by its stream. A cancelled prefill runs to its end.
 const PREFILL_PER_1000_TOKENS: u64 = 50;
+/// Duration of a stream (ms).
 const STREAM_TIME: u64 = 400;
 const SERVERS: u64 = 5;
 const ROUTERS: u64 = 3;
-/// The slow server takes so many times as long.
+/// Factor by which prefills take longer at the slow server.
 const SLOWNESS: u64 = 8;
-/// End of a run (ms).
+/// Duration of a run (ms).
 const END: u64 = 60_000;
-/// A first token after this time is late (ms).
+/// Time after which a first token is late (ms).
 const OBJECTIVE: Millis = 1_000.0;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +31,7 @@
     Served { id: u64, attempt: u32, server: u64 },
 }
 
-/// What became of the requests of a class.
+/// Results of the requests of a class.
 #[derive(Default, Debug, Clone, Copy)]
 struct Results {
     late: u32,
@@ -39,7 +40,7 @@
 }
 
 struct MixedServer {
-    /// When the prefills that it has are done.
+    /// Time at which all accepted prefills are complete.
     busy_until: u64,
     slowness: u64,
 }
@@ -47,14 +48,14 @@
 struct Simulation {
     routers: Vec<Router>,
     servers: BTreeMap<u64, MixedServer>,
-    /// Time, order, router and what happens.
+    /// Time, sequence number, router and event.
     agenda: BinaryHeap<Reverse<(u64, u64, u64, Occurrence)>>,
     now: u64,
     occurrences: u64,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<u64, u32>,
     arrived_at: BTreeMap<u64, u64>,
-    /// By class.
+    /// Results by class.
     results: BTreeMap<u32, Results>,
 }
 
@@ -171,8 +172,8 @@
     Request { class, prompt_tokens, prefix: Some(prefix), session: 10_000 + id, ..sample_request(id) }
 }
 
-/// One of five mixed servers is eight times slower, and nothing reports it. What prefers it is served
-/// elsewhere, not rejected: the others have capacity for all.
+/// Guards against rejections because of a slow preferred server: one of five mixed servers is eight times
+/// slower without reporting it, and the others have capacity for all requests.
 #[test]
 fn requests_that_prefer_a_slow_server_are_served_elsewhere_instead_of_rejected() {
     for slow_server in 1..=SERVERS {
@@ -184,8 +185,8 @@
     }
 }
 
-/// All clients of a restarted router come at once, with one prefix: what this router has just sent counts at
-/// once, before any outcome shows it.
+/// Guards against the overload of one server by a burst with the same prefix, as after the restart of another
+/// router: the sends of the router count immediately, before the first outcome.
 #[test]
 fn a_burst_with_one_prefix_is_not_all_sent_to_one_server() {
     let mut simulation = Simulation::new(None);
@@ -196,8 +197,8 @@
     assert!(results.late + results.rejected <= 2, "{results:?}");
 }
 
-/// One class's prompts are twenty times longer for twenty seconds, a twentieth of all: the other class is
-/// still served.
+/// Guards against lost requests of one class because of long prompts of another: for twenty seconds, 5 % of
+/// all prompts are twenty times longer.
 #[test]
 fn long_prompts_of_one_class_leave_the_other_its_servers() {
     let mut simulation = Simulation::new(None);
@@ -213,8 +214,8 @@
     assert!(lost < 0.05 * f64::from(results.total), "{results:?}");
 }
 
-/// Decode servers that report nothing keep first tokens waiting: states go to a mixed server while that
-/// lasts, and not before.
+/// Guards against waits at decode servers without load reports: a mixed server receives states only while
+/// first tokens are delayed at all decode servers.
 #[test]
 fn states_go_to_a_mixed_server_while_all_decode_servers_have_waits() {
     for (first_token, expect_mixed) in [(20.0, false), (1_200.0, true)] {
@@ -235,15 +236,15 @@
     }
 }
 
-/// A tenant at five times its quota beside two within theirs, where the servers cannot bear it all: it alone
-/// is rejected.
+/// Guards against rejections of tenants within their quota while another one sends five times its quota, and
+/// the servers do not have the capacity for all requests.
 #[test]
 fn a_tenant_far_over_its_quota_does_not_use_the_others_capacity() {
     let tenants = [2.0, 20.0, 20.0].map(|allowance_per_s| Tenant { allowance_per_s }).to_vec();
     let settings = Settings { tenants, ..settings_without_probes() };
     let mut simulation = Simulation::with_settings(None, settings);
-    // Ten a second of the first, ten of the two others together; the servers do some fourteen of these in a
-    // second.
+    // The first tenant sends ten requests per second, and the two others together also ten. The servers
+    // complete about fourteen per second.
     for n in 0..800 {
         let tenant = if n % 2 == 0 { 0 } else { 1 + (n / 2 % 2) as u32 };
         let class = u32::from(tenant > 0);
