--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the server with the lowest projection in the same cell, or else in the same zone, if it is
-    /// acceptable compared to the lowest of all projections. Returns the server with the latter otherwise.
+    /// acceptable. Otherwise returns the server with the lowest projection of all.
     fn prefer_nearby(
         &self, projections: &[Projection], location: Location, request: &RequestState,
     ) -> Option<ServerId> {
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -52,8 +52,8 @@
     }
 
     /// Returns whether the capacity of all decode servers until the end of the lease of a new prefill is
-    /// needed by other requests. This can be determined only if routers probe, and only
-    /// while every decode server is in slow start.
+    /// needed by other requests. This can be determined only if routers probe, and only while every decode
+    /// server is in slow start.
     fn lacks_decode_server(&self, prefill_time: Millis) -> bool {
         if !self.probes_before_send() {
             return false;
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -15,8 +15,8 @@
 pub(super) const BASE_EJECTION_TIME: Millis = 500.0;
 /// Maximum number of times that the duration of an ejection is doubled.
 const MAX_DOUBLINGS: u32 = 4;
-/// Score of a broken connection. A server is ejected at a total score of 1, which any failure without a score
-/// of its own has.
+/// Score of a broken connection. A server is ejected at a total score of 1, and any failure without a
+/// constant here has a score of 1.
 const RESET_SCORE: f64 = 0.6;
 /// Score of a malformed response.
 const MALFORMED_RESPONSE_SCORE: f64 = 0.2;
@@ -33,7 +33,9 @@
 
 impl Router {
     /// Returns the servers of these roles that may receive an attempt of a request now. They are ready, not
-    /// ejected, within the slow-start allowance, and permitted by the idempotency of the request.
+    /// ejected, within the slow-start allowance, and permitted by the idempotency of the request. Servers
+    /// that the request has tried for this stage are included only if all have been tried, and only after a
+    /// delay.
     pub(super) fn eligible_servers(
         &mut self, roles: &[Role], request: &RequestState, stage: Stage, actions: &mut Vec<Action>,
     ) -> Vec<ServerId> {
@@ -65,8 +67,7 @@
         let healthy: Vec<ServerId> = healthy.iter().map(|server| server.entry.server).collect();
         let untried: Vec<ServerId> =
             healthy.iter().copied().filter(|id| !request.has_failed_on(*id, stage)).collect();
-        // If all servers have been tried, a delay prevents refused connections from using up all attempts at
-        // once.
+        // The delay prevents refused connections from using up all attempts at once.
         let can_try_again = now >= request.idle_since + HOUSEKEEPING_INTERVAL;
         if untried.is_empty() && can_try_again {
             healthy
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -73,7 +73,7 @@
 impl Router {
     /// Ejects servers that have been unresponsive for too long, and cancels attempts that are lost.
     ///
-    /// A server that only pauses for as long is ejected, too.
+    /// A server that pauses for that long without a fault is also ejected.
     pub(super) fn detect_timeouts(&mut self, actions: &mut Vec<Action>) {
         for id in self.unresponsive_servers() {
             self.record_failure(id, FailureKind::Unresponsive, actions);
--- a/crates/router/src/slow_start_budget.rs
+++ b/crates/router/src/slow_start_budget.rs
@@ -28,8 +28,8 @@
 /// Time after its receipt for which a load report represents the traffic of all routers (ms). It is short
 /// because a report is already old when it is received.
 pub const FLEET_REPORT_TTL: Millis = 250.0;
-/// Minimum credit, in sends, above which a router may rely on a load report. Routers with less credit send to
-/// other servers, because the report has the same age at all routers.
+/// Minimum value of the credit above which a router may rely on a load report, in sends. Routers with less
+/// credit send to other servers, because the report has the same age at all routers.
 const MIN_REPORT_THRESHOLD: f64 = 0.4;
 /// Minimum share of its capacity with which a server starts, regardless of the settings.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
--- a/crates/router/src/state/server_record.rs
+++ b/crates/router/src/state/server_record.rs
@@ -94,7 +94,7 @@
     pub queue_wait: Millis,
     /// Failure score and ejection state.
     pub health: Health,
-    /// Beginning of slow start; `None` if it is over.
+    /// Beginning of slow start; `None` if it was already over at the first listing.
     pub slow_start_since: Option<Millis>,
     /// Recent sends of this router, as multiples of a typical request.
     pub recent_sends: DecayingValue,
