--- a/crates/router/tests/load_shedding.rs
+++ b/crates/router/tests/load_shedding.rs
@@ -76,8 +76,8 @@
     assert!(returned > 0, "no request was sent to the server with the slow prefill again");
 }
 
-/// Guards against late rejections if all prefill servers have too many requests in flight: each router
-/// detects this by their load reports, before its own requests have waited there.
+/// Guards against late requests if all prefill servers have too many requests in flight: each router detects
+/// this by their load reports, before its own requests have waited there.
 #[test]
 fn a_request_late_by_every_load_report_is_rejected_at_once() {
     let mut rejections = [0; 2];
