--- a/crates/router/src/wait_estimate/tests.rs
+++ b/crates/router/src/wait_estimate/tests.rs
@@ -52,7 +52,7 @@
         let work_before: f64 = sent_before.map(|(_, work)| work).sum();
         prop_assert!(allowed.is_finite() && allowed >= work_before * per_token.unwrap_or(0.0));
         prop_assert!(max_busy_time(&server, &statistics, 3.0, until + 1_000.0) >= allowed);
-        prop_assert!(work_before == 0.0 || allowed > 0.0, "the maximum busy time is not 0 without a measurement");
+        prop_assert!(work_before == 0.0 || allowed > 0.0, "the maximum busy time is 0 without a measurement");
         let decode_server = ServerRecord { role: Role::Decode, ..server };
         prop_assert_eq!(max_busy_time(&decode_server, &statistics, 3.0, until), 0.0);
     }
--- a/crates/router/tests/decode_placement.rs
+++ b/crates/router/tests/decode_placement.rs
@@ -30,7 +30,10 @@
         let prefill_server = router.prefill_server_for(large);
         chosen.push(router.decode_server_after(id, prefill_server));
     }
-    assert!(DECODE_SERVERS.iter().all(|id| chosen.contains(id)), "not distributed over all servers: {chosen:?}");
+    assert!(
+        DECODE_SERVERS.iter().all(|id| chosen.contains(id)),
+        "not distributed over all servers: {chosen:?}"
+    );
 }
 
 #[test]
--- a/crates/router/tests/overload_diversion.rs
+++ b/crates/router/tests/overload_diversion.rs
@@ -66,7 +66,11 @@
         actions.extend(router.at_time(now).fire_timer(step_timer(1)));
         if let [next, last] = probed_servers(&actions)[..] {
             assert!(next != preferred && now <= 200.0, "after {now} ms to {next}");
-            assert_eq!(sent_to(&router.report_load(last, 0.0)), None, "sent before the next server in order has answered");
+            assert_eq!(
+                sent_to(&router.report_load(last, 0.0)),
+                None,
+                "sent before the next server in order has answered"
+            );
             let (server, status) = (ServerId(next), AttemptStatus::ConnectFailed);
             let third = router.handle(Event::ProbeResult { server, status, elapsed: 1.0, report: None });
             assert_eq!(sent_to(&third), Some(last), "an unreachable server is skipped at once");
--- a/crates/router/tests/prefix_affinity.rs
+++ b/crates/router/tests/prefix_affinity.rs
@@ -140,8 +140,9 @@
     router.send_mixed_traffic();
     let preferred = router.prefill_server_for(sample_request(1));
     router.outcome_with(1, 0, preferred, AttemptStatus::Prefilled, 1.0, None);
-    let server =
-        sent_to(&router.submit(sample_request(2))).filter(|to| *to == preferred).expect("the entry has not expired");
+    let server = sent_to(&router.submit(sample_request(2)))
+        .filter(|to| *to == preferred)
+        .expect("the entry has not expired");
     let second = sent_to(&router.outcome(2, 0, server, AttemptStatus::Rejected)).expect("a retry");
     router.outcome_with(2, 1, second, AttemptStatus::Prefilled, 1.0, None);
     assert_ne!(second, preferred);
--- a/crates/router/tests/state_leases.rs
+++ b/crates/router/tests/state_leases.rs
@@ -14,7 +14,10 @@
     let second = sent_to(&router.outcome(1, 1, first, AttemptStatus::Rejected)).expect("another server");
     assert!(DECODE_SERVERS.contains(&second) && second != first);
     let actions = router.outcome_with(1, 2, second, AttemptStatus::Rejected, 1.0, None);
-    assert!(is_released(&actions), "the prefill server may still hold the state and only be unreachable from the decode server");
+    assert!(
+        is_released(&actions),
+        "the prefill server may still hold the state and only be unreachable from the decode server"
+    );
     assert!(PREFILL_SERVERS.contains(&sent_to(&actions).expect("a new prefill")));
 }
 
--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -168,7 +168,10 @@
     let one_stage =
         settings.kinds.iter().any(|kind| kind.role == Role::Mixed) || settings.decode_servers_prefill;
     if !one_stage && settings.limits.max_attempts < 2 {
-        return fault("policy-limits.max-attempts", "expected at least 2, because prefill and decode servers are separate");
+        return fault(
+            "policy-limits.max-attempts",
+            "expected at least 2, because prefill and decode servers are separate",
+        );
     }
     Ok(())
 }
@@ -229,7 +232,9 @@
 
 fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
     let (is_valid, wanted): (fn(f64) -> bool, &str) = match expected {
-        PositiveTime => (|number| number > 0.0 && number <= MAX_TIME_MS, "expected milliseconds above 0, up to 1e12"),
+        PositiveTime => {
+            (|number| number > 0.0 && number <= MAX_TIME_MS, "expected milliseconds above 0, up to 1e12")
+        }
         Share => (|number| (0.0..=1.0).contains(&number), "expected a number from 0 to 1"),
         Count => (|number| (0.0..=MAX_COUNT).contains(&number), "expected a count from 0 to 1000000"),
         PositiveCount => (|number| (1.0..=MAX_COUNT).contains(&number), "expected a count from 1 to 1000000"),
