--- a/crates/router/src/api/requests.rs
+++ b/crates/router/src/api/requests.rs
@@ -104,7 +104,7 @@
     /// - [`Rejected`](AttemptStatus::Rejected): 1 if a decode server found no state to fetch, 0 if the server
     ///   has no capacity.
     /// - Any other status: unused.
-    pub note: f64,
+    pub status_detail: f64,
     /// Whether the request is closed, by this outcome or earlier, so that no further attempt may follow.
     pub closed: bool,
     /// Whether the attempt is known to have reached its server. If so, the lease of a prefilled state did not
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -4,7 +4,7 @@
 //! panic threshold prevents the ejection of most servers because of a fault elsewhere.
 
 use super::slow_start::NO_PREFIX_DEMAND;
-use super::state_leases::NOTE_NO_STATE;
+use super::state_leases::DETAIL_STATE_MISSING;
 use super::{Router, HOUSEKEEPING_INTERVAL};
 use crate::api::{Action, AttemptOutcome, AttemptStatus, Millis, Role, ServerId, ServerState};
 use crate::state::{
@@ -96,7 +96,7 @@
                     server.record_prefill(sample, &mut self.statistics, self.now);
                 }
             }
-            AttemptStatus::Rejected if outcome.note < NOTE_NO_STATE => {
+            AttemptStatus::Rejected if outcome.status_detail < DETAIL_STATE_MISSING => {
                 // The server counts as full until its next report, regardless of the last one.
                 if let Some(server) = self.servers.get_mut(&outcome.server) {
                     server.memory_share = Some(server.memory_share.unwrap_or(0.0).max(1.0));
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -63,7 +63,7 @@
         self.record_load_report(outcome.server, outcome.report);
         let Some(request) = self.requests.get_mut(&outcome.id) else { return };
         let Some(attempt) = request.record_outcome(&outcome, self.now) else { return };
-        let work_tokens = request.prefill_work(sanitize(outcome.note));
+        let work_tokens = request.prefill_work(sanitize(outcome.status_detail));
         if let Some(server) = self.servers.get_mut(&attempt.server) {
             server.record_attempt_end(outcome.id);
         }
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -14,8 +14,8 @@
 const USED_LEASE_SHARE: f64 = 0.8;
 /// Divisor of the time until the deadline that gives the maximum retry time of a rejection.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
-/// Minimum [`AttemptOutcome::note`] of a rejection by a decode server that found no state to fetch.
-pub(super) const NOTE_NO_STATE: f64 = 1.0;
+/// Minimum [`AttemptOutcome::status_detail`] of a rejection by a decode server that found no state to fetch.
+pub(super) const DETAIL_STATE_MISSING: f64 = 1.0;
 
 impl Router {
     /// Rejects or fails a request that has not produced its first token, and closes it.
@@ -56,7 +56,7 @@
     /// the prefill server may still hold the state and only be unreachable from the decode server.
     pub(super) fn release_lost_state(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
         let is_lost = match outcome.status {
-            AttemptStatus::Rejected => outcome.note >= NOTE_NO_STATE,
+            AttemptStatus::Rejected => outcome.status_detail >= DETAIL_STATE_MISSING,
             AttemptStatus::MalformedResponse | AttemptStatus::Undelivered => true,
             _ => false,
         };
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -132,7 +132,7 @@
         server: ServerId(server),
         status,
         elapsed,
-        note: 0.0,
+        status_detail: 0.0,
         closed: status == AttemptStatus::Served,
         delivered: status.may_have_arrived(),
         report: None,
@@ -213,13 +213,13 @@
     }
 
     pub fn outcome_with(
-        &mut self, id: u64, attempt: u32, server: u64, status: AttemptStatus, note: f64,
+        &mut self, id: u64, attempt: u32, server: u64, status: AttemptStatus, status_detail: f64,
         memory_share: Option<f64>,
     ) -> Vec<Action> {
         let report = memory_share
             .map(|memory_share| LoadReport { memory_share: Some(memory_share), ..LoadReport::default() });
         let outcome = attempt_outcome(id, attempt, server, status, 50.0);
-        self.handle(Event::Outcome(AttemptOutcome { note, report, ..outcome }))
+        self.handle(Event::Outcome(AttemptOutcome { status_detail, report, ..outcome }))
     }
 
     /// Reports the end of a prefill after `elapsed`, with nothing cached.
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -153,7 +153,8 @@
             request.has_state = false;
         }
         let closed = request.is_closed;
-        let note = if status == AttemptStatus::Rejected { self.draws.below(2) as f64 } else { 700.0 };
+        let status_detail =
+            if status == AttemptStatus::Rejected { self.draws.below(2) as f64 } else { 700.0 };
         let memory_share = Some(self.draws.below(120) as f64 / 100.0);
         let outcome = AttemptOutcome {
             id: RequestId(id),
@@ -161,7 +162,7 @@
             server: ServerId(server),
             status,
             elapsed: 30.0,
-            note,
+            status_detail,
             closed,
             delivered: status.may_have_arrived(),
             report: Some(LoadReport { memory_share, ..LoadReport::default() }),
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -164,7 +164,7 @@
             server,
             status: router_status(status),
             elapsed: call.elapsed(),
-            note: call.report.note,
+            status_detail: call.report.note,
             closed,
             delivered: state.delivered,
             report: call.report.load.take(),
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -74,7 +74,7 @@
         let Some(attempt) = self.record.attempts.get_mut(outcome.attempt as usize) else { return };
         attempt.ended_ms = now - self.arrived;
         attempt.outcome = outcome.status.log_label().to_string();
-        attempt.cached_tokens = outcome.note;
+        attempt.cached_tokens = outcome.status_detail;
         attempt.in_flight = outcome.report.and_then(|report| report.in_flight);
         attempt.memory_share = outcome.report.and_then(|report| report.memory_share);
     }
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -34,8 +34,8 @@
 /// What a server reported besides its reply.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServerReport {
-    /// The [`note`](glenrail_router::AttemptOutcome::note) of the attempt's outcome: tokens found in the cache, or 1.0
-    /// if the server rejected an attempt since the state that it claimed is not there.
+    /// The [`status_detail`](glenrail_router::AttemptOutcome::status_detail) of the attempt's outcome: tokens found in the
+    /// cache, or 1.0 if the server rejected an attempt since the state that it claimed is not there.
     pub note: f64,
     pub load: Option<LoadReport>,
 }
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -249,14 +249,16 @@
     RecordBuilder::new(&routing, "00ff00ff00ff00ff", &settings(), 1_000.0, 1_750_000_000_000.25)
 }
 
-fn outcome(attempt: u32, status: AttemptStatus, note: f64, report: Option<LoadReport>) -> AttemptOutcome {
+fn outcome(
+    attempt: u32, status: AttemptStatus, status_detail: f64, report: Option<LoadReport>,
+) -> AttemptOutcome {
     AttemptOutcome {
         id: RequestId(1),
         attempt,
         server: ServerId(PREFILL_SERVERS[0]),
         status,
         elapsed: 0.0,
-        note,
+        status_detail,
         closed: false,
         delivered: false,
         report,
--- a/gateway/tests/drive/mod.rs
+++ b/gateway/tests/drive/mod.rs
@@ -159,7 +159,7 @@
                             server,
                             status,
                             elapsed,
-                            note: 0.0,
+                            status_detail: 0.0,
                             closed,
                             delivered: status.may_have_arrived(),
                             report: None,
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -155,7 +155,7 @@
                         _ => AttemptStatus::Served,
                     };
                     let closed = status == AttemptStatus::Served;
-                    let (elapsed, note) = (50.0, 0.0);
+                    let (elapsed, status_detail) = (50.0, 0.0);
                     let arrived = status.may_have_arrived();
                     let outcome = AttemptOutcome {
                         id,
@@ -163,7 +163,7 @@
                         server,
                         status,
                         elapsed,
-                        note,
+                        status_detail,
                         closed,
                         delivered: arrived,
                         report,
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -97,7 +97,7 @@
                 server,
                 status,
                 elapsed,
-                note: number(event, "info"),
+                status_detail: number(event, "info"),
                 closed: flag(event, "finished"),
                 delivered: status.may_have_arrived(),
                 report: reported_load(event),
