--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -117,7 +117,7 @@
 
     /// Returns whether this server is listed but receives no new requests at present, because it is ejected
     /// or draining.
-    pub fn is_avoided(&self, id: ServerId) -> bool {
+    pub fn is_out_of_rotation(&self, id: ServerId) -> bool {
         self.servers.get(&id).is_some_and(|server| !server.is_available(self.now))
     }
 
--- a/crates/router/tests/decode_capacity.rs
+++ b/crates/router/tests/decode_capacity.rs
@@ -129,7 +129,7 @@
     let settings = Settings { router_count: ROUTERS, ..settings() };
     let mut router = TestRouter::seeded(1, settings, sample_servers());
     let all_ejected =
-        |router: &TestRouter| DECODE_SERVERS.iter().all(|id| router.inner.is_avoided(ServerId(*id)));
+        |router: &TestRouter| DECODE_SERVERS.iter().all(|id| router.inner.is_out_of_rotation(ServerId(*id)));
     let mut id = 0;
     while !all_ejected(&router) {
         id += 1;
--- a/crates/router/tests/outlier_detection.rs
+++ b/crates/router/tests/outlier_detection.rs
@@ -107,8 +107,8 @@
     let draining = ServerEntry { state: ServerState::Draining, ..server_entry(22, DECODE, 1) };
     router.update_servers(ListUpdate::Delta, vec![draining]);
     assert!(
-        router.inner.is_avoided(ServerId(22))
-            && !router.inner.is_avoided(ServerId(21))
-            && !router.inner.is_avoided(ServerId(99))
+        router.inner.is_out_of_rotation(ServerId(22))
+            && !router.inner.is_out_of_rotation(ServerId(21))
+            && !router.inner.is_out_of_rotation(ServerId(99))
     );
 }
--- a/crates/router/tests/timeout_detection.rs
+++ b/crates/router/tests/timeout_detection.rs
@@ -93,7 +93,7 @@
         }
         let cancelled_at = cancelled_at.expect("cancelled");
         assert!((300.0..1_000.0).contains(&cancelled_at), "in time for another prefill: {cancelled_at}");
-        assert!(!router.inner.is_avoided(ServerId(preferred)));
+        assert!(!router.inner.is_out_of_rotation(ServerId(preferred)));
     }
 }
 
@@ -151,8 +151,8 @@
     let mut ejected_at = None;
     for tick in 1..20 {
         router.at_time(10_000.0 + f64::from(tick) * 100.0).run_housekeeping();
-        let is_avoided = router.inner.is_avoided(ServerId(preferred));
-        ejected_at = ejected_at.or(is_avoided.then_some(router.now));
+        let is_out_of_rotation = router.inner.is_out_of_rotation(ServerId(preferred));
+        ejected_at = ejected_at.or(is_out_of_rotation.then_some(router.now));
     }
     assert!(ejected_at.is_some_and(|time| time > 11_000.0), "{ejected_at:?}");
 }
@@ -172,7 +172,7 @@
     for tick in 2..60 {
         router.at_time(f64::from(tick) * 100.0);
         let actions = router.run_housekeeping();
-        assert!(!router.inner.is_avoided(ServerId(preferred)), "at {}", router.now);
+        assert!(!router.inner.is_out_of_rotation(ServerId(preferred)), "at {}", router.now);
         if cancelled_at.is_none() && actions.contains(&Action::Cancel { id: RequestId(1), attempt: 0 }) {
             cancelled_at = Some(router.now);
             let retry = sent_to(&router.outcome(1, 0, preferred, AttemptStatus::Cancelled)).expect("a retry");
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -157,7 +157,7 @@
     /// Listed servers that receive no new requests at present, by an operator's order or by the router's choice.
     pub fn avoided_servers(&self) -> usize {
         let inner = self.inner.borrow();
-        inner.servers.keys().filter(|id| inner.router.is_avoided(**id)).count()
+        inner.servers.keys().filter(|id| inner.router.is_out_of_rotation(**id)).count()
     }
 }
 
