--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -15,20 +15,20 @@
 
 /// Error for an invalid key of the settings, reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsFault {
+pub struct SettingsError {
     /// Path of the key, relative to the settings object; empty for the object itself.
     pub key: String,
     /// Description of the valid values.
-    pub wanted: String,
+    pub requirement: String,
 }
 
-impl fmt::Display for SettingsFault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.key, self.wanted)
+        write!(formatter, "{}: {}", self.key, self.requirement)
     }
 }
 
-impl std::error::Error for SettingsFault {}
+impl std::error::Error for SettingsError {}
 
 /// Type and range of a value that is present.
 #[derive(Clone, Copy)]
@@ -113,9 +113,9 @@
 ];
 
 /// Parses a settings object, or returns an error for the first invalid key.
-pub fn checked(object: &Value) -> Result<Settings, SettingsFault> {
+pub fn checked(object: &Value) -> Result<Settings, SettingsError> {
     if !object.is_object() {
-        return fault("", "expected an object");
+        return invalid("", "expected an object");
     }
     check_keys("", object, TOP_LEVEL)?;
     check_named_list("services", object, SERVICE)?;
@@ -131,18 +131,18 @@
     Ok(settings)
 }
 
-fn check_sections(object: &Value) -> Result<(), SettingsFault> {
+fn check_sections(object: &Value) -> Result<(), SettingsError> {
     for (name, keys) in SECTIONS {
         match object.get(name) {
             None | Some(Value::Null) => {}
             Some(section @ Value::Object(_)) => check_keys(&format!("{name}."), section, keys)?,
-            Some(_) => return fault(*name, "expected an object"),
+            Some(_) => return invalid(*name, "expected an object"),
         }
     }
     Ok(())
 }
 
-fn check_domain_lists(domain: &Value) -> Result<(), SettingsFault> {
+fn check_domain_lists(domain: &Value) -> Result<(), SettingsError> {
     for (name, expected) in DOMAIN_LISTS {
         let key = format!("domain.{name}");
         for (index, entry) in entries(&key, domain.get(name))?.iter().enumerate() {
@@ -153,22 +153,22 @@
 }
 
 /// Checks the requirements that involve several keys.
-fn check_together(settings: &Settings) -> Result<(), SettingsFault> {
+fn check_together(settings: &Settings) -> Result<(), SettingsError> {
     let at_least_one =
         [("services", settings.classes.is_empty()), ("domain.stage-of-kind", settings.kinds.is_empty())];
     for (key, is_empty) in at_least_one {
         if is_empty {
-            return fault(key, "expected at least one entry");
+            return invalid(key, "expected at least one entry");
         }
     }
     if let Some(index) = settings.classes.iter().position(|class| class.deadline <= 0.0) {
-        return fault(format!("services[{index}].deadline"), "expected milliseconds greater than 0");
+        return invalid(format!("services[{index}].deadline"), "expected milliseconds greater than 0");
     }
     // If prefill and decode servers are separate, a request needs one attempt at each.
     let one_stage =
         settings.kinds.iter().any(|kind| kind.role == Role::Mixed) || settings.decode_servers_prefill;
     if !one_stage && settings.limits.max_attempts < 2 {
-        return fault(
+        return invalid(
             "policy-limits.max-attempts",
             "expected at least 2, because prefill and decode servers are separate",
         );
@@ -176,20 +176,20 @@
     Ok(())
 }
 
-fn fault<T>(key: impl Into<String>, wanted: impl Into<String>) -> Result<T, SettingsFault> {
-    Err(SettingsFault { key: key.into(), wanted: wanted.into() })
+fn invalid<T>(key: impl Into<String>, requirement: impl Into<String>) -> Result<T, SettingsError> {
+    Err(SettingsError { key: key.into(), requirement: requirement.into() })
 }
 
-fn entries<'a>(key: &str, value: Option<&'a Value>) -> Result<&'a [Value], SettingsFault> {
+fn entries<'a>(key: &str, value: Option<&'a Value>) -> Result<&'a [Value], SettingsError> {
     match value {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(entries)) => Ok(entries),
-        Some(_) => fault(key, "expected a list"),
+        Some(_) => invalid(key, "expected a list"),
     }
 }
 
 /// Checks a list of objects whose names must be unique.
-fn check_named_list(list: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsFault> {
+fn check_named_list(list: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsError> {
     let all = entries(list, object.get(list))?;
     for (index, entry) in all.iter().enumerate() {
         // A tenant may be given by its name alone.
@@ -198,11 +198,11 @@
         } else if entry.is_object() {
             check_keys(&format!("{list}[{index}]."), entry, keys)?;
         } else {
-            return fault(format!("{list}[{index}]"), "expected an object");
+            return invalid(format!("{list}[{index}]"), "expected an object");
         }
         let name = entry_name(entry);
         if name.is_some() && all[..index].iter().any(|earlier| entry_name(earlier) == name) {
-            return fault(format!("{list}[{index}].name"), "expected a unique name");
+            return invalid(format!("{list}[{index}].name"), "expected a unique name");
         }
     }
     Ok(())
@@ -213,11 +213,11 @@
     entry.as_str().or_else(|| entry.get("name")?.as_str())
 }
 
-fn check_keys(path: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsFault> {
+fn check_keys(path: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsError> {
     keys.iter().try_for_each(|(key, expected)| check_value(&format!("{path}{key}"), &object[*key], *expected))
 }
 
-fn check_value(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
+fn check_value(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsError> {
     if value.is_null() && !matches!(expected, OneOf(_)) {
         return Ok(());
     }
@@ -225,13 +225,13 @@
         OneOf(words) => check_word(key, value, words),
         HeaderName => check_header_name(key, value),
         Flag if value.is_boolean() => Ok(()),
-        Flag => fault(key, "expected true or false"),
+        Flag => invalid(key, "expected true or false"),
         Amount | PositiveTime | Share | Count | PositiveCount => check_number(key, value, expected),
     }
 }
 
-fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
-    let (is_valid, wanted): (fn(f64) -> bool, &str) = match expected {
+fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsError> {
+    let (is_valid, requirement): (fn(f64) -> bool, &str) = match expected {
         PositiveTime => {
             (|number| number > 0.0 && number <= MAX_TIME_MS, "expected milliseconds above 0, up to 1e12")
         }
@@ -243,23 +243,26 @@
     if value.as_f64().is_some_and(is_valid) {
         return Ok(());
     }
-    fault(key, wanted)
+    invalid(key, requirement)
 }
 
-fn check_word(key: &str, value: &Value, words: &[&str]) -> Result<(), SettingsFault> {
+fn check_word(key: &str, value: &Value, words: &[&str]) -> Result<(), SettingsError> {
     match value.as_str() {
         Some(word) if words.contains(&word) => Ok(()),
-        Some(word) => fault(key, format!("{word:?} is not one of {}", words.join(", "))),
+        Some(word) => invalid(key, format!("{word:?} is not one of {}", words.join(", "))),
         // A missing value is valid, except in a list, where entries are identified by their index.
         None if value.is_null() && !key.ends_with(']') => Ok(()),
-        None => fault(key, format!("expected one of {}", words.join(", "))),
+        None => invalid(key, format!("expected one of {}", words.join(", "))),
     }
 }
 
-fn check_header_name(key: &str, value: &Value) -> Result<(), SettingsFault> {
-    let Some(name) = value.as_str() else { return fault(key, "expected a string") };
+fn check_header_name(key: &str, value: &Value) -> Result<(), SettingsError> {
+    let Some(name) = value.as_str() else { return invalid(key, "expected a string") };
     if name == name.trim() && !name.chars().any(char::is_control) {
         return Ok(());
     }
-    fault(key, format!("{name:?} is not a valid header value: it has control characters or blanks at an end"))
+    invalid(
+        key,
+        format!("{name:?} is not a valid header value: it has control characters or blanks at an end"),
+    )
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,7 +10,7 @@
 mod json;
 mod read;
 
-pub use checked::{checked, entry_name, SettingsFault};
+pub use checked::{checked, entry_name, SettingsError};
 pub use json::{flag, integer, list, number, text};
 pub use read::{load_report, server_id, settings};
 
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -182,7 +182,7 @@
 
 fn checked_settings(raw_settings: &Value) -> Result<Settings, ConfigError> {
     glenrail_settings::checked(raw_settings)
-        .or_else(|fault| error(format!("settings.{}", fault.key), fault.wanted))
+        .or_else(|fault| error(format!("settings.{}", fault.key), fault.requirement))
 }
 
 fn discovery<V: Fn(&str) -> Option<String>>(source: &Source<V>) -> Result<String, ConfigError> {
