--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -11,7 +11,7 @@
 use glenrail_router::{Role, Settings};
 use serde_json::Value;
 
-use crate::settings;
+use crate::parse_settings;
 
 /// Error for an invalid key of the settings, reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -113,7 +113,7 @@
 ];
 
 /// Parses a settings object, or returns an error for the first invalid key.
-pub fn checked(object: &Value) -> Result<Settings, SettingsError> {
+pub fn parse_settings_strict(object: &Value) -> Result<Settings, SettingsError> {
     if !object.is_object() {
         return invalid("", "expected an object");
     }
@@ -126,7 +126,7 @@
     if object["discovery"] == "subscribe" {
         check_value("rules.ask-within", &object["rules"]["ask-within"], PositiveTime)?;
     }
-    let settings = settings(object);
+    let settings = parse_settings(object);
     check_together(&settings)?;
     Ok(settings)
 }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -39,7 +39,7 @@
 }
 
 /// Parses a settings object leniently: a value that is missing or has the wrong type gets its default.
-pub fn settings(object: &Value) -> Settings {
+pub fn parse_settings(object: &Value) -> Settings {
     let domain = &object["domain"];
     Settings {
         router_index: count(object, "me"),
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -181,7 +181,7 @@
 }
 
 fn checked_settings(raw_settings: &Value) -> Result<Settings, ConfigError> {
-    glenrail_settings::checked(raw_settings)
+    glenrail_settings::parse_settings_strict(raw_settings)
         .or_else(|fault| error(format!("settings.{}", fault.key), fault.requirement))
 }
 
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -253,7 +253,7 @@
             "max-retry-after": 500.0, "dial-timeout": 250.0},
         "rules": {"cold": 13000.0, "cold-from": 0.31, "fall": 3000.0, "fall-multiple": 4.0,
             "drain-grace": 2000.0, "grace-to-answer": 16.0}});
-    glenrail_settings::settings(&settings)
+    glenrail_settings::parse_settings(&settings)
 }
 
 fn clock() -> Clock {
--- a/gateway/src/discovery/watch/tests.rs
+++ b/gateway/src/discovery/watch/tests.rs
@@ -12,7 +12,7 @@
 /// alone, or whose list is pushed, does not wait.
 #[test]
 fn first_polls_are_spread_where_discovery_is_polled() {
-    let settings = |v: serde_json::Value| glenrail_settings::settings(&v);
+    let settings = |v: serde_json::Value| glenrail_settings::parse_settings(&v);
     let polled = |gateways: u32| {
         settings(serde_json::json!({"balancers": gateways, "discovery": "subscribe",
         "rules": {"ask-within": 10_000.0}}))
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -99,7 +99,8 @@
 fn retry_after_keeps_to_what_the_settings_allow() {
     let retry_after = |limits: &str, after: Duration| {
         let settings = format!("{{\"policy-limits\": {limits}}}");
-        let limits = glenrail_settings::settings(&serde_json::from_str(&settings).expect("settings")).limits;
+        let limits =
+            glenrail_settings::parse_settings(&serde_json::from_str(&settings).expect("settings")).limits;
         let rejection = rejection("", after.min(PlatformNames::max_retry_after(&limits)));
         rejection.headers().get(RETRY_AFTER).map(|value| value.to_str().expect("text").to_string())
     };
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -47,7 +47,7 @@
 pub async fn gateway(
     readers: &[&StandIn], writers: &[&StandIn], plugin: Option<&str>, cap: usize,
 ) -> Gateway {
-    let settings = glenrail_settings::settings(&json!({"balancers": 1, "quantum": 4.0,
+    let settings = glenrail_settings::parse_settings(&json!({"balancers": 1, "quantum": 4.0,
         "services": [{"aim": 2000.0, "deadline": 10000.0, "semantics": "free"},
             {"aim": 2500.0, "deadline": 12000.0, "semantics": "single_shot"}],
         "domain": {"stage-of-kind": ["read", "write"], "tokens-by-kind": [200000, 200000], "pin-limit": 500.0},
--- a/gateway/tests/common/instant.rs
+++ b/gateway/tests/common/instant.rs
@@ -33,7 +33,7 @@
 
 /// So many readers and as many writers, none of which is ever full or cold; the first token is wanted within `aim`.
 pub fn core(servers: u64, aim: Millis) -> Core<impl Upstream> {
-    let settings = glenrail_settings::settings(&json!({"balancers": 1, "quantum": 4.0,
+    let settings = glenrail_settings::parse_settings(&json!({"balancers": 1, "quantum": 4.0,
         "services": [{"aim": aim, "deadline": 1e9, "semantics": "free"}],
         "domain": {"stage-of-kind": ["read", "write"], "tokens-by-kind": [1e12, 1e12], "pin-limit": 500.0},
         "policy-limits": {"max-attempts": 5, "cancel": true},
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -23,7 +23,7 @@
 /// The calls of a gateway alone.
 fn calls(mode: &str) -> glenrail_request_lifecycle::discovery_polling::PollSchedule {
     let settings = json!({"balancers": 1, "discovery": mode, "rules": {"ask-within": 10_000.0}});
-    discovery::poll_schedule(&glenrail_settings::settings(&settings), 1)
+    discovery::poll_schedule(&glenrail_settings::parse_settings(&settings), 1)
 }
 
 /// Has a gateway watch this agent from a version on, and says when it last took a list.
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -296,7 +296,7 @@
         let reader = StandIn::start(|_, _| read()).await;
         let writer = StandIn::start(|_, _| stream()).await;
         let embedder = StandIn::start(|_, _| vectors()).await;
-        let settings = glenrail_settings::settings(&json!({"quantum": 4.0,
+        let settings = glenrail_settings::parse_settings(&json!({"quantum": 4.0,
             "services": [{"aim": 2000.0, "deadline": 10000.0, "semantics": "free"},
                 {"aim": 2500.0, "deadline": 12000.0, "semantics": "single_shot"}],
             "domain": {"stage-of-kind": ["read", "write"], "pin-limit": 500.0},
--- a/gateway/tests/learned_state.rs
+++ b/gateway/tests/learned_state.rs
@@ -79,7 +79,7 @@
 fn router() -> Router {
     let settings = json!({"balancers": 1, "services": [{"aim": 2000.0, "deadline": 10000.0, "semantics": "free"}],
         "domain": {"stage-of-kind": ["read", "write"]}});
-    let mut router = Router::new(5, glenrail_settings::settings(&settings));
+    let mut router = Router::new(5, glenrail_settings::parse_settings(&settings));
     advance(&mut router, NOW);
     router
 }
--- a/gateway/tests/settings.rs
+++ b/gateway/tests/settings.rs
@@ -271,7 +271,7 @@
     fn any_configuration_serves_or_its_fault_is_named(v in mutated(), seed in any::<u64>(), fates in drive::fates()) {
         let path = file(&format!("mutated_{}", std::process::id()), &v.to_string());
         if let Some(settings) = v.get("settings") {
-            drive::requests(glenrail_settings::settings(settings), seed, &fates, false);
+            drive::requests(glenrail_settings::parse_settings(settings), seed, &fates, false);
         }
         match load(&path) {
             Ok(told) => drop(drive::requests(told.settings, seed, &fates, true)),
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use glenrail_router::{Action, Router, ServerId};
-use glenrail_settings::{integer, list, server_id, settings, text};
+use glenrail_settings::{integer, list, parse_settings, server_id, text};
 use serde_json::{json, Map, Value};
 
 use crate::decode::decode_event;
@@ -71,7 +71,7 @@
     }
 
     fn start(&mut self, number: u64, event: &Value) {
-        let router = Router::new(integer(event, "seed"), settings(&event["settings"]));
+        let router = Router::new(integer(event, "seed"), parse_settings(&event["settings"]));
         self.instances.insert(number, Instance { router, addresses: BTreeMap::new() });
     }
 
