--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy)]
 enum Expected {
     /// Milliseconds, rate or price of at least 0. A large number means that there is no limit.
-    Amount,
+    NonNegative,
     /// Time limit (ms), which must be greater than 0.
     PositiveTime,
     /// Number from 0 to 1.
@@ -44,13 +44,13 @@
     /// Count of at least 1.
     PositiveCount,
     /// Boolean.
-    Flag,
+    Boolean,
     /// One of these strings.
     OneOf(&'static [&'static str]),
     /// Name that is used as the value of a header field.
-    HeaderName,
+    HeaderValue,
 }
-use Expected::{Amount, Count, Flag, HeaderName, OneOf, PositiveCount, PositiveTime, Share};
+use Expected::{Boolean, Count, HeaderValue, NonNegative, OneOf, PositiveCount, PositiveTime, Share};
 
 /// Key, and the type and range of its value.
 type KeySpec = (&'static str, Expected);
@@ -63,53 +63,54 @@
 
 /// Keys of the settings object itself. `me` and `zone` are not checked, because the platform sets them; a
 /// value that is not a number counts as 0.
-const TOP_LEVEL: &[KeySpec] = &[("balancers", Count), ("quantum", Amount), ("over-share-worth", Amount)];
+const TOP_LEVEL: &[KeySpec] =
+    &[("balancers", Count), ("quantum", NonNegative), ("over-share-worth", NonNegative)];
 const SERVICE: &[KeySpec] = &[
-    ("name", HeaderName),
+    ("name", HeaderValue),
     ("aim", PositiveTime),
     ("deadline", PositiveTime),
-    ("worth", Amount),
-    ("late-worth", Amount),
+    ("worth", NonNegative),
+    ("late-worth", NonNegative),
     ("semantics", OneOf(&["free", "guarded", "single_shot"])),
-    ("window", Amount),
+    ("window", NonNegative),
 ];
-const TENANT: &[KeySpec] = &[("name", HeaderName), ("allowance-per-s", Amount)];
+const TENANT: &[KeySpec] = &[("name", HeaderValue), ("allowance-per-s", NonNegative)];
 const POLICY_LIMITS: &[KeySpec] = &[
     ("max-attempts", PositiveCount),
-    ("max-retry-after", Amount),
+    ("max-retry-after", NonNegative),
     ("dial-timeout", PositiveTime),
-    ("conn-idle", Amount),
-    ("probes", Flag),
-    ("cancel", Flag),
-    ("second-copies", Flag),
-    ("retry-after", Flag),
-    ("may-tell", Flag),
+    ("conn-idle", NonNegative),
+    ("probes", Boolean),
+    ("cancel", Boolean),
+    ("second-copies", Boolean),
+    ("retry-after", Boolean),
+    ("may-tell", Boolean),
 ];
 const RULES: &[KeySpec] = &[
-    ("grace-to-answer", Amount),
-    ("drain-grace", Amount),
-    ("cold", Amount),
+    ("grace-to-answer", NonNegative),
+    ("drain-grace", NonNegative),
+    ("cold", NonNegative),
     ("cold-from", Share),
-    ("fall", Amount),
-    ("fall-multiple", Amount),
+    ("fall", NonNegative),
+    ("fall-multiple", NonNegative),
 ];
 const DOMAIN: &[KeySpec] = &[
     ("pin-limit", PositiveTime),
-    ("move-fee", Amount),
-    ("may-reserve", Flag),
-    ("resume", Flag),
-    ("local-read", Flag),
+    ("move-fee", NonNegative),
+    ("may-reserve", Boolean),
+    ("resume", Boolean),
+    ("local-read", Boolean),
 ];
 const PRICES: &[KeySpec] =
-    &[("probe", Amount), ("handshake", Amount), ("discovery", Amount), ("waste", Amount)];
+    &[("probe", NonNegative), ("handshake", NonNegative), ("discovery", NonNegative), ("waste", NonNegative)];
 const SECTIONS: &[(&str, &[KeySpec])] =
     &[("policy-limits", POLICY_LIMITS), ("rules", RULES), ("domain", DOMAIN), ("prices", PRICES)];
 /// Lists of the domain, and the type and range of their entries.
 const DOMAIN_LISTS: &[KeySpec] = &[
     ("stage-of-kind", OneOf(&["read", "write", "both"])),
-    ("tokens-by-kind", Amount),
-    ("token-aim", Amount),
-    ("aim-us-per-1000-prompt-tokens", Amount),
+    ("tokens-by-kind", NonNegative),
+    ("token-aim", NonNegative),
+    ("aim-us-per-1000-prompt-tokens", NonNegative),
 ];
 
 /// Parses a settings object, or returns an error for the first invalid key.
@@ -127,7 +128,7 @@
         check_value("rules.ask-within", &object["rules"]["ask-within"], PositiveTime)?;
     }
     let settings = parse_settings(object);
-    check_together(&settings)?;
+    check_combinations(&settings)?;
     Ok(settings)
 }
 
@@ -153,7 +154,7 @@
 }
 
 /// Checks the requirements that involve several keys.
-fn check_together(settings: &Settings) -> Result<(), SettingsError> {
+fn check_combinations(settings: &Settings) -> Result<(), SettingsError> {
     let at_least_one =
         [("services", settings.classes.is_empty()), ("domain.stage-of-kind", settings.kinds.is_empty())];
     for (key, is_empty) in at_least_one {
@@ -165,9 +166,9 @@
         return invalid(format!("services[{index}].deadline"), "expected milliseconds greater than 0");
     }
     // If prefill and decode servers are separate, a request needs one attempt at each.
-    let one_stage =
+    let one_attempt_suffices =
         settings.kinds.iter().any(|kind| kind.role == Role::Mixed) || settings.decode_servers_prefill;
-    if !one_stage && settings.limits.max_attempts < 2 {
+    if !one_attempt_suffices && settings.limits.max_attempts < 2 {
         return invalid(
             "policy-limits.max-attempts",
             "expected at least 2, because prefill and decode servers are separate",
@@ -194,7 +195,7 @@
     for (index, entry) in all.iter().enumerate() {
         // A tenant may be given by its name alone.
         if entry.is_string() && list == "tenants" {
-            check_value(&format!("{list}[{index}]"), entry, HeaderName)?;
+            check_value(&format!("{list}[{index}]"), entry, HeaderValue)?;
         } else if entry.is_object() {
             check_keys(&format!("{list}[{index}]."), entry, keys)?;
         } else {
@@ -222,11 +223,11 @@
         return Ok(());
     }
     match expected {
-        OneOf(words) => check_word(key, value, words),
-        HeaderName => check_header_name(key, value),
-        Flag if value.is_boolean() => Ok(()),
-        Flag => invalid(key, "expected true or false"),
-        Amount | PositiveTime | Share | Count | PositiveCount => check_number(key, value, expected),
+        OneOf(choices) => check_choice(key, value, choices),
+        HeaderValue => check_header_value(key, value),
+        Boolean if value.is_boolean() => Ok(()),
+        Boolean => invalid(key, "expected true or false"),
+        NonNegative | PositiveTime | Share | Count | PositiveCount => check_number(key, value, expected),
     }
 }
 
@@ -246,17 +247,17 @@
     invalid(key, requirement)
 }
 
-fn check_word(key: &str, value: &Value, words: &[&str]) -> Result<(), SettingsError> {
+fn check_choice(key: &str, value: &Value, choices: &[&str]) -> Result<(), SettingsError> {
     match value.as_str() {
-        Some(word) if words.contains(&word) => Ok(()),
-        Some(word) => invalid(key, format!("{word:?} is not one of {}", words.join(", "))),
+        Some(choice) if choices.contains(&choice) => Ok(()),
+        Some(choice) => invalid(key, format!("{choice:?} is not one of {}", choices.join(", "))),
         // A missing value is valid, except in a list, where entries are identified by their index.
         None if value.is_null() && !key.ends_with(']') => Ok(()),
-        None => invalid(key, format!("expected one of {}", words.join(", "))),
+        None => invalid(key, format!("expected one of {}", choices.join(", "))),
     }
 }
 
-fn check_header_name(key: &str, value: &Value) -> Result<(), SettingsError> {
+fn check_header_value(key: &str, value: &Value) -> Result<(), SettingsError> {
     let Some(name) = value.as_str() else { return invalid(key, "expected a string") };
     if name == name.trim() && !name.chars().any(char::is_control) {
         return Ok(());
