--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -18,5 +18,5 @@
     NotJson(serde_json::Error),
     /// An input line or an event lacks a required part.
     #[error("{0}")]
-    Missing(&'static str),
+    InvalidInput(&'static str),
 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -18,10 +18,10 @@
 use std::process::ExitCode;
 
 use error::AdapterError;
-use host::Host;
+use host::RouterHost;
 
 fn run() -> Result<(), AdapterError> {
-    let mut host = Host::default();
+    let mut host = RouterHost::default();
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
     let mut line = Vec::new();
--- a/simulator-adapter/src/tests.rs
+++ b/simulator-adapter/src/tests.rs
@@ -4,12 +4,12 @@
 use glenrail_settings::server_id;
 use serde_json::{json, Value};
 
-use crate::host::Host;
+use crate::host::RouterHost;
 
 #[test]
 fn every_action_has_its_verb_and_fields() {
     let server = server_id("10.0.0.1:80");
-    let mut host = Host::default();
+    let mut host = RouterHost::default();
     let start = br#"{"sim-time":1,"inbox":[{"verb":"INIT","i":4,"settings":{}},
         {"verb":"ENDPOINTS","i":4,"scope":1,"items":[{"host":"10.0.0.1:80","health":1}]}]}"#;
     host.handle_batch(start).expect("a batch");
@@ -43,11 +43,11 @@
         (Action::Timer { at: 3.5, key: 8, request: None }, r#"{"verb":"WAKE_ME","due-at":3.5,"key-back":8}"#),
         (Action::Log("why".into()), r#"{"verb":"JOURNAL_LINE","words":"why"}"#),
     ];
-    for (action, wanted) in cases {
-        let mut wanted: Value = serde_json::from_str(wanted).expect("JSON");
-        wanted["i"] = json!(4);
-        assert_eq!(host.instances[&4].step(4, action), Some(wanted));
+    for (action, expected) in cases {
+        let mut expected: Value = serde_json::from_str(expected).expect("JSON");
+        expected["i"] = json!(4);
+        assert_eq!(host.instances[&4].encode_step(4, action), Some(expected));
     }
     // An action at a server that no list contained is not encoded.
-    assert_eq!(host.instances[&4].step(4, Action::Probe { server: ServerId(1) }), None);
+    assert_eq!(host.instances[&4].encode_step(4, Action::Probe { server: ServerId(1) }), None);
 }
