--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -66,7 +66,7 @@
         });
         let healthy: Vec<ServerId> = healthy.iter().map(|server| server.entry.server).collect();
         let untried: Vec<ServerId> =
-            healthy.iter().copied().filter(|id| !request.has_failed_on(*id, stage)).collect();
+            healthy.iter().copied().filter(|id| !request.has_unsuccessful_attempt_on(*id, stage)).collect();
         // The delay prevents refused connections from using up all attempts at once.
         let can_try_again = now >= request.idle_since + HOUSEKEEPING_INTERVAL;
         if untried.is_empty() && can_try_again {
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -211,7 +211,7 @@
         let is_large_fleet = fleet_load::is_large_fleet(self.router_count());
         let reserved = if is_large_fleet { PROBES_RESERVED_FOR_REQUESTS } else { 0.0 };
         while self.settings.limits.probes && self.probe_budget >= 1.0 + reserved {
-            let quiet_since = |server: &ServerRecord| server.last_heard_at.max(server.last_probed_at);
+            let quiet_since = |server: &ServerRecord| server.last_report_at.max(server.last_probed_at);
             let rank = |server: &ServerRecord| {
                 quiet_since(server) - if server.pending.is_empty() { 0.0 } else { PENDING_WORK_URGENCY }
             };
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -80,10 +80,10 @@
     /// Counts an arriving request, in total and for its prefix.
     fn count_request(&mut self, request: &Request) -> RecentRequests {
         let now = self.now;
-        let relative = request.prompt_tokens / self.statistics.mean_prompt_tokens.max(1.0);
+        let relative_length = request.prompt_tokens / self.statistics.mean_prompt_tokens.max(1.0);
         let mut count = |key| {
             let rate = self.request_rates.get_or_insert_mut(key, || DecayingValue::zero(now));
-            rate.add(relative, now, REQUEST_RATE_DECAY)
+            rate.add(relative_length, now, REQUEST_RATE_DECAY)
         };
         let total = count(None);
         let same_prefix = count(Some(request.hash_key()));
@@ -162,8 +162,8 @@
         let tokens = request.prefill_work(cached_tokens);
         // At a prefill server the load depends on the number of tokens that are not cached, not on the number
         // of requests.
-        let relative = if server.role == Role::Decode { 1.0 } else { tokens / typical_work };
-        server.record_send(id, SentWork { tokens, relative, remaining_credit: credit - 1.0 }, now);
+        let relative_work = if server.role == Role::Decode { 1.0 } else { tokens / typical_work };
+        server.record_send(id, SentWork { tokens, relative_work, remaining_credit: credit - 1.0 }, now);
         if server.health.on_trial {
             // Ejects the server again, so that only one trial is in flight.
             server.health.ejected_until = now + BASE_EJECTION_TIME;
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -110,7 +110,7 @@
     /// Returns whether a server with work sent at `sent_at` has made no progress for longer than `patience`,
     /// and for longer than the work sent until then can take.
     fn is_unresponsive_since(&self, server: &ServerRecord, sent_at: Millis, patience: Millis) -> bool {
-        let is_reporting = self.now < server.last_heard_at + REPORTING_WITHIN;
+        let is_reporting = self.now < server.last_report_at + REPORTING_WITHIN;
         let factor = if is_reporting { REPORTING_PATIENCE } else { 1.0 };
         let has_waited = |time: Millis| self.now > sent_at.max(server.last_progress_at) + time;
         let busy_time =
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -51,7 +51,7 @@
         slow_start_since: entry.started,
         send_credit,
         credit_updated_at: now,
-        last_heard_at: now,
+        last_report_at: now,
         last_progress_at: now,
         entry,
         ..ServerRecord::default()
--- a/crates/router/src/shedding_trials.rs
+++ b/crates/router/src/shedding_trials.rs
@@ -13,22 +13,22 @@
 /// Count of the rejections since the last send.
 #[derive(Default)]
 pub struct SheddingTrials {
-    rejected_in_a_row: u32,
+    consecutive_rejections: u32,
     last_sent_at: Millis,
 }
 
 impl SheddingTrials {
     /// Records the send of an attempt.
     pub fn record_send(&mut self, now: Millis) {
-        *self = SheddingTrials { rejected_in_a_row: 0, last_sent_at: now };
+        *self = SheddingTrials { consecutive_rejections: 0, last_sent_at: now };
     }
 
     /// Returns whether a request that is expected to be late is rejected. If it is not, it serves as the
     /// trial.
     pub fn should_reject(&mut self, now: Millis) -> bool {
-        let is_trial =
-            self.rejected_in_a_row >= REJECTIONS_BEFORE_TRIAL && now >= self.last_sent_at + IDLE_BEFORE_TRIAL;
-        self.rejected_in_a_row += u32::from(!is_trial);
+        let is_trial = self.consecutive_rejections >= REJECTIONS_BEFORE_TRIAL
+            && now >= self.last_sent_at + IDLE_BEFORE_TRIAL;
+        self.consecutive_rejections += u32::from(!is_trial);
         !is_trial
     }
 }
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -10,15 +10,15 @@
 use crate::state::{sanitize, AffinityEntry, AffinityKey, RoleThroughput, RoutingStatistics, ServiceTime};
 
 /// Version of the format, which is the first word.
-const FORM: u64 = 1;
+const FORMAT_VERSION: u64 = 1;
 /// Maximum number of prefix table entries in a snapshot, from the most recently used one.
 const MAX_ENTRIES: usize = 4_000;
 /// Size of a word in bytes.
 const WORD_SIZE: usize = 8;
 /// Kind of an entry whose key is a session.
-const SESSION: u64 = 0;
+const KIND_SESSION: u64 = 0;
 /// Kind of an entry whose key is a shared prefix.
-const PREFIX: u64 = 1;
+const KIND_PREFIX: u64 = 1;
 
 /// Encoder that appends words in order.
 #[derive(Default)]
@@ -90,7 +90,7 @@
     let key = reader.word()?;
     let server = ServerId(reader.word()?);
     let updated_at = now - reader.number()?;
-    let key = if kind == SESSION { AffinityKey::Session(key) } else { AffinityKey::Prefix(key) };
+    let key = if kind == KIND_SESSION { AffinityKey::Session(key) } else { AffinityKey::Prefix(key) };
     Some((key, AffinityEntry { server, updated_at }))
 }
 
@@ -99,7 +99,7 @@
     /// process.
     pub fn export_state(&self) -> Vec<u8> {
         let mut writer = WordWriter::default();
-        writer.word(FORM);
+        writer.word(FORMAT_VERSION);
         writer.number(self.now - self.started_at.unwrap_or(self.now));
         writer.number(self.statistics.mean_prompt_tokens);
         for throughput in &self.statistics.throughput_by_role {
@@ -114,8 +114,8 @@
         }
         for (key, entry) in self.affinity_table.iter().take(MAX_ENTRIES) {
             let (kind, key) = match key {
-                AffinityKey::Session(session) => (SESSION, *session),
-                AffinityKey::Prefix(prefix) => (PREFIX, *prefix),
+                AffinityKey::Session(session) => (KIND_SESSION, *session),
+                AffinityKey::Prefix(prefix) => (KIND_PREFIX, *prefix),
             };
             writer.word(kind);
             writer.word(key);
@@ -132,7 +132,7 @@
     pub fn import_state(&mut self, bytes: &[u8]) {
         let now = self.now;
         let mut reader = WordReader::new(bytes);
-        if reader.word() != Some(FORM) {
+        if reader.word() != Some(FORMAT_VERSION) {
             return;
         }
         let Some(header) = Header::read(&mut reader, now) else { return };
--- a/crates/router/src/state/math.rs
+++ b/crates/router/src/state/math.rs
@@ -3,12 +3,12 @@
 use crate::api::Millis;
 
 /// Maximum accepted input value in any unit, so that sums of input values stay finite.
-const MAX_FIGURE: f64 = 1e12;
+const MAX_INPUT_VALUE: f64 = 1e12;
 
 /// Returns an input value clamped to the valid range, or 0 if it is not finite.
-pub fn sanitize(figure: f64) -> f64 {
-    if figure.is_finite() {
-        figure.clamp(0.0, MAX_FIGURE)
+pub fn sanitize(input: f64) -> f64 {
+    if input.is_finite() {
+        input.clamp(0.0, MAX_INPUT_VALUE)
     } else {
         0.0
     }
--- a/crates/router/src/state/request_state.rs
+++ b/crates/router/src/state/request_state.rs
@@ -179,7 +179,7 @@
     }
 
     /// Returns whether an attempt of this stage at this server failed or has not succeeded yet.
-    pub fn has_failed_on(&self, server: ServerId, stage: Stage) -> bool {
+    pub fn has_unsuccessful_attempt_on(&self, server: ServerId, stage: Stage) -> bool {
         self.attempts.iter().any(|a| a.server == server && a.stage == stage && !a.succeeded)
     }
 
--- a/crates/router/src/state/server_record.rs
+++ b/crates/router/src/state/server_record.rs
@@ -7,9 +7,9 @@
 
 /// Number of later attempts that overtake an attempt before it is considered lost. The wait of a lost attempt
 /// does not indicate the length of the queue.
-const LOST_AFTER_OVERTAKEN: u32 = 3;
+const LOST_OVERTAKE_COUNT: u32 = 3;
 /// Weight of a new sample in the moving means of the wait.
-const WAIT_BLEND: f64 = 0.3;
+const WAIT_SMOOTHING_FACTOR: f64 = 0.3;
 
 /// Attempt in flight that has neither completed its prefill nor produced its first token.
 pub struct PendingAttempt {
@@ -24,7 +24,7 @@
 impl PendingAttempt {
     /// Returns whether the wait of the attempt indicates the length of the server's queue.
     pub fn reflects_queue(&self) -> bool {
-        self.overtaken_by < LOST_AFTER_OVERTAKEN
+        self.overtaken_by < LOST_OVERTAKE_COUNT
     }
 }
 
@@ -52,7 +52,7 @@
     /// Prefill work of the attempt, in tokens.
     pub tokens: f64,
     /// Work as a multiple of a typical request; 1 at a decode server.
-    pub relative: f64,
+    pub relative_work: f64,
     /// Slow-start credit that remains after the send, in sends.
     pub remaining_credit: f64,
 }
@@ -103,7 +103,7 @@
     /// Time at which the credit was last calculated.
     pub credit_updated_at: Millis,
     /// Time of the last load report, or else of the first listing.
-    pub last_heard_at: Millis,
+    pub last_report_at: Millis,
     /// Time of the last probe.
     pub last_probed_at: Millis,
     /// Load according to the last report; `None` before the first report.
@@ -154,7 +154,7 @@
     pub fn record_send(&mut self, id: RequestId, work: SentWork, now: Millis) {
         self.in_flight += 1;
         self.sent_since_report += 1.0;
-        self.recent_sends.add(work.relative, now, REQUEST_RATE_DECAY);
+        self.recent_sends.add(work.relative_work, now, REQUEST_RATE_DECAY);
         let attempt = PendingAttempt { sent_at: now, overtaken_by: 0, work_tokens: work.tokens };
         self.pending.insert(id, attempt);
         self.send_credit = work.remaining_credit;
@@ -185,13 +185,13 @@
         for overtaken in self.pending.values_mut().filter(|pending| pending.sent_at < sent_at) {
             overtaken.overtaken_by += 1;
         }
-        self.queue_wait += WAIT_BLEND * (wait - self.queue_wait);
-        statistics.record_wait(self.role, wait, WAIT_BLEND, now);
+        self.queue_wait += WAIT_SMOOTHING_FACTOR * (wait - self.queue_wait);
+        statistics.record_wait(self.role, wait, WAIT_SMOOTHING_FACTOR, now);
     }
 
     /// Records a load report. `mean_prompt_tokens` converts a queue length in requests to tokens.
     pub fn record_load_report(&mut self, report: LoadReport, mean_prompt_tokens: f64, now: Millis) {
-        self.last_heard_at = now;
+        self.last_report_at = now;
         if let Some(in_flight) = report.in_flight {
             self.reported_load = Some(ReportedLoad { in_flight: sanitize(in_flight), reported_at: now });
             self.sent_since_report = 0.0;
--- a/crates/router/src/state/statistics.rs
+++ b/crates/router/src/state/statistics.rs
@@ -7,12 +7,12 @@
 use crate::api::{Millis, Role};
 
 /// Weight of a new prompt in the moving mean of the length.
-const PROMPT_BLEND: f64 = 0.05;
+const PROMPT_SMOOTHING_FACTOR: f64 = 0.05;
 /// Weight of a service time that is shorter than the estimate. It is high so that the estimate follows the
 /// fastest samples, because the others may include a wait in a queue.
-const FASTER_BLEND: f64 = 0.5;
+const FASTER_SMOOTHING_FACTOR: f64 = 0.5;
 /// Weight of a service time that is not shorter than the estimate.
-const SLOWER_BLEND: f64 = 0.05;
+const SLOWER_SMOOTHING_FACTOR: f64 = 0.05;
 
 /// Statistics over all requests at this router.
 #[derive(Clone, Copy, Default)]
@@ -30,8 +30,8 @@
 impl RoutingStatistics {
     /// Adds the length of a prompt.
     pub fn record_prompt(&mut self, tokens: f64) {
-        let blend = if self.mean_prompt_tokens > 0.0 { PROMPT_BLEND } else { 1.0 };
-        self.mean_prompt_tokens += blend * (tokens - self.mean_prompt_tokens);
+        let smoothing_factor = if self.mean_prompt_tokens > 0.0 { PROMPT_SMOOTHING_FACTOR } else { 1.0 };
+        self.mean_prompt_tokens += smoothing_factor * (tokens - self.mean_prompt_tokens);
     }
 
     /// Returns the service time of a stage over all servers.
@@ -49,10 +49,11 @@
         &self.wait_by_role[role as usize]
     }
 
-    /// Adds the wait of an attempt at a server of this role to the moving mean, with weight `blend`.
-    pub fn record_wait(&mut self, role: Role, wait: Millis, blend: f64, now: Millis) {
+    /// Adds the wait of an attempt at a server of this role to the moving mean, with weight
+    /// `smoothing_factor`.
+    pub fn record_wait(&mut self, role: Role, wait: Millis, smoothing_factor: f64, now: Millis) {
         let recent = &mut self.wait_by_role[role as usize];
-        recent.mean += blend * (wait - recent.mean);
+        recent.mean += smoothing_factor * (wait - recent.mean);
         recent.updated_at = now;
     }
 
@@ -101,12 +102,12 @@
 impl ServiceTime {
     /// Adds a sample, in milliseconds per token.
     pub fn record(&mut self, per_token: Millis) {
-        let blend = match self.samples {
+        let smoothing_factor = match self.samples {
             0 => 1.0,
-            _ if per_token < self.per_token => FASTER_BLEND,
-            _ => SLOWER_BLEND,
+            _ if per_token < self.per_token => FASTER_SMOOTHING_FACTOR,
+            _ => SLOWER_SMOOTHING_FACTOR,
         };
-        self.per_token += (per_token - self.per_token) * blend;
+        self.per_token += (per_token - self.per_token) * smoothing_factor;
         self.samples = self.samples.saturating_add(1);
     }
 }
--- a/crates/router/src/wait_estimate.rs
+++ b/crates/router/src/wait_estimate.rs
@@ -21,7 +21,7 @@
 /// Factor by which the work of this router may take longer at a server than estimated. A token of a long
 /// prompt takes up to 50 % longer, because the cost of attention grows with the prompt, and other routers may
 /// have queued as much work.
-const BUSY_SLACK: f64 = 3.0;
+const BUSY_TIME_FACTOR: f64 = 3.0;
 /// Decay time of the confidence in the wait of a single server (ms).
 const SERVER_WAIT_DECAY: Millis = 1_000.0;
 /// Decay time of the wait of a role (ms).
@@ -90,7 +90,7 @@
     let per_token = time_per_token(server, statistics, routers);
     let pending = server.pending.values().filter(|pending| pending.sent_at <= until);
     let work_tokens = pending.map(|pending| pending.work_tokens).sum::<f64>();
-    BUSY_SLACK * work_tokens * if per_token > 0.0 { per_token } else { DEFAULT_TIME_PER_TOKEN }
+    BUSY_TIME_FACTOR * work_tokens * if per_token > 0.0 { per_token } else { DEFAULT_TIME_PER_TOKEN }
 }
 
 #[cfg(test)]
