--- a/crates/router/src/tenant_quota.rs
+++ b/crates/router/src/tenant_quota.rs
@@ -13,7 +13,7 @@
 /// Decay time of a tenant's request count (ms).
 const REQUESTS_DECAY: Millis = 10_000.0;
 /// Burst of a tenant, as the time over which its unused allowance accumulates (ms).
-const MAX_SAVED_TIME: Millis = 3_000.0;
+const MAX_BURST_TIME: Millis = 3_000.0;
 /// Minimum burst of a tenant at a router, in requests. In a fleet of hundreds of routers, the allowance at
 /// one router is less than one request per second.
 const MIN_BURST: f64 = 5.0;
@@ -29,7 +29,7 @@
     /// Allowance at this router, in requests per second.
     requests_per_s: f64,
     /// Requests in the bucket at `updated_at`.
-    saved_requests: f64,
+    available_requests: f64,
     updated_at: Millis,
     recent_requests: DecayingValue,
 }
@@ -43,7 +43,7 @@
     pub fn new(rates: impl Iterator<Item = f64>, now: Millis) -> Self {
         let quota = |requests_per_s| TenantQuota {
             requests_per_s,
-            saved_requests: MIN_BURST,
+            available_requests: MIN_BURST,
             updated_at: now,
             recent_requests: DecayingValue::zero(now),
         };
@@ -67,15 +67,15 @@
         let Some(quota) = self.0.get_mut(tenant) else { return false };
         quota.recent_requests.add(1.0, now, REQUESTS_DECAY);
         let rate = quota.requests_per_s * traffic_share;
-        let max_saved = (rate * MAX_SAVED_TIME / 1000.0).max(MIN_BURST);
-        let earned = rate * (now - quota.updated_at) / 1000.0;
-        quota.saved_requests = (quota.saved_requests + earned).min(max_saved);
+        let max_burst = (rate * MAX_BURST_TIME / 1000.0).max(MIN_BURST);
+        let accrued = rate * (now - quota.updated_at) / 1000.0;
+        quota.available_requests = (quota.available_requests + accrued).min(max_burst);
         quota.updated_at = now;
-        let is_beyond = quota.saved_requests < 1.0;
-        if !is_beyond {
-            quota.saved_requests -= 1.0;
+        let is_over_quota = quota.available_requests < 1.0;
+        if !is_over_quota {
+            quota.available_requests -= 1.0;
         }
-        is_beyond
+        is_over_quota
     }
 }
 
--- a/crates/router/src/tenant_quota/tests.rs
+++ b/crates/router/src/tenant_quota/tests.rs
@@ -5,7 +5,7 @@
 
 /// Returns the share of a tenant's requests from 20 s to 30 s that exceed its quota, if each tenant sends
 /// this multiple of its rate.
-fn share_beyond_quota(load_factors: [f64; 3], judged_tenant: usize) -> f64 {
+fn share_over_quota(load_factors: [f64; 3], judged_tenant: usize) -> f64 {
     let rates = [3.0, 2.5, 1.5];
     let mut quotas = TenantQuotas::new(rates.into_iter(), 0.0);
     let mut requests: Vec<(Millis, usize)> = Vec::new();
@@ -15,15 +15,15 @@
         requests.extend(times.map(|time| (time, tenant)));
     }
     requests.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let (mut beyond, mut total) = (0.0, 0.0);
+    let (mut over_quota, mut total) = (0.0, 0.0);
     for (time, tenant) in requests {
-        let is_beyond = quotas.record_request(tenant, time);
+        let is_over_quota = quotas.record_request(tenant, time);
         if tenant == judged_tenant && time > 20_000.0 {
-            beyond += f64::from(u8::from(is_beyond));
+            over_quota += f64::from(u8::from(is_over_quota));
             total += 1.0;
         }
     }
-    beyond / total
+    over_quota / total
 }
 
 proptest! {
@@ -32,17 +32,17 @@
     fn a_burst_of_one_tenant_does_not_affect_the_others(
         first in 0.3..0.95f64, last in 0.3..0.95f64, burst in 2.0..6.0f64,
     ) {
-        prop_assert_eq!(share_beyond_quota([first, burst, last], 0), 0.0);
-        prop_assert_eq!(share_beyond_quota([first, burst, last], 2), 0.0);
-        let beyond = share_beyond_quota([first, burst, last], 1);
-        prop_assert!((beyond - (1.0 - 1.0 / burst)).abs() < 0.1, "{}", beyond);
+        prop_assert_eq!(share_over_quota([first, burst, last], 0), 0.0);
+        prop_assert_eq!(share_over_quota([first, burst, last], 2), 0.0);
+        let over_quota = share_over_quota([first, burst, last], 1);
+        prop_assert!((over_quota - (1.0 - 1.0 / burst)).abs() < 0.1, "{}", over_quota);
     }
 
     /// A router that also receives the clients of another router does not treat tenants as exceeding their
     /// quota.
     #[test]
     fn more_traffic_of_every_tenant_puts_none_beyond_its_quota(factor in 1.5..2.5f64, less in 0.6..0.9f64) {
-        prop_assert!(share_beyond_quota([factor * less, factor, factor], 0) < 0.3);
-        prop_assert!(share_beyond_quota([factor, factor * less, factor], 2) < 0.3);
+        prop_assert!(share_over_quota([factor * less, factor, factor], 0) < 0.3);
+        prop_assert!(share_over_quota([factor, factor * less, factor], 2) < 0.3);
     }
 }
