--- a/crates/router/src/fleet_load.rs
+++ b/crates/router/src/fleet_load.rs
@@ -67,7 +67,7 @@
 }
 
 /// Returns the number of probes that a request adds to the budget, for a probe cost as a share of its value.
-pub fn probes_earned(probe_price: f64) -> f64 {
+pub fn probes_per_request(probe_price: f64) -> f64 {
     (PROBE_COST_LIMIT / probe_price.max(1e-9)).min(MAX_PROBES_PER_REQUEST)
 }
 
@@ -194,7 +194,7 @@
 
 /// State of the information about the load of a candidate server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LoadKnowledge {
+pub enum LoadStatus {
     /// There is a fresh load report.
     Reported {
         /// Requests in flight, scaled to full capacity.
@@ -207,33 +207,33 @@
     /// A probe is in flight.
     Probing,
     /// A probe failed or timed out, or the load report may not be used.
-    NoAnswer,
+    Unavailable,
 }
 
-impl LoadKnowledge {
+impl LoadStatus {
     /// Returns whether a load report is present or can still be obtained.
-    pub fn can_be_known(self, budget: ProbeBudget) -> bool {
+    pub fn is_obtainable(self, budget: ProbeBudget) -> bool {
         match self {
-            LoadKnowledge::Reported { .. } | LoadKnowledge::Probing => true,
-            LoadKnowledge::Unknown => budget == ProbeBudget::Available,
-            LoadKnowledge::NoAnswer => false,
+            LoadStatus::Reported { .. } | LoadStatus::Probing => true,
+            LoadStatus::Unknown => budget == ProbeBudget::Available,
+            LoadStatus::Unavailable => false,
         }
     }
 }
 
 /// Returns the load information about a server for a request. `probed_at` is the time at which the server was
 /// probed on behalf of the request, and `capacity_share` the server's current share of its capacity.
-pub fn load_knowledge(
+pub fn load_status(
     server: &ServerRecord, probed_at: Option<Millis>, now: Millis, typical: f64, capacity_share: f64,
-) -> LoadKnowledge {
+) -> LoadStatus {
     if let Some(in_flight) = server.current_load(now, LOAD_REPORT_TTL) {
         let load = slow_start_budget::normalized_load(in_flight, capacity_share);
-        return LoadKnowledge::Reported { load, is_overloaded: is_overloaded(load, typical) };
+        return LoadStatus::Reported { load, is_overloaded: is_overloaded(load, typical) };
     }
     match probed_at {
-        None => LoadKnowledge::Unknown,
-        Some(sent_at) if now < sent_at + PROBE_TIMEOUT => LoadKnowledge::Probing,
-        Some(_) => LoadKnowledge::NoAnswer,
+        None => LoadStatus::Unknown,
+        Some(sent_at) if now < sent_at + PROBE_TIMEOUT => LoadStatus::Probing,
+        Some(_) => LoadStatus::Unavailable,
     }
 }
 
@@ -264,22 +264,22 @@
 /// a router's own few requests. The first candidate is probed alone, then all others at once. If all are
 /// overloaded, the least loaded one receives the request. If none answers, the last candidate receives it,
 /// which is normally the fallback server.
-pub fn next_step(candidates: &[LoadKnowledge], budget: ProbeBudget) -> NextStep {
-    for (index, knowledge) in candidates.iter().enumerate() {
-        match knowledge {
-            LoadKnowledge::Reported { is_overloaded: false, .. } => return NextStep::Send(index),
-            LoadKnowledge::Reported { is_overloaded: true, .. } | LoadKnowledge::NoAnswer => {}
-            LoadKnowledge::Probing => return NextStep::Wait,
-            LoadKnowledge::Unknown if budget == ProbeBudget::Exhausted => return NextStep::Send(index),
-            LoadKnowledge::Unknown => {
+pub fn next_step(candidates: &[LoadStatus], budget: ProbeBudget) -> NextStep {
+    for (index, status) in candidates.iter().enumerate() {
+        match status {
+            LoadStatus::Reported { is_overloaded: false, .. } => return NextStep::Send(index),
+            LoadStatus::Reported { is_overloaded: true, .. } | LoadStatus::Unavailable => {}
+            LoadStatus::Probing => return NextStep::Wait,
+            LoadStatus::Unknown if budget == ProbeBudget::Exhausted => return NextStep::Send(index),
+            LoadStatus::Unknown => {
                 let end = if index == 0 { 1 } else { candidates.len() };
-                let is_unknown = |index: &usize| candidates[*index] == LoadKnowledge::Unknown;
+                let is_unknown = |index: &usize| candidates[*index] == LoadStatus::Unknown;
                 return NextStep::Probe((index..end).filter(is_unknown).collect());
             }
         }
     }
-    let load = |(index, knowledge): (usize, &LoadKnowledge)| match knowledge {
-        LoadKnowledge::Reported { load, .. } => Some((index, *load)),
+    let load = |(index, status): (usize, &LoadStatus)| match status {
+        LoadStatus::Reported { load, .. } => Some((index, *load)),
         _ => None,
     };
     let reported = candidates.iter().enumerate().filter_map(load);
--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -5,13 +5,13 @@
 use crate::state::server_record::ReportedLoad;
 use proptest::prelude::*;
 
-fn knowledge() -> impl Strategy<Value = LoadKnowledge> {
+fn any_load_status() -> impl Strategy<Value = LoadStatus> {
     prop_oneof![
         (0.0..80.0, any::<bool>())
-            .prop_map(|(load, is_overloaded)| LoadKnowledge::Reported { load, is_overloaded }),
-        Just(LoadKnowledge::Unknown),
-        Just(LoadKnowledge::Probing),
-        Just(LoadKnowledge::NoAnswer),
+            .prop_map(|(load, is_overloaded)| LoadStatus::Reported { load, is_overloaded }),
+        Just(LoadStatus::Unknown),
+        Just(LoadStatus::Probing),
+        Just(LoadStatus::Unavailable),
     ]
 }
 
@@ -30,44 +30,44 @@
     /// twice for a request.
     #[test]
     fn the_first_candidate_that_is_not_overloaded_is_chosen(
-        candidates in prop::collection::vec(knowledge(), 1..6), can_probe: bool,
+        candidates in prop::collection::vec(any_load_status(), 1..6), can_probe: bool,
     ) {
         let budget = if can_probe { ProbeBudget::Available } else { ProbeBudget::Exhausted };
         match next_step(&candidates, budget) {
             NextStep::Send(chosen) => {
                 prop_assert!(chosen < candidates.len());
-                let would_do = |candidate: &LoadKnowledge| matches!(
+                let would_do = |candidate: &LoadStatus| matches!(
                     candidate,
-                    LoadKnowledge::Reported { is_overloaded: false, .. } | LoadKnowledge::Probing
+                    LoadStatus::Reported { is_overloaded: false, .. } | LoadStatus::Probing
                 );
                 prop_assert!(!candidates[..chosen].iter().any(would_do));
                 let chosen = candidates[chosen];
-                if let LoadKnowledge::Reported { load: chosen_load, is_overloaded: true } = chosen {
-                    let is_less = |candidate: &LoadKnowledge| matches!(
+                if let LoadStatus::Reported { load: chosen_load, is_overloaded: true } = chosen {
+                    let is_less = |candidate: &LoadStatus| matches!(
                         candidate,
-                        LoadKnowledge::Reported { load, .. } if *load < chosen_load
+                        LoadStatus::Reported { load, .. } if *load < chosen_load
                     );
                     prop_assert!(!candidates.iter().any(is_less));
                 }
             }
             NextStep::Probe(indices) => {
                 prop_assert!(can_probe && !indices.is_empty());
-                prop_assert!(indices.iter().all(|index| candidates[*index] == LoadKnowledge::Unknown));
+                prop_assert!(indices.iter().all(|index| candidates[*index] == LoadStatus::Unknown));
             }
-            NextStep::Wait => prop_assert!(candidates.contains(&LoadKnowledge::Probing)),
+            NextStep::Wait => prop_assert!(candidates.contains(&LoadStatus::Probing)),
         }
     }
 
     /// A request causes at most two rounds of probes.
     #[test]
-    fn probes_for_a_request_end_after_two_rounds(answers in prop::collection::vec(knowledge(), 1..6)) {
-        let mut candidates = vec![LoadKnowledge::Unknown; answers.len()];
+    fn probes_for_a_request_end_after_two_rounds(answers in prop::collection::vec(any_load_status(), 1..6)) {
+        let mut candidates = vec![LoadStatus::Unknown; answers.len()];
         for _ in 0..=2 {
             match next_step(&candidates, ProbeBudget::Available) {
                 NextStep::Send(_) => return Ok(()),
                 NextStep::Probe(indices) => for index in indices {
-                    let answered = matches!(answers[index], LoadKnowledge::Reported { .. });
-                    candidates[index] = if answered { answers[index] } else { LoadKnowledge::NoAnswer };
+                    let answered = matches!(answers[index], LoadStatus::Reported { .. });
+                    candidates[index] = if answered { answers[index] } else { LoadStatus::Unavailable };
                 }
                 NextStep::Wait => prop_assert!(false, "no probe is in flight"),
             }
@@ -80,13 +80,13 @@
     #[test]
     fn more_expensive_probes_are_fewer(a in 0.0..0.1f64, b in 0.0..0.1f64, transfer_price in 0.0..0.1f64) {
         let (low, high) = (a.min(b), a.max(b));
-        prop_assert!(probes_earned(high) <= probes_earned(low));
-        prop_assert!(probes_earned(low) <= MAX_PROBES_PER_REQUEST);
-        prop_assert!(probes_earned(high) * high <= PROBE_COST_LIMIT + 1e-9);
+        prop_assert!(probes_per_request(high) <= probes_per_request(low));
+        prop_assert!(probes_per_request(low) <= MAX_PROBES_PER_REQUEST);
+        prop_assert!(probes_per_request(high) * high <= PROBE_COST_LIMIT + 1e-9);
         let probed = |probe_price| decode_servers_to_probe(probe_price, transfer_price);
         prop_assert!(probed(high) <= probed(low));
-        prop_assert_eq!((probes_earned(0.003), decode_servers_to_probe(0.003, 0.03)), (4.0, 2));
-        prop_assert_eq!((probes_earned(0.012), decode_servers_to_probe(0.012, 0.03)), (1.0, 1));
+        prop_assert_eq!((probes_per_request(0.003), decode_servers_to_probe(0.003, 0.03)), (4.0, 2));
+        prop_assert_eq!((probes_per_request(0.012), decode_servers_to_probe(0.012, 0.03)), (1.0, 1));
         prop_assert_eq!(decode_servers_to_probe(a.max(1e-6), 0.0), 0);
     }
 
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -178,6 +178,6 @@
             self.resubscribe_at = None;
             actions.push(Action::Subscribe { on: true });
         }
-        self.probe_quiet_servers(actions);
+        self.probe_stale_servers(actions);
     }
 }
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -8,7 +8,7 @@
 use super::outlier_detection::BASE_EJECTION_TIME;
 use super::Router;
 use crate::api::{Action, AttemptStatus, LoadReport, Millis, Prices, Role, ServerId};
-use crate::fleet_load::{self, LoadKnowledge, NextStep, Phase, PrefixDemand, ProbeBudget};
+use crate::fleet_load::{self, LoadStatus, NextStep, Phase, PrefixDemand, ProbeBudget};
 use crate::slow_start_budget::{self, Allowance};
 use crate::state::{Location, RequestState, SentProbe, ServerRecord, LOAD_REPORT_TTL};
 
@@ -49,13 +49,13 @@
 
     /// Returns the load information about a server. If the server is in slow start and this router may not
     /// rely on its report, the server is treated as one that does not answer.
-    fn knowledge(&self, id: ServerId) -> LoadKnowledge {
+    fn candidate_status(&self, id: ServerId) -> LoadStatus {
         let Some(server) = self.server(id).filter(|server| self.allowance(server).trusts_report()) else {
-            return LoadKnowledge::NoAnswer;
+            return LoadStatus::Unavailable;
         };
         let capacity_share = self.router.capacity_share(server);
         let probed_at = self.request.probed_at(id);
-        fleet_load::load_knowledge(server, probed_at, self.router.now, self.typical_load, capacity_share)
+        fleet_load::load_status(server, probed_at, self.router.now, self.typical_load, capacity_share)
     }
 
     /// Returns the fallback server: one that has already been probed, or else one with the lowest estimated
@@ -100,9 +100,9 @@
         others.retain(|id| view.permits_send(*id));
         candidates.extend(view.fallback(&others, draw));
         // Excludes servers in slow start for which no load report can be obtained.
-        candidates.retain(|id| view.permits_send(*id) || view.knowledge(*id).can_be_known(budget));
-        let knowledge: Vec<LoadKnowledge> = candidates.iter().map(|id| view.knowledge(*id)).collect();
-        match fleet_load::next_step(&knowledge, budget) {
+        candidates.retain(|id| view.permits_send(*id) || view.candidate_status(*id).is_obtainable(budget));
+        let statuses: Vec<LoadStatus> = candidates.iter().map(|id| view.candidate_status(*id)).collect();
+        match fleet_load::next_step(&statuses, budget) {
             NextStep::Send(index) => return candidates.get(index).copied(),
             NextStep::Wait => {}
             NextStep::Probe(indices) => {
@@ -163,18 +163,18 @@
 
     /// Probes up to `max_count` available decode servers, selected at random.
     fn probe_decode_servers(
-        &mut self, is_wanted: impl Fn(&ServerRecord) -> bool, max_count: usize, actions: &mut Vec<Action>,
+        &mut self, should_probe: impl Fn(&ServerRecord) -> bool, max_count: usize, actions: &mut Vec<Action>,
     ) {
         let is_candidate = |server: &&ServerRecord| {
-            server.role == Role::Decode && server.is_available(self.now) && is_wanted(server)
+            server.role == Role::Decode && server.is_available(self.now) && should_probe(server)
         };
         let mut candidates: Vec<ServerId> =
             self.servers.values().filter(is_candidate).map(|server| server.entry.server).collect();
         let count = max_count.min(candidates.len()).min(self.probe_budget as usize);
         for _ in 0..count {
             let index = (self.random.next_unit() * candidates.len() as f64) as usize;
-            let drawn = candidates.swap_remove(index.min(candidates.len() - 1));
-            self.send_probe(drawn, actions);
+            let selected = candidates.swap_remove(index.min(candidates.len() - 1));
+            self.send_probe(selected, actions);
         }
     }
 
@@ -207,16 +207,16 @@
 
     /// Uses the probe budget for servers without a recent load report or probe. Servers with pending work
     /// come first, then those with the oldest report or probe.
-    pub(super) fn probe_quiet_servers(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn probe_stale_servers(&mut self, actions: &mut Vec<Action>) {
         let is_large_fleet = fleet_load::is_large_fleet(self.router_count());
         let reserved = if is_large_fleet { PROBES_RESERVED_FOR_REQUESTS } else { 0.0 };
         while self.settings.limits.probes && self.probe_budget >= 1.0 + reserved {
-            let quiet_since = |server: &ServerRecord| server.last_report_at.max(server.last_probed_at);
+            let last_updated_at = |server: &ServerRecord| server.last_report_at.max(server.last_probed_at);
             let rank = |server: &ServerRecord| {
-                quiet_since(server) - if server.pending.is_empty() { 0.0 } else { PENDING_WORK_URGENCY }
+                last_updated_at(server) - if server.pending.is_empty() { 0.0 } else { PENDING_WORK_URGENCY }
             };
-            let quiet = self.servers.values().filter(|s| self.now >= quiet_since(s) + PROBE_INTERVAL);
-            let Some(server) = quiet.min_by(|a, b| rank(a).total_cmp(&rank(b))) else { return };
+            let stale = self.servers.values().filter(|s| self.now >= last_updated_at(s) + PROBE_INTERVAL);
+            let Some(server) = stale.min_by(|a, b| rank(a).total_cmp(&rank(b))) else { return };
             let id = server.entry.server;
             self.send_probe(id, actions);
         }
@@ -230,13 +230,14 @@
     }
 
     /// Replenishes the probe budget for a new request.
-    pub(super) fn earn_probes(&mut self) {
-        let (earned, max_budget) = match fleet_load::is_large_fleet(self.router_count()) {
-            true => {
-                (fleet_load::probes_earned(self.settings.prices.probe), PROBES_RESERVED_FOR_REQUESTS + 1.0)
-            }
+    pub(super) fn replenish_probe_budget(&mut self) {
+        let (added, max_budget) = match fleet_load::is_large_fleet(self.router_count()) {
+            true => (
+                fleet_load::probes_per_request(self.settings.prices.probe),
+                PROBES_RESERVED_FOR_REQUESTS + 1.0,
+            ),
             false => (PROBES_PER_REQUEST, MAX_PROBE_BUDGET),
         };
-        self.probe_budget = (self.probe_budget + earned).min(max_budget);
+        self.probe_budget = (self.probe_budget + added).min(max_budget);
     }
 }
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -55,7 +55,7 @@
         let deadline = now + request.client_timeout;
         let max_budget = (MAX_RETRY_BUDGET / self.router_count()).max(1.0);
         self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(max_budget);
-        self.earn_probes();
+        self.replenish_probe_budget();
         let state = RequestState {
             class,
             arrived_at: now,
