--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -18,10 +18,10 @@
 /// Maximum random addition to the average memory share in a projection for unknown memory.
 const UNKNOWN_SPREAD: f64 = 0.2;
 /// Projected memory share above which a decode server is full according to its memory reports.
-const FULL: f64 = 0.85;
+const FULL_MEMORY_SHARE: f64 = 0.85;
 /// Projected memory share above which a decode server without memory reports is full, as estimated from its
 /// waits.
-const FULL_BY_WAITS: f64 = 0.5;
+const FULL_MEMORY_SHARE_BY_WAITS: f64 = 0.5;
 
 /// Projected memory use of a server as a share of its capacity; a value above 1 indicates a queue.
 #[derive(Clone, Copy)]
@@ -71,8 +71,9 @@
     fn is_nearly_full(&self, projection: Projection, wait_weight: f64) -> bool {
         let Projection { server, memory_share } = projection;
         let confidence = self.memory_confidence(server);
-        let full_by_report = memory_share * confidence > FULL;
-        let full_by_waits = wait_weight > 0.0 && memory_share * (1.0 - confidence) > FULL_BY_WAITS;
+        let full_by_report = memory_share * confidence > FULL_MEMORY_SHARE;
+        let full_by_waits =
+            wait_weight > 0.0 && memory_share * (1.0 - confidence) > FULL_MEMORY_SHARE_BY_WAITS;
         full_by_report || full_by_waits
     }
 
@@ -108,7 +109,7 @@
         let Some(server) = self.servers.get(&candidate.server) else { return false };
         let is_reported =
             self.probes_before_send() && self.now <= server.memory_reported_at + LOAD_REPORT_TTL;
-        is_reported && candidate.memory_share + request.memory_share(server) <= FULL
+        is_reported && candidate.memory_share + request.memory_share(server) <= FULL_MEMORY_SHARE
     }
 
     /// Returns the projected memory use of these servers, which is the last report plus the streams sent
--- a/crates/router/src/policy/diversion.rs
+++ b/crates/router/src/policy/diversion.rs
@@ -60,13 +60,13 @@
     ) -> ServerId {
         let chosen = self.divert_by_in_flight(preferred, eligible);
         let cached_tokens = if chosen == preferred { cached_tokens } else { 0.0 };
-        let time_there = self.expected_time(chosen, request.prefill_work(cached_tokens));
+        let chosen_time = self.expected_time(chosen, request.prefill_work(cached_tokens));
         let late_after = LATE_OBJECTIVE_SHARE * request.first_token_objective();
         let times = eligible.iter().map(|id| (*id, self.expected_time(*id, request.prefill_work(0.0))));
         let fastest: Option<(ServerId, Millis)> = times.min_by(|a, b| a.1.total_cmp(&b.1));
         match fastest {
             Some((server, time))
-                if time_there > late_after && time < late_after.min(FASTER_FACTOR * time_there) =>
+                if chosen_time > late_after && time < late_after.min(FASTER_FACTOR * chosen_time) =>
             {
                 server
             }
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -31,9 +31,9 @@
     /// Returns whether a request is rejected instead of being sent to this placement as its first attempt.
     pub(super) fn should_shed(&mut self, request: &RequestState, placement: Placement) -> bool {
         let first_token = self.expected_first_token(request, placement);
-        let lacks_decode_server = self.lacks_decode_server(first_token);
-        let is_late = self.draws_late_rejection(request, first_token);
-        (lacks_decode_server || is_late) && self.shedding_trials.should_reject(self.now)
+        let lacks_decode_capacity = self.lacks_decode_capacity(first_token);
+        let is_late = self.should_reject_late(request, first_token);
+        (lacks_decode_capacity || is_late) && self.shedding_trials.should_reject(self.now)
     }
 
     /// Returns the expected time until the first token of a request that is sent to this placement now.
@@ -54,25 +54,25 @@
     /// Returns whether the capacity of all decode servers until the end of the lease of a new prefill is
     /// needed by other requests. This can be determined only if routers probe, and only while every decode
     /// server is in slow start.
-    fn lacks_decode_server(&self, prefill_time: Millis) -> bool {
+    fn lacks_decode_capacity(&self, prefill_time: Millis) -> bool {
         if !self.probes_before_send() {
             return false;
         }
         let lease_end = self.now + prefill_time + self.used_lease_time();
-        let sends_left = |server: &ServerRecord| {
-            let now = self.slow_start_allowance(server, NO_PREFIX_DEMAND, self.now).sends_left()?;
-            let later = self.slow_start_allowance(server, NO_PREFIX_DEMAND, lease_end).sends_left()?;
+        let remaining_sends = |server: &ServerRecord| {
+            let now = self.slow_start_allowance(server, NO_PREFIX_DEMAND, self.now).remaining_sends()?;
+            let later = self.slow_start_allowance(server, NO_PREFIX_DEMAND, lease_end).remaining_sends()?;
             Some(now.max(later))
         };
         let servers = self.servers.values().filter(|s| s.role != Role::Prefill && s.is_reachable(self.now));
-        let Some(capacity) = servers.map(sends_left).sum::<Option<usize>>() else { return false };
+        let Some(capacity) = servers.map(remaining_sends).sum::<Option<usize>>() else { return false };
         let needed = self.requests.values().filter(|request| request.needs_decode_server()).count();
         capacity <= needed
     }
 
     /// Returns whether a request is rejected as late. The decision is random, so that routers with the same
     /// information do not all reject at the same time.
-    fn draws_late_rejection(&mut self, request: &RequestState, first_token: Millis) -> bool {
+    fn should_reject_late(&mut self, request: &RequestState, first_token: Millis) -> bool {
         let share = if request.over_quota { OVER_QUOTA_OBJECTIVE_SHARE } else { OBJECTIVE_SHARE };
         let lateness = first_token / (request.first_token_objective() * share).max(1.0);
         let probability = (REJECT_SLOPE * (lateness - 1.0)).min(MAX_REJECT_PROBABILITY);
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -24,7 +24,7 @@
 const SCORE_AFTER_SUCCESS: f64 = 0.8;
 /// Panic threshold: minimum share of servers that are not ejected. Below it, ejections are ignored unless the
 /// server is unreachable.
-const PANIC_SHARE: f64 = 0.5;
+const PANIC_THRESHOLD: f64 = 0.5;
 
 /// Returns the duration of an ejection (ms) after this number of doublings.
 fn ejection_time(doublings: u32) -> Millis {
@@ -48,7 +48,7 @@
         let ready: Vec<&ServerRecord> = self.servers.values().filter(accepts).collect();
         let mut healthy: Vec<&ServerRecord> =
             ready.iter().copied().filter(|server| !server.health.is_ejected(now)).collect();
-        if (healthy.len() as f64) < PANIC_SHARE * ready.len() as f64 {
+        if (healthy.len() as f64) < PANIC_THRESHOLD * ready.len() as f64 {
             // If most servers are ejected, the fault is probably elsewhere. Unreachable servers remain
             // excluded while there are others.
             healthy = ready.iter().copied().filter(|server| !server.health.is_unreachable()).collect();
--- a/crates/router/src/policy/prefix_table.rs
+++ b/crates/router/src/policy/prefix_table.rs
@@ -49,11 +49,11 @@
         let entry = AffinityEntry { server, updated_at: now };
         self.affinity_table.put(AffinityKey::Session(state.request.session), entry);
         let Some(key) = state.request.prefix.map(AffinityKey::Prefix) else { return };
-        let is_tied_elsewhere = self.affinity_table.peek(&key).is_some_and(|existing| {
+        let is_mapped_elsewhere = self.affinity_table.peek(&key).is_some_and(|existing| {
             let is_valid = existing.is_live(now) && self.servers.contains_key(&existing.server);
             existing.server != server && is_valid
         });
-        if !is_tied_elsewhere {
+        if !is_mapped_elsewhere {
             self.affinity_table.put(key, entry);
         }
     }
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -50,7 +50,7 @@
     /// Returns the load information about a server. If the server is in slow start and this router may not
     /// rely on its report, the server is treated as one that does not answer.
     fn candidate_status(&self, id: ServerId) -> LoadStatus {
-        let Some(server) = self.server(id).filter(|server| self.allowance(server).trusts_report()) else {
+        let Some(server) = self.server(id).filter(|server| self.allowance(server).may_use_report()) else {
             return LoadStatus::Unavailable;
         };
         let capacity_share = self.router.capacity_share(server);
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -140,7 +140,7 @@
     fn choose_placement(
         &mut self, request: &mut RequestState, actions: &mut Vec<Action>,
     ) -> Option<Placement> {
-        self.release_late_lease(request, actions);
+        self.release_expiring_state(request, actions);
         if request.prefilled_on.is_none() {
             return self.choose_prefill_server(request, actions);
         }
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -89,7 +89,7 @@
             return self.advance(id, actions);
         }
         let cost = self.retry_cost(request, status);
-        if let Some(reason) = self.retry_obstacle(request, cost) {
+        if let Some(reason) = self.retry_denial_reason(request, cost) {
             return self.reject_or_fail(id, reason, actions);
         }
         self.retry_budget -= cost;
@@ -112,7 +112,7 @@
     }
 
     /// Returns the reason for which no retry may follow, or `None` if a retry is permitted.
-    fn retry_obstacle(&self, request: &RequestState, cost: f64) -> Option<RejectReason> {
+    fn retry_denial_reason(&self, request: &RequestState, cost: f64) -> Option<RejectReason> {
         if !request.can_retry(self.now) {
             return Some(RejectReason::MayHaveRun);
         }
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -72,7 +72,7 @@
     /// Releases a state if no decode attempt reached its server and the lease is about to expire, so that the
     /// prompt can be prefilled again. If there was no decode server for an attempt, the state is kept,
     /// because there would be no decode server for a new state either.
-    pub(super) fn release_late_lease(&self, request: &mut RequestState, actions: &mut Vec<Action>) {
+    pub(super) fn release_expiring_state(&self, request: &mut RequestState, actions: &mut Vec<Action>) {
         let was_tried = request.prefilled_on.is_some() && request.idle_since > request.lease_since;
         if was_tried && !self.lease_outlasts_retry(request) {
             request.prefilled_on = None;
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -13,13 +13,13 @@
 /// Maximum time without progress at a server, as a multiple of the shortest objective of all classes.
 const OBJECTIVES_WITHOUT_PROGRESS: f64 = 3.0;
 /// Maximum objective of a class in this calculation, as a share of the deadline of the class.
-const MAX_OBJECTIVE_OF_DEADLINE: f64 = 0.25;
+const MAX_OBJECTIVE_DEADLINE_SHARE: f64 = 0.25;
 /// Maximum objective in this calculation (ms).
 const MAX_OBJECTIVE: Millis = 1e6;
 /// Factor by which that time is longer at a server that still sends load reports.
-const REPORTING_PATIENCE: f64 = 2.5;
+const REPORTING_TIMEOUT_FACTOR: f64 = 2.5;
 /// Maximum age of the last load report of a server that still sends load reports (ms).
-const REPORTING_WITHIN: Millis = 2.0 * PROBE_INTERVAL;
+const MAX_REPORT_AGE: Millis = 2.0 * PROBE_INTERVAL;
 /// Share of its objective after which an attempt is lost that was overtaken by later ones at its server, or
 /// whose server has restarted. The time for its own work, multiplied by [`LOST_WORK_FACTOR`], is added.
 const LOST_OBJECTIVE_SHARE: f64 = 0.3;
@@ -27,7 +27,7 @@
 const LOST_WORK_FACTOR: f64 = 2.0;
 /// Factor by which the share of the objective is larger for a prefill that is the only attempt at its server,
 /// if other servers have progressed.
-const ALONE_PATIENCE: f64 = 2.0;
+const SOLE_PREFILL_FACTOR: f64 = 2.0;
 
 /// Time of the last progress of a server.
 struct ServerProgress {
@@ -37,28 +37,28 @@
 }
 
 /// Information that distinguishes a lost attempt from one that waits in a queue.
-struct LostAttempts {
+struct LostAttemptDetector {
     now: Millis,
     /// Progress of all servers; empty in a large fleet, where a router's own attempts are not representative.
     progress: Vec<ServerProgress>,
 }
 
-impl LostAttempts {
+impl LostAttemptDetector {
     /// Returns whether an attempt in flight at this server is lost.
-    fn includes(&self, server: &ServerRecord, request: &RequestState, attempt: &Attempt) -> bool {
+    fn is_lost_attempt(&self, server: &ServerRecord, request: &RequestState, attempt: &Attempt) -> bool {
         let is_overtaken =
             server.pending.get(&request.request.id).is_none_or(|pending| !pending.reflects_queue());
-        if !is_overtaken && !self.is_left_alone(server, attempt) {
+        if !is_overtaken && !self.is_stalled_sole_prefill(server, attempt) {
             return false;
         }
-        let share = LOST_OBJECTIVE_SHARE * if is_overtaken { 1.0 } else { ALONE_PATIENCE };
+        let share = LOST_OBJECTIVE_SHARE * if is_overtaken { 1.0 } else { SOLE_PREFILL_FACTOR };
         let work_time = LOST_WORK_FACTOR * attempt.work_tokens * server.service_time.per_token;
         self.now > attempt.sent_at + share * request.first_token_objective() + work_time
     }
 
     /// Returns whether a prefill is the only attempt at its server, where no attempt can overtake it, and
     /// other servers of the same role have progressed since its send.
-    fn is_left_alone(&self, server: &ServerRecord, attempt: &Attempt) -> bool {
+    fn is_stalled_sole_prefill(&self, server: &ServerRecord, attempt: &Attempt) -> bool {
         let has_progressed_elsewhere = |other: &ServerProgress| {
             other.server != attempt.server
                 && other.role == server.role
@@ -87,9 +87,9 @@
             true => Vec::new(),
             false => self.servers.iter().map(progress_of).collect(),
         };
-        let lost = LostAttempts { now: self.now, progress };
+        let detector = LostAttemptDetector { now: self.now, progress };
         let is_lost = |server: &ServerRecord, request: &RequestState, attempt: &Attempt| {
-            lost.includes(server, request, attempt)
+            detector.is_lost_attempt(server, request, attempt)
         };
         self.cancel_lost_attempts(is_lost, actions);
     }
@@ -97,25 +97,27 @@
     /// Returns the servers with an attempt that has waited for too long without any progress of the server.
     fn unresponsive_servers(&self) -> Vec<ServerId> {
         let objective_of =
-            |class: &RequestClass| class.latency_objective.min(class.deadline * MAX_OBJECTIVE_OF_DEADLINE);
+            |class: &RequestClass| class.latency_objective.min(class.deadline * MAX_OBJECTIVE_DEADLINE_SHARE);
         let shortest_objective = self.settings.classes.iter().map(objective_of).fold(f64::MAX, f64::min);
-        let patience = OBJECTIVES_WITHOUT_PROGRESS * shortest_objective.min(MAX_OBJECTIVE);
+        let progress_timeout = OBJECTIVES_WITHOUT_PROGRESS * shortest_objective.min(MAX_OBJECTIVE);
         let is_unresponsive = |server: &&ServerRecord| {
             let mut pending = server.pending.values();
-            pending.any(|attempt| self.is_unresponsive_since(server, attempt.sent_at, patience))
+            pending.any(|attempt| self.is_unresponsive_since(server, attempt.sent_at, progress_timeout))
         };
         self.servers.values().filter(is_unresponsive).map(|server| server.entry.server).collect()
     }
 
-    /// Returns whether a server with work sent at `sent_at` has made no progress for longer than `patience`,
-    /// and for longer than the work sent until then can take.
-    fn is_unresponsive_since(&self, server: &ServerRecord, sent_at: Millis, patience: Millis) -> bool {
-        let is_reporting = self.now < server.last_report_at + REPORTING_WITHIN;
-        let factor = if is_reporting { REPORTING_PATIENCE } else { 1.0 };
+    /// Returns whether a server with work sent at `sent_at` has made no progress for longer than
+    /// `progress_timeout`, and for longer than the work sent until then can take.
+    fn is_unresponsive_since(
+        &self, server: &ServerRecord, sent_at: Millis, progress_timeout: Millis,
+    ) -> bool {
+        let is_reporting = self.now < server.last_report_at + MAX_REPORT_AGE;
+        let factor = if is_reporting { REPORTING_TIMEOUT_FACTOR } else { 1.0 };
         let has_waited = |time: Millis| self.now > sent_at.max(server.last_progress_at) + time;
         let busy_time =
             || wait_estimate::max_busy_time(server, &self.statistics, self.router_count(), sent_at);
-        has_waited(factor * patience) && has_waited(busy_time())
+        has_waited(factor * progress_timeout) && has_waited(busy_time())
     }
 
     /// Cancels the last attempt of each request if it `is_lost` and a retry is harmless, instead of waiting
--- a/crates/router/src/slow_start_budget.rs
+++ b/crates/router/src/slow_start_budget.rs
@@ -35,7 +35,7 @@
 const MIN_CAPACITY_SHARE: f64 = 0.05;
 /// Whole sends of credit that all routers may accumulate for a server, as a multiple of (sqrt(n) + 1), where
 /// n is the overload bound. The slow-start rule tolerates 2 * sqrt(n) + 2 sends above n as random variation.
-const SAVED_SLACK: f64 = 1.0;
+const ACCUMULATED_CREDIT_FACTOR: f64 = 1.0;
 /// Maximum number of routers at which that margin covers one accumulated send of every router.
 const SMALL_FLEET: f64 = 4.0;
 /// Minimum weight of a server in calculations.
@@ -81,7 +81,7 @@
     // Whole sends that many routers have accumulated could all be used in one burst. Therefore a whole send
     // expires, such that the unexpired ones of all routers do not exceed the permitted part of the margin.
     let fleet_bound = overload_rate(units) * routers * rules.overload_window / 1000.0;
-    let time_to_live = (SAVED_SLACK * (fleet_bound.sqrt() + 1.0) / routers).min(1.0);
+    let time_to_live = (ACCUMULATED_CREDIT_FACTOR * (fleet_bound.sqrt() + 1.0) / routers).min(1.0);
     let has_whole_send = credit.fract() <= time_to_live;
     credit.fract() + f64::from(u8::from(has_whole_send))
 }
@@ -143,19 +143,19 @@
         if !self.is_slow_start() || self.send_credit >= 1.0 {
             return true;
         }
-        self.trusts_report() && server.current_load(now, FLEET_REPORT_TTL).is_some()
+        self.may_use_report() && server.current_load(now, FLEET_REPORT_TTL).is_some()
     }
 
     /// Returns the number of requests that this router may send to the server, or `None` outside slow start,
     /// where there is no limit.
-    pub fn sends_left(&self) -> Option<usize> {
-        self.is_slow_start().then(|| usize::from(self.trusts_report()))
+    pub fn remaining_sends(&self) -> Option<usize> {
+        self.is_slow_start().then(|| usize::from(self.may_use_report()))
     }
 
     /// Returns whether the router may rely on the server's load report. In slow start the report allows the
     /// router to exceed its credit by less than one send. Otherwise all routers would send their many
     /// requests for a popular prefix before the report changes.
-    pub fn trusts_report(&self) -> bool {
+    pub fn may_use_report(&self) -> bool {
         !self.is_slow_start() || self.report_threshold.is_some_and(|threshold| self.send_credit > threshold)
     }
 
