--- a/crates/router/tests/decode_capacity.rs
+++ b/crates/router/tests/decode_capacity.rs
@@ -13,7 +13,7 @@
 
 /// Final result of a request.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-enum Ending {
+enum RequestResult {
     Served,
     /// The request was rejected before its first send.
     RejectedUnsent,
@@ -23,18 +23,18 @@
 
 /// Number of requests by final result.
 #[derive(Debug, Default)]
-struct Endings {
+struct ResultCounts {
     served: u32,
     rejected_unsent: u32,
     rejected_after_prefill: u32,
 }
 
-impl Endings {
-    fn count(&mut self, ending: Ending) {
-        match ending {
-            Ending::Served => self.served += 1,
-            Ending::RejectedUnsent => self.rejected_unsent += 1,
-            Ending::RejectedAfterPrefill => self.rejected_after_prefill += 1,
+impl ResultCounts {
+    fn count(&mut self, result: RequestResult) {
+        match result {
+            RequestResult::Served => self.served += 1,
+            RequestResult::RejectedUnsent => self.rejected_unsent += 1,
+            RequestResult::RejectedAfterPrefill => self.rejected_after_prefill += 1,
         }
     }
 }
@@ -50,11 +50,11 @@
 }
 
 /// Runs one request to its end while no other request is in flight.
-fn play(router: &mut TestRouter, id: u64) -> Ending {
+fn run_request(router: &mut TestRouter, id: u64) -> RequestResult {
     let actions = router.submit_to_idle(sample_request(id));
     let Some(prefill_server) = sent_to(&actions) else {
         assert!(is_rejected(&actions), "neither sent nor rejected: {actions:?}");
-        return Ending::RejectedUnsent;
+        return RequestResult::RejectedUnsent;
     };
     assert!(PREFILL_SERVERS.contains(&prefill_server));
     router.now += PREFILL_TIME;
@@ -65,10 +65,10 @@
             assert!(DECODE_SERVERS.contains(&decode_server));
             router.first_token(id, 1, decode_server, 20.0);
             router.outcome(id, 1, decode_server, AttemptStatus::Served);
-            return Ending::Served;
+            return RequestResult::Served;
         }
         if is_rejected(&actions) {
-            return Ending::RejectedAfterPrefill;
+            return RequestResult::RejectedAfterPrefill;
         }
         let timers = timers_set(&actions);
         let (due, key) = timers.into_iter().find(|timer| timer.1 == step_timer(id)).expect("another step");
@@ -80,23 +80,23 @@
 /// prefills that wait behind it.
 #[test]
 fn no_prefill_runs_whose_state_no_decode_server_would_take() {
-    let mut endings = Endings::default();
+    let mut results = ResultCounts::default();
     for seed in 1..=40 {
         let mut router = router_with_starting_decode_servers(seed);
-        (1..=12).for_each(|id| endings.count(play(&mut router, id)));
+        (1..=12).for_each(|id| results.count(run_request(&mut router, id)));
     }
-    assert!(endings.served > 0 && endings.rejected_unsent > 0, "{endings:?}");
-    assert_eq!(endings.rejected_after_prefill, 0, "{endings:?}");
+    assert!(results.served > 0 && results.rejected_unsent > 0, "{results:?}");
+    assert_eq!(results.rejected_after_prefill, 0, "{results:?}");
 }
 
 /// Guards against a rejection because the report of a decode server was fresh at the start of a prefill and
 /// is too old at its end: the server is probed again, and receives the state.
 #[test]
 fn a_starting_decode_server_is_probed_again_at_the_end_of_a_prefill() {
-    let endings: Vec<Ending> =
-        (1..=40).map(|seed| play(&mut router_with_starting_decode_servers(seed), 1)).collect();
+    let results: Vec<RequestResult> =
+        (1..=40).map(|seed| run_request(&mut router_with_starting_decode_servers(seed), 1)).collect();
     // Most routers may rely on the report of one of the three decode servers.
-    assert!(endings.iter().filter(|ending| **ending == Ending::Served).count() >= 30, "{endings:?}");
+    assert!(results.iter().filter(|result| **result == RequestResult::Served).count() >= 30, "{results:?}");
 }
 
 /// Guards against prefills without any decode server in the list, and against a router that sends none at
@@ -149,23 +149,23 @@
 /// if prefills are short and credit grows fast, the credit is available after the prefill.
 #[test]
 fn a_prefill_runs_when_there_will_be_credit_within_its_lease() {
-    let mut endings = Endings::default();
+    let mut results = ResultCounts::default();
     for seed in 1..=20 {
         let settings = Settings { router_count: 6, ..settings() };
         let mut router = TestRouter::seeded(seed, settings, sample_servers());
         for id in 1..=60 {
             router.now += 20.0;
-            play(&mut router, id);
+            run_request(&mut router, id);
         }
         let started = Some(router.now);
         let starting = |id: &u64| ServerEntry { started, ..server_entry(*id, DECODE, 0) };
         router.update_servers(ListUpdate::Delta, DECODE_SERVERS.iter().map(starting).collect());
         for id in 61..=90 {
             router.now += 20.0;
-            endings.count(play(&mut router, id));
+            results.count(run_request(&mut router, id));
         }
     }
-    assert!(endings.served >= 500, "{endings:?}");
+    assert!(results.served >= 500, "{results:?}");
 }
 
 /// Guards against several prefills for the same credit: the credit is reserved for prefills that already run.
--- a/crates/router/tests/large_fleet/main.rs
+++ b/crates/router/tests/large_fleet/main.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_popular_prefix_that_no_router_sees_completely_does_not_overload_its_server() {
     let mut fleet = Fleet::new(one_popular_prefix);
-    fleet.play(2_500, 8);
+    fleet.run_requests(2_500, 8);
     assert_in_time(&fleet, 0.97);
     let busiest = fleet.busiest_prefill_server();
     assert!(busiest < 4.0, "the busiest prefill server has {busiest:.1} times the mean");
@@ -44,7 +44,7 @@
     assert!(per_request < 4.1, "{per_request:.2} probes a request");
     // Without probes the results must be worse. Otherwise the test would not cover the probes.
     let mut without_probes = Fleet::without_probes(one_popular_prefix);
-    without_probes.play(2_500, 8);
+    without_probes.run_requests(2_500, 8);
     let share = without_probes.share_in_time();
     assert!(share < fleet.share_in_time() - 0.04, "without probes {share:.3}");
 }
@@ -54,11 +54,11 @@
 fn expensive_probes_are_few_and_still_spread_a_popular_prefix() {
     let prices = Prices { probe: 0.012, ..settings().prices };
     let mut fleet = Fleet::with_settings(Settings { prices, ..settings() }, one_popular_prefix);
-    fleet.play(2_500, 8);
+    fleet.run_requests(2_500, 8);
     let per_request = fleet.probes as f64 / fleet.arrived_at.len() as f64;
     assert!(per_request < 1.1, "{per_request:.2} probes a request");
     let mut without_probes = Fleet::without_probes(one_popular_prefix);
-    without_probes.play(2_500, 8);
+    without_probes.run_requests(2_500, 8);
     let (some, none) = (fleet.share_in_time(), without_probes.share_in_time());
     assert!(some > none + 0.02, "in time {some:.3}, {none:.3} without probes");
 }
@@ -66,14 +66,14 @@
 /// Guards against the ejection of a slow server that still works; it must only receive fewer requests.
 #[test]
 fn a_slow_prefill_server_is_passed_over_and_not_ejected() {
-    let play = |mut fleet: Fleet| {
+    let run_slow = |mut fleet: Fleet| {
         fleet.prefill_servers.get_mut(&107).expect("a prefill server").slowness = 12;
-        fleet.play(1_500, 16);
+        fleet.run_requests(1_500, 16);
         fleet
     };
-    let fleet = play(Fleet::new(forty_prefixes));
+    let fleet = run_slow(Fleet::new(forty_prefixes));
     assert_in_time(&fleet, 0.97);
-    let without_probes = play(Fleet::without_probes(forty_prefixes));
+    let without_probes = run_slow(Fleet::without_probes(forty_prefixes));
     let (few, many) = (fleet.ejections, without_probes.ejections);
     assert!(2 * few < many, "{few} ejections of a working server, {many} by routers that do not probe");
 }
@@ -84,7 +84,7 @@
 fn an_unresponsive_prefill_server_costs_few_requests() {
     let mut fleet = Fleet::new(forty_prefixes);
     fleet.prefill_servers.get_mut(&107).expect("a prefill server").is_unresponsive = true;
-    fleet.play(1_500, 16);
+    fleet.run_requests(1_500, 16);
     let sent = fleet.prefill_servers[&107].prefills;
     assert!(sent < 3, "{sent} requests were sent to a server that does not respond");
     assert_in_time(&fleet, 0.97);
@@ -99,7 +99,7 @@
     for id in [103, 108, 114] {
         fleet.prefill_servers.get_mut(&id).expect("a prefill server").fails_at_once = true;
     }
-    fleet.play(1_500, 16);
+    fleet.run_requests(1_500, 16);
     let failing = fleet.prefill_servers.values().filter(|server| server.fails_at_once);
     let errors: usize = failing.map(|server| server.sent.len()).sum();
     assert!(fleet.rejected < 8, "{} of 1500 requests rejected after {errors} quick errors", fleet.rejected);
@@ -130,7 +130,7 @@
 #[test]
 fn servers_replaced_under_a_late_list_cost_few_requests() {
     let mut fleet = Fleet::new(forty_prefixes);
-    fleet.arrive(0..2_000, 10);
+    fleet.schedule_arrivals(0..2_000, 10);
     let mut late_updates = Vec::new();
     for step in 0..6u64 {
         let now = 5_000 + step * 1_160;
@@ -161,7 +161,7 @@
         let limit = ConnectionLimit { max_routers: 6, connected: BTreeSet::new() };
         fleet.connection_limits.insert(id, limit);
     }
-    fleet.play(1_500, 10);
+    fleet.run_requests(1_500, 10);
     let used: usize = [102, 107, 111].map(|id| fleet.prefill_servers[&id].prefills).iter().sum();
     assert!(fleet.rejected < 8, "{} of 1500 requests rejected", fleet.rejected);
     assert_in_time(&fleet, 0.97);
@@ -175,7 +175,7 @@
 fn a_zone_that_returns_behind_dead_connections_is_not_overloaded() {
     let returned_at = 10_000;
     let mut fleet = Fleet::new(forty_prefixes);
-    fleet.arrive(0..2_500, 10);
+    fleet.schedule_arrivals(0..2_500, 10);
     fleet.run(5_000);
     let zone: Vec<ServerEntry> = server_list().into_iter().filter(|entry| entry.server.0 % 100 < 7).collect();
     fleet.unreachable.extend(zone.iter().map(|entry| entry.server.0));
@@ -232,7 +232,7 @@
 fn starting_prefill_servers_get_their_share_and_are_not_overloaded() {
     let mut fleet = Fleet::new(one_popular_prefix);
     start_servers(&mut fleet, 12, PREFILL);
-    fleet.play(1_000, 10);
+    fleet.run_requests(1_000, 10);
     let starting = || fleet.prefill_servers.values().filter(|server| server.started.is_some());
     let share = starting().map(|server| server.sent.len()).sum::<usize>() as f64 / 1_000.0;
     let peak = starting().map(PrefillServer::peak_share_of_overload).fold(0.0, f64::max);
@@ -248,7 +248,7 @@
 fn starting_decode_servers_get_their_share_and_are_not_overloaded() {
     let mut fleet = Fleet::new(forty_prefixes);
     start_servers(&mut fleet, 16, DECODE);
-    fleet.play(1_500, 10);
+    fleet.run_requests(1_500, 10);
     let starting = || fleet.decode_servers.values().filter(|server| server.started.is_some());
     let share = starting().map(|server| server.sent.len()).sum::<usize>() as f64 / 1_500.0;
     let peak = starting().map(DecodeServer::peak_share_of_overload).fold(0.0, f64::max);
@@ -262,7 +262,7 @@
 #[test]
 fn restarted_routers_decide_like_the_others() {
     let mut fleet = Fleet::new(one_popular_prefix);
-    fleet.arrive(0..2_500, 8);
+    fleet.schedule_arrivals(0..2_500, 8);
     fleet.run(10_000);
     (0..ROUTERS).filter(|router| router % 10 < 7).for_each(|router| fleet.restart(router));
     fleet.reset_counts();
@@ -289,7 +289,7 @@
 #[test]
 fn an_unresponsive_cell_costs_only_what_was_in_flight_there() {
     let mut fleet = Fleet::new(forty_prefixes);
-    fleet.arrive(0..2_500, 8);
+    fleet.schedule_arrivals(0..2_500, 8);
     fleet.run(5_000);
     set_first_cell_unresponsive(&mut fleet, true);
     fleet.reset_counts();
--- a/crates/router/tests/large_fleet/simulation.rs
+++ b/crates/router/tests/large_fleet/simulation.rs
@@ -24,7 +24,7 @@
 /// Time from the beginning of a stream to its first token (ms).
 const FIRST_TOKEN_TIME: u64 = 20;
 
-enum Occurrence {
+enum ScheduledEvent {
     Arrival {
         id: u64,
     },
@@ -62,9 +62,9 @@
     /// on it fails.
     pub dead_connections: BTreeSet<(u64, u64)>,
     /// Router and event, by time and sequence number.
-    agenda: BTreeMap<(u64, u64), (u64, Occurrence)>,
+    event_queue: BTreeMap<(u64, u64), (u64, ScheduledEvent)>,
     now: u64,
-    occurrences: u64,
+    event_count: u64,
     attempts: BTreeMap<u64, u32>,
     ended: BTreeSet<(u64, u32)>,
     /// Arrival times of the requests that are counted.
@@ -108,9 +108,9 @@
             unreachable: BTreeSet::new(),
             connection_limits: BTreeMap::new(),
             dead_connections: BTreeSet::new(),
-            agenda: BTreeMap::new(),
+            event_queue: BTreeMap::new(),
             now: 0,
-            occurrences: 0,
+            event_count: 0,
             attempts: BTreeMap::new(),
             ended: BTreeSet::new(),
             arrived_at: BTreeMap::new(),
@@ -142,38 +142,38 @@
         self.update_router(router, ListUpdate::Full, &server_list());
     }
 
-    fn schedule(&mut self, time: u64, router: u64, occurrence: Occurrence) {
-        self.occurrences += 1;
-        self.agenda.insert((time, self.occurrences), (router, occurrence));
+    fn schedule(&mut self, time: u64, router: u64, scheduled: ScheduledEvent) {
+        self.event_count += 1;
+        self.event_queue.insert((time, self.event_count), (router, scheduled));
     }
 
     /// Runs a number of requests, one every `interval` ms, until all of them have ended.
-    pub fn play(&mut self, requests: u64, interval: u64) {
-        self.arrive(0..requests, interval);
+    pub fn run_requests(&mut self, requests: u64, interval: u64) {
+        self.schedule_arrivals(0..requests, interval);
         self.run(requests * interval + 10_000);
     }
 
     /// Schedules the arrival of requests. The request with identifier n arrives at n times the interval.
-    pub fn arrive(&mut self, ids: std::ops::Range<u64>, interval: u64) {
+    pub fn schedule_arrivals(&mut self, ids: std::ops::Range<u64>, interval: u64) {
         for id in ids {
-            self.schedule(id * interval, id * 7 % ROUTERS, Occurrence::Arrival { id });
+            self.schedule(id * interval, id * 7 % ROUTERS, ScheduledEvent::Arrival { id });
         }
     }
 
     /// Runs the simulation up to a time (ms).
     pub fn run(&mut self, end: u64) {
-        while let Some(((time, _), (router, occurrence))) = self.agenda.pop_first() {
+        while let Some(((time, _), (router, scheduled))) = self.event_queue.pop_first() {
             if time > end {
-                return self.schedule(time, router, occurrence);
+                return self.schedule(time, router, scheduled);
             }
             self.now = time;
-            self.happen(router, occurrence);
+            self.process(router, scheduled);
         }
     }
 
-    fn happen(&mut self, router: u64, occurrence: Occurrence) {
-        match occurrence {
-            Occurrence::Arrival { id } => {
+    fn process(&mut self, router: u64, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Arrival { id } => {
                 self.arrived_at.insert(id, self.now);
                 let request = Request {
                     prefix: Some((self.prefix_of)(id)),
@@ -183,9 +183,9 @@
                 };
                 self.handle(router, Event::Request(request));
             }
-            Occurrence::Timer { key } => self.handle(router, Event::Timer { key }),
-            Occurrence::AttemptEnd(sent, status) => self.end_attempt(router, sent, status),
-            Occurrence::FirstToken(sent) => {
+            ScheduledEvent::Timer { key } => self.handle(router, Event::Timer { key }),
+            ScheduledEvent::AttemptEnd(sent, status) => self.end_attempt(router, sent, status),
+            ScheduledEvent::FirstToken(sent) => {
                 if let Some(arrived_at) = self.arrived_at.get(&sent.id) {
                     self.first_token_times.push(self.now - arrived_at);
                 }
@@ -197,14 +197,14 @@
                 );
                 self.end_attempt(router, sent, AttemptStatus::Served);
             }
-            Occurrence::ProbeFailed { server } => {
+            ScheduledEvent::ProbeFailed { server } => {
                 let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
                 self.handle(
                     router,
                     Event::ProbeResult { server, status, elapsed: CONNECT_FAILURE_TIME as f64, report: None },
                 );
             }
-            Occurrence::ProbeAnswer { server } => {
+            ScheduledEvent::ProbeAnswer { server } => {
                 let report = self.report(server);
                 let (server, status) = (ServerId(server), AttemptStatus::Served);
                 self.handle(
@@ -250,7 +250,7 @@
                 Action::Log(line) => self.ejections += usize::from(line.starts_with("ejection")),
                 Action::Probe { server } => self.probe(router, server.0),
                 Action::Timer { at, key, .. } => {
-                    self.schedule(at.ceil() as u64, router, Occurrence::Timer { key });
+                    self.schedule(at.ceil() as u64, router, ScheduledEvent::Timer { key });
                 }
                 _ => {}
             }
@@ -261,9 +261,9 @@
         self.probes += 1;
         let is_unresponsive = self.prefill_servers.get(&server).is_some_and(|server| server.is_unresponsive);
         if self.dead_connections.remove(&(router, server)) || !self.connects(router, server) {
-            self.schedule(self.now + CONNECT_FAILURE_TIME, router, Occurrence::ProbeFailed { server });
+            self.schedule(self.now + CONNECT_FAILURE_TIME, router, ScheduledEvent::ProbeFailed { server });
         } else if !is_unresponsive {
-            self.schedule(self.now + PROBE_TIME, router, Occurrence::ProbeAnswer { server });
+            self.schedule(self.now + PROBE_TIME, router, ScheduledEvent::ProbeAnswer { server });
         }
     }
 
@@ -272,14 +272,14 @@
         let attempt = *next_attempt;
         *next_attempt += 1;
         let sent = SentAttempt { id, attempt, server };
-        let timed_out = Occurrence::AttemptEnd(sent, AttemptStatus::Timeout);
+        let timed_out = ScheduledEvent::AttemptEnd(sent, AttemptStatus::Timeout);
         self.schedule(self.now + timeout.ceil() as u64, router, timed_out);
         if self.dead_connections.remove(&(router, server)) {
-            let failed = Occurrence::AttemptEnd(sent, AttemptStatus::Error);
+            let failed = ScheduledEvent::AttemptEnd(sent, AttemptStatus::Error);
             return self.schedule(self.now + CONNECT_FAILURE_TIME, router, failed);
         }
         if !self.connects(router, server) {
-            let failed = Occurrence::AttemptEnd(sent, AttemptStatus::ConnectFailed);
+            let failed = ScheduledEvent::AttemptEnd(sent, AttemptStatus::ConnectFailed);
             return self.schedule(self.now + CONNECT_FAILURE_TIME, router, failed);
         }
         if self.decode_servers.contains_key(&server) {
@@ -292,7 +292,7 @@
     fn decode(&mut self, router: u64, sent: SentAttempt) {
         let Some(server) = self.decode_servers.get_mut(&sent.server) else { return };
         let begin = server.accept(self.now);
-        self.schedule(begin + FIRST_TOKEN_TIME, router, Occurrence::FirstToken(sent));
+        self.schedule(begin + FIRST_TOKEN_TIME, router, ScheduledEvent::FirstToken(sent));
     }
 
     fn prefill(&mut self, router: u64, sent: SentAttempt) {
@@ -301,12 +301,12 @@
         let Some(server) = self.prefill_servers.get_mut(&sent.server) else { return };
         server.sent.push(now);
         if server.fails_at_once {
-            let failed = Occurrence::AttemptEnd(sent, AttemptStatus::Error);
+            let failed = ScheduledEvent::AttemptEnd(sent, AttemptStatus::Error);
             return self.schedule(now + ERROR_TIME, router, failed);
         }
         let end = server.accept(prefix, now);
         if !server.is_unresponsive {
-            self.schedule(end, router, Occurrence::AttemptEnd(sent, AttemptStatus::Prefilled));
+            self.schedule(end, router, ScheduledEvent::AttemptEnd(sent, AttemptStatus::Prefilled));
         }
     }
 
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -22,36 +22,36 @@
 const IDEMPOTENCY_WINDOW: Millis = 2_000.0;
 
 /// Linear congruential generator for the random decisions of the test.
-struct Draws(u64);
+struct Lcg(u64);
 
-impl Draws {
-    fn below(&mut self, limit: u64) -> u64 {
+impl Lcg {
+    fn next_below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % limit
     }
 }
 
-struct KnownAttempt {
+struct AttemptModel {
     server: u64,
     in_flight: bool,
     may_have_run: bool,
 }
 
 /// Model of a request, against which the rules are checked.
-struct KnownRequest {
+struct RequestModel {
     class: u32,
     deadline: Millis,
     answers: u32,
     is_closed: bool,
     is_streaming: bool,
-    attempts: Vec<KnownAttempt>,
+    attempts: Vec<AttemptModel>,
     /// Zone and send time of the first attempt that may have been executed.
     possible_execution: Option<(u32, Millis)>,
     has_state: bool,
     idle_since: Millis,
 }
 
-impl KnownRequest {
+impl RequestModel {
     fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -60,8 +60,8 @@
 /// Simulated servers, clients and discovery of one router. The rules are checked at each step.
 struct Environment {
     router: TestRouter,
-    draws: Draws,
-    requests: BTreeMap<u64, KnownRequest>,
+    random: Lcg,
+    requests: BTreeMap<u64, RequestModel>,
     timers: Vec<(Millis, u64)>,
     /// Whether a server is listed as draining or terminated; servers that were never changed are missing.
     not_ready: BTreeMap<u64, bool>,
@@ -114,7 +114,7 @@
             assert!(is_recognised, "rule 2: idempotency key, scope or window");
         }
         let may_have_run = is_decode_server(server);
-        request.attempts.push(KnownAttempt { server, in_flight: true, may_have_run });
+        request.attempts.push(AttemptModel { server, in_flight: true, may_have_run });
         if may_have_run && request.possible_execution.is_none() {
             request.possible_execution = Some((zone_of(server), now));
         }
@@ -154,8 +154,8 @@
         }
         let closed = request.is_closed;
         let status_detail =
-            if status == AttemptStatus::Rejected { self.draws.below(2) as f64 } else { 700.0 };
-        let memory_share = Some(self.draws.below(120) as f64 / 100.0);
+            if status == AttemptStatus::Rejected { self.random.next_below(2) as f64 } else { 700.0 };
+        let memory_share = Some(self.random.next_below(120) as f64 / 100.0);
         let outcome = AttemptOutcome {
             id: RequestId(id),
             attempt: index as u32,
@@ -179,7 +179,7 @@
         let server = request.attempts[index].server;
         let (is_closed, is_streaming) = (request.is_closed, request.is_streaming);
         if is_streaming {
-            let breaks = self.draws.below(8) == 0;
+            let breaks = self.random.next_below(8) == 0;
             let status = if breaks { AttemptStatus::Reset } else { AttemptStatus::Served };
             return self.end_attempt(id, index, status);
         }
@@ -192,8 +192,8 @@
             AttemptStatus::Cancelled,
             AttemptStatus::MalformedResponse,
         ];
-        if self.draws.below(3) == 0 {
-            let status = faults[self.draws.below(7) as usize];
+        if self.random.next_below(3) == 0 {
+            let status = faults[self.random.next_below(7) as usize];
             self.end_attempt(id, index, status);
         } else if !is_decode_server(server) {
             self.end_attempt(id, index, AttemptStatus::Prefilled);
@@ -208,10 +208,10 @@
 
     /// Changes the listed state of a random server.
     fn change_list(&mut self) {
-        let mut entry = sample_servers()[self.draws.below(6) as usize].clone();
+        let mut entry = sample_servers()[self.random.next_below(6) as usize].clone();
         let states = [ServerState::Ready, ServerState::Draining, ServerState::Terminated];
-        entry.state = states[self.draws.below(3) as usize];
-        entry.started = (self.draws.below(2) == 0).then_some(self.router.now);
+        entry.state = states[self.random.next_below(3) as usize];
+        entry.started = (self.random.next_below(2) == 0).then_some(self.router.now);
         self.not_ready.insert(entry.server.0, entry.state != ServerState::Ready);
         let actions = self.router.update_servers(ListUpdate::Delta, vec![entry]);
         self.apply(actions);
@@ -233,7 +233,7 @@
         let actions = router.update_servers(ListUpdate::Full, sample_servers());
         let mut environment = Environment {
             router,
-            draws: Draws(seed),
+            random: Lcg(seed),
             requests: BTreeMap::new(),
             timers: vec![],
             not_ready: BTreeMap::new(),
@@ -255,16 +255,16 @@
             let actions = self.router.fire_timer(key);
             self.apply(actions);
         }
-        if step < 4_000 && self.draws.below(20) == 0 {
-            self.arrive(step);
+        if step < 4_000 && self.random.next_below(20) == 0 {
+            self.submit_random_request(step);
         }
         let in_flight = self.requests.iter().filter(|(_, request)| request.has_attempt_in_flight());
         let in_flight: Vec<u64> = in_flight.map(|(id, _)| *id).collect();
-        if !in_flight.is_empty() && self.draws.below(4) == 0 {
-            let id = in_flight[self.draws.below(in_flight.len() as u64) as usize];
+        if !in_flight.is_empty() && self.random.next_below(4) == 0 {
+            let id = in_flight[self.random.next_below(in_flight.len() as u64) as usize];
             self.progress(id);
         }
-        match self.draws.below(400) {
+        match self.random.next_below(400) {
             0 => self.change_list(),
             1 => self.disconnect_client(),
             _ => {}
@@ -272,10 +272,10 @@
         self.check();
     }
 
-    fn arrive(&mut self, id: u64) {
-        let class = self.draws.below(3) as u32;
-        let client_timeout = 200.0 + self.draws.below(3_000) as f64;
-        let request = KnownRequest {
+    fn submit_random_request(&mut self, id: u64) {
+        let class = self.random.next_below(3) as u32;
+        let client_timeout = 200.0 + self.random.next_below(3_000) as f64;
+        let request = RequestModel {
             class,
             deadline: self.router.now + client_timeout,
             answers: 0,
@@ -287,7 +287,7 @@
             idle_since: self.router.now,
         };
         self.requests.insert(id, request);
-        let prefix = Some(self.draws.below(5));
+        let prefix = Some(self.random.next_below(5));
         let actions = self.router.submit(Request { class, client_timeout, prefix, ..sample_request(id) });
         self.apply(actions);
     }
@@ -312,11 +312,11 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let play = || {
+    let run_sequence = || {
         let mut router = TestRouter::with_defaults();
         (1..200).map(|id| router.submit(request_with_prefix(id, id % 9))).collect::<Vec<_>>()
     };
-    assert_eq!(play(), play());
+    assert_eq!(run_sequence(), run_sequence());
 }
 
 #[test]
--- a/crates/router/tests/shedding_trials.rs
+++ b/crates/router/tests/shedding_trials.rs
@@ -33,7 +33,7 @@
     sent_at: u64,
 }
 
-enum Occurrence {
+enum ScheduledEvent {
     Arrival(u64),
     Timer(u64),
     Prefilled(SentAttempt),
@@ -46,14 +46,14 @@
 struct Simulation {
     router: Router,
     /// Future events, by time and sequence number.
-    agenda: BTreeMap<(u64, u64), Occurrence>,
-    occurrences: u64,
+    event_queue: BTreeMap<(u64, u64), ScheduledEvent>,
+    event_count: u64,
     attempts: BTreeMap<u64, u32>,
     late_role: Role,
     /// Time of the last send.
     last_sent_at: u64,
     /// Number of rejections since the last send.
-    rejected_since: usize,
+    rejections_since_send: usize,
     /// Maximum time without an attempt in which at least [`MAX_REJECTIONS`] requests were rejected.
     longest_without_attempt: u64,
 }
@@ -63,24 +63,24 @@
     fn run(seed: u64, settings: Settings, late_role: Role, interval: u64) -> Simulation {
         let mut simulation = Simulation {
             router: Router::new(seed, settings),
-            agenda: BTreeMap::new(),
-            occurrences: 0,
+            event_queue: BTreeMap::new(),
+            event_count: 0,
             attempts: BTreeMap::new(),
             late_role,
             last_sent_at: 0,
-            rejected_since: 0,
+            rejections_since_send: 0,
             longest_without_attempt: 0,
         };
         let list = Event::ServerList { update: ListUpdate::Full, servers: sample_servers() };
         simulation.router.handle(0.0, list, &mut Vec::new());
         for index in 0..END / interval {
-            simulation.schedule(index * interval, Occurrence::Arrival(index + 1));
+            simulation.schedule(index * interval, ScheduledEvent::Arrival(index + 1));
         }
-        while let Some(((now, _), occurrence)) = simulation.agenda.pop_first() {
+        while let Some(((now, _), scheduled)) = simulation.event_queue.pop_first() {
             if now > END {
                 break;
             }
-            let event = simulation.event(now, occurrence);
+            let event = simulation.event(now, scheduled);
             let mut actions = Vec::new();
             simulation.router.handle(now as f64, event, &mut actions);
             actions.into_iter().for_each(|action| simulation.apply(now, action));
@@ -88,24 +88,24 @@
         simulation
     }
 
-    fn schedule(&mut self, time: u64, occurrence: Occurrence) {
-        self.occurrences += 1;
-        self.agenda.insert((time, self.occurrences), occurrence);
+    fn schedule(&mut self, time: u64, scheduled: ScheduledEvent) {
+        self.event_count += 1;
+        self.event_queue.insert((time, self.event_count), scheduled);
     }
 
-    fn event(&mut self, now: u64, occurrence: Occurrence) -> Event {
-        match occurrence {
-            Occurrence::Arrival(id) => Event::Request(request_with_prefix(id, id % 11)),
-            Occurrence::Timer(key) => Event::Timer { key },
-            Occurrence::Prefilled(sent) => outcome(now, sent, AttemptStatus::Prefilled),
-            Occurrence::FirstToken(sent) => {
-                self.schedule(now + STREAM_TIME, Occurrence::Served(sent));
+    fn event(&mut self, now: u64, scheduled: ScheduledEvent) -> Event {
+        match scheduled {
+            ScheduledEvent::Arrival(id) => Event::Request(request_with_prefix(id, id % 11)),
+            ScheduledEvent::Timer(key) => Event::Timer { key },
+            ScheduledEvent::Prefilled(sent) => outcome(now, sent, AttemptStatus::Prefilled),
+            ScheduledEvent::FirstToken(sent) => {
+                self.schedule(now + STREAM_TIME, ScheduledEvent::Served(sent));
                 let SentAttempt { id, attempt, server, sent_at } = sent;
                 let elapsed = (now - sent_at) as f64;
                 Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
             }
-            Occurrence::Served(sent) => outcome(now, sent, AttemptStatus::Served),
-            Occurrence::ProbeAnswer(server) => {
+            ScheduledEvent::Served(sent) => outcome(now, sent, AttemptStatus::Served),
+            ScheduledEvent::ProbeAnswer(server) => {
                 let report = Some(LoadReport { in_flight: Some(1.0), ..LoadReport::default() });
                 let (server, status) = (ServerId(server), AttemptStatus::Served);
                 Event::ProbeResult { server, status, elapsed: 1.0, report }
@@ -117,14 +117,14 @@
         match action {
             Action::Send { id, server, .. } => self.send(now, id.0, server.0),
             Action::Reject { .. } => {
-                self.rejected_since += 1;
-                if self.rejected_since >= MAX_REJECTIONS {
+                self.rejections_since_send += 1;
+                if self.rejections_since_send >= MAX_REJECTIONS {
                     let without_attempt = now - self.last_sent_at;
                     self.longest_without_attempt = self.longest_without_attempt.max(without_attempt);
                 }
             }
-            Action::Timer { at, key, .. } => self.schedule(at.ceil() as u64, Occurrence::Timer(key)),
-            Action::Probe { server } => self.schedule(now + 2, Occurrence::ProbeAnswer(server.0)),
+            Action::Timer { at, key, .. } => self.schedule(at.ceil() as u64, ScheduledEvent::Timer(key)),
+            Action::Probe { server } => self.schedule(now + 2, ScheduledEvent::ProbeAnswer(server.0)),
             _ => {}
         }
     }
@@ -134,14 +134,14 @@
         let attempt = *next_attempt;
         *next_attempt += 1;
         let sent = SentAttempt { id, attempt, server, sent_at: now };
-        let (role, occurrence) = match PREFILL_SERVERS.contains(&server) {
-            true => (Role::Prefill, Occurrence::Prefilled(sent)),
-            false => (Role::Decode, Occurrence::FirstToken(sent)),
+        let (role, scheduled) = match PREFILL_SERVERS.contains(&server) {
+            true => (Role::Prefill, ScheduledEvent::Prefilled(sent)),
+            false => (Role::Decode, ScheduledEvent::FirstToken(sent)),
         };
         let is_late = now < LATE_UNTIL && role == self.late_role;
-        self.schedule(now + if is_late { LATE_TIME } else { USUAL_TIME }, occurrence);
+        self.schedule(now + if is_late { LATE_TIME } else { USUAL_TIME }, scheduled);
         self.last_sent_at = now;
-        self.rejected_since = 0;
+        self.rejections_since_send = 0;
     }
 }
 
--- a/crates/router/tests/slow_start/simulation.rs
+++ b/crates/router/tests/slow_start/simulation.rs
@@ -26,7 +26,7 @@
 /// Lower bound of the identifiers of decode servers.
 const FIRST_DECODE_SERVER: u64 = 1_000;
 
-enum Occurrence {
+enum ScheduledEvent {
     Arrival,
     ServersStart,
     ZoneUnreachable,
@@ -71,10 +71,10 @@
     routers: Vec<Router>,
     servers: BTreeMap<u64, Server>,
     /// Time (microseconds) and number of each future event.
-    agenda: BinaryHeap<Reverse<(u64, u64)>>,
+    event_queue: BinaryHeap<Reverse<(u64, u64)>>,
     /// Router and event, by number.
-    occurrences: BTreeMap<u64, (usize, Occurrence)>,
-    occurrence_count: u64,
+    scheduled_events: BTreeMap<u64, (usize, ScheduledEvent)>,
+    event_count: u64,
     now: f64,
     attempts: BTreeMap<u64, u32>,
     random: u64,
@@ -96,9 +96,9 @@
             settings: scenario_settings(&scenario),
             routers: Vec::new(),
             servers: ids.map(|id| (id, Server::default())).collect(),
-            agenda: BinaryHeap::new(),
-            occurrences: BTreeMap::new(),
-            occurrence_count: 0,
+            event_queue: BinaryHeap::new(),
+            scheduled_events: BTreeMap::new(),
+            event_count: 0,
             now: 0.0,
             attempts: BTreeMap::new(),
             random: scenario.seed * 7_919 + 1,
@@ -116,7 +116,7 @@
     }
 
     /// Returns the next random number, uniformly distributed in [0, 1).
-    fn unit(&mut self) -> f64 {
+    fn next_unit(&mut self) -> f64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
@@ -131,54 +131,54 @@
         share.min(1.0)
     }
 
-    fn schedule(&mut self, time: f64, router: usize, occurrence: Occurrence) {
-        self.occurrence_count += 1;
-        self.agenda.push(Reverse(((time * 1_000.0) as u64, self.occurrence_count)));
-        self.occurrences.insert(self.occurrence_count, (router, occurrence));
+    fn schedule(&mut self, time: f64, router: usize, scheduled: ScheduledEvent) {
+        self.event_count += 1;
+        self.event_queue.push(Reverse(((time * 1_000.0) as u64, self.event_count)));
+        self.scheduled_events.insert(self.event_count, (router, scheduled));
     }
 
     pub fn run(mut self) -> Peaks {
-        self.schedule(0.0, 0, Occurrence::Arrival);
+        self.schedule(0.0, 0, ScheduledEvent::Arrival);
         if self.scenario.zone_returns {
-            self.schedule(STARTED - UNREACHABLE_TIME, 0, Occurrence::ZoneUnreachable);
+            self.schedule(STARTED - UNREACHABLE_TIME, 0, ScheduledEvent::ZoneUnreachable);
         }
-        self.schedule(STARTED, 0, Occurrence::ServersStart);
-        while let Some(Reverse((time, number))) = self.agenda.pop() {
+        self.schedule(STARTED, 0, ScheduledEvent::ServersStart);
+        while let Some(Reverse((time, number))) = self.event_queue.pop() {
             self.now = time as f64 / 1_000.0;
             if self.now > END {
                 break;
             }
-            if let Some((router, occurrence)) = self.occurrences.remove(&number) {
-                self.happen(router, occurrence);
+            if let Some((router, scheduled)) = self.scheduled_events.remove(&number) {
+                self.process(router, scheduled);
             }
         }
         Peaks { prefill: self.peak(Role::Prefill), decode: self.peak(Role::Decode) }
     }
 
-    fn happen(&mut self, router: usize, occurrence: Occurrence) {
-        match occurrence {
-            Occurrence::Arrival => self.arrive(),
-            Occurrence::ZoneUnreachable => self.disconnect_zone(),
-            Occurrence::ServersStart => self.start_servers(),
-            Occurrence::Timer(key) => self.handle(router, Event::Timer { key }),
-            Occurrence::ProbeFailed { server } => {
+    fn process(&mut self, router: usize, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Arrival => self.process_arrival(),
+            ScheduledEvent::ZoneUnreachable => self.disconnect_zone(),
+            ScheduledEvent::ServersStart => self.start_servers(),
+            ScheduledEvent::Timer(key) => self.handle(router, Event::Timer { key }),
+            ScheduledEvent::ProbeFailed { server } => {
                 let (server, status) = (ServerId(server), AttemptStatus::ConnectFailed);
                 let elapsed = CONNECT_TIMEOUT;
                 self.handle(router, Event::ProbeResult { server, status, elapsed, report: None });
             }
-            Occurrence::ProbeAnswer { server, report } => {
+            ScheduledEvent::ProbeAnswer { server, report } => {
                 let (server, status) = (ServerId(server), AttemptStatus::Served);
                 let report = Some(report);
                 self.handle(router, Event::ProbeResult { server, status, elapsed: 10.0, report });
             }
-            Occurrence::FirstToken(sent) => {
+            ScheduledEvent::FirstToken(sent) => {
                 self.report(sent.server);
                 let (id, server) = (RequestId(sent.id), ServerId(sent.server));
                 let attempt = sent.attempt;
                 let elapsed = FIRST_TOKEN_TIME;
                 self.handle(router, Event::FirstToken { id, attempt, server, elapsed });
             }
-            Occurrence::Completed(sent) => {
+            ScheduledEvent::Completed(sent) => {
                 let report = Some(self.report(sent.server));
                 let status = match is_prefill_server(sent.server) {
                     true => AttemptStatus::Prefilled,
@@ -186,9 +186,9 @@
                 };
                 self.end_attempt(router, sent, status, 50.0, report);
             }
-            Occurrence::Failed(sent, status) => self.end_attempt(router, sent, status, 1.0, None),
-            Occurrence::RouterRestart => {
-                let seed = (self.unit() * 1e9) as u64 + 1;
+            ScheduledEvent::Failed(sent, status) => self.end_attempt(router, sent, status, 1.0, None),
+            ScheduledEvent::RouterRestart => {
+                let seed = (self.next_unit() * 1e9) as u64 + 1;
                 self.routers[router] = Router::new(seed, self.settings.clone());
                 let servers = self.server_list();
                 self.handle(router, Event::ServerList { update: ListUpdate::Cached, servers });
@@ -207,19 +207,19 @@
 
     /// Processes the arrival of a request, and schedules the next arrival. Some routers receive several times
     /// as many requests as others.
-    fn arrive(&mut self) {
+    fn process_arrival(&mut self) {
         let id = self.request_count;
         self.request_count += 1;
-        let router = (self.unit() * self.unit() * self.scenario.routers as f64) as usize;
-        let is_popular = self.unit() < self.scenario.popular_share;
-        let prefix = if is_popular { self.popular_prefix } else { 1_000 + (self.unit() * 400.0) as u64 };
+        let router = (self.next_unit() * self.next_unit() * self.scenario.routers as f64) as usize;
+        let is_popular = self.next_unit() < self.scenario.popular_share;
+        let prefix = if is_popular { self.popular_prefix } else { 1_000 + (self.next_unit() * 400.0) as u64 };
         self.handle(router, Event::Request(request_with_prefix(id, prefix)));
         let Scenario { utilization, rate_per_s, servers, burst, .. } = self.scenario;
         let since_burst = (self.now - STARTED) / 1_000.0 - burst.start;
         let factor = if (0.0..2.0).contains(&since_burst) { burst.factor } else { 1.0 };
         let requests_per_s = utilization * rate_per_s * servers as f64 * factor;
-        let interval = -(1.0 - self.unit()).ln() * 1_000.0 / requests_per_s;
-        self.schedule(self.now + interval, 0, Occurrence::Arrival);
+        let interval = -(1.0 - self.next_unit()).ln() * 1_000.0 / requests_per_s;
+        self.schedule(self.now + interval, 0, ScheduledEvent::Arrival);
     }
 
     /// Returns the number of streams that a decode server runs at a time.
@@ -248,7 +248,7 @@
             match action {
                 Action::Send { id, server, .. } => self.send(router, id.0, server.0),
                 Action::Probe { server } => self.probe(router, server.0),
-                Action::Timer { at, key, .. } => self.schedule(at, router, Occurrence::Timer(key)),
+                Action::Timer { at, key, .. } => self.schedule(at, router, ScheduledEvent::Timer(key)),
                 _ => {}
             }
         }
@@ -260,15 +260,15 @@
 
     fn probe(&mut self, router: usize, server: u64) {
         if self.is_unreachable(server) {
-            return self.schedule(self.now + CONNECT_TIMEOUT, router, Occurrence::ProbeFailed { server });
+            return self.schedule(self.now + CONNECT_TIMEOUT, router, ScheduledEvent::ProbeFailed { server });
         }
         if self.dead_connections.remove(&(router, server)) {
-            return self.schedule(self.now + 1.0, router, Occurrence::ProbeFailed { server });
+            return self.schedule(self.now + 1.0, router, ScheduledEvent::ProbeFailed { server });
         }
         // The report has the values of now, although it is received later.
         let report = self.report(server);
-        let answer_time = self.now + 5.0 + self.scenario.probe_time * self.unit();
-        self.schedule(answer_time, router, Occurrence::ProbeAnswer { server, report });
+        let answer_time = self.now + 5.0 + self.scenario.probe_time * self.next_unit();
+        self.schedule(answer_time, router, ScheduledEvent::ProbeAnswer { server, report });
     }
 
     fn send(&mut self, router: usize, id: u64, server: u64) {
@@ -277,11 +277,11 @@
         *next_attempt += 1;
         let sent = SentAttempt { id, attempt, server };
         if self.is_unreachable(server) {
-            let failed = Occurrence::Failed(sent, AttemptStatus::ConnectFailed);
+            let failed = ScheduledEvent::Failed(sent, AttemptStatus::ConnectFailed);
             return self.schedule(self.now + CONNECT_TIMEOUT, router, failed);
         }
         if self.dead_connections.remove(&(router, server)) {
-            let failed = Occurrence::Failed(sent, AttemptStatus::Reset);
+            let failed = ScheduledEvent::Failed(sent, AttemptStatus::Reset);
             return self.schedule(self.now + 1.0, router, failed);
         }
         self.serve(router, sent);
@@ -299,13 +299,13 @@
         if is_prefill_server(sent.server) {
             let end = server.ends.last().copied().unwrap_or(now) + 1_000.0 / rate_per_s / capacity_share;
             server.ends.push(end);
-            return self.schedule(end, router, Occurrence::Completed(sent));
+            return self.schedule(end, router, ScheduledEvent::Completed(sent));
         }
         let begin = server.ends.len().checked_sub(slots).map_or(now, |index| server.ends[index]);
         let end = begin + STREAM_TIME / capacity_share;
         server.ends.push(end);
-        self.schedule(begin + FIRST_TOKEN_TIME, router, Occurrence::FirstToken(sent));
-        self.schedule(end, router, Occurrence::Completed(sent));
+        self.schedule(begin + FIRST_TOKEN_TIME, router, ScheduledEvent::FirstToken(sent));
+        self.schedule(end, router, ScheduledEvent::Completed(sent));
     }
 
     /// Returns the maximum number of sends to a starting server of this role in any window, as a share of the
--- a/crates/router/tests/slow_start/simulation/starts.rs
+++ b/crates/router/tests/slow_start/simulation/starts.rs
@@ -4,7 +4,7 @@
 
 use glenrail_router::*;
 
-use super::{is_prefill_server, Occurrence, Server, Simulation, STARTED};
+use super::{is_prefill_server, ScheduledEvent, Server, Simulation, STARTED};
 use crate::common::{probed_servers, request_with_prefix, server_entry, DECODE, PREFILL};
 use crate::scenario::RouterRestarts;
 
@@ -61,9 +61,9 @@
         let RouterRestarts { start, share, within, rounds } = self.scenario.router_restarts;
         for round in 0..rounds {
             for router in 0..self.scenario.routers {
-                if self.unit() < share {
-                    let seconds = start + within * (round as f64 + self.unit());
-                    self.schedule(STARTED + 1_000.0 * seconds, router, Occurrence::RouterRestart);
+                if self.next_unit() < share {
+                    let seconds = start + within * (round as f64 + self.next_unit());
+                    self.schedule(STARTED + 1_000.0 * seconds, router, ScheduledEvent::RouterRestart);
                 }
             }
         }
--- a/crates/router/tests/without_load_reports.rs
+++ b/crates/router/tests/without_load_reports.rs
@@ -24,7 +24,7 @@
 const OBJECTIVE: Millis = 1_000.0;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Occurrence {
+enum ScheduledEvent {
     Arrival { id: u64 },
     Timer { key: u64 },
     FirstToken { id: u64, attempt: u32, server: u64 },
@@ -49,9 +49,9 @@
     routers: Vec<Router>,
     servers: BTreeMap<u64, MixedServer>,
     /// Time, sequence number, router and event.
-    agenda: BinaryHeap<Reverse<(u64, u64, u64, Occurrence)>>,
+    event_queue: BinaryHeap<Reverse<(u64, u64, u64, ScheduledEvent)>>,
     now: u64,
-    occurrences: u64,
+    event_count: u64,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<u64, u32>,
     arrived_at: BTreeMap<u64, u64>,
@@ -76,9 +76,9 @@
         Simulation {
             routers,
             servers: (1..=SERVERS).map(server).collect(),
-            agenda: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             now: 0,
-            occurrences: 0,
+            event_count: 0,
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             arrived_at: BTreeMap::new(),
@@ -86,49 +86,49 @@
         }
     }
 
-    fn schedule(&mut self, time: u64, router: u64, occurrence: Occurrence) {
-        self.occurrences += 1;
-        self.agenda.push(Reverse((time, self.occurrences, router, occurrence)));
+    fn schedule(&mut self, time: u64, router: u64, scheduled: ScheduledEvent) {
+        self.event_count += 1;
+        self.event_queue.push(Reverse((time, self.event_count, router, scheduled)));
     }
 
-    fn arrive(&mut self, time: u64, request: Request) {
+    fn schedule_arrival(&mut self, time: u64, request: Request) {
         let (id, router) = (request.id.0, request.id.0 % ROUTERS);
         self.requests.insert(id, request);
-        self.schedule(time, router, Occurrence::Arrival { id });
+        self.schedule(time, router, ScheduledEvent::Arrival { id });
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((time, _, router, occurrence))) = self.agenda.pop() {
+        while let Some(Reverse((time, _, router, scheduled))) = self.event_queue.pop() {
             if time > END {
                 return;
             }
             self.now = time;
-            let event = self.event(router, occurrence);
+            let event = self.event(router, scheduled);
             let mut actions = Vec::new();
             self.routers[router as usize].handle(time as f64, event, &mut actions);
             actions.into_iter().for_each(|action| self.apply(router, action));
         }
     }
 
-    fn event(&mut self, router: u64, occurrence: Occurrence) -> Event {
+    fn event(&mut self, router: u64, scheduled: ScheduledEvent) -> Event {
         let now = self.now;
-        match occurrence {
-            Occurrence::Arrival { id } => {
+        match scheduled {
+            ScheduledEvent::Arrival { id } => {
                 let request = self.requests[&id].clone();
                 self.arrived_at.insert(id, now);
                 self.results.entry(request.class).or_default().total += 1;
                 Event::Request(request)
             }
-            Occurrence::Timer { key } => Event::Timer { key },
-            Occurrence::FirstToken { id, attempt, server } => {
-                self.schedule(now + STREAM_TIME, router, Occurrence::Served { id, attempt, server });
+            ScheduledEvent::Timer { key } => Event::Timer { key },
+            ScheduledEvent::FirstToken { id, attempt, server } => {
+                self.schedule(now + STREAM_TIME, router, ScheduledEvent::Served { id, attempt, server });
                 let elapsed = (now - self.arrived_at[&id]) as f64;
                 if elapsed > OBJECTIVE {
                     self.results_of(id).late += 1;
                 }
                 Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
             }
-            Occurrence::Served { id, attempt, server } => {
+            ScheduledEvent::Served { id, attempt, server } => {
                 let elapsed = (now - self.arrived_at[&id]) as f64;
                 Event::Outcome(attempt_outcome(id, attempt, server, AttemptStatus::Served, elapsed))
             }
@@ -144,7 +144,7 @@
             Action::Send { id, server, .. } => self.send(router, id.0, server.0),
             Action::Reject { id, .. } => self.results_of(id.0).rejected += 1,
             Action::Timer { at, key, .. } => {
-                self.schedule(at.ceil() as u64, router, Occurrence::Timer { key });
+                self.schedule(at.ceil() as u64, router, ScheduledEvent::Timer { key });
             }
             _ => {}
         }
@@ -159,7 +159,7 @@
         let prefill_time = prompt_tokens * PREFILL_PER_1000_TOKENS * target.slowness / 1_000;
         let done = target.busy_until.max(self.now) + prefill_time;
         target.busy_until = done;
-        self.schedule(done, router, Occurrence::FirstToken { id, attempt, server });
+        self.schedule(done, router, ScheduledEvent::FirstToken { id, attempt, server });
     }
 }
 
@@ -178,7 +178,7 @@
 fn requests_that_prefer_a_slow_server_are_served_elsewhere_instead_of_rejected() {
     for slow_server in 1..=SERVERS {
         let mut simulation = Simulation::new(Some(slow_server));
-        (0..600).for_each(|id| simulation.arrive(50 * id, sized_request(id, 0, 2_000.0, id % 11)));
+        (0..600).for_each(|id| simulation.schedule_arrival(50 * id, sized_request(id, 0, 2_000.0, id % 11)));
         simulation.run();
         let results = simulation.results[&0];
         assert!(results.rejected <= 6 && results.late <= 30, "server {slow_server}: {results:?}");
@@ -190,8 +190,8 @@
 #[test]
 fn a_burst_with_one_prefix_is_not_all_sent_to_one_server() {
     let mut simulation = Simulation::new(None);
-    (0..60).for_each(|id| simulation.arrive(100 * id, sized_request(id, 0, 2_000.0, id % 11)));
-    (0..16).for_each(|n| simulation.arrive(8_000 + n, sized_request(3 * n + 999, 0, 3_000.0, 5)));
+    (0..60).for_each(|id| simulation.schedule_arrival(100 * id, sized_request(id, 0, 2_000.0, id % 11)));
+    (0..16).for_each(|n| simulation.schedule_arrival(8_000 + n, sized_request(3 * n + 999, 0, 3_000.0, 5)));
     simulation.run();
     let results = simulation.results[&0];
     assert!(results.late + results.rejected <= 2, "{results:?}");
@@ -206,7 +206,7 @@
         let is_long = id % 20 == 0 && (100..500).contains(&id);
         let prompt_tokens = if is_long { 20_000.0 } else { 1_000.0 };
         let class = u32::from(id % 20 == 0);
-        simulation.arrive(50 * id, sized_request(id, class, prompt_tokens, id % 11));
+        simulation.schedule_arrival(50 * id, sized_request(id, class, prompt_tokens, id % 11));
     }
     simulation.run();
     let results = simulation.results[&0];
@@ -249,7 +249,7 @@
         let tenant = if n % 2 == 0 { 0 } else { 1 + (n / 2 % 2) as u32 };
         let class = u32::from(tenant > 0);
         let request = sized_request(n * 7 + n % 3, class, 7_000.0, n % 11);
-        simulation.arrive(50 * n, Request { tenant, ..request });
+        simulation.schedule_arrival(50 * n, Request { tenant, ..request });
     }
     simulation.run();
     let (over, within) = (simulation.results[&0], simulation.results[&1]);
