--- a/crates/router/src/slow_start_budget/tests.rs
+++ b/crates/router/src/slow_start_budget/tests.rs
@@ -136,7 +136,7 @@
     /// Fewer routers rely on a report if the demand of the prefix is higher, and more do if the server has
     /// more capacity. The threshold is always between the minimum and a whole send of credit.
     #[test]
-    fn fewer_routers_go_by_a_report_the_higher_the_demand(
+    fn fewer_routers_rely_on_a_report_the_higher_the_demand(
         a in 0.0..50.0f64, b in 0.0..50.0f64, c in 0.01..10.0f64, d in 0.01..10.0f64,
     ) {
         let threshold = |units, demand| report_threshold(&rules(), units, demand);
--- a/crates/router/tests/decode_capacity.rs
+++ b/crates/router/tests/decode_capacity.rs
@@ -125,7 +125,7 @@
 /// Guards against rejections if most decode servers are ejected only because of resets: the fault is probably
 /// elsewhere, so the panic threshold applies and prefills continue.
 #[test]
-fn prefills_go_on_for_decode_servers_that_only_look_bad() {
+fn prefills_continue_if_decode_servers_are_ejected_only_by_resets() {
     let settings = Settings { router_count: ROUTERS, ..settings() };
     let mut router = TestRouter::seeded(1, settings, sample_servers());
     let all_ejected =
--- a/crates/router/tests/load_shedding.rs
+++ b/crates/router/tests/load_shedding.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn waits_met_at_some_decode_servers_are_expected_of_the_others() {
+fn waits_at_some_decode_servers_are_assumed_for_the_others() {
     let mut router = TestRouter::in_large_fleet();
     // First tokens take 1.5 s at every decode server, and the router uses each of them only every few
     // seconds.
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_tenant_within_its_quota_is_not_judged_over_it_by_chance() {
+fn a_tenant_within_its_quota_is_not_shed_because_of_random_variation() {
     // The allowance is 60 requests per second over all routers. With one request per 4 s, 200 routers receive
     // 50 per second, and with one per 400 ms they receive 500.
     let mut rejections = [0; 2];
--- a/crates/router/tests/request_life_cycle.rs
+++ b/crates/router/tests/request_life_cycle.rs
@@ -57,10 +57,10 @@
     assert!(sent_to(&router.submit(sample_request(1))).is_some(), "the previous list remains in use");
 }
 
-/// Guards against a request that receives no further step until its deadline, because its timer fires while an
-/// attempt is in flight, and the attempt then fails while there is no other server.
+/// Guards against a request that receives no further step until its deadline, because its timer fires while
+/// an attempt is in flight, and the attempt then fails while there is no other server.
 #[test]
-fn a_request_whose_timer_fired_beside_an_attempt_takes_its_next_step() {
+fn a_request_whose_timer_fired_during_an_attempt_takes_its_next_step() {
     let servers = vec![server_entry(11, PREFILL, 0), server_entry(21, DECODE, 0)];
     let mut router = TestRouter::new(Settings { router_count: 200, ..settings() }, servers);
     let waiting = router.submit(sample_request(1));
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn invalid_input_is_survived() {
+fn invalid_input_is_tolerated() {
     let mut invalid = settings();
     invalid.router_count = 0;
     invalid.tick_interval = f64::NAN;
--- a/crates/router/tests/shedding_trials.rs
+++ b/crates/router/tests/shedding_trials.rs
@@ -153,7 +153,7 @@
 /// Guards against a router that rejects all requests because of old measurements of late servers: without
 /// sends, it receives no new measurements.
 #[test]
-fn a_router_whose_servers_were_late_goes_on_trying_them() {
+fn a_router_whose_servers_were_late_continues_to_send_trials() {
     for late_role in [Role::Prefill, Role::Decode] {
         for (router_count, probes) in [(3, false), (3, true), (300, false), (300, true)] {
             let limits = Limits { probes, ..settings().limits };
--- a/crates/router/tests/slow_start_trickle.rs
+++ b/crates/router/tests/slow_start_trickle.rs
@@ -26,7 +26,7 @@
 /// Guards against a burst from 200 routers that cannot probe the starting server for their total load.
 /// `large_fleet` tests routers that can.
 #[test]
-fn the_trickle_to_a_starting_server_is_that_of_all_routers_together() {
+fn all_routers_together_send_a_starting_server_only_a_trickle() {
     let mut sent_to_starting = 0;
     let limits = Limits { probes: false, ..settings().limits };
     let settings = Settings { router_count: 200, limits, ..settings() };
--- a/crates/router/tests/stored_state.rs
+++ b/crates/router/tests/stored_state.rs
@@ -71,7 +71,7 @@
 
 /// Guards against an import that loses, reorders or changes values of a snapshot from an earlier build.
 #[test]
-fn a_stored_state_that_is_imported_is_exported_again_the_same() {
+fn an_imported_state_is_exported_unchanged() {
     let mut router = Router::new(3, settings());
     router.import_state(FIXTURE);
     assert_eq!(router.export_state(), FIXTURE);
@@ -114,7 +114,7 @@
 /// Guards against the loss of measurements and affinities at an upgrade: the successor knows the throughput
 /// for slow start and the servers of sessions, although its clock differs. Invalid bytes must have no effect.
 #[test]
-fn what_a_router_has_learned_is_passed_on() {
+fn measurements_and_affinities_are_passed_to_the_successor() {
     let mut old = TestRouter::with_defaults();
     let mut last_prefill_server = 0;
     for id in 0..400 {
@@ -130,9 +130,9 @@
     new.inner.import_state(&state);
     let same_session = Request { session: 1_399, prefix: None, ..sample_request(5_000) };
     assert_eq!(new.prefill_server_for(same_session), last_prefill_server);
-    for noise in [&state[..20], &state[1..], &[0xff; 4_000][..], &[1; 24][..]] {
+    for invalid_state in [&state[..20], &state[1..], &[0xff; 4_000][..], &[1; 24][..]] {
         let mut router = TestRouter::with_defaults();
-        router.inner.import_state(noise);
+        router.inner.import_state(invalid_state);
         router.prefill_server_for(sample_request(1));
     }
 }
--- a/crates/router/tests/without_load_reports.rs
+++ b/crates/router/tests/without_load_reports.rs
@@ -200,7 +200,7 @@
 /// Guards against lost requests of one class because of long prompts of another: for twenty seconds, 5 % of
 /// all prompts are twenty times longer.
 #[test]
-fn long_prompts_of_one_class_leave_the_other_its_servers() {
+fn long_prompts_of_one_class_do_not_delay_the_other() {
     let mut simulation = Simulation::new(None);
     for id in 0..600 {
         let is_long = id % 20 == 0 && (100..500).contains(&id);
