--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -43,7 +43,7 @@
     Count,
     /// Count of at least 1.
     PositiveCount,
-    /// Boolean.
+    /// `true` or `false`.
     Boolean,
     /// One of these strings.
     OneOf(&'static [&'static str]),
