--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -135,7 +135,7 @@
             on_trial: true,
             cause: Some(kind),
         };
-        server.forget_measurements();
+        server.discard_measurements();
         let is_unreachable = server.health.is_unreachable();
         self.log_limiter.log("ejection", format!("server {:x}, {kind:?}", id.0), now, actions);
         if is_unreachable {
--- a/crates/router/src/state/server_record.rs
+++ b/crates/router/src/state/server_record.rs
@@ -215,7 +215,7 @@
     }
 
     /// Discards the measurements of the server's speed.
-    pub fn forget_measurements(&mut self) {
+    pub fn discard_measurements(&mut self) {
         self.service_time = ServiceTime::default();
         self.queue_wait = 0.0;
     }
@@ -229,7 +229,7 @@
         self.reported_load = None;
         self.unreported_streams.clear();
         self.pending.clear();
-        self.forget_measurements();
+        self.discard_measurements();
         self.enter_slow_start(started, now, send_credit);
     }
 
--- a/crates/router/tests/overload_diversion.rs
+++ b/crates/router/tests/overload_diversion.rs
@@ -19,7 +19,7 @@
 /// Guards against too many probes over the whole fleet: their number is proportional to that of the requests,
 /// even if servers send no load reports for a long time.
 #[test]
-fn probes_are_earned_by_requests() {
+fn the_number_of_probes_is_limited_by_that_of_requests() {
     for (mut router, max_probes) in [(TestRouter::in_large_fleet(), 60), (TestRouter::with_defaults(), 22)] {
         let mut probes = 0;
         for second in 1..=20 {
--- a/crates/router/tests/timeout_detection.rs
+++ b/crates/router/tests/timeout_detection.rs
@@ -7,13 +7,13 @@
 use glenrail_router::*;
 
 /// Class of [`router_with_known_service_time`] whose objective permits a wait behind a long prompt.
-const PATIENT: u32 = 1;
+const LONG_OBJECTIVE: u32 = 1;
 
 /// Returns one of `router_count` routers, which has measured a prefill time of 0.1 ms per token.
 fn router_with_known_service_time(router_count: u32) -> TestRouter {
     let mut settings = Settings { router_count, ..settings() };
     settings.classes.iter_mut().for_each(|class| class.latency_objective_per_1000_tokens = 200.0);
-    settings.classes[PATIENT as usize].latency_objective = 10_000.0;
+    settings.classes[LONG_OBJECTIVE as usize].latency_objective = 10_000.0;
     let mut router = TestRouter::new(settings, sample_servers());
     for id in 100..140 {
         router.at_time(router.now + 300.0);
@@ -61,7 +61,7 @@
         Request { prompt_tokens: 40_000.0, prefix: None, client_timeout: 20_000.0, ..sample_request(1) };
     let server = router.prefill_server_for(long.clone());
     router.at_time(router.now + 10.0);
-    let short = Request { id: RequestId(2), prompt_tokens: 500.0, class: PATIENT, ..long };
+    let short = Request { id: RequestId(2), prompt_tokens: 500.0, class: LONG_OBJECTIVE, ..long };
     assert_eq!(router.prefill_server_for(short), server, "the session stays at its server");
     let elapsed = cancelled_after(&mut router, 1, 20_000).expect("a hung server is still detected");
     assert!(elapsed > 8_000.0, "cancelled after {elapsed} ms");
@@ -70,7 +70,7 @@
 /// Guards against a lost request that is mistaken for a long queue: a prefill that later ones overtake is
 /// cancelled and retried at another server, also for a non-idempotent request, and its server is not ejected.
 #[test]
-fn an_overtaken_prefill_is_cancelled_and_its_server_stays() {
+fn an_overtaken_prefill_is_cancelled_and_its_server_is_not_ejected() {
     for class in [IDEMPOTENT, NON_IDEMPOTENT] {
         let mut router = TestRouter::with_defaults();
         let preferred = router.prefill_server_for(Request { class, ..sample_request(1) });
