--- a/crates/router/tests/decode_capacity.rs
+++ b/crates/router/tests/decode_capacity.rs
@@ -1,6 +1,6 @@
-//! One of many routers while every decode server is in slow start: it runs no prefill whose state no decode
-//! server would take, and probes those again whose report was old at the end of a prefill. No sockets, no
-//! clock but the events'.
+//! Capacity of decode servers in slow start: one of many routers sends no prefill whose state no decode
+//! server would accept, and probes decode servers again if their reports are too old at the end of a prefill.
+//! The tests use simulated time and no sockets.
 
 mod common;
 
@@ -8,38 +8,38 @@
 use glenrail_router::*;
 
 const ROUTERS: u32 = 32;
-/// A prefill takes longer (ms) than the report of a server in slow start counts.
+/// Duration of a prefill (ms), which is longer than a report of a server in slow start may be used.
 const PREFILL_TIME: Millis = 400.0;
 
-/// How a request ended.
+/// Final result of a request.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-enum Ending {
+enum RequestResult {
     Served,
-    /// Rejected before it was sent.
+    /// The request was rejected before its first send.
     RejectedUnsent,
-    /// Rejected after its prefill: no decode server took its state.
+    /// The request was rejected after its prefill, because no decode server accepted its state.
     RejectedAfterPrefill,
 }
 
-/// How many requests ended in each way.
+/// Number of requests by final result.
 #[derive(Debug, Default)]
-struct Endings {
+struct ResultCounts {
     served: u32,
     rejected_unsent: u32,
     rejected_after_prefill: u32,
 }
 
-impl Endings {
-    fn count(&mut self, ending: Ending) {
-        match ending {
-            Ending::Served => self.served += 1,
-            Ending::RejectedUnsent => self.rejected_unsent += 1,
-            Ending::RejectedAfterPrefill => self.rejected_after_prefill += 1,
+impl ResultCounts {
+    fn count(&mut self, result: RequestResult) {
+        match result {
+            RequestResult::Served => self.served += 1,
+            RequestResult::RejectedUnsent => self.rejected_unsent += 1,
+            RequestResult::RejectedAfterPrefill => self.rejected_after_prefill += 1,
         }
     }
 }
 
-/// A router of many that has just learned that all decode servers are new.
+/// Returns one of many routers, which has just been notified that all decode servers have started.
 fn router_with_starting_decode_servers(seed: u64) -> TestRouter {
     let started = |entry: ServerEntry| match DECODE_SERVERS.contains(&entry.server.0) {
         true => ServerEntry { started: Some(0.0), ..entry },
@@ -49,12 +49,12 @@
     TestRouter::seeded(seed, Settings { router_count: ROUTERS, ..settings() }, servers)
 }
 
-/// Plays one request to its end, alone.
-fn play(router: &mut TestRouter, id: u64) -> Ending {
+/// Runs one request to its end while no other request is in flight.
+fn run_request(router: &mut TestRouter, id: u64) -> RequestResult {
     let actions = router.submit_to_idle(sample_request(id));
     let Some(prefill_server) = sent_to(&actions) else {
         assert!(is_rejected(&actions), "neither sent nor rejected: {actions:?}");
-        return Ending::RejectedUnsent;
+        return RequestResult::RejectedUnsent;
     };
     assert!(PREFILL_SERVERS.contains(&prefill_server));
     router.now += PREFILL_TIME;
@@ -65,10 +65,10 @@
             assert!(DECODE_SERVERS.contains(&decode_server));
             router.first_token(id, 1, decode_server, 20.0);
             router.outcome(id, 1, decode_server, AttemptStatus::Served);
-            return Ending::Served;
+            return RequestResult::Served;
         }
         if is_rejected(&actions) {
-            return Ending::RejectedAfterPrefill;
+            return RequestResult::RejectedAfterPrefill;
         }
         let timers = timers_set(&actions);
         let (due, key) = timers.into_iter().find(|timer| timer.1 == step_timer(id)).expect("another step");
@@ -76,31 +76,31 @@
     }
 }
 
-/// Guards the time of prefill servers: a prefill for no decode server is in vain, and delays those that wait
-/// behind it.
+/// Guards against useless work at prefill servers: a prefill whose state no decode server accepts delays the
+/// prefills that wait behind it.
 #[test]
 fn no_prefill_runs_whose_state_no_decode_server_would_take() {
-    let mut endings = Endings::default();
+    let mut results = ResultCounts::default();
     for seed in 1..=40 {
         let mut router = router_with_starting_decode_servers(seed);
-        (1..=12).for_each(|id| endings.count(play(&mut router, id)));
+        (1..=12).for_each(|id| results.count(run_request(&mut router, id)));
     }
-    assert!(endings.served > 0 && endings.rejected_unsent > 0, "{endings:?}");
-    assert_eq!(endings.rejected_after_prefill, 0, "{endings:?}");
+    assert!(results.served > 0 && results.rejected_unsent > 0, "{results:?}");
+    assert_eq!(results.rejected_after_prefill, 0, "{results:?}");
 }
 
-/// Guards against a report that was fresh at the start of a prefill and is old at its end: the decode server
-/// is probed again, and gets the state.
+/// Guards against a rejection because the report of a decode server was fresh at the start of a prefill and
+/// is too old at its end: the server is probed again, and receives the state.
 #[test]
 fn a_starting_decode_server_is_probed_again_at_the_end_of_a_prefill() {
-    let endings: Vec<Ending> =
-        (1..=40).map(|seed| play(&mut router_with_starting_decode_servers(seed), 1)).collect();
-    // Of three decode servers most routers go by the report of one.
-    assert!(endings.iter().filter(|ending| **ending == Ending::Served).count() >= 30, "{endings:?}");
+    let results: Vec<RequestResult> =
+        (1..=40).map(|seed| run_request(&mut router_with_starting_decode_servers(seed), 1)).collect();
+    // Most routers may rely on the report of one of the three decode servers.
+    assert!(results.iter().filter(|result| **result == RequestResult::Served).count() >= 30, "{results:?}");
 }
 
-/// With no decode server listed, or all of them ejected, no prefill runs either; a trial goes on from time to
-/// time, or the router would never learn that they are back.
+/// Guards against prefills without any decode server in the list, and against a router that sends none at
+/// all: it needs occasional trials to detect that decode servers are available again.
 #[test]
 fn without_decode_servers_only_trials_are_prefilled() {
     let mut router = router_with_starting_decode_servers(1);
@@ -122,14 +122,14 @@
     );
 }
 
-/// Guards the panic threshold: where most decode servers look bad by resets alone, the fault is elsewhere,
-/// and prefills go on.
+/// Guards against rejections if most decode servers are ejected only because of resets: the fault is probably
+/// elsewhere, so the panic threshold applies and prefills continue.
 #[test]
-fn prefills_go_on_for_decode_servers_that_only_look_bad() {
+fn prefills_continue_if_decode_servers_are_ejected_only_by_resets() {
     let settings = Settings { router_count: ROUTERS, ..settings() };
     let mut router = TestRouter::seeded(1, settings, sample_servers());
     let all_ejected =
-        |router: &TestRouter| DECODE_SERVERS.iter().all(|id| router.inner.is_avoided(ServerId(*id)));
+        |router: &TestRouter| DECODE_SERVERS.iter().all(|id| router.inner.is_out_of_rotation(ServerId(*id)));
     let mut id = 0;
     while !all_ejected(&router) {
         id += 1;
@@ -145,30 +145,30 @@
     assert!(server.is_some_and(|id| PREFILL_SERVERS.contains(&id)));
 }
 
-/// Guards against rejecting what a decode server could take by the end of its lease: where prefills are short
-/// and credit grows fast, a request that comes before the credit is prefilled for it.
+/// Guards against the rejection of a request whose state a decode server could accept before its lease ends:
+/// if prefills are short and credit grows fast, the credit is available after the prefill.
 #[test]
 fn a_prefill_runs_when_there_will_be_credit_within_its_lease() {
-    let mut endings = Endings::default();
+    let mut results = ResultCounts::default();
     for seed in 1..=20 {
         let settings = Settings { router_count: 6, ..settings() };
         let mut router = TestRouter::seeded(seed, settings, sample_servers());
         for id in 1..=60 {
             router.now += 20.0;
-            play(&mut router, id);
+            run_request(&mut router, id);
         }
         let started = Some(router.now);
         let starting = |id: &u64| ServerEntry { started, ..server_entry(*id, DECODE, 0) };
         router.update_servers(ListUpdate::Delta, DECODE_SERVERS.iter().map(starting).collect());
         for id in 61..=90 {
             router.now += 20.0;
-            endings.count(play(&mut router, id));
+            results.count(run_request(&mut router, id));
         }
     }
-    assert!(endings.served >= 500, "{endings:?}");
+    assert!(results.served >= 500, "{results:?}");
 }
 
-/// Guards against several prefills for the same send: those that run already use the credit first.
+/// Guards against several prefills for the same credit: the credit is reserved for prefills that already run.
 #[test]
 fn running_prefills_use_the_credit_first() {
     for seed in 1..=40 {
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -1,9 +1,10 @@
-//! The five rules on random legal event orders, with fixed seeds; determinism; and input that makes no sense.
+//! Tests of the five routing rules on random valid event sequences with fixed seeds, of determinism, and of
+//! invalid input.
 //!
-//! 1. A request gets one final answer, in time.
-//! 2. What may have run is repeated or rejected only where its class allows it.
-//! 3. A draining or terminated server gets nothing new.
-//! 4. All routers together stay within slow start: see `slow_start` and `slow_start_trickle`.
+//! 1. A request receives exactly one final answer, in time.
+//! 2. A request that may have been executed is repeated or rejected only if its class permits it.
+//! 3. A draining or terminated server receives no new attempts.
+//! 4. All routers together stay within the slow-start bound; see `slow_start` and `slow_start_trickle`.
 //! 5. No state is kept beyond its lease.
 
 mod common;
@@ -13,60 +14,60 @@
 use common::*;
 use glenrail_router::*;
 
-/// Time after its deadline within which a request must be answered (ms), as in the sample settings.
+/// Maximum time after its deadline at which a request is answered (ms), as in the sample settings.
 const ANSWER_GRACE: Millis = 8.0;
-/// Longest lease of a state (ms), as in the sample settings.
+/// Maximum lease of a state (ms), as in the sample settings.
 const LEASE_LIMIT: Millis = 500.0;
-/// Time in which a repeat with an idempotency key is recognised (ms), as in the sample settings.
+/// Time for which an idempotency key is recognised (ms), as in the sample settings.
 const IDEMPOTENCY_WINDOW: Millis = 2_000.0;
 
-/// A linear congruential generator for the test's own draws.
-struct Draws(u64);
+/// Linear congruential generator for the random decisions of the test.
+struct Lcg(u64);
 
-impl Draws {
-    fn below(&mut self, limit: u64) -> u64 {
+impl Lcg {
+    fn next_below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % limit
     }
 }
 
-struct KnownAttempt {
+struct AttemptModel {
     server: u64,
     in_flight: bool,
     may_have_run: bool,
 }
 
-/// What the environment knows of one request.
-struct KnownRequest {
+/// Model of a request, against which the rules are checked.
+struct RequestModel {
     class: u32,
     deadline: Millis,
     answers: u32,
     is_closed: bool,
     is_streaming: bool,
-    attempts: Vec<KnownAttempt>,
-    /// Zone and send time of the first attempt that may have run.
+    attempts: Vec<AttemptModel>,
+    /// Zone and send time of the first attempt that may have been executed.
     possible_execution: Option<(u32, Millis)>,
     has_state: bool,
     idle_since: Millis,
 }
 
-impl KnownRequest {
+impl RequestModel {
     fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 }
 
-/// Servers, clients and discovery around one router, which check the rules at each step.
+/// Simulated servers, clients and discovery of one router. The rules are checked at each step.
 struct Environment {
     router: TestRouter,
-    draws: Draws,
-    requests: BTreeMap<u64, KnownRequest>,
+    random: Lcg,
+    requests: BTreeMap<u64, RequestModel>,
     timers: Vec<(Millis, u64)>,
-    /// Servers that are listed as draining or terminated.
+    /// Whether a server is listed as draining or terminated; servers that were never changed are missing.
     not_ready: BTreeMap<u64, bool>,
 }
 
-/// Zone of a sample server.
+/// Returns the zone of a sample server.
 fn zone_of(server: u64) -> u32 {
     (server % 10 - 1) as u32
 }
@@ -102,18 +103,18 @@
         assert!(!is_not_ready, "rule 3: sent to a server that is draining or terminated");
         let now = self.router.now;
         let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.is_closed, "rule 1: sent after the end");
+        assert!(!request.is_closed, "rule 1: sent after the final answer");
         assert!(!request.has_attempt_in_flight(), "no hedged requests are sent");
         if request.class == NON_IDEMPOTENT {
             let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
-            assert!(!may_have_run, "rule 2: not idempotent, and may have run");
+            assert!(!may_have_run, "rule 2: not idempotent, and may have been executed");
         }
         if let (IDEMPOTENCY_KEY, Some((zone, sent_at))) = (request.class, request.possible_execution) {
             let is_recognised = zone == zone_of(server) && now < sent_at + IDEMPOTENCY_WINDOW;
             assert!(is_recognised, "rule 2: idempotency key, scope or window");
         }
         let may_have_run = is_decode_server(server);
-        request.attempts.push(KnownAttempt { server, in_flight: true, may_have_run });
+        request.attempts.push(AttemptModel { server, in_flight: true, may_have_run });
         if may_have_run && request.possible_execution.is_none() {
             request.possible_execution = Some((zone_of(server), now));
         }
@@ -123,10 +124,10 @@
         let now = self.router.now;
         let request = self.requests.get_mut(&id).expect("a known request");
         assert!(!request.is_closed && !request.is_streaming, "rule 1: one final answer");
-        assert!(now <= request.deadline + ANSWER_GRACE, "rule 1: in time");
+        assert!(now <= request.deadline + ANSWER_GRACE, "rule 1: answered in time");
         let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run || attempt.in_flight);
         let is_unsafe_rejection = is_rejection && request.class > IDEMPOTENT && may_have_run;
-        assert!(!is_unsafe_rejection, "rule 2: rejected what may have run");
+        assert!(!is_unsafe_rejection, "rule 2: rejected although it may have been executed");
         request.answers += 1;
         request.is_closed = true;
     }
@@ -152,15 +153,16 @@
             request.has_state = false;
         }
         let closed = request.is_closed;
-        let note = if status == AttemptStatus::Rejected { self.draws.below(2) as f64 } else { 700.0 };
-        let memory_share = Some(self.draws.below(120) as f64 / 100.0);
+        let status_detail =
+            if status == AttemptStatus::Rejected { self.random.next_below(2) as f64 } else { 700.0 };
+        let memory_share = Some(self.random.next_below(120) as f64 / 100.0);
         let outcome = AttemptOutcome {
             id: RequestId(id),
             attempt: index as u32,
             server: ServerId(server),
             status,
             elapsed: 30.0,
-            note,
+            status_detail,
             closed,
             delivered: status.may_have_arrived(),
             report: Some(LoadReport { memory_share, ..LoadReport::default() }),
@@ -169,15 +171,15 @@
         self.apply(actions);
     }
 
-    /// Brings the attempt in flight of a request one step further: a failure, the end of its stage, or its
-    /// first token.
+    /// Advances the attempt in flight of a request by one step: a failure, the end of its stage, or its first
+    /// token.
     fn progress(&mut self, id: u64) {
         let request = &self.requests[&id];
         let Some(index) = request.attempts.iter().position(|attempt| attempt.in_flight) else { return };
         let server = request.attempts[index].server;
         let (is_closed, is_streaming) = (request.is_closed, request.is_streaming);
         if is_streaming {
-            let breaks = self.draws.below(8) == 0;
+            let breaks = self.random.next_below(8) == 0;
             let status = if breaks { AttemptStatus::Reset } else { AttemptStatus::Served };
             return self.end_attempt(id, index, status);
         }
@@ -190,8 +192,8 @@
             AttemptStatus::Cancelled,
             AttemptStatus::MalformedResponse,
         ];
-        if self.draws.below(3) == 0 {
-            let status = faults[self.draws.below(7) as usize];
+        if self.random.next_below(3) == 0 {
+            let status = faults[self.random.next_below(7) as usize];
             self.end_attempt(id, index, status);
         } else if !is_decode_server(server) {
             self.end_attempt(id, index, AttemptStatus::Prefilled);
@@ -204,12 +206,12 @@
         }
     }
 
-    /// Changes the listed state of a server.
+    /// Changes the listed state of a random server.
     fn change_list(&mut self) {
-        let mut entry = sample_servers()[self.draws.below(6) as usize].clone();
+        let mut entry = sample_servers()[self.random.next_below(6) as usize].clone();
         let states = [ServerState::Ready, ServerState::Draining, ServerState::Terminated];
-        entry.state = states[self.draws.below(3) as usize];
-        entry.started = (self.draws.below(2) == 0).then_some(self.router.now);
+        entry.state = states[self.random.next_below(3) as usize];
+        entry.started = (self.random.next_below(2) == 0).then_some(self.router.now);
         self.not_ready.insert(entry.server.0, entry.state != ServerState::Ready);
         let actions = self.router.update_servers(ListUpdate::Delta, vec![entry]);
         self.apply(actions);
@@ -225,13 +227,13 @@
         }
     }
 
-    /// Runs for nine seconds, and returns how many requests got one answer.
+    /// Runs for nine seconds, and returns the number of requests that received exactly one answer.
     fn run(seed: u64) -> u32 {
         let mut router = TestRouter { inner: Router::new(seed, settings()), now: 0.0 };
         let actions = router.update_servers(ListUpdate::Full, sample_servers());
         let mut environment = Environment {
             router,
-            draws: Draws(seed),
+            random: Lcg(seed),
             requests: BTreeMap::new(),
             timers: vec![],
             not_ready: BTreeMap::new(),
@@ -243,7 +245,7 @@
         environment.requests.values().filter(|request| request.answers == 1).count() as u32
     }
 
-    /// One millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self, step: u64) {
         self.router.now = step as f64;
         let now = self.router.now;
@@ -253,16 +255,16 @@
             let actions = self.router.fire_timer(key);
             self.apply(actions);
         }
-        if step < 4_000 && self.draws.below(20) == 0 {
-            self.arrive(step);
+        if step < 4_000 && self.random.next_below(20) == 0 {
+            self.submit_random_request(step);
         }
         let in_flight = self.requests.iter().filter(|(_, request)| request.has_attempt_in_flight());
         let in_flight: Vec<u64> = in_flight.map(|(id, _)| *id).collect();
-        if !in_flight.is_empty() && self.draws.below(4) == 0 {
-            let id = in_flight[self.draws.below(in_flight.len() as u64) as usize];
+        if !in_flight.is_empty() && self.random.next_below(4) == 0 {
+            let id = in_flight[self.random.next_below(in_flight.len() as u64) as usize];
             self.progress(id);
         }
-        match self.draws.below(400) {
+        match self.random.next_below(400) {
             0 => self.change_list(),
             1 => self.disconnect_client(),
             _ => {}
@@ -270,10 +272,10 @@
         self.check();
     }
 
-    fn arrive(&mut self, id: u64) {
-        let class = self.draws.below(3) as u32;
-        let client_timeout = 200.0 + self.draws.below(3_000) as f64;
-        let request = KnownRequest {
+    fn submit_random_request(&mut self, id: u64) {
+        let class = self.random.next_below(3) as u32;
+        let client_timeout = 200.0 + self.random.next_below(3_000) as f64;
+        let request = RequestModel {
             class,
             deadline: self.router.now + client_timeout,
             answers: 0,
@@ -285,7 +287,7 @@
             idle_since: self.router.now,
         };
         self.requests.insert(id, request);
-        let prefix = Some(self.draws.below(5));
+        let prefix = Some(self.random.next_below(5));
         let actions = self.router.submit(Request { class, client_timeout, prefix, ..sample_request(id) });
         self.apply(actions);
     }
@@ -304,17 +306,17 @@
 #[test]
 fn the_rules_hold_on_random_event_orders() {
     for seed in 1..=24 {
-        assert!(Environment::run(seed) > 50, "most requests end by an answer");
+        assert!(Environment::run(seed) > 50, "most requests receive exactly one answer");
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let play = || {
+    let run_sequence = || {
         let mut router = TestRouter::with_defaults();
         (1..200).map(|id| router.submit(request_with_prefix(id, id % 9))).collect::<Vec<_>>()
     };
-    assert_eq!(play(), play());
+    assert_eq!(run_sequence(), run_sequence());
 }
 
 #[test]
@@ -330,7 +332,7 @@
 }
 
 #[test]
-fn invalid_input_is_survived() {
+fn invalid_input_is_tolerated() {
     let mut invalid = settings();
     invalid.router_count = 0;
     invalid.tick_interval = f64::NAN;
--- a/crates/router/tests/without_load_reports.rs
+++ b/crates/router/tests/without_load_reports.rs
@@ -1,5 +1,5 @@
-//! A few routers that get no load reports and may not probe: they go by the outcomes of their own requests.
-//! Simulated time, fixed seeds, no sockets.
+//! Routers without load reports and probes, which have to rely on the outcomes of their own requests. The
+//! tests use simulated time, fixed seeds and no sockets.
 
 mod common;
 
@@ -9,28 +9,29 @@
 use common::*;
 use glenrail_router::*;
 
-/// A mixed server takes so long (ms) for the prefill of a thousand tokens, one prompt after the other, and
-/// then streams. A prefill goes on, and costs its server, when it has been cancelled.
+/// Duration of the prefill of 1,000 tokens at a mixed server (ms). Prefills run sequentially, each followed
+/// by its stream. A cancelled prefill runs to its end.
 const PREFILL_PER_1000_TOKENS: u64 = 50;
+/// Duration of a stream (ms).
 const STREAM_TIME: u64 = 400;
 const SERVERS: u64 = 5;
 const ROUTERS: u64 = 3;
-/// The slow server takes so many times as long.
+/// Factor by which prefills take longer at the slow server.
 const SLOWNESS: u64 = 8;
-/// End of a run (ms).
+/// Duration of a run (ms).
 const END: u64 = 60_000;
-/// A first token after this time is late (ms).
+/// Time after which a first token is late (ms).
 const OBJECTIVE: Millis = 1_000.0;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Occurrence {
+enum ScheduledEvent {
     Arrival { id: u64 },
     Timer { key: u64 },
     FirstToken { id: u64, attempt: u32, server: u64 },
     Served { id: u64, attempt: u32, server: u64 },
 }
 
-/// What became of the requests of a class.
+/// Results of the requests of a class.
 #[derive(Default, Debug, Clone, Copy)]
 struct Results {
     late: u32,
@@ -39,7 +40,7 @@
 }
 
 struct MixedServer {
-    /// When the prefills that it has are done.
+    /// Time at which all accepted prefills are complete.
     busy_until: u64,
     slowness: u64,
 }
@@ -47,14 +48,14 @@
 struct Simulation {
     routers: Vec<Router>,
     servers: BTreeMap<u64, MixedServer>,
-    /// Time, order, router and what happens.
-    agenda: BinaryHeap<Reverse<(u64, u64, u64, Occurrence)>>,
+    /// Time, sequence number, router and event.
+    event_queue: BinaryHeap<Reverse<(u64, u64, u64, ScheduledEvent)>>,
     now: u64,
-    occurrences: u64,
+    event_count: u64,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<u64, u32>,
     arrived_at: BTreeMap<u64, u64>,
-    /// By class.
+    /// Results by class.
     results: BTreeMap<u32, Results>,
 }
 
@@ -75,9 +76,9 @@
         Simulation {
             routers,
             servers: (1..=SERVERS).map(server).collect(),
-            agenda: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             now: 0,
-            occurrences: 0,
+            event_count: 0,
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             arrived_at: BTreeMap::new(),
@@ -85,49 +86,49 @@
         }
     }
 
-    fn schedule(&mut self, time: u64, router: u64, occurrence: Occurrence) {
-        self.occurrences += 1;
-        self.agenda.push(Reverse((time, self.occurrences, router, occurrence)));
+    fn schedule(&mut self, time: u64, router: u64, scheduled: ScheduledEvent) {
+        self.event_count += 1;
+        self.event_queue.push(Reverse((time, self.event_count, router, scheduled)));
     }
 
-    fn arrive(&mut self, time: u64, request: Request) {
+    fn schedule_arrival(&mut self, time: u64, request: Request) {
         let (id, router) = (request.id.0, request.id.0 % ROUTERS);
         self.requests.insert(id, request);
-        self.schedule(time, router, Occurrence::Arrival { id });
+        self.schedule(time, router, ScheduledEvent::Arrival { id });
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((time, _, router, occurrence))) = self.agenda.pop() {
+        while let Some(Reverse((time, _, router, scheduled))) = self.event_queue.pop() {
             if time > END {
                 return;
             }
             self.now = time;
-            let event = self.event(router, occurrence);
+            let event = self.event(router, scheduled);
             let mut actions = Vec::new();
             self.routers[router as usize].handle(time as f64, event, &mut actions);
             actions.into_iter().for_each(|action| self.apply(router, action));
         }
     }
 
-    fn event(&mut self, router: u64, occurrence: Occurrence) -> Event {
+    fn event(&mut self, router: u64, scheduled: ScheduledEvent) -> Event {
         let now = self.now;
-        match occurrence {
-            Occurrence::Arrival { id } => {
+        match scheduled {
+            ScheduledEvent::Arrival { id } => {
                 let request = self.requests[&id].clone();
                 self.arrived_at.insert(id, now);
                 self.results.entry(request.class).or_default().total += 1;
                 Event::Request(request)
             }
-            Occurrence::Timer { key } => Event::Timer { key },
-            Occurrence::FirstToken { id, attempt, server } => {
-                self.schedule(now + STREAM_TIME, router, Occurrence::Served { id, attempt, server });
+            ScheduledEvent::Timer { key } => Event::Timer { key },
+            ScheduledEvent::FirstToken { id, attempt, server } => {
+                self.schedule(now + STREAM_TIME, router, ScheduledEvent::Served { id, attempt, server });
                 let elapsed = (now - self.arrived_at[&id]) as f64;
                 if elapsed > OBJECTIVE {
                     self.results_of(id).late += 1;
                 }
                 Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), elapsed }
             }
-            Occurrence::Served { id, attempt, server } => {
+            ScheduledEvent::Served { id, attempt, server } => {
                 let elapsed = (now - self.arrived_at[&id]) as f64;
                 Event::Outcome(attempt_outcome(id, attempt, server, AttemptStatus::Served, elapsed))
             }
@@ -143,7 +144,7 @@
             Action::Send { id, server, .. } => self.send(router, id.0, server.0),
             Action::Reject { id, .. } => self.results_of(id.0).rejected += 1,
             Action::Timer { at, key, .. } => {
-                self.schedule(at.ceil() as u64, router, Occurrence::Timer { key });
+                self.schedule(at.ceil() as u64, router, ScheduledEvent::Timer { key });
             }
             _ => {}
         }
@@ -158,7 +159,7 @@
         let prefill_time = prompt_tokens * PREFILL_PER_1000_TOKENS * target.slowness / 1_000;
         let done = target.busy_until.max(self.now) + prefill_time;
         target.busy_until = done;
-        self.schedule(done, router, Occurrence::FirstToken { id, attempt, server });
+        self.schedule(done, router, ScheduledEvent::FirstToken { id, attempt, server });
     }
 }
 
@@ -171,41 +172,41 @@
     Request { class, prompt_tokens, prefix: Some(prefix), session: 10_000 + id, ..sample_request(id) }
 }
 
-/// One of five mixed servers is eight times slower, and nothing reports it. What prefers it is served
-/// elsewhere, not rejected: the others have capacity for all.
+/// Guards against rejections because of a slow preferred server: one of five mixed servers is eight times
+/// slower without reporting it, and the others have capacity for all requests.
 #[test]
 fn requests_that_prefer_a_slow_server_are_served_elsewhere_instead_of_rejected() {
     for slow_server in 1..=SERVERS {
         let mut simulation = Simulation::new(Some(slow_server));
-        (0..600).for_each(|id| simulation.arrive(50 * id, sized_request(id, 0, 2_000.0, id % 11)));
+        (0..600).for_each(|id| simulation.schedule_arrival(50 * id, sized_request(id, 0, 2_000.0, id % 11)));
         simulation.run();
         let results = simulation.results[&0];
         assert!(results.rejected <= 6 && results.late <= 30, "server {slow_server}: {results:?}");
     }
 }
 
-/// All clients of a restarted router come at once, with one prefix: what this router has just sent counts at
-/// once, before any outcome shows it.
+/// Guards against the overload of one server by a burst with the same prefix, as after the restart of another
+/// router: the sends of the router count immediately, before the first outcome.
 #[test]
 fn a_burst_with_one_prefix_is_not_all_sent_to_one_server() {
     let mut simulation = Simulation::new(None);
-    (0..60).for_each(|id| simulation.arrive(100 * id, sized_request(id, 0, 2_000.0, id % 11)));
-    (0..16).for_each(|n| simulation.arrive(8_000 + n, sized_request(3 * n + 999, 0, 3_000.0, 5)));
+    (0..60).for_each(|id| simulation.schedule_arrival(100 * id, sized_request(id, 0, 2_000.0, id % 11)));
+    (0..16).for_each(|n| simulation.schedule_arrival(8_000 + n, sized_request(3 * n + 999, 0, 3_000.0, 5)));
     simulation.run();
     let results = simulation.results[&0];
     assert!(results.late + results.rejected <= 2, "{results:?}");
 }
 
-/// One class's prompts are twenty times longer for twenty seconds, a twentieth of all: the other class is
-/// still served.
+/// Guards against lost requests of one class because of long prompts of another: for twenty seconds, 5 % of
+/// all prompts are twenty times longer.
 #[test]
-fn long_prompts_of_one_class_leave_the_other_its_servers() {
+fn long_prompts_of_one_class_do_not_delay_the_other() {
     let mut simulation = Simulation::new(None);
     for id in 0..600 {
         let is_long = id % 20 == 0 && (100..500).contains(&id);
         let prompt_tokens = if is_long { 20_000.0 } else { 1_000.0 };
         let class = u32::from(id % 20 == 0);
-        simulation.arrive(50 * id, sized_request(id, class, prompt_tokens, id % 11));
+        simulation.schedule_arrival(50 * id, sized_request(id, class, prompt_tokens, id % 11));
     }
     simulation.run();
     let results = simulation.results[&0];
@@ -213,8 +214,8 @@
     assert!(lost < 0.05 * f64::from(results.total), "{results:?}");
 }
 
-/// Decode servers that report nothing keep first tokens waiting: states go to a mixed server while that
-/// lasts, and not before.
+/// Guards against waits at decode servers without load reports: a mixed server receives states only while
+/// first tokens are delayed at all decode servers.
 #[test]
 fn states_go_to_a_mixed_server_while_all_decode_servers_have_waits() {
     for (first_token, expect_mixed) in [(20.0, false), (1_200.0, true)] {
@@ -235,20 +236,20 @@
     }
 }
 
-/// A tenant at five times its quota beside two within theirs, where the servers cannot bear it all: it alone
-/// is rejected.
+/// Guards against rejections of tenants within their quota while another one sends five times its quota, and
+/// the servers do not have the capacity for all requests.
 #[test]
 fn a_tenant_far_over_its_quota_does_not_use_the_others_capacity() {
     let tenants = [2.0, 20.0, 20.0].map(|allowance_per_s| Tenant { allowance_per_s }).to_vec();
     let settings = Settings { tenants, ..settings_without_probes() };
     let mut simulation = Simulation::with_settings(None, settings);
-    // Ten a second of the first, ten of the two others together; the servers do some fourteen of these in a
-    // second.
+    // The first tenant sends ten requests per second, and the two others together also ten. The servers
+    // complete about fourteen per second.
     for n in 0..800 {
         let tenant = if n % 2 == 0 { 0 } else { 1 + (n / 2 % 2) as u32 };
         let class = u32::from(tenant > 0);
         let request = sized_request(n * 7 + n % 3, class, 7_000.0, n % 11);
-        simulation.arrive(50 * n, Request { tenant, ..request });
+        simulation.schedule_arrival(50 * n, Request { tenant, ..request });
     }
     simulation.run();
     let (over, within) = (simulation.results[&0], simulation.results[&1]);
--- a/crates/settings/src/checked.rs
+++ b/crates/settings/src/checked.rs
@@ -1,144 +1,149 @@
-//! Which key of a settings object is at fault, before a gateway starts with it.
+//! Strict parser: validates a settings object before a gateway starts with it, and reports the first invalid
+//! key.
 //!
-//! What is left out (or null) has a default: a class's `aim` its deadline, `max-attempts` 4, `dial-timeout` 250 ms, `pin-limit`
-//! 300 ms, `ask-within` 10 s, `balancers` one, `semantics` that of a class that is never retried, `discovery` pushed; any other
-//! number 0 and any other switch off. What is there must be of its type and range.
+//! A key that is missing or null has a default: the class deadline for `aim`, 4 for `max-attempts`, 250 ms
+//! for `dial-timeout`, 300 ms for `pin-limit`, 10 s for `ask-within`, 1 for `balancers`, never retried for
+//! `semantics`, pushed lists for `discovery`, 0 for any other number and `false` for any other boolean. A key
+//! that is present must have the right type and be in its range.
 
 use std::fmt;
 
 use glenrail_router::{Role, Settings};
 use serde_json::Value;
 
-use crate::settings;
+use crate::parse_settings;
 
-/// A key of the settings that is at fault, for the operator who wrote it.
+/// Error for an invalid key of the settings, reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsFault {
-    /// The key as a path from the settings on.
+pub struct SettingsError {
+    /// Path of the key, relative to the settings object; empty for the object itself.
     pub key: String,
-    /// What is expected there.
-    pub wanted: String,
+    /// Description of the valid values.
+    pub requirement: String,
 }
 
-impl fmt::Display for SettingsFault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.key, self.wanted)
+        write!(formatter, "{}: {}", self.key, self.requirement)
     }
 }
 
-impl std::error::Error for SettingsFault {}
+impl std::error::Error for SettingsError {}
 
-/// What a value has to be where one is given.
+/// Type and range of a value that is present.
 #[derive(Clone, Copy)]
 enum Expected {
-    /// Milliseconds, a rate, a price: from 0 on. A deployment may say "without bound" by any large number.
-    Amount,
-    /// A time in which something has to happen (ms): 0 leaves no time for it.
+    /// Milliseconds, rate or price of at least 0. A large number means that there is no limit.
+    NonNegative,
+    /// Time limit (ms), which must be greater than 0.
     PositiveTime,
-    /// A number from 0 to 1.
+    /// Number from 0 to 1.
     Share,
-    /// A count from 0 on.
+    /// Count of at least 0.
     Count,
-    /// A count from 1 on.
+    /// Count of at least 1.
     PositiveCount,
-    /// A switch.
-    Flag,
-    /// One of these words.
+    /// `true` or `false`.
+    Boolean,
+    /// One of these strings.
     OneOf(&'static [&'static str]),
-    /// A name that comes in a header.
-    HeaderName,
+    /// Name that is used as the value of a header field.
+    HeaderValue,
 }
-use Expected::{Amount, Count, Flag, HeaderName, OneOf, PositiveCount, PositiveTime, Share};
+use Expected::{Boolean, Count, HeaderValue, NonNegative, OneOf, PositiveCount, PositiveTime, Share};
 
-/// A key and what it expects.
+/// Key, and the type and range of its value.
 type KeySpec = (&'static str, Expected);
 
-/// A time in which something has to happen is a mistake beyond this (ms): some thirty years.
+/// Maximum time limit (ms), about 30 years. A larger value is an error, whose text in `check_number` contains
+/// the maximum.
 const MAX_TIME_MS: f64 = 1e12;
-/// A count is a mistake beyond this.
+/// Maximum count. A larger value is an error, whose text in `check_number` contains the maximum.
 const MAX_COUNT: f64 = 1e6;
 
-/// Keys of the settings object itself. `me` and `zone` are drawn by the platform; what is no number counts as 0.
-const TOP_LEVEL: &[KeySpec] = &[("balancers", Count), ("quantum", Amount), ("over-share-worth", Amount)];
+/// Keys of the settings object itself. `me` and `zone` are not checked, because the platform sets them; a
+/// value that is not a number counts as 0.
+const TOP_LEVEL: &[KeySpec] =
+    &[("balancers", Count), ("quantum", NonNegative), ("over-share-worth", NonNegative)];
 const SERVICE: &[KeySpec] = &[
-    ("name", HeaderName),
+    ("name", HeaderValue),
     ("aim", PositiveTime),
     ("deadline", PositiveTime),
-    ("worth", Amount),
-    ("late-worth", Amount),
+    ("worth", NonNegative),
+    ("late-worth", NonNegative),
     ("semantics", OneOf(&["free", "guarded", "single_shot"])),
-    ("window", Amount),
+    ("window", NonNegative),
 ];
-const TENANT: &[KeySpec] = &[("name", HeaderName), ("allowance-per-s", Amount)];
+const TENANT: &[KeySpec] = &[("name", HeaderValue), ("allowance-per-s", NonNegative)];
 const POLICY_LIMITS: &[KeySpec] = &[
     ("max-attempts", PositiveCount),
-    ("max-retry-after", Amount),
+    ("max-retry-after", NonNegative),
     ("dial-timeout", PositiveTime),
-    ("conn-idle", Amount),
-    ("probes", Flag),
-    ("cancel", Flag),
-    ("second-copies", Flag),
-    ("retry-after", Flag),
-    ("may-tell", Flag),
+    ("conn-idle", NonNegative),
+    ("probes", Boolean),
+    ("cancel", Boolean),
+    ("second-copies", Boolean),
+    ("retry-after", Boolean),
+    ("may-tell", Boolean),
 ];
 const RULES: &[KeySpec] = &[
-    ("grace-to-answer", Amount),
-    ("drain-grace", Amount),
-    ("cold", Amount),
+    ("grace-to-answer", NonNegative),
+    ("drain-grace", NonNegative),
+    ("cold", NonNegative),
     ("cold-from", Share),
-    ("fall", Amount),
-    ("fall-multiple", Amount),
+    ("fall", NonNegative),
+    ("fall-multiple", NonNegative),
 ];
 const DOMAIN: &[KeySpec] = &[
     ("pin-limit", PositiveTime),
-    ("move-fee", Amount),
-    ("may-reserve", Flag),
-    ("resume", Flag),
-    ("local-read", Flag),
+    ("move-fee", NonNegative),
+    ("may-reserve", Boolean),
+    ("resume", Boolean),
+    ("local-read", Boolean),
 ];
 const PRICES: &[KeySpec] =
-    &[("probe", Amount), ("handshake", Amount), ("discovery", Amount), ("waste", Amount)];
+    &[("probe", NonNegative), ("handshake", NonNegative), ("discovery", NonNegative), ("waste", NonNegative)];
 const SECTIONS: &[(&str, &[KeySpec])] =
     &[("policy-limits", POLICY_LIMITS), ("rules", RULES), ("domain", DOMAIN), ("prices", PRICES)];
-/// Lists of the domain, and what each of their entries has to be.
+/// Lists of the domain, and the type and range of their entries.
 const DOMAIN_LISTS: &[KeySpec] = &[
     ("stage-of-kind", OneOf(&["read", "write", "both"])),
-    ("tokens-by-kind", Amount),
-    ("token-aim", Amount),
-    ("aim-us-per-1000-prompt-tokens", Amount),
+    ("tokens-by-kind", NonNegative),
+    ("token-aim", NonNegative),
+    ("aim-us-per-1000-prompt-tokens", NonNegative),
 ];
 
-/// Reads a settings object, or names the first key that is at fault.
-pub fn checked(object: &Value) -> Result<Settings, SettingsFault> {
+/// Parses a settings object, or returns an error for the first invalid key.
+pub fn parse_settings_strict(object: &Value) -> Result<Settings, SettingsError> {
     if !object.is_object() {
-        return fault("", "an object wanted");
+        return invalid("", "expected an object");
     }
     check_keys("", object, TOP_LEVEL)?;
     check_named_list("services", object, SERVICE)?;
     check_named_list("tenants", object, TENANT)?;
     check_sections(object)?;
     check_domain_lists(&object["domain"])?;
-    // Where lists are pushed the key has no meaning.
+    // The key is not used if lists are pushed.
     if object["discovery"] == "subscribe" {
         check_value("rules.ask-within", &object["rules"]["ask-within"], PositiveTime)?;
     }
-    let settings = settings(object);
-    check_together(&settings)?;
+    let settings = parse_settings(object);
+    check_combinations(&settings)?;
     Ok(settings)
 }
 
-fn check_sections(object: &Value) -> Result<(), SettingsFault> {
+fn check_sections(object: &Value) -> Result<(), SettingsError> {
     for (name, keys) in SECTIONS {
         match object.get(name) {
             None | Some(Value::Null) => {}
             Some(section @ Value::Object(_)) => check_keys(&format!("{name}."), section, keys)?,
-            Some(_) => return fault(*name, "an object wanted"),
+            Some(_) => return invalid(*name, "expected an object"),
         }
     }
     Ok(())
 }
 
-fn check_domain_lists(domain: &Value) -> Result<(), SettingsFault> {
+fn check_domain_lists(domain: &Value) -> Result<(), SettingsError> {
     for (name, expected) in DOMAIN_LISTS {
         let key = format!("domain.{name}");
         for (index, entry) in entries(&key, domain.get(name))?.iter().enumerate() {
@@ -148,109 +153,117 @@
     Ok(())
 }
 
-/// What several keys have to give together.
-fn check_together(settings: &Settings) -> Result<(), SettingsFault> {
+/// Checks the requirements that involve several keys.
+fn check_combinations(settings: &Settings) -> Result<(), SettingsError> {
     let at_least_one =
         [("services", settings.classes.is_empty()), ("domain.stage-of-kind", settings.kinds.is_empty())];
     for (key, is_empty) in at_least_one {
         if is_empty {
-            return fault(key, "at least one entry wanted");
+            return invalid(key, "expected at least one entry");
         }
     }
     if let Some(index) = settings.classes.iter().position(|class| class.deadline <= 0.0) {
-        return fault(format!("services[{index}].deadline"), "milliseconds above 0 wanted");
+        return invalid(format!("services[{index}].deadline"), "expected milliseconds greater than 0");
     }
-    // Apart, the attempt at a prefill server counts, and one at a decode server follows it.
-    let one_stage =
+    // If prefill and decode servers are separate, a request needs one attempt at each.
+    let one_attempt_suffices =
         settings.kinds.iter().any(|kind| kind.role == Role::Mixed) || settings.decode_servers_prefill;
-    if !one_stage && settings.limits.max_attempts < 2 {
-        return fault("policy-limits.max-attempts", "at least 2 wanted where readers and writers are apart");
+    if !one_attempt_suffices && settings.limits.max_attempts < 2 {
+        return invalid(
+            "policy-limits.max-attempts",
+            "expected at least 2, because prefill and decode servers are separate",
+        );
     }
     Ok(())
 }
 
-fn fault<T>(key: impl Into<String>, wanted: impl Into<String>) -> Result<T, SettingsFault> {
-    Err(SettingsFault { key: key.into(), wanted: wanted.into() })
+fn invalid<T>(key: impl Into<String>, requirement: impl Into<String>) -> Result<T, SettingsError> {
+    Err(SettingsError { key: key.into(), requirement: requirement.into() })
 }
 
-fn entries<'a>(key: &str, value: Option<&'a Value>) -> Result<&'a [Value], SettingsFault> {
+fn entries<'a>(key: &str, value: Option<&'a Value>) -> Result<&'a [Value], SettingsError> {
     match value {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(entries)) => Ok(entries),
-        Some(_) => fault(key, "a list wanted"),
+        Some(_) => invalid(key, "expected a list"),
     }
 }
 
-/// Checks a list of objects of which no two may have one name.
-fn check_named_list(list: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsFault> {
+/// Checks a list of objects whose names must be unique.
+fn check_named_list(list: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsError> {
     let all = entries(list, object.get(list))?;
     for (index, entry) in all.iter().enumerate() {
-        // A tenant may be a mere name.
+        // A tenant may be given by its name alone.
         if entry.is_string() && list == "tenants" {
-            check_value(&format!("{list}[{index}]"), entry, HeaderName)?;
+            check_value(&format!("{list}[{index}]"), entry, HeaderValue)?;
         } else if entry.is_object() {
             check_keys(&format!("{list}[{index}]."), entry, keys)?;
         } else {
-            return fault(format!("{list}[{index}]"), "an object wanted");
+            return invalid(format!("{list}[{index}]"), "expected an object");
         }
         let name = entry_name(entry);
         if name.is_some() && all[..index].iter().any(|earlier| entry_name(earlier) == name) {
-            return fault(format!("{list}[{index}].name"), "a name of its own wanted");
+            return invalid(format!("{list}[{index}].name"), "expected a unique name");
         }
     }
     Ok(())
 }
 
-/// The name of an item of a list: the item itself, or its key `name`.
+/// Returns the name of a list entry, which is the entry itself if it is a string, or else its key `name`.
 pub fn entry_name(entry: &Value) -> Option<&str> {
     entry.as_str().or_else(|| entry.get("name")?.as_str())
 }
 
-fn check_keys(path: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsFault> {
+fn check_keys(path: &str, object: &Value, keys: &[KeySpec]) -> Result<(), SettingsError> {
     keys.iter().try_for_each(|(key, expected)| check_value(&format!("{path}{key}"), &object[*key], *expected))
 }
 
-fn check_value(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
+fn check_value(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsError> {
     if value.is_null() && !matches!(expected, OneOf(_)) {
         return Ok(());
     }
     match expected {
-        OneOf(words) => check_word(key, value, words),
-        HeaderName => check_header_name(key, value),
-        Flag if value.is_boolean() => Ok(()),
-        Flag => fault(key, "true or false wanted"),
-        Amount | PositiveTime | Share | Count | PositiveCount => check_number(key, value, expected),
+        OneOf(choices) => check_choice(key, value, choices),
+        HeaderValue => check_header_value(key, value),
+        Boolean if value.is_boolean() => Ok(()),
+        Boolean => invalid(key, "expected true or false"),
+        NonNegative | PositiveTime | Share | Count | PositiveCount => check_number(key, value, expected),
     }
 }
 
-fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsFault> {
-    let (is_valid, wanted): (fn(f64) -> bool, &str) = match expected {
-        PositiveTime => (|number| number > 0.0 && number <= MAX_TIME_MS, "milliseconds above 0 wanted"),
-        Share => (|number| (0.0..=1.0).contains(&number), "a number from 0 to 1 wanted"),
-        Count => (|number| (0.0..=MAX_COUNT).contains(&number), "a count wanted"),
-        PositiveCount => (|number| (1.0..=MAX_COUNT).contains(&number), "a count of at least 1 wanted"),
-        _ => (|number| number >= 0.0, "a number from 0 on wanted"),
+fn check_number(key: &str, value: &Value, expected: Expected) -> Result<(), SettingsError> {
+    let (is_valid, requirement): (fn(f64) -> bool, &str) = match expected {
+        PositiveTime => {
+            (|number| number > 0.0 && number <= MAX_TIME_MS, "expected milliseconds above 0, up to 1e12")
+        }
+        Share => (|number| (0.0..=1.0).contains(&number), "expected a number from 0 to 1"),
+        Count => (|number| (0.0..=MAX_COUNT).contains(&number), "expected a count from 0 to 1000000"),
+        PositiveCount => (|number| (1.0..=MAX_COUNT).contains(&number), "expected a count from 1 to 1000000"),
+        _ => (|number| number >= 0.0, "expected a number of at least 0"),
     };
     if value.as_f64().is_some_and(is_valid) {
         return Ok(());
     }
-    fault(key, wanted)
+    invalid(key, requirement)
 }
 
-fn check_word(key: &str, value: &Value, words: &[&str]) -> Result<(), SettingsFault> {
+fn check_choice(key: &str, value: &Value, choices: &[&str]) -> Result<(), SettingsError> {
     match value.as_str() {
-        Some(word) if words.contains(&word) => Ok(()),
-        Some(word) => fault(key, format!("{word:?} is none of {}", words.join(", "))),
-        // In a list each entry counts by its index; elsewhere a word may be left out.
+        Some(choice) if choices.contains(&choice) => Ok(()),
+        Some(choice) => invalid(key, format!("{choice:?} is not one of {}", choices.join(", "))),
+        // A missing value is valid, except in a list, where entries are identified by their index.
         None if value.is_null() && !key.ends_with(']') => Ok(()),
-        None => fault(key, format!("one of {} wanted", words.join(", "))),
+        None => invalid(key, format!("expected one of {}", choices.join(", "))),
     }
 }
 
-fn check_header_name(key: &str, value: &Value) -> Result<(), SettingsFault> {
-    let Some(name) = value.as_str() else { return fault(key, "text wanted") };
+fn check_header_value(key: &str, value: &Value) -> Result<(), SettingsError> {
+    let Some(name) = value.as_str() else { return invalid(key, "expected a string") };
     if name == name.trim() && !name.chars().any(char::is_control) {
         return Ok(());
     }
-    fault(key, format!("{name:?} cannot be a header's value: text without a blank at its ends wanted"))
+    invalid(
+        key,
+        format!("{name:?} is not a valid header value: it has control characters or blanks at an end"),
+    )
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! The settings of a deployment: one reader of the settings JSON for the gateway and the simulator's adapter.
+//! Parser for the settings JSON of a deployment, used by the gateway and the simulator's adapter.
 //!
-//! This crate is the one place where the operators' key names meet the names of the code. [`settings`] reads leniently:
-//! unknown keys are skipped, and a value of the wrong type counts as left out. [`checked()`] names the first key that is at
-//! fault instead, and is what the gateway starts with.
+//! Only this crate maps the key names of the operators to the names in the code. [`parse_settings`] is
+//! lenient: it ignores unknown keys and treats a value of the wrong type as missing.
+//! [`parse_settings_strict`] returns an error for the first invalid key instead, and is used by the gateway
+//! at its start.
 
 #![deny(missing_docs)]
 
@@ -10,9 +11,9 @@
 mod json;
 mod read;
 
-pub use checked::{checked, entry_name, SettingsFault};
+pub use checked::{entry_name, parse_settings_strict, SettingsError};
 pub use json::{flag, integer, list, number, text};
-pub use read::{load_report, server_id, settings};
+pub use read::{load_report, parse_settings, server_id};
 
 #[cfg(test)]
 mod tests;
