--- a/crates/request-lifecycle/src/client/mod.rs
+++ b/crates/request-lifecycle/src/client/mod.rs
@@ -144,7 +144,7 @@
         Connection { stage, ..Connection::default() }
     }
 
-    /// Returns the current stage.
+    /// Returns the current stage, [`Stage::New`] at first.
     pub fn stage(&self) -> Stage {
         self.stage
     }
--- a/crates/request-lifecycle/src/discovery_polling/mod.rs
+++ b/crates/request-lifecycle/src/discovery_polling/mod.rs
@@ -30,7 +30,7 @@
 /// Maximum number of times that the mean backoff is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Kind of a poll, with its time limits.
+/// Kind of a poll, with its durations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Poll {
     /// Requests the full list.
@@ -38,7 +38,8 @@
         /// Time within which the response must begin.
         within: Duration,
     },
-    /// Requests the changes since the known version; discovery may hold the poll until there are changes.
+    /// Requests the changes since the known version; discovery may hold the poll until there are changes
+    /// (long polling).
     Changes {
         /// Maximum time for which discovery may hold the poll.
         hold: Duration,
@@ -50,11 +51,11 @@
 /// Time limits of one poll, which fails when any of them is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Limit until the response begins, including the time to connect.
+    /// Maximum time until the response begins, including the time to connect.
     pub first_byte: Duration,
-    /// Limit between two parts of the response.
+    /// Maximum time between two parts of the response.
     pub between_parts: Duration,
-    /// Limit until the response is complete.
+    /// Maximum time until the response is complete.
     pub total: Duration,
 }
 
--- a/crates/request-lifecycle/src/server/mod.rs
+++ b/crates/request-lifecycle/src/server/mod.rs
@@ -123,7 +123,7 @@
         Connection { stage, ..Connection::default() }
     }
 
-    /// Returns the current stage.
+    /// Returns the current stage, [`Stage::Connecting`] at first.
     pub fn stage(&self) -> Stage {
         self.stage
     }
