--- a/gateway/src/core/admission.rs
+++ b/gateway/src/core/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests: a request gets an id, a state machine and a watch for its client's disconnection.
+//! Admission of requests: assigns an id, creates the state machine and watches for the client's disconnection.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::{Core, DecisionPolicy, Inner, Upstream};
 use crate::exchange::{self, ClientSide, Failure, Payload, ResponsePart, ServerSide};
 
-/// A request that is being admitted, besides what the router is given of it.
+/// The fields of a request under admission that the router does not receive.
 struct Admission {
     arrived: Instant,
     deadline: Instant,
@@ -25,9 +25,9 @@
 }
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Admits a request; its answer comes through the exchange.
+    /// Admits a request and returns the side of the exchange on which its response arrives.
     ///
-    /// A request whose name belongs to one that has not finished fails at once.
+    /// Fails the request at once if another request with the same id has not finished.
     pub fn submit(&self, request: exchange::Request) -> ClientSide {
         let (client, ServerSide { request, parts }) = exchange::exchange_pair(request);
         let exchange::Request { mut routing, arrived, payload } = request;
@@ -48,7 +48,7 @@
         client
     }
 
-    /// Reports to the machine that the client has dropped its side.
+    /// Starts a task that reports to the state machine when the client drops its side.
     fn watch_disconnect(&self, id: u64, response: mpsc::Sender<ResponsePart>) -> AbortHandle {
         let core = self.clone();
         let watch = spawn_local(async move {
@@ -60,21 +60,21 @@
 }
 
 impl<R> Inner<R> {
-    /// An id for the request of this name; `None` while a request of the same name has not finished.
+    /// Assigns an internal id to the request of this name; `None` while a request of the same name has not finished.
     fn register(&mut self, name: &str) -> Option<u64> {
-        // Guards an open request from a copy: servers know both by one name, so whatever is done for the copy, its
-        // releases above all, would hit the first.
+        // Servers identify requests by name, so the calls made for a duplicate, above all its releases, would affect the
+        // open request.
         if self.ids_by_name.contains_key(name) {
             return None;
         }
-        // Small numbers in sequence: the router shifts ids left and reserves one high timer key for itself, so the
-        // wire's 64-bit names must not reach it.
+        // Ids are small consecutive numbers: the router shifts ids left and reserves one high timer key, so it cannot use
+        // the 64-bit names of the wire.
         self.last_id += 1;
         self.ids_by_name.insert(name.to_owned(), self.last_id);
         Some(self.last_id)
     }
 
-    /// Adds the state of a request; its machine's first effects are appended to `effects`.
+    /// Stores the state of a request and appends the first effects of its state machine to `effects`.
     fn admit(&mut self, routing: &RoutingRequest, admission: Admission, effects: &mut Vec<Effect>) {
         let Admission { arrived, deadline, payload, response, disconnect_watch } = admission;
         let class = self.settings.classes.get(routing.class as usize);
--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! The call of one attempt: sent once, and its result fed to the request's machine.
+//! Runs one attempt: sends its call once and feeds the result to the request's state machine.
 
 use futures_util::stream::StreamExt;
 use glenrail_request_lifecycle::request::{AttemptState, Input, Reply as MachineReply, StreamEnd};
@@ -13,12 +13,12 @@
 use crate::upstream::{Call, CallError, Frame, Frames, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Sends an attempt once and feeds the machine with its result.
+    /// Sends an attempt once and feeds its result to the request's state machine.
     pub(super) async fn run_attempt(
         &self, id: u64, attempt: usize, call: Call, deadline: Instant, cancelled: oneshot::Receiver<()>,
     ) {
         if deadline <= Instant::now() {
-            // The release that the attempt waited for used up all its time.
+            // The attempt had to wait for a release until its own deadline had passed.
             return self.step(id, Input::Replied { attempt, reply: MachineReply::NotSent });
         }
         let Call::Attempt { cancel_token, server, .. } = &call else { return };
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Forwards a response to the client once its first event is there, if the machine has chosen this attempt for that.
+    /// Waits for the first event of a response, then forwards the response to the client if the state machine streams this
+    /// attempt.
     async fn forward_response(&self, id: u64, attempt: usize, head: ResponseHead, mut frames: Frames) {
         let Some(Ok(Frame::Data(first))) = frames.next().await else {
             return self.step(id, Input::Replied { attempt, reply: MachineReply::Reset });
@@ -75,7 +76,7 @@
         self.step(id, Input::StreamEnded { attempt, end });
     }
 
-    /// The way to the client, if the machine streams this attempt's response to it.
+    /// Returns the channel to the client if the state machine streams this attempt's response.
     fn client_of(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<ResponsePart>> {
         let inner = self.inner.borrow();
         let request = inner.requests.get(&id)?;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Stores what a server reported besides its reply, for the attempt's outcome.
+    /// Stores a server's report until the outcome of the attempt is reported to the router.
     fn store_report(&self, id: u64, attempt: usize, report: ServerReport) {
         if let Some(request) = self.inner.borrow_mut().requests.get_mut(&id) {
             request.calls[attempt].report = report;
@@ -93,16 +94,16 @@
     }
 }
 
-/// What the machine is fed when an attempt was cancelled.
+/// Returns the state machine's input for an attempt that was cancelled.
 fn cancelled_input(attempt: usize, cancel_token: &CancelToken) -> Input {
     if cancel_token.is_written() {
         return Input::CancelCompleted { attempt };
     }
-    // Cancelled while it was connecting, it was never in flight: the time of its lease has not stopped.
+    // An attempt cancelled while it was connecting was never in flight, so the time of its lease kept running.
     Input::Replied { attempt, reply: MachineReply::NotSent }
 }
 
-/// The result of a call that began no response, in the machine's terms, and what the server reported with it.
+/// Converts the result of a call that started no response to a reply for the state machine, with the server's report.
 fn machine_reply(reply: Result<Reply, CallError>) -> (MachineReply, ServerReport) {
     let report = |load| ServerReport { note: 0.0, load };
     match reply {
--- a/gateway/src/core/close_notice.rs
+++ b/gateway/src/core/close_notice.rs
@@ -1,8 +1,9 @@
-//! Prefills that were cut off: when their servers are known to work on them no more.
+//! Confirmation that a server has stopped working on a prefill whose connection was interrupted.
 //!
-//! A close may be delivered late or never, and a prefill that runs to its end leaves state that no earlier release has met. The
-//! server's own end of the same connection proves that it has noticed; where the connection was reset, the server is asked
-//! ([`reset_inquiry`](super::reset_inquiry)). Until then the request's machine renews the release within the lease limit.
+//! A close may reach the server late or never, and a prefill that runs to its end leaves state that earlier releases did not
+//! cover. The server closing its own side of the same connection proves that it noticed the close; after a reset the server
+//! is queried ([`reset_inquiry`](super::reset_inquiry)). Until the end of the work is confirmed, the request's state
+//! machine repeats the release within the lease limit.
 
 use futures_util::future::join_all;
 use glenrail_request_lifecycle::request::Input;
@@ -15,18 +16,19 @@
 use crate::exchange::CancelToken;
 use crate::log;
 
-/// An attempt that was cut off.
+/// An attempt whose connection the gateway closed or lost before the end of the server's work.
 struct CutAttempt {
-    /// The request's id outside this process.
+    /// The request's id that clients and servers know.
     request: String,
     server: ServerId,
     token: CancelToken,
-    /// Until when its server may work on it, if it does not notice.
+    /// Latest time at which the server may still work on the attempt if it does not notice the interruption.
     may_run_until: Instant,
 }
 
 impl AttemptCall {
-    /// Until when its server may work on the attempt if it is cut off now and the server does not notice.
+    /// Returns the latest time at which the server may still work on the attempt if the connection is interrupted now and the
+    /// server does not notice.
     fn may_run_until(&self) -> Instant {
         let written = self.cancel_token.first_byte_at().unwrap_or(self.ordered_at);
         let stated = self.deadline.saturating_duration_since(written);
@@ -35,13 +37,14 @@
 }
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Reports to the machine when the server of an attempt that was cut off works on it no more.
+    /// Waits until the server has stopped working on an interrupted attempt, then reports that to the state machine. Gives up
+    /// waiting at the time by which the server must have stopped in any case.
     pub(super) async fn confirm_close(self, id: u64, attempt: usize) {
         let Some(cut) = self.cut_attempt(id, attempt) else { return };
         let work_end = self.await_work_end(cut.server, &cut.token);
         if cut.token.is_written() && timeout_at(cut.may_run_until, work_end).await.is_err() {
             log!(
-                "request {}: a server never ended the connection of a prefill that was cut off",
+                "request {}: no sign that the server stopped working on an interrupted prefill; waiting ended",
                 cut.request
             );
         }
@@ -60,12 +63,12 @@
         })
     }
 
-    /// Waits until all servers have noticed that the request's attempts were cut off, for a short time at the most. The
-    /// machine has the reports of those that have.
+    /// Waits a short time for all servers to notice that the request's attempts were interrupted, and reports those that have
+    /// to the state machine.
     pub(super) async fn await_close_notices(&self, id: u64) {
         let unnoticed = self.unnoticed_calls(id);
         if unnoticed.is_empty() {
-            // Another call was cut off, whose server tells nothing.
+            // No prefill is unconfirmed: a call of another kind was interrupted, whose server sends no confirmation.
             return sleep(CANCEL_PROPAGATION_DELAY).await;
         }
         let notices = join_all(unnoticed.iter().map(|(_, token)| token.work_ended()));
@@ -77,7 +80,7 @@
         }
     }
 
-    /// The prefills of a request that were cut off, and whose servers are not known to have noticed.
+    /// Returns the interrupted prefills of a request whose servers have not confirmed the interruption.
     fn unnoticed_calls(&self, id: u64) -> Vec<(usize, CancelToken)> {
         let inner = self.inner.borrow();
         let Some(request) = inner.requests.get(&id) else { return Vec::new() };
--- a/gateway/src/core/delivery.rs
+++ b/gateway/src/core/delivery.rs
@@ -1,8 +1,8 @@
-//! Confirmation that an attempt was delivered: its server answers after the attempt was written.
+//! Confirmation that an attempt was delivered, by a response of its server after the attempt was written.
 //!
-//! The attempt's own response may take any time, and what was written onto a connection that has fallen silent is never
-//! delivered, with no error. While a lease waits, that is checked; what an answer shows is decided in
-//! [`evidence`](glenrail_request_lifecycle::evidence).
+//! The attempt's own response may take any time, and data written to a dead connection is lost without an error. Delivery is
+//! therefore checked while a lease is unclaimed. [`evidence`](glenrail_request_lifecycle::evidence) decides what an
+//! observation proves.
 
 use std::convert::Infallible;
 use std::future::pending;
@@ -19,7 +19,7 @@
 use crate::upstream::{Call, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Checks the delivery of an attempt for as long as a lease waits for it; never ends.
+    /// Checks the delivery of an attempt while the request has an unclaimed lease; never returns.
     pub(super) async fn confirm_delivery(
         &self, id: u64, attempt: usize, server: ServerId, cancel_token: &CancelToken,
     ) -> Infallible {
@@ -28,13 +28,13 @@
             let written = cancel_token.first_byte_written().await;
             let Some(check_at) = self.delivery_check_at(id, written) else { return pending().await };
             sleep_until(check_at).await;
-            // Meanwhile it may have been written to another connection.
+            // The attempt may have been written again, to another connection, in the meantime.
             if cancel_token.first_byte_at() != Some(written) {
                 known = Delivery::default();
                 continue;
             }
             if !self.has_waiting_lease(id) {
-                // A slot may be reserved later.
+                // A slot may be reserved later, which starts a lease.
                 let pause = self.inner.borrow().lease_limit.mul_f64(DELIVERY_CHECK_SHARE);
                 sleep(pause).await;
                 continue;
@@ -44,7 +44,7 @@
             }
             match known {
                 Delivery::Unknown => sleep(DELIVERY_CHECK_RETRY_DELAY).await,
-                // The lease limit cancels the attempt, unless its own response comes before.
+                // The lease timer cancels the attempt unless its response arrives first.
                 Delivery::Doubtful => return pending().await,
                 Delivery::Confirmed => {
                     self.confirm_delivered(id, attempt);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Asks the server for a sign on other connections than the attempt's.
+    /// Requests an observation of the server on connections other than the attempt's.
     async fn ask_for_delivery(&self, server: ServerId, cancel_token: &CancelToken) -> Option<Observation> {
         let call = Call::ConfirmDelivery { server, cancel_token: cancel_token.clone() };
         match self.upstream.clone().oneshot(call).await {
@@ -74,7 +74,7 @@
         self.step(id, Input::Delivered { attempt });
     }
 
-    /// Whether the request has a lease whose time runs until an attempt is known to have been delivered.
+    /// Whether the request has a lease that no attempt with confirmed delivery has claimed.
     fn has_waiting_lease(&self, id: u64) -> bool {
         let inner = self.inner.borrow();
         inner.requests.get(&id).is_some_and(|request| request.machine.is_armed(Timer::LeaseLimit))
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the effects of a request's machine: each has one function.
+//! Execution of the effects that a request's state machine emits, one function for each effect.
 
 use glenrail_request_lifecycle::request::{Effect, FinalResponse, Input, Stage, Status};
 use glenrail_router::{AttemptOutcome, AttemptStatus, Event, RequestId, ServerId};
@@ -14,7 +14,7 @@
 use crate::upstream::{Call, CallError, ConnectionCheck, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Carries out one effect; nothing if the request has finished.
+    /// Executes one effect; does nothing if the request has finished.
     pub(super) fn carry_out(&self, id: u64, effect: Effect) {
         match effect {
             Effect::StartAttempt { attempt } => self.start_attempt(id, attempt),
@@ -23,7 +23,7 @@
             Effect::RequestSlot { server } => self.request_slot(id, ServerId(server)),
             Effect::CancelSlotRequest => self.cancel_slot_request(id),
             Effect::Respond(response) => self.respond(id, response),
-            // The attempt's own task forwards it.
+            // The attempt's own task forwards the stream.
             Effect::ForwardStream { .. } => {}
             Effect::NotifyFirstToken { attempt } => self.notify_first_token(id, attempt),
             Effect::NotifyOutcome { attempt, status, closed } => {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Starts the task of an attempt that the machine has permitted.
+    /// Starts the task of an attempt that the state machine has permitted.
     fn start_attempt(&self, id: u64, attempt: usize) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -45,7 +45,7 @@
         let (cancel, cancelled) = oneshot::channel();
         request.calls[attempt].cancel = Some(cancel);
         invariants::check_start(&request.machine, attempt, &request.payload.request_id);
-        // While no connection can be opened, the lease's time runs on, and so does the time in which a retry is allowed.
+        // Connecting uses up time of the lease and of the window in which a retry is allowed, so both limit it.
         let lease_deadline = request.lease_write_deadline(inner.lease_limit);
         let write_deadline = [lease_deadline, request.retry_deadline()].into_iter().flatten().min();
         let connect_timeout =
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Asks a server to reserve a slot for the request.
+    /// Requests a slot reservation for the request from a server.
     fn request_slot(&self, id: u64, server: ServerId) {
         let mut inner = self.inner.borrow_mut();
         let Some(request) = inner.requests.get_mut(&id) else { return };
@@ -86,7 +86,7 @@
         let task = spawn_local(async move {
             let reserved = match reply.await {
                 Ok(Reply::SlotReserved(reserved)) => reserved,
-                // Nothing of it reached the server.
+                // No byte of the call reached the server.
                 Err(CallError::ConnectFailed | CallError::NotSent) => Some(false),
                 _ => None,
             };
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Gives the client a final answer in place of a server's.
+    /// Sends the client a final response of the gateway's own.
     fn respond(&self, id: u64, response: FinalResponse) {
         let inner = self.inner.borrow();
         let Some(request) = inner.requests.get(&id) else { return };
@@ -129,13 +129,13 @@
         let server = ServerId(request.machine.attempts()[attempt].server);
         let elapsed = request.calls[attempt].elapsed();
         request.record.first_token(attempt, inner.clock.now());
-        // What a cut prefill leaves from now on waits for no attempt.
+        // The stream has claimed the lease; state that an interrupted prefill leaves later is unclaimed from now on.
         request.unclaimed_since = Instant::now();
         let (id, attempt) = (RequestId(id), attempt as u32);
         inner.events.push_back(Event::FirstToken { id, attempt, server, elapsed });
     }
 
-    /// Records the outcome of an attempt and reports it to the router; `closed`: its request's answer has ended.
+    /// Records the outcome of an attempt and reports it to the router; `closed` states that the response has ended.
     fn notify_outcome(&self, id: u64, attempt: usize, status: Status, closed: bool) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -145,9 +145,12 @@
         let server = ServerId(state.server);
         if status == Status::Undelivered {
             let name = &request.payload.request_id;
-            log!("request {name}: its delivery to server {:x} was not confirmed; cancelled", server.0);
+            log!(
+                "request {name}: delivery to server {:x} was not confirmed in time; attempt cancelled",
+                server.0
+            );
         }
-        // The lease of what a cancelled prefill may have left begins now.
+        // A lease on state that an interrupted prefill may have left starts now.
         let may_have_left_state = state.stage == Stage::Prefill && call.cancel_token.is_written();
         if state.delivered || may_have_left_state {
             request.unclaimed_since = Instant::now();
@@ -187,7 +190,7 @@
         inner.events.push_back(Event::SlotReservation { id: RequestId(id), attempt, server, reserved });
     }
 
-    /// Removes a request of which nothing is in flight any more, and writes its line to the access log.
+    /// Removes a request that has nothing in flight, and writes its access-log line unless that was written before.
     fn finish(&self, id: u64) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -205,7 +208,7 @@
     }
 }
 
-/// The status of an attempt in the router's terms.
+/// Converts the state machine's status of an attempt to the router's.
 pub(super) fn router_status(status: Status) -> AttemptStatus {
     match status {
         Status::Served => AttemptStatus::Served,
--- a/gateway/src/core/forwarding.rs
+++ b/gateway/src/core/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding of a response to its client, part by part.
+//! Forwards the parts of a response to the client.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 use crate::log;
 use crate::upstream::{CallError, Frame, Frames};
 
-/// A stream without a complete event for so long is taken for dead, so that its client's connection ends within the 5 s
-/// of the platform's rules. A decode server may have queued the request again, so the timeout is no shorter.
+/// Maximum time between two complete events of a stream. A client's connection must end within the 5 s of the platform's
+/// rules. The timeout is close to that limit because a decode server may have queued the request again.
 const EVENT_IDLE_TIMEOUT: Duration = Duration::from_millis(4_600);
 
-/// A client that reads nothing of its stream for so long has lost it.
+/// Maximum time for which a client may read nothing of its stream before the stream is ended.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a stream ended, and what its server reported at the end.
+/// How a stream ended, with the server's final report.
 pub struct StreamSummary {
-    /// Why nothing more is forwarded.
+    /// Why forwarding ended.
     pub end: StreamEnd,
-    /// Prompt tokens that the server found in its cache.
+    /// Number of prompt tokens that the server found in its cache; 0 unless the stream is complete.
     pub cached_tokens: f64,
-    /// The server's load.
+    /// The server's load report; `None` if the stream is incomplete or the server sent none.
     pub load: Option<LoadReport>,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Forwards what follows the first part of a response, to its end.
+/// Forwards the parts of a response that follow the head, up to its end.
 pub async fn forward_remaining(client: &mpsc::Sender<ResponsePart>, mut frames: Frames) -> StreamSummary {
     loop {
         let frame = tokio::select! {
@@ -61,14 +61,14 @@
             Ok(Some(Err(CallError::MalformedResponse))) => return StreamEnd::MalformedResponse.into(),
             Ok(Some(Err(_)) | None) => return StreamEnd::Reset.into(),
             Err(_) => {
-                log!("a stream was idle for too long and is ended");
+                log!("upstream sent no complete event within the idle timeout; the stream is ended");
                 return StreamEnd::IdleTimeout.into();
             }
         }
     }
 }
 
-/// Continues a response that the predecessor process began; it belongs to no request of this process's router.
+/// Continues a response that the predecessor process started. It belongs to no request of this process's router.
 pub fn resume(frames: Frames) -> ClientSide {
     let (client, response) = exchange::response_channel();
     spawn_local(async move {
@@ -77,7 +77,7 @@
     client
 }
 
-/// Whether the client accepted the part in time.
+/// Sends one part; returns whether the client's channel accepted it within the stall timeout.
 pub async fn send_part(client: &mpsc::Sender<ResponsePart>, part: ResponsePart) -> bool {
     matches!(timeout(CLIENT_STALL_TIMEOUT, client.send(part)).await, Ok(Ok(())))
 }
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! The core: drives one [`Router`] and one [`lifecycle`](glenrail_request_lifecycle) state machine for each request, and
-//! knows no wire format.
+//! The core: drives one [`Router`] and one [`lifecycle`](glenrail_request_lifecycle) state machine for each request,
+//! independent of any wire format.
 //!
 //! [`Core`] owns the state of all requests, the queue of events for the router and the timers; it runs on one thread and
-//! on tokio's clock. Events go through a queue, so that carrying out an action never re-enters the router. The state
-//! machine of a request decides what the request may do at each point: the core starts calls, feeds the machine with
-//! their results, and carries out its effects.
+//! on tokio's clock. Events go through a queue, so that executing an action never re-enters the router. The state machine
+//! of a request decides what the request may do at each point: the core starts calls, feeds their results to the machine
+//! and executes its effects.
 
 #![deny(missing_docs)]
 
@@ -49,7 +49,7 @@
 use request_state::RequestState;
 use timers::Timers;
 
-/// The servers as one service, which the core calls.
+/// The service through which the core calls servers.
 pub trait Upstream:
     Service<Call, Response = Reply, Error = CallError, Future: 'static> + Clone + 'static
 {
@@ -59,10 +59,9 @@
 {
 }
 
-/// Decides for the core: the router, or what a test puts in its place.
+/// The decision logic of a core: the router, or a test's replacement for it.
 pub trait DecisionPolicy: 'static {
-    /// Handles one event at `now` and appends the actions that follow from it, in the order in which they are to be
-    /// executed.
+    /// Handles one event at `now` and appends the resulting actions in the order of their execution.
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -72,12 +71,12 @@
     }
 }
 
-/// What the server list says of a server.
+/// The entry of a server in the server list.
 #[derive(Clone, Copy)]
 struct ListedServer {
     role: Role,
     state: ServerState,
-    /// Its zone, and its cell in that.
+    /// The server's zone and its cell in that zone.
     location: (u32, u32),
     started: Option<Millis>,
 }
@@ -86,22 +85,22 @@
     router: R,
     clock: Clock,
     settings: Settings,
-    /// What the deployment allows every request; a class may allow less.
+    /// The deployment's policy for every request; a class may restrict it further.
     request_policy: RequestPolicy,
     lease_limit: Duration,
-    /// The role of each server kind, by its number.
+    /// The role of each server kind, indexed by the kind's number.
     roles: Vec<Role>,
     servers: BTreeMap<ServerId, ListedServer>,
     /// Events that the router has not handled yet.
     events: VecDeque<Event>,
-    /// Whether the events are being handled further up the stack.
+    /// Whether a caller further up the stack is handling the events.
     is_processing: bool,
     requests: HashMap<u64, RequestState>,
-    /// The requests that have not finished, by the ids that servers know them by.
+    /// Requests that have not finished, by the id that servers receive.
     ids_by_name: HashMap<String, u64>,
     last_id: u64,
     timers: Timers,
-    /// Waits for the timers.
+    /// The task that waits for the timers; `None` until the first timer is armed.
     timer_task: Option<AbortHandle>,
 }
 
@@ -113,20 +112,20 @@
     }
 }
 
-/// What a core stores at one time, to show that nothing is left of requests that have finished.
+/// Numbers of objects that a core stores, used to verify that finished requests leave nothing behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
     /// Requests that have not finished.
     pub requests: usize,
-    /// Names of requests that may not be used again yet.
+    /// Request ids that are in use and cannot be used by a new request.
     pub request_ids: usize,
-    /// Timers that are armed, the router's own included.
+    /// Armed timers, including the router's.
     pub timers: usize,
-    /// Requests whose line in the access log is not written yet.
+    /// Requests whose access-log line has not been written.
     pub unrecorded: usize,
 }
 
-/// The driver of one router and of the requests that it decides on. A clone is the same core.
+/// Drives one router and the requests that it decides on. Clones share the same state.
 pub struct Core<U, R = Router> {
     inner: Rc<RefCell<Inner<R>>>,
     upstream: U,
@@ -139,22 +138,22 @@
 }
 
 impl<U: Upstream> Core<U> {
-    /// A core with a router of its own; `seed` is for the router's random draws.
+    /// Creates a core with its own router; `seed` initializes the router's random numbers.
     pub fn new(seed: u64, settings: Settings, clock: Clock, upstream: U) -> Self {
         Core::with_policy(Router::new(seed, settings.clone()), settings, clock, upstream)
     }
 
-    /// What the router has learned, for the successor process.
+    /// Serializes the router's learned state for the successor process.
     pub fn export_state(&self) -> Vec<u8> {
         self.inner.borrow().router.export_state()
     }
 
-    /// Gives the router what the router of the predecessor process had learned.
+    /// Loads the state that the predecessor process's router had learned.
     pub fn import_state(&self, learned: &[u8]) {
         self.inner.borrow_mut().router.import_state(learned);
     }
 
-    /// Listed servers that receive no new requests at present, by an operator's order or by the router's choice.
+    /// Number of listed servers that receive no new requests at present, by a maintenance order or by the router's decision.
     pub fn avoided_servers(&self) -> usize {
         let inner = self.inner.borrow();
         inner.servers.keys().filter(|id| inner.router.is_out_of_rotation(**id)).count()
@@ -162,7 +161,7 @@
 }
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// A core for which this policy decides.
+    /// Creates a core that uses this decision policy.
     pub fn with_policy(router: R, settings: Settings, clock: Clock, upstream: U) -> Self {
         let max_attempts = settings.limits.max_attempts.max(1) as usize;
         let inner = Inner {
@@ -188,13 +187,13 @@
         Core { inner: Rc::new(RefCell::new(inner)), upstream }
     }
 
-    /// Applies a list of servers, or changes to it.
+    /// Applies a full server list, or changes to the current one.
     pub fn update_servers(&self, update: ListUpdate, servers: Vec<ServerEntry>) {
         self.inner.borrow_mut().update_servers(update, &servers);
         self.dispatch(Event::ServerList { update, servers });
     }
 
-    /// Whether the listed servers can answer a request: there is one that does all, or one for each stage.
+    /// Whether the ready servers can serve a request: at least one mixed server, or one server for each stage.
     pub fn can_serve(&self) -> bool {
         let inner = self.inner.borrow();
         let has_ready = |role| {
@@ -203,13 +202,13 @@
         has_ready(Role::Mixed) || (has_ready(Role::Prefill) && has_ready(Role::Decode))
     }
 
-    /// Requests that were admitted and whose answer has not ended.
+    /// Number of admitted requests whose response has not ended.
     pub fn open_requests(&self) -> usize {
         self.inner.borrow().requests.values().filter(|request| !request.machine.is_closed()).count()
     }
 
-    /// Answers every request whose answer has not begun, since the process is about to end: rejects it, or fails it
-    /// where it may have run and trying again is not harmless.
+    /// Answers every request whose response has not started, because the process is about to end. Rejects a request if a
+    /// retry is safe, and fails it otherwise.
     pub fn answer_pending(&self) {
         let mut pending: Vec<(u64, FinalResponse)> = Vec::new();
         for (id, request) in &self.inner.borrow().requests {
@@ -222,17 +221,17 @@
         pending.sort_unstable_by_key(|(id, _)| *id);
         for (id, response) in pending {
             self.step(id, Input::Respond(response));
-            // The router frees what it accounted to the request, as if the client had disconnected.
+            // The router releases the resources that it accounts to the request, as after a client's disconnection.
             self.dispatch(Event::ClientDisconnected { id: RequestId(id) });
         }
     }
 
-    /// Whether nothing is in flight: no request, no attempt, no release.
+    /// Whether no request, attempt or release is in flight.
     pub fn is_idle(&self) -> bool {
         self.inner.borrow().requests.is_empty()
     }
 
-    /// What the core stores now.
+    /// Returns the numbers of objects that the core stores now.
     pub fn occupancy(&self) -> Occupancy {
         let inner = self.inner.borrow();
         Occupancy {
@@ -263,7 +262,7 @@
     }
 }
 
-/// The core as a service of requests: what the layers before it wrap.
+/// The core as a tower service, so that layers such as plug-ins can wrap it.
 impl<U: Upstream, R: DecisionPolicy> Service<exchange::Request> for Core<U, R> {
     type Response = ClientSide;
     type Error = Infallible;
--- a/gateway/src/core/probe.rs
+++ b/gateway/src/core/probe.rs
@@ -1,4 +1,4 @@
-//! Probes that the router orders.
+//! Probes of servers, ordered by the router.
 
 use glenrail_router::{AttemptStatus, Event, ServerId};
 use tokio::time::Instant;
@@ -9,7 +9,7 @@
 use crate::upstream::{Call, CallError, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Probes a server once and reports the result to the router.
+    /// Sends one probe to a server and reports the result and its duration to the router.
     pub(super) async fn probe(&self, server: ServerId) {
         let sent = Instant::now();
         let (status, report) = match self.upstream.clone().oneshot(Call::Probe { server }).await {
--- a/gateway/src/core/release.rs
+++ b/gateway/src/core/release.rs
@@ -1,4 +1,4 @@
-//! Releases of the leases that servers hold for a request.
+//! Release of the leases that servers hold for a request, with retries.
 
 use glenrail_request_lifecycle::request::Input;
 use tokio::task::spawn_local;
@@ -11,15 +11,15 @@
 use crate::log;
 use crate::upstream::Call;
 
-/// A release that is in flight.
+/// A release that is in progress.
 struct PendingRelease {
     request: u64,
     call: Call,
-    /// Whether it waits before its first call for servers to notice a cut.
+    /// Whether servers first get a short time to notice that an attempt was interrupted.
     after_cut: bool,
-    /// Since when the lease is unclaimed.
+    /// Start of the time in which no attempt has claimed the lease.
     unclaimed_since: Instant,
-    /// When the release is given up.
+    /// Time after which the release is not retried.
     give_up_at: Instant,
 }
 
@@ -36,13 +36,13 @@
             call: Call::Release { payload: request.payload.clone() },
             after_cut,
             unclaimed_since,
-            // By then servers release by themselves, and the process may be about to end.
+            // By then servers have expired the lease themselves, and a process that shuts down must not wait longer.
             give_up_at: request.deadline.max(Instant::now() + inner.lease_limit * RELEASE_RETRY_LEASE_LIMITS),
         };
         spawn_local(self.clone().run_release(release));
     }
 
-    /// Calls until a server has accepted the release, or its time is over.
+    /// Repeats the call until a server accepts the release or the time for retries has passed.
     async fn run_release(self, release: PendingRelease) {
         if release.after_cut {
             self.await_close_notices(release.request).await;
@@ -51,7 +51,7 @@
         let mut sent_at = Instant::now();
         while self.upstream.clone().oneshot(release.call.clone()).await.is_err() {
             if Instant::now() >= release.give_up_at {
-                log!("a lease could not be released: no server accepted the call");
+                log!("a lease was not released: no server accepted the call before the retries ended");
                 break;
             }
             sleep(RELEASE_RETRY_DELAY).await;
@@ -60,7 +60,7 @@
         self.release_finished(release.request, release.unclaimed_since, sent_at);
     }
 
-    /// Reports to the machine that a release has ended, accepted or not; `sent_at` is when its last call was sent.
+    /// Reports to the state machine that a release has ended, accepted or not; `sent_at` is when its last call was sent.
     fn release_finished(&self, id: u64, unclaimed_since: Instant, sent_at: Instant) {
         {
             let mut inner = self.inner.borrow_mut();
@@ -70,7 +70,7 @@
                 request.record.release_finished(now);
                 let name = &request.payload.request_id;
                 invariants::check_lease_time(unclaimed_since.elapsed(), lease_limit, name);
-                // What is reserved from here on was reserved after this release.
+                // The release covers everything reserved before it was sent; only later state is still unclaimed.
                 request.unclaimed_since = request.unclaimed_since.max(sent_at);
             }
         }
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -1,5 +1,7 @@
-//! The line of the access log for one request: every attempt, its outcome and what its server reported, so that a request
-//! can be followed through every gateway that it met. It is written when nothing of the request is in flight any more.
+//! The access-log record of one request: every attempt, its outcome and its server's report.
+//!
+//! The record carries the request's id, so a request can be traced through every gateway that handled it. It is written once
+//! nothing of the request is in flight except confirmations of closed connections.
 
 use glenrail_access_log::{AttemptRecord, Release, RequestOutcome, RequestRecord, Stage as RecordStage};
 use glenrail_request_lifecycle::request::{
@@ -7,18 +9,18 @@
 };
 use glenrail_router::{AttemptOutcome, Idempotency, Millis, RejectReason, Request, Settings};
 
-/// Collects the record of one request while that is open. All times are of the core's clock.
+/// Builds the record of one open request. All times are in milliseconds of the core's clock.
 #[derive(Clone)]
 pub(super) struct RecordBuilder {
     record: RequestRecord,
     arrived: Millis,
 }
 
-/// An attempt as the record has it from its start.
+/// The fields of an attempt that are known when it starts.
 pub(super) struct AttemptStart {
     pub server: u64,
     pub stage: Stage,
-    /// The server's zone and its cell in that.
+    /// The server's zone and its cell in that zone; `None` if the server is not listed.
     pub location: Option<(u32, u32)>,
     /// Whether the server is in its slow-start window.
     pub is_slow_start: bool,
@@ -26,7 +28,7 @@
 }
 
 impl RecordBuilder {
-    /// A record of a request that arrived at `arrived`; `arrived_unix` is the same moment on the wall clock.
+    /// Creates the record of a request that arrived at `arrived`; `arrived_unix` is the same moment in Unix milliseconds.
     pub fn new(
         request: &Request, name: &str, settings: &Settings, arrived: Millis, arrived_unix: Millis,
     ) -> Self {
@@ -49,7 +51,7 @@
         RecordBuilder { record, arrived }
     }
 
-    /// Adds the next attempt.
+    /// Appends an attempt to the record.
     pub fn attempt_started(&mut self, start: AttemptStart) {
         let stage = if start.stage == Stage::Prefill { RecordStage::Prefill } else { RecordStage::Execute };
         self.record.attempts.push(AttemptRecord {
@@ -62,14 +64,14 @@
         });
     }
 
-    /// The first event of an attempt's response came.
+    /// Records the arrival of the first event of an attempt's response.
     pub fn first_token(&mut self, attempt: usize, now: Millis) {
         if let Some(attempt) = self.record.attempts.get_mut(attempt) {
             attempt.first_token_ms = Some(now - self.arrived);
         }
     }
 
-    /// An attempt ended, with what its server reported.
+    /// Records the outcome of an attempt and its server's load report.
     pub fn attempt_ended(&mut self, outcome: &AttemptOutcome, now: Millis) {
         let Some(attempt) = self.record.attempts.get_mut(outcome.attempt as usize) else { return };
         attempt.ended_ms = now - self.arrived;
@@ -79,48 +81,48 @@
         attempt.memory_share = outcome.report.and_then(|report| report.memory_share);
     }
 
-    /// The first byte of an attempt was written.
+    /// Records when the first byte of an attempt was written.
     pub fn first_byte_written(&mut self, attempt: usize, at: Millis) {
         if let Some(attempt) = self.record.attempts.get_mut(attempt) {
             attempt.written_ms = Some(at - self.arrived);
         }
     }
 
-    /// An attempt is known to have reached its server.
+    /// Records when the delivery of an attempt was confirmed.
     pub fn delivered(&mut self, attempt: usize, now: Millis) {
         if let Some(attempt) = self.record.attempts.get_mut(attempt) {
             attempt.delivered_ms = Some(now - self.arrived);
         }
     }
 
-    /// The release of a lease that was unclaimed since then starts.
+    /// Records the start of the release of a lease that no attempt has claimed since `unclaimed_since`.
     pub fn release_started(&mut self, unclaimed_since: Millis, now: Millis) {
         let (held, ordered) = (unclaimed_since - self.arrived, now - self.arrived);
         self.record.releases.push(Release { unclaimed_since: held, ordered, done: None });
     }
 
-    /// The release that was started last has ended.
+    /// Records the end of the release that was started last.
     pub fn release_finished(&mut self, now: Millis) {
         if let Some(release) = self.record.releases.last_mut() {
             release.done = Some(now - self.arrived);
         }
     }
 
-    /// Why the router rejects or fails the request; the first reason counts.
+    /// Records why the router rejects or fails the request; only the first reason is kept.
     pub fn reject_reason(&mut self, reason: RejectReason) {
         if self.record.reject_reason.is_empty() {
             self.record.reject_reason = reason.log_label().to_string();
         }
     }
 
-    /// The client is owed nothing more; the first such moment counts.
+    /// Records when the client's response ended; only the first call has an effect.
     pub fn client_answered(&mut self, now: Millis) {
         if self.record.duration_ms == 0.0 {
             self.record.duration_ms = now - self.arrived;
         }
     }
 
-    /// The complete record of a request that has finished.
+    /// Returns the complete record of a request that has finished.
     pub fn finish(mut self, machine: &Machine, now: Millis) -> RequestRecord {
         self.client_answered(now);
         self.record.outcome = outcome(machine);
@@ -128,7 +130,7 @@
     }
 }
 
-/// How a request ended for its client.
+/// Returns the outcome of a request as its client saw it.
 fn outcome(machine: &Machine) -> RequestOutcome {
     let is_served =
         || machine.attempts().iter().any(|attempt| attempt.state == AttemptState::Ended(Status::Served));
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -1,4 +1,4 @@
-//! What the core stores of one request and of its attempts besides the request's state machine.
+//! State of one request and of its attempts, kept by the core beside the request's state machine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,25 +17,25 @@
 use crate::exchange::{CancelToken, Payload, ResponsePart};
 use crate::log;
 
-/// The call of one attempt, from the router's order on; attempts that the machine never starts have one too.
+/// The call of one attempt, created when the router orders the attempt, even if the state machine never starts it.
 pub(super) struct AttemptCall {
-    /// When the router ordered it.
+    /// When the router ordered the attempt.
     pub ordered_at: Instant,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// Says when its first byte was written.
+    /// Shared with the connection, which records here when the first byte is written.
     pub cancel_token: CancelToken,
-    /// Dropping this cancels the attempt.
+    /// Cancels the attempt when dropped; `None` before the attempt starts and after it was cancelled.
     pub cancel: Option<oneshot::Sender<()>>,
-    /// What its server reported besides the reply.
+    /// The server's report, sent with its reply.
     pub report: ServerReport,
 }
 
-/// What a server reported besides its reply.
+/// Figures that a server reports with its reply.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServerReport {
-    /// The [`status_detail`](glenrail_router::AttemptOutcome::status_detail) of the attempt's outcome: tokens found in the
-    /// cache, or 1.0 if the server rejected an attempt since the state that it claimed is not there.
+    /// The [`status_detail`](glenrail_router::AttemptOutcome::status_detail) of the attempt's outcome: the number of prompt
+    /// tokens found in the cache, or 1.0 if the server rejected an attempt because it does not have the state to be claimed.
     pub note: f64,
     pub load: Option<LoadReport>,
 }
@@ -46,43 +46,44 @@
         AttemptCall { ordered_at, deadline, cancel_token, cancel: None, report }
     }
 
-    /// Milliseconds since the router ordered the attempt.
+    /// Returns the milliseconds since the router ordered the attempt.
     pub fn elapsed(&self) -> Millis {
         millis(self.ordered_at.elapsed())
     }
 }
 
-/// What the core stores of one request besides its machine.
+/// A request's state machine and everything else that the core stores for the request.
 pub(super) struct RequestState {
     pub machine: Machine,
     pub payload: Rc<Payload>,
-    /// The way to the client; `None` once the client is owed nothing more.
+    /// The channel to the client; `None` once the response has ended.
     pub response: Option<mpsc::Sender<ResponsePart>>,
-    /// Waits for the client's disconnection.
+    /// The task that waits for the client to disconnect.
     pub disconnect_watch: AbortHandle,
     pub deadline: Instant,
-    /// One for each attempt of the machine, in the same order.
+    /// One call for each attempt of the state machine, in the same order.
     pub calls: Vec<AttemptCall>,
-    /// Since when the request's lease waits for an attempt to claim it; an attempt that is not known to have been delivered
-    /// does not stop that time.
+    /// Start of the time in which no attempt has claimed the request's lease. An attempt ends that time only once its
+    /// delivery is confirmed.
     pub unclaimed_since: Instant,
-    /// The call that asks for a slot, while it is in flight.
+    /// The task that requests a slot reservation; `None` while no such call is in flight.
     pub slot_request: Option<AbortHandle>,
-    /// The Retry-After of a rejection.
+    /// `Retry-After` of a rejection, set by the router.
     pub retry_after: Duration,
-    /// For so long after the first attempt that may have run the request may be retried; `None`: without limit, or never.
+    /// How long the request may be retried after the first attempt that may have run; `None` for a class without
+    /// idempotency keys.
     pub idempotency_window: Option<Duration>,
-    /// Whether retrying is harmless whatever became of the request.
+    /// Whether a retry is safe even if the request has already run.
     pub is_idempotent: bool,
-    /// The armed timers that belong to the request.
+    /// Armed timers that belong to the request, each with its key in the queue.
     pub timers: Vec<(TimerPurpose, Key)>,
     pub record: RecordBuilder,
-    /// Whether its line in the access log is written.
+    /// Whether the access-log line of the request has been written.
     pub is_recorded: bool,
 }
 
 impl RequestState {
-    /// Whether the request may be rejected, which tells the client that trying again is harmless.
+    /// Whether the request may be rejected. A rejection states to the client that a retry is safe.
     pub fn may_reject(&self) -> bool {
         self.is_idempotent || !self.machine.may_have_run()
     }
@@ -93,27 +94,28 @@
         log!("{}{record}", glenrail_access_log::LINE_PREFIX);
     }
 
-    /// Forgets what only a further attempt would send.
+    /// Drops the part of the payload that only a further attempt would send; the request id stays, as releases need it.
     pub fn forget_content(&mut self) {
         let request_id = self.payload.request_id.clone();
         self.payload = Rc::new(Payload { request_id, ..Payload::default() });
     }
 
-    /// Until when a further attempt may be written, once one may have run.
+    /// Returns the latest time at which a retry may be written; `None` if no attempt may have run yet or no window is set.
     pub fn retry_deadline(&self) -> Option<Instant> {
         let first = self.machine.attempts().iter().position(Attempt::may_have_run)?;
         Some(self.calls[first].ordered_at + self.idempotency_window?)
     }
 
-    /// When the delivery of an attempt that was written at `written` is first checked; a lease may not wait for long.
+    /// Returns when to check the delivery of an attempt written at `written` for the first time. The check comes earlier if
+    /// the request's lease has already been unclaimed for some time.
     pub fn delivery_check_at(&self, written: Instant, lease_limit: Duration) -> Instant {
         let usual = written + lease_limit.mul_f64(DELIVERY_CHECK_SHARE);
         let latest = self.unclaimed_since + lease_limit.mul_f64(LATEST_DELIVERY_CHECK_SHARE);
         usual.min(latest).max(written)
     }
 
-    /// By when an attempt that claims a lease must be written, so that there is time to check its delivery; `None` without
-    /// a lease.
+    /// Returns the latest time at which an attempt that claims a lease may be written, which leaves time to confirm its
+    /// delivery; `None` without a lease.
     pub fn lease_write_deadline(&self, lease_limit: Duration) -> Option<Instant> {
         self.machine.has_reservation().then(|| self.unclaimed_since + lease_limit.mul_f64(LATEST_WRITE_SHARE))
     }
--- a/gateway/src/core/reset_inquiry.rs
+++ b/gateway/src/core/reset_inquiry.rs
@@ -1,7 +1,7 @@
-//! Questions to a server whose connection was reset under a prefill: whether it still works on that.
+//! Queries to a server whose connection was reset during a prefill, to find out whether it still works on the prefill.
 //!
-//! A reset comes from the server or from what stands between, and a process that stands still knows nothing of it. Only what a
-//! connection shows that is begun after the reset tells a process that is gone, or runs, from one that stands still.
+//! A reset comes from the server or from a network device on the path, and a suspended server process does not see it. Only
+//! a connection opened after the reset distinguishes a terminated or running process from a suspended one.
 
 use glenrail_request_lifecycle::evidence::{InterruptedWork, Observation};
 use glenrail_request_lifecycle::request::Stage;
@@ -15,7 +15,8 @@
 use crate::upstream::{Call, Reply, ServerAfterReset};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Asks the server of a prefill whose connection was reset, once and by this deadline, before anything is decided on it.
+    /// Queries the server of a prefill whose connection was reset, once and until `deadline` at most, before the state
+    /// machine receives the reset.
     pub(super) async fn resolve_reset(
         &self, id: u64, attempt: usize, token: &CancelToken, deadline: Instant,
     ) {
@@ -23,18 +24,18 @@
             return;
         }
         if let Some((Stage::Prefill, server)) = self.stage_and_server(id, attempt) {
-            // What is not answered by then is asked again later.
+            // If the server does not answer by then, `await_work_end` repeats the query.
             let _ = timeout_at(deadline, self.inquire_after_reset(server, token)).await;
         }
     }
 
-    /// Whether a prefill's server is known to work on it no more.
+    /// Whether the attempt is a prefill and its server is known to have stopped working on it.
     pub(super) fn has_prefill_ended(&self, id: u64, attempt: usize, token: &CancelToken) -> bool {
         let stage = self.stage_and_server(id, attempt).map(|(stage, _)| stage);
         stage == Some(Stage::Prefill) && token.has_work_ended()
     }
 
-    /// Waits until the server works on an attempt no more that was cut off; asks it at intervals once its connection was reset.
+    /// Waits until the server has stopped working on an interrupted attempt. After a reset, queries the server repeatedly.
     pub(super) async fn await_work_end(&self, server: ServerId, token: &CancelToken) {
         let was_asked = token.cut_work() == InterruptedWork::Reset;
         let mut pause = if was_asked { RESET_INQUIRY_FIRST_PAUSE } else { Duration::ZERO };
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Asks a server once what has become of it, and notes what that shows.
+    /// Queries a server once and records the result in the attempt's token.
     async fn inquire_after_reset(&self, server: ServerId, token: &CancelToken) {
         let call = Call::InquireAfterReset { server, cancel_token: token.clone() };
         let found = match self.upstream.clone().oneshot(call).await {
--- a/gateway/src/core/routing.rs
+++ b/gateway/src/core/routing.rs
@@ -1,4 +1,4 @@
-//! Dispatch: hands events to the router one at a time, executes its actions, and feeds the machines of requests.
+//! Dispatch: passes events to the router one at a time, executes its actions and feeds the requests' state machines.
 
 use glenrail_request_lifecycle::request::{FinalResponse, Input, Stage};
 use glenrail_router::{Action, Event, Millis, RejectReason, Role, ServerId, ServerState};
@@ -15,13 +15,13 @@
 use crate::upstream::Call;
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Hands one event to the router and executes its actions, in order.
+    /// Passes one event to the router and executes its actions, in order.
     pub(super) fn dispatch(&self, event: Event) {
         self.inner.borrow_mut().events.push_back(event);
         self.process_events();
     }
 
-    /// Hands the queued events to the router one after the other, unless that is under way further up the stack.
+    /// Passes the queued events to the router in order. Returns at once if a caller further up the stack already does so.
     pub(super) fn process_events(&self) {
         if std::mem::replace(&mut self.inner.borrow_mut().is_processing, true) {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Has the router handle the next event; false, and the processing is over, if there is none.
+    /// Lets the router handle the next event; returns false and ends the processing if the queue is empty.
     fn handle_next_event(&self, actions: &mut Vec<Action>) -> bool {
         let mut inner = self.inner.borrow_mut();
         let Some(event) = inner.events.pop_front() else {
@@ -70,8 +70,8 @@
                 self.arm_router_timer(at, key, request);
             }
             Action::Log(text) => log!("router: {text}"),
-            // The list of servers is watched all the time, routers do not gossip, and streams are never migrated: no
-            // deployment of this gateway allows it.
+            // Not needed here: discovery always watches the server list, the routers of this gateway exchange no gossip, and
+            // no deployment allows the migration of streams.
             Action::Subscribe { .. }
             | Action::FetchList
             | Action::SendGossip { .. }
@@ -98,7 +98,8 @@
         self.step(id, Input::Respond(response));
     }
 
-    /// Registers a further attempt and has the machine start it; `timeout` in milliseconds, 0 for the request's deadline.
+    /// Registers a further attempt and passes it to the state machine. `timeout` is in milliseconds; 0 means the request's
+    /// deadline.
     fn send(&self, id: u64, server: ServerId, timeout: Millis) {
         let input = {
             let mut inner = self.inner.borrow_mut();
@@ -129,12 +130,12 @@
         self.step(id, input);
     }
 
-    /// Feeds the machine of a request, carries out its effects and has the router handle what follows from them.
+    /// Feeds one input to a request's state machine, executes the effects and lets the router handle the resulting events.
     pub(super) fn step(&self, id: u64, input: Input) {
         let mut effects = Vec::new();
         {
             let mut inner = self.inner.borrow_mut();
-            // The request may have finished.
+            // The request may have finished already.
             let Some(request) = inner.requests.get_mut(&id) else { return };
             if let Err(invalid) = request.machine.step(input, &mut effects) {
                 return log!("{invalid}");
@@ -147,20 +148,20 @@
         self.process_events();
     }
 
-    /// Ends the client's side of a request that owes its client nothing more.
+    /// Closes the channel to the client once the response has ended, and writes the access-log line once it is complete.
     fn close_if_answered(&self, id: u64) {
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
         let Some(request) = inner.requests.get_mut(&id) else { return };
         if request.machine.is_closed() {
             request.record.client_answered(now);
-            // The client sees the end of its answer; its disconnection means nothing any more.
+            // The response is complete, so a later disconnection of the client has no effect.
             request.response = None;
             request.disconnect_watch.abort();
-            // Releases need no more than its id; the rest may be large, and a cut may go unnoticed for long.
+            // Releases need only the request id. The rest may be large, and a server may take long to notice an interruption.
             request.forget_content();
         }
-        // What servers have not noticed may take long, and adds nothing to the line.
+        // Outstanding close confirmations may take long and add nothing to the line.
         if !request.is_recorded && request.machine.only_awaits_close_confirmations() {
             request.is_recorded = true;
             request.write_record(now);
--- a/gateway/src/core/tests/delivery.rs
+++ b/gateway/src/core/tests/delivery.rs
@@ -1,17 +1,17 @@
-//! What signs of an attempt's delivery bring about, while a lease waits for it.
+//! Tests of delivery confirmation while an attempt claims a lease.
 
 use super::*;
 
-/// The release goes out within the lease limit of the settings.
+/// The lease limit of the settings, within which the release must be sent.
 const LEASE_LIMIT: Duration = Duration::from_millis(500);
-/// The platform allows so much more until a server has taken it.
+/// Additional time that the platform allows until a server has accepted the release.
 const RELEASE_SLACK: Duration = Duration::from_millis(50);
-/// A decode server's time to its first token, far above the lease limit (ms).
+/// Time to first token of a slow decode server in milliseconds, far above the lease limit.
 const SLOW_DECODE_MS: u64 = 1_500;
-/// By class: one that may be repeated, and one that must not.
+/// A class that may be retried, and an at-most-once class.
 const CLASSES: [u32; 2] = [0, 1];
 
-/// Servers whose first decode attempt does this after a delay in milliseconds, and which answer every other one at once.
+/// Servers whose first decode attempt gets `reply` after a delay in milliseconds; every other attempt succeeds after 20 ms.
 fn first_decode(delay: u64, reply: ScriptedReply, signs: &[Observation]) -> ScriptedServers {
     let servers = ScriptedServers::new(move |number, server| match number {
         1 => (delay, reply.clone()),
@@ -21,8 +21,9 @@
     servers
 }
 
-/// Guards soak seeds 9664 and 9684: once a connection that stood at the write is silent, what newer ones answer delivers nothing.
-/// The state is released within the lease limit, and only a request that may be repeated is sent again.
+/// Guards against leases held beyond their limit (soak seeds 9664 and 9684): after a timeout on a connection that was open
+/// when the attempt was written, responses on newer connections prove no delivery. The state must be released within the
+/// lease limit, and only a request that may be retried is sent again.
 #[test]
 fn a_doubted_delivery_ends_in_a_release_in_time() {
     for class in CLASSES {
@@ -31,7 +32,7 @@
             let servers = first_decode(0, ScriptedReply::NoReply, &signs);
             let core = core(&servers);
             let client = core.submit(request(class, 10_000.0));
-            // The prefill takes this long.
+            // Duration of the prefill.
             sleep(Duration::from_millis(20)).await;
             let leased = Instant::now();
             wait_for_call(&servers, CallKind::Release).await;
@@ -49,7 +50,8 @@
     }
 }
 
-/// Guards slow decode servers: one that answers on a standing connection keeps its request, however late the first sign comes.
+/// Guards against the cancellation of slow decodes: once a delivery confirmation succeeds, the attempt continues however late
+/// its first token comes.
 #[test]
 fn a_slow_decode_is_kept_once_a_standing_connection_has_answered() {
     for sign in [Observation::ResponseOnEarlierConnection, Observation::ResponseOnLaterConnection] {
--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -1,16 +1,16 @@
-//! Leases and retries while attempts fail: the time of an unclaimed lease, its release, and the time in which a request
-//! may be retried.
+//! Tests of leases and retries after failed attempts: the time limit of an unclaimed lease, its release, and the idempotency
+//! window in which a request may be retried.
 
 use super::*;
 
-/// Timeout of every attempt that the policies below order, in milliseconds.
+/// Timeout of every attempt that the policies of this file order, in milliseconds.
 const ATTEMPT_TIMEOUT: Millis = 5_000.0;
 
 pub(super) fn send(id: RequestId, server: u64) -> Action {
     Action::Send { id, server: ServerId(server), timeout: ATTEMPT_TIMEOUT }
 }
 
-/// A script in which prefills succeed after 20 ms, and decodes do this after a delay in milliseconds.
+/// Script in which prefills succeed after 20 ms and decodes get this reply after a delay in milliseconds.
 fn prefilled_then(delay: u64, decode: ScriptedReply) -> ScriptedServers {
     ScriptedServers::new(move |_, server| match PREFILL_SERVERS.contains(&server.0) {
         true => (20, ScriptedReply::Prefilled),
@@ -18,8 +18,8 @@
     })
 }
 
-/// A policy that sends each request to one prefill server and then to one decode server, cancels the decode after a
-/// time, and then forgets the request.
+/// A policy that sends each request to one prefill server and then to one decode server, cancels the decode after a time and
+/// orders nothing more.
 struct CancelsDecode {
     after: Millis,
     outcomes: Rc<RefCell<Vec<AttemptStatus>>>,
@@ -42,8 +42,8 @@
     }
 }
 
-/// Runs a request whose decode is cancelled after 250 ms: the outcomes that the router was told, and how long after the
-/// prefill its lease was released.
+/// Runs a request whose decode is cancelled after 250 ms. Returns the outcomes reported to the router, and the time from the
+/// end of the prefill to the release of its lease.
 fn run_cancelled_decode(decode: ScriptedReply) -> (Vec<AttemptStatus>, Duration) {
     paused(async move {
         let servers = prefilled_then(0, decode);
@@ -59,22 +59,22 @@
     })
 }
 
-/// Guards rule 5 against a lease that begins anew: a decode that is cancelled while it is connecting was never in flight,
-/// so the state is unclaimed since its prefill has ended.
+/// Guards rule 5 against a lease that restarts: a decode cancelled while connecting was never in flight, so the state has been
+/// unclaimed since the end of its prefill.
 #[test]
 fn a_decode_cancelled_while_connecting_does_not_extend_its_lease() {
     let (outcomes, released_after) = run_cancelled_decode(ScriptedReply::NoConnection);
     assert_eq!(outcomes, [AttemptStatus::Prefilled, AttemptStatus::NotSent]);
     assert!((455..=475).contains(&released_after.as_millis()), "{released_after:?}");
-    // One that was written was in flight: from its end on there is the whole limit, and 25 ms for the server to see the
+    // A written decode was in flight: the full lease limit starts at its end, and the server has 25 ms to notice the
     // cancellation.
     let (outcomes, released_after) = run_cancelled_decode(ScriptedReply::NoReply);
     assert_eq!(outcomes, [AttemptStatus::Prefilled, AttemptStatus::Cancelled]);
     assert!((705..=745).contains(&released_after.as_millis()), "{released_after:?}");
 }
 
-/// Guards rule 5 while no server can be reached: a release that none accepted is retried until one does, and the request
-/// is not sent again before.
+/// Guards rule 5 while no server can be reached: a release is retried until a server accepts it, and the request is not sent
+/// again before that.
 #[test]
 fn a_release_that_no_server_accepted_is_retried() {
     paused(async {
@@ -100,8 +100,7 @@
     });
 }
 
-/// Guards the end of a process, and of the use of a request's id: a release that no server ever accepts is given up in
-/// time.
+/// Guards against a release that is retried forever, which would block the shutdown and keep the request's id in use.
 #[test]
 fn a_release_that_no_server_ever_accepts_is_given_up() {
     paused(async {
@@ -117,24 +116,24 @@
     });
 }
 
-/// Guards rule 2 where a class may be retried for 300 ms: while a connection is opened, that time runs on.
+/// Guards rule 2 for a class with an idempotency window of 300 ms: connecting uses up time of the window.
 #[test]
 fn a_retry_is_not_written_after_its_idempotency_window() {
     paused(async {
-        // The first decode is reset after 200 ms; 100 ms are left.
+        // The first decode is reset after 200 ms, which leaves 100 ms of the window.
         let servers = prefilled_then(200, ScriptedReply::Fail(CallError::Reset));
         let core = core(&servers);
         let _client = core.submit(request(2, 12_000.0));
         sleep(Duration::from_millis(230)).await;
         assert_eq!(servers.connect_timeouts_ms(), [None, Some(400), Some(100)]);
-        // Later than that it may not be sent at all: it fails at once, and its lease is released.
+        // After the window no retry is allowed: the request fails at once and its lease is released.
         sleep(Duration::from_millis(280)).await;
         assert_eq!(servers.attempts(&DECODE_SERVERS), 2);
         assert!(core.is_idle(), "{:?}", servers.calls.borrow());
     });
 }
 
-/// A policy that retries a decode as soon as it was reset, after a release.
+/// A policy that orders a release and a retry as soon as a decode was reset.
 struct RetriesDecode;
 
 impl DecisionPolicy for RetriesDecode {
@@ -152,13 +151,13 @@
     }
 }
 
-/// Guards rule 2 where a retry is ordered within its window and waits for a release until after it: no time is left in
-/// which it may be written, on whatever connection.
+/// Guards rule 2 for a retry that is ordered within the idempotency window but must wait for a release until the window has
+/// passed: it has no time left to connect, so it is not written.
 #[test]
 fn a_retry_that_waits_for_a_release_is_not_written_after_its_idempotency_window() {
     paused(async {
         let servers = prefilled_then(200, ScriptedReply::Fail(CallError::Reset));
-        // Three calls of 40 ms that no server accepts, and pauses between them; 100 ms of the window are left.
+        // Three failed release calls of 40 ms and the delays between them exceed the 100 ms that are left of the window.
         servers.releases_to_lose.set(3);
         let core = core_with_policy(&servers, RetriesDecode);
         let _client = core.submit(request(2, 12_000.0));
@@ -169,7 +168,7 @@
     });
 }
 
-/// A policy that cancels a request's first prefill after 200 ms, and orders another one after each that has ended.
+/// A policy that cancels a request's first prefill after 200 ms and orders another prefill after each one that has ended.
 struct RepeatsPrefill;
 
 impl DecisionPolicy for RepeatsPrefill {
@@ -180,7 +179,7 @@
                 actions.push(Action::Timer { at: now + 200.0, key: request.id.0, request: Some(request.id) });
             }
             Event::Timer { key } => actions.push(Action::Cancel { id: RequestId(key), attempt: 0 }),
-            // One that may not be sent ends at once.
+            // An attempt that must not be sent ends at once; ordering another would loop.
             Event::Outcome(AttemptOutcome { status: AttemptStatus::NotSent, .. }) => {}
             Event::Outcome(AttemptOutcome { id, .. }) => actions.push(send(id, PREFILL_SERVERS[0])),
             _ => {}
@@ -188,7 +187,7 @@
     }
 }
 
-/// The longest time without a release that a server has accepted, in a time of observation that begins with the first.
+/// Returns the longest time between accepted releases, observed for this duration from the first accepted release on.
 pub(super) async fn longest_without_release(servers: &ScriptedServers, observed: Duration) -> Duration {
     wait_for_call(servers, CallKind::ReleaseAccepted).await;
     let (mut releases, mut last, mut longest) = (1, Instant::now(), Duration::ZERO);
@@ -204,8 +203,8 @@
     longest
 }
 
-/// Guards the lease limit while a prefill that was given up has not seen its close, and the next one is not known to have
-/// arrived: what the first leaves at its end, after its release, is released within the limit.
+/// Guards against state held beyond the lease limit: the server of a cancelled prefill has not noticed the close, and delivery
+/// of the next prefill is unconfirmed. State that the first prefill leaves after its release is released within the limit.
 #[test]
 fn the_state_of_a_prefill_that_ends_after_its_release_is_released_in_time() {
     paused(async {
@@ -224,8 +223,8 @@
     });
 }
 
-/// Guards the next prefill against needless cancels: once the first one's server has noticed the close, one release is
-/// enough, and no lease waits for the next prefill.
+/// Guards against needless cancellation of a retried prefill: once the server of the first prefill has noticed the close, one
+/// release is enough and no lease limits the next prefill.
 #[test]
 fn a_prefill_goes_on_once_the_close_before_it_was_noticed() {
     paused(async {
@@ -237,8 +236,8 @@
     });
 }
 
-/// Guards against an answer on another connection as proof of a close: a server that answers everything else, and has not
-/// noticed that a prefill was cut off, may end it at any later time. Its client has left.
+/// Guards against a response on another connection taken as proof of a noticed close: a server that responds to other calls
+/// may not have noticed the close of a prefill, and may complete the prefill at any later time. The client has disconnected.
 #[test]
 fn a_server_that_answers_elsewhere_has_not_noticed_a_close() {
     paused(async {
@@ -249,13 +248,13 @@
         wait_for_call(&servers, CallKind::Attempt).await;
         sleep(Duration::from_millis(100)).await;
         drop(client);
-        // Beyond the deadline that the server was told: it counts from the arrival there.
+        // Observes past the request's deadline, because the server counts the stated time from the arrival of the prefill.
         let longest = longest_without_release(&servers, Duration::from_secs(10)).await;
         assert!(longest <= Duration::from_millis(550), "nothing was released for {longest:?}");
     });
 }
 
-/// Guards the follow-up's end: once the server has ended the connection, one more release meets what the prefill has left.
+/// Guards against missing or needless releases after a confirmed close: one more release removes what the prefill has left.
 #[test]
 fn a_release_follows_the_notice_of_a_close_and_none_after_it() {
     paused(async {
@@ -274,7 +273,7 @@
     });
 }
 
-/// Guards a process and its memory: what the network may have held back is not waited for without end.
+/// Guards against a request that is kept forever: the wait for a close that no server confirms is bounded.
 #[test]
 fn a_close_that_no_server_notices_is_followed_up_for_a_bounded_time() {
     paused(async {
@@ -290,7 +289,7 @@
     });
 }
 
-/// A policy that cancels a request's first prefill after 200 ms, and rejects the request once that has ended.
+/// A policy that cancels a request's first prefill after 200 ms and rejects the request 100 ms after that attempt has ended.
 struct RejectsAfterCut;
 
 impl DecisionPolicy for RejectsAfterCut {
@@ -317,10 +316,10 @@
     }
 }
 
-/// Marks the timer at which [`RejectsAfterCut`] rejects.
+/// Bit of a timer's key that marks the rejection timer of [`RejectsAfterCut`].
 const REJECTS_AT_BIT: u32 = 32;
 
-/// The answer to a request of this class that is rejected 100 ms after its prefill was cut off.
+/// Returns the response to a request of this class whose rejection is ordered 100 ms after its prefill was cancelled.
 fn answer_after_cut(class: u32, misses_closes: bool) -> Option<ResponsePart> {
     paused(async move {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
@@ -330,8 +329,8 @@
     })
 }
 
-/// Guards what a rejection says: a request that must not be repeated is not rejected while a prefill that was cut off may
-/// still run at its server.
+/// Guards against unsafe rejections: an at-most-once request is not rejected while an interrupted prefill may still run at its
+/// server.
 #[test]
 fn a_request_whose_cut_prefill_may_still_run_is_not_rejected() {
     let failed = answer_after_cut(1, true);
@@ -342,7 +341,7 @@
     assert!(matches!(rejected, Some(ResponsePart::Rejected(_))), "it may be repeated: {rejected:?}");
 }
 
-/// A policy that cancels a request's first prefill after 200 ms, orders another one, and then a decode.
+/// A policy that cancels a request's first prefill after 200 ms, then orders another prefill and a decode.
 struct DecodesAfterCut;
 
 impl DecisionPolicy for DecodesAfterCut {
@@ -364,8 +363,8 @@
     }
 }
 
-/// Guards a long stream's prefill servers: what a prefill that was cut off leaves while the stream runs waits for no attempt, and
-/// is released in time beside it.
+/// Guards against state that is kept until the end of a long stream: state that an interrupted prefill leaves while the stream
+/// runs is released in time.
 #[test]
 fn a_state_that_is_left_beside_a_stream_is_released_in_time() {
     paused(async {
@@ -380,7 +379,7 @@
         assert!(matches!(client.next_part().await, Some(ResponsePart::Head(..))));
         let releases = servers.count(CallKind::Release);
         sleep(Duration::from_millis(600)).await;
-        assert!(servers.count(CallKind::Release) > releases, "nothing was released beside the stream");
+        assert!(servers.count(CallKind::Release) > releases, "nothing was released during the stream");
         assert!(matches!(client.next_part().await, Some(ResponsePart::Chunk(_))), "the stream goes on");
     });
 }
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The core on paused time, with a scripted service in the place of the servers.
+//! Tests of the core on paused time, with a scripted service in place of the servers.
 
 mod delivery;
 mod leases;
@@ -32,17 +32,18 @@
 const PREFILL_SERVERS: [u64; 2] = [11, 12];
 const DECODE_SERVERS: [u64; 2] = [21, 22];
 
-/// How long a server is asked that gives no answer.
+/// How long a query to an unresponsive server takes.
 const SILENT_INQUIRY: Duration = Duration::from_millis(80);
 
-/// What a scripted server does with an attempt, after its delay.
+/// Reply of a scripted server to an attempt, after the script's delay.
 #[derive(Clone, Debug)]
 enum ScriptedReply {
     Prefilled,
     Stream,
-    /// Begins a stream and resets it.
+    /// Starts a stream and resets it.
     BrokenStream,
-    /// Begins a stream whose further events follow after these pauses, in seconds, and stops without an end.
+    /// Starts a stream whose further events follow after these pauses, in seconds. The stream then sends nothing more and
+    /// does not end.
     SlowStream(Vec<u64>),
     Rejected,
     Error,
@@ -56,7 +57,7 @@
 }
 
 impl ScriptedReply {
-    /// Whether nothing of the attempt is written.
+    /// Whether no byte of the attempt is written.
     fn is_unwritten(&self) -> bool {
         matches!(
             self,
@@ -70,35 +71,35 @@
     Attempt,
     Release,
     ReleaseAccepted,
-    /// A question after a reset.
+    /// A query after a reset.
     InquiryAfterReset,
 }
 
-/// Servers that follow a script: for the number of an attempt and its server, a delay in milliseconds and a reply.
+/// Servers that follow a script, which maps the number of an attempt and its server to a delay in milliseconds and a reply.
 #[derive(Clone)]
 struct ScriptedServers {
     script: Rc<dyn Fn(usize, ServerId) -> (u64, ScriptedReply)>,
-    /// What was called, in order, and an attempt's server.
+    /// All calls in order, each with its server if it is an attempt, else 0.
     calls: Rc<RefCell<Vec<(CallKind, u64)>>>,
     attempt_timeouts: Rc<RefCell<Vec<Duration>>>,
     connect_timeouts: Rc<RefCell<Vec<Option<Duration>>>>,
     in_flight: Rc<Cell<usize>>,
     max_in_flight: Rc<Cell<usize>>,
-    /// So many of the next releases fail.
+    /// Number of the next releases that fail.
     releases_to_lose: Rc<Cell<usize>>,
-    /// No server answers when it is asked whether it can be reached.
+    /// Whether all delivery confirmations fail to connect.
     unreachable: Rc<Cell<bool>>,
-    /// What is seen, one after the other, when a server is asked for a sign that an attempt was delivered.
+    /// Results of successive delivery confirmations; the last one repeats.
     delivery_signs: Rc<RefCell<Vec<Observation>>>,
-    /// No server notices that an attempt was cut off.
+    /// Whether servers fail to notice that an attempt was interrupted.
     misses_closes: Rc<Cell<bool>>,
-    /// What a connection shows that is begun after a reset.
+    /// Result of a query after a reset.
     after_reset: Rc<Cell<ServerAfterReset>>,
-    /// The attempts so far.
+    /// The tokens of all attempts so far.
     attempt_tokens: Rc<RefCell<Vec<CancelToken>>>,
 }
 
-/// An attempt that is in flight until this is dropped; then its server ends the connection, if it notices.
+/// An attempt that is in flight until this guard is dropped. Its server then closes the connection, if it notices.
 struct InFlight {
     count: Rc<Cell<usize>>,
     misses_closes: Rc<Cell<bool>>,
@@ -132,13 +133,13 @@
         }
     }
 
-    /// Attempts at these servers so far.
+    /// Returns the number of attempts at these servers so far.
     fn attempts(&self, servers: &[u64]) -> usize {
         let calls = self.calls.borrow();
         calls.iter().filter(|call| call.0 == CallKind::Attempt && servers.contains(&call.1)).count()
     }
 
-    /// Calls of this kind so far.
+    /// Returns the number of calls of this kind so far.
     fn count(&self, kind: CallKind) -> usize {
         self.calls.borrow().iter().filter(|call| call.0 == kind).count()
     }
@@ -147,7 +148,7 @@
         self.calls.borrow().iter().map(|call| call.0).collect()
     }
 
-    /// The connect timeouts of all attempts so far, in milliseconds.
+    /// Returns the connect timeouts of all attempts so far, in milliseconds.
     fn connect_timeouts_ms(&self) -> Vec<Option<u128>> {
         let timeouts = self.connect_timeouts.borrow();
         timeouts.iter().map(|timeout| timeout.map(|timeout| timeout.as_millis())).collect()
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The sign that comes now; the last one comes again and again.
+    /// Returns the next scripted observation; the last one repeats.
     fn confirm_delivery(&self) -> Result<Reply, CallError> {
         if self.unreachable.get() {
             return Err(CallError::ConnectFailed);
@@ -264,7 +265,7 @@
     ServerEntry { server: ServerId(server), kind, weight: 1.0, ..ServerEntry::default() }
 }
 
-/// A core with two prefill servers and two decode servers.
+/// Creates a core with two prefill servers and two decode servers.
 fn core(servers: &ScriptedServers) -> Core<impl Upstream> {
     let servers = servers.clone();
     let service = tower::service_fn(move |call| servers.clone().answer(call));
@@ -275,7 +276,7 @@
     core
 }
 
-/// A core with one prefill server and one decode server, for which `policy` decides.
+/// Creates a core with one prefill server and one decode server that uses `policy`.
 fn core_with_policy<R: DecisionPolicy>(servers: &ScriptedServers, policy: R) -> Core<impl Upstream, R> {
     let servers = servers.clone();
     let service = tower::service_fn(move |call| servers.clone().answer(call));
@@ -285,7 +286,7 @@
     core
 }
 
-/// A request whose client waits for `client_timeout` milliseconds. All have the same name.
+/// Creates a request whose client waits for `client_timeout` milliseconds. All requests have the same id.
 fn request(class: u32, client_timeout: Millis) -> Request {
     let routing = glenrail_router::Request {
         class,
@@ -305,7 +306,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// All parts of a response; `None` is the last one where the response broke off.
+/// Returns all parts of a response; the last one is `None` if the response was aborted.
 async fn response_parts(mut client: ClientSide) -> Vec<Option<ResponsePart>> {
     let mut parts = Vec::new();
     loop {
@@ -328,7 +329,7 @@
     }
 }
 
-/// A script in which each request is prefilled and then streamed.
+/// Script in which each prefill succeeds and each decode streams, both after 20 ms.
 fn two_stages(_: usize, server: ServerId) -> (u64, ScriptedReply) {
     let is_prefill = PREFILL_SERVERS.contains(&server.0);
     (20, if is_prefill { ScriptedReply::Prefilled } else { ScriptedReply::Stream })
--- a/gateway/src/core/tests/permissions.rs
+++ b/gateway/src/core/tests/permissions.rs
@@ -1,10 +1,10 @@
-//! What the core itself checks of the router's decisions, whatever the router says.
+//! Tests of the checks that the core makes on the router's decisions.
 
 use glenrail_router::DeduplicationScope;
 
 use super::*;
 
-/// A policy that sends each request to one prefill server, whatever the list says of that server.
+/// A policy that sends each request to one prefill server, whatever that server's state in the list.
 struct IgnoresTheList;
 
 impl DecisionPolicy for IgnoresTheList {
@@ -15,7 +15,7 @@
     }
 }
 
-/// Attempts that are started at a server that the list has in this state.
+/// Returns the number of attempts started at a server that is listed in this state.
 fn attempts_at_server_that_is(state: ServerState) -> usize {
     paused(async move {
         let servers = ScriptedServers::new(two_stages);
@@ -28,7 +28,7 @@
     })
 }
 
-/// Guards servers that drain or are gone from attempts that the router orders all the same.
+/// Guards against attempts at draining or terminated servers, even if the router orders them.
 #[test]
 fn an_attempt_is_started_only_at_a_server_that_is_ready() {
     assert_eq!(attempts_at_server_that_is(ServerState::Ready), 1);
@@ -36,8 +36,8 @@
     assert_eq!(attempts_at_server_that_is(ServerState::Terminated), 0);
 }
 
-/// The answer, once the process is about to end, to a request of a class with idempotency keys that the servers of one zone
-/// recognise; its prefill has succeeded, and its decode server has said this.
+/// Returns the response, when the process is about to end, to a request of a class with idempotency keys that only the servers
+/// of one zone recognise. Its prefill succeeded and its decode got this reply.
 fn answer_at_the_end(decode: ScriptedReply) -> Option<ResponsePart> {
     paused(async move {
         let servers = ScriptedServers::new(move |_, server| {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Guards requests with idempotency keys: the servers of other zones do not recognise them, so before the process ends one that
-/// may have run is failed, not rejected.
+/// Guards against unsafe rejections of requests with idempotency keys: servers of other zones do not recognise the keys, so a
+/// request that may have run fails when the process is about to end.
 #[test]
 fn a_request_with_an_idempotency_key_that_may_have_run_is_failed_at_the_end() {
     let failed = answer_at_the_end(ScriptedReply::Error);
--- a/gateway/src/core/tests/prefill_errors.rs
+++ b/gateway/src/core/tests/prefill_errors.rs
@@ -1,8 +1,8 @@
-//! A prefill that a server answers with an error: the request may have run there, so that it may have left its state.
+//! Tests of prefills that a server answers with an error: the prefill may have run and left state on the server.
 
 use super::*;
 
-/// Guards a server from a state that nobody releases: the prefill may have left one although its answer is an error.
+/// Guards against state that is never released: a prefill that ended in an error may have left some.
 #[test]
 fn what_a_prefill_that_failed_may_have_left_is_released_before_the_retry() {
     paused(async {
@@ -18,7 +18,7 @@
     });
 }
 
-/// Guards the same where no retry follows.
+/// Guards against unreleased state of a failed prefill if no retry follows.
 #[test]
 fn what_a_prefill_that_failed_may_have_left_is_released_at_the_end() {
     paused(async {
@@ -32,7 +32,7 @@
     });
 }
 
-/// Guards servers from needless releases: one that declined a prefill, or finds the request itself at fault, has begun nothing.
+/// Guards against needless releases: a server that rejected a prefill, or found the request invalid, has started nothing.
 #[test]
 fn a_prefill_that_was_not_begun_needs_no_release() {
     for reply in [ScriptedReply::Rejected, ScriptedReply::Unprocessable] {
--- a/gateway/src/core/tests/records.rs
+++ b/gateway/src/core/tests/records.rs
@@ -1,4 +1,4 @@
-//! The access-log record of a request, as it is written and read.
+//! Tests of the access-log record of a request.
 
 use glenrail_access_log::{RequestRecord, LINE_PREFIX};
 use glenrail_router::Idempotency;
@@ -6,7 +6,7 @@
 use super::super::request_record::{AttemptStart, RecordBuilder};
 use super::*;
 
-/// Guards against a record that cannot say whom a fleet starves, or which states leave their cell.
+/// Guards against records without the fields that show which tenants are starved and which state is transferred between cells.
 #[test]
 fn a_line_has_class_tenant_and_locations() {
     let mut settings = settings();
@@ -36,7 +36,7 @@
     assert_eq!((record.attempts[0].location, record.attempts[0].slow_start), (location, true));
 }
 
-/// Guards whoever reads the log: a line does not wait for a server that never shows that it has noticed a cut.
+/// Guards against delayed log lines: a line is written even if a server never confirms the close of an interrupted prefill.
 #[test]
 fn a_request_is_recorded_before_its_cuts_are_noticed() {
     paused(async {
--- a/gateway/src/core/tests/rejections.rs
+++ b/gateway/src/core/tests/rejections.rs
@@ -1,17 +1,17 @@
-//! What a request that may not be repeated is answered where the process is about to end: a rejection only if no attempt of
-//! it can have run, and none may still.
+//! Tests of the final response to at-most-once requests when the process is about to end: a rejection only if no attempt can
+//! have run or may still run.
 
 use super::*;
 
 /// Timeout of every attempt, in milliseconds.
 const ATTEMPT_TIMEOUT: Millis = 5_000.0;
-/// When the process answers what is pending.
+/// When the process answers pending requests.
 const ANSWERED_AT: Duration = Duration::from_millis(300);
-/// The class that may not be repeated.
+/// The at-most-once class.
 const NON_IDEMPOTENT: u32 = 1;
 
-/// A policy that sends each request to one prefill server and then to one decode server, once each, and cancels the prefill
-/// after a time if it is still in flight.
+/// A policy that sends each request to one prefill server and then to one decode server, once each. Optionally cancels the
+/// prefill after a time.
 struct OneAttemptAStage {
     cancels_prefill_after: Option<Millis>,
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// What has become of the attempts when the process answers what is pending.
+/// The state of the attempts when the process answers pending requests.
 struct History {
     prefill: ScriptedReply,
     cancels_prefill_after: Option<Millis>,
@@ -54,24 +54,24 @@
 }
 
 impl History {
-    /// A prefill that gets this reply after 20 ms, and whose server notices all closes.
+    /// A prefill that gets this reply after 20 ms and whose server notices all closes.
     fn of_prefill(prefill: ScriptedReply) -> History {
         let decode = ScriptedReply::NoReply;
         History { prefill, cancels_prefill_after: None, misses_closes: false, decode }
     }
 
-    /// A prefill that has succeeded, and a decode that gets this reply after 20 ms.
+    /// A successful prefill and a decode that gets this reply after 20 ms.
     fn of_decode(decode: ScriptedReply) -> History {
         History { decode, ..History::of_prefill(ScriptedReply::Prefilled) }
     }
 
-    /// A prefill without a reply that is cancelled some time before the answer.
+    /// A prefill without a reply that is cancelled 100 ms before pending requests are answered.
     fn of_cut_prefill(misses_closes: bool) -> History {
         let cancels_prefill_after = Some(200.0);
         History { cancels_prefill_after, misses_closes, ..History::of_prefill(ScriptedReply::NoReply) }
     }
 
-    /// Whether the request is rejected; else it has failed.
+    /// Returns whether the request is rejected; otherwise it fails.
     fn ends_in_rejection(self) -> bool {
         let History { prefill, cancels_prefill_after, misses_closes, decode } = self;
         paused(async move {
@@ -87,13 +87,13 @@
             match response_parts(client).await.pop().flatten() {
                 Some(ResponsePart::Rejected(_)) => true,
                 Some(ResponsePart::Failed(Failure::Upstream)) => false,
-                other => panic!("another answer: {other:?}"),
+                other => panic!("unexpected response: {other:?}"),
             }
         })
     }
 }
 
-/// Guards what callers are told shortly before the kill: that sending again is harmless, only where it is.
+/// Guards against unsafe rejections shortly before SIGKILL: a request that may have run fails instead.
 #[test]
 fn a_request_that_may_have_run_is_failed_before_the_process_ends() {
     for decode in [
@@ -104,11 +104,11 @@
     ] {
         assert!(!History::of_decode(decode.clone()).ends_in_rejection(), "decode: {decode:?}");
     }
-    assert!(!History::of_prefill(ScriptedReply::NoReply).ends_in_rejection(), "a prefill that still runs");
-    assert!(!History::of_cut_prefill(true).ends_in_rejection(), "a cut prefill that may still run");
+    assert!(!History::of_prefill(ScriptedReply::NoReply).ends_in_rejection(), "a prefill in flight");
+    assert!(!History::of_cut_prefill(true).ends_in_rejection(), "an interrupted prefill that may still run");
 }
 
-/// Guards callers from a failure where a rejection would be true.
+/// Guards against needless failures: a request that cannot have run is rejected.
 #[test]
 fn a_request_that_cannot_have_run_is_rejected_before_the_process_ends() {
     for decode in [
@@ -118,6 +118,12 @@
     ] {
         assert!(History::of_decode(decode.clone()).ends_in_rejection(), "decode: {decode:?}");
     }
-    assert!(History::of_prefill(ScriptedReply::Error).ends_in_rejection(), "a prefill has no effect");
-    assert!(History::of_cut_prefill(false).ends_in_rejection(), "a cut prefill whose server has noticed");
+    assert!(
+        History::of_prefill(ScriptedReply::Error).ends_in_rejection(),
+        "a failed prefill is not an execution"
+    );
+    assert!(
+        History::of_cut_prefill(false).ends_in_rejection(),
+        "an interrupted prefill whose server has noticed"
+    );
 }
--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -1,5 +1,5 @@
-//! Replays every recorded trace of a request against the real core on paused time: the router's actions are the trace's,
-//! and scripted servers reply when the trace says. The calls, and what the router is told, must be the machine's.
+//! Replays every recorded trace of a request against the real core on paused time. The router's actions and the servers'
+//! replies follow the trace; the calls and the outcomes reported to the router must match the state machine's effects.
 
 mod servers;
 mod trace;
@@ -15,16 +15,16 @@
 use self::trace::{RecordedOutcome, Trace};
 use super::*;
 
-/// How long the client of a trace waits.
+/// Client timeout of a replayed request.
 const CLIENT_TIMEOUT: Millis = 10_000.0;
-/// Timeout of an attempt that is to time out, before its lease does.
+/// Timeout of an attempt that times out in the trace, shorter than the lease limit.
 const SHORT_TIMEOUT: Millis = 300.0;
-/// Longer than a stream may be idle.
+/// A time longer than the idle timeout of a stream.
 const IDLE: Duration = Duration::from_secs(5);
-/// Longer than a lease may be unclaimed, from the moment at which the trace goes on.
+/// A time after which the lease timer has expired, counted from the previous step of the trace.
 const LEASE_TIMEOUT: Duration = Duration::from_millis(470);
 
-/// A policy that decides nothing and records its events.
+/// A policy that records its events and orders nothing.
 #[derive(Clone, Default)]
 struct RecordingPolicy(Rc<RefCell<Vec<Event>>>);
 
@@ -47,18 +47,18 @@
     }
 }
 
-/// A replay under way.
+/// A replay in progress.
 struct Replay<U> {
     core: Core<U, RecordingPolicy>,
     policy: RecordingPolicy,
     servers: ReplayServers,
     client: Option<ClientSide>,
     streams: HashMap<usize, mpsc::UnboundedSender<Result<Frame, CallError>>>,
-    /// Attempts that are to time out.
+    /// Numbers of the attempts that time out in the trace.
     timed_out: Vec<usize>,
-    /// Attempts that were started, in order.
+    /// Numbers of the attempts that the trace starts, in order.
     started: Vec<usize>,
-    /// Attempts that the router has ordered.
+    /// Number of attempts ordered so far.
     ordered: usize,
     prefill_servers: u64,
     began: Instant,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A core with the servers of a trace and its one request.
+/// Creates a core with the servers of a trace and submits the trace's request.
 fn begin(trace: &Trace) -> Replay<impl Upstream> {
     let (policy, servers) = (RecordingPolicy::default(), ReplayServers::default());
     let service = tower::service_fn({
@@ -106,7 +106,7 @@
 }
 
 impl<U: Upstream> Replay<U> {
-    /// Brings about one input of the machine.
+    /// Causes one input of the state machine.
     async fn feed(&mut self, input: Input) {
         let id = RequestId(1);
         match input {
@@ -149,7 +149,7 @@
         self.core.process_events();
     }
 
-    /// Orders an attempt; one that is not permitted goes to a server that is draining.
+    /// Orders an attempt; for one that is not permitted, marks the server as draining first.
     fn send(&mut self, id: RequestId, server: u64, permitted: bool) {
         if !permitted {
             let draining = ServerEntry { state: ServerState::Draining, ..self.entry(server) };
@@ -171,7 +171,7 @@
         self.servers.0.borrow_mut().is_reachable = false;
     }
 
-    /// The server of an attempt that was cut off ends its connection.
+    /// Lets the server of an interrupted attempt close its connection.
     fn confirm_close(&self, attempt: usize) {
         let call = self.started.iter().position(|started| *started == attempt).expect("it was sent");
         self.servers.0.borrow().tokens[call].note(Observation::ServerClose);
@@ -179,7 +179,7 @@
 
     async fn accept_release(&self) {
         let release = self.servers.0.borrow_mut().release.take();
-        release.expect("a release is in flight").send(()).expect("and awaited");
+        release.expect("a release is in flight").send(()).expect("the release is awaited");
     }
 
     fn reply(&mut self, attempt: usize, reply: MachineReply) {
@@ -197,11 +197,11 @@
             MachineReply::MalformedResponse => Err(CallError::MalformedResponse),
             MachineReply::NotSent => Err(CallError::NotSent),
         };
-        // An attempt that was not permitted never called.
+        // An attempt that was not permitted made no call.
         let call = self.started.iter().position(|started| *started == attempt).expect("it was sent");
         let answered = oneshot::channel().0;
         let sender = std::mem::replace(&mut self.servers.0.borrow_mut().attempts[call], answered);
-        // One that was cancelled just before is not awaited any more.
+        // The receiver is dropped if the attempt was cancelled just before.
         let _ = sender.send(reply);
     }
 
@@ -231,13 +231,13 @@
         }
     }
 
-    /// Compares what has happened with the trace.
+    /// Compares the calls, outcomes and response with the trace.
     async fn check(&mut self, trace: &Trace, name: &str) {
         assert_eq!(self.servers.0.borrow().started, trace.calls(), "{name}: calls");
-        assert_eq!(self.policy.outcomes(), trace.outcomes(), "{name}: outcomes that the router was told");
-        assert!(self.servers.0.borrow().max_in_flight <= 1, "{name}: two attempts at once");
+        assert_eq!(self.policy.outcomes(), trace.outcomes(), "{name}: outcomes reported to the router");
+        assert!(self.servers.0.borrow().max_in_flight <= 1, "{name}: concurrent attempts");
         let is_finished = trace.effects().any(|effect| effect == Effect::Finished);
-        assert_eq!(self.core.is_idle(), is_finished, "{name}: requests left");
+        assert_eq!(self.core.is_idle(), is_finished, "{name}: whether the core is idle");
         let Some(mut client) = self.client.take() else { return };
         let response = trace.final_response();
         let first = client.next_part().await;
@@ -246,7 +246,7 @@
             Some(_) => matches!(first, Some(ResponsePart::Failed(_))),
             None => matches!(first, Some(ResponsePart::Head(..))),
         };
-        assert!(is_same, "{name}: {response:?} and yet {first:?}");
+        assert!(is_same, "{name}: expected {response:?}, got {first:?}");
     }
 }
 
@@ -257,7 +257,7 @@
     exchange::StreamRemainder { socket, read_ahead: Vec::new() }
 }
 
-/// Replays a trace of a request; false for a trace of something else.
+/// Replays a trace; returns false if it is not a trace of a request.
 async fn replay(path: &Path) -> bool {
     let Some(trace) = Trace::read(path) else { return false };
     let mut replay = begin(&trace);
@@ -270,14 +270,15 @@
         }
         replay.feed(*input).await;
     }
-    // A release that waits for a cancellation to be seen starts a little later.
+    // A release that first waits for a close to be noticed starts a little later.
     sleep(CANCEL_PROPAGATION_DELAY * 2).await;
     settle().await;
     replay.check(&trace, &path.display().to_string()).await;
     true
 }
 
-/// Guards the driver: what the model checker found right in the machines must be right in what runs.
+/// Guards against differences between the core and the model checker: the core must behave as the recorded traces of the
+/// verified state machines.
 #[test]
 fn recorded_traces_replay_the_same_in_the_real_core() {
     let folder: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("../model-checker/traces");
--- a/gateway/src/core/tests/replay/servers.rs
+++ b/gateway/src/core/tests/replay/servers.rs
@@ -1,4 +1,4 @@
-//! Servers whose replies a replay sends.
+//! Simulated servers of a replay.
 
 use super::*;
 
@@ -9,20 +9,20 @@
     SlotRequest,
 }
 
-/// Servers whose replies the replay sends.
+/// Servers that reply when the replay sends the reply. Clones share the same state.
 #[derive(Clone, Default)]
 pub(super) struct ReplayServers(pub(super) Rc<RefCell<PendingCalls>>);
 
 #[derive(Default)]
 pub(super) struct PendingCalls {
-    /// Every call, in order.
+    /// All calls, in order.
     pub(super) started: Vec<StartedCall>,
     pub(super) attempts: Vec<oneshot::Sender<Result<Reply, CallError>>>,
-    /// One for each attempt, in the same order.
+    /// The token of each attempt, in the order of `attempts`.
     pub(super) tokens: Vec<CancelToken>,
     pub(super) release: Option<oneshot::Sender<()>>,
     pub(super) slot_request: Option<oneshot::Sender<Option<bool>>>,
-    /// Whether servers answer the check whether they can be reached.
+    /// Whether delivery confirmations succeed.
     pub(super) is_reachable: bool,
     in_flight: usize,
     pub(super) max_in_flight: usize,
--- a/gateway/src/core/tests/replay/trace.rs
+++ b/gateway/src/core/tests/replay/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded traces of one request, and what they say should happen.
+//! Recorded traces of one request, and the calls and outcomes expected from them.
 
 use std::path::Path;
 
@@ -27,21 +27,21 @@
     pub(super) cancel: bool,
 }
 
-/// Each later line.
+/// Any later line of a trace.
 #[derive(Deserialize)]
 struct TraceLine {
     #[serde(default)]
     fed: Vec<(Input, Vec<Effect>)>,
 }
 
-/// A trace of one request: each input of its machine, and the effects that followed.
+/// A trace of one request: each input of its state machine with the resulting effects.
 pub(super) struct Trace {
     pub(super) head: TraceHead,
     pub(super) steps: Vec<(Input, Vec<Effect>)>,
 }
 
 impl Trace {
-    /// The trace in this file; `None` if it is of something else than a request.
+    /// Reads the trace in this file; `None` if it is not a trace of a request.
     pub(super) fn read(path: &Path) -> Option<Trace> {
         let text = std::fs::read_to_string(path).expect("a trace");
         let mut lines = text.lines();
@@ -57,7 +57,7 @@
         self.steps.iter().flat_map(|(_, effects)| effects.iter().copied())
     }
 
-    /// Attempts that time out.
+    /// Returns the numbers of the attempts that time out.
     pub(super) fn timed_out(&self) -> Vec<usize> {
         let timed_out = |input: &Input| match input {
             Input::TimedOut { attempt } => Some(*attempt),
--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -1,10 +1,10 @@
-//! Requests from their admission to their end: attempts, responses, releases and limits.
+//! Tests of requests from admission to completion: attempts, responses, releases and limits.
 
 use super::*;
 
 const ALL_SERVERS: [u64; 4] = [PREFILL_SERVERS[0], PREFILL_SERVERS[1], DECODE_SERVERS[0], DECODE_SERVERS[1]];
 
-/// A script in which prefills succeed, and decodes do this; both after 5 ms.
+/// Script in which prefills succeed and decodes get this reply, both after 5 ms.
 fn prefilled_then(decode: ScriptedReply) -> ScriptedServers {
     ScriptedServers::new(move |_, server| match PREFILL_SERVERS.contains(&server.0) {
         true => (5, ScriptedReply::Prefilled),
@@ -12,7 +12,7 @@
     })
 }
 
-/// Guards the router's ids: the 64-bit request ids of the wire must not reach it, since it shifts ids.
+/// Guards against the wire's 64-bit request ids in the router, which shifts ids and would lose bits.
 #[test]
 fn a_request_is_prefilled_then_decoded_and_served() {
     paused(async {
@@ -28,14 +28,14 @@
     });
 }
 
-/// Guards rule 5: while no connection to a decode server can be opened, the time of the lease that waits for one runs on.
-/// Two servers, 250 ms each, would leave no time for the release; the request is prefilled anew instead.
+/// Guards rule 5: while no connection to a decode server can be opened, the time of the unclaimed lease runs on. Two servers
+/// with a connect timeout of 250 ms each would leave no time for the release; the request is prefilled again instead.
 #[test]
 fn a_lease_is_released_in_time_while_no_decode_server_can_be_connected() {
     paused(async {
         let script = |number: usize, server: ServerId| match PREFILL_SERVERS.contains(&server.0) {
             true => (20, ScriptedReply::Prefilled),
-            // As an engine does that has less time than its usual connect timeout.
+            // The engine shortens its usual connect timeout if less time is left.
             false if number == 1 => (250, ScriptedReply::Fail(CallError::ConnectFailed)),
             false if number < 3 => (150, ScriptedReply::Fail(CallError::ConnectFailed)),
             false => (20, ScriptedReply::Stream),
@@ -55,13 +55,13 @@
             CallKind::Attempt,
         ];
         assert_eq!(servers.call_kinds(), expected);
-        // Decode servers that could not be reached are left alone for 100 ms.
+        // Decode servers that could not be reached get no attempt for 100 ms.
         assert_eq!(servers.connect_timeouts_ms(), [None, Some(400), Some(150), None, Some(300)]);
         assert!(begun.elapsed() < Duration::from_millis(900), "{:?}", begun.elapsed());
     });
 }
 
-/// Guards rule 1 and the attempt's timeout: whatever the router orders, the attempt ends with the client's deadline.
+/// Guards rule 1 and the attempt timeout: an attempt ends by the client's deadline, whatever timeout the router orders.
 #[test]
 fn an_unresponsive_server_ends_in_one_failure_at_the_deadline() {
     paused(async {
@@ -79,8 +79,8 @@
     });
 }
 
-/// Guards rule 2: a request that may run at most once and may have run is never sent again, nor rejected, which would
-/// call a retry harmless.
+/// Guards rule 2: an at-most-once request that may have run is never sent again, nor rejected, which would state that a retry
+/// is safe.
 #[test]
 fn an_at_most_once_request_that_may_have_run_is_not_retried() {
     for failure in [
@@ -101,7 +101,8 @@
     }
 }
 
-/// Guards rule 5: what a broken prefill may have left is released, and before the next attempt, whose state it would be.
+/// Guards rule 5: state that a failed prefill may have left is released before the next attempt, because a later release
+/// would remove that attempt's state.
 #[test]
 fn a_broken_prefill_is_released_before_the_next_attempt() {
     paused(async {
@@ -118,7 +119,7 @@
     });
 }
 
-/// Guards rule 5 for a client that disconnects during its prefill, and that the prefill is cancelled.
+/// Guards rule 5 for a client that disconnects during the prefill: the prefill is cancelled and its state released.
 #[test]
 fn a_client_that_disconnects_cancels_its_prefill() {
     paused(async {
@@ -135,7 +136,7 @@
     });
 }
 
-/// Guards streams: one whose events still come is never ended, however slow; a dead one is.
+/// Guards against the end of slow streams: a stream continues as long as events arrive, and ends once it is idle for too long.
 #[test]
 fn a_slow_stream_continues_and_an_idle_one_is_ended() {
     paused(async {
@@ -149,8 +150,8 @@
     });
 }
 
-/// Guards the limits that the core holds whatever the router orders: attempts, concurrent copies, requests that have
-/// ended.
+/// Guards the limits that the core enforces whatever the router orders: no concurrent attempts of one request, and no attempt
+/// after its end.
 #[test]
 fn an_attempt_beyond_the_limits_is_not_sent() {
     paused(async {
@@ -167,8 +168,8 @@
     });
 }
 
-/// Guards an open request from a copy, whose attempts and releases servers would take for the first one's; and the id is
-/// free again once the first has finished.
+/// Guards an open request against a duplicate, whose attempts and releases servers would attribute to the first. The id is
+/// available again once the first request has finished.
 #[test]
 fn a_request_id_is_in_use_until_its_request_has_finished() {
     let duplicate = [Some(ResponsePart::Failed(Failure::DuplicateRequestId))];
@@ -179,21 +180,21 @@
         sleep(Duration::from_millis(20)).await;
         assert_eq!(response_parts(core.submit(request(0, 10_000.0))).await, duplicate);
         let attempts = servers.attempts(&PREFILL_SERVERS);
-        assert_eq!((attempts, servers.in_flight.get()), (1, 1), "the first does not notice");
+        assert_eq!((attempts, servers.in_flight.get()), (1, 1), "the first request is unaffected");
         drop(first);
-        // Cancelled, and its release is in flight: it has still not finished.
+        // The request was cancelled, but its release is in flight, so it has not finished.
         wait_for_call(&servers, CallKind::Release).await;
         assert_eq!(response_parts(core.submit(request(0, 10_000.0))).await, duplicate);
         wait_until_idle(&core).await;
         let _later = core.submit(request(0, 10_000.0));
         sleep(Duration::from_millis(20)).await;
         assert_eq!(servers.attempts(&PREFILL_SERVERS), 2);
-        assert_eq!(servers.count(CallKind::Release), 1, "a copy releases nothing");
+        assert_eq!(servers.count(CallKind::Release), 1, "a duplicate releases nothing");
     });
 }
 
-/// Guards another gateway's open request, whose copy came here: what a server calls unprocessable fails at once, is not
-/// tried elsewhere, and nothing held under that id is released.
+/// Guards another gateway's open request whose duplicate arrived here: a request that a server reports as unprocessable fails
+/// at once without a retry, and nothing held under its id is released.
 #[test]
 fn an_unprocessable_request_fails_and_releases_nothing() {
     paused(async {
@@ -206,7 +207,7 @@
     });
 }
 
-/// Guards servers from a needless call after each response: the first event has released all that was held.
+/// Guards against a needless release after each response: the first event shows that the lease was claimed.
 #[test]
 fn a_response_that_has_begun_needs_no_release() {
     paused(async {
@@ -219,7 +220,7 @@
     });
 }
 
-/// A delay in milliseconds and a reply.
+/// Generates a delay in milliseconds and a reply.
 fn scripted_step() -> impl Strategy<Value = (u64, ScriptedReply)> {
     let reply = prop_oneof![
         4 => Just(ScriptedReply::Prefilled),
@@ -237,8 +238,7 @@
     (0u64..400, reply)
 }
 
-/// What a server of this stage does where the script says this: a prefill server prefills, and only a decode server
-/// streams.
+/// Adapts a scripted reply to the server's stage: prefill servers never stream, and decode servers never prefill.
 fn for_stage(is_prefill: bool, reply: ScriptedReply) -> ScriptedReply {
     match (is_prefill, reply) {
         (true, ScriptedReply::Stream | ScriptedReply::BrokenStream) => ScriptedReply::Prefilled,
@@ -247,7 +247,7 @@
     }
 }
 
-/// Whether an attempt to which a decode server does this may have run.
+/// Whether an attempt that got this reply from a decode server may have run.
 fn may_have_run(reply: &ScriptedReply) -> bool {
     !matches!(reply, ScriptedReply::Rejected | ScriptedReply::Unprocessable) && !reply.is_unwritten()
 }
@@ -255,8 +255,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever the servers do and whenever the client disconnects: one final answer in time, never two attempts at once,
-    /// never too many, no at-most-once request sent again after it may have run, and nothing left in flight.
+    /// For any server behaviour and any time of a client's disconnection: one final response in time, no concurrent attempts,
+    /// no more attempts than allowed, no repeated at-most-once request that may have run, and nothing left in flight.
     #[test]
     fn every_request_ends_once(steps in prop::collection::vec(scripted_step(), 8), class in 0u32..2,
         client_timeout in 50.0..4_000.0, disconnects_after in prop::option::of(0u64..2_000)) {
@@ -292,11 +292,11 @@
     let parts = response_parts(client).await;
     let has_begun = matches!(parts[0], Some(ResponsePart::Head(..)));
     assert!(has_begun || start.elapsed() <= limit, "{parts:?} after {:?}", start.elapsed());
-    assert!(has_begun || parts[0].is_some(), "broken off without an answer");
+    assert!(has_begun || parts[0].is_some(), "aborted without a response");
 }
 
-/// Guards a gateway's second hour: the router's timers expire at their times however long the process has run. Where they
-/// did not, they all expired at once and again, so the thread never rested: this test then never ends by itself.
+/// Guards against timers that expire immediately once the process has run for more than an hour. Such timers are set again and
+/// again without a pause, so without the limit in this test it would never end.
 #[test]
 fn router_timers_expire_on_time_after_days() {
     let (done, ended) = std::sync::mpsc::channel();
@@ -304,7 +304,7 @@
         paused(serve_for_days());
         done.send(()).expect("the test waits");
     });
-    ended.recv_timeout(Duration::from_secs(30)).expect("requests are served to their ends");
+    ended.recv_timeout(Duration::from_secs(30)).expect("all requests are served");
 }
 
 async fn serve_for_days() {
@@ -314,7 +314,7 @@
         let began = Instant::now();
         tokio::time::advance(Duration::from_secs(60 * minutes)).await;
         let limit = Duration::from_secs(60 * minutes + 1);
-        assert!(began.elapsed() < limit, "no more than that has passed");
+        assert!(began.elapsed() < limit, "no further time has passed");
         let parts = response_parts(core.submit(request(1, 12_000.0))).await;
         assert_eq!(parts.last(), Some(&Some(ResponsePart::End)), "after {minutes} minutes more");
     }
--- a/gateway/src/core/tests/resets.rs
+++ b/gateway/src/core/tests/resets.rs
@@ -1,4 +1,5 @@
-//! Prefills whose connections were reset: only what a connection shows that is begun after the reset ends them.
+//! Tests of prefills whose connections were reset: only a connection opened after the reset can show that the server has
+//! stopped working on the prefill.
 
 use super::leases::{longest_without_release, send};
 use super::*;
@@ -19,7 +20,7 @@
     }
 }
 
-/// Servers that miss every close, and whose first prefill is reset.
+/// Servers that notice no close and reset the first prefill.
 fn resetting_servers(after_reset: ServerAfterReset) -> ScriptedServers {
     let servers = ScriptedServers::new(|number, server| match number {
         0 => (20, ScriptedReply::ConnectionReset),
@@ -30,7 +31,7 @@
     servers
 }
 
-/// The answer to a request that may not be repeated, whose prefill was reset, and which the router rejects then.
+/// Returns the response to an at-most-once request whose prefill was reset and which the router then rejects.
 fn answer_after_reset(after_reset: ServerAfterReset) -> Option<ResponsePart> {
     paused(async move {
         let servers = resetting_servers(after_reset);
@@ -39,7 +40,7 @@
     })
 }
 
-/// Guards what a rejection says (soak seed 9724): a server that stands still through a reset may go on with its prefill.
+/// Guards against unsafe rejections (soak seed 9724): a server that is suspended during a reset may continue its prefill.
 #[test]
 fn a_request_whose_reset_prefill_may_still_run_is_not_rejected() {
     let failed = answer_after_reset(ServerAfterReset::Silent);
@@ -50,7 +51,8 @@
     }
 }
 
-/// Guards the lease limit: the release is renewed for as long as the server is silent, and once more when it answers.
+/// Guards against state held beyond the lease limit: the release is repeated while the server does not respond, and once more
+/// when it does.
 #[test]
 fn the_state_of_a_reset_prefill_is_released_in_time_until_its_server_answers() {
     paused(async {
@@ -61,17 +63,17 @@
         assert!(longest <= Duration::from_millis(550), "nothing was released for {longest:?}");
         assert!(!core.is_idle());
         let inquiries = servers.count(CallKind::InquiryAfterReset);
-        assert!(inquiries <= 12, "{inquiries} questions in 10 s");
+        assert!(inquiries <= 12, "{inquiries} queries in 10 s");
         servers.after_reset.set(ServerAfterReset::Answers);
         let inquiry_is_due = Duration::from_millis(2_500);
         sleep(inquiry_is_due).await;
         assert!(core.is_idle(), "{:?}", servers.calls.borrow());
         let last = servers.call_kinds().into_iter().rev().find(|kind| *kind != CallKind::Release);
-        assert_eq!(last, Some(CallKind::ReleaseAccepted), "what it left until then is released");
+        assert_eq!(last, Some(CallKind::ReleaseAccepted), "the state that it left until then is released");
     });
 }
 
-/// The time from the reset of a request's first prefill to its next attempt, and the questions that were asked.
+/// Returns the time from the reset of a request's first prefill to its next attempt, and the number of queries.
 fn retry_after_reset(after_reset: ServerAfterReset) -> (Duration, usize) {
     paused(async move {
         let servers = resetting_servers(after_reset);
@@ -86,8 +88,8 @@
     })
 }
 
-/// Guards requests against the cost of a reset: one question, and the propagation delay once and only where the server runs. The
-/// release itself takes 40 ms here.
+/// Guards against needless delay after a reset: the retry waits for one query, and for the propagation delay once and only if
+/// the server responds. The release takes 40 ms in this test.
 #[test]
 fn a_retry_waits_for_one_question_after_a_reset() {
     let (refused, questions) = retry_after_reset(ServerAfterReset::Refuses);
@@ -96,12 +98,13 @@
     let (answered, questions) = retry_after_reset(ServerAfterReset::Answers);
     assert!((65..=70).contains(&answered.as_millis()), "{answered:?}");
     assert_eq!(questions, 1);
-    // The question's time, the propagation delay before the release, and the release.
+    // The timeout of the query, the propagation delay before the release, and the release.
     let (silent, _) = retry_after_reset(ServerAfterReset::Silent);
     assert!((145..=150).contains(&silent.as_millis()), "{silent:?}");
 }
 
-/// Guards the follow-up of a prefill that the gateway had cut off itself, and whose connection is reset after that.
+/// Guards against a reset taken as the end of a prefill: the gateway closed the connection, and the connection is reset after
+/// that. The server is queried before its work counts as ended.
 #[test]
 fn a_reset_after_a_cut_is_asked_about_before_it_counts_as_the_end() {
     paused(async {
@@ -115,7 +118,7 @@
         sleep(Duration::from_millis(100)).await;
         servers.attempt_tokens.borrow().iter().for_each(|token| token.note(Observation::Reset));
         sleep(Duration::from_secs(3)).await;
-        assert!(!core.is_idle(), "a reset alone ends nothing");
+        assert!(!core.is_idle(), "a reset alone does not end the prefill");
         assert!(servers.count(CallKind::InquiryAfterReset) > 0);
         servers.after_reset.set(ServerAfterReset::Refuses);
         sleep(Duration::from_millis(2_500)).await;
@@ -123,7 +126,7 @@
     });
 }
 
-/// Guards a client that leaves while a server is asked: nothing waits for the answer, and what is left is released.
+/// Guards against a delayed release after a client disconnects during a query: the release does not wait for its result.
 #[test]
 fn a_client_that_leaves_during_the_question_is_seen_at_once() {
     paused(async {
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -1,5 +1,5 @@
-//! Recorded traces of a request's machine, and the log lines that the core makes of requests, against fixtures that an
-//! earlier build wrote.
+//! Compatibility tests of stored data: traces of a request's state machine and access-log lines must match the fixtures that
+//! an earlier build wrote.
 
 use glenrail_access_log::{RequestRecord, LINE_PREFIX};
 use glenrail_request_lifecycle::request::{
@@ -14,7 +14,7 @@
 const TRACES: &str = include_str!("fixtures/machine-traces.jsonl");
 const RECORDS: &str = include_str!("fixtures/request-lines.txt");
 
-/// The inputs of a machine, each with the effects that followed, as the model checker's traces have them.
+/// The inputs of a state machine, each with its effects, in the format of the model checker's traces.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Trace {
     #[serde(rename = "terms")]
@@ -48,7 +48,7 @@
 const CLOSE_CONFIRMED: Input = Input::CloseConfirmed { attempt: 0 };
 const FAILED: Input = Input::Respond(FinalResponse::Failed);
 
-/// A prefill that was delivered, and a decode.
+/// A delivered prefill and a successful decode.
 fn served() -> Vec<Input> {
     let end = Input::StreamEnded { attempt: 1, end: StreamEnd::Complete };
     let delivered = Input::Delivered { attempt: 0 };
@@ -62,7 +62,7 @@
     ]
 }
 
-/// A stream for each way in which one ends.
+/// One stream for each kind of end.
 fn streams() -> impl Iterator<Item = Vec<Input>> {
     let ends = [
         StreamEnd::Complete,
@@ -75,7 +75,7 @@
     ends.into_iter().map(|end| vec![execute(), replied(0, MachineReply::FirstEvent), stream_ended(end)])
 }
 
-/// A decode for each reply that ends it before a stream begins and leaves the request open.
+/// One decode for each reply that ends the attempt before a stream starts and leaves the request open.
 fn decode_replies() -> impl Iterator<Item = Vec<Input>> {
     let replies = [
         MachineReply::Rejected,
@@ -88,7 +88,7 @@
     replies.into_iter().map(|reply| vec![execute(), replied(0, reply), FAILED])
 }
 
-/// A slot requested during a prefill, for each answer of the decode server, and one that is cancelled.
+/// One slot request during a prefill for each reply of the decode server, and one that is cancelled.
 fn slot_requests() -> impl Iterator<Item = Vec<Input>> {
     let (prefilled, reject) = (replied(0, MachineReply::Prefilled), Input::Respond(FinalResponse::Rejected));
     let answered = move |reserved| {
@@ -114,7 +114,7 @@
     [Some(true), Some(false), None].into_iter().map(answered).chain([cancelled])
 }
 
-/// Attempts and requests that time out, or are cancelled.
+/// Attempts and requests that time out or are cancelled.
 fn timeouts_and_cancellations() -> Vec<Vec<Input>> {
     let undelivered = Input::CancelCompleted { attempt: 1 };
     let (lease_limit, deadline) =
@@ -171,7 +171,7 @@
     serde_json::to_string(trace).expect("a line")
 }
 
-/// Guards the stored form of traces: inputs and effects are written as they were, to the byte.
+/// Guards the stored format of traces: the same inputs must produce the same bytes.
 #[test]
 fn the_same_inputs_leave_the_same_traces() {
     let traces: Vec<String> =
@@ -179,7 +179,7 @@
     assert_eq!(traces, TRACES.lines().collect::<Vec<_>>());
 }
 
-/// Guards traces that an earlier build has left: each is read, replayed to the same effects and written the same.
+/// Guards traces of an earlier build: each must parse, replay to the same effects and serialize to the same bytes.
 #[test]
 fn a_stored_trace_replays_and_is_written_again_the_same() {
     for line in TRACES.lines() {
@@ -192,7 +192,7 @@
     }
 }
 
-/// Guards the two tests above against traces that leave out an input or an effect.
+/// Guards the two tests above against incomplete fixtures: every input and effect must occur in them.
 #[test]
 fn the_stored_traces_contain_every_input_and_effect() {
     let inputs =
@@ -265,7 +265,7 @@
     }
 }
 
-/// A prefill with every field of its record, and a decode with none.
+/// Creates a record of a prefill with all optional fields and a decode without them.
 fn record_of_status(status: AttemptStatus, machine: &Machine) -> RequestRecord {
     let mut builder = record_of(1);
     builder.attempt_started(AttemptStart {
@@ -302,7 +302,7 @@
     builder.finish(machine, 1_050.0)
 }
 
-/// One line for each outcome of an attempt, each reason, and each way in which a request ends.
+/// Returns one line for each outcome of an attempt, each reject reason and each end of a request.
 fn record_lines() -> Vec<String> {
     let (rejected, _) = run_machine(IDEMPOTENT, &[Input::Respond(FinalResponse::Rejected)]);
     assert_eq!(rejected.response(), ResponseState::Final(FinalResponse::Rejected));
@@ -314,7 +314,7 @@
     by_status.chain(by_reason).chain(by_end).map(|record| format!("{LINE_PREFIX}{record}")).collect()
 }
 
-/// Guards the access log against renamed types: outcomes and reasons keep their spelling in it.
+/// Guards the access log's format: outcomes and reasons keep their names when types are renamed.
 #[test]
 fn log_lines_are_written_as_they_were() {
     assert_eq!(record_lines(), RECORDS.lines().collect::<Vec<_>>());
@@ -323,7 +323,7 @@
     }
 }
 
-/// Guards the reading of logs that an earlier build has left.
+/// Guards compatibility with access logs of an earlier build.
 #[test]
 fn a_stored_log_line_is_read_and_written_again_the_same() {
     for line in RECORDS.lines() {
--- a/gateway/src/core/timer_loop.rs
+++ b/gateway/src/core/timer_loop.rs
@@ -1,4 +1,4 @@
-//! The task that waits for the core's timers, and what happens when one expires.
+//! Arms and disarms the core's timers, and runs the task that handles their expiry.
 
 use std::future::poll_fn;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use super::{Core, DecisionPolicy, Inner, Upstream};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Arms a timer of the router, by its key; one that belongs to a request is disarmed when that finishes.
+    /// Arms a timer of the router. A timer that belongs to a request is disarmed when the request finishes.
     pub(super) fn arm_router_timer(&self, at: Instant, key: u64, request: Option<u64>) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -29,14 +29,14 @@
         self.ensure_timer_task(inner);
     }
 
-    /// Arms a timer of a request's machine.
+    /// Arms a timer of a request's state machine.
     pub(super) fn arm_request_timer(&self, id: u64, timer: Timer) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
         let Some(request) = inner.requests.get_mut(&id) else { return };
         let at = match timer {
             Timer::Deadline => request.deadline + DEADLINE_GUARD,
-            // From when the lease began: an attempt that was not delivered since then never claimed it.
+            // Counts from the start of the lease, because no attempt delivered since then has claimed it.
             Timer::LeaseLimit => request.unclaimed_since + inner.lease_limit.mul_f64(MACHINE_RELEASE_SHARE),
         };
         let purpose = TimerPurpose::Request(id, timer);
@@ -45,7 +45,7 @@
         self.ensure_timer_task(inner);
     }
 
-    /// Disarms a timer of a request's machine.
+    /// Disarms a timer of a request's state machine.
     pub(super) fn disarm_request_timer(&self, id: u64, timer: Timer) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Starts the task that waits for the timers, which runs for as long as the core exists.
+    /// Starts the task that waits for the timers unless it is running. It ends when the core is dropped.
     fn ensure_timer_task(&self, inner: &mut Inner<R>) {
         if inner.timer_task.is_some() {
             return;
--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -1,7 +1,7 @@
-//! The core's timers: one queue for all requests, from which a request's own are removed when it finishes.
+//! The core's timers: one queue for all requests. A request's timers are removed when the request finishes.
 //!
-//! A task for each timer used some 600 bytes until the timer's time, long after its request had finished, so that memory
-//! grew with rate times deadline. The core owns the queue; the clock is tokio's.
+//! One task for each timer would use about 600 bytes until the timer expires, long after its request has finished, so memory
+//! would grow with the request rate times the deadline. The core owns the queue; the clock is tokio's.
 
 use std::task::{Context, Poll};
 
@@ -9,27 +9,27 @@
 use tokio::time::Instant;
 use tokio_util::time::delay_queue::{DelayQueue, Key};
 
-/// The queue returns the memory of its peak once it is shorter than the peak by this factor ...
+/// Ratio of the peak length to the current length above which the queue returns unused memory.
 const COMPACT_RATIO: usize = 8;
-/// ... and if the peak was at least this many timers.
+/// Minimum peak length, in timers, for the queue to return unused memory.
 const COMPACT_MIN_PEAK: usize = 4_096;
 
-/// What a timer is for.
+/// The owner of a timer, which decides what its expiry triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerPurpose {
-    /// The router's own.
+    /// A timer that the router has set.
     Router {
-        /// The router's name for it.
+        /// The router's key of the timer.
         key: u64,
-        /// The request that it belongs to, if any.
+        /// The request that the timer belongs to; `None` if it belongs to no request.
         request: Option<u64>,
     },
-    /// A timer of the machine of the request with this id.
+    /// A timer of the state machine of the request with this id.
     Request(u64, Timer),
 }
 
 impl TimerPurpose {
-    /// The request that the timer belongs to.
+    /// Returns the request that the timer belongs to, if any.
     pub fn request(self) -> Option<u64> {
         match self {
             TimerPurpose::Router { request, .. } => request,
@@ -42,19 +42,19 @@
 #[derive(Default)]
 pub struct Timers {
     queue: DelayQueue<TimerPurpose>,
-    /// The most timers that were armed at once since the queue last returned memory.
+    /// Maximum number of timers armed at once since the queue last returned memory.
     peak: usize,
 }
 
 impl Timers {
-    /// Arms a timer; the key is for [`Timers::disarm`].
+    /// Arms a timer and returns its key for [`Timers::disarm`].
     pub fn arm(&mut self, at: Instant, purpose: TimerPurpose) -> Key {
         let key = self.queue.insert_at(purpose, at);
         self.peak = self.peak.max(self.queue.len());
         key
     }
 
-    /// Removes a timer that has not expired.
+    /// Removes a timer; does nothing if it has expired.
     pub fn disarm(&mut self, key: &Key) {
         self.queue.try_remove(key);
         if self.peak >= COMPACT_MIN_PEAK && self.queue.len() * COMPACT_RATIO < self.peak {
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Timers that are armed.
+    /// Returns the number of armed timers.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// The next timer that has expired. Never ends, so that timers armed later wake the waiting task.
+    /// Polls for the next expired timer. Stays pending while the queue is empty, so that a timer armed later wakes the task.
     pub fn poll_expired(&mut self, context: &mut Context<'_>) -> Poll<(Key, TimerPurpose)> {
         match self.queue.poll_expired(context) {
             Poll::Ready(Some(expired)) => {
--- a/gateway/src/core/timing.rs
+++ b/gateway/src/core/timing.rs
@@ -1,55 +1,55 @@
-//! Durations, and shares of the lease limit, by which the core acts.
+//! Durations and shares of the lease limit that control the core's timing.
 //!
 //! The lease limit (the setting `pin-limit`) is how long a server holds a request's state while no attempt claims it. The
-//! router releases a lease at a smaller share of that limit than the core does: the core's release is the backstop for a
-//! router that did not.
+//! router releases a lease at a smaller share of that limit than the core, whose release is the backstop in case the router
+//! did not act.
 
 use std::time::Duration;
 
-/// Longest pause between cancelling a prefill and releasing what it may have left: a server that is well has ended the
-/// connection too by then.
+/// Maximum time between cancelling a prefill and releasing the state that it may have left. A healthy server has closed the
+/// connection by then.
 pub(super) const CANCEL_PROPAGATION_DELAY: Duration = Duration::from_millis(25);
 
-/// First pause before a server is asked again that did not answer after a reset; each further one is twice as long.
+/// Initial delay between two queries to a server that does not answer after a reset; each further delay is twice as long.
 pub(super) const RESET_INQUIRY_FIRST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest pause between two questions to a server that does not answer after a reset.
+/// Maximum delay between two queries to a server that does not answer after a reset.
 pub(super) const RESET_INQUIRY_MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// What the network has held back may arrive for so long after an attempt was cut off. From its arrival on a server works for
-/// at most the time that it was told.
+/// Maximum time for which the network may delay the bytes of an interrupted attempt. A server works on the attempt, from its
+/// arrival on, for at most the time stated in it.
 pub(super) const MAX_NETWORK_HOLD: Duration = Duration::from_secs(30);
 
-/// An attempt times out so much later than the router ordered: the router's own timer for the same moment comes first,
-/// and with it the reason.
+/// Added to the timeout that the router orders for an attempt, so that the router's own timer for the same moment expires
+/// first and supplies the reason.
 pub(super) const ATTEMPT_TIMEOUT_SLACK: Duration = Duration::from_millis(2);
 
-/// The request's own deadline timer expires so much later than the router's, which knows why the request fails.
+/// Delay of the request's deadline timer after the router's, which supplies the reason of the failure.
 pub(super) const DEADLINE_GUARD: Duration = Duration::from_millis(8);
 
-/// A request that the router fails this close to its deadline, or after it, is reported as out of time.
+/// A request that the router fails within this time before its deadline, or later, is reported as past its deadline.
 pub(super) const NEAR_DEADLINE: Duration = Duration::from_millis(20);
 
-/// Pause before a release that no server accepted is retried: the state stays on its server until one can be reached.
+/// Delay before a release that no server accepted is retried. The state stays on its server until then.
 pub(super) const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// A release is retried up to the request's deadline, and for at least so many times the lease limit. By then servers
-/// release by themselves.
+/// Minimum time for which a release is retried, in multiples of the lease limit; a later deadline of the request extends it.
+/// By then servers have expired the lease themselves.
 pub(super) const RELEASE_RETRY_LEASE_LIMITS: u32 = 4;
 
-/// Share of the lease limit after which the machine releases a lease that the router has not (the router's own share is
-/// `glenrail_router`'s `PIN_USED`, 0.8). It is larger on purpose, so that the router decides first.
+/// Share of the lease limit after which the state machine releases a lease that the router has not released. It is larger
+/// than the router's own share (0.8, `USED_LEASE_SHARE` in `glenrail_router`), so that the router decides first.
 pub(super) const MACHINE_RELEASE_SHARE: f64 = 0.92;
 
-/// Share of the lease limit by which an attempt that claims a lease must be written: the remainder is for confirming its
+/// Share of the lease limit within which an attempt that claims a lease must be written. The remainder is for confirming its
 /// delivery.
 pub(super) const LATEST_WRITE_SHARE: f64 = 0.8;
 
-/// The delivery of an attempt is first checked this share of the lease limit after its first byte was written.
+/// Delay of the first delivery check after an attempt's first byte was written, as a share of the lease limit.
 pub(super) const DELIVERY_CHECK_SHARE: f64 = 0.3;
 
-/// The delivery of an attempt is first checked no later than at this share of the time that its lease has.
+/// Latest time of the first delivery check after the start of the lease, as a share of the lease limit.
 pub(super) const LATEST_DELIVERY_CHECK_SHARE: f64 = 0.5;
 
-/// Pause before a delivery check that failed is retried.
+/// Delay before a delivery check without a result is repeated.
 pub(super) const DELIVERY_CHECK_RETRY_DELAY: Duration = Duration::from_millis(20);
