--- a/gateway/src/budget.rs
+++ b/gateway/src/budget.rs
@@ -1,4 +1,4 @@
-//! Memory budget for bodies, shared by all requests: a body that does not fit is rejected before it is read.
+//! Memory budget for request bodies, shared by all requests. A body that does not fit is rejected before it is read.
 
 #![deny(missing_docs)]
 
@@ -7,11 +7,11 @@
 
 use bytes::Bytes;
 
-/// The bytes that may still be claimed. A clone is the same budget.
+/// The number of bytes that may still be claimed. Clones share the same budget.
 #[derive(Clone, Debug)]
 pub struct Budget(Arc<AtomicUsize>);
 
-/// A part of the budget, returned when this is dropped.
+/// A claimed part of a budget, returned on drop.
 #[derive(Debug)]
 pub struct Claim {
     budget: Budget,
@@ -19,12 +19,12 @@
 }
 
 impl Budget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `bytes` bytes.
     pub fn new(bytes: usize) -> Self {
         Budget(Arc::new(AtomicUsize::new(bytes)))
     }
 
-    /// Claims so many bytes; `None` if fewer are left.
+    /// Claims `bytes` bytes; `None` if fewer are available.
     pub fn claim(&self, bytes: usize) -> Option<Claim> {
         self.try_subtract(bytes).then(|| Claim { budget: self.clone(), bytes })
     }
@@ -35,7 +35,7 @@
 }
 
 impl Claim {
-    /// Claims so many bytes more; false if fewer are left.
+    /// Claims `bytes` more bytes; returns false and claims nothing if fewer are available.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let is_granted = self.budget.try_subtract(bytes);
         if is_granted {
@@ -44,7 +44,7 @@
         is_granted
     }
 
-    /// Bytes that occupy this claim until the last copy of them is dropped, wherever that is.
+    /// Returns a buffer that holds this claim until its last clone or slice is dropped.
     pub fn attach(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(ClaimedBytes { bytes, _claim: self })
     }
--- a/gateway/src/budget/tests.rs
+++ b/gateway/src/budget/tests.rs
@@ -1,8 +1,9 @@
-//! What a claim occupies, and until when.
+//! Tests of the size and the lifetime of claims.
 
 use super::*;
 
-/// Guards the limit on memory: bytes count until their last copy is dropped, and what does not fit is not claimed.
+/// Guards against memory use beyond the budget: a claim lasts until the last copy of its bytes is dropped, and a claim that
+/// does not fit is refused.
 #[test]
 fn bytes_occupy_their_claim_until_the_last_copy_is_dropped() {
     let budget = Budget::new(10);
--- a/gateway/src/chunk_position.rs
+++ b/gateway/src/chunk_position.rs
@@ -1,10 +1,10 @@
-//! The framing of a chunked body: the position of a reader in it, and which bytes are data.
+//! Parser of the framing of a chunked body, which tracks the reader's position and extracts the data.
 
-/// The framing cannot be read.
+/// The framing of the body is invalid.
 #[derive(Debug, PartialEq, Eq)]
 pub struct MalformedFraming;
 
-/// Largest chunk that is believed, in bytes.
+/// Size in bytes from which a chunk size may not get another digit; larger sizes are rejected as malformed.
 const MAX_CHUNK: u64 = 1 << 31;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -12,13 +12,13 @@
     /// Before a chunk.
     #[default]
     ChunkStart,
-    /// In the digits of a chunk's size, which are this so far.
+    /// In the digits of a chunk's size; has the value so far.
     Size(u64),
-    /// Past the digits of this size, in the remainder of its line.
+    /// After the digits of a chunk's size, in the remainder of the line; has the size.
     SizeLine(u64),
-    /// In a chunk's data, of which so many bytes are left.
+    /// In a chunk's data; has the number of remaining bytes.
     Data(u64),
-    /// Between a chunk's data and the end of its line.
+    /// Between a chunk's data and the line end that follows it.
     DataEnd,
     /// After the last chunk, in a trailer line that is empty so far.
     EmptyTrailer,
@@ -28,12 +28,12 @@
     End,
 }
 
-/// How far a reader goes.
+/// Where a read stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadUntil {
-    /// To the end of the body.
+    /// At the end of the body.
     EndOfBody,
-    /// To the end of the current chunk; nowhere between two chunks.
+    /// At the end of the current chunk; between two chunks nothing is read.
     EndOfChunk,
 }
 
@@ -42,7 +42,7 @@
 pub struct ChunkPosition(State);
 
 impl ChunkPosition {
-    /// Whether the next byte begins a chunk.
+    /// Whether the next byte starts a chunk.
     pub fn is_between_chunks(&self) -> bool {
         self.0 == State::ChunkStart
     }
@@ -52,7 +52,7 @@
         self.0 == State::End
     }
 
-    /// Reads these bytes as far as `until`, and calls `data` with what is data. Returns how many bytes were read.
+    /// Reads `bytes` up to `until` and calls `data` with each piece of data. Returns the number of bytes read.
     pub fn read(
         &mut self, bytes: &[u8], until: ReadUntil, mut data: impl FnMut(&[u8]),
     ) -> Result<usize, MalformedFraming> {
@@ -77,7 +77,7 @@
 }
 
 impl State {
-    /// The state after one byte of framing.
+    /// Returns the state after one byte of framing.
     fn after(self, byte: u8) -> Result<State, MalformedFraming> {
         let digit = char::from(byte).to_digit(16).map(u64::from);
         Ok(match (self, byte) {
--- a/gateway/src/chunk_position/tests.rs
+++ b/gateway/src/chunk_position/tests.rs
@@ -1,4 +1,4 @@
-//! Chunked bodies, in whatever pieces they are read.
+//! Tests of chunked bodies that are read in arbitrary pieces.
 
 use proptest::prelude::*;
 
@@ -11,8 +11,8 @@
 }
 
 proptest! {
-    /// Guards a body in whatever pieces it comes, and wherever its reader pauses between two chunks: all of its data is
-    /// read, once, and nothing of what follows it.
+    /// Guards against lost or repeated data of a body that is split arbitrarily, with pauses between two chunks. No byte
+    /// after the end of the body may be read.
     #[test]
     fn data_is_read_once_in_whatever_pieces(pieces in prop::collection::vec((1usize..9, until()), 120)) {
         let (mut position, mut data, mut remaining) = (ChunkPosition::default(), Vec::new(), BODY);
@@ -35,7 +35,7 @@
     }
 }
 
-/// Guards against bytes after a chunk, or before one, that are no framing.
+/// Guards against the acceptance of invalid bytes before or after a chunk.
 #[test]
 fn malformed_framing_is_found() {
     for malformed in [&b"x"[..], b"5x", b"ffffffffffff\r\n", b"1\r\nab", b"\r\n"] {
--- a/gateway/src/counted_socket.rs
+++ b/gateway/src/counted_socket.rs
@@ -1,4 +1,4 @@
-//! A socket that counts the bytes that it has written; hyper reads and writes one clone of it, its owner asks another.
+//! A socket that counts the bytes written to it. Hyper uses one clone for I/O, and the owner reads the count from another.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -13,66 +13,67 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Bytes read at once where they are not read into hyper's buffer.
+/// Maximum number of bytes in one read that does not use hyper's buffer.
 const READ_SIZE: usize = 4096;
 
-/// A counter that is incremented once so many bytes have been written in all.
+/// A counter to increment once the total of bytes written reaches `written`.
 struct PendingCount {
     written: u64,
     count: Rc<Cell<u64>>,
 }
 
-/// Most unread bytes that are counted.
+/// Maximum result of [`unread_bytes`], in bytes.
 const MAX_COUNTED_UNREAD: usize = 16 << 10;
 
-/// Bytes that have come and were not read, counted up to a bound.
+/// Returns the number of received bytes that were not read, up to [`MAX_COUNTED_UNREAD`].
 pub fn unread_bytes(socket: &TcpStream) -> usize {
     let mut bytes = [MaybeUninit::uninit(); MAX_COUNTED_UNREAD];
     SockRef::from(socket).peek(&mut bytes).unwrap_or(0)
 }
 
-/// Whether bytes have come that were not read; the end of the peer's sending is none.
+/// Whether received bytes were not read. The peer's close of its sending side does not count.
 pub fn has_unread(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     matches!(SockRef::from(socket).peek(&mut byte), Ok(1..))
 }
 
-/// Waits until the peer has ended its sending, whether or not what it sent before has been read.
+/// Waits until the peer has closed its sending side, even if earlier bytes have not been read.
 pub async fn read_closed(socket: &TcpStream) {
-    // An end counts for this interest too; bytes do not, and urgent ones are not sent here.
+    // This interest reports the peer's close too, but not normal data, and no peer sends urgent data.
     while socket.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
         yield_now().await;
     }
 }
 
-/// A socket that counts what it has written. A clone is the same socket.
+/// A socket that counts the bytes written to it. Clones share the socket and the count.
 #[derive(Clone)]
 pub struct CountedSocket {
-    /// The socket itself.
+    /// The underlying socket; writes that bypass the wrapper are not counted.
     pub socket: Rc<TcpStream>,
     written: Rc<Cell<u64>>,
     pending_count: Rc<RefCell<Option<PendingCount>>>,
 }
 
 impl CountedSocket {
-    /// Counts what this socket writes from now on.
+    /// Wraps a socket; the count starts at 0.
     pub fn new(socket: TcpStream) -> Self {
         CountedSocket { socket: Rc::new(socket), written: Rc::default(), pending_count: Rc::default() }
     }
 
-    /// Bytes handed to the kernel so far.
+    /// Returns the number of bytes passed to the kernel so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Whether there is nothing to read: no bytes, no end, no error.
+    /// Whether a read would block: no data, no close by the peer and no error is pending.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&*self.socket).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Reads what the socket has, without clearing memory for it; 0 at the end of what the peer sends.
+    /// Reads available bytes without initializing memory for them and appends them to `bytes`. Returns their number; 0 once
+    /// the peer has closed its sending side.
     pub fn poll_read_into(
         &mut self, context: &mut Context<'_>, bytes: &mut Vec<u8>,
     ) -> Poll<io::Result<usize>> {
@@ -83,7 +84,7 @@
         Poll::Ready(Ok(part.filled().len()))
     }
 
-    /// Adds one to `count` as soon as so many more bytes have been handed to the kernel.
+    /// Increments `count` once `bytes` more bytes have been passed to the kernel.
     pub fn count_after(&self, bytes: u64, count: Rc<Cell<u64>>) {
         let pending = PendingCount { written: self.written() + bytes, count };
         self.pending_count.replace(Some(pending));
@@ -120,7 +121,7 @@
     ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.socket.poll_read_ready(context))?;
-            // Into memory that is not initialized: clearing it cost as much as parsing what came.
+            // Reads into uninitialized memory, because clearing it costs as much as parsing the data.
             match self.socket.try_read_buf(buffer) {
                 Ok(_) => return Poll::Ready(Ok(())),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,7 +1,7 @@
 //! The exchange of one request and its response, in parts, between the front and the core.
 //!
-//! The front owns the [`ClientSide`], the core the [`ServerSide`]; neither knows more of the other. Dropping the client
-//! side says that the client has disconnected; dropping the server side before [`ResponsePart::End`] says that the response
+//! The front owns the [`ClientSide`], the core the [`ServerSide`]; this is their only interface. Dropping the client side
+//! signals that the client has disconnected; dropping the server side before [`ResponsePart::End`] signals that the response
 //! was aborted.
 
 #![deny(missing_docs)]
@@ -20,14 +20,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Response parts that may be queued for a slow client before its stream is no longer read. Each may be as large as an
-/// event.
+/// Maximum number of response parts queued for a slow client before the gateway stops reading the stream. Each part may be
+/// as large as an event.
 const MAX_QUEUED_PARTS: usize = 8;
 
-/// The part of a request that is forwarded unchanged to every server that is tried.
+/// The part of a request that is forwarded unchanged with every attempt.
 #[derive(Debug, Default)]
 pub struct Payload {
-    /// The request's id outside this process.
+    /// The request's id that clients and servers know.
     pub request_id: String,
     /// The client's method.
     pub method: Method,
@@ -35,28 +35,28 @@
     pub uri: Uri,
     /// The client's headers.
     pub headers: HeaderMap,
-    /// The client's body.
+    /// The client's body, complete.
     pub body: Bytes,
-    /// The response is one document: it begins only once it is complete, so that a broken attempt can still be retried.
+    /// Whether the response is buffered until it is complete, so that an attempt that fails midway can still be retried.
     pub buffer_response: bool,
 }
 
-/// A request as the core accepts it: the fields that decisions need, and the bytes.
+/// A request as the core accepts it: the fields for routing decisions, and the payload.
 #[derive(Debug)]
 pub struct Request {
-    /// What the router decides by; the core sets its `id`.
+    /// The input of routing decisions; the core sets its `id`.
     pub routing: glenrail_router::Request,
-    /// When it arrived at this process.
+    /// When the request arrived at this process.
     pub arrived: Instant,
-    /// What is forwarded.
+    /// The part forwarded to servers, shared by all attempts.
     pub payload: Rc<Payload>,
 }
 
-/// Whether an attempt is still needed, whether it was written, and whether its server has ended its work for it; shared by the
-/// core and the connection that writes it.
+/// Shared state of an attempt between the core and the connection that writes it: whether the attempt is still needed,
+/// whether it was written, and whether its server has stopped working on it.
 ///
-/// It is asked immediately before the first byte is written: the task that observes the client's disconnection may run only
-/// after the one that writes, and not every deployment allows the cancellation of attempts.
+/// The connection checks it immediately before it writes the first byte: the task that observes the client's disconnection
+/// may run only after the writing task, and not every deployment allows the cancellation of attempts.
 #[derive(Clone, Debug, Default)]
 pub struct CancelToken {
     parts: Option<mpsc::WeakSender<ResponsePart>>,
@@ -67,29 +67,29 @@
 }
 
 impl CancelToken {
-    /// A token for an attempt whose response goes to this channel.
+    /// Creates the token of an attempt whose response goes to this channel.
     pub fn for_response(parts: &mpsc::Sender<ResponsePart>) -> Self {
         CancelToken { parts: Some(parts.downgrade()), ..CancelToken::default() }
     }
 
-    /// Whether the attempt is still needed: neither has the client's side been dropped nor was the request answered.
+    /// Whether the attempt is still needed: the client side exists and the request is unanswered.
     pub fn is_active(&self) -> bool {
         let Some(parts) = &self.parts else { return true };
         parts.upgrade().is_some_and(|parts| !parts.is_closed())
     }
 
-    /// Whether a byte of the attempt was written, or is about to be: one that is cancelled before that never reached its
+    /// Whether a byte of the attempt was written or is about to be written. An attempt cancelled before that never reached its
     /// server.
     pub fn is_written(&self) -> bool {
         self.first_byte_at().is_some()
     }
 
-    /// When the first byte was written.
+    /// Returns when the first byte was written; `None` before.
     pub fn first_byte_at(&self) -> Option<Instant> {
         *self.first_byte_at.borrow()
     }
 
-    /// Waits until the first byte has been written, and returns when that was.
+    /// Waits until the first byte has been written and returns the time of that write.
     pub async fn first_byte_written(&self) -> Instant {
         loop {
             if let Some(written) = self.first_byte_at() {
@@ -101,61 +101,61 @@
         }
     }
 
-    /// Says when the connection was opened on which the attempt is written next.
+    /// Sets when the connection was opened to which the attempt is written next.
     pub fn set_connection_opened_at(&self, opened: Instant) {
         self.connection_opened_at.set(Some(opened));
     }
 
-    /// When the attempt was written, and on a connection of which age; `None` before.
+    /// Returns when the attempt was written and when its connection was opened; `None` before the attempt is written.
     pub fn written_attempt(&self) -> Option<WrittenAttempt<Instant>> {
         let (written, connection_opened) = (self.first_byte_at()?, self.connection_opened_at.get()?);
         Some(WrittenAttempt { connection_opened, written })
     }
 
-    /// Notes what was seen of the connection on which the attempt was written, after it was cut off.
+    /// Records an observation that shows whether the server still works on an interrupted attempt.
     pub fn note(&self, observation: Observation) {
         self.cut_work.send_modify(|known| *known = known.after(observation));
     }
 
-    /// What is known of the server's work on the attempt, if it was cut off.
+    /// Returns whether the server may still work on the attempt, as far as observations of an interruption show.
     pub fn cut_work(&self) -> InterruptedWork {
         *self.cut_work.borrow()
     }
 
-    /// Whether the server is known to work on the attempt no more.
+    /// Whether the server is known to have stopped working on the attempt.
     pub fn has_work_ended(&self) -> bool {
         self.cut_work() == InterruptedWork::Ended
     }
 
-    /// Waits until the server is known to work on the attempt no more.
+    /// Waits until the server is known to have stopped working on the attempt.
     pub async fn work_ended(&self) {
         self.wait_for_work(|known| known == InterruptedWork::Ended).await;
     }
 
-    /// Waits until the connection was reset, or the server is known to work on the attempt no more.
+    /// Waits until the connection was reset or the server is known to have stopped working on the attempt.
     pub async fn reset_or_ended(&self) -> InterruptedWork {
         self.wait_for_work(|known| known != InterruptedWork::MayRun).await
     }
 
     async fn wait_for_work(&self, is_awaited: impl Fn(InterruptedWork) -> bool) -> InterruptedWork {
         let mut known = self.cut_work.subscribe();
-        // An error would be the sender's end, and `self` has the sender.
+        // An error would mean that the sender was dropped, but `self` owns it.
         let awaited = known.wait_for(|known| is_awaited(*known)).await.map(|known| *known);
         awaited.unwrap_or_default()
     }
 
-    /// Says that the attempt is written next on a connection to this address, of which nothing was seen yet.
+    /// Sets the address of the connection to which the attempt is written next, and resets what earlier observations showed.
     pub fn set_server_address(&self, address: &str) {
         self.server_address.replace(Some(address.to_string()));
         self.cut_work.send_replace(InterruptedWork::default());
     }
 
-    /// The address of the server that the attempt was written to last.
+    /// Returns the address of the server to which the attempt was written last.
     pub fn server_address(&self) -> Option<String> {
         self.server_address.borrow().clone()
     }
 
-    /// Says that the first byte is written now, or that none was, since the connection is replaced.
+    /// Records that the first byte is written now, or that no byte was written because the connection is replaced.
     pub fn set_written(&self, is_written: bool) {
         self.first_byte_at.send_replace(is_written.then(Instant::now));
     }
@@ -170,40 +170,40 @@
     pub headers: HeaderMap,
 }
 
-/// Why a request has finally failed.
+/// Why a request failed after all attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its deadline has passed.
+    /// The request's deadline has passed.
     DeadlineExceeded,
-    /// No server that was tried answered it.
+    /// No attempt succeeded.
     Upstream,
-    /// A server says that the fault is the request's own.
+    /// A server reported that the request itself is invalid.
     Unprocessable,
-    /// A request of the same id has not finished.
+    /// Another request with the same id has not finished.
     DuplicateRequestId,
 }
 
-/// The remainder of a response, for the successor process: the server's connection, between two chunks of its body, and
-/// what has been read of it beyond that.
+/// The remainder of a response, handed over to the successor process: the connection to the server, positioned between two
+/// chunks of the body, and the bytes already read beyond that position.
 #[derive(Debug)]
 pub struct StreamRemainder {
-    /// The connection to the server.
+    /// The connection to the server that sends the response.
     pub socket: TcpStream,
-    /// Bytes that were read and not forwarded.
+    /// Bytes that were read but not forwarded.
     pub read_ahead: Vec<u8>,
 }
 
-/// The same connection at the same position.
+/// Equal if both are the same connection at the same position.
 impl PartialEq for StreamRemainder {
     fn eq(&self, other: &Self) -> bool {
         self.socket.as_raw_fd() == other.socket.as_raw_fd() && self.read_ahead == other.read_ahead
     }
 }
 
-/// One part of a response, in the order in which the client gets them.
+/// A part of a response; parts are sent in the order in which the client receives them.
 #[derive(Debug, PartialEq)]
 pub enum ResponsePart {
-    /// The head, and the first bytes of the body.
+    /// The head and the first bytes of the body.
     Head(ResponseHead, Bytes),
     /// Further bytes of the body.
     Chunk(Bytes),
@@ -211,40 +211,40 @@
     End,
     /// The successor process continues from here.
     HandedOver(StreamRemainder),
-    /// In place of a response: a retry is harmless, after this time.
+    /// Replaces a response: the request is rejected, and a retry after this time is safe.
     Rejected(Duration),
-    /// In place of a response, with no promise about a retry.
+    /// Replaces a response: the request failed, and a retry may not be safe.
     Failed(Failure),
 }
 
-/// How a response ended, for its observer.
+/// How a response ended, as reported to [`ClientSide::observe`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
-    /// It is complete, or the successor process continues it.
+    /// The response is complete, or the successor process continues it.
     Completed,
     /// The request was rejected.
     Rejected,
     /// The request failed.
     Failed,
-    /// The stream broke, or the client disconnected.
+    /// The stream broke or the client disconnected.
     Aborted,
 }
 
 type Observer = Box<dyn FnOnce(ResponseOutcome)>;
 
-/// The front's side: the response of one request.
+/// The front's side of an exchange, which receives the response.
 pub struct ClientSide {
     parts: mpsc::Receiver<ResponsePart>,
     observer: Option<Observer>,
 }
 
 impl ClientSide {
-    /// The response to a request that is rejected before it reaches the core.
+    /// Creates the response to a request that is rejected before it reaches the core.
     pub fn rejected(retry_after: Duration) -> Self {
         ClientSide::with_only_part(ResponsePart::Rejected(retry_after))
     }
 
-    /// The response to a request that fails before it is admitted.
+    /// Creates the response to a request that fails before it is admitted.
     pub fn failed(failure: Failure) -> Self {
         ClientSide::with_only_part(ResponsePart::Failed(failure))
     }
@@ -255,12 +255,12 @@
         ClientSide { parts, observer: None }
     }
 
-    /// Calls `observer` once, when the response ends.
+    /// Sets a callback that is called once, when the response ends. Replaces an earlier callback.
     pub fn observe(&mut self, observer: impl FnOnce(ResponseOutcome) + 'static) {
         self.observer = Some(Box::new(observer));
     }
 
-    /// The next part; `None` where the response was aborted.
+    /// Polls for the next part; `None` if the response was aborted.
     pub fn poll_part(&mut self, context: &mut Context<'_>) -> Poll<Option<ResponsePart>> {
         let part = ready!(self.parts.poll_recv(context));
         let outcome = match &part {
@@ -276,7 +276,7 @@
         Poll::Ready(part)
     }
 
-    /// The next part, as [`ClientSide::poll_part`] has it.
+    /// Waits for the next part, see [`ClientSide::poll_part`].
     pub async fn next_part(&mut self) -> Option<ResponsePart> {
         poll_fn(|context| self.poll_part(context)).await
     }
@@ -294,21 +294,21 @@
     }
 }
 
-/// The core's side: the request, and the way to its client.
+/// The core's side of an exchange: the request and the channel to its client.
 pub struct ServerSide {
-    /// The request.
+    /// The request to serve.
     pub request: Request,
-    /// Where the parts of the response go.
+    /// The channel for the parts of the response.
     pub parts: mpsc::Sender<ResponsePart>,
 }
 
-/// The two ends of a response without a request, for one that the predecessor process began.
+/// Creates the two ends of a response without a request, for a response that the predecessor process started.
 pub fn response_channel() -> (ClientSide, mpsc::Sender<ResponsePart>) {
     let (sender, parts) = mpsc::channel(MAX_QUEUED_PARTS);
     (ClientSide { parts, observer: None }, sender)
 }
 
-/// The two sides of the exchange of this request.
+/// Creates the two sides of the exchange of this request.
 pub fn exchange_pair(request: Request) -> (ClientSide, ServerSide) {
     let (client, parts) = response_channel();
     (client, ServerSide { request, parts })
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -1,7 +1,7 @@
-//! Invariants of every request, checked where the gateway acts: each violation is counted, and logged with its request.
+//! Runtime checks of the invariants of every request. Each violation is counted, and logged with its request.
 //!
-//! The guards elsewhere uphold the invariants; these checks say when one has failed all the same. A gateway runs on one
-//! thread, and its counters are that thread's.
+//! Other code enforces the invariants; these checks detect an error in it. The counters are thread-local, because a gateway
+//! runs on one thread.
 
 #![deny(missing_docs)]
 
@@ -10,31 +10,31 @@
 
 use glenrail_request_lifecycle::request::{Attempt, Request, ResponseState, RetrySafety, Stage};
 
-/// A lease may be unclaimed for so much longer than the settings' limit, by the platform's rules.
+/// Time by which a lease may exceed the configured limit, under the platform's rules.
 const LEASE_LIMIT_TOLERANCE: Duration = Duration::from_millis(350);
 
-/// Largest age of the deadline that a request states when its first byte is written; the platform allows 150 ms.
+/// Maximum age of the remaining time that a request states when its first byte is written; the platform allows 150 ms.
 pub const MAX_STATED_DEADLINE_AGE: Duration = Duration::from_millis(100);
 
-/// One invariant.
+/// An invariant of every request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A lease is claimed or released in time.
+    /// A lease is claimed or released within the lease limit.
     LeaseInTime,
-    /// No attempt starts while another one of its request is in flight.
+    /// No attempt starts while another attempt of the same request is in flight.
     OneAttempt,
-    /// A request that may run at most once is not sent again once it may have run.
+    /// An at-most-once request is not sent again once it may have run.
     AtMostOnce,
-    /// No attempt starts for a request that was answered, or whose client has disconnected.
+    /// No attempt starts for a request that was answered or whose client has disconnected.
     NothingAfterEnd,
-    /// A request that was admitted is answered before it finishes.
+    /// An admitted request is answered before it finishes.
     Answered,
-    /// A request that may run at most once is rejected only while no attempt of it can have run, or may still.
+    /// An at-most-once request is rejected only if no attempt of it can have run or may still run.
     RejectionIsTrue,
 }
 
 impl Invariant {
-    /// Every invariant, in the order of the operators' figures.
+    /// All invariants, in the order of the status report for operators.
     pub const ALL: [Invariant; 6] = [
         Invariant::LeaseInTime,
         Invariant::OneAttempt,
@@ -44,7 +44,7 @@
         Invariant::RejectionIsTrue,
     ];
 
-    /// The invariant's name in the operators' figures.
+    /// Returns the invariant's name in the status report for operators.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::LeaseInTime => "held_in_time",
@@ -61,12 +61,12 @@
     static VIOLATIONS: [Cell<u64>; Invariant::ALL.len()] = const { [const { Cell::new(0) }; Invariant::ALL.len()] };
 }
 
-/// How often this process has violated an invariant.
+/// Returns the number of violations of an invariant since the process started.
 pub fn violations(invariant: Invariant) -> u64 {
     VIOLATIONS.with(|counts| counts[invariant as usize].get())
 }
 
-/// Counts and logs a violation, unless the invariant holds.
+/// Counts and logs a violation if `holds` is false.
 pub fn check(holds: bool, invariant: Invariant, request: &str, detail: impl FnOnce() -> String) {
     if holds {
         return;
@@ -78,7 +78,7 @@
     crate::log!("invariant broken: {}: request {request}: {}", invariant.name(), detail());
 }
 
-/// Checks an attempt that is about to start.
+/// Checks the invariants of an attempt that is about to start.
 pub fn check_start(machine: &Request, attempt: usize, request: &str) {
     let others = || machine.attempts().iter().enumerate().filter(move |(other, _)| *other != attempt);
     let is_concurrent = others().any(|(_, other)| other.is_open());
@@ -89,32 +89,32 @@
         && machine.attempts()[attempt].stage == Stage::Execute
         && others().map(|(_, other)| other).any(Attempt::may_have_run);
     check(!is_repeated, Invariant::AtMostOnce, request, || {
-        format!("attempt {attempt} repeats what may have run")
+        format!("attempt {attempt} repeats an at-most-once request that may have run")
     });
     check(!machine.is_closed(), Invariant::NothingAfterEnd, request, || {
-        format!("attempt {attempt} starts after the end")
+        format!("attempt {attempt} starts after the request was answered or its client disconnected")
     });
 }
 
-/// Checks a lease that was unclaimed for `unclaimed` when a server had released it.
+/// Checks the time for which a lease was unclaimed until a server released it.
 pub fn check_lease_time(unclaimed: Duration, lease_limit: Duration, request: &str) {
     let holds = unclaimed <= lease_limit + LEASE_LIMIT_TOLERANCE;
     check(holds, Invariant::LeaseInTime, request, || format!("released after {} ms", unclaimed.as_millis()));
 }
 
-/// Checks a request whose client is told now that sending it again is harmless.
+/// Checks a request that is being rejected, which states to the client that a retry is safe.
 pub fn check_rejection(machine: &Request, request: &str) {
     let holds = machine.policy().retry_safety != RetrySafety::AtMostOnce || !machine.may_have_run();
     check(holds, Invariant::RejectionIsTrue, request, || "rejected although it may have run".into());
 }
 
-/// Checks a request that has finished.
+/// Checks that a finished request was answered.
 pub fn check_end(machine: &Request, request: &str) {
     let is_unanswered = matches!(machine.response(), ResponseState::Pending | ResponseState::Streaming);
-    check(!is_unanswered, Invariant::Answered, request, || "it finished without an answer".into());
+    check(!is_unanswered, Invariant::Answered, request, || "finished without a response".into());
 }
 
-/// The name and the violations of each invariant, for the operators.
+/// Returns the name and the number of violations of each invariant, for the status report.
 pub fn counts() -> impl Iterator<Item = (&'static str, u64)> {
     Invariant::ALL.into_iter().map(|invariant| (invariant.name(), violations(invariant)))
 }
--- a/gateway/src/invariants/tests.rs
+++ b/gateway/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each check counts the violation that it is there for, and no other.
+//! Tests that each check counts violations of its own invariant only.
 
 use glenrail_request_lifecycle::request::{Input, Reply, RequestPolicy};
 
@@ -12,14 +12,14 @@
     machine.step(input, &mut Vec::new()).expect("a valid input");
 }
 
-/// The violations of each invariant that `act` causes.
+/// Returns the number of violations of each invariant that `act` causes.
 fn violations_by(act: impl FnOnce()) -> Vec<u64> {
     let before: Vec<u64> = counts().map(|count| count.1).collect();
     act();
     counts().zip(before).map(|(after, before)| after.1 - before).collect()
 }
 
-/// Guards the checks themselves: each finds what it is there for, and nothing else.
+/// Guards against a check that misses its violation, or counts it under another invariant's name.
 #[test]
 fn each_violation_is_counted_under_its_name() {
     let send = |server| Input::Send { server, stage: Stage::Execute, permitted: true };
@@ -27,7 +27,7 @@
     feed(&mut machine, send(1));
     assert_eq!(violations_by(|| check_start(&machine, 0, "a")), [0, 0, 0, 0, 0, 0]);
     feed(&mut machine, send(2));
-    // The machine does not start the second; as if it did, the first counts as in flight beside it.
+    // The state machine does not start the second attempt; the check is called as if it did, while the first is in flight.
     assert_eq!(violations_by(|| check_start(&machine, 1, "a")), [0, 1, 0, 0, 0, 0]);
     feed(&mut machine, Input::Replied { attempt: 0, reply: Reply::Reset });
     assert_eq!(violations_by(|| check_start(&machine, 1, "a")), [0, 0, 1, 0, 0, 0]);
@@ -41,8 +41,7 @@
     assert_eq!(violations_by(|| unclaimed(851)), [1, 0, 0, 0, 0, 0]);
 }
 
-/// Guards the count of rejections that are not true: while an attempt is in flight, and while a prefill that was cut off may
-/// still run.
+/// Guards the count of unsafe rejections: an attempt is still in flight, or an interrupted prefill may still run.
 #[test]
 fn a_rejection_of_what_may_have_run_is_counted() {
     const COUNTED: [u64; 6] = [0, 0, 0, 0, 0, 1];
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! glenrail: a gateway for LLM serving split into prompt readers and answer writers.
+//! glenrail: a gateway for disaggregated LLM serving, with separate prefill servers and decode servers.
 //!
 //! ```text
 //! front (platform, inference) -> plugin -> core (glenrail_router::Router) -> engine
-//!        client side      exchange object      server side
+//!        client side          exchange            server side
 //! ```
 
 pub mod admin;
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -1,30 +1,30 @@
-//! The only way to write a log line: [`log!`](macro@crate::log), rate-limited for each place in the code that calls it.
+//! Logging to standard error through [`log!`](macro@crate::log), with a rate limit for each call site.
 
 #![deny(missing_docs)]
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Lines that one place may write in one period.
+/// Maximum number of lines that one call site writes in one period.
 const LINES_PER_PERIOD: u32 = 5;
 
-/// The period of the rate limit.
+/// Period of the rate limit.
 const PERIOD: Duration = Duration::from_secs(5);
 
-/// The rate limit of one place in the code.
+/// The rate limit of one call site.
 pub struct Limit {
     period_start: Cell<Option<Instant>>,
-    /// Lines of this period, those left out included.
+    /// Number of lines in the current period, including suppressed ones.
     lines: Cell<u32>,
 }
 
 impl Limit {
-    /// A limit that has counted no lines.
+    /// Creates a limit that has counted no lines.
     pub const fn new() -> Self {
         Limit { period_start: Cell::new(None), lines: Cell::new(0) }
     }
 
-    /// Counts a line; if it may be written now, returns how many were left out in the period before.
+    /// Counts a line. If the line may be written, returns the number of lines suppressed in the previous period.
     pub fn pass(&self, now: Instant) -> Option<u32> {
         let mut left_out = 0;
         if self.period_start.get().is_none_or(|start| now.duration_since(start) >= PERIOD) {
@@ -42,20 +42,20 @@
     }
 }
 
-/// Writes one line to standard error, if its limit allows that.
+/// Writes one line to standard error if its rate limit allows it.
 pub fn line(limit: &Limit, text: std::fmt::Arguments) {
     if let Some(left_out) = limit.pass(Instant::now()) {
         write(left_out, text);
     }
 }
 
-/// Writes one line to standard error, and how many lines like it were left out before.
+/// Writes one line to standard error, with the number of lines of the same call site suppressed before it.
 pub fn write(left_out: u32, text: std::fmt::Arguments) {
     let suffix = if left_out > 0 { format!(" ({left_out} like it left out)") } else { String::new() };
     eprintln!("glenrail: {text}{suffix}");
 }
 
-/// Writes one line to standard error, at most five in five seconds from each place that calls it.
+/// Writes one line to standard error. Each call site writes at most five lines in five seconds.
 #[macro_export]
 macro_rules! log {
     ($($text:tt)*) => {{
--- a/gateway/src/log/tests.rs
+++ b/gateway/src/log/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a flood of lines that fills the storage of the log.
+/// Guards against a flood of log lines that fills the disk.
 #[test]
 fn a_place_is_limited_and_reports_later_what_it_left_out() {
     let (limit, start) = (Limit::new(), Instant::now());
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -6,7 +6,7 @@
 use glenrail::daemon::{self, DaemonError};
 use glenrail::haproxy::{self, ImportError};
 
-/// Why the program ends with a failure.
+/// An error that ends the program with a failure exit code.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -1,8 +1,8 @@
 //! Plug-ins: a Rhai script that is called for each request before it is routed, and again with its outcome.
 //!
-//! A script may let a request pass, reject it or annotate it. It cannot send, repeat or delay one: the operations and the
-//! memory of a call are bounded, and the script has no access to the gateway. A script that fails is logged, and the
-//! request goes on as if there were none. [`Plugin`] is immutable; a call has no state beyond the request.
+//! A script may pass, reject or annotate a request. It cannot send, repeat or delay requests: each call is bounded in
+//! operations and memory, and the script has no access to the gateway. If a script fails, the error is logged and the request
+//! continues without it. [`Plugin`] is immutable; a call keeps no state beyond the request.
 #![deny(missing_docs)]
 
 use std::convert::Infallible;
@@ -22,17 +22,17 @@
 use crate::exchange::{ClientSide, Request, ResponseOutcome};
 use crate::log;
 
-/// Operations that one call of a hook may take: some milliseconds at most.
+/// Maximum number of operations in one call of a hook, which take a few milliseconds at most.
 const MAX_OPERATIONS: u64 = 20_000;
-/// Nested calls of functions in one call of a hook.
+/// Maximum depth of nested function calls in one call of a hook.
 const MAX_CALL_LEVELS: usize = 16;
-/// Nesting of an expression, in the script and in its functions.
+/// Maximum nesting depth of an expression, in the script and in its functions.
 const MAX_EXPRESSION_DEPTH: usize = 32;
-/// Longest text that a script may build, in bytes.
+/// Maximum length of a string in a script, in bytes.
 const MAX_TEXT_BYTES: usize = 16 << 10;
-/// Most items of an array or a map.
+/// Maximum number of items of an array or a map in a script.
 const MAX_ITEMS: usize = 1_000;
-/// Notes that one request may be given.
+/// Maximum number of notes that a script may add to one request.
 const MAX_NOTES: usize = 16;
 /// `Retry-After` of a request that a script rejects.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -41,42 +41,42 @@
 const REQUEST_HOOK: &str = "on_request";
 /// The hook that is called when a response has ended.
 const RESPONSE_HOOK: &str = "on_answer";
-/// The error of a script that calls `sleep`.
+/// The error that a script gets when it calls `sleep`.
 const NO_SLEEP: &str = "a hook cannot sleep";
 
-/// Why a script cannot be used at all.
+/// Why a script cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum PluginError {
-    /// The file cannot be read.
+    /// The script's file cannot be read.
     #[error("configuration: --plugin: {}: {error}", path.display())]
     Unreadable {
-        /// The file after `--plugin`.
+        /// The argument of `--plugin`.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// The error of the read.
         error: io::Error,
     },
-    /// The file is no script that could be called.
+    /// The file does not contain a usable script.
     #[error("configuration: --plugin: {}: {error}", path.display())]
     Script {
-        /// The file after `--plugin`.
+        /// The argument of `--plugin`.
         path: PathBuf,
-        /// What is wrong with its text.
+        /// The error in the script.
         error: ScriptError,
     },
 }
 
-/// What is wrong with a script's text.
+/// An error in a script's source.
 #[derive(Debug, thiserror::Error)]
 pub enum ScriptError {
-    /// It is not Rhai, or uses what is switched off.
+    /// The source is not valid Rhai or uses a disabled feature.
     #[error("{0}")]
     Syntax(#[from] ParseError),
-    /// It would never be called.
+    /// The script defines no hook, so it would never be called.
     #[error("neither on_request(request) nor on_answer(answer) is defined")]
     NoHook,
 }
 
-/// A compiled script.
+/// A compiled script, with the hooks that it defines.
 pub struct Plugin {
     engine: Engine,
     script: AST,
@@ -84,24 +84,24 @@
     has_response_hook: bool,
 }
 
-/// What a script decides about a request.
+/// A script's decision on a request.
 #[derive(Debug, PartialEq)]
 pub enum Verdict {
-    /// The request goes on, with these notes for the server.
+    /// The request continues, with these notes (name and value) for the server.
     Pass(Vec<(String, String)>),
-    /// The request is rejected, for this reason.
+    /// The request is rejected for this reason, which is logged.
     Reject(String),
 }
 
 impl Plugin {
-    /// Reads and compiles the file after `--plugin`.
+    /// Reads and compiles the script file given with `--plugin`.
     pub fn load(path: &Path) -> Result<Self, PluginError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| PluginError::Unreadable { path: path.into(), error })?;
         Plugin::compile(&text).map_err(|error| PluginError::Script { path: path.into(), error })
     }
 
-    /// Compiles a script's text.
+    /// Compiles a script's source.
     pub fn compile(text: &str) -> Result<Self, ScriptError> {
         let engine = bounded_engine();
         let script = engine.compile(text)?;
@@ -122,7 +122,8 @@
         result.map_err(|e| log!("plugin: {hook} failed: {e}")).ok()
     }
 
-    /// The script's verdict on a request. A script that fails, or returns what makes no sense, lets it pass.
+    /// Calls the request hook and returns its decision. The request passes if the script fails or returns a value without
+    /// a meaning.
     pub fn verdict(&self, about: Map) -> Verdict {
         let result = self.has_request_hook.then(|| self.call(REQUEST_HOOK, about)).flatten();
         let Some(result) = result else {
@@ -138,13 +139,13 @@
         Verdict::Pass(notes.map(|(name, value)| (name.to_string(), value.to_string())).collect())
     }
 
-    /// The layer in front of a core.
+    /// Wraps a service so that each request passes through the script first.
     pub fn layer<S>(self: &Rc<Self>, inner: S) -> Hooked<S> {
         Hooked { plugin: self.clone(), inner }
     }
 }
 
-/// An engine whose scripts can neither take long nor wait nor run text that they made up.
+/// Creates an engine that bounds the operations and the memory of scripts, and disables `sleep` and `eval`.
 fn bounded_engine() -> Engine {
     let mut engine = Engine::new();
     engine
@@ -160,7 +161,7 @@
     engine
 }
 
-/// A request as scripts see it. The keys are the scripts' interface.
+/// Returns the fields of a request that scripts receive. The keys are part of the scripts' interface.
 fn describe(request: &Request) -> Map {
     let (routing, payload) = (&request.routing, &request.payload);
     let text = |value: &str| Dynamic::from(value.to_string());
@@ -176,7 +177,7 @@
     ])
 }
 
-/// A service behind a plug-in.
+/// A service whose requests pass through a plug-in first.
 #[derive(Clone)]
 pub struct Hooked<S> {
     plugin: Rc<Plugin>,
@@ -201,7 +202,7 @@
             let about = describe(&request);
             match plugin.verdict(about.clone()) {
                 Verdict::Reject(reason) => {
-                    log!("plugin: rejected: {reason}");
+                    log!("plugin: request rejected: {reason}");
                     return Ok(ClientSide::rejected(RETRY_AFTER));
                 }
                 Verdict::Pass(notes) => annotate(&mut request, &notes),
@@ -216,7 +217,7 @@
     }
 }
 
-/// Calls the response hook with the request, its outcome and its time.
+/// Calls the response hook with the request's fields, its outcome and its duration.
 fn report_outcome(plugin: &Plugin, mut about: Map, started: Instant, outcome: ResponseOutcome) {
     about.insert("ended".into(), Dynamic::from(script_label(outcome).to_string()));
     let elapsed_ms = millis(started.elapsed());
@@ -224,7 +225,7 @@
     plugin.call(RESPONSE_HOOK, about);
 }
 
-/// An outcome as scripts see it.
+/// Returns the name of an outcome in the scripts' interface.
 fn script_label(outcome: ResponseOutcome) -> &'static str {
     match outcome {
         ResponseOutcome::Completed => "served",
@@ -234,7 +235,7 @@
     }
 }
 
-/// Adds notes as headers with a prefix of their own, so that they cannot change one that the request came with.
+/// Adds notes as headers with a prefix of their own, so that they cannot overwrite a header of the client.
 fn annotate(request: &mut Request, notes: &[(String, String)]) {
     let Some(payload) = Rc::get_mut(&mut request.payload) else { return };
     for (name, value) in notes {
--- a/gateway/src/plugin/tests.rs
+++ b/gateway/src/plugin/tests.rs
@@ -1,4 +1,4 @@
-//! What a script may decide, and that no script can stop or delay a request.
+//! Tests of the decisions of scripts, and of the bounds that keep a script from blocking or delaying a request.
 
 use rhai::{Dynamic, Map};
 
@@ -19,7 +19,7 @@
     assert_eq!(verdict("fn on_request(r) { #{ tier: \"gold\" } }"), note);
 }
 
-/// A script must not stop the gateway: faults and endless work let the request pass.
+/// Guards against a script that blocks the gateway: after an error or an endless loop the request passes.
 #[test]
 fn a_faulty_or_endless_script_lets_the_request_pass() {
     for script in [
@@ -33,7 +33,7 @@
     }
 }
 
-/// A hook must not delay requests, and a script without a hook is a mistake.
+/// Guards against hooks that delay requests, and against scripts without a hook, which would never be called.
 #[test]
 fn a_script_cannot_sleep_and_must_define_a_hook() {
     for script in ["fn on_request(r) { sleep(1); false }", "fn on_request(r) { sleep(0.5); false }"] {
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -1,13 +1,14 @@
-//! Graceful shutdown: the phases of the process's end, taking the gateway out of service, and its successor.
+//! Graceful shutdown: the phases of the process's shutdown, out-of-service state, and handover to a successor process.
 //!
-//! The platform's times, which the figures here follow:
+//! The durations in this module follow the platform's rules:
 //!
-//! - After SIGTERM new connections still come for up to 0.4 s, so the gateway accepts on through [`Phase::Draining`].
-//! - SIGKILL follows no sooner than the longest deadline, counted as 3 s at the most, and 0.7 s after SIGTERM
-//!   ([`kill_delay`]). A request that is unanswered by then is lost.
-//! - What arrives complete more than 0.65 s after SIGTERM is rejected, since it may be lost from 0.7 s on; what still waits
-//!   for its first token 0.4 s before the kill is answered then ([`last_response_delay`]).
-//! - Where a successor serves, it accepts instead, and receives the streams in flight ([`stream_handover_delay`]).
+//! - After SIGTERM new connections arrive for up to 0.4 s, so the gateway keeps accepting during [`Phase::Draining`].
+//! - SIGKILL follows SIGTERM after the longest deadline (at most 3 s) plus 0.7 s, or later ([`kill_delay`]). A request that
+//!   is unanswered by then is lost.
+//! - A request that arrives completely more than 0.65 s after SIGTERM is rejected, because SIGKILL may follow from 0.7 s
+//!   on. A request that still waits for its first token 0.4 s before SIGKILL is answered then ([`last_response_delay`]).
+//! - A successor process, if there is one, accepts connections instead and receives the streams in flight
+//!   ([`stream_handover_delay`]).
 //!
 //! [`Shutdown`] is the state that all fronts share; the daemon moves it through the phases. The clock is tokio's.
 #![deny(missing_docs)]
@@ -21,65 +22,65 @@
 
 use crate::upgrade::transferred::{ConnectionGuard, OpenConnections, Successor};
 
-/// Out of service, the gateway closes connections after this time. Until then clients may leave by themselves, as each
-/// response tells them to.
+/// Time after which a gateway that is out of service closes connections. Until then each response asks its client to close
+/// the connection.
 const OUT_OF_SERVICE_GRACE: Duration = Duration::from_millis(1_500);
-/// A connection that is accepted late may still send a request within this time.
+/// Minimum time for which a newly accepted connection may still send its first request.
 const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(300);
-/// Out of service, a request that arrives later than this is rejected: it would still be open when the clients must have
-/// left.
+/// Time after which a gateway that is out of service rejects requests: they would still be open when all clients must have
+/// disconnected.
 const OUT_OF_SERVICE_LAST_REQUEST: Duration = Duration::from_millis(1_800);
 
-/// A request that arrives complete later than this after SIGTERM is rejected: from 0.7 s on the kill may find it
-/// unanswered, which loses it.
+/// Time after SIGTERM from which requests are rejected: SIGKILL may follow from 0.7 s on, and an unanswered request would be
+/// lost.
 const LAST_REQUEST_AFTER_SIGTERM: Duration = Duration::from_millis(650);
 
-/// The platform's kill waits for the longest deadline, but counts it as this much at the most.
+/// Maximum deadline that the platform takes into account for the time of SIGKILL.
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
-/// Time from that deadline to the kill.
+/// Time from the longest deadline to SIGKILL.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// What still waits is answered this long before the kill, so that the answer reaches its client.
+/// Time before SIGKILL at which waiting requests are answered, so that the response still reaches the client.
 const LAST_RESPONSE_BEFORE_KILL: Duration = Duration::from_millis(400);
 
-/// Part of the time until the kill after which streams in flight go over to the successor.
+/// Share of the time from SIGTERM to SIGKILL after which streams in flight are handed over to the successor.
 const STREAM_HANDOVER_SHARE: f64 = 0.54;
 
-/// Time from SIGTERM to the platform's kill, for a gateway with these deadlines.
+/// Returns the time from SIGTERM to SIGKILL for a gateway with these deadlines.
 pub fn kill_delay(deadlines: impl Iterator<Item = Duration>) -> Duration {
     let longest = deadlines.max().unwrap_or(MAX_DEADLINE_BEFORE_KILL);
     longest.min(MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE
 }
 
-/// Time from SIGTERM until requests that still wait for their first token are answered: the kill would lose them.
+/// Returns the time from SIGTERM until requests without a first token are answered, because SIGKILL would lose them.
 pub fn last_response_delay(kill: Duration) -> Duration {
     kill - LAST_RESPONSE_BEFORE_KILL
 }
 
-/// Time from SIGTERM until streams in flight go over to the successor, where there is one.
+/// Returns the time from SIGTERM until streams in flight are handed over to the successor, if there is one.
 pub fn stream_handover_delay(kill: Duration) -> Duration {
     kill.mul_f64(STREAM_HANDOVER_SHARE)
 }
 
-/// Where the process is on its way to the end.
+/// The phase of the process's life, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// From the start to SIGTERM.
     Serving,
-    /// After SIGTERM: connections still come and are served.
+    /// After SIGTERM: connections are still accepted and served.
     Draining,
-    /// Accepting has ended; open requests are finished.
+    /// Connections are no longer accepted; open requests are completed.
     Closing,
 }
 
-/// The state of the process's end, shared by all that act on it.
+/// The shutdown state of the process. Clones share the same state.
 #[derive(Clone)]
 pub struct Shutdown {
-    /// Where idle connections go, once another process has taken over.
+    /// The process that receives idle connections; `None` unless another process has taken over.
     successor: Rc<watch::Sender<Option<Successor>>>,
-    /// Since when operators have the gateway out of service.
+    /// When an operator took the gateway out of service; `None` while it is in service.
     out_of_service_since: Rc<watch::Sender<Option<Instant>>>,
     phase: Rc<watch::Sender<Phase>>,
-    /// When SIGTERM came.
+    /// When the first phase after [`Phase::Serving`] was entered, on SIGTERM.
     signalled_at: Rc<Cell<Option<Instant>>>,
     open_connections: OpenConnections,
 }
@@ -97,7 +98,7 @@
 }
 
 impl Shutdown {
-    /// Goes on to this phase. The first one after [`Phase::Serving`] starts the platform's times.
+    /// Enters a phase. The first one after [`Phase::Serving`] starts the time to SIGKILL.
     pub fn enter(&self, phase: Phase) {
         if phase != Phase::Serving && self.signalled_at.get().is_none() {
             self.signalled_at.set(Some(Instant::now()));
@@ -105,7 +106,7 @@
         self.phase.send_replace(phase);
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
@@ -113,11 +114,11 @@
     /// Waits for this phase or a later one.
     pub async fn reached(&self, phase: Phase) {
         let mut phases = self.phase.subscribe();
-        // An error would be the sender's end, and `self` has the sender.
+        // An error would mean that the sender was dropped, but `self` owns it.
         let _ = phases.wait_for(|current| *current >= phase).await;
     }
 
-    /// Takes the gateway out of service: each response asks its client to leave. Idempotent.
+    /// Takes the gateway out of service, so that each response asks its client to close the connection. Idempotent.
     pub fn take_out_of_service(&self) {
         self.out_of_service_since
             .send_if_modified(|since| since.replace(since.unwrap_or_else(Instant::now)).is_none());
@@ -132,23 +133,23 @@
         self.out_of_service_since.borrow().is_some()
     }
 
-    /// Whether a request that arrives now is too late to be accepted.
+    /// Whether a request that arrives now is rejected because it could not be completed in time.
     pub fn rejects_new_requests(&self) -> bool {
         let out_of_service = self
             .out_of_service_since
             .borrow()
             .is_some_and(|since| since.elapsed() > OUT_OF_SERVICE_LAST_REQUEST);
         let ends = self.signalled_at.get().is_some_and(|at| at.elapsed() > LAST_REQUEST_AFTER_SIGTERM);
-        // A successor goes on with what is open here.
+        // A successor continues the open requests of this process.
         out_of_service || ends && !self.has_successor()
     }
 
-    /// Whether each response should tell its client that the connection closes.
+    /// Whether each response must ask its client to close the connection.
     pub fn is_draining(&self) -> bool {
         self.is_out_of_service() || self.phase() != Phase::Serving && !self.has_successor()
     }
 
-    /// Waits until a connection accepted at this time has to close as soon as its open request has ended.
+    /// Waits until a connection accepted at `began` must close as soon as it has no open request.
     pub async fn connection_must_end(&self, began: Instant) {
         tokio::select! {
             () = self.closing(began) => {}
@@ -156,8 +157,8 @@
         }
     }
 
-    /// The last connections to be accepted are about to bring a request, which would count as refused if they closed
-    /// unanswered.
+    /// Waits for [`Phase::Closing`] and for the time in which a connection may send its first request: a connection closed
+    /// just before that request would count as refused.
     async fn closing(&self, began: Instant) {
         self.reached(Phase::Closing).await;
         sleep_until(began + FIRST_REQUEST_WAIT).await;
@@ -177,13 +178,13 @@
             };
             tokio::select! {
                 () = due => return,
-                // An error would be the sender's end, and `self` has the sender.
+                // An error would mean that the sender was dropped, but `self` owns it.
                 _ = updates.changed() => {}
             }
         }
     }
 
-    /// Notes the process that has taken over, or that it has ended.
+    /// Sets the process that has taken over; `None` after it has ended.
     pub fn set_successor(&self, successor: Option<Successor>) {
         self.successor.send_replace(successor);
     }
@@ -193,12 +194,12 @@
         self.successor.borrow().is_some()
     }
 
-    /// The successor, and each change of it.
+    /// Subscribes to the successor and its changes.
     pub fn successor_updates(&self) -> watch::Receiver<Option<Successor>> {
         self.successor.subscribe()
     }
 
-    /// Counts one more connection that the process waits for before it ends.
+    /// Registers an open connection, for which [`Shutdown::drained`] waits until the guard is dropped.
     pub fn guard(&self) -> ConnectionGuard {
         self.open_connections.guard()
     }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -1,7 +1,7 @@
-//! The calls that the core makes to servers, in terms of no wire format.
+//! The calls that the core makes to servers, independent of any wire format.
 //!
-//! The engine answers these calls as a tower service; tests use scripted services in its place. The core owns the decision
-//! whether anything is retried: each call is carried out once.
+//! The engine implements these calls as a tower service; tests replace it by scripted services. Each call is executed once;
+//! the core decides whether to retry.
 
 #![deny(missing_docs)]
 
@@ -16,166 +16,167 @@
 
 use crate::exchange::{CancelToken, Payload, ResponseHead, StreamRemainder};
 
-/// One call to a server, or to any server that can be reached.
+/// A call to one server, or to any server that can be reached.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Sends the request once.
+    /// Sends the request to a server once.
     Attempt {
-        /// Where it is sent.
+        /// The server that receives the request.
         server: ServerId,
-        /// What is sent.
+        /// The request's content, shared by all its attempts.
         payload: Rc<Payload>,
-        /// Until when the core waits for the response to begin; the server is told how much of that is left.
+        /// Latest start of the response. The server receives the remaining time with the request.
         deadline: Instant,
-        /// By when the attempt must have a connection, if that is sooner, since a lease waits for it.
+        /// Maximum time to obtain a connection; `None` if neither a lease nor an idempotency window limits it beyond the
+        /// engine's own connect timeout.
         connect_timeout: Option<Duration>,
-        /// What must show, immediately before, that the connection still delivers.
+        /// The check of the connection immediately before the attempt is written.
         connection_check: ConnectionCheck,
-        /// No first byte is written once this is not active any more.
+        /// Must be active when the first byte is written; otherwise the attempt is not sent.
         cancel_token: CancelToken,
     },
-    /// Releases every lease held for the request, at any server that runs.
+    /// Releases all leases held for the request, through any server that can be reached.
     Release {
-        /// The request.
+        /// The payload with the request's id; the rest may be empty.
         payload: Rc<Payload>,
     },
     /// Reserves a slot for the request.
     ReserveSlot {
-        /// Where it is reserved.
+        /// The server that reserves the slot.
         server: ServerId,
-        /// The request.
+        /// The request that the slot is for.
         payload: Rc<Payload>,
     },
-    /// Asks a server for its load.
+    /// Queries a server for its health and load.
     Probe {
-        /// The server.
+        /// The server to probe.
         server: ServerId,
     },
-    /// Verifies that a server, and the network path to it, responds now; fails soon otherwise.
+    /// Verifies that a server and the network path to it respond now; fails after a short time otherwise.
     VerifyReachable {
-        /// The server.
+        /// The server to verify.
         server: ServerId,
     },
-    /// Finds out what has become of a server whose connection was reset under an attempt, on a connection that is begun now.
+    /// Queries, on a new connection, the state of a server whose connection was reset during an attempt.
     InquireAfterReset {
-        /// The server.
+        /// The server to query.
         server: ServerId,
-        /// The attempt.
+        /// The token of the attempt whose connection was reset.
         cancel_token: CancelToken,
     },
-    /// Asks a server for a sign that an attempt was delivered, on a connection that stood when it was written if there is one.
+    /// Seeks evidence that an attempt was delivered, preferably on a connection that was open before the attempt was written.
     ConfirmDelivery {
-        /// The server.
+        /// The server that the attempt was written to.
         server: ServerId,
-        /// The attempt's.
+        /// The token of the attempt.
         cancel_token: CancelToken,
     },
     /// Closes the idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// The server whose connections are closed.
         server: ServerId,
     },
 }
 
-/// What shows that a connection delivers before an attempt is written to it. Where a lease waits for the attempt, that has to
-/// be shown: what is written onto a connection that has fallen silent is never delivered.
+/// How a connection is checked before an attempt is written to it. An attempt that claims a lease needs a check, because data
+/// written to a dead connection is never delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionCheck {
-    /// Nothing: no lease waits for the attempt.
+    /// No check, because the attempt claims no lease.
     None,
-    /// The connection answers a call that changes nothing.
+    /// The server must answer a call without side effects on the connection.
     Answer,
 }
 
-/// What a connection has shown that was begun after another one to the same server was reset.
+/// Result of a query on a connection that was opened after another connection to the same server was reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAfterReset {
     /// The connection was refused.
     Refuses,
-    /// The server answered.
+    /// The server answered the query.
     Answers,
-    /// No answer came in time.
+    /// The server did not answer in time.
     Silent,
 }
 
-/// The frames of a response that is streamed.
+/// The stream of the frames of a response.
 pub type Frames = LocalBoxStream<'static, Result<Frame, CallError>>;
 
-/// The result of a call that was answered.
+/// The result of a call that succeeded or that the server answered.
 pub enum Reply {
     /// The prefill is complete.
     Prefilled {
-        /// Prompt tokens that the server found in its cache.
+        /// Number of prompt tokens that the server found in its cache.
         cached_tokens: f64,
-        /// The server's load.
+        /// The server's load report; `None` if it sent none.
         report: Option<LoadReport>,
     },
-    /// The response begins; its first frame has already come.
+    /// The response has started; its first frame is available.
     Response {
-        /// The server's status and headers.
+        /// Status and headers of the server's response.
         head: ResponseHead,
-        /// The body.
+        /// The body, from its first frame on.
         frames: Frames,
     },
-    /// The server rejected the attempt, so it never ran.
+    /// The server rejected the attempt, so the attempt never ran.
     Rejected {
-        /// Whether it did since the state that the attempt was to claim is not there.
+        /// Whether the reason is that the server does not have the state that the attempt claims.
         state_missing: bool,
-        /// The server's load.
+        /// The server's load report; `None` if it sent none.
         report: Option<LoadReport>,
     },
-    /// The server failed; the attempt may have run.
+    /// The server reported an error; the attempt may have run.
     Error {
-        /// The server's load.
+        /// The server's load report; `None` if it sent none.
         report: Option<LoadReport>,
     },
-    /// The server rejected the request for a fault of its own, which every server would find.
+    /// The server found the request itself invalid, as every other server would.
     Unprocessable {
-        /// The server's load.
+        /// The server's load report; `None` if it sent none.
         report: Option<LoadReport>,
     },
     /// Whether the slot was reserved; `None` if the server does not know.
     SlotReserved(Option<bool>),
     /// The server answered a probe.
     Probed {
-        /// Whether it called itself well.
+        /// Whether the server reported itself as healthy.
         healthy: bool,
-        /// The server's load.
+        /// The server's load report; `None` if it sent none.
         report: Option<LoadReport>,
     },
-    /// What has become of a server that was asked after a reset.
+    /// The result of a query after a reset.
     AfterReset(ServerAfterReset),
-    /// What was seen of an attempt's delivery.
+    /// An observation that bears on an attempt's delivery.
     Observed(Observation),
-    /// The call was carried out, and has nothing to return.
+    /// The call was executed and returns nothing.
     Done,
 }
 
-/// One frame of a response's body.
+/// A frame of a response's body.
 #[derive(Debug)]
 pub enum Frame {
-    /// Complete events, or a part of a document.
+    /// Complete events of a stream, or a part of a document.
     Data(Bytes),
     /// The successor process continues from here.
     HandedOver(StreamRemainder),
     /// The response is complete.
     End {
-        /// Prompt tokens that the server found in its cache.
+        /// Number of prompt tokens that the server found in its cache.
         cached_tokens: f64,
-        /// The server's load.
+        /// The server's load report; `None` if it sent none.
         report: Option<LoadReport>,
     },
 }
 
-/// Why a call got no answer.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// It cannot have run: its last byte was never written.
+    /// The call cannot have run, because its last byte was never written.
     ConnectFailed,
-    /// The connection ended; it may have run.
+    /// The connection ended; the call may have run.
     Reset,
-    /// The answer could not be read; it may have run.
+    /// The response could not be parsed; the call may have run.
     MalformedResponse,
-    /// It was not sent: the server must receive nothing new, the call is not needed any more, or its time was over.
+    /// The call was not sent: the server accepts no new calls, the call is no longer needed, or its deadline has passed.
     NotSent,
 }
