--- a/gateway/src/chunk_position.rs
+++ b/gateway/src/chunk_position.rs
@@ -5,7 +5,7 @@
 pub struct MalformedFraming;
 
 /// Size in bytes from which a chunk size may not get another digit; larger sizes are rejected as malformed.
-const MAX_CHUNK: u64 = 1 << 31;
+const MAX_CHUNK_BYTES: u64 = 1 << 31;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
@@ -83,7 +83,7 @@
         Ok(match (self, byte) {
             (State::ChunkStart, _) => State::Size(digit.ok_or(MalformedFraming)?),
             (State::Size(size), _) if digit.is_some() => {
-                let digit = digit.filter(|_| size < MAX_CHUNK).ok_or(MalformedFraming)?;
+                let digit = digit.filter(|_| size < MAX_CHUNK_BYTES).ok_or(MalformedFraming)?;
                 State::Size(size * 16 + digit)
             }
             (State::Size(0) | State::SizeLine(0), b'\n') => State::EmptyTrailer,
--- a/gateway/src/chunk_position/tests.rs
+++ b/gateway/src/chunk_position/tests.rs
@@ -14,7 +14,7 @@
     /// Guards against lost or repeated data of a body that is split arbitrarily, with pauses between two chunks. No byte
     /// after the end of the body may be read.
     #[test]
-    fn data_is_read_once_in_whatever_pieces(pieces in prop::collection::vec((1usize..9, until()), 120)) {
+    fn data_is_read_once_in_any_pieces(pieces in prop::collection::vec((1usize..9, until()), 120)) {
         let (mut position, mut data, mut remaining) = (ChunkPosition::default(), Vec::new(), BODY);
         for (length, until) in pieces {
             let length = length.min(remaining.len());
@@ -37,7 +37,7 @@
 
 /// Guards against the acceptance of invalid bytes before or after a chunk.
 #[test]
-fn malformed_framing_is_found() {
+fn malformed_framing_is_rejected() {
     for malformed in [&b"x"[..], b"5x", b"ffffffffffff\r\n", b"1\r\nab", b"\r\n"] {
         let read = ChunkPosition::default().read(malformed, ReadUntil::EndOfBody, |_| {});
         assert_eq!(read, Err(MalformedFraming), "{malformed:?}");
--- a/gateway/src/core/admission.rs
+++ b/gateway/src/core/admission.rs
@@ -42,7 +42,7 @@
         let mut effects = Vec::new();
         self.inner.borrow_mut().admit(&routing, admission, &mut effects);
         for effect in effects {
-            self.carry_out(id, effect);
+            self.apply_effect(id, effect);
         }
         self.dispatch(Event::Request(routing));
         client
@@ -87,7 +87,7 @@
             .filter(|_| idempotency == Idempotency::IdempotencyKey)
             .map(|class| duration(class.idempotency_window));
         let state = RequestState {
-            record: self.begin_record(routing, &payload.request_id, arrived),
+            record: self.create_record(routing, &payload.request_id, arrived),
             machine: Machine::new(RequestPolicy { retry_safety, ..self.request_policy }, effects),
             payload,
             response: Some(response),
@@ -105,7 +105,7 @@
         self.requests.insert(routing.id.0, state);
     }
 
-    fn begin_record(&self, routing: &RoutingRequest, name: &str, arrived: Instant) -> RecordBuilder {
+    fn create_record(&self, routing: &RoutingRequest, name: &str, arrived: Instant) -> RecordBuilder {
         let arrived = self.clock.at(arrived);
         RecordBuilder::new(routing, name, &self.settings, arrived, self.clock.unix(arrived))
     }
--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -63,7 +63,7 @@
             return self.step(id, Input::Replied { attempt, reply: MachineReply::Reset });
         };
         self.step(id, Input::Replied { attempt, reply: MachineReply::FirstEvent });
-        let Some(client) = self.client_of(id, attempt) else {
+        let Some(client) = self.client_channel(id, attempt) else {
             drop(frames);
             return self.step(id, Input::CancelCompleted { attempt });
         };
@@ -72,12 +72,12 @@
             false => StreamEnd::ClientStalled.into(),
         };
         let StreamSummary { end, cached_tokens, load } = summary;
-        self.store_report(id, attempt, ServerReport { note: cached_tokens, load });
+        self.store_report(id, attempt, ServerReport { status_detail: cached_tokens, load });
         self.step(id, Input::StreamEnded { attempt, end });
     }
 
     /// Returns the channel to the client if the state machine streams this attempt's response.
-    fn client_of(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<ResponsePart>> {
+    fn client_channel(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<ResponsePart>> {
         let inner = self.inner.borrow();
         let request = inner.requests.get(&id)?;
         match request.machine.attempts()[attempt].state {
@@ -105,14 +105,14 @@
 
 /// Converts the result of a call that started no response to a reply for the state machine, with the server's report.
 fn machine_reply(reply: Result<Reply, CallError>) -> (MachineReply, ServerReport) {
-    let report = |load| ServerReport { note: 0.0, load };
+    let report = |load| ServerReport { status_detail: 0.0, load };
     match reply {
         Ok(Reply::Prefilled { cached_tokens, report: load }) => {
-            (MachineReply::Prefilled, ServerReport { note: cached_tokens, load })
+            (MachineReply::Prefilled, ServerReport { status_detail: cached_tokens, load })
         }
         Ok(Reply::Rejected { state_missing, report: load }) => {
-            let note = f64::from(u8::from(state_missing));
-            (MachineReply::Rejected, ServerReport { note, load })
+            let status_detail = f64::from(u8::from(state_missing));
+            (MachineReply::Rejected, ServerReport { status_detail, load })
         }
         Ok(Reply::Unprocessable { report: load }) => (MachineReply::Unprocessable, report(load)),
         Ok(Reply::Error { report: load }) => (MachineReply::Error, report(load)),
--- a/gateway/src/core/close_notice.rs
+++ b/gateway/src/core/close_notice.rs
@@ -11,13 +11,13 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use super::request_state::AttemptCall;
-use super::timing::{CANCEL_PROPAGATION_DELAY, MAX_NETWORK_HOLD};
+use super::timing::{CANCEL_PROPAGATION_DELAY, MAX_NETWORK_DELAY};
 use super::{Core, DecisionPolicy, Upstream};
 use crate::exchange::CancelToken;
 use crate::log;
 
 /// An attempt whose connection the gateway closed or lost before the end of the server's work.
-struct CutAttempt {
+struct InterruptedAttempt {
     /// The request's id that clients and servers know.
     request: String,
     server: ServerId,
@@ -31,8 +31,8 @@
     /// server does not notice.
     fn may_run_until(&self) -> Instant {
         let written = self.cancel_token.first_byte_at().unwrap_or(self.ordered_at);
-        let stated = self.deadline.saturating_duration_since(written);
-        Instant::now() + MAX_NETWORK_HOLD + stated
+        let stated_timeout = self.deadline.saturating_duration_since(written);
+        Instant::now() + MAX_NETWORK_DELAY + stated_timeout
     }
 }
 
@@ -40,22 +40,22 @@
     /// Waits until the server has stopped working on an interrupted attempt, then reports that to the state machine. Gives up
     /// waiting at the time by which the server must have stopped in any case.
     pub(super) async fn confirm_close(self, id: u64, attempt: usize) {
-        let Some(cut) = self.cut_attempt(id, attempt) else { return };
-        let work_end = self.await_work_end(cut.server, &cut.token);
-        if cut.token.is_written() && timeout_at(cut.may_run_until, work_end).await.is_err() {
+        let Some(interrupted) = self.interrupted_attempt(id, attempt) else { return };
+        let work_end = self.await_work_end(interrupted.server, &interrupted.token);
+        if interrupted.token.is_written() && timeout_at(interrupted.may_run_until, work_end).await.is_err() {
             log!(
                 "request {}: no sign that the server stopped working on an interrupted prefill; waiting ended",
-                cut.request
+                interrupted.request
             );
         }
         self.step(id, Input::CloseConfirmed { attempt });
     }
 
-    fn cut_attempt(&self, id: u64, attempt: usize) -> Option<CutAttempt> {
+    fn interrupted_attempt(&self, id: u64, attempt: usize) -> Option<InterruptedAttempt> {
         let inner = self.inner.borrow();
         let request = inner.requests.get(&id)?;
         let call = request.calls.get(attempt)?;
-        Some(CutAttempt {
+        Some(InterruptedAttempt {
             request: request.payload.request_id.clone(),
             server: ServerId(request.machine.attempts().get(attempt)?.server),
             token: call.cancel_token.clone(),
@@ -65,15 +65,15 @@
 
     /// Waits a short time for all servers to notice that the request's attempts were interrupted, and reports those that have
     /// to the state machine.
-    pub(super) async fn await_close_notices(&self, id: u64) {
-        let unnoticed = self.unnoticed_calls(id);
-        if unnoticed.is_empty() {
+    pub(super) async fn await_close_confirmations(&self, id: u64) {
+        let unconfirmed = self.unconfirmed_closes(id);
+        if unconfirmed.is_empty() {
             // No prefill is unconfirmed: a call of another kind was interrupted, whose server sends no confirmation.
             return sleep(CANCEL_PROPAGATION_DELAY).await;
         }
-        let notices = join_all(unnoticed.iter().map(|(_, token)| token.work_ended()));
-        let _ = timeout(CANCEL_PROPAGATION_DELAY, notices).await;
-        for (attempt, token) in unnoticed {
+        let confirmations = join_all(unconfirmed.iter().map(|(_, token)| token.work_ended()));
+        let _ = timeout(CANCEL_PROPAGATION_DELAY, confirmations).await;
+        for (attempt, token) in unconfirmed {
             if token.has_work_ended() {
                 self.step(id, Input::CloseConfirmed { attempt });
             }
@@ -81,11 +81,11 @@
     }
 
     /// Returns the interrupted prefills of a request whose servers have not confirmed the interruption.
-    fn unnoticed_calls(&self, id: u64) -> Vec<(usize, CancelToken)> {
+    fn unconfirmed_closes(&self, id: u64) -> Vec<(usize, CancelToken)> {
         let inner = self.inner.borrow();
         let Some(request) = inner.requests.get(&id) else { return Vec::new() };
         let attempts = request.machine.attempts().iter().zip(&request.calls).enumerate();
-        let unnoticed = attempts.filter(|(_, (state, _))| state.unconfirmed_close);
-        unnoticed.map(|(attempt, (_, call))| (attempt, call.cancel_token.clone())).collect()
+        let unconfirmed = attempts.filter(|(_, (state, _))| state.unconfirmed_close);
+        unconfirmed.map(|(attempt, (_, call))| (attempt, call.cancel_token.clone())).collect()
     }
 }
--- a/gateway/src/core/delivery.rs
+++ b/gateway/src/core/delivery.rs
@@ -23,26 +23,26 @@
     pub(super) async fn confirm_delivery(
         &self, id: u64, attempt: usize, server: ServerId, cancel_token: &CancelToken,
     ) -> Infallible {
-        let mut known = Delivery::default();
+        let mut delivery = Delivery::default();
         loop {
             let written = cancel_token.first_byte_written().await;
             let Some(check_at) = self.delivery_check_at(id, written) else { return pending().await };
             sleep_until(check_at).await;
             // The attempt may have been written again, to another connection, in the meantime.
             if cancel_token.first_byte_at() != Some(written) {
-                known = Delivery::default();
+                delivery = Delivery::default();
                 continue;
             }
-            if !self.has_waiting_lease(id) {
+            if !self.has_unclaimed_lease(id) {
                 // A slot may be reserved later, which starts a lease.
                 let pause = self.inner.borrow().lease_limit.mul_f64(DELIVERY_CHECK_SHARE);
                 sleep(pause).await;
                 continue;
             }
-            if let Some(seen) = self.ask_for_delivery(server, cancel_token).await {
-                known = known.after(seen);
+            if let Some(observation) = self.observe_delivery(server, cancel_token).await {
+                delivery = delivery.after(observation);
             }
-            match known {
+            match delivery {
                 Delivery::Unknown => sleep(DELIVERY_CHECK_RETRY_DELAY).await,
                 // The lease timer cancels the attempt unless its response arrives first.
                 Delivery::Doubtful => return pending().await,
@@ -55,10 +55,10 @@
     }
 
     /// Requests an observation of the server on connections other than the attempt's.
-    async fn ask_for_delivery(&self, server: ServerId, cancel_token: &CancelToken) -> Option<Observation> {
+    async fn observe_delivery(&self, server: ServerId, cancel_token: &CancelToken) -> Option<Observation> {
         let call = Call::ConfirmDelivery { server, cancel_token: cancel_token.clone() };
         match self.upstream.clone().oneshot(call).await {
-            Ok(Reply::Observed(seen)) => Some(seen),
+            Ok(Reply::Observed(observation)) => Some(observation),
             _ => None,
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /// Whether the request has a lease that no attempt with confirmed delivery has claimed.
-    fn has_waiting_lease(&self, id: u64) -> bool {
+    fn has_unclaimed_lease(&self, id: u64) -> bool {
         let inner = self.inner.borrow();
         inner.requests.get(&id).is_some_and(|request| request.machine.is_armed(Timer::LeaseLimit))
     }
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -15,7 +15,7 @@
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     /// Executes one effect; does nothing if the request has finished.
-    pub(super) fn carry_out(&self, id: u64, effect: Effect) {
+    pub(super) fn apply_effect(&self, id: u64, effect: Effect) {
         match effect {
             Effect::StartAttempt { attempt } => self.start_attempt(id, attempt),
             Effect::CancelAttempt { attempt } => self.cancel_attempt(id, attempt),
@@ -167,7 +167,7 @@
             server,
             status: router_status(status),
             elapsed: call.elapsed(),
-            status_detail: call.report.note,
+            status_detail: call.report.status_detail,
             closed,
             delivered: state.delivered,
             report: call.report.load.take(),
--- a/gateway/src/core/release.rs
+++ b/gateway/src/core/release.rs
@@ -16,7 +16,7 @@
     request: u64,
     call: Call,
     /// Whether servers first get a short time to notice that an attempt was interrupted.
-    after_cut: bool,
+    after_interruption: bool,
     /// Start of the time in which no attempt has claimed the lease.
     unclaimed_since: Instant,
     /// Time after which the release is not retried.
@@ -25,7 +25,7 @@
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
     /// Starts the release of all leases of a request.
-    pub(super) fn start_release(&self, id: u64, after_cut: bool) {
+    pub(super) fn start_release(&self, id: u64, after_interruption: bool) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
         let Some(request) = inner.requests.get_mut(&id) else { return };
@@ -34,7 +34,7 @@
         let release = PendingRelease {
             request: id,
             call: Call::Release { payload: request.payload.clone() },
-            after_cut,
+            after_interruption,
             unclaimed_since,
             // By then servers have expired the lease themselves, and a process that shuts down must not wait longer.
             give_up_at: request.deadline.max(Instant::now() + inner.lease_limit * RELEASE_RETRY_LEASE_LIMITS),
@@ -44,8 +44,8 @@
 
     /// Repeats the call until a server accepts the release or the time for retries has passed.
     async fn run_release(self, release: PendingRelease) {
-        if release.after_cut {
-            self.await_close_notices(release.request).await;
+        if release.after_interruption {
+            self.await_close_confirmations(release.request).await;
             self.step(release.request, Input::ReleaseSent);
         }
         let mut sent_at = Instant::now();
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -28,9 +28,9 @@
 }
 
 impl RecordBuilder {
-    /// Creates the record of a request that arrived at `arrived`; `arrived_unix` is the same moment in Unix milliseconds.
+    /// Creates the record of a request that arrived at `arrived`; `arrived_unix_ms` is the same moment in Unix milliseconds.
     pub fn new(
-        request: &Request, name: &str, settings: &Settings, arrived: Millis, arrived_unix: Millis,
+        request: &Request, name: &str, settings: &Settings, arrived: Millis, arrived_unix_ms: Millis,
     ) -> Self {
         let class = settings.classes.get(request.class as usize).cloned().unwrap_or_default();
         let record = RequestRecord {
@@ -42,7 +42,7 @@
             prefix: request.prefix,
             prompt_tokens: request.prompt_tokens,
             prefix_tokens: request.prefix_tokens,
-            arrived_unix_ms: arrived_unix.round(),
+            arrived_unix_ms: arrived_unix_ms.round(),
             latency_objective_ms: class.latency_objective
                 + class.latency_objective_per_1000_tokens * request.prompt_tokens / 1000.0,
             priority_weight: class.priority_weight,
@@ -97,8 +97,8 @@
 
     /// Records the start of the release of a lease that no attempt has claimed since `unclaimed_since`.
     pub fn release_started(&mut self, unclaimed_since: Millis, now: Millis) {
-        let (held, ordered) = (unclaimed_since - self.arrived, now - self.arrived);
-        self.record.releases.push(Release { unclaimed_since: held, ordered, done: None });
+        let (unclaimed, ordered) = (unclaimed_since - self.arrived, now - self.arrived);
+        self.record.releases.push(Release { unclaimed_since: unclaimed, ordered, done: None });
     }
 
     /// Records the end of the release that was started last.
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -36,7 +36,7 @@
 pub(super) struct ServerReport {
     /// The [`status_detail`](glenrail_router::AttemptOutcome::status_detail) of the attempt's outcome: the number of prompt
     /// tokens found in the cache, or 1.0 if the server rejected an attempt because it does not have the state to be claimed.
-    pub note: f64,
+    pub status_detail: f64,
     pub load: Option<LoadReport>,
 }
 
@@ -95,7 +95,7 @@
     }
 
     /// Drops the part of the payload that only a further attempt would send; the request id stays, as releases need it.
-    pub fn forget_content(&mut self) {
+    pub fn discard_content(&mut self) {
         let request_id = self.payload.request_id.clone();
         self.payload = Rc::new(Payload { request_id, ..Payload::default() });
     }
--- a/gateway/src/core/reset_inquiry.rs
+++ b/gateway/src/core/reset_inquiry.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Duration, Instant};
 use tower::ServiceExt;
 
-use super::timing::{CANCEL_PROPAGATION_DELAY, RESET_INQUIRY_FIRST_PAUSE, RESET_INQUIRY_MAX_PAUSE};
+use super::timing::{CANCEL_PROPAGATION_DELAY, RESET_INQUIRY_INITIAL_DELAY, RESET_INQUIRY_MAX_DELAY};
 use super::{Core, DecisionPolicy, Upstream};
 use crate::exchange::CancelToken;
 use crate::upstream::{Call, Reply, ServerAfterReset};
@@ -20,7 +20,7 @@
     pub(super) async fn resolve_reset(
         &self, id: u64, attempt: usize, token: &CancelToken, deadline: Instant,
     ) {
-        if token.cut_work() != InterruptedWork::Reset {
+        if token.interrupted_work() != InterruptedWork::Reset {
             return;
         }
         if let Some((Stage::Prefill, server)) = self.stage_and_server(id, attempt) {
@@ -37,25 +37,25 @@
 
     /// Waits until the server has stopped working on an interrupted attempt. After a reset, queries the server repeatedly.
     pub(super) async fn await_work_end(&self, server: ServerId, token: &CancelToken) {
-        let was_asked = token.cut_work() == InterruptedWork::Reset;
-        let mut pause = if was_asked { RESET_INQUIRY_FIRST_PAUSE } else { Duration::ZERO };
+        let was_queried = token.interrupted_work() == InterruptedWork::Reset;
+        let mut delay = if was_queried { RESET_INQUIRY_INITIAL_DELAY } else { Duration::ZERO };
         while token.reset_or_ended().await != InterruptedWork::Ended {
-            if timeout(pause, token.work_ended()).await.is_ok() {
+            if timeout(delay, token.work_ended()).await.is_ok() {
                 return;
             }
             self.inquire_after_reset(server, token).await;
-            pause = (pause * 2).clamp(RESET_INQUIRY_FIRST_PAUSE, RESET_INQUIRY_MAX_PAUSE);
+            delay = (delay * 2).clamp(RESET_INQUIRY_INITIAL_DELAY, RESET_INQUIRY_MAX_DELAY);
         }
     }
 
     /// Queries a server once and records the result in the attempt's token.
     async fn inquire_after_reset(&self, server: ServerId, token: &CancelToken) {
         let call = Call::InquireAfterReset { server, cancel_token: token.clone() };
-        let found = match self.upstream.clone().oneshot(call).await {
-            Ok(Reply::AfterReset(found)) => found,
+        let result = match self.upstream.clone().oneshot(call).await {
+            Ok(Reply::AfterReset(result)) => result,
             _ => ServerAfterReset::Silent,
         };
-        token.note(match found {
+        token.note(match result {
             ServerAfterReset::Refuses => Observation::RefusedAfterReset,
             ServerAfterReset::Answers => {
                 sleep(CANCEL_PROPAGATION_DELAY).await;
--- a/gateway/src/core/routing.rs
+++ b/gateway/src/core/routing.rs
@@ -9,7 +9,7 @@
 use super::clock::duration;
 use super::request_record::AttemptStart;
 use super::request_state::AttemptCall;
-use super::timing::{ATTEMPT_TIMEOUT_SLACK, NEAR_DEADLINE};
+use super::timing::{ATTEMPT_TIMEOUT_SLACK, NEAR_DEADLINE_WINDOW};
 use super::{Core, DecisionPolicy, Upstream};
 use crate::log;
 use crate::upstream::Call;
@@ -90,7 +90,7 @@
     fn fail(&self, id: u64, reason: RejectReason) {
         let mut response = FinalResponse::Failed;
         if let Some(request) = self.inner.borrow_mut().requests.get_mut(&id) {
-            if Instant::now() + NEAR_DEADLINE >= request.deadline {
+            if Instant::now() + NEAR_DEADLINE_WINDOW >= request.deadline {
                 response = FinalResponse::DeadlineExceeded;
             }
             request.record.reject_reason(reason);
@@ -142,7 +142,7 @@
             }
         }
         for effect in effects {
-            self.carry_out(id, effect);
+            self.apply_effect(id, effect);
         }
         self.close_if_answered(id);
         self.process_events();
@@ -159,7 +159,7 @@
             request.response = None;
             request.disconnect_watch.abort();
             // Releases need only the request id. The rest may be large, and a server may take long to notice an interruption.
-            request.forget_content();
+            request.discard_content();
         }
         // Outstanding close confirmations may take long and add nothing to the line.
         if !request.is_recorded && request.machine.only_awaits_close_confirmations() {
--- a/gateway/src/core/tests/delivery.rs
+++ b/gateway/src/core/tests/delivery.rs
@@ -12,12 +12,12 @@
 const CLASSES: [u32; 2] = [0, 1];
 
 /// Servers whose first decode attempt gets `reply` after a delay in milliseconds; every other attempt succeeds after 20 ms.
-fn first_decode(delay: u64, reply: ScriptedReply, signs: &[Observation]) -> ScriptedServers {
+fn first_decode(delay: u64, reply: ScriptedReply, observations: &[Observation]) -> ScriptedServers {
     let servers = ScriptedServers::new(move |number, server| match number {
         1 => (delay, reply.clone()),
         _ => two_stages(number, server),
     });
-    *servers.delivery_signs.borrow_mut() = signs.to_vec();
+    *servers.delivery_observations.borrow_mut() = observations.to_vec();
     servers
 }
 
@@ -25,20 +25,21 @@
 /// when the attempt was written, responses on newer connections prove no delivery. The state must be released within the
 /// lease limit, and only a request that may be retried is sent again.
 #[test]
-fn a_doubted_delivery_ends_in_a_release_in_time() {
+fn a_doubtful_delivery_is_released_within_the_lease_limit() {
     for class in CLASSES {
-        paused(async move {
-            let signs = [Observation::TimeoutOnEarlierConnection, Observation::ResponseOnLaterConnection];
-            let servers = first_decode(0, ScriptedReply::NoReply, &signs);
+        run_paused(async move {
+            let observations =
+                [Observation::TimeoutOnEarlierConnection, Observation::ResponseOnLaterConnection];
+            let servers = first_decode(0, ScriptedReply::NoReply, &observations);
             let core = core(&servers);
             let client = core.submit(request(class, 10_000.0));
             // Duration of the prefill.
             sleep(Duration::from_millis(20)).await;
-            let leased = Instant::now();
+            let leased_at = Instant::now();
             wait_for_call(&servers, CallKind::Release).await;
-            assert!(leased.elapsed() <= LEASE_LIMIT, "{:?}", leased.elapsed());
+            assert!(leased_at.elapsed() <= LEASE_LIMIT, "{:?}", leased_at.elapsed());
             wait_for_call(&servers, CallKind::ReleaseAccepted).await;
-            assert!(leased.elapsed() <= LEASE_LIMIT + RELEASE_SLACK, "{:?}", leased.elapsed());
+            assert!(leased_at.elapsed() <= LEASE_LIMIT + RELEASE_SLACK, "{:?}", leased_at.elapsed());
             let parts = response_parts(client).await;
             let expected = match class {
                 0 => ResponsePart::End,
@@ -53,14 +54,14 @@
 /// Guards against the cancellation of slow decodes: once a delivery confirmation succeeds, the attempt continues however late
 /// its first token comes.
 #[test]
-fn a_slow_decode_is_kept_once_a_standing_connection_has_answered() {
-    for sign in [Observation::ResponseOnEarlierConnection, Observation::ResponseOnLaterConnection] {
+fn a_slow_decode_continues_after_a_delivery_confirmation() {
+    for observation in [Observation::ResponseOnEarlierConnection, Observation::ResponseOnLaterConnection] {
         for class in CLASSES {
-            paused(async move {
-                let servers = first_decode(SLOW_DECODE_MS, ScriptedReply::Stream, &[sign]);
+            run_paused(async move {
+                let servers = first_decode(SLOW_DECODE_MS, ScriptedReply::Stream, &[observation]);
                 let core = core(&servers);
                 let parts = response_parts(core.submit(request(class, 10_000.0))).await;
-                assert_eq!(parts.last(), Some(&Some(ResponsePart::End)), "class {class}, {sign:?}");
+                assert_eq!(parts.last(), Some(&Some(ResponsePart::End)), "class {class}, {observation:?}");
                 assert_eq!(servers.attempts(&DECODE_SERVERS), 1);
                 assert_eq!(servers.count(CallKind::Release), 0);
             });
--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -45,7 +45,7 @@
 /// Runs a request whose decode is cancelled after 250 ms. Returns the outcomes reported to the router, and the time from the
 /// end of the prefill to the release of its lease.
 fn run_cancelled_decode(decode: ScriptedReply) -> (Vec<AttemptStatus>, Duration) {
-    paused(async move {
+    run_paused(async move {
         let servers = prefilled_then(0, decode);
         let outcomes: Rc<RefCell<Vec<AttemptStatus>>> = Rc::default();
         let policy = CancelsDecode { after: 250.0, outcomes: outcomes.clone() };
@@ -77,12 +77,12 @@
 /// again before that.
 #[test]
 fn a_release_that_no_server_accepted_is_retried() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|number, server| match number {
             0 => (20, ScriptedReply::Fail(CallError::Reset)),
             _ => two_stages(number, server),
         });
-        servers.releases_to_lose.set(3);
+        servers.failing_releases.set(3);
         let core = core(&servers);
         let parts = response_parts(core.submit(request(1, 12_000.0))).await;
         assert_eq!(parts.last(), Some(&Some(ResponsePart::End)));
@@ -103,9 +103,9 @@
 /// Guards against a release that is retried forever, which would block the shutdown and keep the request's id in use.
 #[test]
 fn a_release_that_no_server_ever_accepts_is_given_up() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (20, ScriptedReply::Fail(CallError::Reset)));
-        servers.releases_to_lose.set(usize::MAX);
+        servers.failing_releases.set(usize::MAX);
         let (core, begun) = (core(&servers), Instant::now());
         let client = core.submit(request(1, 3_000.0));
         wait_for_call(&servers, CallKind::Attempt).await;
@@ -119,7 +119,7 @@
 /// Guards rule 2 for a class with an idempotency window of 300 ms: connecting uses up time of the window.
 #[test]
 fn a_retry_is_not_written_after_its_idempotency_window() {
-    paused(async {
+    run_paused(async {
         // The first decode is reset after 200 ms, which leaves 100 ms of the window.
         let servers = prefilled_then(200, ScriptedReply::Fail(CallError::Reset));
         let core = core(&servers);
@@ -155,10 +155,10 @@
 /// passed: it has no time left to connect, so it is not written.
 #[test]
 fn a_retry_that_waits_for_a_release_is_not_written_after_its_idempotency_window() {
-    paused(async {
+    run_paused(async {
         let servers = prefilled_then(200, ScriptedReply::Fail(CallError::Reset));
         // Three failed release calls of 40 ms and the delays between them exceed the 100 ms that are left of the window.
-        servers.releases_to_lose.set(3);
+        servers.failing_releases.set(3);
         let core = core_with_policy(&servers, RetriesDecode);
         let _client = core.submit(request(2, 12_000.0));
         while servers.attempts(&DECODE_SERVERS) < 2 {
@@ -188,7 +188,7 @@
 }
 
 /// Returns the longest time between accepted releases, observed for this duration from the first accepted release on.
-pub(super) async fn longest_without_release(servers: &ScriptedServers, observed: Duration) -> Duration {
+pub(super) async fn longest_release_gap(servers: &ScriptedServers, observed: Duration) -> Duration {
     wait_for_call(servers, CallKind::ReleaseAccepted).await;
     let (mut releases, mut last, mut longest) = (1, Instant::now(), Duration::ZERO);
     let observed_until = Instant::now() + observed;
@@ -207,17 +207,17 @@
 /// of the next prefill is unconfirmed. State that the first prefill leaves after its release is released within the limit.
 #[test]
 fn the_state_of_a_prefill_that_ends_after_its_release_is_released_in_time() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.unreachable.set(true);
         servers.misses_closes.set(true);
         let core = core_with_policy(&servers, RepeatsPrefill);
         let client = core.submit(request(0, 10_000.0));
-        let longest = longest_without_release(&servers, Duration::from_millis(1_500)).await;
+        let longest = longest_release_gap(&servers, Duration::from_millis(1_500)).await;
         drop(client);
         wait_for_call(&servers, CallKind::ReleaseAccepted).await;
         sleep(Duration::from_millis(500)).await;
-        let violations = crate::invariants::violations(crate::invariants::Invariant::LeaseInTime);
+        let violations = crate::invariants::violations(crate::invariants::Invariant::LeaseWithinLimit);
         assert_eq!(violations, 0, "nothing was released for {longest:?}");
         assert!(longest <= Duration::from_millis(550), "nothing was released for {longest:?}");
     });
@@ -226,8 +226,8 @@
 /// Guards against needless cancellation of a retried prefill: once the server of the first prefill has noticed the close, one
 /// release is enough and no lease limits the next prefill.
 #[test]
-fn a_prefill_goes_on_once_the_close_before_it_was_noticed() {
-    paused(async {
+fn a_prefill_continues_once_the_previous_close_was_noticed() {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         let core = core_with_policy(&servers, RepeatsPrefill);
         let _client = core.submit(request(0, 10_000.0));
@@ -239,8 +239,8 @@
 /// Guards against a response on another connection taken as proof of a noticed close: a server that responds to other calls
 /// may not have noticed the close of a prefill, and may complete the prefill at any later time. The client has disconnected.
 #[test]
-fn a_server_that_answers_elsewhere_has_not_noticed_a_close() {
-    paused(async {
+fn a_response_on_another_connection_does_not_confirm_a_close() {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.misses_closes.set(true);
         let core = core(&servers);
@@ -249,7 +249,7 @@
         sleep(Duration::from_millis(100)).await;
         drop(client);
         // Observes past the request's deadline, because the server counts the stated time from the arrival of the prefill.
-        let longest = longest_without_release(&servers, Duration::from_secs(10)).await;
+        let longest = longest_release_gap(&servers, Duration::from_secs(10)).await;
         assert!(longest <= Duration::from_millis(550), "nothing was released for {longest:?}");
     });
 }
@@ -257,7 +257,7 @@
 /// Guards against missing or needless releases after a confirmed close: one more release removes what the prefill has left.
 #[test]
 fn a_release_follows_the_notice_of_a_close_and_none_after_it() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.misses_closes.set(true);
         let core = core(&servers);
@@ -276,7 +276,7 @@
 /// Guards against a request that is kept forever: the wait for a close that no server confirms is bounded.
 #[test]
 fn a_close_that_no_server_notices_is_followed_up_for_a_bounded_time() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.misses_closes.set(true);
         let core = core(&servers);
@@ -284,31 +284,31 @@
         wait_for_call(&servers, CallKind::Attempt).await;
         drop(client);
         wait_until_idle(&core).await;
-        let longest = MAX_NETWORK_HOLD + Duration::from_millis(2_500);
-        assert!((MAX_NETWORK_HOLD..longest).contains(&begun.elapsed()), "{:?}", begun.elapsed());
+        let longest = MAX_NETWORK_DELAY + Duration::from_millis(2_500);
+        assert!((MAX_NETWORK_DELAY..longest).contains(&begun.elapsed()), "{:?}", begun.elapsed());
     });
 }
 
 /// A policy that cancels a request's first prefill after 200 ms and rejects the request 100 ms after that attempt has ended.
-struct RejectsAfterCut;
+struct RejectsAfterInterruption;
 
-impl DecisionPolicy for RejectsAfterCut {
+impl DecisionPolicy for RejectsAfterInterruption {
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => {
                 actions.push(send(request.id, PREFILL_SERVERS[0]));
                 actions.push(Action::Timer { at: now + 200.0, key: request.id.0, request: Some(request.id) });
             }
-            Event::Timer { key } if key >> REJECTS_AT_BIT == 0 => {
+            Event::Timer { key } if key >> REJECTION_TIMER_BIT == 0 => {
                 actions.push(Action::Cancel { id: RequestId(key), attempt: 0 });
             }
             Event::Timer { key } => {
-                let id = RequestId(key & !(1 << REJECTS_AT_BIT));
+                let id = RequestId(key & !(1 << REJECTION_TIMER_BIT));
                 let reason = RejectReason::NoServerAvailable;
                 actions.push(Action::Reject { id, retry_after: 5.0, reason });
             }
             Event::Outcome(AttemptOutcome { id, .. }) => {
-                let key = id.0 | 1 << REJECTS_AT_BIT;
+                let key = id.0 | 1 << REJECTION_TIMER_BIT;
                 actions.push(Action::Timer { at: now + 100.0, key, request: Some(id) });
             }
             _ => {}
@@ -316,15 +316,15 @@
     }
 }
 
-/// Bit of a timer's key that marks the rejection timer of [`RejectsAfterCut`].
-const REJECTS_AT_BIT: u32 = 32;
+/// Bit of a timer's key that marks the rejection timer of [`RejectsAfterInterruption`].
+const REJECTION_TIMER_BIT: u32 = 32;
 
 /// Returns the response to a request of this class whose rejection is ordered 100 ms after its prefill was cancelled.
-fn answer_after_cut(class: u32, misses_closes: bool) -> Option<ResponsePart> {
-    paused(async move {
+fn response_after_interruption(class: u32, misses_closes: bool) -> Option<ResponsePart> {
+    run_paused(async move {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.misses_closes.set(misses_closes);
-        let core = core_with_policy(&servers, RejectsAfterCut);
+        let core = core_with_policy(&servers, RejectsAfterInterruption);
         response_parts(core.submit(request(class, 10_000.0))).await.pop().flatten()
     })
 }
@@ -332,19 +332,19 @@
 /// Guards against unsafe rejections: an at-most-once request is not rejected while an interrupted prefill may still run at its
 /// server.
 #[test]
-fn a_request_whose_cut_prefill_may_still_run_is_not_rejected() {
-    let failed = answer_after_cut(1, true);
+fn a_request_whose_interrupted_prefill_may_still_run_is_not_rejected() {
+    let failed = response_after_interruption(1, true);
     assert!(matches!(failed, Some(ResponsePart::Failed(Failure::Upstream))), "{failed:?}");
-    let rejected = answer_after_cut(1, false);
+    let rejected = response_after_interruption(1, false);
     assert!(matches!(rejected, Some(ResponsePart::Rejected(_))), "its server has noticed: {rejected:?}");
-    let rejected = answer_after_cut(0, true);
+    let rejected = response_after_interruption(0, true);
     assert!(matches!(rejected, Some(ResponsePart::Rejected(_))), "it may be repeated: {rejected:?}");
 }
 
 /// A policy that cancels a request's first prefill after 200 ms, then orders another prefill and a decode.
-struct DecodesAfterCut;
+struct DecodesAfterInterruption;
 
-impl DecisionPolicy for DecodesAfterCut {
+impl DecisionPolicy for DecodesAfterInterruption {
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => {
@@ -366,15 +366,15 @@
 /// Guards against state that is kept until the end of a long stream: state that an interrupted prefill leaves while the stream
 /// runs is released in time.
 #[test]
-fn a_state_that_is_left_beside_a_stream_is_released_in_time() {
-    paused(async {
+fn state_left_during_a_stream_is_released_in_time() {
+    run_paused(async {
         let servers = ScriptedServers::new(|number, server| match (number, server.0) {
             (0, _) => (0, ScriptedReply::NoReply),
             (_, server) if PREFILL_SERVERS.contains(&server) => (20, ScriptedReply::Prefilled),
             _ => (20, ScriptedReply::SlowStream(vec![4, 4])),
         });
         servers.misses_closes.set(true);
-        let core = core_with_policy(&servers, DecodesAfterCut);
+        let core = core_with_policy(&servers, DecodesAfterInterruption);
         let mut client = core.submit(request(0, 10_000.0));
         assert!(matches!(client.next_part().await, Some(ResponsePart::Head(..))));
         let releases = servers.count(CallKind::Release);
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -24,7 +24,9 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::timing::{CANCEL_PROPAGATION_DELAY, DEADLINE_GUARD, DELIVERY_CHECK_SHARE, MAX_NETWORK_HOLD};
+use super::timing::{
+    CANCEL_PROPAGATION_DELAY, DEADLINE_TIMER_SLACK, DELIVERY_CHECK_SHARE, MAX_NETWORK_DELAY,
+};
 use super::*;
 use crate::exchange::{CancelToken, Failure, Payload, Request, ResponseHead, ResponsePart};
 use crate::upstream::{Frame, ServerAfterReset};
@@ -33,7 +35,7 @@
 const DECODE_SERVERS: [u64; 2] = [21, 22];
 
 /// How long a query to an unresponsive server takes.
-const SILENT_INQUIRY: Duration = Duration::from_millis(80);
+const INQUIRY_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// Reply of a scripted server to an attempt, after the script's delay.
 #[derive(Clone, Debug)]
@@ -86,11 +88,11 @@
     in_flight: Rc<Cell<usize>>,
     max_in_flight: Rc<Cell<usize>>,
     /// Number of the next releases that fail.
-    releases_to_lose: Rc<Cell<usize>>,
+    failing_releases: Rc<Cell<usize>>,
     /// Whether all delivery confirmations fail to connect.
     unreachable: Rc<Cell<bool>>,
     /// Results of successive delivery confirmations; the last one repeats.
-    delivery_signs: Rc<RefCell<Vec<Observation>>>,
+    delivery_observations: Rc<RefCell<Vec<Observation>>>,
     /// Whether servers fail to notice that an attempt was interrupted.
     misses_closes: Rc<Cell<bool>>,
     /// Result of a query after a reset.
@@ -124,9 +126,9 @@
             connect_timeouts: Rc::default(),
             in_flight: Rc::default(),
             max_in_flight: Rc::default(),
-            releases_to_lose: Rc::default(),
+            failing_releases: Rc::default(),
             unreachable: Rc::default(),
-            delivery_signs: Rc::new(RefCell::new(vec![Observation::ResponseOnLaterConnection])),
+            delivery_observations: Rc::new(RefCell::new(vec![Observation::ResponseOnLaterConnection])),
             misses_closes: Rc::default(),
             after_reset: Rc::new(Cell::new(ServerAfterReset::Silent)),
             attempt_tokens: Rc::default(),
@@ -169,7 +171,7 @@
                 reply(scripted, in_flight).await
             }
             Call::Release { .. } => self.answer_release().await,
-            Call::InquireAfterReset { .. } => Ok(Reply::AfterReset(self.answer_after_reset().await)),
+            Call::InquireAfterReset { .. } => Ok(Reply::AfterReset(self.answer_inquiry().await)),
             Call::ConfirmDelivery { .. } => self.confirm_delivery(),
             Call::Probe { .. } => Ok(Reply::Probed { healthy: true, report: None }),
             _ => Ok(Reply::Done),
@@ -181,9 +183,9 @@
         if self.unreachable.get() {
             return Err(CallError::ConnectFailed);
         }
-        let mut signs = self.delivery_signs.borrow_mut();
-        let seen = if signs.len() > 1 { signs.remove(0) } else { signs[0] };
-        Ok(Reply::Observed(seen))
+        let mut observations = self.delivery_observations.borrow_mut();
+        let observation = if observations.len() > 1 { observations.remove(0) } else { observations[0] };
+        Ok(Reply::Observed(observation))
     }
 
     fn begin_attempt(&self, token: &CancelToken) -> InFlight {
@@ -194,11 +196,11 @@
         InFlight { count, misses_closes, token: token.clone() }
     }
 
-    async fn answer_after_reset(&self) -> ServerAfterReset {
+    async fn answer_inquiry(&self) -> ServerAfterReset {
         self.calls.borrow_mut().push((CallKind::InquiryAfterReset, 0));
         let found = self.after_reset.get();
         if found == ServerAfterReset::Silent {
-            sleep(SILENT_INQUIRY).await;
+            sleep(INQUIRY_TIMEOUT).await;
         }
         found
     }
@@ -206,8 +208,8 @@
     async fn answer_release(&self) -> Result<Reply, CallError> {
         self.calls.borrow_mut().push((CallKind::Release, 0));
         sleep(Duration::from_millis(40)).await;
-        if let Some(left) = self.releases_to_lose.get().checked_sub(1) {
-            self.releases_to_lose.set(left);
+        if let Some(left) = self.failing_releases.get().checked_sub(1) {
+            self.failing_releases.set(left);
             return Err(CallError::ConnectFailed);
         }
         self.calls.borrow_mut().push((CallKind::ReleaseAccepted, 0));
@@ -301,7 +303,7 @@
 }
 
 /// Runs a test on paused time.
-fn paused<F: std::future::Future>(test: F) -> F::Output {
+fn run_paused<F: std::future::Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
--- a/gateway/src/core/tests/permissions.rs
+++ b/gateway/src/core/tests/permissions.rs
@@ -5,9 +5,9 @@
 use super::*;
 
 /// A policy that sends each request to one prefill server, whatever that server's state in the list.
-struct IgnoresTheList;
+struct IgnoresServerState;
 
-impl DecisionPolicy for IgnoresTheList {
+impl DecisionPolicy for IgnoresServerState {
     fn handle(&mut self, _: Millis, event: Event, actions: &mut Vec<Action>) {
         if let Event::Request(request) = event {
             actions.push(Action::Send { id: request.id, server: ServerId(PREFILL_SERVERS[0]), timeout: 0.0 });
@@ -16,10 +16,10 @@
 }
 
 /// Returns the number of attempts started at a server that is listed in this state.
-fn attempts_at_server_that_is(state: ServerState) -> usize {
-    paused(async move {
+fn attempts_at_server_in_state(state: ServerState) -> usize {
+    run_paused(async move {
         let servers = ScriptedServers::new(two_stages);
-        let core = core_with_policy(&servers, IgnoresTheList);
+        let core = core_with_policy(&servers, IgnoresServerState);
         let listed = ServerEntry { state, ..entry(PREFILL_SERVERS[0], 0) };
         core.update_servers(ListUpdate::Delta, vec![listed]);
         let _client = core.submit(request(0, 10_000.0));
@@ -31,28 +31,28 @@
 /// Guards against attempts at draining or terminated servers, even if the router orders them.
 #[test]
 fn an_attempt_is_started_only_at_a_server_that_is_ready() {
-    assert_eq!(attempts_at_server_that_is(ServerState::Ready), 1);
-    assert_eq!(attempts_at_server_that_is(ServerState::Draining), 0);
-    assert_eq!(attempts_at_server_that_is(ServerState::Terminated), 0);
+    assert_eq!(attempts_at_server_in_state(ServerState::Ready), 1);
+    assert_eq!(attempts_at_server_in_state(ServerState::Draining), 0);
+    assert_eq!(attempts_at_server_in_state(ServerState::Terminated), 0);
 }
 
 /// Returns the response, when the process is about to end, to a request of a class with idempotency keys that only the servers
 /// of one zone recognise. Its prefill succeeded and its decode got this reply.
-fn answer_at_the_end(decode: ScriptedReply) -> Option<ResponsePart> {
-    paused(async move {
+fn response_at_shutdown(decode: ScriptedReply) -> Option<ResponsePart> {
+    run_paused(async move {
         let servers = ScriptedServers::new(move |_, server| {
             let is_prefill = PREFILL_SERVERS.contains(&server.0);
             (20, if is_prefill { ScriptedReply::Prefilled } else { decode.clone() })
         });
         let mut settings = settings();
-        settings.classes[KEYED as usize].deduplication_scope = DeduplicationScope::Zone;
+        settings.classes[IDEMPOTENCY_KEY_CLASS as usize].deduplication_scope = DeduplicationScope::Zone;
         let service = tower::service_fn(move |call| servers.clone().answer(call));
         let core = Core::with_policy(DecodesOnce, settings, clock(), service);
         core.update_servers(
             ListUpdate::Full,
             vec![entry(PREFILL_SERVERS[0], 0), entry(DECODE_SERVERS[0], 1)],
         );
-        let client = core.submit(request(KEYED, 10_000.0));
+        let client = core.submit(request(IDEMPOTENCY_KEY_CLASS, 10_000.0));
         sleep(Duration::from_millis(300)).await;
         core.answer_pending();
         response_parts(client).await.pop().flatten()
@@ -60,7 +60,7 @@
 }
 
 /// The class whose requests carry idempotency keys.
-const KEYED: u32 = 2;
+const IDEMPOTENCY_KEY_CLASS: u32 = 2;
 
 /// A policy that sends each request to one prefill server and one decode server, once each.
 struct DecodesOnce;
@@ -81,9 +81,9 @@
 /// Guards against unsafe rejections of requests with idempotency keys: servers of other zones do not recognise the keys, so a
 /// request that may have run fails when the process is about to end.
 #[test]
-fn a_request_with_an_idempotency_key_that_may_have_run_is_failed_at_the_end() {
-    let failed = answer_at_the_end(ScriptedReply::Error);
+fn a_request_with_an_idempotency_key_that_may_have_run_is_failed_at_shutdown() {
+    let failed = response_at_shutdown(ScriptedReply::Error);
     assert!(matches!(failed, Some(ResponsePart::Failed(Failure::Upstream))), "{failed:?}");
-    let rejected = answer_at_the_end(ScriptedReply::Rejected);
+    let rejected = response_at_shutdown(ScriptedReply::Rejected);
     assert!(matches!(rejected, Some(ResponsePart::Rejected(_))), "{rejected:?}");
 }
--- a/gateway/src/core/tests/prefill_errors.rs
+++ b/gateway/src/core/tests/prefill_errors.rs
@@ -4,8 +4,8 @@
 
 /// Guards against state that is never released: a prefill that ended in an error may have left some.
 #[test]
-fn what_a_prefill_that_failed_may_have_left_is_released_before_the_retry() {
-    paused(async {
+fn state_of_a_failed_prefill_is_released_before_the_retry() {
+    run_paused(async {
         let servers = ScriptedServers::new(|number, server| match number {
             0 => (20, ScriptedReply::Error),
             _ => two_stages(number, server),
@@ -20,8 +20,8 @@
 
 /// Guards against unreleased state of a failed prefill if no retry follows.
 #[test]
-fn what_a_prefill_that_failed_may_have_left_is_released_at_the_end() {
-    paused(async {
+fn state_of_a_failed_prefill_is_released_without_a_retry() {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (20, ScriptedReply::Error));
         let core = core(&servers);
         response_parts(core.submit(request(1, 200.0))).await;
@@ -34,9 +34,9 @@
 
 /// Guards against needless releases: a server that rejected a prefill, or found the request invalid, has started nothing.
 #[test]
-fn a_prefill_that_was_not_begun_needs_no_release() {
+fn a_prefill_that_was_not_started_needs_no_release() {
     for reply in [ScriptedReply::Rejected, ScriptedReply::Unprocessable] {
-        paused(async move {
+        run_paused(async move {
             let script = reply.clone();
             let servers = ScriptedServers::new(move |_, _| (20, script.clone()));
             let core = core(&servers);
--- a/gateway/src/core/tests/records.rs
+++ b/gateway/src/core/tests/records.rs
@@ -38,8 +38,8 @@
 
 /// Guards against delayed log lines: a line is written even if a server never confirms the close of an interrupted prefill.
 #[test]
-fn a_request_is_recorded_before_its_cuts_are_noticed() {
-    paused(async {
+fn a_request_is_recorded_before_its_closes_are_confirmed() {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.misses_closes.set(true);
         let core = core(&servers);
--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -20,9 +20,9 @@
 /// Timeout of an attempt that times out in the trace, shorter than the lease limit.
 const SHORT_TIMEOUT: Millis = 300.0;
 /// A time longer than the idle timeout of a stream.
-const IDLE: Duration = Duration::from_secs(5);
+const STREAM_IDLE_TIME: Duration = Duration::from_secs(5);
 /// A time after which the lease timer has expired, counted from the previous step of the trace.
-const LEASE_TIMEOUT: Duration = Duration::from_millis(470);
+const LEASE_TIMER_WAIT: Duration = Duration::from_millis(470);
 
 /// A policy that records its events and orders nothing.
 #[derive(Clone, Default)]
@@ -64,14 +64,14 @@
     began: Instant,
 }
 
-async fn settle() {
+async fn run_ready_tasks() {
     for _ in 0..50 {
         yield_now().await;
     }
 }
 
 /// Creates a core with the servers of a trace and submits the trace's request.
-fn begin(trace: &Trace) -> Replay<impl Upstream> {
+fn start_replay(trace: &Trace) -> Replay<impl Upstream> {
     let (policy, servers) = (RecordingPolicy::default(), ReplayServers::default());
     let service = tower::service_fn({
         let servers = servers.clone();
@@ -136,12 +136,12 @@
                 _ = slot_request.map(|slot_request| slot_request.send(reserved));
             }
             Input::Released => self.accept_release().await,
-            Input::TimerExpired(Timer::LeaseLimit) => sleep(LEASE_TIMEOUT).await,
+            Input::TimerExpired(Timer::LeaseLimit) => sleep(LEASE_TIMER_WAIT).await,
             Input::TimerExpired(Timer::Deadline) => {
-                sleep_until(self.began + duration(CLIENT_TIMEOUT) + DEADLINE_GUARD * 2).await;
+                sleep_until(self.began + duration(CLIENT_TIMEOUT) + DEADLINE_TIMER_SLACK * 2).await;
             }
         }
-        settle().await;
+        run_ready_tasks().await;
     }
 
     fn execute(&self, action: Action) {
@@ -227,7 +227,7 @@
         };
         match frame {
             Some(frame) => _ = self.streams[&attempt].send(frame),
-            None => sleep(IDLE).await,
+            None => sleep(STREAM_IDLE_TIME).await,
         }
     }
 
@@ -260,8 +260,8 @@
 /// Replays a trace; returns false if it is not a trace of a request.
 async fn replay(path: &Path) -> bool {
     let Some(trace) = Trace::read(path) else { return false };
-    let mut replay = begin(&trace);
-    settle().await;
+    let mut replay = start_replay(&trace);
+    run_ready_tasks().await;
     for (input, effects) in &trace.steps {
         for effect in effects {
             if let Effect::StartAttempt { attempt } = effect {
@@ -272,7 +272,7 @@
     }
     // A release that first waits for a close to be noticed starts a little later.
     sleep(CANCEL_PROPAGATION_DELAY * 2).await;
-    settle().await;
+    run_ready_tasks().await;
     replay.check(&trace, &path.display().to_string()).await;
     true
 }
@@ -285,7 +285,7 @@
     let mut replayed = 0;
     for file in std::fs::read_dir(folder).expect("the traces") {
         let path = file.expect("a file").path();
-        replayed += u32::from(paused(async { replay(&path).await }));
+        replayed += u32::from(run_paused(async { replay(&path).await }));
     }
     assert!(replayed >= 12, "{replayed} traces");
 }
--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -15,7 +15,7 @@
 /// Guards against the wire's 64-bit request ids in the router, which shifts ids and would lose bits.
 #[test]
 fn a_request_is_prefilled_then_decoded_and_served() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(two_stages);
         let core = core(&servers);
         for _ in 0..3 {
@@ -32,7 +32,7 @@
 /// with a connect timeout of 250 ms each would leave no time for the release; the request is prefilled again instead.
 #[test]
 fn a_lease_is_released_in_time_while_no_decode_server_can_be_connected() {
-    paused(async {
+    run_paused(async {
         let script = |number: usize, server: ServerId| match PREFILL_SERVERS.contains(&server.0) {
             true => (20, ScriptedReply::Prefilled),
             // The engine shortens its usual connect timeout if less time is left.
@@ -64,7 +64,7 @@
 /// Guards rule 1 and the attempt timeout: an attempt ends by the client's deadline, whatever timeout the router orders.
 #[test]
 fn an_unresponsive_server_ends_in_one_failure_at_the_deadline() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         let (core, start) = (core(&servers), Instant::now());
         let parts = response_parts(core.submit(request(1, 900.0))).await;
@@ -89,7 +89,7 @@
         ScriptedReply::Error,
         ScriptedReply::BrokenStream,
     ] {
-        paused(async {
+        run_paused(async {
             let servers = prefilled_then(failure.clone());
             let core = core(&servers);
             let parts = response_parts(core.submit(request(1, 12_000.0))).await;
@@ -105,7 +105,7 @@
 /// would remove that attempt's state.
 #[test]
 fn a_broken_prefill_is_released_before_the_next_attempt() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|number, server| match number {
             0 => (5, ScriptedReply::Fail(CallError::Reset)),
             _ => two_stages(number, server),
@@ -122,7 +122,7 @@
 /// Guards rule 5 for a client that disconnects during the prefill: the prefill is cancelled and its state released.
 #[test]
 fn a_client_that_disconnects_cancels_its_prefill() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (60_000, ScriptedReply::Prefilled));
         let core = core(&servers);
         let client = core.submit(request(0, 10_000.0));
@@ -139,7 +139,7 @@
 /// Guards against the end of slow streams: a stream continues as long as events arrive, and ends once it is idle for too long.
 #[test]
 fn a_slow_stream_continues_and_an_idle_one_is_ended() {
-    paused(async {
+    run_paused(async {
         let servers = prefilled_then(ScriptedReply::SlowStream(vec![4; 6]));
         let (core, start) = (core(&servers), Instant::now());
         let parts = response_parts(core.submit(request(0, 10_000.0))).await;
@@ -154,7 +154,7 @@
 /// after its end.
 #[test]
 fn an_attempt_beyond_the_limits_is_not_sent() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (50, ScriptedReply::NoReply));
         let core = core(&servers);
         let _client = core.submit(request(0, 10_000.0));
@@ -173,7 +173,7 @@
 #[test]
 fn a_request_id_is_in_use_until_its_request_has_finished() {
     let duplicate = [Some(ResponsePart::Failed(Failure::DuplicateRequestId))];
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (60_000, ScriptedReply::Prefilled));
         let core = core(&servers);
         let first = core.submit(request(0, 10_000.0));
@@ -197,7 +197,7 @@
 /// at once without a retry, and nothing held under its id is released.
 #[test]
 fn an_unprocessable_request_fails_and_releases_nothing() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (5, ScriptedReply::Unprocessable));
         let core = core(&servers);
         let parts = response_parts(core.submit(request(0, 10_000.0))).await;
@@ -210,7 +210,7 @@
 /// Guards against a needless release after each response: the first event shows that the lease was claimed.
 #[test]
 fn a_response_that_has_begun_needs_no_release() {
-    paused(async {
+    run_paused(async {
         let servers = ScriptedServers::new(two_stages);
         let core = core(&servers);
         let parts = response_parts(core.submit(request(0, 10_000.0))).await;
@@ -260,7 +260,7 @@
     #[test]
     fn every_request_ends_once(steps in prop::collection::vec(scripted_step(), 8), class in 0u32..2,
         client_timeout in 50.0..4_000.0, disconnects_after in prop::option::of(0u64..2_000)) {
-        paused(async {
+        run_paused(async {
             let script = steps.clone();
             let servers = ScriptedServers::new(move |number, server| {
                 let (delay, reply) = script[number % script.len()].clone();
@@ -301,7 +301,7 @@
 fn router_timers_expire_on_time_after_days() {
     let (done, ended) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        paused(serve_for_days());
+        run_paused(serve_for_days());
         done.send(()).expect("the test waits");
     });
     ended.recv_timeout(Duration::from_secs(30)).expect("all requests are served");
--- a/gateway/src/core/tests/resets.rs
+++ b/gateway/src/core/tests/resets.rs
@@ -1,7 +1,7 @@
 //! Tests of prefills whose connections were reset: only a connection opened after the reset can show that the server has
 //! stopped working on the prefill.
 
-use super::leases::{longest_without_release, send};
+use super::leases::{longest_release_gap, send};
 use super::*;
 
 /// A policy that sends each request to a prefill server, and rejects it once that attempt has ended.
@@ -32,8 +32,8 @@
 }
 
 /// Returns the response to an at-most-once request whose prefill was reset and which the router then rejects.
-fn answer_after_reset(after_reset: ServerAfterReset) -> Option<ResponsePart> {
-    paused(async move {
+fn response_after_reset(after_reset: ServerAfterReset) -> Option<ResponsePart> {
+    run_paused(async move {
         let servers = resetting_servers(after_reset);
         let core = core_with_policy(&servers, RejectsAfterOutcome);
         response_parts(core.submit(request(1, 10_000.0))).await.pop().flatten()
@@ -43,10 +43,10 @@
 /// Guards against unsafe rejections (soak seed 9724): a server that is suspended during a reset may continue its prefill.
 #[test]
 fn a_request_whose_reset_prefill_may_still_run_is_not_rejected() {
-    let failed = answer_after_reset(ServerAfterReset::Silent);
+    let failed = response_after_reset(ServerAfterReset::Silent);
     assert!(matches!(failed, Some(ResponsePart::Failed(Failure::Upstream))), "{failed:?}");
     for known in [ServerAfterReset::Refuses, ServerAfterReset::Answers] {
-        let rejected = answer_after_reset(known);
+        let rejected = response_after_reset(known);
         assert!(matches!(rejected, Some(ResponsePart::Rejected(_))), "{known:?}: {rejected:?}");
     }
 }
@@ -55,18 +55,18 @@
 /// when it does.
 #[test]
 fn the_state_of_a_reset_prefill_is_released_in_time_until_its_server_answers() {
-    paused(async {
+    run_paused(async {
         let servers = resetting_servers(ServerAfterReset::Silent);
         let core = core_with_policy(&servers, RejectsAfterOutcome);
         let _client = core.submit(request(1, 10_000.0));
-        let longest = longest_without_release(&servers, Duration::from_secs(10)).await;
+        let longest = longest_release_gap(&servers, Duration::from_secs(10)).await;
         assert!(longest <= Duration::from_millis(550), "nothing was released for {longest:?}");
         assert!(!core.is_idle());
         let inquiries = servers.count(CallKind::InquiryAfterReset);
         assert!(inquiries <= 12, "{inquiries} queries in 10 s");
         servers.after_reset.set(ServerAfterReset::Answers);
-        let inquiry_is_due = Duration::from_millis(2_500);
-        sleep(inquiry_is_due).await;
+        let next_inquiry_delay = Duration::from_millis(2_500);
+        sleep(next_inquiry_delay).await;
         assert!(core.is_idle(), "{:?}", servers.calls.borrow());
         let last = servers.call_kinds().into_iter().rev().find(|kind| *kind != CallKind::Release);
         assert_eq!(last, Some(CallKind::ReleaseAccepted), "the state that it left until then is released");
@@ -75,7 +75,7 @@
 
 /// Returns the time from the reset of a request's first prefill to its next attempt, and the number of queries.
 fn retry_after_reset(after_reset: ServerAfterReset) -> (Duration, usize) {
-    paused(async move {
+    run_paused(async move {
         let servers = resetting_servers(after_reset);
         let core = core(&servers);
         let _client = core.submit(request(0, 10_000.0));
@@ -91,13 +91,13 @@
 /// Guards against needless delay after a reset: the retry waits for one query, and for the propagation delay once and only if
 /// the server responds. The release takes 40 ms in this test.
 #[test]
-fn a_retry_waits_for_one_question_after_a_reset() {
-    let (refused, questions) = retry_after_reset(ServerAfterReset::Refuses);
+fn a_retry_waits_for_one_query_after_a_reset() {
+    let (refused, queries) = retry_after_reset(ServerAfterReset::Refuses);
     assert!((40..=45).contains(&refused.as_millis()), "{refused:?}");
-    assert_eq!(questions, 1);
-    let (answered, questions) = retry_after_reset(ServerAfterReset::Answers);
+    assert_eq!(queries, 1);
+    let (answered, queries) = retry_after_reset(ServerAfterReset::Answers);
     assert!((65..=70).contains(&answered.as_millis()), "{answered:?}");
-    assert_eq!(questions, 1);
+    assert_eq!(queries, 1);
     // The timeout of the query, the propagation delay before the release, and the release.
     let (silent, _) = retry_after_reset(ServerAfterReset::Silent);
     assert!((145..=150).contains(&silent.as_millis()), "{silent:?}");
@@ -106,8 +106,8 @@
 /// Guards against a reset taken as the end of a prefill: the gateway closed the connection, and the connection is reset after
 /// that. The server is queried before its work counts as ended.
 #[test]
-fn a_reset_after_a_cut_is_asked_about_before_it_counts_as_the_end() {
-    paused(async {
+fn a_reset_after_a_close_is_queried_before_the_prefill_counts_as_ended() {
+    run_paused(async {
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.misses_closes.set(true);
         let core = core(&servers);
@@ -128,16 +128,16 @@
 
 /// Guards against a delayed release after a client disconnects during a query: the release does not wait for its result.
 #[test]
-fn a_client_that_leaves_during_the_question_is_seen_at_once() {
-    paused(async {
+fn a_disconnect_during_the_query_is_handled_at_once() {
+    run_paused(async {
         let servers = resetting_servers(ServerAfterReset::Silent);
         let core = core(&servers);
         let client = core.submit(request(0, 10_000.0));
         wait_for_call(&servers, CallKind::InquiryAfterReset).await;
-        let left_at = Instant::now();
+        let disconnected_at = Instant::now();
         drop(client);
         wait_for_call(&servers, CallKind::Release).await;
-        assert!(left_at.elapsed() <= CANCEL_PROPAGATION_DELAY + Duration::from_millis(2));
+        assert!(disconnected_at.elapsed() <= CANCEL_PROPAGATION_DELAY + Duration::from_millis(2));
         assert_eq!(servers.count(CallKind::Attempt), 1);
     });
 }
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -173,7 +173,7 @@
 
 /// Guards the stored format of traces: the same inputs must produce the same bytes.
 #[test]
-fn the_same_inputs_leave_the_same_traces() {
+fn the_same_inputs_produce_the_same_traces() {
     let traces: Vec<String> =
         script().iter().map(|(policy, inputs)| to_line(&run_machine(*policy, inputs).1)).collect();
     assert_eq!(traces, TRACES.lines().collect::<Vec<_>>());
--- a/gateway/src/core/timer_loop.rs
+++ b/gateway/src/core/timer_loop.rs
@@ -11,7 +11,7 @@
 use tokio_util::time::delay_queue::Key;
 
 use super::timers::TimerPurpose;
-use super::timing::{DEADLINE_GUARD, MACHINE_RELEASE_SHARE};
+use super::timing::{DEADLINE_TIMER_SLACK, MACHINE_RELEASE_SHARE};
 use super::{Core, DecisionPolicy, Inner, Upstream};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
@@ -35,7 +35,7 @@
         let inner = &mut *inner;
         let Some(request) = inner.requests.get_mut(&id) else { return };
         let at = match timer {
-            Timer::Deadline => request.deadline + DEADLINE_GUARD,
+            Timer::Deadline => request.deadline + DEADLINE_TIMER_SLACK,
             // Counts from the start of the lease, because no attempt delivered since then has claimed it.
             Timer::LeaseLimit => request.unclaimed_since + inner.lease_limit.mul_f64(MACHINE_RELEASE_SHARE),
         };
--- a/gateway/src/core/timing.rs
+++ b/gateway/src/core/timing.rs
@@ -11,24 +11,24 @@
 pub(super) const CANCEL_PROPAGATION_DELAY: Duration = Duration::from_millis(25);
 
 /// Initial delay between two queries to a server that does not answer after a reset; each further delay is twice as long.
-pub(super) const RESET_INQUIRY_FIRST_PAUSE: Duration = Duration::from_millis(100);
+pub(super) const RESET_INQUIRY_INITIAL_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum delay between two queries to a server that does not answer after a reset.
-pub(super) const RESET_INQUIRY_MAX_PAUSE: Duration = Duration::from_secs(2);
+pub(super) const RESET_INQUIRY_MAX_DELAY: Duration = Duration::from_secs(2);
 
 /// Maximum time for which the network may delay the bytes of an interrupted attempt. A server works on the attempt, from its
 /// arrival on, for at most the time stated in it.
-pub(super) const MAX_NETWORK_HOLD: Duration = Duration::from_secs(30);
+pub(super) const MAX_NETWORK_DELAY: Duration = Duration::from_secs(30);
 
 /// Added to the timeout that the router orders for an attempt, so that the router's own timer for the same moment expires
 /// first and supplies the reason.
 pub(super) const ATTEMPT_TIMEOUT_SLACK: Duration = Duration::from_millis(2);
 
 /// Delay of the request's deadline timer after the router's, which supplies the reason of the failure.
-pub(super) const DEADLINE_GUARD: Duration = Duration::from_millis(8);
+pub(super) const DEADLINE_TIMER_SLACK: Duration = Duration::from_millis(8);
 
 /// A request that the router fails within this time before its deadline, or later, is reported as past its deadline.
-pub(super) const NEAR_DEADLINE: Duration = Duration::from_millis(20);
+pub(super) const NEAR_DEADLINE_WINDOW: Duration = Duration::from_millis(20);
 
 /// Delay before a release that no server accepted is retried. The state stays on its server until then.
 pub(super) const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(25);
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -62,7 +62,7 @@
     parts: Option<mpsc::WeakSender<ResponsePart>>,
     first_byte_at: Rc<watch::Sender<Option<Instant>>>,
     connection_opened_at: Rc<Cell<Option<Instant>>>,
-    cut_work: Rc<watch::Sender<InterruptedWork>>,
+    interrupted_work: Rc<watch::Sender<InterruptedWork>>,
     server_address: Rc<RefCell<Option<String>>>,
 }
 
@@ -114,17 +114,17 @@
 
     /// Records an observation that shows whether the server still works on an interrupted attempt.
     pub fn note(&self, observation: Observation) {
-        self.cut_work.send_modify(|known| *known = known.after(observation));
+        self.interrupted_work.send_modify(|known| *known = known.after(observation));
     }
 
     /// Returns whether the server may still work on the attempt, as far as observations of an interruption show.
-    pub fn cut_work(&self) -> InterruptedWork {
-        *self.cut_work.borrow()
+    pub fn interrupted_work(&self) -> InterruptedWork {
+        *self.interrupted_work.borrow()
     }
 
     /// Whether the server is known to have stopped working on the attempt.
     pub fn has_work_ended(&self) -> bool {
-        self.cut_work() == InterruptedWork::Ended
+        self.interrupted_work() == InterruptedWork::Ended
     }
 
     /// Waits until the server is known to have stopped working on the attempt.
@@ -138,7 +138,7 @@
     }
 
     async fn wait_for_work(&self, is_awaited: impl Fn(InterruptedWork) -> bool) -> InterruptedWork {
-        let mut known = self.cut_work.subscribe();
+        let mut known = self.interrupted_work.subscribe();
         // An error would mean that the sender was dropped, but `self` owns it.
         let awaited = known.wait_for(|known| is_awaited(*known)).await.map(|known| *known);
         awaited.unwrap_or_default()
@@ -147,7 +147,7 @@
     /// Sets the address of the connection to which the attempt is written next, and resets what earlier observations showed.
     pub fn set_server_address(&self, address: &str) {
         self.server_address.replace(Some(address.to_string()));
-        self.cut_work.send_replace(InterruptedWork::default());
+        self.interrupted_work.send_replace(InterruptedWork::default());
     }
 
     /// Returns the address of the server to which the attempt was written last.
@@ -241,15 +241,15 @@
 impl ClientSide {
     /// Creates the response to a request that is rejected before it reaches the core.
     pub fn rejected(retry_after: Duration) -> Self {
-        ClientSide::with_only_part(ResponsePart::Rejected(retry_after))
+        ClientSide::with_single_part(ResponsePart::Rejected(retry_after))
     }
 
     /// Creates the response to a request that fails before it is admitted.
     pub fn failed(failure: Failure) -> Self {
-        ClientSide::with_only_part(ResponsePart::Failed(failure))
+        ClientSide::with_single_part(ResponsePart::Failed(failure))
     }
 
-    fn with_only_part(part: ResponsePart) -> Self {
+    fn with_single_part(part: ResponsePart) -> Self {
         let (sender, parts) = mpsc::channel(1);
         let _ = sender.try_send(part);
         ClientSide { parts, observer: None }
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -20,39 +20,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// A lease is claimed or released within the lease limit.
-    LeaseInTime,
+    LeaseWithinLimit,
     /// No attempt starts while another attempt of the same request is in flight.
-    OneAttempt,
+    SingleAttempt,
     /// An at-most-once request is not sent again once it may have run.
     AtMostOnce,
     /// No attempt starts for a request that was answered or whose client has disconnected.
-    NothingAfterEnd,
+    NoAttemptAfterEnd,
     /// An admitted request is answered before it finishes.
     Answered,
     /// An at-most-once request is rejected only if no attempt of it can have run or may still run.
-    RejectionIsTrue,
+    SafeRejection,
 }
 
 impl Invariant {
     /// All invariants, in the order of the status report for operators.
     pub const ALL: [Invariant; 6] = [
-        Invariant::LeaseInTime,
-        Invariant::OneAttempt,
+        Invariant::LeaseWithinLimit,
+        Invariant::SingleAttempt,
         Invariant::AtMostOnce,
-        Invariant::NothingAfterEnd,
+        Invariant::NoAttemptAfterEnd,
         Invariant::Answered,
-        Invariant::RejectionIsTrue,
+        Invariant::SafeRejection,
     ];
 
     /// Returns the invariant's name in the status report for operators.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::LeaseInTime => "held_in_time",
-            Invariant::OneAttempt => "one_attempt",
+            Invariant::LeaseWithinLimit => "held_in_time",
+            Invariant::SingleAttempt => "one_attempt",
             Invariant::AtMostOnce => "runs_once",
-            Invariant::NothingAfterEnd => "nothing_after_end",
+            Invariant::NoAttemptAfterEnd => "nothing_after_end",
             Invariant::Answered => "answered",
-            Invariant::RejectionIsTrue => "rejection_is_true",
+            Invariant::SafeRejection => "rejection_is_true",
         }
     }
 }
@@ -82,7 +82,7 @@
 pub fn check_start(machine: &Request, attempt: usize, request: &str) {
     let others = || machine.attempts().iter().enumerate().filter(move |(other, _)| *other != attempt);
     let is_concurrent = others().any(|(_, other)| other.is_open());
-    check(!is_concurrent, Invariant::OneAttempt, request, || {
+    check(!is_concurrent, Invariant::SingleAttempt, request, || {
         format!("attempt {attempt} starts while another is in flight")
     });
     let is_repeated = machine.policy().retry_safety == RetrySafety::AtMostOnce
@@ -91,7 +91,7 @@
     check(!is_repeated, Invariant::AtMostOnce, request, || {
         format!("attempt {attempt} repeats an at-most-once request that may have run")
     });
-    check(!machine.is_closed(), Invariant::NothingAfterEnd, request, || {
+    check(!machine.is_closed(), Invariant::NoAttemptAfterEnd, request, || {
         format!("attempt {attempt} starts after the request was answered or its client disconnected")
     });
 }
@@ -99,13 +99,15 @@
 /// Checks the time for which a lease was unclaimed until a server released it.
 pub fn check_lease_time(unclaimed: Duration, lease_limit: Duration, request: &str) {
     let holds = unclaimed <= lease_limit + LEASE_LIMIT_TOLERANCE;
-    check(holds, Invariant::LeaseInTime, request, || format!("released after {} ms", unclaimed.as_millis()));
+    check(holds, Invariant::LeaseWithinLimit, request, || {
+        format!("released after {} ms", unclaimed.as_millis())
+    });
 }
 
 /// Checks a request that is being rejected, which states to the client that a retry is safe.
 pub fn check_rejection(machine: &Request, request: &str) {
     let holds = machine.policy().retry_safety != RetrySafety::AtMostOnce || !machine.may_have_run();
-    check(holds, Invariant::RejectionIsTrue, request, || "rejected although it may have run".into());
+    check(holds, Invariant::SafeRejection, request, || "rejected although it may have run".into());
 }
 
 /// Checks that a finished request was answered.
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -26,13 +26,13 @@
 
     /// Counts a line. If the line may be written, returns the number of lines suppressed in the previous period.
     pub fn pass(&self, now: Instant) -> Option<u32> {
-        let mut left_out = 0;
+        let mut suppressed = 0;
         if self.period_start.get().is_none_or(|start| now.duration_since(start) >= PERIOD) {
-            left_out = self.lines.replace(0).saturating_sub(LINES_PER_PERIOD);
+            suppressed = self.lines.replace(0).saturating_sub(LINES_PER_PERIOD);
             self.period_start.set(Some(now));
         }
         self.lines.set(self.lines.get().saturating_add(1));
-        (self.lines.get() <= LINES_PER_PERIOD).then_some(left_out)
+        (self.lines.get() <= LINES_PER_PERIOD).then_some(suppressed)
     }
 }
 
@@ -44,14 +44,14 @@
 
 /// Writes one line to standard error if its rate limit allows it.
 pub fn line(limit: &Limit, text: std::fmt::Arguments) {
-    if let Some(left_out) = limit.pass(Instant::now()) {
-        write(left_out, text);
+    if let Some(suppressed) = limit.pass(Instant::now()) {
+        write(suppressed, text);
     }
 }
 
 /// Writes one line to standard error, with the number of lines of the same call site suppressed before it.
-pub fn write(left_out: u32, text: std::fmt::Arguments) {
-    let suffix = if left_out > 0 { format!(" ({left_out} like it left out)") } else { String::new() };
+pub fn write(suppressed: u32, text: std::fmt::Arguments) {
+    let suffix = if suppressed > 0 { format!(" ({suppressed} like it left out)") } else { String::new() };
     eprintln!("glenrail: {text}{suffix}");
 }
 
@@ -60,8 +60,8 @@
 macro_rules! log {
     ($($text:tt)*) => {{
         thread_local! { static LIMIT: $crate::log::Limit = const { $crate::log::Limit::new() }; }
-        if let Some(left_out) = LIMIT.with(|limit| limit.pass(std::time::Instant::now())) {
-            $crate::log::write(left_out, format_args!($($text)*));
+        if let Some(suppressed) = LIMIT.with(|limit| limit.pass(std::time::Instant::now())) {
+            $crate::log::write(suppressed, format_args!($($text)*));
         }
     }};
 }
--- a/gateway/src/log/tests.rs
+++ b/gateway/src/log/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards against a flood of log lines that fills the disk.
 #[test]
-fn a_place_is_limited_and_reports_later_what_it_left_out() {
+fn a_call_site_is_limited_and_reports_suppressed_lines_later() {
     let (limit, start) = (Limit::new(), Instant::now());
     let written = (0..20).filter(|_| limit.pass(start).is_some()).count();
     assert_eq!(written, LINES_PER_PERIOD as usize);
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -42,7 +42,7 @@
 /// The hook that is called when a response has ended.
 const RESPONSE_HOOK: &str = "on_answer";
 /// The error that a script gets when it calls `sleep`.
-const NO_SLEEP: &str = "a hook cannot sleep";
+const SLEEP_ERROR: &str = "a hook cannot sleep";
 
 /// Why a script cannot be loaded.
 #[derive(Debug, thiserror::Error)]
@@ -114,9 +114,9 @@
         Ok(Plugin { has_request_hook, has_response_hook, engine, script })
     }
 
-    fn call(&self, hook: &str, about: Map) -> Option<Dynamic> {
+    fn call(&self, hook: &str, fields: Map) -> Option<Dynamic> {
         let options = CallFnOptions::new().eval_ast(false);
-        let arguments = (Dynamic::from_map(about),);
+        let arguments = (Dynamic::from_map(fields),);
         let result =
             self.engine.call_fn_with_options(options, &mut Scope::new(), &self.script, hook, arguments);
         result.map_err(|e| log!("plugin: {hook} failed: {e}")).ok()
@@ -124,8 +124,8 @@
 
     /// Calls the request hook and returns its decision. The request passes if the script fails or returns a value without
     /// a meaning.
-    pub fn verdict(&self, about: Map) -> Verdict {
-        let result = self.has_request_hook.then(|| self.call(REQUEST_HOOK, about)).flatten();
+    pub fn verdict(&self, fields: Map) -> Verdict {
+        let result = self.has_request_hook.then(|| self.call(REQUEST_HOOK, fields)).flatten();
         let Some(result) = result else {
             return Verdict::Pass(vec![]);
         };
@@ -140,8 +140,8 @@
     }
 
     /// Wraps a service so that each request passes through the script first.
-    pub fn layer<S>(self: &Rc<Self>, inner: S) -> Hooked<S> {
-        Hooked { plugin: self.clone(), inner }
+    pub fn layer<S>(self: &Rc<Self>, inner: S) -> PluginService<S> {
+        PluginService { plugin: self.clone(), inner }
     }
 }
 
@@ -154,15 +154,15 @@
         .set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
     engine.set_max_string_size(MAX_TEXT_BYTES).set_max_array_size(MAX_ITEMS).set_max_map_size(MAX_ITEMS);
     engine.disable_symbol("eval");
-    engine.register_fn("sleep", |_: i64| -> Result<(), Box<EvalAltResult>> { Err(NO_SLEEP.into()) });
-    engine.register_fn("sleep", |_: f64| -> Result<(), Box<EvalAltResult>> { Err(NO_SLEEP.into()) });
+    engine.register_fn("sleep", |_: i64| -> Result<(), Box<EvalAltResult>> { Err(SLEEP_ERROR.into()) });
+    engine.register_fn("sleep", |_: f64| -> Result<(), Box<EvalAltResult>> { Err(SLEEP_ERROR.into()) });
     engine.on_print(|text| log!("plugin: {text}"));
     engine.on_debug(|text, _, _| log!("plugin: {text}"));
     engine
 }
 
 /// Returns the fields of a request that scripts receive. The keys are part of the scripts' interface.
-fn describe(request: &Request) -> Map {
+fn script_fields(request: &Request) -> Map {
     let (routing, payload) = (&request.routing, &request.payload);
     let text = |value: &str| Dynamic::from(value.to_string());
     Map::from_iter([
@@ -179,12 +179,12 @@
 
 /// A service whose requests pass through a plug-in first.
 #[derive(Clone)]
-pub struct Hooked<S> {
+pub struct PluginService<S> {
     plugin: Rc<Plugin>,
     inner: S,
 }
 
-impl<S> Service<Request> for Hooked<S>
+impl<S> Service<Request> for PluginService<S>
 where
     S: Service<Request, Response = ClientSide, Error = Infallible, Future: 'static> + Clone + 'static,
 {
@@ -199,8 +199,8 @@
     fn call(&mut self, mut request: Request) -> Self::Future {
         let (plugin, inner) = (self.plugin.clone(), self.inner.clone());
         Box::pin(async move {
-            let about = describe(&request);
-            match plugin.verdict(about.clone()) {
+            let fields = script_fields(&request);
+            match plugin.verdict(fields.clone()) {
                 Verdict::Reject(reason) => {
                     log!("plugin: request rejected: {reason}");
                     return Ok(ClientSide::rejected(RETRY_AFTER));
@@ -210,7 +210,7 @@
             let started = Instant::now();
             let mut response = inner.oneshot(request).await?;
             if plugin.has_response_hook {
-                response.observe(move |outcome| report_outcome(&plugin, about, started, outcome));
+                response.observe(move |outcome| call_response_hook(&plugin, fields, started, outcome));
             }
             Ok(response)
         })
@@ -218,11 +218,11 @@
 }
 
 /// Calls the response hook with the request's fields, its outcome and its duration.
-fn report_outcome(plugin: &Plugin, mut about: Map, started: Instant, outcome: ResponseOutcome) {
-    about.insert("ended".into(), Dynamic::from(script_label(outcome).to_string()));
+fn call_response_hook(plugin: &Plugin, mut fields: Map, started: Instant, outcome: ResponseOutcome) {
+    fields.insert("ended".into(), Dynamic::from(script_label(outcome).to_string()));
     let elapsed_ms = millis(started.elapsed());
-    about.insert("elapsed_ms".into(), Dynamic::from(elapsed_ms));
-    plugin.call(RESPONSE_HOOK, about);
+    fields.insert("elapsed_ms".into(), Dynamic::from(elapsed_ms));
+    plugin.call(RESPONSE_HOOK, fields);
 }
 
 /// Returns the name of an outcome in the scripts' interface.
--- a/gateway/src/plugin/tests.rs
+++ b/gateway/src/plugin/tests.rs
@@ -5,8 +5,8 @@
 use super::{Plugin, Verdict};
 
 fn verdict(script: &str) -> Verdict {
-    let about = Map::from_iter([("prompt_tokens".into(), Dynamic::from(900.0))]);
-    Plugin::compile(script).expect("a script").verdict(about)
+    let fields = Map::from_iter([("prompt_tokens".into(), Dynamic::from(900.0))]);
+    Plugin::compile(script).expect("a script").verdict(fields)
 }
 
 #[test]
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -29,11 +29,11 @@
 const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(300);
 /// Time after which a gateway that is out of service rejects requests: they would still be open when all clients must have
 /// disconnected.
-const OUT_OF_SERVICE_LAST_REQUEST: Duration = Duration::from_millis(1_800);
+const OUT_OF_SERVICE_REQUEST_CUTOFF: Duration = Duration::from_millis(1_800);
 
 /// Time after SIGTERM from which requests are rejected: SIGKILL may follow from 0.7 s on, and an unanswered request would be
 /// lost.
-const LAST_REQUEST_AFTER_SIGTERM: Duration = Duration::from_millis(650);
+const REQUEST_CUTOFF_AFTER_SIGTERM: Duration = Duration::from_millis(650);
 
 /// Maximum deadline that the platform takes into account for the time of SIGKILL.
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
@@ -138,10 +138,11 @@
         let out_of_service = self
             .out_of_service_since
             .borrow()
-            .is_some_and(|since| since.elapsed() > OUT_OF_SERVICE_LAST_REQUEST);
-        let ends = self.signalled_at.get().is_some_and(|at| at.elapsed() > LAST_REQUEST_AFTER_SIGTERM);
+            .is_some_and(|since| since.elapsed() > OUT_OF_SERVICE_REQUEST_CUTOFF);
+        let is_past_cutoff =
+            self.signalled_at.get().is_some_and(|at| at.elapsed() > REQUEST_CUTOFF_AFTER_SIGTERM);
         // A successor continues the open requests of this process.
-        out_of_service || ends && !self.has_successor()
+        out_of_service || is_past_cutoff && !self.has_successor()
     }
 
     /// Whether each response must ask its client to close the connection.
@@ -149,29 +150,30 @@
         self.is_out_of_service() || self.phase() != Phase::Serving && !self.has_successor()
     }
 
-    /// Waits until a connection accepted at `began` must close as soon as it has no open request.
-    pub async fn connection_must_end(&self, began: Instant) {
+    /// Waits until a connection accepted at `accepted_at` must close as soon as it has no open request.
+    pub async fn connection_must_end(&self, accepted_at: Instant) {
         tokio::select! {
-            () = self.closing(began) => {}
-            () = self.out_of_service_grace_over(began) => {}
+            () = self.closing(accepted_at) => {}
+            () = self.out_of_service_grace_elapsed(accepted_at) => {}
         }
     }
 
     /// Waits for [`Phase::Closing`] and for the time in which a connection may send its first request: a connection closed
     /// just before that request would count as refused.
-    async fn closing(&self, began: Instant) {
+    async fn closing(&self, accepted_at: Instant) {
         self.reached(Phase::Closing).await;
-        sleep_until(began + FIRST_REQUEST_WAIT).await;
+        sleep_until(accepted_at + FIRST_REQUEST_WAIT).await;
     }
 
-    async fn out_of_service_grace_over(&self, began: Instant) {
+    async fn out_of_service_grace_elapsed(&self, accepted_at: Instant) {
         let mut updates = self.out_of_service_since.subscribe();
         loop {
             let since = *updates.borrow_and_update();
             let due = async {
                 match since {
                     Some(since) => {
-                        sleep_until((since + OUT_OF_SERVICE_GRACE).max(began + FIRST_REQUEST_WAIT)).await;
+                        sleep_until((since + OUT_OF_SERVICE_GRACE).max(accepted_at + FIRST_REQUEST_WAIT))
+                            .await;
                     }
                     None => std::future::pending().await,
                 }
