--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -11,7 +11,7 @@
 mod admission;
 mod attempt;
 mod clock;
-mod close_notice;
+mod close_confirmation;
 #[cfg(debug_assertions)]
 mod consistency;
 mod delivery;
