--- a/gateway/src/core/close_confirmation.rs
+++ b/gateway/src/core/close_confirmation.rs
@@ -44,7 +44,7 @@
         let work_end = self.await_work_end(interrupted.server, &interrupted.token);
         if interrupted.token.is_written() && timeout_at(interrupted.may_run_until, work_end).await.is_err() {
             log!(
-                "request {}: no sign that the server stopped working on an interrupted prefill; waiting ended",
+                "request {}: a server never ended the connection of a prefill that was cut off",
                 interrupted.request
             );
         }
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -145,10 +145,7 @@
         let server = ServerId(state.server);
         if status == Status::Undelivered {
             let name = &request.payload.request_id;
-            log!(
-                "request {name}: delivery to server {:x} was not confirmed in time; attempt cancelled",
-                server.0
-            );
+            log!("request {name}: its delivery to server {:x} was not confirmed; cancelled", server.0);
         }
         // A lease on state that an interrupted prefill may have left starts now.
         let may_have_left_state = state.stage == Stage::Prefill && call.cancel_token.is_written();
--- a/gateway/src/core/forwarding.rs
+++ b/gateway/src/core/forwarding.rs
@@ -61,7 +61,7 @@
             Ok(Some(Err(CallError::MalformedResponse))) => return StreamEnd::MalformedResponse.into(),
             Ok(Some(Err(_)) | None) => return StreamEnd::Reset.into(),
             Err(_) => {
-                log!("upstream sent no complete event within the idle timeout; the stream is ended");
+                log!("a stream was idle for too long and is ended");
                 return StreamEnd::IdleTimeout.into();
             }
         }
--- a/gateway/src/core/release.rs
+++ b/gateway/src/core/release.rs
@@ -51,7 +51,7 @@
         let mut sent_at = Instant::now();
         while self.upstream.clone().oneshot(release.call.clone()).await.is_err() {
             if Instant::now() >= release.give_up_at {
-                log!("a lease was not released: no server accepted the call before the retries ended");
+                log!("a lease could not be released: no server accepted the call");
                 break;
             }
             sleep(RELEASE_RETRY_DELAY).await;
--- a/gateway/src/plugin.rs
+++ b/gateway/src/plugin.rs
@@ -202,7 +202,7 @@
             let fields = script_fields(&request);
             match plugin.verdict(fields.clone()) {
                 Verdict::Reject(reason) => {
-                    log!("plugin: request rejected: {reason}");
+                    log!("plugin: rejected: {reason}");
                     return Ok(ClientSide::rejected(RETRY_AFTER));
                 }
                 Verdict::Pass(notes) => annotate(&mut request, &notes),
