--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -217,7 +217,7 @@
         drop(client);
         wait_for_call(&servers, CallKind::ReleaseAccepted).await;
         sleep(Duration::from_millis(500)).await;
-        let violations = crate::invariants::violations(crate::invariants::Invariant::LeaseWithinLimit);
+        let violations = crate::invariants::violations(crate::invariants::Invariant::LeaseInTime);
         assert_eq!(violations, 0, "nothing was released for {longest:?}");
         assert!(longest <= Duration::from_millis(550), "nothing was released for {longest:?}");
     });
--- a/gateway/src/invariants.rs
+++ b/gateway/src/invariants.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// A lease is claimed or released within the lease limit.
-    LeaseWithinLimit,
+    LeaseInTime,
     /// No attempt starts while another attempt of the same request is in flight.
     SingleAttempt,
     /// An at-most-once request is not sent again once it may have run.
@@ -36,7 +36,7 @@
 impl Invariant {
     /// All invariants, in the order of the status report for operators.
     pub const ALL: [Invariant; 6] = [
-        Invariant::LeaseWithinLimit,
+        Invariant::LeaseInTime,
         Invariant::SingleAttempt,
         Invariant::AtMostOnce,
         Invariant::NoAttemptAfterEnd,
@@ -47,7 +47,7 @@
     /// Returns the invariant's name in the status report for operators.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::LeaseWithinLimit => "held_in_time",
+            Invariant::LeaseInTime => "held_in_time",
             Invariant::SingleAttempt => "one_attempt",
             Invariant::AtMostOnce => "runs_once",
             Invariant::NoAttemptAfterEnd => "nothing_after_end",
@@ -99,9 +99,7 @@
 /// Checks the time for which a lease was unclaimed until a server released it.
 pub fn check_lease_time(unclaimed: Duration, lease_limit: Duration, request: &str) {
     let holds = unclaimed <= lease_limit + LEASE_LIMIT_TOLERANCE;
-    check(holds, Invariant::LeaseWithinLimit, request, || {
-        format!("released after {} ms", unclaimed.as_millis())
-    });
+    check(holds, Invariant::LeaseInTime, request, || format!("released after {} ms", unclaimed.as_millis()));
 }
 
 /// Checks a request that is being rejected, which states to the client that a retry is safe.
