--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -380,6 +380,6 @@
         let releases = servers.count(CallKind::Release);
         sleep(Duration::from_millis(600)).await;
         assert!(servers.count(CallKind::Release) > releases, "nothing was released during the stream");
-        assert!(matches!(client.next_part().await, Some(ResponsePart::Chunk(_))), "the stream goes on");
+        assert!(matches!(client.next_part().await, Some(ResponsePart::Chunk(_))), "the stream continues");
     });
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -170,12 +170,12 @@
     pub headers: HeaderMap,
 }
 
-/// Why a request failed after all attempts.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The request's deadline has passed.
     DeadlineExceeded,
-    /// No attempt succeeded.
+    /// No server completed the request.
     Upstream,
     /// A server reported that the request itself is invalid.
     Unprocessable,
