--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -106,13 +106,13 @@
     run_paused(async {
         let servers = ScriptedServers::new(|_, _| (20, ScriptedReply::Fail(CallError::Reset)));
         servers.failing_releases.set(usize::MAX);
-        let (core, begun) = (core(&servers), Instant::now());
+        let (core, started_at) = (core(&servers), Instant::now());
         let client = core.submit(request(1, 3_000.0));
         wait_for_call(&servers, CallKind::Attempt).await;
         drop(client);
         wait_until_idle(&core).await;
         assert!(servers.count(CallKind::Release) > 10);
-        assert!(begun.elapsed() < Duration::from_millis(3_200), "{:?}", begun.elapsed());
+        assert!(started_at.elapsed() < Duration::from_millis(3_200), "{:?}", started_at.elapsed());
     });
 }
 
@@ -280,12 +280,12 @@
         let servers = ScriptedServers::new(|_, _| (0, ScriptedReply::NoReply));
         servers.misses_closes.set(true);
         let core = core(&servers);
-        let (client, begun) = (core.submit(request(0, 2_000.0)), Instant::now());
+        let (client, started_at) = (core.submit(request(0, 2_000.0)), Instant::now());
         wait_for_call(&servers, CallKind::Attempt).await;
         drop(client);
         wait_until_idle(&core).await;
         let longest = MAX_NETWORK_DELAY + Duration::from_millis(2_500);
-        assert!((MAX_NETWORK_DELAY..longest).contains(&begun.elapsed()), "{:?}", begun.elapsed());
+        assert!((MAX_NETWORK_DELAY..longest).contains(&started_at.elapsed()), "{:?}", started_at.elapsed());
     });
 }
 
--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -42,7 +42,7 @@
         };
         let servers = ScriptedServers::new(script);
         let core = core(&servers);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let parts = response_parts(core.submit(request(1, 12_000.0))).await;
         assert_eq!(parts.last(), Some(&Some(ResponsePart::End)));
         let expected = [
@@ -57,7 +57,7 @@
         assert_eq!(servers.call_kinds(), expected);
         // Decode servers that could not be reached get no attempt for 100 ms.
         assert_eq!(servers.connect_timeouts_ms(), [None, Some(400), Some(150), None, Some(300)]);
-        assert!(begun.elapsed() < Duration::from_millis(900), "{:?}", begun.elapsed());
+        assert!(started_at.elapsed() < Duration::from_millis(900), "{:?}", started_at.elapsed());
     });
 }
 
@@ -311,10 +311,10 @@
     let servers = ScriptedServers::new(two_stages);
     let core = core(&servers);
     for minutes in [59, 61, 120, 72 * 60] {
-        let began = Instant::now();
+        let started_at = Instant::now();
         tokio::time::advance(Duration::from_secs(60 * minutes)).await;
         let limit = Duration::from_secs(60 * minutes + 1);
-        assert!(began.elapsed() < limit, "no further time has passed");
+        assert!(started_at.elapsed() < limit, "no further time has passed");
         let parts = response_parts(core.submit(request(1, 12_000.0))).await;
         assert_eq!(parts.last(), Some(&Some(ResponsePart::End)), "after {minutes} minutes more");
     }
