--- a/gateway/src/core/tests/rejections.rs
+++ b/gateway/src/core/tests/rejections.rs
@@ -1,28 +1,28 @@
-//! What a request that may not be repeated is answered where the process is about to end: a rejection only if no attempt of
-//! it can have run, and none may still.
+//! Tests of the final response to at-most-once requests when the process is about to end: a rejection only if no attempt can
+//! have run or may still run.
 
 use super::*;
 
 /// Timeout of every attempt, in milliseconds.
 const ATTEMPT_TIMEOUT: Millis = 5_000.0;
-/// When the process answers what is pending.
-const ANSWERED_AT: Duration = Duration::from_millis(300);
-/// The class that may not be repeated.
-const NON_IDEMPOTENT: u32 = 1;
+/// When the process answers pending requests.
+const ANSWER_DELAY: Duration = Duration::from_millis(300);
+/// The at-most-once class.
+const AT_MOST_ONCE_CLASS: u32 = 1;
 
-/// A policy that sends each request to one prefill server and then to one decode server, once each, and cancels the prefill
-/// after a time if it is still in flight.
-struct OneAttemptAStage {
+/// A policy that sends each request to one prefill server and then to one decode server, once each. Optionally cancels the
+/// prefill after a time.
+struct OneAttemptPerStage {
     cancels_prefill_after: Option<Millis>,
 }
 
-impl OneAttemptAStage {
+impl OneAttemptPerStage {
     fn send(id: RequestId, server: u64) -> Action {
         Action::Send { id, server: ServerId(server), timeout: ATTEMPT_TIMEOUT }
     }
 }
 
-impl DecisionPolicy for OneAttemptAStage {
+impl DecisionPolicy for OneAttemptPerStage {
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => {
@@ -45,55 +45,59 @@
     }
 }
 
-/// What has become of the attempts when the process answers what is pending.
-struct History {
+/// The state of the attempts when the process answers pending requests.
+struct AttemptHistory {
     prefill: ScriptedReply,
     cancels_prefill_after: Option<Millis>,
     misses_closes: bool,
     decode: ScriptedReply,
 }
 
-impl History {
-    /// A prefill that gets this reply after 20 ms, and whose server notices all closes.
-    fn of_prefill(prefill: ScriptedReply) -> History {
+impl AttemptHistory {
+    /// A prefill that gets this reply after 20 ms and whose server notices all closes.
+    fn of_prefill(prefill: ScriptedReply) -> AttemptHistory {
         let decode = ScriptedReply::NoReply;
-        History { prefill, cancels_prefill_after: None, misses_closes: false, decode }
+        AttemptHistory { prefill, cancels_prefill_after: None, misses_closes: false, decode }
     }
 
-    /// A prefill that has succeeded, and a decode that gets this reply after 20 ms.
-    fn of_decode(decode: ScriptedReply) -> History {
-        History { decode, ..History::of_prefill(ScriptedReply::Prefilled) }
+    /// A successful prefill and a decode that gets this reply after 20 ms.
+    fn of_decode(decode: ScriptedReply) -> AttemptHistory {
+        AttemptHistory { decode, ..AttemptHistory::of_prefill(ScriptedReply::Prefilled) }
     }
 
-    /// A prefill without a reply that is cancelled some time before the answer.
-    fn of_cut_prefill(misses_closes: bool) -> History {
+    /// A prefill without a reply that is cancelled 100 ms before pending requests are answered.
+    fn of_interrupted_prefill(misses_closes: bool) -> AttemptHistory {
         let cancels_prefill_after = Some(200.0);
-        History { cancels_prefill_after, misses_closes, ..History::of_prefill(ScriptedReply::NoReply) }
+        AttemptHistory {
+            cancels_prefill_after,
+            misses_closes,
+            ..AttemptHistory::of_prefill(ScriptedReply::NoReply)
+        }
     }
 
-    /// Whether the request is rejected; else it has failed.
+    /// Returns whether the request is rejected; otherwise it fails.
     fn ends_in_rejection(self) -> bool {
-        let History { prefill, cancels_prefill_after, misses_closes, decode } = self;
-        paused(async move {
+        let AttemptHistory { prefill, cancels_prefill_after, misses_closes, decode } = self;
+        run_paused(async move {
             let servers = ScriptedServers::new(move |_, server| {
                 let is_prefill = PREFILL_SERVERS.contains(&server.0);
                 (20, if is_prefill { prefill.clone() } else { decode.clone() })
             });
             servers.misses_closes.set(misses_closes);
-            let core = core_with_policy(&servers, OneAttemptAStage { cancels_prefill_after });
-            let client = core.submit(request(NON_IDEMPOTENT, 10_000.0));
-            sleep(ANSWERED_AT).await;
+            let core = core_with_policy(&servers, OneAttemptPerStage { cancels_prefill_after });
+            let client = core.submit(request(AT_MOST_ONCE_CLASS, 10_000.0));
+            sleep(ANSWER_DELAY).await;
             core.answer_pending();
             match response_parts(client).await.pop().flatten() {
                 Some(ResponsePart::Rejected(_)) => true,
                 Some(ResponsePart::Failed(Failure::Upstream)) => false,
-                other => panic!("another answer: {other:?}"),
+                other => panic!("unexpected response: {other:?}"),
             }
         })
     }
 }
 
-/// Guards what callers are told shortly before the kill: that sending again is harmless, only where it is.
+/// Guards against unsafe rejections shortly before SIGKILL: a request that may have run fails instead.
 #[test]
 fn a_request_that_may_have_run_is_failed_before_the_process_ends() {
     for decode in [
@@ -102,13 +106,16 @@
         ScriptedReply::Fail(CallError::Reset),
         ScriptedReply::Fail(CallError::MalformedResponse),
     ] {
-        assert!(!History::of_decode(decode.clone()).ends_in_rejection(), "decode: {decode:?}");
+        assert!(!AttemptHistory::of_decode(decode.clone()).ends_in_rejection(), "decode: {decode:?}");
     }
-    assert!(!History::of_prefill(ScriptedReply::NoReply).ends_in_rejection(), "a prefill that still runs");
-    assert!(!History::of_cut_prefill(true).ends_in_rejection(), "a cut prefill that may still run");
+    assert!(!AttemptHistory::of_prefill(ScriptedReply::NoReply).ends_in_rejection(), "a prefill in flight");
+    assert!(
+        !AttemptHistory::of_interrupted_prefill(true).ends_in_rejection(),
+        "an interrupted prefill that may still run"
+    );
 }
 
-/// Guards callers from a failure where a rejection would be true.
+/// Guards against needless failures: a request that cannot have run is rejected.
 #[test]
 fn a_request_that_cannot_have_run_is_rejected_before_the_process_ends() {
     for decode in [
@@ -116,8 +123,14 @@
         ScriptedReply::Fail(CallError::ConnectFailed),
         ScriptedReply::Fail(CallError::NotSent),
     ] {
-        assert!(History::of_decode(decode.clone()).ends_in_rejection(), "decode: {decode:?}");
+        assert!(AttemptHistory::of_decode(decode.clone()).ends_in_rejection(), "decode: {decode:?}");
     }
-    assert!(History::of_prefill(ScriptedReply::Error).ends_in_rejection(), "a prefill has no effect");
-    assert!(History::of_cut_prefill(false).ends_in_rejection(), "a cut prefill whose server has noticed");
+    assert!(
+        AttemptHistory::of_prefill(ScriptedReply::Error).ends_in_rejection(),
+        "a failed prefill is not an execution"
+    );
+    assert!(
+        AttemptHistory::of_interrupted_prefill(false).ends_in_rejection(),
+        "an interrupted prefill whose server has noticed"
+    );
 }
