--- a/crates/fleet/src/fleet/effect.rs
+++ b/crates/fleet/src/fleet/effect.rs
@@ -36,7 +36,7 @@
     /// Open a stream to this address and run [`crate::Fleet::open_exchange`] over it.
     OpenExchange {
         /// The member to exchange with.
-        with: MemberId,
+        peer: MemberId,
         /// Its address.
         to: SocketAddr,
     },
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -15,35 +15,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
     /// The other side is not an active member.
-    #[error("member {with:?} is not active here")]
+    #[error("member {peer:?} is not active here")]
     NotAMember {
         /// The other side.
-        with: MemberId,
+        peer: MemberId,
     },
     /// A frame is too long.
-    #[error("a frame of {bytes} bytes is over the bound of {most}")]
+    #[error("a frame of {bytes} bytes is over the bound of {max_bytes}")]
     TooLong {
         /// Bytes found.
         bytes: usize,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// The other side sent more than a whole table in one exchange.
-    #[error("{bytes} bytes in one exchange are over the bound of {most}")]
+    #[error("{bytes} bytes in one exchange are over the bound of {max_bytes}")]
     TooManyBytes {
         /// Bytes received so far.
         bytes: usize,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// A frame was rejected.
     #[error("a frame was refused: {0}")]
     Rejection(#[from] Rejection),
     /// A frame that does not belong at this stage of the exchange, or that another member sealed.
-    #[error("the other side, {with:?}, sent a frame out of turn")]
+    #[error("the other side, {peer:?}, sent a frame out of turn")]
     OutOfTurn {
         /// The other side.
-        with: MemberId,
+        peer: MemberId,
     },
 }
 
@@ -75,7 +75,7 @@
 
 /// This member's side of one exchange.
 pub struct Exchange {
-    with: Option<(MemberId, Incarnation)>,
+    peer: Option<(MemberId, Incarnation)>,
     stage: Stage,
     buffer: Vec<u8>,
     received_bytes: usize,
@@ -93,7 +93,7 @@
 impl Exchange {
     /// The side of a member that accepted a stream.
     pub fn accept() -> Exchange {
-        Exchange { with: None, stage: Stage::AwaitOpen, buffer: Vec::new(), received_bytes: 0 }
+        Exchange { peer: None, stage: Stage::AwaitOpen, buffer: Vec::new(), received_bytes: 0 }
     }
 
     /// Removes the first frame from the buffer, if it is complete.
@@ -101,7 +101,7 @@
         let Some((length, rest)) = self.buffer.split_first_chunk::<4>() else { return Ok(None) };
         let bytes = u32::from_le_bytes(*length) as usize;
         if bytes > MAX_FRAME_BYTES {
-            return Err(ExchangeError::TooLong { bytes, most: MAX_FRAME_BYTES });
+            return Err(ExchangeError::TooLong { bytes, max_bytes: MAX_FRAME_BYTES });
         }
         if rest.len() < bytes {
             return Ok(None);
@@ -114,27 +114,27 @@
 
 impl Fleet {
     /// The side of a member that opened a stream after [`Effect::OpenExchange`], and the first bytes to write.
-    pub fn open_exchange(&mut self, with: MemberId) -> Result<(Exchange, Vec<u8>), ExchangeError> {
-        let active = self.membership.get(with).filter(|(_, state)| state.is_active() && !self.has_left);
-        let member = *active.ok_or(ExchangeError::NotAMember { with })?.0;
+    pub fn open_exchange(&mut self, peer: MemberId) -> Result<(Exchange, Vec<u8>), ExchangeError> {
+        let active = self.membership.get(peer).filter(|(_, state)| state.is_active() && !self.has_left);
+        let member = *active.ok_or(ExchangeError::NotAMember { peer })?.0;
         let to = (member.id, member.incarnation);
         let mut write = Vec::new();
         let digests = self.all_digests();
         self.write_frame(to, &Body::ExchangeOpen(digests), &mut write);
         let stage = Stage::AwaitDone { opener: true };
-        Ok((Exchange { with: Some(to), stage, buffer: Vec::new(), received_bytes: 0 }, write))
+        Ok((Exchange { peer: Some(to), stage, buffer: Vec::new(), received_bytes: 0 }, write))
     }
 
     /// Handles bytes that were read from the stream. After an error the stream must be closed.
     pub fn exchange(
         &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<Step, ExchangeError> {
-        let most = self.settings.bytes_total * 2 + MAX_FRAME_BYTES;
+        let max_bytes = self.settings.bytes_total * 2 + MAX_FRAME_BYTES;
         self.counters.bytes_in += bytes.len() as u64;
         exchange.received_bytes = exchange.received_bytes.saturating_add(bytes.len());
-        if exchange.received_bytes > most {
+        if exchange.received_bytes > max_bytes {
             exchange.stage = Stage::Finished;
-            return Err(ExchangeError::TooManyBytes { bytes: exchange.received_bytes, most });
+            return Err(ExchangeError::TooManyBytes { bytes: exchange.received_bytes, max_bytes });
         }
         exchange.buffer.extend_from_slice(bytes);
         let mut write = Vec::new();
@@ -164,11 +164,11 @@
         }
         let (sender, body) = self.sealer.open(Channel::Frame, now, frame)?;
         let from = (sender.id, sender.incarnation);
-        let out_of_turn = ExchangeError::OutOfTurn { with: sender.id };
-        if !sender.addressed || exchange.with.is_some_and(|with| with != from) {
+        let out_of_turn = ExchangeError::OutOfTurn { peer: sender.id };
+        if !sender.addressed || exchange.peer.is_some_and(|peer| peer != from) {
             return Err(out_of_turn);
         }
-        exchange.with = Some(from);
+        exchange.peer = Some(from);
         self.counters.by_second_key += u64::from(sender.by_second_key);
         let body = Body::read(body).ok_or(Rejection::Malformed { from: sender.id })?;
         match (exchange.stage, body) {
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -111,7 +111,7 @@
         &mut self, now: u64, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(Rejection::TooLong { bytes: bytes.len(), most: MAX_DATAGRAM_BYTES });
+            return Err(Rejection::TooLong { bytes: bytes.len(), max_bytes: MAX_DATAGRAM_BYTES });
         }
         if self.has_left {
             return Err(Rejection::Left);
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -119,7 +119,7 @@
         if now >= self.next_exchange_at {
             self.next_exchange_at = now + self.settings.exchange_apart;
             self.counters.exchanges_requested += 1;
-            effects.push(Effect::OpenExchange { with: member.id, to: member.address });
+            effects.push(Effect::OpenExchange { peer: member.id, to: member.address });
         }
     }
 }
--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -101,16 +101,16 @@
     let (mut a, mut b) = pair();
     let mut effects = Vec::new();
     let none = MemberId(1);
-    assert!(matches!(a.open_exchange(none), Err(ExchangeError::NotAMember { with }) if with == none));
+    assert!(matches!(a.open_exchange(none), Err(ExchangeError::NotAMember { peer }) if peer == none));
     let mut accepted = Exchange::accept();
     let long = ((MAX_FRAME_BYTES + 1) as u32).to_le_bytes();
     let ended = b.exchange(0, &mut accepted, &long, &mut effects);
-    assert_eq!(ended, Err(ExchangeError::TooLong { bytes: MAX_FRAME_BYTES + 1, most: MAX_FRAME_BYTES }));
+    assert_eq!(ended, Err(ExchangeError::TooLong { bytes: MAX_FRAME_BYTES + 1, max_bytes: MAX_FRAME_BYTES }));
     // The first frame must say what the opener holds.
     let mut write = Vec::new();
     a.write_frame((b.me().id, Incarnation(5)), &Body::ExchangeDone(Vec::new()), &mut write);
     let ended = b.exchange(0, &mut Exchange::accept(), &write, &mut effects);
-    assert_eq!(ended, Err(ExchangeError::OutOfTurn { with: a.me().id }));
+    assert_eq!(ended, Err(ExchangeError::OutOfTurn { peer: a.me().id }));
     // A recorded first frame, played again.
     let (_, first) = a.open_exchange(b.me().id).unwrap();
     assert!(b.exchange(0, &mut Exchange::accept(), &first, &mut effects).is_ok());
--- a/crates/fleet/src/rejection.rs
+++ b/crates/fleet/src/rejection.rs
@@ -14,20 +14,20 @@
         bytes: usize,
     },
     /// Longer than a datagram may be.
-    #[error("{bytes} bytes are over the bound of {most}")]
+    #[error("{bytes} bytes are over the bound of {max_bytes}")]
     TooLong {
         /// Bytes found.
         bytes: usize,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// Sealed in a format that this build does not speak.
-    #[error("format version {found} is not known here: this build speaks version {ours}")]
+    #[error("format version {version} is not known here: this build speaks version {supported}")]
     UnknownVersion {
         /// The message's version.
-        found: u8,
+        version: u8,
         /// The version of this build.
-        ours: u8,
+        supported: u8,
     },
     /// No key of this member made the tag.
     #[error("the tag fits none of the keys")]
--- a/crates/fleet/src/rejection/tests.rs
+++ b/crates/fleet/src/rejection/tests.rs
@@ -5,8 +5,8 @@
     let (from, incarnation) = (MemberId(1), Incarnation(1));
     let rejections = [
         Rejection::TooShort { bytes: 1 },
-        Rejection::TooLong { bytes: 1, most: 0 },
-        Rejection::UnknownVersion { found: 2, ours: 1 },
+        Rejection::TooLong { bytes: 1, max_bytes: 0 },
+        Rejection::UnknownVersion { version: 2, supported: 1 },
         Rejection::Forged,
         Rejection::Replayed { from, counter: 1 },
         Rejection::Stale { from, counter: 1 },
--- a/crates/fleet/src/seal/mod.rs
+++ b/crates/fleet/src/seal/mod.rs
@@ -97,7 +97,7 @@
         };
         let (header, body) = signed.split_at(HEADER_BYTES);
         if header[0] != FORMAT {
-            return Err(Rejection::UnknownVersion { found: header[0], ours: FORMAT });
+            return Err(Rejection::UnknownVersion { version: header[0], supported: FORMAT });
         }
         let key = self.keys.matching_key(signed, tag).ok_or(Rejection::Forged)?;
         let field = |index: usize| {
--- a/crates/fleet/src/seal/tests.rs
+++ b/crates/fleet/src/seal/tests.rs
@@ -18,8 +18,11 @@
     for index in 0..good.len() {
         let mut bent = good.clone();
         bent[index] ^= 1;
-        let expected =
-            if index == 0 { Rejection::UnknownVersion { found: 0, ours: 1 } } else { Rejection::Forged };
+        let expected = if index == 0 {
+            Rejection::UnknownVersion { version: 0, supported: 1 }
+        } else {
+            Rejection::Forged
+        };
         assert_eq!(b.open(Channel::Datagram, 0, &bent), Err(expected));
     }
     assert!(matches!(b.open(Channel::Frame, 0, &good), Err(Rejection::Malformed { .. })));
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -76,24 +76,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// Below the least value that works.
-    #[error("{what} is {found}, and must be at least {least}")]
+    #[error("{setting} is {value}, and must be at least {min}")]
     TooSmall {
         /// Name of the setting.
-        what: &'static str,
+        setting: &'static str,
         /// What was found.
-        found: u64,
+        value: u64,
         /// The bound.
-        least: u64,
+        min: u64,
     },
     /// Above the greatest value that works.
-    #[error("{what} is {found}, and must be at most {most}")]
+    #[error("{setting} is {value}, and must be at most {max}")]
     TooLarge {
         /// Name of the setting.
-        what: &'static str,
+        setting: &'static str,
         /// What was found.
-        found: u64,
+        value: u64,
         /// The bound.
-        most: u64,
+        max: u64,
     },
     /// An advertised address that names no host or no port.
     #[error("{address} cannot be reached by others")]
@@ -122,13 +122,13 @@
 
 /// A setting with one of its bounds.
 struct Bound {
-    what: &'static str,
-    found: u64,
+    setting: &'static str,
+    value: u64,
     bound: u64,
 }
 
-fn bound(what: &'static str, found: u64, bound: u64) -> Bound {
-    Bound { what, found, bound }
+fn bound(setting: &'static str, value: u64, bound: u64) -> Bound {
+    Bound { setting, value, bound }
 }
 
 /// Longest time that a setting may name, in milliseconds: sums of such times cannot overflow.
@@ -137,15 +137,15 @@
 impl Settings {
     /// The first setting that is out of its bounds, if any. Nothing after this check has to doubt a setting.
     pub fn check(&self) -> Result<(), SettingsError> {
-        for Bound { what, found, bound: least } in self.lower_bounds() {
-            if found < least {
-                return Err(SettingsError::TooSmall { what, found, least });
+        for Bound { setting, value, bound: min } in self.lower_bounds() {
+            if value < min {
+                return Err(SettingsError::TooSmall { setting, value, min });
             }
         }
-        let time_bounds = self.times().map(|(what, found)| bound(what, found, MAX_TIME));
-        for Bound { what, found, bound: most } in self.upper_bounds().into_iter().chain(time_bounds) {
-            if found > most {
-                return Err(SettingsError::TooLarge { what, found, most });
+        let time_bounds = self.times().map(|(setting, value)| bound(setting, value, MAX_TIME));
+        for Bound { setting, value, bound: max } in self.upper_bounds().into_iter().chain(time_bounds) {
+            if value > max {
+                return Err(SettingsError::TooLarge { setting, value, max });
             }
         }
         Ok(())
--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -26,24 +26,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
     /// The key is too long.
-    #[error("a key of {bytes} bytes, kind {kind}, is over the bound of {most}")]
+    #[error("a key of {bytes} bytes, kind {kind}, is over the bound of {max_bytes}")]
     Key {
         /// Kind of the cell.
         kind: u16,
         /// Bytes found.
         bytes: usize,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// The value is too long.
-    #[error("a value of {bytes} bytes, kind {kind}, is over the bound of {most}")]
+    #[error("a value of {bytes} bytes, kind {kind}, is over the bound of {max_bytes}")]
     Value {
         /// Kind of the cell.
         kind: u16,
         /// Bytes found.
         bytes: usize,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// This member has too many cells already.
     #[error("{entries} cells are held for this member already, as many as the bound allows; kind {kind} found no room")]
@@ -55,7 +55,7 @@
     },
     /// The cells of this member would weigh too much.
     #[error(
-        "{bytes} bytes would be held for this member, over the bound of {most}; kind {kind} found no room"
+        "{bytes} bytes would be held for this member, over the bound of {max_bytes}; kind {kind} found no room"
     )]
     Bytes {
         /// Kind of the cell.
@@ -63,7 +63,7 @@
         /// Bytes found.
         bytes: usize,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// The kind is reserved for this crate.
     #[error("kind {kind} is kept for the fleet's own notes")]
@@ -116,17 +116,17 @@
         let kind = cell.id.kind;
         let (key, value) = (cell.id.key.len(), cell.value.as_ref().map_or(0, Vec::len));
         if key > self.key_bytes {
-            return Err(TableError::Key { kind, bytes: key, most: self.key_bytes });
+            return Err(TableError::Key { kind, bytes: key, max_bytes: self.key_bytes });
         }
         if value > self.value_bytes {
-            return Err(TableError::Value { kind, bytes: value, most: self.value_bytes });
+            return Err(TableError::Value { kind, bytes: value, max_bytes: self.value_bytes });
         }
         if entries >= self.entries_per_origin {
             return Err(TableError::Entries { kind, entries });
         }
         let bytes = bytes + cell.weight();
         if bytes > self.bytes_per_origin {
-            return Err(TableError::Bytes { kind, bytes, most: self.bytes_per_origin });
+            return Err(TableError::Bytes { kind, bytes, max_bytes: self.bytes_per_origin });
         }
         Ok(())
     }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -156,14 +156,14 @@
             Effect::MemberChanged { member, state } => {
                 self.nodes[node].changes.push((self.now, member.id, member.incarnation, state));
             }
-            Effect::OpenExchange { with, to } => self.exchange(node, usize::from(to.port()) - 7_000, with),
+            Effect::OpenExchange { peer, to } => self.exchange(node, usize::from(to.port()) - 7_000, peer),
             Effect::Superseded { .. } => self.nodes[node].superseded += 1,
             Effect::CellChanged { .. } => {}
         }
     }
 
     /// A stream between two members, its bytes cut at random.
-    fn exchange(&mut self, opener: usize, acceptor: usize, with: MemberId) {
+    fn exchange(&mut self, opener: usize, acceptor: usize, peer: MemberId) {
         let acceptor_node = &self.nodes[acceptor];
         if !acceptor_node.up
             || acceptor_node.stopped_until > self.now
@@ -172,7 +172,7 @@
             return;
         }
         self.exchanges += 1;
-        let (first, write) = self.nodes[opener].fleet.open_exchange(with).unwrap();
+        let (first, write) = self.nodes[opener].fleet.open_exchange(peer).unwrap();
         let mut sides = [(opener, first), (acceptor, Exchange::accept())];
         let (mut in_flight, mut turn) = (write, 1);
         while !in_flight.is_empty() {
--- a/crates/fleet/tests/on_call.rs
+++ b/crates/fleet/tests/on_call.rs
@@ -24,18 +24,18 @@
 fn the_page_has_every_error_and_its_advice() {
     let page =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/on-call.md")).unwrap();
-    let (from, to, with, incarnation) = (MemberId(1), MemberId(2), MemberId(3), Incarnation(1));
-    let rejections = all!(Rejection: TooShort { bytes: 1 }, TooLong { bytes: 2, most: 1 }, UnknownVersion { found: 2, ours: 1 }, Forged,
+    let (from, to, peer, incarnation) = (MemberId(1), MemberId(2), MemberId(3), Incarnation(1));
+    let rejections = all!(Rejection: TooShort { bytes: 1 }, TooLong { bytes: 2, max_bytes: 1 }, UnknownVersion { version: 2, supported: 1 }, Forged,
         Replayed { from: from, counter: 1 }, Stale { from: from, counter: 1 }, OldIncarnation { from: from, incarnation: incarnation },
         WrongRecipient { to: to, incarnation: incarnation }, OwnName { incarnation: incarnation }, Malformed { from: from }, Impersonated { from: from },
         Left);
-    let exchange = all!(ExchangeError: NotAMember { with: with }, TooLong { bytes: 2, most: 1 },
-        TooManyBytes { bytes: 2, most: 1 }, Rejection(Rejection::Forged), OutOfTurn { with: with });
+    let exchange = all!(ExchangeError: NotAMember { peer: peer }, TooLong { bytes: 2, max_bytes: 1 },
+        TooManyBytes { bytes: 2, max_bytes: 1 }, Rejection(Rejection::Forged), OutOfTurn { peer: peer });
     let keys = all!(KeyError: None, TooMany { found: 3 }, NotAKey { line: 1 }, TooShort { bytes: 1 });
-    let settings = all!(SettingsError: TooSmall { what: "x", found: 1, least: 2 },
-        TooLarge { what: "x", found: 2, most: 1 }, Address { address: ([0, 0, 0, 0], 0).into() });
-    let table = all!(TableError: Key { kind: 1, bytes: 2, most: 1 }, Value { kind: 1, bytes: 2, most: 1 },
-        Entries { kind: 1, entries: 1 }, Bytes { kind: 1, bytes: 2, most: 1 }, Reserved { kind: 0 });
+    let settings = all!(SettingsError: TooSmall { setting: "x", value: 1, min: 2 },
+        TooLarge { setting: "x", value: 2, max: 1 }, Address { address: ([0, 0, 0, 0], 0).into() });
+    let table = all!(TableError: Key { kind: 1, bytes: 2, max_bytes: 1 }, Value { kind: 1, bytes: 2, max_bytes: 1 },
+        Entries { kind: 1, entries: 1 }, Bytes { kind: 1, bytes: 2, max_bytes: 1 }, Reserved { kind: 0 });
     let every = rejections.iter().chain(&exchange).chain(&keys).chain(&settings).chain(&table);
     for (name, advice) in every {
         // What an exchange passes on has the advice of what it passes on.
--- a/crates/fleet/tests/stored_datagrams.rs
+++ b/crates/fleet/tests/stored_datagrams.rs
@@ -140,7 +140,7 @@
     assert_eq!(sends("datagram swim_announcement"), 1);
     assert_eq!(of("datagram cells").iter().filter(|e| matches!(e, Effect::CellChanged { .. })).count(), 3);
     assert!(sends("datagram digests") > 0);
-    assert_eq!(of("datagram whole")[..], [Effect::OpenExchange { with: id(SENDER), to: address(1) }]);
+    assert_eq!(of("datagram whole")[..], [Effect::OpenExchange { peer: id(SENDER), to: address(1) }]);
 }
 
 #[test]
--- a/gateway/src/fleet/config.rs
+++ b/gateway/src/fleet/config.rs
@@ -90,9 +90,11 @@
     let File { fleet: section } = toml::from_str(&text).map_err(|error| syntax_error(path, &text, &error))?;
     let figure = |error| FleetError::Figure { file: file(), error };
     section.figures().check().map_err(figure)?;
-    for (what, found) in [("exchange_time", section.exchange_time), ("exchanges", section.exchanges as u64)] {
-        if found == 0 {
-            return Err(figure(glenrail_fleet::SettingsError::TooSmall { what, found, least: 1 }));
+    for (setting, value) in
+        [("exchange_time", section.exchange_time), ("exchanges", section.exchanges as u64)]
+    {
+        if value == 0 {
+            return Err(figure(glenrail_fleet::SettingsError::TooSmall { setting, value, min: 1 }));
         }
     }
     Ok(section)
--- a/gateway/src/fleet/driver.rs
+++ b/gateway/src/fleet/driver.rs
@@ -116,7 +116,7 @@
                 self.updates.send_modify(|updates| *updates += 1);
             }
             Effect::CellChanged { .. } => self.updates.send_modify(|updates| *updates += 1),
-            Effect::OpenExchange { with, to } => (self.open_exchange)(self, with, to),
+            Effect::OpenExchange { peer, to } => (self.open_exchange)(self, peer, to),
             Effect::Superseded { incarnation } => {
                 let rejection = Rejection::OwnName { incarnation };
                 log!(
--- a/gateway/tests/on_call.rs
+++ b/gateway/tests/on_call.rs
@@ -24,7 +24,7 @@
     let io = || Error::other("x");
     let at = || ([127, 0, 0, 1], 1).into();
     let file = || PathBuf::from("f");
-    let figure = SettingsError::TooSmall { what: "x", found: 1, least: 2 };
+    let figure = SettingsError::TooSmall { setting: "x", value: 1, min: 2 };
     let all = [
         all!(FleetError: Unreadable { file: file(), error: io() },
             Line { file: file(), line: 1, what: String::new() }, Figure { file: file(), error: figure },
@@ -38,7 +38,7 @@
         all!(WireError: Send { to: at(), error: io() }, Receive(io()), Accept(io()),
             Broken { with: at(), error: io() }, Closed { with: at() }, TimedOut { with: at(), most: 1 },
             TooManyStreams { with: at(), most: 1 },
-            Exchange { with: at(), error: ExchangeError::NotAMember { with: MemberId(1) } }),
+            Exchange { with: at(), error: ExchangeError::NotAMember { peer: MemberId(1) } }),
     ];
     // What is passed on has the advice of what it passes on, in rows of its own.
     let passed = [
