--- a/crates/fleet/src/fleet/effect.rs
+++ b/crates/fleet/src/fleet/effect.rs
@@ -14,7 +14,7 @@
         /// The sealed message.
         bytes: Vec<u8>,
     },
-    /// Call [`crate::Fleet::timer`] with the token, `after` milliseconds from now or later.
+    /// Call [`crate::Fleet::handle_timer`] with the token, `after` milliseconds from now or later.
     Timer {
         /// Milliseconds.
         after: u64,
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -126,7 +126,7 @@
     }
 
     /// Handles bytes that were read from the stream. After an error the stream must be closed.
-    pub fn exchange(
+    pub fn handle_exchange_bytes(
         &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<Step, ExchangeError> {
         let max_bytes = self.settings.bytes_total * 2 + MAX_FRAME_BYTES;
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -66,11 +66,11 @@
         if address.ip().is_unspecified() || address.port() == 0 {
             return Err(SettingsError::Address { address });
         }
-        let me = Member { id: MemberId::of_name(name), incarnation, rejoins: 0, address };
+        let local = Member { id: MemberId::of_name(name), incarnation, rejoins: 0, address };
         Ok(Fleet {
-            membership: Membership::new(me, &settings, seed),
-            sealer: Sealer::new(me.id, incarnation, keys, settings.windows),
-            table: Table::new(me.id, Bounds::of(&settings)),
+            membership: Membership::new(local, &settings, seed),
+            sealer: Sealer::new(local.id, incarnation, keys, settings.windows),
+            table: Table::new(local.id, Bounds::of(&settings)),
             gossip_queue: GossipQueue::default(),
             timers: Timers::default(),
             random: StdRng::seed_from_u64(!seed),
@@ -95,19 +95,19 @@
 
     /// Handles one datagram. Its source address is not used: the seal names the sender, and answers go to the
     /// addresses that members advertise.
-    pub fn datagram(
+    pub fn handle_datagram(
         &mut self, now: u64, _from: SocketAddr, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
         self.counters.datagrams_in += 1;
         self.counters.bytes_in += bytes.len() as u64;
-        let result = self.handle_datagram(now, bytes, effects);
+        let result = self.process_datagram(now, bytes, effects);
         if let Err(rejection) = result {
             self.reject(rejection, effects);
         }
         result
     }
 
-    fn handle_datagram(
+    fn process_datagram(
         &mut self, now: u64, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
@@ -129,7 +129,9 @@
             Body::Swim(packet) => {
                 let source = Membership::source(&packet).ok_or(malformed)?;
                 self.check_sender(&sender, &source)?;
-                self.membership_step(now, effects, |membership, output| membership.packet(&packet, output));
+                self.membership_step(now, effects, |membership, output| {
+                    membership.handle_packet(&packet, output)
+                });
             }
             Body::Cells(cells) => self.merge_cells(now, &cells, effects),
             Body::Digests { from, to, digests } => {
@@ -154,14 +156,14 @@
     fn reject(&mut self, rejection: Rejection, effects: &mut Vec<Effect>) {
         self.counters.rejected[rejection.reason()] += 1;
         if let Rejection::OwnName { incarnation } = rejection {
-            if incarnation > self.membership.me().incarnation {
+            if incarnation > self.membership.local_member().incarnation {
                 effects.push(Effect::Superseded { incarnation });
             }
         }
     }
 
     /// Handles a timer that fired. A token that is unknown, or that fired before, is ignored.
-    pub fn timer(&mut self, now: u64, token: u64, effects: &mut Vec<Effect>) {
+    pub fn handle_timer(&mut self, now: u64, token: u64, effects: &mut Vec<Effect>) {
         let Some((due, late)) = self.timers.claim(token, now) else { return };
         if self.has_left {
             return;
@@ -170,7 +172,7 @@
         match due {
             Due::Swim(timer) => {
                 self.membership_step(now, effects, |membership, output| {
-                    membership.timer(timer, late, output)
+                    membership.handle_timer(timer, late, output)
                 });
             }
             Due::Gossip => {
@@ -208,10 +210,10 @@
     fn write_cell(
         &mut self, now: u64, kind: u16, key: &[u8], value: Option<Vec<u8>>,
     ) -> Result<u64, TableError> {
-        let me = self.membership.me();
-        let id = CellId { origin: me.id, kind, key: key.to_vec() };
-        let version = self.table.next_version(me.id);
-        let cell = Cell::new(id, me.incarnation, version, 0, value);
+        let local = self.membership.local_member();
+        let id = CellId { origin: local.id, kind, key: key.to_vec() };
+        let version = self.table.next_version(local.id);
+        let cell = Cell::new(id, local.incarnation, version, 0, value);
         self.table.check_room(&cell)?;
         if self.table.merge(now, &cell) == MergeOutcome::Applied {
             self.gossip_queue.add(cell.id);
@@ -222,9 +224,10 @@
     /// Announces to all active members that this one leaves. It handles nothing after that.
     pub fn leave(&mut self, now: u64, effects: &mut Vec<Effect>) {
         // Not written to the table: a full table must not prevent a member from leaving.
-        let me = self.membership.me();
-        let id = CellId { origin: me.id, kind: LEAVING, key: Vec::new() };
-        let announcement = Cell::new(id, me.incarnation, self.table.next_version(me.id), 0, Some(Vec::new()));
+        let local = self.membership.local_member();
+        let id = CellId { origin: local.id, kind: LEAVING, key: Vec::new() };
+        let announcement =
+            Cell::new(id, local.incarnation, self.table.next_version(local.id), 0, Some(Vec::new()));
         let body = Body::Cells(vec![announcement]);
         for member in &self.active() {
             self.send(member, &body, effects);
@@ -239,8 +242,8 @@
     }
 
     /// This member, as it announces itself now.
-    pub fn me(&self) -> Member {
-        self.membership.me()
+    pub fn local_member(&self) -> Member {
+        self.membership.local_member()
     }
 
     /// The other members with their states, in the order of their ids; those that failed or left until they are
@@ -270,7 +273,7 @@
     }
 
     /// Number of active members, this one included.
-    fn size(&self) -> usize {
+    fn active_count(&self) -> usize {
         self.membership.active().count() + 1
     }
 
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -52,19 +52,19 @@
         let theirs: BTreeMap<_, _> = theirs.iter().map(|digest| (digest.origin, digest)).collect();
         let mine = self.table.digests(*range.start(), *range.end());
         // This member never requests its own cells.
-        let me = self.membership.me().id;
+        let local_id = self.membership.local_member().id;
         let mut requests: Vec<Digest> = Vec::new();
         let mut missing_at_peer = Vec::new();
         for digest in &mine {
             let reconciliation = compare(Some(digest), theirs.get(&digest.origin).copied());
             missing_at_peer.extend(reconciliation.send_above.map(|above| (digest.origin, above)));
-            if reconciliation.request && digest.origin != me {
+            if reconciliation.request && digest.origin != local_id {
                 requests.push(*digest);
             }
         }
         for (origin, digest) in &theirs {
             let unknown = mine.binary_search_by_key(origin, |digest| digest.origin).is_err();
-            if unknown && range.contains(origin) && *origin != me {
+            if unknown && range.contains(origin) && *origin != local_id {
                 requests.push(Digest { cells: 0, newest_version: 0, hash: 0, truncated: false, ..**digest });
             }
         }
--- a/crates/fleet/src/fleet/rounds.rs
+++ b/crates/fleet/src/fleet/rounds.rs
@@ -26,7 +26,7 @@
         if self.gossip_queue.is_empty() {
             return;
         }
-        let (members, active) = (self.size(), self.active());
+        let (members, active) = (self.active_count(), self.active());
         for member in self.gossip_order.next(self.settings.round_members, &active, &mut self.random) {
             match self.next_batch(now) {
                 Batch::Cells(cells) if cells.is_empty() => {}
@@ -90,7 +90,7 @@
     }
 
     fn hello(&mut self) -> Vec<u8> {
-        let body = Body::Hello(self.membership.me()).bytes();
+        let body = Body::Hello(self.membership.local_member()).bytes();
         self.sealer.seal(Channel::Datagram, None, &body)
     }
 
@@ -98,7 +98,9 @@
     pub(super) fn expire(&mut self, now: u64) {
         self.table.expire(now);
         self.gossip_queue.retain(|id| self.table.contains(id));
-        for cell in self.table.values_older_than(now, self.membership.me().id, self.settings.entry_age / 3) {
+        for cell in
+            self.table.values_older_than(now, self.membership.local_member().id, self.settings.entry_age / 3)
+        {
             // Cannot exceed a bound: the cell replaces itself.
             let _ = self.write_cell(now, cell.id.kind, &cell.id.key, cell.value);
         }
@@ -107,7 +109,7 @@
     /// Merges cells that others sent, and queues new ones for gossip. Ignored are cells of this member, and those of a
     /// known member in another incarnation: a restart must be announced by the member before its cells count.
     pub(super) fn merge_cells(&mut self, now: u64, cells: &[Cell], effects: &mut Vec<Effect>) {
-        let members = self.size();
+        let members = self.active_count();
         for cell in cells {
             if !self.may_merge(cell) {
                 continue;
@@ -123,7 +125,7 @@
 
     fn may_merge(&self, cell: &Cell) -> bool {
         let origin = cell.id.origin;
-        if origin == self.membership.me().id {
+        if origin == self.membership.local_member().id {
             return false;
         }
         match self.membership.get(origin) {
--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -26,20 +26,20 @@
         for effect in effects {
             let Effect::Send { to, bytes } = effect else { continue };
             let fleet = if to == address(1) { &mut a } else { &mut b };
-            fleet.datagram(0, address(9), &bytes, &mut next).unwrap();
+            fleet.handle_datagram(0, address(9), &bytes, &mut next).unwrap();
         }
         effects = next;
     }
-    assert!(a.size() == 2 && b.size() == 2);
+    assert!(a.active_count() == 2 && b.active_count() == 2);
     (a, b)
 }
 
 /// `from` says `body` to `to`.
 fn send(from: &mut Fleet, to: &mut Fleet, body: &Body) -> (Result<(), Rejection>, Vec<Effect>) {
     let mut effects = Vec::new();
-    from.send(&to.me(), body, &mut effects);
+    from.send(&to.local_member(), body, &mut effects);
     let Some(Effect::Send { bytes, .. }) = effects.pop() else { panic!("nothing sent") };
-    let result = to.datagram(0, address(9), &bytes, &mut effects);
+    let result = to.handle_datagram(0, address(9), &bytes, &mut effects);
     (result, effects)
 }
 
@@ -57,14 +57,18 @@
 fn nobody_speaks_for_ones_own_cells_nor_gives_a_member_another_life() {
     let (mut a, mut b) = pair();
     b.put(0, 7, b"k", b"truth".to_vec()).unwrap();
-    let lies =
-        vec![cell(b.me().id, 5, 99), cell(b.me().id, 6, 1), cell(a.me().id, 4, 9), cell(a.me().id, 9, 9)];
+    let lies = vec![
+        cell(b.local_member().id, 5, 99),
+        cell(b.local_member().id, 6, 1),
+        cell(a.local_member().id, 4, 9),
+        cell(a.local_member().id, 9, 9),
+    ];
     let (result, effects) = send(&mut a, &mut b, &Body::Cells(lies));
     assert_eq!((result, effects), (Ok(()), Vec::new()));
-    assert_eq!(b.table().get(b.me().id, 7, b"k"), Some((1, &b"truth"[..])));
+    assert_eq!(b.table().get(b.local_member().id, 7, b"k"), Some((1, &b"truth"[..])));
     assert_eq!(b.table().len(), 1);
     // Of those that are no members, as of its own life, cells are carried.
-    let good = vec![cell(MemberId(77), 1, 1), cell(a.me().id, 5, 1)];
+    let good = vec![cell(MemberId(77), 1, 1), cell(a.local_member().id, 5, 1)];
     let (_, effects) = send(&mut a, &mut b, &Body::Cells(good));
     assert_eq!((effects.len(), b.table().len()), (2, 3));
 }
@@ -72,17 +76,20 @@
 #[test]
 fn impersonated_and_malformed_messages_are_rejected_and_counted() {
     let (mut a, mut b) = pair();
-    let from = a.me().id;
-    let other = Member { id: MemberId(77), ..a.me() };
+    let from = a.local_member().id;
+    let other = Member { id: MemberId(77), ..a.local_member() };
     assert_eq!(send(&mut a, &mut b, &Body::Hello(other)).0, Err(Rejection::Impersonated { from }));
     let malformed = Err(Rejection::Malformed { from });
     assert_eq!(send(&mut a, &mut b, &Body::Swim(vec![255; 9])).0, malformed);
     assert_eq!(send(&mut a, &mut b, &Body::ExchangeOpen(Vec::new())).0, malformed);
     // Meant for whoever listens: a greeting alone.
     let bytes = a.sealer.seal(Channel::Datagram, None, &Body::ExchangeNeeded.bytes());
-    assert_eq!(b.datagram(0, address(1), &bytes, &mut Vec::new()), malformed);
+    assert_eq!(b.handle_datagram(0, address(1), &bytes, &mut Vec::new()), malformed);
     let long = vec![0; MAX_DATAGRAM_BYTES + 1];
-    assert!(matches!(b.datagram(0, address(1), &long, &mut Vec::new()), Err(Rejection::TooLong { .. })));
+    assert!(matches!(
+        b.handle_datagram(0, address(1), &long, &mut Vec::new()),
+        Err(Rejection::TooLong { .. })
+    ));
     let counted = &b.counters().rejected;
     assert_eq!((counted[Rejection::Malformed { from }.reason()], counted.iter().sum()), (3, 5));
 }
@@ -104,27 +111,30 @@
     assert!(matches!(a.open_exchange(none), Err(ExchangeError::NotAMember { peer }) if peer == none));
     let mut accepted = Exchange::accept();
     let long = ((MAX_FRAME_BYTES + 1) as u32).to_le_bytes();
-    let ended = b.exchange(0, &mut accepted, &long, &mut effects);
+    let ended = b.handle_exchange_bytes(0, &mut accepted, &long, &mut effects);
     assert_eq!(ended, Err(ExchangeError::TooLong { bytes: MAX_FRAME_BYTES + 1, max_bytes: MAX_FRAME_BYTES }));
     // The first frame must say what the opener holds.
     let mut write = Vec::new();
-    a.write_frame((b.me().id, Incarnation(5)), &Body::ExchangeDone(Vec::new()), &mut write);
-    let ended = b.exchange(0, &mut Exchange::accept(), &write, &mut effects);
-    assert_eq!(ended, Err(ExchangeError::OutOfTurn { peer: a.me().id }));
+    a.write_frame((b.local_member().id, Incarnation(5)), &Body::ExchangeDone(Vec::new()), &mut write);
+    let ended = b.handle_exchange_bytes(0, &mut Exchange::accept(), &write, &mut effects);
+    assert_eq!(ended, Err(ExchangeError::OutOfTurn { peer: a.local_member().id }));
     // A recorded first frame, played again.
-    let (_, first) = a.open_exchange(b.me().id).unwrap();
-    assert!(b.exchange(0, &mut Exchange::accept(), &first, &mut effects).is_ok());
-    let ended = b.exchange(0, &mut Exchange::accept(), &first, &mut effects);
+    let (_, first) = a.open_exchange(b.local_member().id).unwrap();
+    assert!(b.handle_exchange_bytes(0, &mut Exchange::accept(), &first, &mut effects).is_ok());
+    let ended = b.handle_exchange_bytes(0, &mut Exchange::accept(), &first, &mut effects);
     assert!(matches!(ended, Err(ExchangeError::Rejection(Rejection::Replayed { .. }))));
     assert_eq!(b.counters().rejected[4], 1);
     // Cut anywhere, nothing is done before a frame is whole.
-    let (_, first) = a.open_exchange(b.me().id).unwrap();
+    let (_, first) = a.open_exchange(b.local_member().id).unwrap();
     let mut accepted = Exchange::accept();
     for byte in &first[..first.len() - 1] {
-        assert!(b.exchange(0, &mut accepted, &[*byte], &mut effects).unwrap().write.is_empty());
+        assert!(b.handle_exchange_bytes(0, &mut accepted, &[*byte], &mut effects).unwrap().write.is_empty());
     }
     assert!(
-        b.exchange(0, &mut accepted, &first[first.len() - 1..], &mut effects).unwrap().write.len()
+        b.handle_exchange_bytes(0, &mut accepted, &first[first.len() - 1..], &mut effects)
+            .unwrap()
+            .write
+            .len()
             > SEAL_OVERHEAD_BYTES
     );
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,8 +9,8 @@
 //!   repairs what gossip lost.
 //! - [`seal`] authenticates each message with the fleet's key, and rejects replays and messages for other members.
 //!
-//! A driver sends one datagram for each [`Effect::Send`], calls [`Fleet::timer`] once for each [`Effect::Timer`],
-//! and for each [`Effect::OpenExchange`] opens a stream, calls [`Fleet::open_exchange`], then [`Fleet::exchange`]
+//! A driver sends one datagram for each [`Effect::Send`], calls [`Fleet::handle_timer`] once for each [`Effect::Timer`],
+//! and for each [`Effect::OpenExchange`] opens a stream, calls [`Fleet::open_exchange`], then [`Fleet::handle_exchange_bytes`]
 //! with what it reads until the exchange is finished. For each accepted stream it starts with [`Exchange::accept`]
 //! and goes on likewise.
 //!
@@ -24,7 +24,7 @@
 //! fleet.start(0, &mut effects);
 //! assert!(matches!(&effects[0], Effect::Send { to, .. } if *to == b));
 //! fleet.put(0, 7, b"level", vec![3])?;
-//! assert_eq!(fleet.table().get(fleet.me().id, 7, b"level"), Some((1, &[3][..])));
+//! assert_eq!(fleet.table().get(fleet.local_member().id, 7, b"level"), Some((1, &[3][..])));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -102,14 +102,14 @@
 
 impl Membership {
     /// Membership of `me` alone; `seed` determines the choice of the members to probe.
-    pub(crate) fn new(me: Member, settings: &Settings, seed: u64) -> Membership {
+    pub(crate) fn new(local: Member, settings: &Settings, seed: u64) -> Membership {
         let random = StdRng::seed_from_u64(seed);
-        let foca = Foca::new(me, config(settings), random, PostcardCodec);
+        let foca = Foca::new(local, config(settings), random, PostcardCodec);
         Membership { foca, members: BTreeMap::new(), suspicion_timeout: settings.suspect }
     }
 
     /// This member, as it announces itself now.
-    pub(crate) fn me(&self) -> Member {
+    pub(crate) fn local_member(&self) -> Member {
         *self.foca.identity()
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Handles a packet of the library from another member.
-    pub(crate) fn packet(
+    pub(crate) fn handle_packet(
         &mut self, packet: &[u8], output: &mut MembershipOutput,
     ) -> Result<(), MembershipError> {
         self.foca.handle_data(packet, output).map_err(|_| MembershipError)
@@ -151,7 +151,7 @@
     /// Handles a timer that fires `late` milliseconds after its time. After a long stop of this process, a suspicion
     /// that would have timed out meanwhile gets its whole time again: the suspect's refutation could not be received
     /// here.
-    pub(crate) fn timer(
+    pub(crate) fn handle_timer(
         &mut self, timer: Timer<Member>, late: u64, output: &mut MembershipOutput,
     ) -> Result<(), MembershipError> {
         if late >= self.suspicion_timeout / 2 && matches!(timer, Timer::ChangeSuspectToDown { .. }) {
@@ -189,9 +189,9 @@
     pub(crate) fn changes(
         &mut self, announced_leave: impl Fn(MemberId, Incarnation) -> bool,
     ) -> Vec<(Member, MemberState)> {
-        let me = self.foca.identity().id;
+        let local_id = self.foca.identity().id;
         let mut current = BTreeMap::new();
-        for entry in self.foca.iter_membership_state().filter(|entry| entry.id().id != me) {
+        for entry in self.foca.iter_membership_state().filter(|entry| entry.id().id != local_id) {
             let member = *entry.id();
             let is_known = self.members.contains_key(&member.id);
             let state = match entry.state() {
--- a/crates/fleet/src/seal/mod.rs
+++ b/crates/fleet/src/seal/mod.rs
@@ -52,7 +52,7 @@
 
 /// Seals this member's messages, and opens those of others.
 pub struct Sealer {
-    me: (MemberId, Incarnation),
+    local: (MemberId, Incarnation),
     keys: Keyring,
     counters: [u64; 2],
     senders: SenderWindows,
@@ -61,7 +61,7 @@
 impl Sealer {
     /// For the member `id` in this incarnation. Replay windows of at most `windows` senders are kept.
     pub fn new(id: MemberId, incarnation: Incarnation, keys: Keyring, windows: usize) -> Sealer {
-        Sealer { me: (id, incarnation), keys, counters: [0; 2], senders: SenderWindows::new(windows) }
+        Sealer { local: (id, incarnation), keys, counters: [0; 2], senders: SenderWindows::new(windows) }
     }
 
     /// Replaces the keys: from now on the first of these signs, and all verify.
@@ -76,7 +76,7 @@
         let (to, to_life) = to.unwrap_or((MemberId(0), Incarnation(0)));
         let mut sealed = Vec::with_capacity(SEAL_OVERHEAD_BYTES + body.len());
         sealed.extend([FORMAT, channel as u8]);
-        for field in [self.me.0 .0, self.me.1 .0, *counter, to.0, to_life.0] {
+        for field in [self.local.0 .0, self.local.1 .0, *counter, to.0, to_life.0] {
             sealed.extend(field.to_le_bytes());
         }
         sealed.extend(body);
@@ -111,10 +111,10 @@
             return Err(Rejection::Malformed { from });
         }
         let addressed = to != (MemberId(0), Incarnation(0));
-        if addressed && to != self.me {
+        if addressed && to != self.local {
             return Err(Rejection::WrongRecipient { to: to.0, incarnation: to.1 });
         }
-        if from == self.me.0 {
+        if from == self.local.0 {
             return Err(Rejection::OwnName { incarnation });
         }
         self.senders.accept(from, incarnation, channel, counter, now)?;
--- a/crates/fleet/src/table/mod.rs
+++ b/crates/fleet/src/table/mod.rs
@@ -43,13 +43,13 @@
     origins: BTreeMap<MemberId, Origin>,
     bytes: usize,
     /// Id of this member, whose cells are never evicted for those of others.
-    own: MemberId,
+    local_id: MemberId,
 }
 
 impl Table {
     /// An empty table of the member `own`.
-    pub fn new(own: MemberId, bounds: Bounds) -> Table {
-        Table { bounds, origins: BTreeMap::new(), bytes: 0, own }
+    pub fn new(local_id: MemberId, bounds: Bounds) -> Table {
+        Table { bounds, origins: BTreeMap::new(), bytes: 0, local_id }
     }
 
     /// Number of cells, tombstones included.
@@ -104,7 +104,7 @@
             if cell.incarnation < origin.incarnation {
                 return MergeOutcome::Stale;
             }
-        } else if self.origins.len() >= self.bounds.origins && cell.id.origin != self.own {
+        } else if self.origins.len() >= self.bounds.origins && cell.id.origin != self.local_id {
             return MergeOutcome::OverBounds;
         }
         self.advance_incarnation(cell.id.origin, cell.incarnation);
@@ -126,7 +126,8 @@
 
     /// Whether a cell of this member fits, without the one that it replaces.
     pub(crate) fn check_room(&self, cell: &Cell) -> Result<(), TableError> {
-        let (entries, bytes) = self.origins.get(&self.own).map_or((0, 0), |own| own.usage_without(&cell.id));
+        let (entries, bytes) =
+            self.origins.get(&self.local_id).map_or((0, 0), |local| local.usage_without(&cell.id));
         self.bounds.check_room(cell, entries, bytes)
     }
 
@@ -146,7 +147,7 @@
     /// own cells.
     fn evict(&mut self) {
         while self.bytes > self.bounds.bytes_total {
-            let others = self.origins.iter_mut().filter(|(id, _)| **id != self.own);
+            let others = self.origins.iter_mut().filter(|(id, _)| **id != self.local_id);
             let Some((_, heaviest)) = others.max_by_key(|(_, origin)| origin.bytes) else { return };
             let before = heaviest.bytes;
             if !heaviest.drop_oldest() {
@@ -163,8 +164,8 @@
             origin.expire(now, &self.bounds);
             self.bytes -= before - origin.bytes;
         }
-        let own = self.own;
-        self.origins.retain(|id, origin| origin.len() > 0 || *id == own);
+        let local_id = self.local_id;
+        self.origins.retain(|id, origin| origin.len() > 0 || *id == local_id);
     }
 
     /// One digest for each origin within `from..=to`, in order.
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -50,9 +50,11 @@
 /// What the sender answers the receiver's announcement with, when the third is the only other member it knows.
 fn feed() -> Vec<u8> {
     let mut sender = membership(sender());
-    sender.packet(&announcement(third(), sender.me()), &mut MembershipOutput::default()).unwrap();
+    sender
+        .handle_packet(&announcement(third(), sender.local_member()), &mut MembershipOutput::default())
+        .unwrap();
     let mut output = MembershipOutput::default();
-    sender.packet(&announcement(receiver(), sender.me()), &mut output).unwrap();
+    sender.handle_packet(&announcement(receiver(), sender.local_member()), &mut output).unwrap();
     output.sends.into_iter().find(|(to, _)| *to == receiver()).unwrap().1
 }
 
@@ -164,7 +166,7 @@
         let (_, body) = opener.open(Channel::Datagram, 0, sealed).unwrap();
         let Some(Body::Swim(packet)) = Body::read(body) else { continue };
         assert_eq!(Membership::source(&packet), Some(sender()));
-        receiver.packet(&packet, &mut MembershipOutput::default()).unwrap();
+        receiver.handle_packet(&packet, &mut MembershipOutput::default()).unwrap();
         packets += 1;
     }
     assert_eq!(packets, 2);
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -73,7 +73,7 @@
         let healed = net.until(30_000, Net::all_know_all);
         assert!(healed.is_some(), "seed {seed}");
         assert!(
-            net.nodes.iter().all(|node| node.fleet.me().incarnation == Incarnation(1)),
+            net.nodes.iter().all(|node| node.fleet.local_member().incarnation == Incarnation(1)),
             "a cut is no new life"
         );
     }
@@ -144,7 +144,7 @@
             !declared_failed,
             "seed {seed}: those that answered all the time are not found gone by the sleeper"
         );
-        assert_eq!(net.nodes[1].fleet.me().incarnation, Incarnation(1));
+        assert_eq!(net.nodes[1].fleet.local_member().incarnation, Incarnation(1));
         assert!(net.until(10_000, |net| net.same_values(7, 1)).is_some(), "what it holds stays good");
     }
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -183,7 +183,8 @@
                 let chunk: Vec<u8> = in_flight.drain(..cut).collect();
                 let (node, side) = &mut sides[turn];
                 let mut effects = Vec::new();
-                let step = self.nodes[*node].fleet.exchange(self.now, side, &chunk, &mut effects);
+                let step =
+                    self.nodes[*node].fleet.handle_exchange_bytes(self.now, side, &chunk, &mut effects);
                 let node = *node;
                 effects.into_iter().for_each(|effect| self.carry_out(node, effect));
                 // After an error the driver closes the stream.
@@ -225,10 +226,11 @@
             match event {
                 _ if !up => {}
                 Event::Datagram { from, bytes, .. } => {
-                    let _ = self.step(node, |fleet, now, effects| fleet.datagram(now, from, &bytes, effects));
+                    let _ = self
+                        .step(node, |fleet, now, effects| fleet.handle_datagram(now, from, &bytes, effects));
                 }
                 Event::Timer { run: requested_by, token, .. } if requested_by == run => {
-                    self.step(node, |fleet, now, effects| fleet.timer(now, token, effects));
+                    self.step(node, |fleet, now, effects| fleet.handle_timer(now, token, effects));
                 }
                 Event::Timer { .. } => {}
             }
--- a/crates/fleet/tests/stored_datagrams.rs
+++ b/crates/fleet/tests/stored_datagrams.rs
@@ -89,7 +89,7 @@
     let mut effects = Vec::new();
     for (name, sealed) in stored_on("datagram") {
         let mut step_effects = Vec::new();
-        assert_eq!(fleet.datagram(0, address(9), &sealed, &mut step_effects), Ok(()), "{name}");
+        assert_eq!(fleet.handle_datagram(0, address(9), &sealed, &mut step_effects), Ok(()), "{name}");
         effects.push((name, step_effects));
     }
     (fleet, effects)
@@ -153,7 +153,7 @@
     for (name, sealed) in stored_on("frame") {
         assert!(!is_finished, "{name}");
         let framed = [&(sealed.len() as u32).to_le_bytes()[..], &sealed].concat();
-        let step = fleet.exchange(0, &mut exchange, &framed, &mut Vec::new()).unwrap();
+        let step = fleet.handle_exchange_bytes(0, &mut exchange, &framed, &mut Vec::new()).unwrap();
         written.extend(step.write);
         is_finished = step.is_finished;
     }
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -113,7 +113,7 @@
         // Again to the same, to each other one, bent, and to a later life of the same.
         for node in 0..3 {
             let rejection =
-                net.step(node, |fleet, now, effects| fleet.datagram(now, address(9), bytes, effects));
+                net.step(node, |fleet, now, effects| fleet.handle_datagram(now, address(9), bytes, effects));
             let is_replayed = matches!(rejection, Err(Rejection::Replayed { .. }));
             let is_for_another =
                 matches!(rejection, Err(Rejection::WrongRecipient { .. } | Rejection::OwnName { .. }));
@@ -122,14 +122,15 @@
         let mut altered = bytes.clone();
         altered[30] ^= 4;
         let rejection =
-            net.step(*to, |fleet, now, effects| fleet.datagram(now, address(9), &altered, effects));
+            net.step(*to, |fleet, now, effects| fleet.handle_datagram(now, address(9), &altered, effects));
         assert_eq!(rejection, Err(Rejection::Forged));
     }
     assert_eq!(net.nodes[1].fleet.table().get(net::id(0), 7, b"k").unwrap().1, b"second");
     net.kill(1);
     net.restart(1, 2);
     for (to, bytes) in recorded.iter().filter(|(to, _)| *to == 1) {
-        let rejection = net.step(*to, |fleet, now, effects| fleet.datagram(now, address(9), bytes, effects));
+        let rejection =
+            net.step(*to, |fleet, now, effects| fleet.handle_datagram(now, address(9), bytes, effects));
         assert!(matches!(rejection, Err(Rejection::WrongRecipient { .. })));
     }
     let counted = &net.nodes[0].fleet.counters().rejected;
@@ -158,7 +159,7 @@
     let mut effects = Vec::new();
     second.start(0, &mut effects);
     let Effect::Send { bytes, .. } = &effects[0] else { panic!("{effects:?}") };
-    let rejection = net.step(0, |fleet, now, effects| fleet.datagram(now, address(2), bytes, effects));
+    let rejection = net.step(0, |fleet, now, effects| fleet.handle_datagram(now, address(2), bytes, effects));
     assert_eq!(rejection, Err(Rejection::OwnName { incarnation: Incarnation(5) }));
     assert_eq!(net.nodes[0].superseded, 1);
 }
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -105,8 +105,9 @@
         if bytes == 0 {
             return Err(WireError::Closed { with });
         }
-        let stepped =
-            driver.step(|fleet, now, effects| fleet.exchange(now, &mut exchange, &buffer[..bytes], effects));
+        let stepped = driver.step(|fleet, now, effects| {
+            fleet.handle_exchange_bytes(now, &mut exchange, &buffer[..bytes], effects)
+        });
         let step = stepped.map_err(|error| WireError::Exchange { with, error })?;
         stream.write_all(&step.write).await.map_err(broken)?;
         if step.is_finished {
--- a/gateway/src/fleet/figures.rs
+++ b/gateway/src/fleet/figures.rs
@@ -19,7 +19,7 @@
 pub(super) fn members(driver: &Driver) -> Value {
     driver.inspect(|fleet| {
         let others: Vec<_> = fleet.members().map(|(member, state)| member_row(member, state)).collect();
-        json!({"me": member_row(&fleet.me(), MemberState::Alive), "others": others})
+        json!({"me": member_row(&fleet.local_member(), MemberState::Alive), "others": others})
     })
 }
 
--- a/gateway/src/fleet/tasks.rs
+++ b/gateway/src/fleet/tasks.rs
@@ -22,7 +22,7 @@
     // Once the port is bound: the process before has the member's identity as long as it has the port.
     let incarnation = start.next_incarnation()?;
     let fleet = new_fleet(start, keys, incarnation, address)?;
-    let id = fleet.me().id.0;
+    let id = fleet.local_member().id.0;
     log!(
         "fleet: {} is member {id:016x}, life {}, at {address}, bound to {bound}",
         start.member,
--- a/gateway/src/fleet/timers.rs
+++ b/gateway/src/fleet/timers.rs
@@ -16,7 +16,7 @@
             () = driver.timers.earlier_added() => continue,
         }
         while let Some(token) = driver.timers.pop_due(driver.now()) {
-            driver.step(|fleet, now, effects| fleet.timer(now, token, effects));
+            driver.step(|fleet, now, effects| fleet.handle_timer(now, token, effects));
         }
     }
 }
--- a/gateway/src/fleet/udp.rs
+++ b/gateway/src/fleet/udp.rs
@@ -16,8 +16,8 @@
     loop {
         match driver.sockets.receiver.recv_from(&mut buffer).await {
             Ok((bytes, from)) => {
-                let result =
-                    driver.step(|fleet, now, effects| fleet.datagram(now, from, &buffer[..bytes], effects));
+                let result = driver
+                    .step(|fleet, now, effects| fleet.handle_datagram(now, from, &buffer[..bytes], effects));
                 if let Err(rejection) = result {
                     driver.log_rejection(from, rejection);
                 }
--- a/gateway/tests/fleet_drivers.rs
+++ b/gateway/tests/fleet_drivers.rs
@@ -37,7 +37,7 @@
     let bind = ([127, 0, 0, 1], 0).into();
     let shutdown = Shutdown::default();
     let handle = start(read(directory, name, bind, seeds, more), false, &shutdown).expect("it starts");
-    let at = handle.driver().expect("a life").inspect(|fleet| fleet.me().address);
+    let at = handle.driver().expect("a life").inspect(|fleet| fleet.local_member().address);
     Node { handle, shutdown, at }
 }
 
@@ -50,7 +50,7 @@
 
 impl Node {
     fn value(&self, of: &Node, key: &[u8]) -> Option<Vec<u8>> {
-        let origin = of.handle.driver()?.inspect(|fleet| fleet.me().id);
+        let origin = of.handle.driver()?.inspect(|fleet| fleet.local_member().id);
         self.handle
             .driver()?
             .inspect(|fleet| fleet.table().get(origin, 7, key).map(|(_, value)| value.to_vec()))
@@ -137,8 +137,9 @@
         let after = |first: &Node| after(&directory, "a", first.at, seeds.clone());
         let second = after(&first);
         assert!(second.handle.driver().is_none(), "the first one has the port");
-        let life =
-            |node: &Node| node.handle.driver().map(|driver| driver.inspect(|fleet| fleet.me().incarnation));
+        let life = |node: &Node| {
+            node.handle.driver().map(|driver| driver.inspect(|fleet| fleet.local_member().incarnation))
+        };
         let began = life(&first);
         first.shutdown.set_successor(Some(tokio::sync::mpsc::unbounded_channel().0));
         until(|| life(&second) > began).await;
