--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -172,15 +172,15 @@
         self.counters.by_second_key += u64::from(sender.by_second_key);
         let body = Body::read(body).ok_or(Rejection::Malformed { from: sender.id })?;
         match (exchange.stage, body) {
-            (Stage::AwaitOpen, Body::ExchangeOpen(theirs)) => {
-                self.write_missing_cells(now, from, &theirs, write);
+            (Stage::AwaitOpen, Body::ExchangeOpen(remote_digests)) => {
+                self.write_missing_cells(now, from, &remote_digests, write);
                 let digests = self.all_digests();
                 self.write_frame(from, &Body::ExchangeDone(digests), write);
                 exchange.stage = Stage::AwaitDone { opener: false };
             }
             (Stage::AwaitDone { .. }, Body::Cells(cells)) => self.merge_cells(now, &cells, effects),
-            (Stage::AwaitDone { opener: true }, Body::ExchangeDone(theirs)) => {
-                self.write_missing_cells(now, from, &theirs, write);
+            (Stage::AwaitDone { opener: true }, Body::ExchangeDone(remote_digests)) => {
+                self.write_missing_cells(now, from, &remote_digests, write);
                 self.write_frame(from, &Body::ExchangeDone(Vec::new()), write);
                 exchange.stage = Stage::Finished;
             }
@@ -194,15 +194,16 @@
         self.table.digests(MemberId(0), MemberId(u64::MAX))
     }
 
-    /// Appends frames with the cells that a member with the digests `theirs` lacks.
+    /// Appends frames with the cells that a member with the digests `remote_digests` lacks.
     fn write_missing_cells(
-        &mut self, now: u64, to: (MemberId, Incarnation), theirs: &[Digest], write: &mut Vec<u8>,
+        &mut self, now: u64, to: (MemberId, Incarnation), remote_digests: &[Digest], write: &mut Vec<u8>,
     ) {
-        let mut missing_at_peer = self.missing_at_peer(theirs);
-        let unknown = |digest: &&Digest| theirs.iter().all(|known| known.origin != digest.origin);
+        let mut missing_at_peer = self.missing_at_peer(remote_digests);
+        let unknown = |digest: &&Digest| remote_digests.iter().all(|known| known.origin != digest.origin);
         missing_at_peer.extend(self.all_digests().iter().filter(unknown).map(|digest| (digest.origin, 0)));
-        let above = |(origin, above): &(MemberId, u64)| self.table.above(now, *origin, *above);
-        let cells: Vec<Cell> = missing_at_peer.iter().flat_map(above).collect();
+        let missing_cells =
+            |(origin, version): &(MemberId, u64)| self.table.cells_above(now, *origin, *version);
+        let cells: Vec<Cell> = missing_at_peer.iter().flat_map(missing_cells).collect();
         // The bounds of the settings make every cell fit into a frame.
         let (pages, _) = paginate(cells, MAX_FRAME_BYTES - SEAL_OVERHEAD_BYTES);
         for page in pages {
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -70,7 +70,7 @@
         Ok(Fleet {
             membership: Membership::new(local, &settings, seed),
             sealer: Sealer::new(local.id, incarnation, keys, settings.windows),
-            table: Table::new(local.id, Bounds::of(&settings)),
+            table: Table::new(local.id, Bounds::from_settings(&settings)),
             gossip_queue: GossipQueue::default(),
             timers: Timers::default(),
             random: StdRng::seed_from_u64(!seed),
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -42,28 +42,29 @@
     /// Answers digests of all origins within `range` with the cells that the sender lacks, and requests those that are
     /// missing here.
     pub(super) fn answer_digests(
-        &mut self, now: u64, sender: Sender, range: RangeInclusive<MemberId>, theirs: &[Digest],
+        &mut self, now: u64, sender: Sender, range: RangeInclusive<MemberId>, remote_digests: &[Digest],
         effects: &mut Vec<Effect>,
     ) {
         let Some(member) = self.active_member(sender) else { return };
         if range.is_empty() {
             return;
         }
-        let theirs: BTreeMap<_, _> = theirs.iter().map(|digest| (digest.origin, digest)).collect();
-        let mine = self.table.digests(*range.start(), *range.end());
+        let remote_digests: BTreeMap<_, _> =
+            remote_digests.iter().map(|digest| (digest.origin, digest)).collect();
+        let local_digests = self.table.digests(*range.start(), *range.end());
         // This member never requests its own cells.
         let local_id = self.membership.local_member().id;
         let mut requests: Vec<Digest> = Vec::new();
         let mut missing_at_peer = Vec::new();
-        for digest in &mine {
-            let reconciliation = compare(Some(digest), theirs.get(&digest.origin).copied());
-            missing_at_peer.extend(reconciliation.send_above.map(|above| (digest.origin, above)));
+        for digest in &local_digests {
+            let reconciliation = compare(Some(digest), remote_digests.get(&digest.origin).copied());
+            missing_at_peer.extend(reconciliation.send_above_version.map(|version| (digest.origin, version)));
             if reconciliation.request && digest.origin != local_id {
                 requests.push(*digest);
             }
         }
-        for (origin, digest) in &theirs {
-            let unknown = mine.binary_search_by_key(origin, |digest| digest.origin).is_err();
+        for (origin, digest) in &remote_digests {
+            let unknown = local_digests.binary_search_by_key(origin, |digest| digest.origin).is_err();
             if unknown && range.contains(origin) && *origin != local_id {
                 requests.push(Digest { cells: 0, newest_version: 0, hash: 0, truncated: false, ..**digest });
             }
@@ -83,13 +84,13 @@
         self.send_missing(now, &member, &missing_at_peer, effects);
     }
 
-    /// Origins of which a member with the digests `theirs` lacks cells, and the version above which it does.
-    pub(super) fn missing_at_peer(&self, theirs: &[Digest]) -> Vec<(MemberId, u64)> {
+    /// Origins of which a member with the digests `remote_digests` lacks cells, and the version above which it does.
+    pub(super) fn missing_at_peer(&self, remote_digests: &[Digest]) -> Vec<(MemberId, u64)> {
         let mut missing = Vec::new();
-        for digest in theirs {
-            let mine = self.table.digest(digest.origin);
-            if let Some(above) = compare(mine.as_ref(), Some(digest)).send_above {
-                missing.push((digest.origin, above));
+        for digest in remote_digests {
+            let local_digest = self.table.digest(digest.origin);
+            if let Some(version) = compare(local_digest.as_ref(), Some(digest)).send_above_version {
+                missing.push((digest.origin, version));
             }
         }
         missing
@@ -101,7 +102,7 @@
     ) {
         let cells = missing_at_peer
             .iter()
-            .flat_map(|(origin, above)| self.table.above(now, *origin, *above))
+            .flat_map(|(origin, version)| self.table.cells_above(now, *origin, *version))
             .collect();
         let (pages, left_out) = paginate(cells, MAX_BODY_BYTES);
         let more = pages.len() > self.settings.repair_datagrams || left_out > 0;
--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -90,7 +90,7 @@
 
 impl Bounds {
     /// The part of the settings that bounds the table.
-    pub(crate) fn of(settings: &Settings) -> Bounds {
+    pub(crate) fn from_settings(settings: &Settings) -> Bounds {
         Bounds {
             age: settings.entry_age,
             key_bytes: settings.key_bytes,
@@ -132,7 +132,7 @@
     }
 
     /// Whether key and value of the cell are short enough.
-    pub(super) fn admits(&self, cell: &Cell) -> bool {
+    pub(super) fn within_length_limits(&self, cell: &Cell) -> bool {
         cell.id.key.len() <= self.key_bytes && cell.value.as_ref().map_or(0, Vec::len) <= self.value_bytes
     }
 }
--- a/crates/fleet/src/table/digest.rs
+++ b/crates/fleet/src/table/digest.rs
@@ -27,7 +27,7 @@
 }
 
 /// Digest of the cells held of one origin.
-pub(super) fn of((id, origin): (&MemberId, &Origin)) -> Digest {
+pub(super) fn of_origin((id, origin): (&MemberId, &Origin)) -> Digest {
     Digest {
         origin: *id,
         incarnation: origin.incarnation,
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reconciliation {
     /// The other member lacks cells of versions above this one.
-    pub send_above: Option<u64>,
+    pub send_above_version: Option<u64>,
     /// This member lacks cells that the other has.
     pub request: bool,
 }
@@ -50,33 +50,33 @@
 /// Compares the digests of two members about one origin. A later incarnation replaces all of an earlier one. Within
 /// an incarnation, members with the same highest version or a different number of cells may lack any cell, so all
 /// are sent; otherwise, and where a bound was reached, only the versions above the other's highest.
-pub fn compare(mine: Option<&Digest>, theirs: Option<&Digest>) -> Reconciliation {
+pub fn compare(local: Option<&Digest>, remote: Option<&Digest>) -> Reconciliation {
     let everything = Some(0);
-    match (mine, theirs) {
-        (None, None) => Reconciliation { send_above: None, request: false },
-        (Some(_), None) => Reconciliation { send_above: everything, request: false },
-        (None, Some(_)) => Reconciliation { send_above: None, request: true },
-        (Some(mine), Some(theirs)) if mine.incarnation != theirs.incarnation => {
-            let later = mine.incarnation > theirs.incarnation;
-            Reconciliation { send_above: later.then_some(0), request: !later }
+    match (local, remote) {
+        (None, None) => Reconciliation { send_above_version: None, request: false },
+        (Some(_), None) => Reconciliation { send_above_version: everything, request: false },
+        (None, Some(_)) => Reconciliation { send_above_version: None, request: true },
+        (Some(local), Some(remote)) if local.incarnation != remote.incarnation => {
+            let later = local.incarnation > remote.incarnation;
+            Reconciliation { send_above_version: later.then_some(0), request: !later }
         }
-        (Some(mine), Some(theirs)) if mine.hash == theirs.hash && mine.cells == theirs.cells => {
-            Reconciliation { send_above: None, request: false }
+        (Some(local), Some(remote)) if local.hash == remote.hash && local.cells == remote.cells => {
+            Reconciliation { send_above_version: None, request: false }
         }
-        (Some(mine), Some(theirs)) if mine.truncated || theirs.truncated || mine.cells == theirs.cells => {
-            match mine.newest_version.cmp(&theirs.newest_version) {
+        (Some(local), Some(remote)) if local.truncated || remote.truncated || local.cells == remote.cells => {
+            match local.newest_version.cmp(&remote.newest_version) {
                 Ordering::Greater => {
-                    Reconciliation { send_above: Some(theirs.newest_version), request: false }
+                    Reconciliation { send_above_version: Some(remote.newest_version), request: false }
                 }
-                Ordering::Less => Reconciliation { send_above: None, request: true },
-                Ordering::Equal if mine.truncated || theirs.truncated => {
-                    Reconciliation { send_above: None, request: false }
+                Ordering::Less => Reconciliation { send_above_version: None, request: true },
+                Ordering::Equal if local.truncated || remote.truncated => {
+                    Reconciliation { send_above_version: None, request: false }
                 }
-                Ordering::Equal => Reconciliation { send_above: everything, request: true },
+                Ordering::Equal => Reconciliation { send_above_version: everything, request: true },
             }
         }
-        (Some(mine), Some(theirs)) => {
-            Reconciliation { send_above: (mine.cells > 0).then_some(0), request: theirs.cells > 0 }
+        (Some(local), Some(remote)) => {
+            Reconciliation { send_above_version: (local.cells > 0).then_some(0), request: remote.cells > 0 }
         }
     }
 }
--- a/crates/fleet/src/table/mod.rs
+++ b/crates/fleet/src/table/mod.rs
@@ -47,7 +47,7 @@
 }
 
 impl Table {
-    /// An empty table of the member `own`.
+    /// An empty table of the member `local_id`.
     pub fn new(local_id: MemberId, bounds: Bounds) -> Table {
         Table { bounds, origins: BTreeMap::new(), bytes: 0, local_id }
     }
@@ -73,8 +73,8 @@
     }
 
     /// Values of one kind, in the order of origin and key.
-    pub fn of_kind(&self, kind: u16) -> impl Iterator<Item = CellValue<'_>> {
-        self.origins.iter().flat_map(move |(id, origin)| origin.of_kind(*id, kind))
+    pub fn values_of_kind(&self, kind: u16) -> impl Iterator<Item = CellValue<'_>> {
+        self.origins.iter().flat_map(move |(id, origin)| origin.values_of_kind(*id, kind))
     }
 
     /// Version and value of a cell; `None` if there is none, or it was deleted.
@@ -89,7 +89,7 @@
 
     /// Version of the next write of this origin.
     pub fn next_version(&self, origin: MemberId) -> u64 {
-        self.origins.get(&origin).map_or(1, |origin| origin.highest + 1)
+        self.origins.get(&origin).map_or(1, |origin| origin.highest_version_ever + 1)
     }
 
     /// Merges a cell that has the age it carries at `now`, in milliseconds.
@@ -97,7 +97,7 @@
         if cell.age_at_least(self.bounds.max_age(cell.value.as_deref())) {
             return MergeOutcome::Expired;
         }
-        if !self.bounds.admits(cell) {
+        if !self.bounds.within_length_limits(cell) {
             return MergeOutcome::OverBounds;
         }
         if let Some(origin) = self.origins.get(&cell.id.origin) {
@@ -170,17 +170,17 @@
 
     /// One digest for each origin within `from..=to`, in order.
     pub fn digests(&self, from: MemberId, to: MemberId) -> Vec<Digest> {
-        self.origins.range(from..=to).filter(|(_, origin)| origin.len() > 0).map(digest::of).collect()
+        self.origins.range(from..=to).filter(|(_, origin)| origin.len() > 0).map(digest::of_origin).collect()
     }
 
     /// Digest of one origin, if it has cells.
     pub fn digest(&self, origin: MemberId) -> Option<Digest> {
-        self.origins.get_key_value(&origin).filter(|(_, origin)| origin.len() > 0).map(digest::of)
+        self.origins.get_key_value(&origin).filter(|(_, origin)| origin.len() > 0).map(digest::of_origin)
     }
 
-    /// Cells of an origin with a version above `above`, oldest first, with their ages by now.
-    pub fn above(&self, now: u64, origin: MemberId, above: u64) -> Vec<Cell> {
-        self.origins.get(&origin).map_or(Vec::new(), |cells| cells.above(now, origin, above))
+    /// Cells of an origin with a version above `version`, oldest first, with their ages by now.
+    pub fn cells_above(&self, now: u64, origin: MemberId, version: u64) -> Vec<Cell> {
+        self.origins.get(&origin).map_or(Vec::new(), |cells| cells.cells_above(now, origin, version))
     }
 
     /// Whether there is such a cell, tombstones included.
@@ -195,7 +195,7 @@
 
     /// Values of `origin` that are `age` milliseconds old or older, which their origin has to renew.
     pub fn values_older_than(&self, now: u64, origin: MemberId, age: u64) -> Vec<Cell> {
-        let mut cells = self.above(now, origin, 0);
+        let mut cells = self.cells_above(now, origin, 0);
         cells.retain(|cell| cell.value.is_some() && cell.age_at_least(age));
         cells
     }
--- a/crates/fleet/src/table/origin.rs
+++ b/crates/fleet/src/table/origin.rs
@@ -8,7 +8,7 @@
 use crate::{Incarnation, MemberId};
 
 /// A cell without its id.
-struct Row {
+struct StoredCell {
     version: u64,
     value: Option<Vec<u8>>,
     /// When its origin wrote it, on this member's clock; negative if that was before the clock's zero.
@@ -19,10 +19,10 @@
 /// The cells of one origin.
 pub(super) struct Origin {
     pub(super) incarnation: Incarnation,
-    rows: BTreeMap<(u16, Vec<u8>), Row>,
+    cells: BTreeMap<(u16, Vec<u8>), StoredCell>,
     by_version: BTreeSet<(u64, (u16, Vec<u8>))>,
     /// Highest version ever held in this incarnation: versions of expired cells are not reused.
-    pub(super) highest: u64,
+    pub(super) highest_version_ever: u64,
     /// Exclusive or of the rows' hashes: equal for the same rows.
     pub(super) hash: u64,
     pub(super) bytes: usize,
@@ -45,9 +45,9 @@
     pub(super) fn new(incarnation: Incarnation) -> Origin {
         Origin {
             incarnation,
-            rows: BTreeMap::new(),
+            cells: BTreeMap::new(),
             by_version: BTreeSet::new(),
-            highest: 0,
+            highest_version_ever: 0,
             hash: 0,
             bytes: 0,
             bound_reached: false,
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn len(&self) -> usize {
-        self.rows.len()
+        self.cells.len()
     }
 
     /// Highest version among the present rows.
@@ -65,62 +65,64 @@
 
     /// Version and value of a cell that is not a tombstone.
     pub(super) fn get(&self, kind: u16, key: &[u8]) -> Option<(u64, &[u8])> {
-        let row = self.rows.get(&(kind, key.to_vec()))?;
-        row.value.as_deref().map(|value| (row.version, value))
+        let stored = self.cells.get(&(kind, key.to_vec()))?;
+        stored.value.as_deref().map(|value| (stored.version, value))
     }
 
     /// All cells of a kind that are no tombstones; `origin` is the id of this origin.
-    pub(super) fn of_kind(&self, origin: MemberId, kind: u16) -> impl Iterator<Item = CellValue<'_>> {
+    pub(super) fn values_of_kind(&self, origin: MemberId, kind: u16) -> impl Iterator<Item = CellValue<'_>> {
         let incarnation = self.incarnation;
-        let from_kind = self.rows.range((kind, Vec::new())..);
+        let from_kind = self.cells.range((kind, Vec::new())..);
         let of_kind = from_kind.take_while(move |((found, _), _)| *found == kind);
-        of_kind.filter_map(move |((_, key), row)| {
-            let value = row.value.as_deref()?;
-            Some(CellValue { origin, incarnation, key, version: row.version, value })
+        of_kind.filter_map(move |((_, key), stored)| {
+            let value = stored.value.as_deref()?;
+            Some(CellValue { origin, incarnation, key, version: stored.version, value })
         })
     }
 
     /// Whether there is such a cell, tombstones included.
     pub(super) fn contains(&self, id: &CellId) -> bool {
-        self.rows.contains_key(&(id.kind, id.key.clone()))
+        self.cells.contains_key(&(id.kind, id.key.clone()))
     }
 
     /// Whether the cell is there with this version and value.
     pub(super) fn contains_exactly(&self, cell: &Cell) -> bool {
-        let row_key = (cell.id.kind, cell.id.key.clone());
-        self.rows.get(&row_key).is_some_and(|row| row.version == cell.version && row.value == cell.value)
+        let cell_key = (cell.id.kind, cell.id.key.clone());
+        self.cells
+            .get(&cell_key)
+            .is_some_and(|stored| stored.version == cell.version && stored.value == cell.value)
     }
 
     /// Merges a cell of this origin's incarnation.
     pub(super) fn merge(&mut self, now: u64, cell: &Cell, bounds: &Bounds) -> MergeOutcome {
-        let row_key = (cell.id.kind, cell.id.key.clone());
+        let cell_key = (cell.id.kind, cell.id.key.clone());
         let created_at = now as i64 - cell.age() as i64;
-        if let Some(row) = self.rows.get_mut(&row_key) {
+        if let Some(stored) = self.cells.get_mut(&cell_key) {
             // Two values of one version come only from a faulty origin: the greater wins, at every member.
-            match (cell.version, &cell.value).cmp(&(row.version, &row.value)) {
+            match (cell.version, &cell.value).cmp(&(stored.version, &stored.value)) {
                 std::cmp::Ordering::Less => return MergeOutcome::Stale,
                 std::cmp::Ordering::Equal => {
                     // The greater age is closer to the real one, as time in transit is not counted.
-                    row.created_at = row.created_at.min(created_at);
+                    stored.created_at = stored.created_at.min(created_at);
                     return MergeOutcome::Duplicate;
                 }
                 std::cmp::Ordering::Greater => {}
             }
         }
-        self.remove(&row_key);
-        let hash = hash(row_key.0, &row_key.1, cell.version, cell.value.as_deref());
+        self.remove(&cell_key);
+        let hash = hash(cell_key.0, &cell_key.1, cell.version, cell.value.as_deref());
         self.hash ^= hash;
         self.bytes += cell.weight();
-        self.highest = self.highest.max(cell.version);
-        self.by_version.insert((cell.version, row_key.clone()));
-        self.rows.insert(
-            row_key.clone(),
-            Row { version: cell.version, value: cell.value.clone(), created_at, hash },
+        self.highest_version_ever = self.highest_version_ever.max(cell.version);
+        self.by_version.insert((cell.version, cell_key.clone()));
+        self.cells.insert(
+            cell_key.clone(),
+            StoredCell { version: cell.version, value: cell.value.clone(), created_at, hash },
         );
-        while self.rows.len() > bounds.entries_per_origin || self.bytes > bounds.bytes_per_origin {
+        while self.cells.len() > bounds.entries_per_origin || self.bytes > bounds.bytes_per_origin {
             self.drop_oldest();
         }
-        if self.rows.contains_key(&row_key) {
+        if self.cells.contains_key(&cell_key) {
             MergeOutcome::Applied
         } else {
             MergeOutcome::OverBounds
@@ -129,17 +131,17 @@
 
     /// Number and weight of the cells other than this one.
     pub(super) fn usage_without(&self, id: &CellId) -> (usize, usize) {
-        match self.rows.get(&(id.kind, id.key.clone())) {
-            Some(row) => (self.rows.len() - 1, self.bytes - weight(&id.key, row.value.as_deref())),
-            None => (self.rows.len(), self.bytes),
+        match self.cells.get(&(id.kind, id.key.clone())) {
+            Some(stored) => (self.cells.len() - 1, self.bytes - weight(&id.key, stored.value.as_deref())),
+            None => (self.cells.len(), self.bytes),
         }
     }
 
-    fn remove(&mut self, row_key: &(u16, Vec<u8>)) {
-        if let Some(row) = self.rows.remove(row_key) {
-            self.hash ^= row.hash;
-            self.bytes -= weight(&row_key.1, row.value.as_deref());
-            self.by_version.remove(&(row.version, row_key.clone()));
+    fn remove(&mut self, cell_key: &(u16, Vec<u8>)) {
+        if let Some(stored) = self.cells.remove(cell_key) {
+            self.hash ^= stored.hash;
+            self.bytes -= weight(&cell_key.1, stored.value.as_deref());
+            self.by_version.remove(&(stored.version, cell_key.clone()));
         }
     }
 
@@ -147,27 +149,31 @@
     /// is none.
     pub(super) fn drop_oldest(&mut self) -> bool {
         self.bound_reached = true;
-        let Some((_, row_key)) = self.by_version.first().cloned() else { return false };
-        self.remove(&row_key);
+        let Some((_, cell_key)) = self.by_version.first().cloned() else { return false };
+        self.remove(&cell_key);
         true
     }
 
     /// Removes expired cells.
     pub(super) fn expire(&mut self, now: u64, bounds: &Bounds) {
         let is_expired =
-            |row: &Row| now as i64 - row.created_at >= bounds.max_age(row.value.as_deref()) as i64;
-        let expired: Vec<_> =
-            self.rows.iter().filter(|(_, row)| is_expired(row)).map(|(row_key, _)| row_key.clone()).collect();
-        expired.iter().for_each(|row_key| self.remove(row_key));
+            |cell: &StoredCell| now as i64 - cell.created_at >= bounds.max_age(cell.value.as_deref()) as i64;
+        let expired: Vec<_> = self
+            .cells
+            .iter()
+            .filter(|(_, stored)| is_expired(stored))
+            .map(|(cell_key, _)| cell_key.clone())
+            .collect();
+        expired.iter().for_each(|cell_key| self.remove(cell_key));
         // Once half of the room is free, missing cells may be requested again.
-        if self.rows.len() * 2 <= bounds.entries_per_origin && self.bytes * 2 <= bounds.bytes_per_origin {
+        if self.cells.len() * 2 <= bounds.entries_per_origin && self.bytes * 2 <= bounds.bytes_per_origin {
             self.bound_reached = false;
         }
     }
 
-    /// Cells of versions above `above`, the lowest first.
-    pub(super) fn above(&self, now: u64, origin: MemberId, above: u64) -> Vec<Cell> {
-        let from = (above.saturating_add(1), (0, Vec::new()));
+    /// Cells of versions above `version`, the lowest first.
+    pub(super) fn cells_above(&self, now: u64, origin: MemberId, version: u64) -> Vec<Cell> {
+        let from = (version.saturating_add(1), (0, Vec::new()));
         let newer = self.by_version.range(from..);
         newer
             .filter_map(|(_, (kind, key))| self.cell(now, &CellId { origin, kind: *kind, key: key.clone() }))
@@ -176,8 +182,8 @@
 
     /// One cell, with its age by now.
     pub(super) fn cell(&self, now: u64, id: &CellId) -> Option<Cell> {
-        let row = self.rows.get(&(id.kind, id.key.clone()))?;
-        let age = (now as i64 - row.created_at).max(0) as u64;
-        Some(Cell::new(id.clone(), self.incarnation, row.version, age, row.value.clone()))
+        let stored = self.cells.get(&(id.kind, id.key.clone()))?;
+        let age = (now as i64 - stored.created_at).max(0) as u64;
+        Some(Cell::new(id.clone(), self.incarnation, stored.version, age, stored.value.clone()))
     }
 }
--- a/crates/fleet/src/table/tests.rs
+++ b/crates/fleet/src/table/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::Settings;
 
-const BOUNDS: fn() -> Bounds = || Bounds::of(&Settings::default());
+const BOUNDS: fn() -> Bounds = || Bounds::from_settings(&Settings::default());
 
 fn cell(origin: u64, incarnation: u64, key: u8, version: u64, value: u8) -> Cell {
     let id = CellId { origin: MemberId(origin), kind: u16::from(key % 3), key: vec![key] };
@@ -19,7 +19,7 @@
 /// All that can be seen of a table.
 fn seen(table: &Table) -> (usize, Vec<Digest>, Vec<Cell>) {
     let digests = table.digests(MemberId(0), MemberId(u64::MAX));
-    let held = digests.iter().flat_map(|digest| table.above(0, digest.origin, 0)).collect();
+    let held = digests.iter().flat_map(|digest| table.cells_above(0, digest.origin, 0)).collect();
     (table.bytes(), digests, held)
 }
 
@@ -40,9 +40,12 @@
         let find = |all: &[Digest]| all.iter().find(|digest| digest.origin == id).copied();
         let (in_a, in_b) = (find(&of_a), find(&of_b));
         let (need_a, need_b) = (compare(in_a.as_ref(), in_b.as_ref()), compare(in_b.as_ref(), in_a.as_ref()));
-        let from_a = need_a.send_above.map_or(Vec::new(), |above| a.above(0, id, above));
-        let from_b = need_b.send_above.map_or(Vec::new(), |above| b.above(0, id, above));
-        assert!(need_a.request == need_b.send_above.is_some(), "one asks for what the other would send");
+        let from_a = need_a.send_above_version.map_or(Vec::new(), |version| a.cells_above(0, id, version));
+        let from_b = need_b.send_above_version.map_or(Vec::new(), |version| b.cells_above(0, id, version));
+        assert!(
+            need_a.request == need_b.send_above_version.is_some(),
+            "one asks for what the other would send"
+        );
         from_a.iter().for_each(|cell| {
             b.merge(0, cell);
         });
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -287,10 +287,9 @@
     /// All that are up hold the same values of `kind`; `kinds` of them together.
     #[allow(dead_code)]
     pub fn same_values(&self, kind: u16, cells: usize) -> bool {
-        let mut tables =
-            self.nodes.iter().filter(|node| node.up).map(|node| {
-                node.fleet.table().of_kind(kind).map(|cell| format!("{cell:?}")).collect::<Vec<_>>()
-            });
+        let mut tables = self.nodes.iter().filter(|node| node.up).map(|node| {
+            node.fleet.table().values_of_kind(kind).map(|cell| format!("{cell:?}")).collect::<Vec<_>>()
+        });
         let Some(first) = tables.next() else { return true };
         first.len() == cells && tables.all(|table| table == first)
     }
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -90,8 +90,8 @@
     for (node, before) in net.nodes.iter().zip(before).take(3) {
         let table = node.fleet.table();
         assert!(table.bytes() <= 40_000);
-        assert!(table.of_kind(7).count() <= 20 + 3);
-        let quiet = table.of_kind(7).filter(|cell| cell.key == b"quiet").count();
+        assert!(table.values_of_kind(7).count() <= 20 + 3);
+        let quiet = table.values_of_kind(7).filter(|cell| cell.key == b"quiet").count();
         assert_eq!(quiet, 3, "the others' cells stand");
         let sent = (node.sent - before) / 35;
         assert!(sent < 20_000, "{sent} bytes a second");
