--- a/crates/fleet/src/fleet/cycle.rs
+++ b/crates/fleet/src/fleet/cycle.rs
@@ -14,7 +14,7 @@
 
 impl Cycle {
     /// The next members of `active`, at most `count`, none twice.
-    pub(super) fn next(&mut self, count: usize, active: &[Member], random: &mut StdRng) -> Vec<Member> {
+    pub(super) fn next(&mut self, count: usize, active: &[Member], rng: &mut StdRng) -> Vec<Member> {
         let mut picked: Vec<Member> = Vec::new();
         for _ in 0..2 {
             while picked.len() < count.min(active.len()) {
@@ -26,7 +26,7 @@
             }
             if self.remaining.is_empty() {
                 self.remaining = active.to_vec();
-                self.remaining.shuffle(random);
+                self.remaining.shuffle(rng);
             }
         }
         picked
--- a/crates/fleet/src/fleet/effect.rs
+++ b/crates/fleet/src/fleet/effect.rs
@@ -14,10 +14,10 @@
         /// The sealed message.
         bytes: Vec<u8>,
     },
-    /// Call [`crate::Fleet::handle_timer`] with the token, `after` milliseconds from now or later.
+    /// Call [`crate::Fleet::handle_timer`] with the token, `delay_ms` milliseconds from now or later.
     Timer {
         /// Milliseconds.
-        after: u64,
+        delay_ms: u64,
         /// What to call it with.
         token: u64,
     },
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -83,7 +83,7 @@
 
 /// What the driver does with the stream next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct ExchangeStep {
     /// Bytes to write.
     pub write: Vec<u8>,
     /// Whether to close the stream after writing.
@@ -128,7 +128,7 @@
     /// Handles bytes that were read from the stream. After an error the stream must be closed.
     pub fn handle_exchange_bytes(
         &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], effects: &mut Vec<Effect>,
-    ) -> Result<Step, ExchangeError> {
+    ) -> Result<ExchangeStep, ExchangeError> {
         let max_bytes = self.settings.bytes_total * 2 + MAX_FRAME_BYTES;
         self.counters.bytes_in += bytes.len() as u64;
         exchange.received_bytes = exchange.received_bytes.saturating_add(bytes.len());
@@ -152,7 +152,7 @@
                 return Err(error);
             }
         }
-        Ok(Step { write, is_finished: exchange.stage == Stage::Finished })
+        Ok(ExchangeStep { write, is_finished: exchange.stage == Stage::Finished })
     }
 
     fn handle_frame(
@@ -170,7 +170,7 @@
         }
         exchange.peer = Some(from);
         self.counters.by_second_key += u64::from(sender.by_second_key);
-        let body = Body::read(body).ok_or(Rejection::Malformed { from: sender.id })?;
+        let body = Body::parse(body).ok_or(Rejection::Malformed { from: sender.id })?;
         match (exchange.stage, body) {
             (Stage::AwaitOpen, Body::ExchangeOpen(remote_digests)) => {
                 self.write_missing_cells(now, from, &remote_digests, write);
@@ -213,7 +213,7 @@
 
     /// Appends one sealed frame.
     pub(super) fn write_frame(&mut self, to: (MemberId, Incarnation), body: &Body, write: &mut Vec<u8>) {
-        let sealed = self.sealer.seal(Channel::Frame, Some(to), &body.bytes());
+        let sealed = self.sealer.seal(Channel::Frame, Some(to), &body.to_bytes());
         self.counters.bytes_out += sealed.len() as u64 + 4;
         write.extend((sealed.len() as u32).to_le_bytes());
         write.extend(sealed);
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 mod rounds;
 
 pub use effect::Effect;
-pub use exchange::{Exchange, ExchangeError, Step};
+pub use exchange::{Exchange, ExchangeError, ExchangeStep};
 
 use std::net::SocketAddr;
 
@@ -27,12 +27,12 @@
 use crate::seal::{Channel, Keyring, Sealer, Sender};
 use crate::settings::{Settings, SettingsError};
 use crate::table::{Bounds, Cell, CellId, MergeOutcome, Table, TableError};
-use crate::timers::{Due, Timers};
+use crate::timers::{TimerAction, Timers};
 use crate::wire::{Body, MAX_DATAGRAM_BYTES};
 use crate::{Incarnation, Member, MemberId};
 
 /// Kind of the cell that announces that an incarnation leaves. All other kinds belong to the callers of [`Fleet::put`].
-const LEAVING: u16 = 0;
+const LEAVE_KIND: u16 = 0;
 
 /// One member. Times are milliseconds on the driver's clock, which must be monotonic and must advance while the
 /// process is stopped. The effects depend on the inputs and the seed alone.
@@ -44,7 +44,7 @@
     table: Table,
     gossip_queue: GossipQueue,
     timers: Timers,
-    random: StdRng,
+    rng: StdRng,
     /// Recipients of the next rounds of gossip.
     gossip_order: Cycle,
     /// Recipients of the next digests.
@@ -60,7 +60,7 @@
     /// `seeds` are addresses where members may be found; this member's own is ignored.
     pub fn new(
         name: &str, incarnation: Incarnation, address: SocketAddr, seeds: Vec<SocketAddr>, keys: Keyring,
-        settings: Settings, seed: u64,
+        settings: Settings, random_seed: u64,
     ) -> Result<Fleet, SettingsError> {
         settings.check()?;
         if address.ip().is_unspecified() || address.port() == 0 {
@@ -68,12 +68,12 @@
         }
         let local = Member { id: MemberId::of_name(name), incarnation, rejoins: 0, address };
         Ok(Fleet {
-            membership: Membership::new(local, &settings, seed),
+            membership: Membership::new(local, &settings, random_seed),
             sealer: Sealer::new(local.id, incarnation, keys, settings.windows),
             table: Table::new(local.id, Bounds::from_settings(&settings)),
             gossip_queue: GossipQueue::default(),
             timers: Timers::default(),
-            random: StdRng::seed_from_u64(!seed),
+            rng: StdRng::seed_from_u64(!random_seed),
             gossip_order: Cycle::default(),
             digest_order: Cycle::default(),
             counters: Counters::default(),
@@ -86,11 +86,11 @@
 
     /// Greets the seeds and requests the first timers. To be called once.
     pub fn start(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        self.greet_all_seeds(effects);
-        self.schedule(now, self.settings.hello, Due::Hello, effects);
-        self.schedule(now, self.settings.round, Due::Gossip, effects);
-        self.schedule(now, self.settings.repair, Due::AntiEntropy, effects);
-        self.schedule(now, self.settings.repair, Due::Expiry, effects);
+        self.send_hello_to_all_seeds(effects);
+        self.schedule(now, self.settings.hello, TimerAction::Hello, effects);
+        self.schedule(now, self.settings.round, TimerAction::Gossip, effects);
+        self.schedule(now, self.settings.repair, TimerAction::AntiEntropy, effects);
+        self.schedule(now, self.settings.repair, TimerAction::Expiry, effects);
     }
 
     /// Handles one datagram. Its source address is not used: the seal names the sender, and answers go to the
@@ -119,7 +119,7 @@
         let (sender, body) = self.sealer.open(Channel::Datagram, now, bytes)?;
         self.counters.by_second_key += u64::from(sender.by_second_key);
         let malformed = Rejection::Malformed { from: sender.id };
-        let body = Body::read(body).ok_or(malformed)?;
+        let body = Body::parse(body).ok_or(malformed)?;
         match body {
             Body::Hello(member) => {
                 self.check_sender(&sender, &member)?;
@@ -127,7 +127,7 @@
             }
             _ if !sender.addressed => return Err(malformed),
             Body::Swim(packet) => {
-                let source = Membership::source(&packet).ok_or(malformed)?;
+                let source = Membership::packet_source(&packet).ok_or(malformed)?;
                 self.check_sender(&sender, &source)?;
                 self.membership_step(now, effects, |membership, output| {
                     membership.handle_packet(&packet, output)
@@ -135,9 +135,9 @@
             }
             Body::Cells(cells) => self.merge_cells(now, &cells, effects),
             Body::Digests { from, to, digests } => {
-                self.answer_digests(now, sender, from..=to, &digests, effects);
+                self.handle_digests(now, sender, from..=to, &digests, effects);
             }
-            Body::Request(digests) => self.answer_request(now, sender, &digests, effects),
+            Body::Request(digests) => self.handle_cell_request(now, sender, &digests, effects),
             Body::ExchangeNeeded => self.request_exchange(now, sender, effects),
             Body::ExchangeOpen(_) | Body::ExchangeDone(_) => return Err(malformed),
         }
@@ -154,7 +154,7 @@
     }
 
     fn reject(&mut self, rejection: Rejection, effects: &mut Vec<Effect>) {
-        self.counters.rejected[rejection.reason()] += 1;
+        self.counters.rejected[rejection.reason_index()] += 1;
         if let Rejection::OwnName { incarnation } = rejection {
             if incarnation > self.membership.local_member().incarnation {
                 effects.push(Effect::Superseded { incarnation });
@@ -164,32 +164,32 @@
 
     /// Handles a timer that fired. A token that is unknown, or that fired before, is ignored.
     pub fn handle_timer(&mut self, now: u64, token: u64, effects: &mut Vec<Effect>) {
-        let Some((due, late)) = self.timers.claim(token, now) else { return };
+        let Some((action, late_by_ms)) = self.timers.take(token, now) else { return };
         if self.has_left {
             return;
         }
-        self.counters.late_timers += u64::from(late > self.settings.probe);
-        match due {
-            Due::Swim(timer) => {
+        self.counters.late_timers += u64::from(late_by_ms > self.settings.probe);
+        match action {
+            TimerAction::Swim(timer) => {
                 self.membership_step(now, effects, |membership, output| {
-                    membership.handle_timer(timer, late, output)
+                    membership.handle_timer(timer, late_by_ms, output)
                 });
             }
-            Due::Gossip => {
+            TimerAction::Gossip => {
                 self.gossip_round(now, effects);
-                self.schedule(now, self.settings.round, Due::Gossip, effects);
+                self.schedule(now, self.settings.round, TimerAction::Gossip, effects);
             }
-            Due::AntiEntropy => {
+            TimerAction::AntiEntropy => {
                 self.send_digests(effects);
-                self.schedule(now, self.settings.repair, Due::AntiEntropy, effects);
+                self.schedule(now, self.settings.repair, TimerAction::AntiEntropy, effects);
             }
-            Due::Hello => {
-                self.greet_seeds(effects);
-                self.schedule(now, self.settings.hello, Due::Hello, effects);
+            TimerAction::Hello => {
+                self.send_hello_to_seeds(effects);
+                self.schedule(now, self.settings.hello, TimerAction::Hello, effects);
             }
-            Due::Expiry => {
-                self.expire(now);
-                self.schedule(now, self.settings.repair, Due::Expiry, effects);
+            TimerAction::Expiry => {
+                self.expire_and_renew_cells(now);
+                self.schedule(now, self.settings.repair, TimerAction::Expiry, effects);
             }
         }
     }
@@ -225,7 +225,7 @@
     pub fn leave(&mut self, now: u64, effects: &mut Vec<Effect>) {
         // Not written to the table: a full table must not prevent a member from leaving.
         let local = self.membership.local_member();
-        let id = CellId { origin: local.id, kind: LEAVING, key: Vec::new() };
+        let id = CellId { origin: local.id, kind: LEAVE_KIND, key: Vec::new() };
         let announcement =
             Cell::new(id, local.incarnation, self.table.next_version(local.id), 0, Some(Vec::new()));
         let body = Body::Cells(vec![announcement]);
@@ -262,10 +262,10 @@
         &self.counters
     }
 
-    /// Requests a timer in `after` milliseconds.
-    fn schedule(&mut self, now: u64, after: u64, due: Due, effects: &mut Vec<Effect>) {
-        let token = self.timers.add(now.saturating_add(after), due);
-        effects.push(Effect::Timer { after, token });
+    /// Requests a timer in `delay_ms` milliseconds.
+    fn schedule(&mut self, now: u64, delay_ms: u64, action: TimerAction, effects: &mut Vec<Effect>) {
+        let token = self.timers.add(now.saturating_add(delay_ms), action);
+        effects.push(Effect::Timer { delay_ms, token });
     }
 
     fn active(&self) -> Vec<Member> {
@@ -278,7 +278,7 @@
     }
 
     fn send(&mut self, to: &Member, body: &Body, effects: &mut Vec<Effect>) {
-        let bytes = self.sealer.seal(Channel::Datagram, Some((to.id, to.incarnation)), &body.bytes());
+        let bytes = self.sealer.seal(Channel::Datagram, Some((to.id, to.incarnation)), &body.to_bytes());
         self.push(to.address, bytes, effects);
     }
 
@@ -301,14 +301,14 @@
         for (to, packet) in output.sends {
             self.send(&to, &Body::Swim(packet), effects);
         }
-        for (after, timer) in output.timers {
-            self.schedule(now, after, Due::Swim(timer), effects);
+        for (delay_ms, timer) in output.timers {
+            self.schedule(now, delay_ms, TimerAction::Swim(timer), effects);
         }
         let table = &self.table;
         let has_left = |id, incarnation| {
-            table.incarnation(id) == Some(incarnation) && table.get(id, LEAVING, &[]).is_some()
+            table.incarnation(id) == Some(incarnation) && table.get(id, LEAVE_KIND, &[]).is_some()
         };
-        for (member, state) in self.membership.changes(has_left) {
+        for (member, state) in self.membership.take_changes(has_left) {
             self.table.advance_incarnation(member.id, member.incarnation);
             effects.push(Effect::MemberChanged { member, state });
         }
@@ -317,7 +317,7 @@
 
 /// Callers may not write cells of the kind that is reserved here.
 fn check_kind(kind: u16) -> Result<(), TableError> {
-    if kind == LEAVING {
+    if kind == LEAVE_KIND {
         return Err(TableError::Reserved { kind });
     }
     Ok(())
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -7,7 +7,7 @@
 use super::{Effect, Fleet};
 use crate::seal::Sender;
 use crate::table::{compare, Digest};
-use crate::wire::{paginate, Body, DIGESTS_PER_DATAGRAM, MAX_BODY_BYTES};
+use crate::wire::{paginate, Body, MAX_BODY_BYTES, MAX_DIGESTS_PER_DATAGRAM};
 use crate::{Member, MemberId};
 
 impl Fleet {
@@ -15,12 +15,12 @@
     /// loss of one does not affect the others.
     pub(super) fn send_digests(&mut self, effects: &mut Vec<Effect>) {
         let active = self.active();
-        let Some(member) = self.digest_order.next(1, &active, &mut self.random).pop() else { return };
+        let Some(member) = self.digest_order.next(1, &active, &mut self.rng).pop() else { return };
         let digests = self.all_digests();
         let mut from = MemberId(0);
         let mut remaining = &digests[..];
         loop {
-            let (page, later) = remaining.split_at(remaining.len().min(DIGESTS_PER_DATAGRAM));
+            let (page, later) = remaining.split_at(remaining.len().min(MAX_DIGESTS_PER_DATAGRAM));
             let to = match (page.last(), later.is_empty()) {
                 (Some(last), false) => last.origin,
                 _ => MemberId(u64::MAX),
@@ -34,18 +34,18 @@
     }
 
     /// The sender, if it is an active member in the incarnation known here. Only such members are answered.
-    fn active_member(&self, sender: Sender) -> Option<Member> {
+    fn active_sender(&self, sender: Sender) -> Option<Member> {
         let (member, state) = self.membership.get(sender.id)?;
         (member.incarnation == sender.incarnation && state.is_active()).then_some(*member)
     }
 
     /// Answers digests of all origins within `range` with the cells that the sender lacks, and requests those that are
     /// missing here.
-    pub(super) fn answer_digests(
+    pub(super) fn handle_digests(
         &mut self, now: u64, sender: Sender, range: RangeInclusive<MemberId>, remote_digests: &[Digest],
         effects: &mut Vec<Effect>,
     ) {
-        let Some(member) = self.active_member(sender) else { return };
+        let Some(member) = self.active_sender(sender) else { return };
         if range.is_empty() {
             return;
         }
@@ -69,19 +69,19 @@
                 requests.push(Digest { cells: 0, newest_version: 0, hash: 0, truncated: false, ..**digest });
             }
         }
-        self.send_missing(now, &member, &missing_at_peer, effects);
-        for page in requests.chunks(DIGESTS_PER_DATAGRAM) {
+        self.send_missing_cells(now, &member, &missing_at_peer, effects);
+        for page in requests.chunks(MAX_DIGESTS_PER_DATAGRAM) {
             self.send(&member, &Body::Request(page.to_vec()), effects);
         }
     }
 
     /// Sends the cells that a request is for.
-    pub(super) fn answer_request(
+    pub(super) fn handle_cell_request(
         &mut self, now: u64, sender: Sender, requests: &[Digest], effects: &mut Vec<Effect>,
     ) {
-        let Some(member) = self.active_member(sender) else { return };
+        let Some(member) = self.active_sender(sender) else { return };
         let missing_at_peer = self.missing_at_peer(requests);
-        self.send_missing(now, &member, &missing_at_peer, effects);
+        self.send_missing_cells(now, &member, &missing_at_peer, effects);
     }
 
     /// Origins of which a member with the digests `remote_digests` lacks cells, and the version above which it does.
@@ -97,15 +97,15 @@
     }
 
     /// Sends missing cells in at most `repair_datagrams` datagrams; if there are more, asks for an exchange.
-    fn send_missing(
+    fn send_missing_cells(
         &mut self, now: u64, member: &Member, missing_at_peer: &[(MemberId, u64)], effects: &mut Vec<Effect>,
     ) {
         let cells = missing_at_peer
             .iter()
             .flat_map(|(origin, version)| self.table.cells_above(now, *origin, *version))
             .collect();
-        let (pages, left_out) = paginate(cells, MAX_BODY_BYTES);
-        let more = pages.len() > self.settings.repair_datagrams || left_out > 0;
+        let (pages, oversized) = paginate(cells, MAX_BODY_BYTES);
+        let more = pages.len() > self.settings.repair_datagrams || oversized > 0;
         for page in pages.into_iter().take(self.settings.repair_datagrams) {
             self.send(member, &Body::Cells(page), effects);
         }
@@ -116,7 +116,7 @@
 
     /// Opens an exchange, unless the last one was requested too recently.
     pub(super) fn request_exchange(&mut self, now: u64, sender: Sender, effects: &mut Vec<Effect>) {
-        let Some(member) = self.active_member(sender) else { return };
+        let Some(member) = self.active_sender(sender) else { return };
         if now >= self.next_exchange_at {
             self.next_exchange_at = now + self.settings.exchange_apart;
             self.counters.exchanges_requested += 1;
--- a/crates/fleet/src/fleet/rounds.rs
+++ b/crates/fleet/src/fleet/rounds.rs
@@ -3,7 +3,7 @@
 
 use rand::seq::IndexedRandom;
 
-use super::{Effect, Fleet, LEAVING};
+use super::{Effect, Fleet, LEAVE_KIND};
 use crate::seal::Channel;
 use crate::table::{Cell, CellId, MergeOutcome};
 use crate::wire::{cell_bytes, Body, CELLS_HEADER_BYTES, MAX_BODY_BYTES};
@@ -11,7 +11,7 @@
 
 /// Cells younger than this many anti-entropy periods are gossiped further. An older cell came by anti-entropy, which
 /// brings it to the other members as well.
-const GOSSIP_AGE_PERIODS: u64 = 5;
+const MAX_GOSSIP_AGE_REPAIR_PERIODS: u64 = 5;
 
 /// What a datagram of gossip carries.
 enum Batch {
@@ -27,7 +27,7 @@
             return;
         }
         let (members, active) = (self.active_count(), self.active());
-        for member in self.gossip_order.next(self.settings.round_members, &active, &mut self.random) {
+        for member in self.gossip_order.next(self.settings.round_members, &active, &mut self.rng) {
             match self.next_batch(now) {
                 Batch::Cells(cells) if cells.is_empty() => {}
                 Batch::Cells(cells) => {
@@ -68,34 +68,34 @@
     }
 
     /// Greets all seeds.
-    pub(super) fn greet_all_seeds(&mut self, effects: &mut Vec<Effect>) {
+    pub(super) fn send_hello_to_all_seeds(&mut self, effects: &mut Vec<Effect>) {
         for seed in self.seeds.clone() {
-            let hello = self.hello();
+            let hello = self.hello_datagram();
             self.push(seed, hello, effects);
         }
     }
 
     /// Greets all seeds while no member is known, else one seed at whose address no active member is known, by which
     /// partitions find each other again.
-    pub(super) fn greet_seeds(&mut self, effects: &mut Vec<Effect>) {
+    pub(super) fn send_hello_to_seeds(&mut self, effects: &mut Vec<Effect>) {
         if self.membership.active().next().is_none() {
-            return self.greet_all_seeds(effects);
+            return self.send_hello_to_all_seeds(effects);
         }
         let mut unknown_seeds = self.seeds.clone();
         unknown_seeds.retain(|seed| self.membership.active().all(|member| member.address != *seed));
-        if let Some(seed) = unknown_seeds.choose(&mut self.random).copied() {
-            let hello = self.hello();
+        if let Some(seed) = unknown_seeds.choose(&mut self.rng).copied() {
+            let hello = self.hello_datagram();
             self.push(seed, hello, effects);
         }
     }
 
-    fn hello(&mut self) -> Vec<u8> {
-        let body = Body::Hello(self.membership.local_member()).bytes();
+    fn hello_datagram(&mut self) -> Vec<u8> {
+        let body = Body::Hello(self.membership.local_member()).to_bytes();
         self.sealer.seal(Channel::Datagram, None, &body)
     }
 
     /// Removes expired cells, and renews this member's own values at a third of their maximum age.
-    pub(super) fn expire(&mut self, now: u64) {
+    pub(super) fn expire_and_renew_cells(&mut self, now: u64) {
         self.table.expire(now);
         self.gossip_queue.retain(|id| self.table.contains(id));
         for cell in
@@ -137,11 +137,11 @@
     fn cell_applied(&mut self, now: u64, cell: &Cell, effects: &mut Vec<Effect>) {
         let id = &cell.id;
         self.counters.entries_merged += 1;
-        if cell.age() < GOSSIP_AGE_PERIODS * self.settings.repair {
+        if cell.age() < MAX_GOSSIP_AGE_REPAIR_PERIODS * self.settings.repair {
             self.gossip_queue.add(id.clone());
         }
         effects.push(Effect::CellChanged { id: id.clone() });
-        if id.kind == LEAVING {
+        if id.kind == LEAVE_KIND {
             self.membership_step(now, effects, |membership, output| {
                 membership.mark_left(id.origin, cell.incarnation, output)
             });
--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(send(&mut a, &mut b, &Body::Swim(vec![255; 9])).0, malformed);
     assert_eq!(send(&mut a, &mut b, &Body::ExchangeOpen(Vec::new())).0, malformed);
     // Meant for whoever listens: a greeting alone.
-    let bytes = a.sealer.seal(Channel::Datagram, None, &Body::ExchangeNeeded.bytes());
+    let bytes = a.sealer.seal(Channel::Datagram, None, &Body::ExchangeNeeded.to_bytes());
     assert_eq!(b.handle_datagram(0, address(1), &bytes, &mut Vec::new()), malformed);
     let long = vec![0; MAX_DATAGRAM_BYTES + 1];
     assert!(matches!(
@@ -91,7 +91,7 @@
         Err(Rejection::TooLong { .. })
     ));
     let counted = &b.counters().rejected;
-    assert_eq!((counted[Rejection::Malformed { from }.reason()], counted.iter().sum()), (3, 5));
+    assert_eq!((counted[Rejection::Malformed { from }.reason_index()], counted.iter().sum()), (3, 5));
 }
 
 #[test]
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -41,11 +41,11 @@
 mod timers;
 mod wire;
 
-pub use fleet::{Effect, Exchange, ExchangeError, Fleet, Step};
+pub use fleet::{Effect, Exchange, ExchangeError, ExchangeStep, Fleet};
 pub use identity::{Incarnation, Member, MemberId};
 pub use membership::MemberState;
 pub use rejection::{Counters, Rejection};
-pub use seal::{FleetKey, KeyError, Keyring, FORMAT};
+pub use seal::{FleetKey, KeyError, Keyring, FORMAT_VERSION};
 pub use settings::{Settings, SettingsError};
 pub use table::{Cell, CellId, Table, TableError};
 pub use wire::{MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -74,11 +74,11 @@
 /// Most transmissions of one update of a member's state.
 const MAX_UPDATE_TRANSMISSIONS: u8 = 10;
 /// Probe periods between two announcements to an active member.
-const ANNOUNCE_PERIODS: u64 = 30;
+const ANNOUNCE_PROBE_PERIODS: u64 = 30;
 /// Probe periods between two announcements to members that are down, by which partitions find each other again.
-const ANNOUNCE_TO_DOWN_PERIODS: u64 = 2;
+const ANNOUNCE_TO_DOWN_PROBE_PERIODS: u64 = 2;
 /// Rounds of the library's own gossip in a probe period.
-const GOSSIP_ROUNDS_PER_PROBE: u64 = 5;
+const GOSSIP_ROUNDS_PER_PROBE_PERIOD: u64 = 5;
 
 fn config(settings: &Settings) -> Config {
     let periodic = |period, members| {
@@ -94,17 +94,17 @@
         remove_down_after: Some(Duration::from_millis(settings.forget)),
         max_packet_size: NonZeroUsize::MIN.saturating_add(MAX_SWIM_PACKET_BYTES - 1),
         notify_down_members: true,
-        periodic_announce: periodic(ANNOUNCE_PERIODS * settings.probe, 1),
-        periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DOWN_PERIODS * settings.probe, 2),
-        periodic_gossip: periodic(settings.probe / GOSSIP_ROUNDS_PER_PROBE, 3),
+        periodic_announce: periodic(ANNOUNCE_PROBE_PERIODS * settings.probe, 1),
+        periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DOWN_PROBE_PERIODS * settings.probe, 2),
+        periodic_gossip: periodic(settings.probe / GOSSIP_ROUNDS_PER_PROBE_PERIOD, 3),
     }
 }
 
 impl Membership {
-    /// Membership of `me` alone; `seed` determines the choice of the members to probe.
-    pub(crate) fn new(local: Member, settings: &Settings, seed: u64) -> Membership {
-        let random = StdRng::seed_from_u64(seed);
-        let foca = Foca::new(local, config(settings), random, PostcardCodec);
+    /// Membership of `me` alone; `random_seed` determines the choice of the members to probe.
+    pub(crate) fn new(local: Member, settings: &Settings, random_seed: u64) -> Membership {
+        let rng = StdRng::seed_from_u64(random_seed);
+        let foca = Foca::new(local, config(settings), rng, PostcardCodec);
         Membership { foca, members: BTreeMap::new(), suspicion_timeout: settings.suspect }
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// The sender that a packet names in its header.
-    pub(crate) fn source(packet: &[u8]) -> Option<Member> {
+    pub(crate) fn packet_source(packet: &[u8]) -> Option<Member> {
         let header: Header<Member> = postcard::take_from_bytes(packet).ok()?.0;
         Some(header.src)
     }
@@ -148,13 +148,13 @@
         self.foca.announce(to, output).map_err(|_| MembershipError)
     }
 
-    /// Handles a timer that fires `late` milliseconds after its time. After a long stop of this process, a suspicion
+    /// Handles a timer that fires `late_by_ms` milliseconds after its time. After a long stop of this process, a suspicion
     /// that would have timed out meanwhile gets its whole time again: the suspect's refutation could not be received
     /// here.
     pub(crate) fn handle_timer(
-        &mut self, timer: Timer<Member>, late: u64, output: &mut MembershipOutput,
+        &mut self, timer: Timer<Member>, late_by_ms: u64, output: &mut MembershipOutput,
     ) -> Result<(), MembershipError> {
-        if late >= self.suspicion_timeout / 2 && matches!(timer, Timer::ChangeSuspectToDown { .. }) {
+        if late_by_ms >= self.suspicion_timeout / 2 && matches!(timer, Timer::ChangeSuspectToDown { .. }) {
             output.timers.push((self.suspicion_timeout, timer));
             return Ok(());
         }
@@ -186,7 +186,7 @@
 
     /// Members that changed since the last call, in the order of their ids. `announced_leave` tells whether an
     /// incarnation announced that it leaves. A member that was never seen active is not reported as failed.
-    pub(crate) fn changes(
+    pub(crate) fn take_changes(
         &mut self, announced_leave: impl Fn(MemberId, Incarnation) -> bool,
     ) -> Vec<(Member, MemberState)> {
         let local_id = self.foca.identity().id;
--- a/crates/fleet/src/rejection.rs
+++ b/crates/fleet/src/rejection.rs
@@ -105,7 +105,7 @@
     ];
 
     /// Index of the reason in [`Rejection::REASONS`] and in [`Counters::rejected`].
-    pub fn reason(&self) -> usize {
+    pub fn reason_index(&self) -> usize {
         match self {
             Rejection::TooShort { .. } => 0,
             Rejection::TooLong { .. } => 1,
@@ -159,7 +159,7 @@
     pub bytes_in: u64,
     /// Bytes of datagrams and frames handed to the driver.
     pub bytes_out: u64,
-    /// Rejected messages, indexed by [`Rejection::reason`].
+    /// Rejected messages, indexed by [`Rejection::reason_index`].
     pub rejected: [u64; Rejection::REASONS.len()],
     /// Messages that the second key verified. When it stops growing, that key can be removed from the file.
     pub by_second_key: u64,
--- a/crates/fleet/src/rejection/tests.rs
+++ b/crates/fleet/src/rejection/tests.rs
@@ -18,7 +18,7 @@
         Rejection::Left,
     ];
     for (index, rejection) in rejections.iter().enumerate() {
-        assert_eq!(rejection.reason(), index);
+        assert_eq!(rejection.reason_index(), index);
         assert!(rejection.advice().len() > 20);
     }
 }
--- a/crates/fleet/src/seal/key.rs
+++ b/crates/fleet/src/seal/key.rs
@@ -3,7 +3,7 @@
 use crate::seal::TAG_BYTES;
 
 /// Domain separation of the key derivation: another text gives other keys.
-const CONTEXT: &str = "glenrail fleet 2026 seal of datagrams and frames";
+const KEY_DERIVATION_CONTEXT: &str = "glenrail fleet 2026 seal of datagrams and frames";
 
 /// A key derived from the key file's material and the fleet's name: two fleets that share a file by mistake still
 /// reject each other's messages.
@@ -62,7 +62,7 @@
         if material.len() < 32 {
             return Err(KeyError::TooShort { bytes: material.len() });
         }
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+        let mut hasher = blake3::Hasher::new_derive_key(KEY_DERIVATION_CONTEXT);
         hasher.update(&(fleet.len() as u64).to_le_bytes()).update(fleet.as_bytes()).update(material);
         Ok(FleetKey(*hasher.finalize().as_bytes()))
     }
@@ -96,7 +96,7 @@
         for (index, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or("").trim();
             if !line.is_empty() {
-                let material = hexadecimal(line).ok_or(KeyError::NotAKey { line: index + 1 })?;
+                let material = decode_hex_key(line).ok_or(KeyError::NotAKey { line: index + 1 })?;
                 keys.push(FleetKey::derive(&material, fleet)?);
             }
         }
@@ -123,7 +123,7 @@
     }
 }
 
-fn hexadecimal(line: &str) -> Option<[u8; 32]> {
+fn decode_hex_key(line: &str) -> Option<[u8; 32]> {
     if line.len() != 64 || !line.is_ascii() {
         return None;
     }
--- a/crates/fleet/src/seal/mod.rs
+++ b/crates/fleet/src/seal/mod.rs
@@ -19,7 +19,7 @@
 use crate::{Incarnation, MemberId, Rejection};
 
 /// Format version that this build speaks. Messages of any other are rejected.
-pub const FORMAT: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 /// Version, channel, and five numbers of eight bytes.
 const HEADER_BYTES: usize = 2 + 5 * 8;
 /// Bytes of the tag at a message's end.
@@ -73,10 +73,10 @@
     pub fn seal(&mut self, channel: Channel, to: Option<(MemberId, Incarnation)>, body: &[u8]) -> Vec<u8> {
         let counter = &mut self.counters[channel as usize];
         *counter += 1;
-        let (to, to_life) = to.unwrap_or((MemberId(0), Incarnation(0)));
+        let (to, to_incarnation) = to.unwrap_or((MemberId(0), Incarnation(0)));
         let mut sealed = Vec::with_capacity(SEAL_OVERHEAD_BYTES + body.len());
-        sealed.extend([FORMAT, channel as u8]);
-        for field in [self.local.0 .0, self.local.1 .0, *counter, to.0, to_life.0] {
+        sealed.extend([FORMAT_VERSION, channel as u8]);
+        for field in [self.local.0 .0, self.local.1 .0, *counter, to.0, to_incarnation.0] {
             sealed.extend(field.to_le_bytes());
         }
         sealed.extend(body);
@@ -96,8 +96,8 @@
             return Err(Rejection::TooShort { bytes: sealed.len() });
         };
         let (header, body) = signed.split_at(HEADER_BYTES);
-        if header[0] != FORMAT {
-            return Err(Rejection::UnknownVersion { version: header[0], supported: FORMAT });
+        if header[0] != FORMAT_VERSION {
+            return Err(Rejection::UnknownVersion { version: header[0], supported: FORMAT_VERSION });
         }
         let key = self.keys.matching_key(signed, tag).ok_or(Rejection::Forged)?;
         let field = |index: usize| {
--- a/crates/fleet/src/seal/senders.rs
+++ b/crates/fleet/src/seal/senders.rs
@@ -11,7 +11,7 @@
 struct SenderState {
     incarnation: Incarnation,
     windows: [Window; 2],
-    last_heard: u64,
+    last_message_at: u64,
 }
 
 /// The windows of all senders.
@@ -33,13 +33,13 @@
         if self.by_id.len() >= self.max_senders && !self.by_id.contains_key(&from) {
             // The sender that was heard longest ago is evicted.
             if let Some(oldest) =
-                self.by_id.iter().min_by_key(|(_, sender)| sender.last_heard).map(|(id, _)| *id)
+                self.by_id.iter().min_by_key(|(_, sender)| sender.last_message_at).map(|(id, _)| *id)
             {
                 self.by_id.remove(&oldest);
             }
         }
         let new_sender =
-            |incarnation| SenderState { incarnation, windows: Default::default(), last_heard: now };
+            |incarnation| SenderState { incarnation, windows: Default::default(), last_message_at: now };
         let sender = self.by_id.entry(from).or_insert_with(|| new_sender(incarnation));
         if incarnation < sender.incarnation {
             return Err(Rejection::OldIncarnation { from, incarnation });
@@ -47,7 +47,7 @@
         if incarnation > sender.incarnation {
             *sender = new_sender(incarnation);
         }
-        sender.last_heard = now;
+        sender.last_message_at = now;
         match sender.windows[channel as usize].accept(counter) {
             CounterStatus::New => Ok(()),
             CounterStatus::Duplicate => Err(Rejection::Replayed { from, counter }),
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -132,7 +132,7 @@
 }
 
 /// Longest time that a setting may name, in milliseconds: sums of such times cannot overflow.
-const MAX_TIME: u64 = 24 * 3_600 * 1_000;
+const MAX_TIME_MS: u64 = 24 * 3_600 * 1_000;
 
 impl Settings {
     /// The first setting that is out of its bounds, if any. Nothing after this check has to doubt a setting.
@@ -142,7 +142,7 @@
                 return Err(SettingsError::TooSmall { setting, value, min });
             }
         }
-        let time_bounds = self.times().map(|(setting, value)| bound(setting, value, MAX_TIME));
+        let time_bounds = self.times().map(|(setting, value)| bound(setting, value, MAX_TIME_MS));
         for Bound { setting, value, bound: max } in self.upper_bounds().into_iter().chain(time_bounds) {
             if value > max {
                 return Err(SettingsError::TooLarge { setting, value, max });
--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Age at which a value expires; a tombstone lives twice as long.
-    pub age: u64,
+    pub max_value_age: u64,
     /// Longest key.
-    pub key_bytes: usize,
+    pub max_key_bytes: usize,
     /// Longest value.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Cells of one origin.
-    pub entries_per_origin: usize,
+    pub max_entries_per_origin: usize,
     /// Weight of the cells of one origin.
-    pub bytes_per_origin: usize,
+    pub max_bytes_per_origin: usize,
     /// Origins with cells.
-    pub origins: usize,
+    pub max_origins: usize,
     /// Weight of all cells.
-    pub bytes_total: usize,
+    pub max_total_bytes: usize,
 }
 
 /// Why this member cannot write a cell. The table is unchanged.
@@ -92,13 +92,13 @@
     /// The part of the settings that bounds the table.
     pub(crate) fn from_settings(settings: &Settings) -> Bounds {
         Bounds {
-            age: settings.entry_age,
-            key_bytes: settings.key_bytes,
-            value_bytes: settings.value_bytes,
-            entries_per_origin: settings.entries_per_origin,
-            bytes_per_origin: settings.bytes_per_origin,
-            origins: settings.origins,
-            bytes_total: settings.bytes_total,
+            max_value_age: settings.entry_age,
+            max_key_bytes: settings.key_bytes,
+            max_value_bytes: settings.value_bytes,
+            max_entries_per_origin: settings.entries_per_origin,
+            max_bytes_per_origin: settings.bytes_per_origin,
+            max_origins: settings.origins,
+            max_total_bytes: settings.bytes_total,
         }
     }
 
@@ -106,8 +106,8 @@
     /// value still meets it.
     pub(super) fn max_age(&self, value: Option<&[u8]>) -> u64 {
         match value {
-            Some(_) => self.age,
-            None => self.age * 2,
+            Some(_) => self.max_value_age,
+            None => self.max_value_age * 2,
         }
     }
 
@@ -115,24 +115,25 @@
     pub(super) fn check_room(&self, cell: &Cell, entries: usize, bytes: usize) -> Result<(), TableError> {
         let kind = cell.id.kind;
         let (key, value) = (cell.id.key.len(), cell.value.as_ref().map_or(0, Vec::len));
-        if key > self.key_bytes {
-            return Err(TableError::Key { kind, bytes: key, max_bytes: self.key_bytes });
+        if key > self.max_key_bytes {
+            return Err(TableError::Key { kind, bytes: key, max_bytes: self.max_key_bytes });
         }
-        if value > self.value_bytes {
-            return Err(TableError::Value { kind, bytes: value, max_bytes: self.value_bytes });
+        if value > self.max_value_bytes {
+            return Err(TableError::Value { kind, bytes: value, max_bytes: self.max_value_bytes });
         }
-        if entries >= self.entries_per_origin {
+        if entries >= self.max_entries_per_origin {
             return Err(TableError::Entries { kind, entries });
         }
         let bytes = bytes + cell.weight();
-        if bytes > self.bytes_per_origin {
-            return Err(TableError::Bytes { kind, bytes, max_bytes: self.bytes_per_origin });
+        if bytes > self.max_bytes_per_origin {
+            return Err(TableError::Bytes { kind, bytes, max_bytes: self.max_bytes_per_origin });
         }
         Ok(())
     }
 
     /// Whether key and value of the cell are short enough.
     pub(super) fn within_length_limits(&self, cell: &Cell) -> bool {
-        cell.id.key.len() <= self.key_bytes && cell.value.as_ref().map_or(0, Vec::len) <= self.value_bytes
+        cell.id.key.len() <= self.max_key_bytes
+            && cell.value.as_ref().map_or(0, Vec::len) <= self.max_value_bytes
     }
 }
--- a/crates/fleet/src/table/cell.rs
+++ b/crates/fleet/src/table/cell.rs
@@ -6,7 +6,7 @@
 use crate::{Incarnation, MemberId};
 
 /// Milliseconds in a unit of a cell's age. Rounded up: a cell may look older than it is, never younger.
-const AGE_UNIT: u64 = 100;
+const AGE_UNIT_MS: u64 = 100;
 /// What a cell counts for beside its key and its value, in bytes.
 pub(crate) const CELL_OVERHEAD_BYTES: usize = 64;
 
@@ -30,7 +30,7 @@
     pub incarnation: Incarnation,
     /// Counts the writes of the origin in this incarnation, over all its cells.
     pub version: u64,
-    /// Time since the origin wrote it, in [`AGE_UNIT`]s, without the time in transit.
+    /// Time since the origin wrote it, in [`AGE_UNIT_MS`], without the time in transit.
     age: u32,
     /// The value; `None` is a tombstone: the origin deleted the cell.
     pub value: Option<Vec<u8>>,
@@ -54,13 +54,13 @@
 impl Cell {
     /// A cell of this age in milliseconds.
     pub fn new(id: CellId, incarnation: Incarnation, version: u64, age: u64, value: Option<Vec<u8>>) -> Cell {
-        let age = u32::try_from(age.div_ceil(AGE_UNIT)).unwrap_or(u32::MAX);
+        let age = u32::try_from(age.div_ceil(AGE_UNIT_MS)).unwrap_or(u32::MAX);
         Cell { id, incarnation, version, age, value }
     }
 
     /// Age in milliseconds.
     pub fn age(&self) -> u64 {
-        u64::from(self.age) * AGE_UNIT
+        u64::from(self.age) * AGE_UNIT_MS
     }
 
     /// Whether it is `age` milliseconds old or older.
--- a/crates/fleet/src/table/mod.rs
+++ b/crates/fleet/src/table/mod.rs
@@ -104,7 +104,7 @@
             if cell.incarnation < origin.incarnation {
                 return MergeOutcome::Stale;
             }
-        } else if self.origins.len() >= self.bounds.origins && cell.id.origin != self.local_id {
+        } else if self.origins.len() >= self.bounds.max_origins && cell.id.origin != self.local_id {
             return MergeOutcome::OverBounds;
         }
         self.advance_incarnation(cell.id.origin, cell.incarnation);
@@ -146,7 +146,7 @@
     /// While the total is over its bound, drops the oldest cell of the heaviest other origin: one that floods loses its
     /// own cells.
     fn evict(&mut self) {
-        while self.bytes > self.bounds.bytes_total {
+        while self.bytes > self.bounds.max_total_bytes {
             let others = self.origins.iter_mut().filter(|(id, _)| **id != self.local_id);
             let Some((_, heaviest)) = others.max_by_key(|(_, origin)| origin.bytes) else { return };
             let before = heaviest.bytes;
--- a/crates/fleet/src/table/origin.rs
+++ b/crates/fleet/src/table/origin.rs
@@ -119,7 +119,7 @@
             cell_key.clone(),
             StoredCell { version: cell.version, value: cell.value.clone(), created_at, hash },
         );
-        while self.cells.len() > bounds.entries_per_origin || self.bytes > bounds.bytes_per_origin {
+        while self.cells.len() > bounds.max_entries_per_origin || self.bytes > bounds.max_bytes_per_origin {
             self.drop_oldest();
         }
         if self.cells.contains_key(&cell_key) {
@@ -166,7 +166,9 @@
             .collect();
         expired.iter().for_each(|cell_key| self.remove(cell_key));
         // Once half of the room is free, missing cells may be requested again.
-        if self.cells.len() * 2 <= bounds.entries_per_origin && self.bytes * 2 <= bounds.bytes_per_origin {
+        if self.cells.len() * 2 <= bounds.max_entries_per_origin
+            && self.bytes * 2 <= bounds.max_bytes_per_origin
+        {
             self.bound_reached = false;
         }
     }
--- a/crates/fleet/src/table/tests.rs
+++ b/crates/fleet/src/table/tests.rs
@@ -81,7 +81,7 @@
 
     #[test]
     fn no_offer_takes_the_table_over_its_bounds(offered in cells(), big in 0usize..300) {
-        let bounds = Bounds { entries_per_origin: 3, bytes_per_origin: 400, origins: 2, bytes_total: 500, ..BOUNDS() };
+        let bounds = Bounds { max_entries_per_origin: 3, max_bytes_per_origin: 400, max_origins: 2, max_total_bytes: 500, ..BOUNDS() };
         let mut table = Table::new(MemberId(9), bounds);
         for mut cell in offered {
             cell.value = cell.value.map(|value| value.repeat(big));
@@ -96,7 +96,7 @@
     /// By number, the same cells stay whichever way they came.
     #[test]
     fn what_a_bound_keeps_does_not_depend_on_the_order(mut offered in cells()) {
-        let bounds = Bounds { entries_per_origin: 3, ..BOUNDS() };
+        let bounds = Bounds { max_entries_per_origin: 3, ..BOUNDS() };
         let forth = seen(&table_of(bounds, &offered));
         offered.reverse();
         prop_assert_eq!(seen(&table_of(bounds, &offered)).2, forth.2);
@@ -112,13 +112,13 @@
     // Another clock, another zero: what counts is the age that it came with.
     let mut b = Table::new(MemberId(9), bounds);
     assert_eq!(b.merge(5, &forwarded), MergeOutcome::Applied);
-    b.expire(5 + bounds.age - 100_000 - 1);
+    b.expire(5 + bounds.max_value_age - 100_000 - 1);
     assert_eq!(b.len(), 1);
-    b.expire(5 + bounds.age - 100_000);
+    b.expire(5 + bounds.max_value_age - 100_000);
     assert_eq!(b.len(), 0);
-    let late = a.cell(bounds.age, &forwarded.id).unwrap();
+    let late = a.cell(bounds.max_value_age, &forwarded.id).unwrap();
     assert_eq!(b.merge(7, &late), MergeOutcome::Expired);
-    a.expire(bounds.age);
+    a.expire(bounds.max_value_age);
     assert!(a.is_empty() && a.bytes() == 0);
 }
 
@@ -128,9 +128,9 @@
     let back = cell(1, 1, 1, 2, 0);
     let mut table = table_of(bounds, &[cell(1, 1, 1, 1, 1), back.clone()]);
     assert_eq!(table.get(MemberId(1), 1, &[1]), None);
-    table.expire(bounds.age);
-    assert_eq!(table.merge(bounds.age, &cell(1, 1, 1, 1, 1)), MergeOutcome::Stale);
-    table.expire(2 * bounds.age);
+    table.expire(bounds.max_value_age);
+    assert_eq!(table.merge(bounds.max_value_age, &cell(1, 1, 1, 1, 1)), MergeOutcome::Stale);
+    table.expire(2 * bounds.max_value_age);
     assert!(table.is_empty());
 }
 
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -132,7 +132,7 @@
 }
 
 fn sealed_line(sealer: &mut Sealer, channel: Channel, name: &str, body: &Body) -> String {
-    let sealed = sealer.seal(channel, addressee(body), &body.bytes());
+    let sealed = sealer.seal(channel, addressee(body), &body.to_bytes());
     format!("{} {name} {}\n", format!("{channel:?}").to_lowercase(), hexadecimal(&sealed))
 }
 
@@ -153,7 +153,7 @@
         let (from, body) = opener.open(channel, 0, sealed).unwrap();
         assert_eq!((from.id, from.incarnation), (sender().id, sender().incarnation), "{name}");
         assert_eq!(from.addressed, addressee(&expected).is_some(), "{name}");
-        assert_eq!(Body::read(body), Some(expected), "{name}");
+        assert_eq!(Body::parse(body), Some(expected), "{name}");
     }
 }
 
@@ -164,13 +164,13 @@
     let mut packets = 0;
     for sealed in stored().iter().take(datagrams().len()) {
         let (_, body) = opener.open(Channel::Datagram, 0, sealed).unwrap();
-        let Some(Body::Swim(packet)) = Body::read(body) else { continue };
-        assert_eq!(Membership::source(&packet), Some(sender()));
+        let Some(Body::Swim(packet)) = Body::parse(body) else { continue };
+        assert_eq!(Membership::packet_source(&packet), Some(sender()));
         receiver.handle_packet(&packet, &mut MembershipOutput::default()).unwrap();
         packets += 1;
     }
     assert_eq!(packets, 2);
     let mut expected = vec![(sender(), MemberState::Alive), (third(), MemberState::Alive)];
     expected.sort_by_key(|(member, _)| member.id);
-    assert_eq!(receiver.changes(|_, _| false), expected);
+    assert_eq!(receiver.take_changes(|_, _| false), expected);
 }
--- a/crates/fleet/src/timers.rs
+++ b/crates/fleet/src/timers.rs
@@ -6,7 +6,7 @@
 use crate::Member;
 
 /// What is to be done when a timer fires.
-pub(crate) enum Due {
+pub(crate) enum TimerAction {
     /// A timer of the membership library.
     Swim(foca::Timer<Member>),
     /// The next round of gossip.
@@ -23,20 +23,20 @@
 #[derive(Default)]
 pub(crate) struct Timers {
     last_token: u64,
-    pending: BTreeMap<u64, (u64, Due)>,
+    pending: BTreeMap<u64, (u64, TimerAction)>,
 }
 
 impl Timers {
     /// Registers a timer that is due at `due_at`, and returns its token.
-    pub(crate) fn add(&mut self, due_at: u64, due: Due) -> u64 {
+    pub(crate) fn add(&mut self, due_at: u64, action: TimerAction) -> u64 {
         self.last_token += 1;
-        self.pending.insert(self.last_token, (due_at, due));
+        self.pending.insert(self.last_token, (due_at, action));
         self.last_token
     }
 
     /// Removes a timer that fired: what is due, and how late it is in milliseconds. `None`: an unknown token, or one that
     /// fired before.
-    pub(crate) fn claim(&mut self, token: u64, now: u64) -> Option<(Due, u64)> {
-        self.pending.remove(&token).map(|(due_at, due)| (due, now.saturating_sub(due_at)))
+    pub(crate) fn take(&mut self, token: u64, now: u64) -> Option<(TimerAction, u64)> {
+        self.pending.remove(&token).map(|(due_at, action)| (action, now.saturating_sub(due_at)))
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -39,12 +39,12 @@
 
 impl Body {
     /// Serialized body. Cannot fail: all lengths are known and the buffer grows.
-    pub(crate) fn bytes(&self) -> Vec<u8> {
+    pub(crate) fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Parses a body; `None` also if bytes are left over.
-    pub(crate) fn read(bytes: &[u8]) -> Option<Body> {
+    pub(crate) fn parse(bytes: &[u8]) -> Option<Body> {
         match postcard::take_from_bytes(bytes) {
             Ok((body, [])) => Some(body),
             _ => None,
@@ -60,11 +60,11 @@
 /// Splits `cells`, in order, into pages that fit into bodies of `body_bytes`. Also the number of cells that are left
 /// out as they fit into none.
 pub(crate) fn paginate(cells: Vec<Cell>, body_bytes: usize) -> (Vec<Vec<Cell>>, usize) {
-    let (mut pages, mut left_out, mut used) = (Vec::new(), 0, usize::MAX);
+    let (mut pages, mut oversized, mut used) = (Vec::new(), 0, usize::MAX);
     for cell in cells {
         let size = cell_bytes(&cell);
         if size > body_bytes - CELLS_HEADER_BYTES {
-            left_out += 1;
+            oversized += 1;
             continue;
         }
         if used.saturating_add(size) > body_bytes {
@@ -76,14 +76,15 @@
             page.push(cell);
         }
     }
-    (pages, left_out)
+    (pages, oversized)
 }
 
 /// Bytes before the cells of a body: its index, and the count of cells.
 pub(crate) const CELLS_HEADER_BYTES: usize = 1 + 3;
 
 /// Most digests in one datagram.
-pub(crate) const DIGESTS_PER_DATAGRAM: usize = (MAX_BODY_BYTES - CELLS_HEADER_BYTES - 16) / MAX_DIGEST_BYTES;
+pub(crate) const MAX_DIGESTS_PER_DATAGRAM: usize =
+    (MAX_BODY_BYTES - CELLS_HEADER_BYTES - 16) / MAX_DIGEST_BYTES;
 /// Longest digest: origin and hash of fixed size, the rest as varints at their longest.
 const MAX_DIGEST_BYTES: usize = 8 + 10 + 5 + 10 + 1 + 8;
 
--- a/crates/fleet/src/wire/tests.rs
+++ b/crates/fleet/src/wire/tests.rs
@@ -8,10 +8,10 @@
         Cell::new(id, Incarnation(u64::MAX), u64::MAX, 5_000, Some(vec![0; bytes]))
     };
     let cells: Vec<_> = (0..200).map(|index| cell(index, index as usize * 7)).collect();
-    let (pages, left_out) = paginate(cells, MAX_BODY_BYTES);
-    assert!(pages.iter().all(|page| Body::Cells(page.clone()).bytes().len() <= MAX_BODY_BYTES));
-    assert_eq!(pages.iter().map(Vec::len).sum::<usize>() + left_out, 200);
-    assert!(left_out > 0 && left_out < 60);
+    let (pages, oversized) = paginate(cells, MAX_BODY_BYTES);
+    assert!(pages.iter().all(|page| Body::Cells(page.clone()).to_bytes().len() <= MAX_BODY_BYTES));
+    assert_eq!(pages.iter().map(Vec::len).sum::<usize>() + oversized, 200);
+    assert!(oversized > 0 && oversized < 60);
 }
 
 #[test]
@@ -24,16 +24,16 @@
         truncated: true,
         hash: u64::MAX,
     };
-    let digests = vec![digest; DIGESTS_PER_DATAGRAM];
+    let digests = vec![digest; MAX_DIGESTS_PER_DATAGRAM];
     let (from, to) = (MemberId(0), MemberId(u64::MAX));
-    assert!(Body::Digests { from, to, digests }.bytes().len() <= MAX_BODY_BYTES);
+    assert!(Body::Digests { from, to, digests }.to_bytes().len() <= MAX_BODY_BYTES);
 }
 
 #[test]
 fn truncated_overlong_and_unknown_bodies_are_not_parsed() {
-    let bytes = Body::Swim(vec![1, 2, 3]).bytes();
-    assert_eq!(Body::read(&bytes), Some(Body::Swim(vec![1, 2, 3])));
-    assert_eq!(Body::read(&bytes[..3]), None);
-    assert_eq!(Body::read(&[&bytes[..], &[0]].concat()), None);
-    assert_eq!(Body::read(&[200, 1, 0]), None);
+    let bytes = Body::Swim(vec![1, 2, 3]).to_bytes();
+    assert_eq!(Body::parse(&bytes), Some(Body::Swim(vec![1, 2, 3])));
+    assert_eq!(Body::parse(&bytes[..3]), None);
+    assert_eq!(Body::parse(&[&bytes[..], &[0]].concat()), None);
+    assert_eq!(Body::parse(&[200, 1, 0]), None);
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -33,7 +33,7 @@
     pub nodes: Vec<Node>,
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
-    random: StdRng,
+    rng: StdRng,
     /// Shares of all datagrams, 0 to 1.
     pub loss: f64,
     pub duplication: f64,
@@ -74,7 +74,7 @@
             nodes: Vec::new(),
             queue: BTreeMap::new(),
             sequence: 0,
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             loss: 0.0,
             duplication: 0.0,
             max_delay: 5,
@@ -139,19 +139,19 @@
                 if let Some(recorded) = &mut self.recorded {
                     recorded.push((to, bytes.clone()));
                 }
-                let copies = 1 + usize::from(self.random.random_bool(self.duplication));
+                let copies = 1 + usize::from(self.rng.random_bool(self.duplication));
                 for _ in 0..copies {
-                    let due_at = self.now + self.random.random_range(0..=self.max_delay);
-                    if !self.random.random_bool(self.loss)
+                    let due_at = self.now + self.rng.random_range(0..=self.max_delay);
+                    if !self.rng.random_bool(self.loss)
                         && self.nodes[node].partition == self.nodes[to].partition
                     {
                         self.push(due_at, Event::Datagram { to, from: address(node), bytes: bytes.clone() });
                     }
                 }
             }
-            Effect::Timer { after, token } => {
+            Effect::Timer { delay_ms, token } => {
                 let run = self.nodes[node].run;
-                self.push(self.now + after, Event::Timer { node, run, token });
+                self.push(self.now + delay_ms, Event::Timer { node, run, token });
             }
             Effect::MemberChanged { member, state } => {
                 self.nodes[node].changes.push((self.now, member.id, member.incarnation, state));
@@ -179,7 +179,7 @@
             self.nodes[sides[1 - turn].0].sent += in_flight.len() as u64;
             let mut answer = Vec::new();
             while !in_flight.is_empty() {
-                let cut = self.random.random_range(1..=in_flight.len().min(5_000));
+                let cut = self.rng.random_range(1..=in_flight.len().min(5_000));
                 let chunk: Vec<u8> = in_flight.drain(..cut).collect();
                 let (node, side) = &mut sides[turn];
                 let mut effects = Vec::new();
--- a/crates/fleet/tests/stored_datagrams.rs
+++ b/crates/fleet/tests/stored_datagrams.rs
@@ -5,7 +5,8 @@
 
 use glenrail_fleet::seal::{Channel, Sealer, SEAL_OVERHEAD_BYTES};
 use glenrail_fleet::{
-    Effect, Exchange, Fleet, FleetKey, Incarnation, Keyring, Member, MemberId, MemberState, Settings, FORMAT,
+    Effect, Exchange, Fleet, FleetKey, Incarnation, Keyring, Member, MemberId, MemberState, Settings,
+    FORMAT_VERSION,
 };
 
 /// One message a line: channel, name, and the sealed bytes in hexadecimal digits, in the order of their counters.
@@ -99,7 +100,7 @@
 fn the_fixture_has_every_kind_of_message() {
     let number = |(name, sealed): (&'static str, Vec<u8>)| (name, sealed[HEADER_BYTES]);
     assert_eq!(stored().into_iter().map(number).collect::<Vec<_>>(), NUMBERS);
-    assert!(stored().iter().all(|(_, sealed)| sealed[0] == FORMAT));
+    assert!(stored().iter().all(|(_, sealed)| sealed[0] == FORMAT_VERSION));
 }
 
 #[test]
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -134,7 +134,7 @@
         assert!(matches!(rejection, Err(Rejection::WrongRecipient { .. })));
     }
     let counted = &net.nodes[0].fleet.counters().rejected;
-    assert!(counted[Rejection::Forged.reason()] > 0);
+    assert!(counted[Rejection::Forged.reason_index()] > 0);
 }
 
 #[test]
@@ -144,7 +144,7 @@
     net.step(2, |fleet, _, _| fleet.rotate_keys(keys(2)));
     net.run(15_000);
     for node in 0..2 {
-        assert!(net.nodes[node].fleet.counters().rejected[Rejection::Forged.reason()] > 0);
+        assert!(net.nodes[node].fleet.counters().rejected[Rejection::Forged.reason_index()] > 0);
         let state = net.nodes[node].fleet.members().find(|(member, _)| member.id == net::id(2)).unwrap().1;
         assert_eq!(state, MemberState::Failed);
     }
--- a/gateway/src/fleet/driver.rs
+++ b/gateway/src/fleet/driver.rs
@@ -110,7 +110,7 @@
     fn carry_out(self: &Rc<Self>, now: u64, effect: Effect) {
         match effect {
             Effect::Send { to, bytes } => self.send(to, &bytes),
-            Effect::Timer { after, token } => self.timers.add(now + after, token),
+            Effect::Timer { delay_ms, token } => self.timers.add(now + delay_ms, token),
             Effect::MemberChanged { member, state } => {
                 self.log_change(&member, state);
                 self.updates.send_modify(|updates| *updates += 1);
@@ -161,7 +161,7 @@
     /// Logs a rejected message, at a limited rate for each reason.
     pub(super) fn log_rejection(&self, from: SocketAddr, rejection: Rejection) {
         log::line(
-            &self.rejection_limits[rejection.reason()],
+            &self.rejection_limits[rejection.reason_index()],
             format_args!("fleet: what {from} sent was refused: {rejection}; {}", rejection.advice()),
         );
     }
