--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -54,22 +54,22 @@
 }
 
 #[test]
-fn nobody_speaks_for_ones_own_cells_nor_gives_a_member_another_life() {
+fn cells_of_the_recipient_and_of_other_incarnations_of_members_are_ignored() {
     let (mut a, mut b) = pair();
     b.put(0, 7, b"k", b"truth".to_vec()).unwrap();
-    let lies = vec![
+    let invalid_cells = vec![
         cell(b.local_member().id, 5, 99),
         cell(b.local_member().id, 6, 1),
         cell(a.local_member().id, 4, 9),
         cell(a.local_member().id, 9, 9),
     ];
-    let (result, effects) = send(&mut a, &mut b, &Body::Cells(lies));
+    let (result, effects) = send(&mut a, &mut b, &Body::Cells(invalid_cells));
     assert_eq!((result, effects), (Ok(()), Vec::new()));
     assert_eq!(b.table().get(b.local_member().id, 7, b"k"), Some((1, &b"truth"[..])));
     assert_eq!(b.table().len(), 1);
     // Of those that are no members, as of its own life, cells are carried.
-    let good = vec![cell(MemberId(77), 1, 1), cell(a.local_member().id, 5, 1)];
-    let (_, effects) = send(&mut a, &mut b, &Body::Cells(good));
+    let valid_cells = vec![cell(MemberId(77), 1, 1), cell(a.local_member().id, 5, 1)];
+    let (_, effects) = send(&mut a, &mut b, &Body::Cells(valid_cells));
     assert_eq!((effects.len(), b.table().len()), (2, 3));
 }
 
--- a/crates/fleet/src/seal/key/tests.rs
+++ b/crates/fleet/src/seal/key/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn one_file_under_two_fleets_gives_two_keys() {
+fn the_same_key_file_gives_each_fleet_its_own_key() {
     let keys = ["one", "two"].map(|fleet| FleetKey::derive(&[7; 32], fleet).unwrap());
     assert_ne!(keys[0].tag(b"x"), keys[1].tag(b"x"));
 }
--- a/crates/fleet/src/seal/tests.rs
+++ b/crates/fleet/src/seal/tests.rs
@@ -10,20 +10,20 @@
 }
 
 #[test]
-fn forged_replayed_foreign_old_and_unknown_are_told_apart() {
+fn each_kind_of_invalid_message_is_rejected_with_its_own_reason() {
     let (a_id, b_id) = (MemberId::of_name("a"), MemberId::of_name("b"));
     let (mut a, mut b) = (sealer("a", 5, keys(1, None)), sealer("b", 7, keys(1, None)));
     let to_b = Some((b_id, Incarnation(7)));
     let good = a.seal(Channel::Datagram, to_b, b"hello");
     for index in 0..good.len() {
-        let mut bent = good.clone();
-        bent[index] ^= 1;
+        let mut altered = good.clone();
+        altered[index] ^= 1;
         let expected = if index == 0 {
             Rejection::UnknownVersion { version: 0, supported: 1 }
         } else {
             Rejection::Forged
         };
-        assert_eq!(b.open(Channel::Datagram, 0, &bent), Err(expected));
+        assert_eq!(b.open(Channel::Datagram, 0, &altered), Err(expected));
     }
     assert!(matches!(b.open(Channel::Frame, 0, &good), Err(Rejection::Malformed { .. })));
     let (sender, body) = b.open(Channel::Datagram, 0, &good).unwrap();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn keys_are_turned_over_on_a_running_fleet() {
+fn keys_can_be_rotated_on_a_running_fleet() {
     let to_b = Some((MemberId::of_name("b"), Incarnation(1)));
     let (mut a, mut b) = (sealer("a", 1, keys(1, None)), sealer("b", 1, keys(1, None)));
     let accept = |a: &mut Sealer, b: &mut Sealer| {
--- a/crates/fleet/src/seal/window/tests.rs
+++ b/crates/fleet/src/seal/window/tests.rs
@@ -7,7 +7,7 @@
 proptest! {
     /// Against a set that remembers everything: new once, within the width; behind it never.
     #[test]
-    fn as_a_set_that_forgets_nothing(steps in prop::collection::vec((0u64..2_600, any::<bool>()), 1..400)) {
+    fn the_window_agrees_with_an_unbounded_set(steps in prop::collection::vec((0u64..2_600, any::<bool>()), 1..400)) {
         let (mut window, mut seen, mut newest) = (Window::default(), BTreeSet::new(), 0u64);
         for (jump, back) in steps {
             let counter = if back { newest.saturating_sub(jump) } else { newest + jump / 20 };
--- a/crates/fleet/src/table/tests.rs
+++ b/crates/fleet/src/table/tests.rs
@@ -12,12 +12,13 @@
 }
 
 fn cells() -> impl Strategy<Value = Vec<Cell>> {
-    let one = (1u64..4, 1u64..3, 0u8..6, 1u64..8, 0u8..5).prop_map(|(o, l, k, v, x)| cell(o, l, k, v, x));
-    prop::collection::vec(one, 0..40)
+    let any_cell =
+        (1u64..4, 1u64..3, 0u8..6, 1u64..8, 0u8..5).prop_map(|(o, i, k, v, x)| cell(o, i, k, v, x));
+    prop::collection::vec(any_cell, 0..40)
 }
 
 /// All that can be seen of a table.
-fn seen(table: &Table) -> (usize, Vec<Digest>, Vec<Cell>) {
+fn contents(table: &Table) -> (usize, Vec<Digest>, Vec<Cell>) {
     let digests = table.digests(MemberId(0), MemberId(u64::MAX));
     let held = digests.iter().flat_map(|digest| table.cells_above(0, digest.origin, 0)).collect();
     (table.bytes(), digests, held)
@@ -34,11 +35,12 @@
 /// One round of repair as two members do it: digests compared at both ends, what is lacking merged.
 fn repair(a: &mut Table, b: &mut Table) {
     let all = (MemberId(0), MemberId(u64::MAX));
-    let (of_a, of_b) = (a.digests(all.0, all.1), b.digests(all.0, all.1));
-    let ids: std::collections::BTreeSet<_> = of_a.iter().chain(&of_b).map(|digest| digest.origin).collect();
+    let (digests_of_a, digests_of_b) = (a.digests(all.0, all.1), b.digests(all.0, all.1));
+    let ids: std::collections::BTreeSet<_> =
+        digests_of_a.iter().chain(&digests_of_b).map(|digest| digest.origin).collect();
     for id in ids {
         let find = |all: &[Digest]| all.iter().find(|digest| digest.origin == id).copied();
-        let (in_a, in_b) = (find(&of_a), find(&of_b));
+        let (in_a, in_b) = (find(&digests_of_a), find(&digests_of_b));
         let (need_a, need_b) = (compare(in_a.as_ref(), in_b.as_ref()), compare(in_b.as_ref(), in_a.as_ref()));
         let from_a = need_a.send_above_version.map_or(Vec::new(), |version| a.cells_above(0, id, version));
         let from_b = need_b.send_above_version.map_or(Vec::new(), |version| b.cells_above(0, id, version));
@@ -57,54 +59,54 @@
 
 proptest! {
     #[test]
-    fn merging_is_commutative_and_idempotent(mut offered in cells(), seed in any::<u64>()) {
-        let once = seen(&table_of(BOUNDS(), &offered));
-        let twice: Vec<_> = offered.iter().chain(&offered).cloned().collect();
-        prop_assert_eq!(&seen(&table_of(BOUNDS(), &twice)), &once);
+    fn merging_is_commutative_and_idempotent(mut cells_to_merge in cells(), seed in any::<u64>()) {
+        let once = contents(&table_of(BOUNDS(), &cells_to_merge));
+        let twice: Vec<_> = cells_to_merge.iter().chain(&cells_to_merge).cloned().collect();
+        prop_assert_eq!(&contents(&table_of(BOUNDS(), &twice)), &once);
         // Any other order.
-        offered.sort_by_key(|cell| {
+        cells_to_merge.sort_by_key(|cell| {
             blake3::hash(&[&seed.to_le_bytes()[..], format!("{cell:?}").as_bytes()].concat()).as_bytes().to_owned()
         });
-        prop_assert_eq!(&seen(&table_of(BOUNDS(), &offered)), &once);
+        prop_assert_eq!(&contents(&table_of(BOUNDS(), &cells_to_merge)), &once);
     }
 
     #[test]
     fn digests_repair_any_two_tables(first in cells(), second in cells()) {
         let (mut a, mut b) = (table_of(BOUNDS(), &first), table_of(BOUNDS(), &second));
-        let whole = seen(&table_of(BOUNDS(), &[first, second].concat()));
+        let union = contents(&table_of(BOUNDS(), &[first, second].concat()));
         for _ in 0..3 {
             repair(&mut a, &mut b);
         }
-        prop_assert_eq!(seen(&a), seen(&b));
-        prop_assert_eq!(seen(&a), whole);
+        prop_assert_eq!(contents(&a), contents(&b));
+        prop_assert_eq!(contents(&a), union);
     }
 
     #[test]
-    fn no_offer_takes_the_table_over_its_bounds(offered in cells(), big in 0usize..300) {
+    fn merging_never_exceeds_the_bounds(cells_to_merge in cells(), big in 0usize..300) {
         let bounds = Bounds { max_entries_per_origin: 3, max_bytes_per_origin: 400, max_origins: 2, max_total_bytes: 500, ..BOUNDS() };
         let mut table = Table::new(MemberId(9), bounds);
-        for mut cell in offered {
+        for mut cell in cells_to_merge {
             cell.value = cell.value.map(|value| value.repeat(big));
             table.merge(0, &cell);
             prop_assert!(table.bytes() <= 500 && table.origins() <= 2);
             prop_assert!(table.digests(MemberId(0), MemberId(9)).iter().all(|digest| digest.cells <= 3));
-            let weights: usize = seen(&table).2.iter().map(Cell::weight).sum();
+            let weights: usize = contents(&table).2.iter().map(Cell::weight).sum();
             prop_assert_eq!(weights, table.bytes());
         }
     }
 
     /// By number, the same cells stay whichever way they came.
     #[test]
-    fn what_a_bound_keeps_does_not_depend_on_the_order(mut offered in cells()) {
+    fn cells_kept_at_a_bound_do_not_depend_on_the_merge_order(mut cells_to_merge in cells()) {
         let bounds = Bounds { max_entries_per_origin: 3, ..BOUNDS() };
-        let forth = seen(&table_of(bounds, &offered));
-        offered.reverse();
-        prop_assert_eq!(seen(&table_of(bounds, &offered)).2, forth.2);
+        let forward = contents(&table_of(bounds, &cells_to_merge));
+        cells_to_merge.reverse();
+        prop_assert_eq!(contents(&table_of(bounds, &cells_to_merge)).2, forward.2);
     }
 }
 
 #[test]
-fn the_age_of_a_cell_travels_and_only_grows() {
+fn the_age_of_a_cell_is_transferred_and_never_decreases() {
     let bounds = BOUNDS();
     let mut a = table_of(bounds, &[cell(1, 1, 1, 1, 1)]);
     let forwarded = a.cell(100_000, &cell(1, 1, 1, 1, 1).id).unwrap();
@@ -125,8 +127,8 @@
 #[test]
 fn a_tombstone_outlives_the_value() {
     let bounds = BOUNDS();
-    let back = cell(1, 1, 1, 2, 0);
-    let mut table = table_of(bounds, &[cell(1, 1, 1, 1, 1), back.clone()]);
+    let tombstone = cell(1, 1, 1, 2, 0);
+    let mut table = table_of(bounds, &[cell(1, 1, 1, 1, 1), tombstone.clone()]);
     assert_eq!(table.get(MemberId(1), 1, &[1]), None);
     table.expire(bounds.max_value_age);
     assert_eq!(table.merge(bounds.max_value_age, &cell(1, 1, 1, 1, 1)), MergeOutcome::Stale);
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -48,7 +48,7 @@
 }
 
 /// What the sender answers the receiver's announcement with, when the third is the only other member it knows.
-fn feed() -> Vec<u8> {
+fn feed_packet() -> Vec<u8> {
     let mut sender = membership(sender());
     sender
         .handle_packet(&announcement(third(), sender.local_member()), &mut MembershipOutput::default())
@@ -88,7 +88,7 @@
         ("hello", Body::Hello(sender())),
         ("hello_over_ipv6", Body::Hello(sender_over_ipv6())),
         ("swim_announcement", Body::Swim(announcement(sender(), receiver()))),
-        ("swim_feed", Body::Swim(feed())),
+        ("swim_feed", Body::Swim(feed_packet())),
         ("cells", Body::Cells(cells())),
         ("digests", Body::Digests { from, to, digests: digests() }),
         ("want", Body::Request(vec![digest(receiver(), 0, 0, false, 0)])),
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -7,13 +7,13 @@
 
 fn connected_net(nodes: usize, seed: u64, loss: f64) -> Net {
     let mut net = Net::new(nodes, seed, Settings::default());
-    (net.loss, net.duplication, net.max_delay) = (loss, 0.1, 60);
-    net.until(60_000, Net::all_know_all).expect("all meet within a minute");
+    (net.loss_rate, net.duplication_rate, net.max_delay_ms) = (loss, 0.1, 60);
+    net.run_until(60_000, Net::all_see_each_other_alive).expect("all meet within a minute");
     net
 }
 
 #[test]
-fn all_meet_whatever_is_lost() {
+fn members_discover_each_other_despite_datagram_loss() {
     for (nodes, loss) in [(2, 0.0), (3, 0.2), (8, 0.1), (20, 0.2)] {
         for seed in 1..=3 {
             connected_net(nodes, seed, loss);
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn one_that_dies_is_gone_and_one_that_leaves_has_left() {
+fn a_killed_member_is_reported_failed_and_a_leaving_one_left() {
     for seed in 1..=5 {
         let mut net = connected_net(5, seed, 0.1);
         net.kill(4);
         let left_at = net.now;
         net.step(3, glenrail_fleet::Fleet::leave);
         net.kill(3);
-        let observed = net.until(30_000, |net| {
+        let observed = net.run_until(30_000, |net| {
             net.nodes[..3].iter().all(|node| {
                 let state =
                     |of| node.fleet.members().find(|(member, _)| member.id == of).map(|(_, state)| state);
@@ -39,7 +39,7 @@
         assert!(observed.is_some(), "seed {seed}");
         // The planned end is heard long before a probe could have found it.
         let observed_in_time = net.nodes.iter().flat_map(|node| &node.changes).any(|(time, of, _, state)| {
-            *of == id(3) && *state == MemberState::Left && *time <= left_at + net.max_delay
+            *of == id(3) && *state == MemberState::Left && *time <= left_at + net.max_delay_ms
         });
         assert!(observed_in_time, "seed {seed}");
         net.run(200_000);
@@ -54,7 +54,7 @@
     let mut net = connected_net(12, 1, 0.0);
     net.step(7, glenrail_fleet::Fleet::leave);
     net.kill(7);
-    net.run(net.max_delay);
+    net.run(net.max_delay_ms);
     let has_seen_the_leave = |node: &&net::Node| {
         node.fleet.members().any(|(member, state)| member.id == id(7) && state == MemberState::Left)
     };
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn parts_that_were_cut_off_meet_again() {
+fn partitions_rejoin_once_the_network_heals() {
     for seed in 1..=3 {
         let mut net = connected_net(8, seed, 0.05);
         net.nodes[5..].iter_mut().for_each(|node| node.partition = 1);
@@ -70,7 +70,7 @@
         let declared_failed = net.nodes[0].changes.iter().any(|(.., state)| *state == MemberState::Failed);
         assert!(declared_failed, "a cut of 10 s is seen");
         net.nodes.iter_mut().for_each(|node| node.partition = 0);
-        let healed = net.until(30_000, Net::all_know_all);
+        let healed = net.run_until(30_000, Net::all_see_each_other_alive);
         assert!(healed.is_some(), "seed {seed}");
         assert!(
             net.nodes.iter().all(|node| node.fleet.local_member().incarnation == Incarnation(1)),
@@ -80,16 +80,16 @@
 }
 
 #[test]
-fn a_restart_under_its_name_is_a_new_life() {
+fn a_restart_under_the_same_name_is_a_new_incarnation() {
     for seed in 1..=5 {
         let mut net = connected_net(5, seed, 0.1);
         net.put(2, 7, b"old", b"of the first life");
-        assert!(net.until(20_000, |net| net.same_values(7, 1)).is_some());
+        assert!(net.run_until(20_000, |net| net.same_values_everywhere(7, 1)).is_some());
         net.kill(2);
         net.run(300);
         net.restart(2, 2);
-        let known_after = net.until(30_000, |net| {
-            net.all_know_all()
+        let known_after = net.run_until(30_000, |net| {
+            net.all_see_each_other_alive()
                 && net.nodes.iter().enumerate().all(|(node, view)| {
                     node == 2
                         || view
@@ -99,12 +99,12 @@
                 })
         });
         assert!(known_after.is_some(), "seed {seed}");
-        assert!(net.same_values(7, 0), "what the earlier life told is gone with it");
+        assert!(net.same_values_everywhere(7, 0), "what the earlier life told is gone with it");
     }
 }
 
 #[test]
-fn members_restarted_within_a_second_meet_in_their_new_incarnations() {
+fn members_restarted_within_a_second_discover_each_others_new_incarnations() {
     for seed in 1..=3 {
         let mut net = connected_net(8, seed, 0.1);
         for node in 0..8 {
@@ -113,18 +113,18 @@
             net.restart(node, 2);
             net.run(60);
         }
-        let met_again = net.until(30_000, |net| {
+        let met_again = net.run_until(30_000, |net| {
             let new = |node: &net::Node| {
                 node.fleet.members().all(|(member, _)| member.incarnation == Incarnation(2))
             };
-            net.all_know_all() && net.nodes.iter().all(new)
+            net.all_see_each_other_alive() && net.nodes.iter().all(new)
         });
         assert!(met_again.is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn a_member_stopped_for_8_s_declares_nobody_failed_when_it_continues() {
+fn a_member_stopped_for_8_s_declares_no_member_failed_when_it_continues() {
     for seed in 1..=5 {
         let mut net = connected_net(5, seed, 0.0);
         net.put(1, 7, b"k", b"v");
@@ -135,7 +135,7 @@
             net.nodes[0].fleet.members().any(|(member, state)| member.id == id(1) && !state.is_active());
         assert!(seen_inactive, "seed {seed}: 8 s are more than a suspect is given");
         let continued_at = net.now;
-        assert!(net.until(20_000, Net::all_know_all).is_some(), "seed {seed}");
+        assert!(net.run_until(20_000, Net::all_see_each_other_alive).is_some(), "seed {seed}");
         let declared_failed = net.nodes[1]
             .changes
             .iter()
@@ -145,12 +145,15 @@
             "seed {seed}: those that answered all the time are not found gone by the sleeper"
         );
         assert_eq!(net.nodes[1].fleet.local_member().incarnation, Incarnation(1));
-        assert!(net.until(10_000, |net| net.same_values(7, 1)).is_some(), "what it holds stays good");
+        assert!(
+            net.run_until(10_000, |net| net.same_values_everywhere(7, 1)).is_some(),
+            "what it holds stays good"
+        );
     }
 }
 
 #[test]
-fn a_verdict_that_came_due_in_a_sleep_is_put_off() {
+fn a_suspicion_that_timed_out_during_a_stop_is_extended() {
     let mut suspicions = 0;
     for seed in 1..=5 {
         let mut net = connected_net(3, seed, 0.0);
@@ -159,9 +162,9 @@
         };
         // Suspected for a cut that ends in the moment in which the judge falls asleep.
         net.nodes[2].partition = 1;
-        assert!(net.until(20_000, |net| state_of_the_last(net) != Some(MemberState::Alive)).is_some());
+        assert!(net.run_until(20_000, |net| state_of_the_last(net) != Some(MemberState::Alive)).is_some());
         net.nodes[2].partition = 0;
-        net.overrun = true;
+        net.drops_while_stopped = true;
         suspicions += u32::from(state_of_the_last(&net) == Some(MemberState::Suspect));
         net.nodes[1].stopped_until = net.now + 8_000;
         let changes_before = net.nodes[1].changes.len();
@@ -170,7 +173,7 @@
             .iter()
             .any(|(_, of, _, state)| *of == id(2) && *state == MemberState::Failed);
         assert!(!declared_failed, "seed {seed}");
-        assert!(net.until(20_000, Net::all_know_all).is_some(), "seed {seed}");
+        assert!(net.run_until(20_000, Net::all_see_each_other_alive).is_some(), "seed {seed}");
     }
     assert!(suspicions > 0);
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -16,16 +16,16 @@
     pub up: bool,
     pub stopped_until: u64,
     /// Raised by a restart: what was asked for before it is void.
-    run: u32,
+    generation: u32,
     pub partition: u8,
     pub changes: Vec<(u64, MemberId, Incarnation, MemberState)>,
-    pub sent: u64,
+    pub sent_bytes: u64,
     pub superseded: u32,
 }
 
 enum Event {
     Datagram { to: usize, from: SocketAddr, bytes: Vec<u8> },
-    Timer { node: usize, run: u32, token: u64 },
+    Timer { node: usize, generation: u32, token: u64 },
 }
 
 pub struct Net {
@@ -35,12 +35,12 @@
     sequence: u64,
     rng: StdRng,
     /// Shares of all datagrams, 0 to 1.
-    pub loss: f64,
-    pub duplication: f64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
     /// Milliseconds on the way, at most. More than the time between two: they are reordered.
-    pub max_delay: u64,
+    pub max_delay_ms: u64,
     /// What comes for a stopped member is lost: its socket's buffer is full. Else it is there when it wakes.
-    pub overrun: bool,
+    pub drops_while_stopped: bool,
     pub settings: Settings,
     seed: u64,
     /// Every datagram and change, for runs to be compared.
@@ -75,10 +75,10 @@
             queue: BTreeMap::new(),
             sequence: 0,
             rng: StdRng::seed_from_u64(seed),
-            loss: 0.0,
-            duplication: 0.0,
-            max_delay: 5,
-            overrun: false,
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
+            max_delay_ms: 5,
+            drops_while_stopped: false,
             settings,
             seed,
             trace: 0,
@@ -86,15 +86,15 @@
             exchanges: 0,
         };
         for node in 0..nodes {
-            let fleet = net.fleet(node, incarnation);
+            let fleet = net.new_fleet(node, incarnation);
             net.nodes.push(Node {
                 fleet,
                 up: true,
                 stopped_until: 0,
-                run: 0,
+                generation: 0,
                 partition: 0,
                 changes: Vec::new(),
-                sent: 0,
+                sent_bytes: 0,
                 superseded: 0,
             });
         }
@@ -104,7 +104,7 @@
         net
     }
 
-    fn fleet(&self, node: usize, incarnation: u64) -> Fleet {
+    fn new_fleet(&self, node: usize, incarnation: u64) -> Fleet {
         let seeds = vec![address(0), address(1)];
         let (settings, seed) = (self.settings.clone(), self.seed ^ (node as u64) << 32 ^ incarnation);
         Fleet::new(
@@ -124,25 +124,25 @@
         let mut effects = Vec::new();
         let result = step(&mut self.nodes[node].fleet, self.now, &mut effects);
         for effect in effects {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
         result
     }
 
-    fn carry_out(&mut self, node: usize, effect: Effect) {
-        self.note(format!("{node} {effect:?}").as_bytes());
+    fn apply_effect(&mut self, node: usize, effect: Effect) {
+        self.add_to_trace(format!("{node} {effect:?}").as_bytes());
         match effect {
             Effect::Send { to, bytes } => {
                 assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
-                self.nodes[node].sent += bytes.len() as u64;
+                self.nodes[node].sent_bytes += bytes.len() as u64;
                 let to = usize::from(to.port()) - 7_000;
                 if let Some(recorded) = &mut self.recorded {
                     recorded.push((to, bytes.clone()));
                 }
-                let copies = 1 + usize::from(self.rng.random_bool(self.duplication));
+                let copies = 1 + usize::from(self.rng.random_bool(self.duplication_rate));
                 for _ in 0..copies {
-                    let due_at = self.now + self.rng.random_range(0..=self.max_delay);
-                    if !self.rng.random_bool(self.loss)
+                    let due_at = self.now + self.rng.random_range(0..=self.max_delay_ms);
+                    if !self.rng.random_bool(self.loss_rate)
                         && self.nodes[node].partition == self.nodes[to].partition
                     {
                         self.push(due_at, Event::Datagram { to, from: address(node), bytes: bytes.clone() });
@@ -150,8 +150,8 @@
                 }
             }
             Effect::Timer { delay_ms, token } => {
-                let run = self.nodes[node].run;
-                self.push(self.now + delay_ms, Event::Timer { node, run, token });
+                let generation = self.nodes[node].generation;
+                self.push(self.now + delay_ms, Event::Timer { node, generation, token });
             }
             Effect::MemberChanged { member, state } => {
                 self.nodes[node].changes.push((self.now, member.id, member.incarnation, state));
@@ -176,7 +176,7 @@
         let mut sides = [(opener, first), (acceptor, Exchange::accept())];
         let (mut in_flight, mut turn) = (write, 1);
         while !in_flight.is_empty() {
-            self.nodes[sides[1 - turn].0].sent += in_flight.len() as u64;
+            self.nodes[sides[1 - turn].0].sent_bytes += in_flight.len() as u64;
             let mut answer = Vec::new();
             while !in_flight.is_empty() {
                 let cut = self.rng.random_range(1..=in_flight.len().min(5_000));
@@ -186,7 +186,7 @@
                 let step =
                     self.nodes[*node].fleet.handle_exchange_bytes(self.now, side, &chunk, &mut effects);
                 let node = *node;
-                effects.into_iter().for_each(|effect| self.carry_out(node, effect));
+                effects.into_iter().for_each(|effect| self.apply_effect(node, effect));
                 // After an error the driver closes the stream.
                 let Ok(step) = step else { return };
                 answer.extend(step.write);
@@ -200,15 +200,15 @@
         self.queue.insert((due_at, self.sequence), event);
     }
 
-    fn note(&mut self, event: &[u8]) {
+    fn add_to_trace(&mut self, event: &[u8]) {
         for byte in self.now.to_le_bytes().iter().chain(event) {
             self.trace = (self.trace ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
         }
     }
 
     /// Plays `time` milliseconds.
-    pub fn run(&mut self, time: u64) {
-        let until = self.now + time;
+    pub fn run(&mut self, duration_ms: u64) {
+        let until = self.now + duration_ms;
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((due_at, _), event) = entry.remove_entry();
             self.now = self.now.max(due_at);
@@ -216,9 +216,9 @@
                 Event::Datagram { to, .. } => to,
                 Event::Timer { node, .. } => node,
             };
-            let Node { up, stopped_until, run, .. } = self.nodes[node];
+            let Node { up, stopped_until, generation, .. } = self.nodes[node];
             if up && stopped_until > self.now {
-                if !self.overrun || matches!(event, Event::Timer { .. }) {
+                if !self.drops_while_stopped || matches!(event, Event::Timer { .. }) {
                     self.push(stopped_until, event);
                 }
                 continue;
@@ -229,7 +229,7 @@
                     let _ = self
                         .step(node, |fleet, now, effects| fleet.handle_datagram(now, from, &bytes, effects));
                 }
-                Event::Timer { run: requested_by, token, .. } if requested_by == run => {
+                Event::Timer { generation: set_in, token, .. } if set_in == generation => {
                     self.step(node, |fleet, now, effects| fleet.handle_timer(now, token, effects));
                 }
                 Event::Timer { .. } => {}
@@ -240,10 +240,10 @@
 
     /// Plays until `done`, looking every 100 ms; how long it took, or `None` after `most`.
     #[allow(dead_code)]
-    pub fn until(&mut self, most: u64, done: impl Fn(&Net) -> bool) -> Option<u64> {
+    pub fn run_until(&mut self, max_ms: u64, done: impl Fn(&Net) -> bool) -> Option<u64> {
         let from = self.now;
         while !done(self) {
-            if self.now - from >= most {
+            if self.now - from >= max_ms {
                 return None;
             }
             self.run(100);
@@ -258,9 +258,9 @@
 
     #[allow(dead_code)]
     pub fn restart(&mut self, node: usize, incarnation: u64) {
-        self.nodes[node].fleet = self.fleet(node, incarnation);
+        self.nodes[node].fleet = self.new_fleet(node, incarnation);
         self.nodes[node].up = true;
-        self.nodes[node].run += 1;
+        self.nodes[node].generation += 1;
         self.step(node, glenrail_fleet::Fleet::start);
     }
 
@@ -269,7 +269,7 @@
     }
 
     /// Everyone that is up takes everyone else that is up, and nobody else, for alive.
-    pub fn all_know_all(&self) -> bool {
+    pub fn all_see_each_other_alive(&self) -> bool {
         let up: Vec<_> = (0..self.nodes.len()).filter(|node| self.nodes[*node].up).collect();
         up.iter().all(|node| {
             let fleet = &self.nodes[*node].fleet;
@@ -286,11 +286,11 @@
 
     /// All that are up hold the same values of `kind`; `kinds` of them together.
     #[allow(dead_code)]
-    pub fn same_values(&self, kind: u16, cells: usize) -> bool {
+    pub fn same_values_everywhere(&self, kind: u16, expected_count: usize) -> bool {
         let mut tables = self.nodes.iter().filter(|node| node.up).map(|node| {
             node.fleet.table().values_of_kind(kind).map(|cell| format!("{cell:?}")).collect::<Vec<_>>()
         });
         let Some(first) = tables.next() else { return true };
-        first.len() == cells && tables.all(|table| table == first)
+        first.len() == expected_count && tables.all(|table| table == first)
     }
 }
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -6,11 +6,11 @@
 use net::{address, keys, Net};
 
 #[test]
-fn all_hold_the_same_whatever_is_lost() {
+fn tables_converge_despite_datagram_loss() {
     for (nodes, loss) in [(3, 0.2), (12, 0.1), (20, 0.2)] {
         let mut net = Net::new(nodes, 5, Settings { entry_age: 20_000, ..Settings::default() });
-        (net.loss, net.duplication, net.max_delay) = (loss, 0.1, 300);
-        assert!(net.until(60_000, Net::all_know_all).is_some());
+        (net.loss_rate, net.duplication_rate, net.max_delay_ms) = (loss, 0.1, 300);
+        assert!(net.run_until(60_000, Net::all_see_each_other_alive).is_some());
         for node in 0..nodes {
             (0..5u8).for_each(|key| net.put(node, 7, &[key], &[key; 60]));
         }
@@ -19,52 +19,59 @@
             net.put(0, 7, &[0], &[write; 60]);
             net.run(50);
         }
-        assert!(net.until(30_000, |net| net.same_values(7, 5 * nodes)).is_some(), "{nodes} nodes");
-        assert!(net.until(30_000, |net| net.same_values(65_000, 1)).is_some());
+        assert!(
+            net.run_until(30_000, |net| net.same_values_everywhere(7, 5 * nodes)).is_some(),
+            "{nodes} nodes"
+        );
+        assert!(net.run_until(30_000, |net| net.same_values_everywhere(65_000, 1)).is_some());
         net.step(0, |fleet, now, _| fleet.delete(now, 7, &[0])).unwrap();
-        assert!(net.until(30_000, |net| net.same_values(7, 5 * nodes - 1)).is_some());
+        assert!(net.run_until(30_000, |net| net.same_values_everywhere(7, 5 * nodes - 1)).is_some());
         // Told anew by itself, it outlives the age of a value many times.
         net.run(3 * net.settings.entry_age);
-        assert!(net.until(10_000, |net| net.same_values(7, 5 * nodes - 1)).is_some());
+        assert!(net.run_until(10_000, |net| net.same_values_everywhere(7, 5 * nodes - 1)).is_some());
     }
 }
 
 #[test]
-fn what_does_not_fit_into_datagrams_goes_over_a_stream() {
+fn cells_that_do_not_fit_into_datagrams_are_sent_over_a_stream() {
     let mut net = Net::new(3, 6, Settings::default());
     net.run(5_000);
     net.put(0, 7, b"large", &vec![1; 20_000]);
     (0..100u8).for_each(|key| net.put(1, 8, &[key], &[key; 300]));
-    assert!(net.until(20_000, |net| net.same_values(7, 1) && net.same_values(8, 100)).is_some());
+    assert!(net
+        .run_until(20_000, |net| net.same_values_everywhere(7, 1) && net.same_values_everywhere(8, 100))
+        .is_some());
     assert!(net.exchanges > 0);
     // A member that comes later gets all of it too.
     net.kill(2);
     net.restart(2, 2);
-    assert!(net.until(20_000, |net| net.same_values(7, 1) && net.same_values(8, 100)).is_some());
+    assert!(net
+        .run_until(20_000, |net| net.same_values_everywhere(7, 1) && net.same_values_everywhere(8, 100))
+        .is_some());
 }
 
 #[test]
-fn a_large_value_does_not_wait_for_digests() {
+fn a_large_value_does_not_wait_for_the_next_anti_entropy_round() {
     let mut net = Net::new(12, 12, Settings { repair: 10_000, ..Settings::default() });
     net.run(15_000);
     net.put(0, 7, b"large", &vec![1; 5_000]);
-    let arrival = net.until(60_000, |net| net.same_values(7, 1));
+    let arrival = net.run_until(60_000, |net| net.same_values_everywhere(7, 1));
     assert!(arrival.is_some_and(|arrival| arrival < 5_000), "{arrival:?}");
 }
 
 #[test]
-fn what_a_member_told_ends_with_its_age_when_it_is_gone() {
+fn cells_of_a_killed_member_expire_at_their_maximum_age() {
     let mut net = Net::new(4, 7, Settings::default());
     net.run(5_000);
     net.put(3, 7, b"k", b"v");
-    assert!(net.until(10_000, |net| net.same_values(7, 1)).is_some());
+    assert!(net.run_until(10_000, |net| net.same_values_everywhere(7, 1)).is_some());
     net.kill(3);
     net.run(net.settings.entry_age + 3_000);
-    assert!(net.same_values(7, 0));
+    assert!(net.same_values_everywhere(7, 0));
 }
 
 #[test]
-fn an_origin_that_floods_takes_no_more_than_its_part() {
+fn an_origin_that_floods_stays_within_its_bounds() {
     let wide = Settings { entries_per_origin: 5_000, bytes_per_origin: 1 << 20, ..Settings::default() };
     let narrow =
         Settings { entries_per_origin: 20, bytes_per_origin: 30_000, bytes_total: 40_000, ..wide.clone() };
@@ -75,7 +82,7 @@
     net.restart(3, 2);
     net.run(5_000);
     (0..3).for_each(|node| net.put(node, 7, b"quiet", b"value"));
-    let before: Vec<_> = net.nodes.iter().map(|node| node.sent).collect();
+    let before: Vec<_> = net.nodes.iter().map(|node| node.sent_bytes).collect();
     for write in 0..1_000u32 {
         net.put(3, 7, &write.to_le_bytes(), &[7; 100]);
         net.run(10);
@@ -93,7 +100,7 @@
         assert!(table.values_of_kind(7).count() <= 20 + 3);
         let quiet = table.values_of_kind(7).filter(|cell| cell.key == b"quiet").count();
         assert_eq!(quiet, 3, "the others' cells stand");
-        let sent = (node.sent - before) / 35;
+        let sent = (node.sent_bytes - before) / 35;
         assert!(sent < 20_000, "{sent} bytes a second");
     }
 }
@@ -108,7 +115,7 @@
     let recorded = net.recorded.take().unwrap();
     net.put(0, 7, b"k", b"second");
     net.run(3_000);
-    assert!(net.same_values(7, 1) && recorded.len() > 10);
+    assert!(net.same_values_everywhere(7, 1) && recorded.len() > 10);
     for (to, bytes) in &recorded {
         // Again to the same, to each other one, bent, and to a later life of the same.
         for node in 0..3 {
@@ -151,7 +158,7 @@
 }
 
 #[test]
-fn a_second_process_under_the_same_name_is_told_of() {
+fn a_second_process_under_the_same_name_is_reported() {
     let mut net = Net::new(2, 11, Settings::default());
     net.run(5_000);
     let (settings, seeds) = (Settings::default(), vec![address(0)]);
@@ -165,10 +172,10 @@
 }
 
 #[test]
-fn one_seed_is_one_run() {
+fn runs_with_the_same_seed_are_identical() {
     let run = |seed| {
         let mut net = Net::new(6, seed, Settings::default());
-        (net.loss, net.duplication, net.max_delay) = (0.15, 0.1, 200);
+        (net.loss_rate, net.duplication_rate, net.max_delay_ms) = (0.15, 0.1, 200);
         net.run(4_000);
         net.put(1, 7, b"k", b"v");
         net.nodes[4].partition = 1;
