--- a/crates/fleet/src/fleet/effect.rs
+++ b/crates/fleet/src/fleet/effect.rs
@@ -1,48 +1,49 @@
-//! Effects: what the driver has to do, and what it is notified of.
+//! Effects: instructions and notifications from a [`crate::Fleet`] to its driver.
 
 use std::net::SocketAddr;
 
 use crate::{CellId, Incarnation, Member, MemberId, MemberState};
 
-/// One instruction or notification to the driver, in the order in which it is to be carried out.
+/// One instruction or notification to the driver. Effects are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send one datagram of at most [`crate::MAX_DATAGRAM_BYTES`] bytes.
     Send {
-        /// Its recipient.
+        /// Address of the recipient.
         to: SocketAddr,
         /// The sealed message.
         bytes: Vec<u8>,
     },
-    /// Call [`crate::Fleet::handle_timer`] with the token, `delay_ms` milliseconds from now or later.
+    /// Call [`crate::Fleet::handle_timer`] with the token after the delay.
     Timer {
-        /// Milliseconds.
+        /// Minimum delay from now, in milliseconds.
         delay_ms: u64,
-        /// What to call it with.
+        /// Identifies the timer; never reused.
         token: u64,
     },
-    /// A member is new, changed its identity, or changed its state.
+    /// A member was discovered, changed its identity, or changed its state.
     MemberChanged {
-        /// As it is known now.
+        /// Its current identity.
         member: Member,
-        /// Its state now.
+        /// Its current state.
         state: MemberState,
     },
-    /// A cell of another member is new, has a new value or was deleted: the table has the current value.
+    /// A cell of another member was added, updated or deleted. The table contains its current value.
     CellChanged {
-        /// The cell.
+        /// Id of the changed cell.
         id: CellId,
     },
     /// Open a stream to this address and run [`crate::Fleet::open_exchange`] over it.
     OpenExchange {
-        /// The member to exchange with.
+        /// The member to exchange cells with.
         peer: MemberId,
-        /// Its address.
+        /// The address that it advertises.
         to: SocketAddr,
     },
-    /// A later incarnation runs under this member's own name: two processes share a name, or this one should have ended.
+    /// A later incarnation runs under this member's name: two processes share the name, or this process should have
+    /// been terminated.
     Superseded {
-        /// The later incarnation.
+        /// Incarnation of the other process.
         incarnation: Incarnation,
     },
 }
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -1,8 +1,10 @@
-//! The anti-entropy exchange of two members over a stream. The opener sends its digests; the acceptor sends the cells
-//! that the opener lacks, then its own digests; the opener sends the cells that the acceptor lacks.
+//! The anti-entropy exchange of two members over a stream.
 //!
-//! A frame is its length (four bytes, little-endian, at most [`MAX_FRAME_BYTES`]) and a sealed body. The driver owns
-//! the stream and its time limit; an [`Exchange`] owns the bytes that do not make a frame yet.
+//! The opener sends its digests. The acceptor responds with the cells that the opener lacks, followed by its own
+//! digests. The opener finishes with the cells that the acceptor lacks.
+//!
+//! A frame consists of its length (four bytes, little-endian, at most [`MAX_FRAME_BYTES`]) and a sealed body. The
+//! driver owns the stream and its time limit; an [`Exchange`] buffers the bytes of an incomplete frame.
 
 use super::{Effect, Fleet};
 use crate::rejection::Rejection;
@@ -11,44 +13,44 @@
 use crate::wire::{paginate, Body, MAX_FRAME_BYTES};
 use crate::{Incarnation, MemberId};
 
-/// Why an exchange was aborted. Cells that came before stay merged; the next exchange brings the others.
+/// Why an exchange was aborted. Cells received before the error stay merged; the next exchange delivers the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// The other side is not an active member.
-    #[error("member {peer:?} is not active here")]
+    /// The member to open an exchange with is not active, or this member has left.
+    #[error("cannot open an exchange with {peer:?}: not an active member here")]
     NotAMember {
-        /// The other side.
+        /// The requested member.
         peer: MemberId,
     },
-    /// A frame is too long.
-    #[error("a frame of {bytes} bytes is over the bound of {max_bytes}")]
+    /// The length of a frame exceeds its maximum.
+    #[error("frame of {bytes} bytes exceeds the maximum of {max_bytes}")]
     TooLong {
-        /// Bytes found.
+        /// Length that the frame announces.
         bytes: usize,
-        /// The bound.
+        /// Maximum length, [`MAX_FRAME_BYTES`].
         max_bytes: usize,
     },
-    /// The other side sent more than a whole table in one exchange.
-    #[error("{bytes} bytes in one exchange are over the bound of {max_bytes}")]
+    /// The peer sent more bytes in one exchange than a full table can need.
+    #[error("{bytes} bytes received in one exchange exceed the maximum of {max_bytes}")]
     TooManyBytes {
         /// Bytes received so far.
         bytes: usize,
-        /// The bound.
+        /// Maximum for one exchange.
         max_bytes: usize,
     },
     /// A frame was rejected.
-    #[error("a frame was refused: {0}")]
+    #[error("frame rejected: {0}")]
     Rejection(#[from] Rejection),
-    /// A frame that does not belong at this stage of the exchange, or that another member sealed.
-    #[error("the other side, {peer:?}, sent a frame out of turn")]
+    /// A frame that is not expected at this stage of the exchange, or that another member sealed.
+    #[error("member {peer:?} sent a frame that is not expected at this stage of the exchange")]
     OutOfTurn {
-        /// The other side.
+        /// The member that sealed the frame.
         peer: MemberId,
     },
 }
 
 impl ExchangeError {
-    /// What an operator can do about it.
+    /// Advice to the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             ExchangeError::NotAMember { .. } => {
@@ -65,15 +67,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The acceptor waits for the opener's digests.
+    /// The acceptor waits for [`Body::ExchangeOpen`].
     AwaitOpen,
-    /// Cells, then [`Body::ExchangeDone`] of the other side, which the opener answers with cells.
+    /// Waits for cells and [`Body::ExchangeDone`] of the peer. The opener responds to the latter with cells.
     AwaitDone { opener: bool },
     /// Finished or aborted.
     Finished,
 }
 
-/// This member's side of one exchange.
+/// This member's side of one exchange. `peer` is `None` at the acceptor until the first frame is authenticated.
 pub struct Exchange {
     peer: Option<(MemberId, Incarnation)>,
     stage: Stage,
@@ -81,17 +83,17 @@
     received_bytes: usize,
 }
 
-/// What the driver does with the stream next.
+/// Instructions to the driver for the stream of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExchangeStep {
-    /// Bytes to write.
+    /// Bytes to write; may be empty.
     pub write: Vec<u8>,
     /// Whether to close the stream after writing.
     pub is_finished: bool,
 }
 
 impl Exchange {
-    /// The side of a member that accepted a stream.
+    /// Creates the exchange of the member that accepted a stream.
     pub fn accept() -> Exchange {
         Exchange { peer: None, stage: Stage::AwaitOpen, buffer: Vec::new(), received_bytes: 0 }
     }
@@ -113,7 +115,8 @@
 }
 
 impl Fleet {
-    /// The side of a member that opened a stream after [`Effect::OpenExchange`], and the first bytes to write.
+    /// Creates the exchange of the member that opened a stream after [`Effect::OpenExchange`]. Also returns the first
+    /// bytes to write.
     pub fn open_exchange(&mut self, peer: MemberId) -> Result<(Exchange, Vec<u8>), ExchangeError> {
         let active = self.membership.get(peer).filter(|(_, state)| state.is_active() && !self.has_left);
         let member = *active.ok_or(ExchangeError::NotAMember { peer })?.0;
@@ -125,7 +128,7 @@
         Ok((Exchange { peer: Some(to), stage, buffer: Vec::new(), received_bytes: 0 }, write))
     }
 
-    /// Handles bytes that were read from the stream. After an error the stream must be closed.
+    /// Handles bytes that were read from the stream. The driver must close the stream after an error.
     pub fn handle_exchange_bytes(
         &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<ExchangeStep, ExchangeError> {
@@ -194,7 +197,7 @@
         self.table.digests(MemberId(0), MemberId(u64::MAX))
     }
 
-    /// Appends frames with the cells that a member with the digests `remote_digests` lacks.
+    /// Appends frames with the cells that the peer lacks according to its digests.
     fn write_missing_cells(
         &mut self, now: u64, to: (MemberId, Incarnation), remote_digests: &[Digest], write: &mut Vec<u8>,
     ) {
@@ -204,7 +207,7 @@
         let missing_cells =
             |(origin, version): &(MemberId, u64)| self.table.cells_above(now, *origin, *version);
         let cells: Vec<Cell> = missing_at_peer.iter().flat_map(missing_cells).collect();
-        // The bounds of the settings make every cell fit into a frame.
+        // Every cell fits into a frame: the upper bounds of `key_bytes` and `value_bytes` ensure it.
         let (pages, _) = paginate(cells, MAX_FRAME_BYTES - SEAL_OVERHEAD_BYTES);
         for page in pages {
             self.write_frame(to, &Body::Cells(page), write);
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! The state machine of one member: datagrams, timers and the bytes of streams in, effects out.
+//! The state machine of one member. Its inputs are datagrams, timers and the bytes of streams; its outputs are effects.
 //!
-//! - `rounds`: gossip, greetings, expiry and the merging of cells.
-//! - `repair`: anti-entropy by digests in datagrams; `exchange`: the same over a stream.
+//! - `rounds`: gossip, hello messages, expiry, and merging of received cells.
+//! - `repair`: anti-entropy by digests in datagrams.
+//! - `exchange`: anti-entropy over a stream.
 //!
 //! [`Fleet`] owns all state of the member. The driver owns the clock and the sockets.
 
@@ -31,11 +32,13 @@
 use crate::wire::{Body, MAX_DATAGRAM_BYTES};
 use crate::{Incarnation, Member, MemberId};
 
-/// Kind of the cell that announces that an incarnation leaves. All other kinds belong to the callers of [`Fleet::put`].
+/// Kind of the cell with which an incarnation announces that it leaves. Callers of [`Fleet::put`] use all other kinds.
 const LEAVE_KIND: u16 = 0;
 
-/// One member. Times are milliseconds on the driver's clock, which must be monotonic and must advance while the
-/// process is stopped. The effects depend on the inputs and the seed alone.
+/// The state of one member.
+///
+/// Times are milliseconds on the driver's clock, which must be monotonic and must advance while the process is
+/// stopped. The effects depend only on the inputs and the random seed.
 pub struct Fleet {
     settings: Settings,
     seeds: Vec<SocketAddr>,
@@ -45,19 +48,21 @@
     gossip_queue: GossipQueue,
     timers: Timers,
     rng: StdRng,
-    /// Recipients of the next rounds of gossip.
+    /// Order of the recipients of gossip.
     gossip_order: Cycle,
-    /// Recipients of the next digests.
+    /// Order of the recipients of digests.
     digest_order: Cycle,
     counters: Counters,
-    /// Earliest time of the next request for an exchange.
+    /// Earliest time at which the next exchange may be opened, in milliseconds.
     next_exchange_at: u64,
     has_left: bool,
 }
 
 impl Fleet {
-    /// A member that is not started yet. `incarnation` must be later than that of any earlier run under this name.
-    /// `seeds` are addresses where members may be found; this member's own is ignored.
+    /// Creates a member that is not started yet.
+    ///
+    /// `incarnation` must be greater than that of any earlier run under this name. `seeds` are the addresses through
+    /// which members discover each other; `address` is removed from them. `random_seed` determines the random choices.
     pub fn new(
         name: &str, incarnation: Incarnation, address: SocketAddr, seeds: Vec<SocketAddr>, keys: Keyring,
         settings: Settings, random_seed: u64,
@@ -84,7 +89,7 @@
         })
     }
 
-    /// Greets the seeds and requests the first timers. To be called once.
+    /// Sends a hello message to each seed and requests the first timers. Must be called once.
     pub fn start(&mut self, now: u64, effects: &mut Vec<Effect>) {
         self.send_hello_to_all_seeds(effects);
         self.schedule(now, self.settings.hello, TimerAction::Hello, effects);
@@ -93,8 +98,8 @@
         self.schedule(now, self.settings.repair, TimerAction::Expiry, effects);
     }
 
-    /// Handles one datagram. Its source address is not used: the seal names the sender, and answers go to the
-    /// addresses that members advertise.
+    /// Handles one datagram. Its source address is not used: the seal identifies the sender, and responses are sent
+    /// to the address that the member advertises.
     pub fn handle_datagram(
         &mut self, now: u64, _from: SocketAddr, bytes: &[u8], effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
@@ -144,7 +149,8 @@
         Ok(())
     }
 
-    /// A member may state an address and an incarnation for itself only.
+    /// Rejects a body that states another member or incarnation than the seal: a member may announce only its own
+    /// address.
     fn check_sender(&self, sender: &Sender, member: &Member) -> Result<(), Rejection> {
         if (member.id, member.incarnation) == (sender.id, sender.incarnation) {
             Ok(())
@@ -162,7 +168,7 @@
         }
     }
 
-    /// Handles a timer that fired. A token that is unknown, or that fired before, is ignored.
+    /// Handles a timer that fired. Unknown tokens, and tokens that fired before, are ignored.
     pub fn handle_timer(&mut self, now: u64, token: u64, effects: &mut Vec<Effect>) {
         let Some((action, late_by_ms)) = self.timers.take(token, now) else { return };
         if self.has_left {
@@ -195,13 +201,13 @@
     }
 
     /// Sets the value of this member's cell (`kind`, `key`), and returns its version. The member renews the cell until
-    /// it is deleted; a value with an end of its own has to carry that in its bytes.
+    /// it is deleted; a value that expires earlier must contain its expiry time.
     pub fn put(&mut self, now: u64, kind: u16, key: &[u8], value: Vec<u8>) -> Result<u64, TableError> {
         check_kind(kind)?;
         self.write_cell(now, kind, key, Some(value))
     }
 
-    /// Deletes a cell of this member, and returns the version of the tombstone.
+    /// Deletes a cell of this member by writing a tombstone, and returns the tombstone's version.
     pub fn delete(&mut self, now: u64, kind: u16, key: &[u8]) -> Result<u64, TableError> {
         check_kind(kind)?;
         self.write_cell(now, kind, key, None)
@@ -221,7 +227,8 @@
         Ok(version)
     }
 
-    /// Announces to all active members that this one leaves. It handles nothing after that.
+    /// Announces to all active members that this one leaves. Later datagrams and frames are rejected, and
+    /// later timers are ignored.
     pub fn leave(&mut self, now: u64, effects: &mut Vec<Effect>) {
         // Not written to the table: a full table must not prevent a member from leaving.
         let local = self.membership.local_member();
@@ -236,33 +243,33 @@
         self.has_left = true;
     }
 
-    /// Replaces the keys; [`Keyring`] describes the rotation in three steps.
+    /// Replaces the keys. [`Keyring`] describes the three steps of a key rotation.
     pub fn rotate_keys(&mut self, keys: Keyring) {
         self.sealer.rotate_keys(keys);
     }
 
-    /// This member, as it announces itself now.
+    /// The current identity of this member.
     pub fn local_member(&self) -> Member {
         self.membership.local_member()
     }
 
-    /// The other members with their states, in the order of their ids; those that failed or left until they are
-    /// forgotten.
+    /// The other members with their states, in the order of their ids. Members that failed or left are listed until
+    /// the `forget` setting removes them.
     pub fn members(&self) -> impl Iterator<Item = (&Member, MemberState)> {
         self.membership.members()
     }
 
-    /// The replicated table.
+    /// The cells of all members, this one included.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// What was counted since the start.
+    /// Counters since this member was created.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Requests a timer in `delay_ms` milliseconds.
+    /// Requests a timer that fires in `delay_ms` milliseconds.
     fn schedule(&mut self, now: u64, delay_ms: u64, action: TimerAction, effects: &mut Vec<Effect>) {
         let token = self.timers.add(now.saturating_add(delay_ms), action);
         effects.push(Effect::Timer { delay_ms, token });
@@ -289,7 +296,7 @@
         effects.push(Effect::Send { to, bytes });
     }
 
-    /// Runs one step of the membership library, and turns its output into effects.
+    /// Runs one step of the membership library, and converts its output to effects.
     fn membership_step(
         &mut self, now: u64, effects: &mut Vec<Effect>,
         step: impl FnOnce(&mut Membership, &mut MembershipOutput) -> Result<(), MembershipError>,
@@ -315,7 +322,7 @@
     }
 }
 
-/// Callers may not write cells of the kind that is reserved here.
+/// Rejects the kind that is reserved for leave announcements.
 fn check_kind(kind: u16) -> Result<(), TableError> {
     if kind == LEAVE_KIND {
         return Err(TableError::Reserved { kind });
--- a/crates/fleet/src/fleet/repair.rs
+++ b/crates/fleet/src/fleet/repair.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy in datagrams: digests are compared with one member after another, missing cells are sent, and what does
-//! not fit into datagrams goes over a stream.
+//! Anti-entropy in datagrams. Digests are sent to one member after another and compared there; missing cells are sent
+//! in datagrams, or over a stream if they do not fit.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -11,8 +11,8 @@
 use crate::{Member, MemberId};
 
 impl Fleet {
-    /// Sends all digests to one member, in as many datagrams as they need. Each covers a range of origins, so that the
-    /// loss of one does not affect the others.
+    /// Sends all digests to the next member. Each datagram covers a range of origins, so that the loss of one does not
+    /// affect the others.
     pub(super) fn send_digests(&mut self, effects: &mut Vec<Effect>) {
         let active = self.active();
         let Some(member) = self.digest_order.next(1, &active, &mut self.rng).pop() else { return };
@@ -33,14 +33,14 @@
         }
     }
 
-    /// The sender, if it is an active member in the incarnation known here. Only such members are answered.
+    /// Returns the sender if it is an active member in the incarnation known here. Other senders get no response.
     fn active_sender(&self, sender: Sender) -> Option<Member> {
         let (member, state) = self.membership.get(sender.id)?;
         (member.incarnation == sender.incarnation && state.is_active()).then_some(*member)
     }
 
-    /// Answers digests of all origins within `range` with the cells that the sender lacks, and requests those that are
-    /// missing here.
+    /// Handles digests that cover the origins within `range`: sends the cells that the sender lacks, and requests the
+    /// cells that are missing here.
     pub(super) fn handle_digests(
         &mut self, now: u64, sender: Sender, range: RangeInclusive<MemberId>, remote_digests: &[Digest],
         effects: &mut Vec<Effect>,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Sends the cells that a request is for.
+    /// Sends the requested cells.
     pub(super) fn handle_cell_request(
         &mut self, now: u64, sender: Sender, requests: &[Digest], effects: &mut Vec<Effect>,
     ) {
@@ -84,7 +84,8 @@
         self.send_missing_cells(now, &member, &missing_at_peer, effects);
     }
 
-    /// Origins of which a member with the digests `remote_digests` lacks cells, and the version above which it does.
+    /// Returns the origins of which the peer lacks cells according to its digests, each with the version above which
+    /// cells are missing.
     pub(super) fn missing_at_peer(&self, remote_digests: &[Digest]) -> Vec<(MemberId, u64)> {
         let mut missing = Vec::new();
         for digest in remote_digests {
@@ -96,7 +97,8 @@
         missing
     }
 
-    /// Sends missing cells in at most `repair_datagrams` datagrams; if there are more, asks for an exchange.
+    /// Sends missing cells in at most `repair_datagrams` datagrams. If they do not suffice, requests the recipient to
+    /// open an exchange.
     fn send_missing_cells(
         &mut self, now: u64, member: &Member, missing_at_peer: &[(MemberId, u64)], effects: &mut Vec<Effect>,
     ) {
@@ -114,7 +116,8 @@
         }
     }
 
-    /// Opens an exchange, unless the last one was requested too recently.
+    /// Requests the driver to open an exchange, unless it was requested to within the last `exchange_apart`
+    /// milliseconds.
     pub(super) fn request_exchange(&mut self, now: u64, sender: Sender, effects: &mut Vec<Effect>) {
         let Some(member) = self.active_sender(sender) else { return };
         if now >= self.next_exchange_at {
--- a/crates/fleet/src/fleet/rounds.rs
+++ b/crates/fleet/src/fleet/rounds.rs
@@ -1,5 +1,5 @@
-//! Periodic work of a member: gossip of new cells, greetings to seeds, expiry and renewal of cells; and the merging of
-//! cells that others sent.
+//! Periodic work of a member (gossip of new cells, hello messages to seeds, expiry and renewal of cells), and merging
+//! of cells received from other members.
 
 use rand::seq::IndexedRandom;
 
@@ -9,19 +9,21 @@
 use crate::wire::{cell_bytes, Body, CELLS_HEADER_BYTES, MAX_BODY_BYTES};
 use crate::Member;
 
-/// Cells younger than this many anti-entropy periods are gossiped further. An older cell came by anti-entropy, which
-/// brings it to the other members as well.
+/// Age, in anti-entropy periods, from which a received cell is not gossiped further. An older cell was received by
+/// anti-entropy, which delivers it to the other members as well.
 const MAX_GOSSIP_AGE_REPAIR_PERIODS: u64 = 5;
 
-/// What a datagram of gossip carries.
+/// Content of the next gossip datagram.
 enum Batch {
+    /// Cells that fit into the datagram; empty if none is queued.
     Cells(Vec<Cell>),
+    /// The first queued cell, which is too large for a datagram.
     TooLarge(CellId),
 }
 
 impl Fleet {
-    /// Gossips new cells to some members, one datagram each: at most `round_members` datagrams, however many cells are
-    /// queued. Cells that wait longer are found by anti-entropy.
+    /// Sends new cells to at most `round_members` members, one datagram each, however many cells are queued. Cells that
+    /// remain queued for long are delivered by anti-entropy.
     pub(super) fn gossip_round(&mut self, now: u64, effects: &mut Vec<Effect>) {
         if self.gossip_queue.is_empty() {
             return;
@@ -39,7 +41,7 @@
         }
     }
 
-    /// As many cells with the fewest transmissions as fit into a datagram.
+    /// Returns as many of the cells with the fewest transmissions as fit into a datagram.
     fn next_batch(&self, now: u64) -> Batch {
         let (mut cells, mut used) = (Vec::new(), CELLS_HEADER_BYTES);
         for id in self.gossip_queue.in_order() {
@@ -60,14 +62,15 @@
         Batch::Cells(cells)
     }
 
-    /// For a cell that is too large for any datagram: sends the digest of its origin, so that the recipient requests it.
+    /// Announces a cell that is too large for a datagram by sending the digest of its origin: the recipient then
+    /// requests the cell.
     fn send_origin_digest(&mut self, member: &Member, id: CellId, members: usize, effects: &mut Vec<Effect>) {
         self.gossip_queue.count_transmission(&id, members);
         let digests: Vec<_> = self.table.digest(id.origin).into_iter().collect();
         self.send(member, &Body::Digests { from: id.origin, to: id.origin, digests }, effects);
     }
 
-    /// Greets all seeds.
+    /// Sends a hello message to every seed.
     pub(super) fn send_hello_to_all_seeds(&mut self, effects: &mut Vec<Effect>) {
         for seed in self.seeds.clone() {
             let hello = self.hello_datagram();
@@ -75,8 +78,8 @@
         }
     }
 
-    /// Greets all seeds while no member is known, else one seed at whose address no active member is known, by which
-    /// partitions find each other again.
+    /// Sends a hello message to all seeds while no other member is active. Otherwise sends one to a random seed whose
+    /// address no active member advertises, so that healed partitions rediscover each other.
     pub(super) fn send_hello_to_seeds(&mut self, effects: &mut Vec<Effect>) {
         if self.membership.active().next().is_none() {
             return self.send_hello_to_all_seeds(effects);
@@ -94,7 +97,7 @@
         self.sealer.seal(Channel::Datagram, None, &body)
     }
 
-    /// Removes expired cells, and renews this member's own values at a third of their maximum age.
+    /// Removes expired cells, and renews this member's values once they reach a third of the maximum age.
     pub(super) fn expire_and_renew_cells(&mut self, now: u64) {
         self.table.expire(now);
         self.gossip_queue.retain(|id| self.table.contains(id));
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Merges cells that others sent, and queues new ones for gossip. Ignored are cells of this member, and those of a
-    /// known member in another incarnation: a restart must be announced by the member before its cells count.
+    /// Merges received cells, and queues new ones for gossip. Ignores cells of this member, and cells of a known member
+    /// in another incarnation: a restarted member must announce its incarnation before its cells are accepted.
     pub(super) fn merge_cells(&mut self, now: u64, cells: &[Cell], effects: &mut Vec<Effect>) {
         let members = self.active_count();
         for cell in cells {
--- a/crates/fleet/src/fleet/tests.rs
+++ b/crates/fleet/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! What members that hold the key, but lie or err, can do to another.
+//! Protection of a member from members that hold the key but are faulty or malicious.
 
 use super::*;
 use crate::seal::{FleetKey, SEAL_OVERHEAD_BYTES};
@@ -12,7 +12,7 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Two that have met, with nothing on its way.
+/// Two members that have discovered each other, with no datagram in flight.
 fn pair() -> (Fleet, Fleet) {
     let make = |name, port, seed| {
         let seeds = vec![address(1), address(2)];
@@ -34,7 +34,7 @@
     (a, b)
 }
 
-/// `from` says `body` to `to`.
+/// Sends `body` from one member to another, and returns the recipient's result and effects.
 fn send(from: &mut Fleet, to: &mut Fleet, body: &Body) -> (Result<(), Rejection>, Vec<Effect>) {
     let mut effects = Vec::new();
     from.send(&to.local_member(), body, &mut effects);
@@ -67,7 +67,7 @@
     assert_eq!((result, effects), (Ok(()), Vec::new()));
     assert_eq!(b.table().get(b.local_member().id, 7, b"k"), Some((1, &b"truth"[..])));
     assert_eq!(b.table().len(), 1);
-    // Of those that are no members, as of its own life, cells are carried.
+    // Cells of origins that are not members, and of the sender's current incarnation, are merged.
     let valid_cells = vec![cell(MemberId(77), 1, 1), cell(a.local_member().id, 5, 1)];
     let (_, effects) = send(&mut a, &mut b, &Body::Cells(valid_cells));
     assert_eq!((effects.len(), b.table().len()), (2, 3));
@@ -82,7 +82,7 @@
     let malformed = Err(Rejection::Malformed { from });
     assert_eq!(send(&mut a, &mut b, &Body::Swim(vec![255; 9])).0, malformed);
     assert_eq!(send(&mut a, &mut b, &Body::ExchangeOpen(Vec::new())).0, malformed);
-    // Meant for whoever listens: a greeting alone.
+    // Only a hello message may lack a recipient.
     let bytes = a.sealer.seal(Channel::Datagram, None, &Body::ExchangeNeeded.to_bytes());
     assert_eq!(b.handle_datagram(0, address(1), &bytes, &mut Vec::new()), malformed);
     let long = vec![0; MAX_DATAGRAM_BYTES + 1];
@@ -113,18 +113,18 @@
     let long = ((MAX_FRAME_BYTES + 1) as u32).to_le_bytes();
     let ended = b.handle_exchange_bytes(0, &mut accepted, &long, &mut effects);
     assert_eq!(ended, Err(ExchangeError::TooLong { bytes: MAX_FRAME_BYTES + 1, max_bytes: MAX_FRAME_BYTES }));
-    // The first frame must say what the opener holds.
+    // The first frame must contain the opener's digests.
     let mut write = Vec::new();
     a.write_frame((b.local_member().id, Incarnation(5)), &Body::ExchangeDone(Vec::new()), &mut write);
     let ended = b.handle_exchange_bytes(0, &mut Exchange::accept(), &write, &mut effects);
     assert_eq!(ended, Err(ExchangeError::OutOfTurn { peer: a.local_member().id }));
-    // A recorded first frame, played again.
+    // A recorded first frame is replayed.
     let (_, first) = a.open_exchange(b.local_member().id).unwrap();
     assert!(b.handle_exchange_bytes(0, &mut Exchange::accept(), &first, &mut effects).is_ok());
     let ended = b.handle_exchange_bytes(0, &mut Exchange::accept(), &first, &mut effects);
     assert!(matches!(ended, Err(ExchangeError::Rejection(Rejection::Replayed { .. }))));
     assert_eq!(b.counters().rejected[4], 1);
-    // Cut anywhere, nothing is done before a frame is whole.
+    // An incomplete frame has no effect, wherever it is cut.
     let (_, first) = a.open_exchange(b.local_member().id).unwrap();
     let mut accepted = Exchange::accept();
     for byte in &first[..first.len() - 1] {
@@ -147,7 +147,7 @@
     assert!(matches!(a.put(0, 7, b"k", vec![0; 30_000]), Err(TableError::Value { kind: 7, .. })));
     let rejected_put = (0..).find_map(|key: u32| a.put(0, 7, &key.to_le_bytes(), vec![0; 9]).err());
     assert_eq!(rejected_put, Some(TableError::Entries { kind: 7, entries: 256 }));
-    assert!(a.put(0, 7, &0u32.to_le_bytes(), vec![1; 9]).is_ok(), "what is there may change");
+    assert!(a.put(0, 7, &0u32.to_le_bytes(), vec![1; 9]).is_ok(), "an existing cell can be updated");
     let mut effects = Vec::new();
     a.leave(0, &mut effects);
     assert_eq!(send(&mut b, &mut a, &Body::ExchangeNeeded).0, Err(Rejection::Left));
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,21 +1,24 @@
-//! The gossip queue: newly merged cells on their way to the other members. Each is sent a number of times that grows
-//! with the logarithm of the fleet's size, the least often sent first. Receiving a cell again counts as a
-//! transmission, so gossip ends sooner where most members have it. Owned by [`crate::Fleet`]; needs no clock.
+//! The gossip queue: newly merged cells that are still to be sent to other members.
+//!
+//! Each cell is sent a number of times that grows with the logarithm of the fleet's size; the cells with the fewest
+//! transmissions are sent first. Receiving a cell again counts as a transmission, so gossip ends sooner once most
+//! members have the cell. Owned by [`crate::Fleet`]; needs no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::table::CellId;
 
-/// Queued cells by their id: a newer version replaces an older one, so the table's bounds limit the queue too.
+/// Ids of the queued cells. A newer version of a cell replaces an older one, so the table's bounds also limit the
+/// queue.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
-    /// How often each cell was sent, or received again.
+    /// Number of times each cell was sent, or received again.
     transmissions: BTreeMap<CellId, u32>,
-    /// The same cells, those with the fewest transmissions first.
+    /// The same cells ordered by their number of transmissions, the fewest first.
     order: BTreeSet<(u32, CellId)>,
 }
 
-/// Transmissions of a cell in a fleet of `members`: the bits of that number and one more.
+/// Maximum number of transmissions of a cell in a fleet of `members`: the bit length of that number, plus one.
 pub(crate) fn transmission_limit(members: usize) -> u32 {
     usize::BITS - members.leading_zeros() + 1
 }
@@ -28,7 +31,8 @@
         self.transmissions.insert(id, 0);
     }
 
-    /// Counts that the cell was sent, or received again; removes it at the limit for a fleet of `members`.
+    /// Counts a transmission of the cell (sent, or received again). Removes the cell at the limit for a fleet of
+    /// `members`.
     pub(crate) fn count_transmission(&mut self, id: &CellId, members: usize) {
         let Some(transmissions) = self.transmissions.get(id).map(|transmissions| transmissions + 1) else {
             return;
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identity of a member on the wire: its id, its incarnation and its address. Plain data without state or clock.
+//! Identity of a member on the wire: its id, incarnation and address. Plain data.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 pub struct MemberId(#[serde(with = "postcard::fixint::le")] pub u64);
 
 impl MemberId {
-    /// The id of the gateway with this name.
+    /// Returns the id of the gateway with this name.
     pub fn of_name(name: &str) -> MemberId {
         let hash = blake3::hash(name.as_bytes());
         let mut first = [0; 8];
@@ -18,20 +18,22 @@
     }
 }
 
-/// Incarnation of a member: one run of the gateway under its name. Must grow with each restart; statements of a later
-/// incarnation override those of an earlier one. Milliseconds since 1970 at the start do, unless the clock goes back.
+/// Incarnation of a member: one run of the gateway under its name.
+///
+/// It must increase with each restart; a later incarnation overrides the state of an earlier one. The start time in
+/// milliseconds since 1970 satisfies this unless the clock is set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// A member as the others know it. Serialized in this order of fields.
+/// Identity of a member, as it announces it to the others. Serialized in this order of fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Derived from the gateway's name.
     pub id: MemberId,
-    /// The run of the gateway.
+    /// Identifies the run of the gateway.
     pub incarnation: Incarnation,
-    /// How often this incarnation rejoined after the others had declared it failed (the process was stopped, or the
-    /// network partitioned). Its cells stay valid, as it is the same incarnation.
+    /// Number of times that this incarnation rejoined after other members had declared it failed (because the process
+    /// was stopped or the network was partitioned). Its cells stay valid, as the incarnation is the same.
     pub rejoins: u32,
     /// Address for datagrams and, on the same port, streams.
     pub address: SocketAddr,
@@ -48,7 +50,7 @@
         self.id
     }
 
-    /// A later incarnation wins, then a later rejoin; the address only makes the order total.
+    /// A later incarnation wins; within an incarnation, a later rejoin wins. The address only makes the order total.
     fn win_addr_conflict(&self, other: &Member) -> bool {
         (self.incarnation, self.rejoins, self.address) > (other.incarnation, other.rejoins, other.address)
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,18 +1,19 @@
-//! Membership of the fleet, and the small table that its members replicate. Sans-I/O: no socket, no clock, no
-//! thread. Time is an argument (milliseconds on the caller's clock), randomness a seed, and what the driver has to
-//! do comes out as [`Effect`]s. The section "The ground" of `docs/one-fleet.md` states each guarantee with its
-//! limit and its test.
+//! Membership of the fleet, and the small table that its members replicate.
 //!
-//! - [`Fleet`] is the state machine that a driver runs: datagrams, timers and the bytes of streams go in.
-//! - Membership is SWIM, by the library `foca` (MPL-2.0, unmodified): `membership.rs` says why.
-//! - [`Table`] holds versioned cells by origin; new cells spread by gossip, and an anti-entropy exchange of digests
-//!   repairs what gossip lost.
+//! The crate does no I/O: it opens no socket, reads no clock and starts no thread. The caller passes in the time
+//! (milliseconds on its own clock) and a seed for random choices, and carries out the returned [`Effect`]s. The
+//! section "The ground" of `docs/one-fleet.md` states each guarantee with its limit and its test.
+//!
+//! - [`Fleet`] is the state machine that a driver runs. Its inputs are datagrams, timers and the bytes of streams.
+//! - Membership is SWIM, provided by the library `foca` (MPL-2.0, unmodified). `membership.rs` explains the choice.
+//! - [`Table`] stores versioned cells by origin. New cells spread by gossip; an anti-entropy exchange of digests
+//!   delivers the cells that gossip lost.
 //! - [`seal`] authenticates each message with the fleet's key, and rejects replays and messages for other members.
 //!
-//! A driver sends one datagram for each [`Effect::Send`], calls [`Fleet::handle_timer`] once for each [`Effect::Timer`],
-//! and for each [`Effect::OpenExchange`] opens a stream, calls [`Fleet::open_exchange`], then [`Fleet::handle_exchange_bytes`]
-//! with what it reads until the exchange is finished. For each accepted stream it starts with [`Exchange::accept`]
-//! and goes on likewise.
+//! A driver sends one datagram for each [`Effect::Send`] and calls [`Fleet::handle_timer`] once for each
+//! [`Effect::Timer`]. For each [`Effect::OpenExchange`] it opens a stream, calls [`Fleet::open_exchange`], and passes
+//! the bytes that it reads to [`Fleet::handle_exchange_bytes`] until the exchange is finished. For each accepted
+//! stream it calls [`Exchange::accept`] and then passes on the bytes in the same way.
 //!
 //! ```
 //! use glenrail_fleet::{Effect, Fleet, FleetKey, Incarnation, Keyring, Settings};
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,10 +1,12 @@
-//! Membership by SWIM, over the library `foca`: probes, suspicion, refutation and dissemination. Owned by
-//! [`crate::Fleet`]; timers carry their delays, and only how late one fires is passed in.
+//! SWIM membership by the library `foca`: probes, suspicion, refutation and dissemination.
 //!
-//! Why a library: SWIM with suspicion and incarnations is well known and easy to get wrong in its corners (a
-//! refutation that races a verdict, a rejoin under the old identity). `foca` is sans-I/O as this crate is, its
-//! identities may carry an incarnation, and its randomness is an argument. What it does not report (suspects, and
-//! leaving as opposed to failing) is read from its state after each step.
+//! Owned by [`crate::Fleet`]. Needs no clock: timers are requested with a delay, and the caller reports how late a
+//! timer fires.
+//!
+//! SWIM with suspicion and incarnations is well known, but its corner cases are error-prone (a refutation that races a
+//! failure declaration, a rejoin under the old identity), hence the library. `foca` does no I/O either, lets an
+//! identity contain an incarnation, and takes its random source as an argument. It does not report suspects, and does
+//! not distinguish leaving from failing; both are derived from its state after each step.
 
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -17,27 +19,27 @@
 use crate::wire::MAX_SWIM_PACKET_BYTES;
 use crate::{Incarnation, Member, MemberId, Settings};
 
-/// State of another member, as this one sees it.
+/// State of another member in the view of this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// Answers probes.
+    /// Responds to probes.
     Alive,
-    /// A probe failed; treated as active until the suspicion times out.
+    /// A probe failed. Treated as active until the suspicion times out.
     Suspect,
-    /// Declared failed: the suspicion timed out without a refutation, and it had not announced its leave.
+    /// Declared failed: the suspicion timed out without a refutation, and the member had not announced its leave.
     Failed,
-    /// Announced that it leaves.
+    /// Announced its leave.
     Left,
 }
 
 impl MemberState {
-    /// Whether it is a member that messages are sent to.
+    /// Whether messages are sent to members in this state.
     pub fn is_active(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// Packets and timers that one step of the library asks for.
+/// Packets to send and timers to set after one step of the library. Timers have a delay in milliseconds.
 #[derive(Default)]
 pub(crate) struct MembershipOutput {
     pub(crate) sends: Vec<(Member, Vec<u8>)>,
@@ -45,7 +47,7 @@
 }
 
 impl Runtime<Member> for MembershipOutput {
-    /// Ignored: changes are read from the state, which also shows suspects.
+    /// Ignores notifications: changes are derived from the library's state, which also contains suspects.
     fn notify(&mut self, _: Notification<'_, Member>) {}
 
     fn send_to(&mut self, to: Member, data: &[u8]) {
@@ -57,27 +59,28 @@
     }
 }
 
-/// The library rejected a step. Its state is unchanged, or is repaired by the next probe.
+/// The library rejected a step. Its state is unchanged, or is corrected by the next probe.
 #[derive(Debug)]
 pub(crate) struct MembershipError;
 
-/// The members known here, with the library's state behind them.
+/// The library's state, and the members derived from it after the last step.
 pub(crate) struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
     members: BTreeMap<MemberId, (Member, MemberState)>,
-    /// Milliseconds from suspicion to failure.
+    /// Time in milliseconds after which a suspect is declared failed.
     suspicion_timeout: u64,
 }
 
-/// Members that are asked to probe one that did not answer.
+/// Number of members that are requested to probe a member that did not respond to a direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// Most transmissions of one update of a member's state.
+/// Maximum number of transmissions of one update of a member's state.
 const MAX_UPDATE_TRANSMISSIONS: u8 = 10;
-/// Probe periods between two announcements to an active member.
+/// Time between two announcements to an active member, in probe periods.
 const ANNOUNCE_PROBE_PERIODS: u64 = 30;
-/// Probe periods between two announcements to members that are down, by which partitions find each other again.
+/// Time between two announcements to members that are down, in probe periods. Through them healed partitions rediscover
+/// each other.
 const ANNOUNCE_TO_DOWN_PROBE_PERIODS: u64 = 2;
-/// Rounds of the library's own gossip in a probe period.
+/// Number of rounds of the library's own gossip in a probe period.
 const GOSSIP_ROUNDS_PER_PROBE_PERIOD: u64 = 5;
 
 fn config(settings: &Settings) -> Config {
@@ -101,56 +104,57 @@
 }
 
 impl Membership {
-    /// Membership of `me` alone; `random_seed` determines the choice of the members to probe.
+    /// Creates a membership with `local` as the only member. `random_seed` determines which members are probed when.
     pub(crate) fn new(local: Member, settings: &Settings, random_seed: u64) -> Membership {
         let rng = StdRng::seed_from_u64(random_seed);
         let foca = Foca::new(local, config(settings), rng, PostcardCodec);
         Membership { foca, members: BTreeMap::new(), suspicion_timeout: settings.suspect }
     }
 
-    /// This member, as it announces itself now.
+    /// The current identity of this member.
     pub(crate) fn local_member(&self) -> Member {
         *self.foca.identity()
     }
 
-    /// All other members that are not forgotten yet, in the order of their ids.
+    /// All other members in the order of their ids, including those that failed or left and are not forgotten yet.
     pub(crate) fn members(&self) -> impl Iterator<Item = (&Member, MemberState)> {
         self.members.values().map(|(member, state)| (member, *state))
     }
 
-    /// One of them.
+    /// The identity and state of another member; `None` if it is unknown.
     pub(crate) fn get(&self, id: MemberId) -> Option<(&Member, MemberState)> {
         self.members.get(&id).map(|(member, state)| (member, *state))
     }
 
-    /// The other members that messages are sent to.
+    /// The other members that are alive or suspect.
     pub(crate) fn active(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|(_, state)| state.is_active()).map(|(member, _)| member)
     }
 
-    /// The sender that a packet names in its header.
+    /// The sender in the header of a packet; `None` if the header is malformed.
     pub(crate) fn packet_source(packet: &[u8]) -> Option<Member> {
         let header: Header<Member> = postcard::take_from_bytes(packet).ok()?.0;
         Some(header.src)
     }
 
-    /// Handles a packet of the library from another member.
+    /// Passes a packet from another member to the library.
     pub(crate) fn handle_packet(
         &mut self, packet: &[u8], output: &mut MembershipOutput,
     ) -> Result<(), MembershipError> {
         self.foca.handle_data(packet, output).map_err(|_| MembershipError)
     }
 
-    /// Introduces this member to one whose identity is known.
+    /// Announces this member to another one whose identity is known.
     pub(crate) fn announce(
         &mut self, to: Member, output: &mut MembershipOutput,
     ) -> Result<(), MembershipError> {
         self.foca.announce(to, output).map_err(|_| MembershipError)
     }
 
-    /// Handles a timer that fires `late_by_ms` milliseconds after its time. After a long stop of this process, a suspicion
-    /// that would have timed out meanwhile gets its whole time again: the suspect's refutation could not be received
-    /// here.
+    /// Handles a timer that fires `late_by_ms` milliseconds after its due time.
+    ///
+    /// A suspicion timeout that fires late by half the timeout or more is restarted in full: this process was stopped
+    /// in the meantime and could not receive the suspect's refutation.
     pub(crate) fn handle_timer(
         &mut self, timer: Timer<Member>, late_by_ms: u64, output: &mut MembershipOutput,
     ) -> Result<(), MembershipError> {
@@ -161,7 +165,7 @@
         self.foca.handle_timer(timer, output).map_err(|_| MembershipError)
     }
 
-    /// Marks a member that announced its leave as down in this incarnation, and disseminates that.
+    /// Marks this incarnation of a member, which announced its leave, as down and disseminates the update.
     pub(crate) fn mark_left(
         &mut self, id: MemberId, incarnation: Incarnation, output: &mut MembershipOutput,
     ) -> Result<(), MembershipError> {
@@ -179,13 +183,15 @@
         }
     }
 
-    /// Announces to the others that this member leaves. Must be the last step.
+    /// Announces to the other members that this one leaves. Must be the last step.
     pub(crate) fn leave(&mut self, output: &mut MembershipOutput) -> Result<(), MembershipError> {
         self.foca.leave_cluster(output).map_err(|_| MembershipError)
     }
 
-    /// Members that changed since the last call, in the order of their ids. `announced_leave` tells whether an
-    /// incarnation announced that it leaves. A member that was never seen active is not reported as failed.
+    /// Returns the members that changed since the last call, in the order of their ids.
+    ///
+    /// `announced_leave` returns whether an incarnation has announced its leave. A member that was never active here is
+    /// not reported as failed or left.
     pub(crate) fn take_changes(
         &mut self, announced_leave: impl Fn(MemberId, Incarnation) -> bool,
     ) -> Vec<(Member, MemberState)> {
--- a/crates/fleet/src/rejection.rs
+++ b/crates/fleet/src/rejection.rs
@@ -1,89 +1,90 @@
-//! Why a datagram or a frame was rejected, and the counters of a member. Plain data without state or clock.
+//! Reasons for which datagrams and frames are rejected, and the counters of a member. Plain data.
 
 use crate::{Incarnation, MemberId};
 
 /// Why a message was rejected. A rejected message changes nothing but the counter of its reason.
 ///
-/// The texts and [`Rejection::REASONS`] are read by operators: they keep the spelling of earlier builds.
+/// Operators' tools may match [`Rejection::REASONS`] and the texts about keys and incarnations: these keep the spelling
+/// of earlier builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// Shorter than a header and a tag.
-    #[error("{bytes} bytes are too few for a sealed message")]
+    /// The message is shorter than a seal's header and tag.
+    #[error("message of {bytes} bytes is too short for a seal's header and tag")]
     TooShort {
-        /// Bytes found.
+        /// Length of the message.
         bytes: usize,
     },
-    /// Longer than a datagram may be.
-    #[error("{bytes} bytes are over the bound of {max_bytes}")]
+    /// The datagram exceeds the maximum length.
+    #[error("datagram of {bytes} bytes exceeds the maximum of {max_bytes}")]
     TooLong {
-        /// Bytes found.
+        /// Length of the datagram; a driver may truncate it to one byte more than the maximum.
         bytes: usize,
-        /// The bound.
+        /// Maximum length, [`crate::MAX_DATAGRAM_BYTES`].
         max_bytes: usize,
     },
-    /// Sealed in a format that this build does not speak.
-    #[error("format version {version} is not known here: this build speaks version {supported}")]
+    /// The message has a format version that this build does not support.
+    #[error("unsupported format version {version}: this build supports version {supported}")]
     UnknownVersion {
-        /// The message's version.
+        /// Version of the message.
         version: u8,
-        /// The version of this build.
+        /// Version of this build, [`crate::FORMAT_VERSION`].
         supported: u8,
     },
-    /// No key of this member made the tag.
+    /// The tag was not made with any of this member's keys.
     #[error("the tag fits none of the keys")]
     Forged,
     /// A message with this counter was accepted before.
-    #[error("member {from:?} said it before (counter {counter})")]
+    #[error("replayed message: counter {counter} of member {from:?} was accepted before")]
     Replayed {
-        /// The sender.
+        /// Sender of the message.
         from: MemberId,
-        /// Its counter.
+        /// Counter of the message.
         counter: u64,
     },
-    /// The counter is below the replay window.
-    #[error("counter {counter} of member {from:?} is too far behind to tell whether it was said before")]
+    /// The counter is below the replay window, so the message may be a replay.
+    #[error("possible replay: counter {counter} of member {from:?} is below the replay window")]
     Stale {
-        /// The sender.
+        /// Sender of the message.
         from: MemberId,
-        /// Its counter.
+        /// Counter of the message.
         counter: u64,
     },
-    /// Sent by an incarnation that a later one of the same member has replaced.
+    /// A later incarnation of the same member has replaced the sender.
     #[error("member {from:?} has a later life than Life({})", incarnation.0)]
     OldIncarnation {
-        /// The sender.
+        /// Sender of the message.
         from: MemberId,
-        /// The incarnation that the message names.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
     },
-    /// Addressed to another member, or to another incarnation of this one.
+    /// The message is addressed to another member, or to another incarnation of this one.
     #[error("it was meant for member {to:?} in its life Life({})", incarnation.0)]
     WrongRecipient {
-        /// The recipient that the message names.
+        /// Recipient of the message.
         to: MemberId,
-        /// The incarnation that the message names.
+        /// Incarnation of the recipient.
         incarnation: Incarnation,
     },
-    /// Sent under this member's own name, by another process.
+    /// Another process sent the message under this member's own name.
     #[error("it bears this member's own name, with life Life({})", incarnation.0)]
     OwnName {
-        /// The incarnation that the message names.
+        /// Incarnation of the other process.
         incarnation: Incarnation,
     },
-    /// Authenticated, but not a message that this build reads, or not one for this channel.
-    #[error("member {from:?} sealed what cannot be read")]
+    /// The message is authenticated, but cannot be parsed, is not allowed on this channel, or lacks a recipient.
+    #[error("message sealed by member {from:?} is malformed or not allowed on this channel")]
     Malformed {
-        /// The sender.
+        /// Sender of the message.
         from: MemberId,
     },
-    /// The body names another member than the one that sealed it.
-    #[error("member {from:?} sealed a probe in the name of another")]
+    /// The body states another member, or another incarnation, than the one that sealed it.
+    #[error("message sealed by member {from:?} states another member or incarnation as its sender")]
     Impersonated {
-        /// The sender.
+        /// Member that sealed the message.
         from: MemberId,
     },
-    /// This member has left and handles nothing more.
-    #[error("this member has left")]
+    /// This member has left and handles no more messages.
+    #[error("this member has left the fleet")]
     Left,
 }
 
@@ -122,7 +123,7 @@
         }
     }
 
-    /// What an operator can do about it.
+    /// Advice to the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             Rejection::TooShort { .. } | Rejection::TooLong { .. } => {
@@ -148,30 +149,30 @@
     }
 }
 
-/// Counters of a member since it started. None ever decreases.
+/// Counters of a member since it was created. They never decrease.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams received, rejected ones included.
     pub datagrams_in: u64,
-    /// Datagrams handed to the driver.
+    /// Datagrams passed to the driver for sending.
     pub datagrams_out: u64,
     /// Bytes received in datagrams and streams, rejected ones included.
     pub bytes_in: u64,
-    /// Bytes of datagrams and frames handed to the driver.
+    /// Bytes of datagrams and frames passed to the driver for sending.
     pub bytes_out: u64,
     /// Rejected messages, indexed by [`Rejection::reason_index`].
     pub rejected: [u64; Rejection::REASONS.len()],
-    /// Messages that the second key verified. When it stops growing, that key can be removed from the file.
+    /// Messages verified with the second key. Once it stops increasing, that key can be removed from the key file.
     pub by_second_key: u64,
-    /// Cells of others that were new or had a newer version.
+    /// Received cells that were new or had a newer version.
     pub entries_merged: u64,
-    /// Cells that were not merged, or were dropped, because a bound was reached.
+    /// Received cells that were not stored, or were evicted at once, because a bound was reached.
     pub entries_over_bounds: u64,
-    /// Anti-entropy exchanges that this member asked its driver to open.
+    /// Anti-entropy exchanges that this member requested its driver to open.
     pub exchanges_requested: u64,
-    /// Timers that fired later than a probe period: this process was stopped or starved.
+    /// Timers that fired more than a probe period late because the process was stopped or starved of CPU time.
     pub late_timers: u64,
-    /// Steps that the membership library rejected; the next probe repairs them.
+    /// Steps that the membership library rejected. The next probe corrects their effect.
     pub membership_errors: u64,
 }
 
--- a/crates/fleet/src/rejection/tests.rs
+++ b/crates/fleet/src/rejection/tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Operators read these texts, and tools may match them.
+/// Operators' tools may match these texts.
 #[test]
 fn texts_that_name_an_incarnation_keep_the_spelling_of_earlier_builds() {
     let (from, incarnation) = (MemberId(1), Incarnation(7));
--- a/crates/fleet/src/seal/key.rs
+++ b/crates/fleet/src/seal/key.rs
@@ -1,12 +1,12 @@
-//! Keys of the fleet: the first signs, at most two verify. No state but the keys, and no clock.
+//! Keys of the fleet: the first one signs, and at most two verify.
 
 use crate::seal::TAG_BYTES;
 
-/// Domain separation of the key derivation: another text gives other keys.
+/// Context of the BLAKE3 key derivation, for domain separation. A change of this text changes all keys.
 const KEY_DERIVATION_CONTEXT: &str = "glenrail fleet 2026 seal of datagrams and frames";
 
-/// A key derived from the key file's material and the fleet's name: two fleets that share a file by mistake still
-/// reject each other's messages.
+/// A key derived from the material in the key file and the fleet's name. Two fleets that share a key file by mistake
+/// therefore reject each other's messages.
 #[derive(Clone)]
 pub struct FleetKey([u8; 32]);
 
@@ -16,34 +16,34 @@
     }
 }
 
-/// What is wrong with a key file's text. Never shows any of the text.
+/// Why the text of a key file is invalid. Never contains any of the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// No line holds a key.
-    #[error("the key file holds no key")]
+    /// No line contains a key.
+    #[error("the key file contains no key")]
     None,
-    /// More than two keys.
-    #[error("the key file holds {found} keys, and at most two can be valid at a time")]
+    /// There are more than two keys.
+    #[error("the key file contains {found} keys, but at most two are allowed")]
     TooMany {
-        /// Number of keys.
+        /// Number of keys in the file.
         found: usize,
     },
-    /// A line that is not a key, counted from 1.
+    /// A line is not a key.
     #[error("line {line} of the key file is not 64 hexadecimal digits")]
     NotAKey {
-        /// Counted from 1.
+        /// Number of the line, counted from 1.
         line: usize,
     },
-    /// Key material of less than 32 bytes.
-    #[error("a key of {bytes} bytes is too short: 32 are needed")]
+    /// The key material has fewer than 32 bytes.
+    #[error("key of {bytes} bytes is too short: at least 32 bytes are required")]
     TooShort {
-        /// Bytes found.
+        /// Length of the material.
         bytes: usize,
     },
 }
 
 impl KeyError {
-    /// What an operator can do about it.
+    /// Advice to the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             KeyError::None | KeyError::NotAKey { .. } | KeyError::TooShort { .. } => {
@@ -67,7 +67,7 @@
         Ok(FleetKey(*hasher.finalize().as_bytes()))
     }
 
-    /// The tag of a message.
+    /// Returns the tag of a message.
     pub(super) fn tag(&self, signed: &[u8]) -> [u8; TAG_BYTES] {
         let mut tag = [0; TAG_BYTES];
         tag.copy_from_slice(&blake3::keyed_hash(&self.0, signed).as_bytes()[..TAG_BYTES]);
@@ -75,8 +75,10 @@
     }
 }
 
-/// The keys of a member: the first signs, both verify. To rotate keys, add the new one as the second at every member,
-/// then make it the first at every member, then remove the old one.
+/// The keys of a member: the first one signs, both verify.
+///
+/// A key rotation takes three steps: add the new key as the second one at every member, make it the first one at every
+/// member, and remove the old one.
 #[derive(Clone, Debug)]
 pub struct Keyring {
     first: FleetKey,
@@ -84,13 +86,13 @@
 }
 
 impl Keyring {
-    /// `second` verifies, but never signs.
+    /// Creates a keyring. `second` only verifies; without it, messages signed with any key but `first` are rejected.
     pub fn new(first: FleetKey, second: Option<FleetKey>) -> Keyring {
         Keyring { first, second }
     }
 
-    /// Parses the text of a key file: one key of 64 hexadecimal digits on a line, the one that signs on the first; `#`
-    /// begins a comment.
+    /// Parses the text of a key file. Each line contains one key of 64 hexadecimal digits; the first key signs. A `#`
+    /// starts a comment. `fleet` is the fleet's name.
     pub fn parse(text: &str, fleet: &str) -> Result<Keyring, KeyError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -114,7 +116,8 @@
         &self.first
     }
 
-    /// Index of the key that made the tag: 0 the first, 1 the second. Compared in constant time.
+    /// Returns the index of the key that made the tag: 0 for the first, 1 for the second. Tags are compared in constant
+    /// time.
     pub(super) fn matching_key(&self, signed: &[u8], tag: &[u8; TAG_BYTES]) -> Option<usize> {
         [Some(&self.first), self.second.as_ref()]
             .into_iter()
--- a/crates/fleet/src/seal/mod.rs
+++ b/crates/fleet/src/seal/mod.rs
@@ -1,11 +1,12 @@
-//! Authentication of messages: only holders of the fleet's key are accepted, each message once, by its recipient.
+//! Authentication of messages: a message is accepted only if it was sealed with the fleet's key, only once, and only by
+//! its recipient.
 //!
-//! A sealed message is `version, channel, sender, its incarnation, counter, recipient, its incarnation, body, tag`,
-//! numbers little-endian. The tag is the first 16 bytes of keyed BLAKE3 over all before it. Nothing is encrypted:
-//! the table holds no secrets. Whoever holds the key may speak for the whole fleet; the key separates members from
-//! strangers, not members from each other.
+//! A sealed message consists of `version, channel, sender, its incarnation, counter, recipient, its incarnation, body,
+//! tag`; numbers are little-endian. The tag is the first 16 bytes of the keyed BLAKE3 hash of everything before it.
+//! Nothing is encrypted, as the table contains no secrets. The key separates members from outsiders, not members from
+//! each other: any holder of the key can send messages in the name of any member.
 //!
-//! A [`Sealer`] owns this member's counters and the replay windows of the others; the caller passes the time in.
+//! A [`Sealer`] owns this member's counters and the replay windows of the other members; the caller passes in the time.
 
 mod key;
 mod senders;
@@ -18,39 +19,39 @@
 
 use crate::{Incarnation, MemberId, Rejection};
 
-/// Format version that this build speaks. Messages of any other are rejected.
+/// Format version that this build supports. Messages of any other version are rejected.
 pub const FORMAT_VERSION: u8 = 1;
-/// Version, channel, and five numbers of eight bytes.
+/// Length of the header: version, channel, and five numbers of eight bytes.
 const HEADER_BYTES: usize = 2 + 5 * 8;
-/// Bytes of the tag at a message's end.
+/// Length of the tag at the end of a message.
 const TAG_BYTES: usize = 16;
 /// Bytes that sealing adds to a body.
 pub const SEAL_OVERHEAD_BYTES: usize = HEADER_BYTES + TAG_BYTES;
 
-/// How a message travels. Each channel has its own counters: a frame of a stream that stalls must not fall out of the
-/// window that datagrams advance.
+/// Transport of a message. Each channel has its own counters, as datagrams would otherwise advance the replay window
+/// past the frames of a stalled stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
-    /// A datagram.
+    /// The message is one datagram.
     Datagram,
-    /// A frame of an exchange, over a stream.
+    /// The message is a frame of an exchange over a stream.
     Frame,
 }
 
-/// Sender of a message that was accepted.
+/// Sender of an accepted message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sender {
-    /// Id of the sender.
+    /// Id in the seal.
     pub id: MemberId,
-    /// Its incarnation.
+    /// Incarnation in the seal.
     pub incarnation: Incarnation,
-    /// False if the message names no recipient, as a greeting to a seed's address does.
+    /// Whether the message names a recipient. A hello message to a seed's address does not.
     pub addressed: bool,
-    /// Whether the second key verified it.
+    /// Whether the second key of the [`Keyring`] verified the message.
     pub by_second_key: bool,
 }
 
-/// Seals this member's messages, and opens those of others.
+/// Seals this member's messages, and opens (verifies) those of other members.
 pub struct Sealer {
     local: (MemberId, Incarnation),
     keys: Keyring,
@@ -59,17 +60,18 @@
 }
 
 impl Sealer {
-    /// For the member `id` in this incarnation. Replay windows of at most `windows` senders are kept.
+    /// Creates a sealer for the member `id` in this incarnation. It retains the replay windows of at most `windows`
+    /// senders.
     pub fn new(id: MemberId, incarnation: Incarnation, keys: Keyring, windows: usize) -> Sealer {
         Sealer { local: (id, incarnation), keys, counters: [0; 2], senders: SenderWindows::new(windows) }
     }
 
-    /// Replaces the keys: from now on the first of these signs, and all verify.
+    /// Replaces the keys. The first new key signs from now on, and all new keys verify.
     pub fn rotate_keys(&mut self, keys: Keyring) {
         self.keys = keys;
     }
 
-    /// Seals `body` for the recipient `to`; `None` only where its identity is not known yet.
+    /// Seals `body` for the recipient `to`, which is `None` only if the recipient's identity is not known yet.
     pub fn seal(&mut self, channel: Channel, to: Option<(MemberId, Incarnation)>, body: &[u8]) -> Vec<u8> {
         let counter = &mut self.counters[channel as usize];
         *counter += 1;
@@ -85,8 +87,8 @@
         sealed
     }
 
-    /// The sender and the body of a message, or why it is rejected. Only an accepted message changes the windows. `now`
-    /// in milliseconds.
+    /// Verifies a message, and returns its sender and body. Forged and misaddressed messages do not change the replay
+    /// windows. `now` is in milliseconds.
     pub fn open<'a>(
         &mut self, channel: Channel, now: u64, sealed: &'a [u8],
     ) -> Result<(Sender, &'a [u8]), Rejection> {
--- a/crates/fleet/src/seal/tests.rs
+++ b/crates/fleet/src/seal/tests.rs
@@ -29,7 +29,7 @@
     let (sender, body) = b.open(Channel::Datagram, 0, &good).unwrap();
     assert_eq!((sender.id, sender.incarnation, body), (a_id, Incarnation(5), &b"hello"[..]));
     assert_eq!(b.open(Channel::Datagram, 0, &good), Err(Rejection::Replayed { from: a_id, counter: 1 }));
-    // The same datagram at another member, and at a later life of the one that it was meant for.
+    // The same datagram is rejected by another member, and by a later incarnation of its recipient.
     let foreign = Err(Rejection::WrongRecipient { to: b_id, incarnation: Incarnation(7) });
     assert_eq!(sealer("c", 1, keys(1, None)).open(Channel::Datagram, 0, &good), foreign);
     assert_eq!(sealer("b", 8, keys(1, None)).open(Channel::Datagram, 0, &good), foreign);
@@ -52,7 +52,8 @@
         let sealed = a.seal(Channel::Datagram, to_b, b"x");
         b.open(Channel::Datagram, 0, &sealed).map(|(sender, _)| sender.by_second_key)
     };
-    // Old signs and new verifies at both; new signs at one, then at both; the old one goes.
+    // Adds the new key at the recipient, signs with it at the sender, then removes the old key at the recipient,
+    // which rejects it from then on.
     b.rotate_keys(keys(1, Some(2)));
     assert_eq!(accept(&mut a, &mut b), Ok(false));
     a.rotate_keys(keys(2, Some(1)));
--- a/crates/fleet/src/seal/window.rs
+++ b/crates/fleet/src/seal/window.rs
@@ -1,21 +1,21 @@
-//! A sliding replay window over a sender's counters: each is accepted once, however late within the window. Owned by
-//! the state of one sender; needs no clock.
+//! A sliding replay window over the counters of a sender. Each counter within the window is accepted once, in any
+//! order. Owned by the state of one sender; needs no clock.
 
-/// Counters, from the newest downwards, that the window distinguishes.
+/// Number of counters in the window, from the newest downwards.
 pub const WINDOW_WIDTH: u64 = 1_024;
 
-/// What a window says of a counter.
+/// Status of a counter in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterStatus {
-    /// Not seen before: accepted.
+    /// Not accepted before: now accepted.
     New,
     /// Accepted before.
     Duplicate,
-    /// Below the window, so unknown; treated as seen.
+    /// Below the window: whether it was accepted before is unknown, so it is rejected.
     TooOld,
 }
 
-/// A ring of bits: the bit of a counter has the index `counter % WINDOW_WIDTH`.
+/// A ring of bits. The bit of a counter has the index `counter % WINDOW_WIDTH`.
 #[derive(Clone, Debug)]
 pub struct Window {
     newest: u64,
@@ -35,7 +35,7 @@
             return CounterStatus::TooOld;
         }
         if counter > self.newest {
-            // Bits between the old newest and the new one belong to counters that were not seen yet.
+            // Clears the bits of the counters above the previous newest one: none of them was accepted yet.
             if counter - self.newest >= WINDOW_WIDTH {
                 self.bits = Default::default();
             } else {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Index into the ring's words, and the counter's bit in that word.
+/// Returns the index of the counter's word in the ring, and the counter's bit in that word.
 fn position(counter: u64) -> (usize, u64) {
     let slot = counter % WINDOW_WIDTH;
     ((slot / 64) as usize, 1 << (slot % 64))
--- a/crates/fleet/src/seal/window/tests.rs
+++ b/crates/fleet/src/seal/window/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 proptest! {
-    /// Against a set that remembers everything: new once, within the width; behind it never.
+    /// Compares the window with a set of all counters: a counter within the width is new once, one below it never.
     #[test]
     fn the_window_agrees_with_an_unbounded_set(steps in prop::collection::vec((0u64..2_600, any::<bool>()), 1..400)) {
         let (mut window, mut seen, mut newest) = (Window::default(), BTreeSet::new(), 0u64);
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,49 +1,51 @@
-//! Cadence and bounds of a member, with their defaults. Checked once before a [`crate::Fleet`] starts, and constant
-//! from then on.
+//! Settings of a member (periods, timeouts and bounds) with their defaults. They are checked when a [`crate::Fleet`] is
+//! created, and constant from then on.
 
 use std::net::SocketAddr;
 
 use crate::table::CELL_OVERHEAD_BYTES;
 
-/// Cadence and bounds. Times in milliseconds. The names are the keys of `[fleet]` in the operators' file; "The ground" in
-/// `docs/one-fleet.md` says what each costs.
+/// Periods, timeouts and bounds of a member. Times are in milliseconds.
+///
+/// The names are the keys of `[fleet]` in the operators' file. An entry is a [`crate::Cell`] of the table. "The ground"
+/// in `docs/one-fleet.md` describes the cost of each setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Probe period: one member is probed in each.
+    /// Probe period. One member is probed in each period.
     pub probe: u64,
-    /// Timeout of a direct probe, after which others are asked to probe. Less than half of `probe`.
+    /// Timeout of a direct probe, after which other members are requested to probe. Less than half of `probe`.
     pub probe_answer: u64,
-    /// Suspicion timeout: how long a suspect may refute before it is declared failed.
+    /// Suspicion timeout: time in which a suspect can refute the suspicion before it is declared failed.
     pub suspect: u64,
-    /// How long a member that failed or left is remembered.
+    /// Time after which a member that failed or left is forgotten.
     pub forget: u64,
-    /// Gossip period: the time between two rounds of new entries.
+    /// Gossip period: time between two rounds in which new entries are sent.
     pub round: u64,
-    /// Gossip fan-out: members that one round sends to, one datagram each.
+    /// Gossip fan-out: number of members that each round sends one datagram to.
     pub round_members: usize,
-    /// Anti-entropy period: the time between two digests, sent to one member after another.
+    /// Anti-entropy period: time between sending digests to one member and to the next.
     pub repair: u64,
-    /// Datagrams of entries in one answer to a digest; what needs more goes over a stream.
+    /// Maximum number of datagrams with entries in one response to digests. Further entries are sent over a stream.
     pub repair_datagrams: usize,
-    /// Time between two greetings to seeds, by which partitions find each other again.
+    /// Time between two hello messages to seeds, through which healed partitions rediscover each other.
     pub hello: u64,
-    /// Age at which a value expires unless its origin renews it, which it does at a third of this age.
+    /// Age at which a value expires unless its origin renews it. The origin renews it at a third of this age.
     pub entry_age: u64,
-    /// Longest key of an entry.
+    /// Maximum length of an entry's key.
     pub key_bytes: usize,
-    /// Longest value of an entry.
+    /// Maximum length of an entry's value.
     pub value_bytes: usize,
-    /// Entries held of one origin.
+    /// Maximum number of stored entries of one origin.
     pub entries_per_origin: usize,
-    /// Bytes held of one origin.
+    /// Maximum weight of the stored entries of one origin; see [`crate::Cell::weight`].
     pub bytes_per_origin: usize,
-    /// Origins of which entries are held.
+    /// Maximum number of origins with stored entries.
     pub origins: usize,
-    /// Bytes held of all origins together.
+    /// Maximum weight of all stored entries.
     pub bytes_total: usize,
-    /// Least time between two exchanges that this member requests.
+    /// Minimum time between two exchanges that this member requests.
     pub exchange_apart: u64,
-    /// Senders whose incarnation and replay windows are remembered.
+    /// Maximum number of senders whose incarnation and replay windows are retained.
     pub windows: usize,
 }
 
@@ -72,39 +74,39 @@
     }
 }
 
-/// A setting that a member cannot start with.
+/// Why a member cannot start with its settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// Below the least value that works.
-    #[error("{setting} is {value}, and must be at least {min}")]
+    /// A setting is below its minimum.
+    #[error("{setting} is {value}, but must be at least {min}")]
     TooSmall {
-        /// Name of the setting.
+        /// Key of the setting in `[fleet]`.
         setting: &'static str,
-        /// What was found.
+        /// Configured value.
         value: u64,
-        /// The bound.
+        /// Minimum, which may depend on other settings.
         min: u64,
     },
-    /// Above the greatest value that works.
-    #[error("{setting} is {value}, and must be at most {max}")]
+    /// A setting is above its maximum.
+    #[error("{setting} is {value}, but must be at most {max}")]
     TooLarge {
-        /// Name of the setting.
+        /// Key of the setting in `[fleet]`.
         setting: &'static str,
-        /// What was found.
+        /// Configured value.
         value: u64,
-        /// The bound.
+        /// Maximum, which may depend on other settings.
         max: u64,
     },
-    /// An advertised address that names no host or no port.
-    #[error("{address} cannot be reached by others")]
+    /// The advertised address has an unspecified host or port 0.
+    #[error("other members cannot reach the advertised address {address}")]
     Address {
-        /// The address.
+        /// Advertised address.
         address: SocketAddr,
     },
 }
 
 impl SettingsError {
-    /// What an operator can do about it.
+    /// Advice to the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             SettingsError::Address { .. } => {
@@ -120,7 +122,7 @@
     }
 }
 
-/// A setting with one of its bounds.
+/// A setting with its minimum or maximum.
 struct Bound {
     setting: &'static str,
     value: u64,
@@ -131,11 +133,11 @@
     Bound { setting, value, bound }
 }
 
-/// Longest time that a setting may name, in milliseconds: sums of such times cannot overflow.
+/// Maximum of every time in the settings, in milliseconds, so that sums of such times cannot overflow.
 const MAX_TIME_MS: u64 = 24 * 3_600 * 1_000;
 
 impl Settings {
-    /// The first setting that is out of its bounds, if any. Nothing after this check has to doubt a setting.
+    /// Returns an error for the first setting that is out of its bounds. Later code relies on this check.
     pub fn check(&self) -> Result<(), SettingsError> {
         for Bound { setting, value, bound: min } in self.lower_bounds() {
             if value < min {
--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -1,72 +1,72 @@
-//! Bounds of the table, and why a cell of this member's own does not fit. Constant after the start.
+//! Bounds of the table, constant after the start, and the errors of writes that exceed them.
 
 use super::Cell;
 use crate::Settings;
 
-/// Bounds of the table, from the [`Settings`]. Times in milliseconds.
+/// Bounds of the table, taken from the [`Settings`].
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Age at which a value expires; a tombstone lives twice as long.
+    /// Age in milliseconds at which a value expires. A tombstone expires at twice this age.
     pub max_value_age: u64,
-    /// Longest key.
+    /// Maximum length of a key.
     pub max_key_bytes: usize,
-    /// Longest value.
+    /// Maximum length of a value.
     pub max_value_bytes: usize,
-    /// Cells of one origin.
+    /// Maximum number of cells of one origin.
     pub max_entries_per_origin: usize,
-    /// Weight of the cells of one origin.
+    /// Maximum weight of the cells of one origin; see [`Cell::weight`].
     pub max_bytes_per_origin: usize,
-    /// Origins with cells.
+    /// Maximum number of origins with cells.
     pub max_origins: usize,
-    /// Weight of all cells.
+    /// Maximum weight of all cells.
     pub max_total_bytes: usize,
 }
 
-/// Why this member cannot write a cell. The table is unchanged.
+/// Why this member cannot write a cell. The table is unchanged after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
-    /// The key is too long.
-    #[error("a key of {bytes} bytes, kind {kind}, is over the bound of {max_bytes}")]
+    /// The key exceeds its maximum length.
+    #[error("key of {bytes} bytes in a cell of kind {kind} exceeds the maximum of {max_bytes}")]
     Key {
         /// Kind of the cell.
         kind: u16,
-        /// Bytes found.
+        /// Length of the key.
         bytes: usize,
-        /// The bound.
+        /// Maximum length.
         max_bytes: usize,
     },
-    /// The value is too long.
-    #[error("a value of {bytes} bytes, kind {kind}, is over the bound of {max_bytes}")]
+    /// The value exceeds its maximum length.
+    #[error("value of {bytes} bytes in a cell of kind {kind} exceeds the maximum of {max_bytes}")]
     Value {
         /// Kind of the cell.
         kind: u16,
-        /// Bytes found.
+        /// Length of the value.
         bytes: usize,
-        /// The bound.
+        /// Maximum length.
         max_bytes: usize,
     },
-    /// This member has too many cells already.
-    #[error("{entries} cells are held for this member already, as many as the bound allows; kind {kind} found no room")]
+    /// This member already has the maximum number of cells.
+    #[error("cannot add a cell of kind {kind}: this member already has the maximum of {entries} cells")]
     Entries {
         /// Kind of the cell.
         kind: u16,
-        /// Cells that are there already.
+        /// Number of existing cells.
         entries: usize,
     },
-    /// The cells of this member would weigh too much.
+    /// The cells of this member would exceed their maximum weight.
     #[error(
-        "{bytes} bytes would be held for this member, over the bound of {max_bytes}; kind {kind} found no room"
+        "cannot write a cell of kind {kind}: this member's cells would take {bytes} bytes of at most {max_bytes}"
     )]
     Bytes {
         /// Kind of the cell.
         kind: u16,
-        /// Bytes found.
+        /// Weight of this member's cells after the write.
         bytes: usize,
-        /// The bound.
+        /// Maximum weight.
         max_bytes: usize,
     },
     /// The kind is reserved for this crate.
-    #[error("kind {kind} is kept for the fleet's own notes")]
+    #[error("cell kind {kind} is reserved for the fleet's own use")]
     Reserved {
         /// Kind of the cell.
         kind: u16,
@@ -74,7 +74,7 @@
 }
 
 impl TableError {
-    /// What an operator can do about it.
+    /// Advice to the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             TableError::Key { .. } | TableError::Value { .. } => {
@@ -89,7 +89,7 @@
 }
 
 impl Bounds {
-    /// The part of the settings that bounds the table.
+    /// Copies the table's bounds from the settings.
     pub(crate) fn from_settings(settings: &Settings) -> Bounds {
         Bounds {
             max_value_age: settings.entry_age,
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Age at which a cell expires. A tombstone (no value) lives twice as long as a value, so that a delayed older
-    /// value still meets it.
+    /// Returns the age in milliseconds at which a cell expires. A tombstone (no value) is retained twice as long as a
+    /// value, so that a delayed older value is still recognized as stale.
     pub(super) fn max_age(&self, value: Option<&[u8]>) -> u64 {
         match value {
             Some(_) => self.max_value_age,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether the cell fits next to `entries` other cells of its origin, which weigh `bytes`.
+    /// Checks that the cell fits next to `entries` other cells of its origin with a total weight of `bytes`.
     pub(super) fn check_room(&self, cell: &Cell, entries: usize, bytes: usize) -> Result<(), TableError> {
         let kind = cell.id.kind;
         let (key, value) = (cell.id.key.len(), cell.value.as_ref().map_or(0, Vec::len));
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// Whether key and value of the cell are short enough.
+    /// Whether the key and the value of the cell are within their maximum lengths.
     pub(super) fn within_length_limits(&self, cell: &Cell) -> bool {
         cell.id.key.len() <= self.max_key_bytes
             && cell.value.as_ref().map_or(0, Vec::len) <= self.max_value_bytes
--- a/crates/fleet/src/table/cell.rs
+++ b/crates/fleet/src/table/cell.rs
@@ -1,45 +1,45 @@
-//! A cell of the table, as members send it to each other. Plain data; its age travels with it, so that no clocks are
-//! compared.
+//! A cell of the table, as members send it to each other. Plain data. A cell contains its age instead of a timestamp,
+//! so that members' clocks need not agree.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Incarnation, MemberId};
 
-/// Milliseconds in a unit of a cell's age. Rounded up: a cell may look older than it is, never younger.
+/// Unit of a cell's age on the wire, in milliseconds. Ages are rounded up, so a cell never appears younger than it is.
 const AGE_UNIT_MS: u64 = 100;
-/// What a cell counts for beside its key and its value, in bytes.
+/// Part of a cell's weight that does not depend on its key and value, in bytes.
 pub(crate) const CELL_OVERHEAD_BYTES: usize = 64;
 
 /// Id of a cell. Serialized in this order of fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId {
-    /// The member that writes the cell.
+    /// The only member that writes the cell.
     pub origin: MemberId,
-    /// Kind of the cell, owned by the part of the program that writes it. Cells of an unknown kind are replicated too.
+    /// Namespace of the key, used by one part of the program. Cells of an unknown kind are replicated as well.
     pub kind: u16,
-    /// Key within the kind.
+    /// Key, unique within the origin and kind.
     pub key: Vec<u8>,
 }
 
-/// A cell: the `version`th write of its origin in this incarnation. Serialized in this order of fields.
+/// A versioned key-value entry of one origin. Serialized in this order of fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
-    /// Which cell.
+    /// Identifies the cell across all its versions.
     pub id: CellId,
     /// Incarnation of the origin that wrote it.
     pub incarnation: Incarnation,
-    /// Counts the writes of the origin in this incarnation, over all its cells.
+    /// Number of this write among all writes of the origin in this incarnation, counted from 1 over all its cells.
     pub version: u64,
-    /// Time since the origin wrote it, in [`AGE_UNIT_MS`], without the time in transit.
+    /// Time since the origin wrote the cell, in units of [`AGE_UNIT_MS`], excluding the time in transit.
     age: u32,
-    /// The value; `None` is a tombstone: the origin deleted the cell.
+    /// `None` is a tombstone: the origin deleted the cell.
     pub value: Option<Vec<u8>>,
 }
 
-/// A borrowed cell that is not a tombstone.
+/// A borrowed view of a cell that is not a tombstone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellValue<'a> {
-    /// The member that wrote it.
+    /// The member that wrote the cell.
     pub origin: MemberId,
     /// Incarnation of the origin that wrote it.
     pub incarnation: Incarnation,
@@ -47,12 +47,12 @@
     pub key: &'a [u8],
     /// See [`Cell::version`].
     pub version: u64,
-    /// The value.
+    /// Content of the cell, without its metadata.
     pub value: &'a [u8],
 }
 
 impl Cell {
-    /// A cell of this age in milliseconds.
+    /// Creates a cell of this age in milliseconds, rounded up to the unit of ages on the wire (100 ms).
     pub fn new(id: CellId, incarnation: Incarnation, version: u64, age: u64, value: Option<Vec<u8>>) -> Cell {
         let age = u32::try_from(age.div_ceil(AGE_UNIT_MS)).unwrap_or(u32::MAX);
         Cell { id, incarnation, version, age, value }
@@ -63,12 +63,13 @@
         u64::from(self.age) * AGE_UNIT_MS
     }
 
-    /// Whether it is `age` milliseconds old or older.
+    /// Whether the cell is at least `age` milliseconds old.
     pub(crate) fn age_at_least(&self, age: u64) -> bool {
         self.age() >= age
     }
 
-    /// What the cell counts for under the bounds: the bytes of key and value, and a constant for the rest.
+    /// Number of bytes that the cell counts for in the table's bounds: those of key and value, plus a constant for the
+    /// metadata.
     pub fn weight(&self) -> usize {
         weight(&self.id.key, self.value.as_deref())
     }
--- a/crates/fleet/src/table/digest.rs
+++ b/crates/fleet/src/table/digest.rs
@@ -1,5 +1,5 @@
-//! Digests of the table for anti-entropy: what a member holds of an origin, and which of two members lacks cells. Plain
-//! data; needs no clock.
+//! Digests of the table for anti-entropy: summaries of the cells of an origin, whose comparison shows which of two
+//! members lacks cells. Plain data.
 
 use std::cmp::Ordering;
 
@@ -8,25 +8,25 @@
 use super::origin::Origin;
 use crate::{Incarnation, MemberId};
 
-/// What a member holds of one origin, in about 26 bytes. Serialized in this order of fields.
+/// Summary of the cells that a member stores of one origin, in about 26 bytes. Serialized in this order of fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The origin.
+    /// The member that wrote the cells.
     pub origin: MemberId,
-    /// Its newest incarnation that is known.
+    /// Newest known incarnation of the origin.
     pub incarnation: Incarnation,
-    /// Number of its cells, tombstones included.
+    /// Number of cells, tombstones included.
     pub cells: u32,
-    /// Highest version among them.
+    /// Highest version among the cells; 0 without cells.
     pub newest_version: u64,
-    /// A bound was reached and the lowest versions were dropped: only versions above `newest_version` are of use.
+    /// Whether the lowest versions were dropped at a bound. Only versions above `newest_version` are then exchanged.
     pub truncated: bool,
-    /// Exclusive or of the hashes of the cells.
+    /// XOR of the hashes of the cells.
     #[serde(with = "postcard::fixint::le")]
     pub hash: u64,
 }
 
-/// Digest of the cells held of one origin.
+/// Returns the digest of the stored cells of one origin.
 pub(super) fn of_origin((id, origin): (&MemberId, &Origin)) -> Digest {
     Digest {
         origin: *id,
@@ -38,18 +38,24 @@
     }
 }
 
-/// What two members have to send each other about one origin.
+/// Which cells of one origin two members have to exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reconciliation {
-    /// The other member lacks cells of versions above this one.
+    /// The remote member may lack cells with versions above this one; `None` if it lacks none.
     pub send_above_version: Option<u64>,
-    /// This member lacks cells that the other has.
+    /// Whether the local member may lack cells that the remote member has.
     pub request: bool,
 }
 
-/// Compares the digests of two members about one origin. A later incarnation replaces all of an earlier one. Within
-/// an incarnation, members with the same highest version or a different number of cells may lack any cell, so all
-/// are sent; otherwise, and where a bound was reached, only the versions above the other's highest.
+/// Compares the digests of two members for one origin; `None` is a member without cells of that origin.
+///
+/// A later incarnation replaces all cells of an earlier one. Within an incarnation:
+///
+/// - Members with equal hashes and numbers of cells have nothing to exchange.
+/// - If the cells of either member are truncated, only versions above the other's highest one are sent.
+/// - Otherwise, with equal numbers of cells, only versions above the other's highest one are sent, or all cells if the
+///   highest versions are equal too.
+/// - With different numbers of cells, any cell may be missing, so all are sent.
 pub fn compare(local: Option<&Digest>, remote: Option<&Digest>) -> Reconciliation {
     let everything = Some(0);
     match (local, remote) {
--- a/crates/fleet/src/table/origin.rs
+++ b/crates/fleet/src/table/origin.rs
@@ -1,5 +1,5 @@
 //! The cells of one origin in one incarnation, with their versions, ages and bounds. Owned by [`super::Table`]; times
-//! are the caller's milliseconds.
+//! are milliseconds on the caller's clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,26 +11,27 @@
 struct StoredCell {
     version: u64,
     value: Option<Vec<u8>>,
-    /// When its origin wrote it, on this member's clock; negative if that was before the clock's zero.
+    /// Time at which the origin wrote the cell, on this member's clock; negative if that was before the clock's zero.
     created_at: i64,
     hash: u64,
 }
 
-/// The cells of one origin.
+/// The stored cells of one origin.
 pub(super) struct Origin {
     pub(super) incarnation: Incarnation,
     cells: BTreeMap<(u16, Vec<u8>), StoredCell>,
     by_version: BTreeSet<(u64, (u16, Vec<u8>))>,
-    /// Highest version ever held in this incarnation: versions of expired cells are not reused.
+    /// Highest version ever stored in this incarnation. Versions of expired cells are not reused.
     pub(super) highest_version_ever: u64,
-    /// Exclusive or of the rows' hashes: equal for the same rows.
+    /// XOR of the hashes of the cells, so equal for equal cells.
     pub(super) hash: u64,
     pub(super) bytes: usize,
-    /// A bound was reached in this incarnation, and not enough has expired since.
+    /// Set when a cell is dropped at a bound; cleared once expiry leaves at least half of both of this origin's bounds
+    /// free.
     pub(super) bound_reached: bool,
 }
 
-/// Hash of a cell's content, equal at all members.
+/// Returns the hash of a cell's content. It is equal at all members, as it does not include the age.
 fn hash(kind: u16, key: &[u8], version: u64, value: Option<&[u8]>) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&kind.to_le_bytes()).update(&version.to_le_bytes());
@@ -58,7 +59,7 @@
         self.cells.len()
     }
 
-    /// Highest version among the present rows.
+    /// Highest version among the stored cells; 0 without cells.
     pub(super) fn newest_version(&self) -> u64 {
         self.by_version.last().map_or(0, |(version, _)| *version)
     }
@@ -69,7 +70,7 @@
         stored.value.as_deref().map(|value| (stored.version, value))
     }
 
-    /// All cells of a kind that are no tombstones; `origin` is the id of this origin.
+    /// Cells of a kind that are not tombstones, in the order of their keys. `origin` is the id of this origin.
     pub(super) fn values_of_kind(&self, origin: MemberId, kind: u16) -> impl Iterator<Item = CellValue<'_>> {
         let incarnation = self.incarnation;
         let from_kind = self.cells.range((kind, Vec::new())..);
@@ -80,12 +81,12 @@
         })
     }
 
-    /// Whether there is such a cell, tombstones included.
+    /// Whether the cell exists, be it as a tombstone.
     pub(super) fn contains(&self, id: &CellId) -> bool {
         self.cells.contains_key(&(id.kind, id.key.clone()))
     }
 
-    /// Whether the cell is there with this version and value.
+    /// Whether the cell is stored with this version and value.
     pub(super) fn contains_exactly(&self, cell: &Cell) -> bool {
         let cell_key = (cell.id.kind, cell.id.key.clone());
         self.cells
@@ -98,11 +99,11 @@
         let cell_key = (cell.id.kind, cell.id.key.clone());
         let created_at = now as i64 - cell.age() as i64;
         if let Some(stored) = self.cells.get_mut(&cell_key) {
-            // Two values of one version come only from a faulty origin: the greater wins, at every member.
+            // Only a faulty origin writes two values with one version. The greater value wins at every member.
             match (cell.version, &cell.value).cmp(&(stored.version, &stored.value)) {
                 std::cmp::Ordering::Less => return MergeOutcome::Stale,
                 std::cmp::Ordering::Equal => {
-                    // The greater age is closer to the real one, as time in transit is not counted.
+                    // The greater age is the more accurate one, as ages do not include the time in transit.
                     stored.created_at = stored.created_at.min(created_at);
                     return MergeOutcome::Duplicate;
                 }
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Number and weight of the cells other than this one.
+    /// Number and total weight of the cells other than this one.
     pub(super) fn usage_without(&self, id: &CellId) -> (usize, usize) {
         match self.cells.get(&(id.kind, id.key.clone())) {
             Some(stored) => (self.cells.len() - 1, self.bytes - weight(&id.key, stored.value.as_deref())),
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Drops the cell with the lowest version, so that the result does not depend on the order of arrival. False if there
-    /// is none.
+    /// Drops the cell with the lowest version, so that the remaining cells do not depend on the order of merges.
+    /// Returns false if there is no cell.
     pub(super) fn drop_oldest(&mut self) -> bool {
         self.bound_reached = true;
         let Some((_, cell_key)) = self.by_version.first().cloned() else { return false };
@@ -165,7 +166,7 @@
             .map(|(cell_key, _)| cell_key.clone())
             .collect();
         expired.iter().for_each(|cell_key| self.remove(cell_key));
-        // Once half of the room is free, missing cells may be requested again.
+        // Once half of both bounds is free, dropped cells may be requested again.
         if self.cells.len() * 2 <= bounds.max_entries_per_origin
             && self.bytes * 2 <= bounds.max_bytes_per_origin
         {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Cells of versions above `version`, the lowest first.
+    /// Cells with versions above `version`, the lowest version first, with their current ages.
     pub(super) fn cells_above(&self, now: u64, origin: MemberId, version: u64) -> Vec<Cell> {
         let from = (version.saturating_add(1), (0, Vec::new()));
         let newer = self.by_version.range(from..);
@@ -182,7 +183,7 @@
             .collect()
     }
 
-    /// One cell, with its age by now.
+    /// A copy of one cell with its current age; `None` if it does not exist.
     pub(super) fn cell(&self, now: u64, id: &CellId) -> Option<Cell> {
         let stored = self.cells.get(&(id.kind, id.key.clone()))?;
         let age = (now as i64 - stored.created_at).max(0) as u64;
--- a/crates/fleet/src/table/tests.rs
+++ b/crates/fleet/src/table/tests.rs
@@ -17,7 +17,7 @@
     prop::collection::vec(any_cell, 0..40)
 }
 
-/// All that can be seen of a table.
+/// Observable state of a table: its weight, digests and cells.
 fn contents(table: &Table) -> (usize, Vec<Digest>, Vec<Cell>) {
     let digests = table.digests(MemberId(0), MemberId(u64::MAX));
     let held = digests.iter().flat_map(|digest| table.cells_above(0, digest.origin, 0)).collect();
@@ -32,7 +32,7 @@
     table
 }
 
-/// One round of repair as two members do it: digests compared at both ends, what is lacking merged.
+/// One round of anti-entropy between two members: both compare the digests and merge the cells that they lack.
 fn repair(a: &mut Table, b: &mut Table) {
     let all = (MemberId(0), MemberId(u64::MAX));
     let (digests_of_a, digests_of_b) = (a.digests(all.0, all.1), b.digests(all.0, all.1));
@@ -46,7 +46,7 @@
         let from_b = need_b.send_above_version.map_or(Vec::new(), |version| b.cells_above(0, id, version));
         assert!(
             need_a.request == need_b.send_above_version.is_some(),
-            "one asks for what the other would send"
+            "one side requests exactly what the other would send"
         );
         from_a.iter().for_each(|cell| {
             b.merge(0, cell);
@@ -63,7 +63,7 @@
         let once = contents(&table_of(BOUNDS(), &cells_to_merge));
         let twice: Vec<_> = cells_to_merge.iter().chain(&cells_to_merge).cloned().collect();
         prop_assert_eq!(&contents(&table_of(BOUNDS(), &twice)), &once);
-        // Any other order.
+        // Merges the cells in a random order.
         cells_to_merge.sort_by_key(|cell| {
             blake3::hash(&[&seed.to_le_bytes()[..], format!("{cell:?}").as_bytes()].concat()).as_bytes().to_owned()
         });
@@ -95,7 +95,7 @@
         }
     }
 
-    /// By number, the same cells stay whichever way they came.
+    /// Guards against members that keep different cells at the bound on the number of cells.
     #[test]
     fn cells_kept_at_a_bound_do_not_depend_on_the_merge_order(mut cells_to_merge in cells()) {
         let bounds = Bounds { max_entries_per_origin: 3, ..BOUNDS() };
@@ -111,7 +111,7 @@
     let mut a = table_of(bounds, &[cell(1, 1, 1, 1, 1)]);
     let forwarded = a.cell(100_000, &cell(1, 1, 1, 1, 1).id).unwrap();
     assert_eq!(forwarded.age(), 100_000);
-    // Another clock, another zero: what counts is the age that it came with.
+    // The second table's clock has another zero: only the age in the cell matters.
     let mut b = Table::new(MemberId(9), bounds);
     assert_eq!(b.merge(5, &forwarded), MergeOutcome::Applied);
     b.expire(5 + bounds.max_value_age - 100_000 - 1);
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -1,5 +1,5 @@
-//! Sealed messages of every kind as an earlier build wrote them: the present code seals the same messages to the same
-//! bytes, and opens the stored bytes to the same messages.
+//! Compatibility with sealed messages of every kind that an earlier build wrote: this build must seal the same messages
+//! to the same bytes, and open the stored bytes to the same messages.
 
 use crate::membership::{Membership, MembershipOutput};
 use crate::seal::{Channel, Sealer};
@@ -40,14 +40,14 @@
     Membership::new(member, &Settings::default(), 1)
 }
 
-/// The packet with which a member introduces itself to another.
+/// Packet with which a member announces itself to another.
 fn announcement(from: Member, to: Member) -> Vec<u8> {
     let mut output = MembershipOutput::default();
     membership(from).announce(to, &mut output).unwrap();
     output.sends.pop().unwrap().1
 }
 
-/// What the sender answers the receiver's announcement with, when the third is the only other member it knows.
+/// The sender's response to the receiver's announcement, when the third member is the only other one that it knows.
 fn feed_packet() -> Vec<u8> {
     let mut sender = membership(sender());
     sender
@@ -125,7 +125,7 @@
     STORED.lines().map(|line| bytes(line.rsplit(' ').next().unwrap())).collect()
 }
 
-/// A greeting is meant for whoever listens, all else for the receiver.
+/// A hello message has no recipient; all other messages are addressed to the receiver.
 fn addressee(body: &Body) -> Option<(MemberId, Incarnation)> {
     let greeting = matches!(body, Body::Hello(_));
     (!greeting).then_some((receiver().id, receiver().incarnation))
