--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -1,11 +1,12 @@
-//! What membership and the table cost: bytes a second of a member, and how long a value takes to reach the others
-//! (1,000 ms: not before the next).
+//! Measures the cost of membership and the table: traffic and CPU time per member, and the time in which values,
+//! failures and healed partitions become known to the other members.
 //!
 //! `cargo run --release -p glenrail-fleet --example figures`
 //!
-//! Each member says one value of 64 bytes anew every second and holds four that stay. Loss 1%, up to 5 ms on the
-//! way. Bytes are those of datagrams and frames, without the headers of IP and UDP (28 bytes a datagram, given
-//! beside). Time for one member's share of the process: the whole run's over the number of members.
+//! Each member updates one value of 64 bytes every second and stores four that do not change. The network loses 1% of
+//! datagrams and delays the others by up to 5 ms. Bytes are those of datagrams and frames; the column "with headers"
+//! adds the headers of IP and UDP (28 bytes per datagram). A propagation time of 1,000 ms means that the value did not
+//! arrive before the next update. The CPU time of a member is that of the whole run divided by the number of members.
 
 #[path = "../tests/net/mod.rs"]
 mod net;
@@ -16,28 +17,28 @@
 use net::{id, Net};
 
 const SECONDS: u64 = 60;
-/// As long on the wire as milliseconds since 1970.
+/// As long on the wire as milliseconds since 1970, which gateways use.
 const INCARNATION: u64 = 1_796_000_000_000;
 
-/// What a fleet of one size cost.
+/// Measurements of a fleet of one size.
 struct Measurements {
-    /// Bytes a second that each member sent.
+    /// Bytes sent per second, for each member.
     bytes_per_second: Vec<u64>,
-    /// Datagrams a second and member.
+    /// Datagrams sent per second and member.
     datagrams_per_second: f64,
-    /// Share of a processor core for each member, in percent.
+    /// Percentage of a processor core per member.
     core_percent: f64,
-    /// For each value and member, how long the value took to arrive, in ascending order. Milliseconds.
+    /// Propagation time of each value to each member, in ascending order.
     propagation_ms: Vec<u64>,
-    /// How long the partitions took to meet again, in milliseconds.
+    /// Time from the healing of a partition until all members see each other alive.
     healed_after_ms: u64,
-    /// How long the others took to declare a killed member failed, in milliseconds.
+    /// Time until all other members have declared a killed member failed.
     failed_after_ms: u64,
 }
 
 fn main() {
     println!(
-        "members  mean B/s  worst B/s  with headers  datagrams/s  % of a core  held after p50 / p99  gone  met again"
+        "members  mean B/s    max B/s  with headers  datagrams/s  % of a core  propagation p50 / p99  failed after  healed after"
     );
     for members in [3, 12, 50] {
         print_row(members, &measure(members));
@@ -69,11 +70,11 @@
     }
 }
 
-/// A fleet whose members know each other, each with four values.
+/// Returns a fleet whose members have discovered each other and store four values each.
 fn connected_net(members: usize) -> Net {
     let mut net = Net::of_incarnation(INCARNATION, members, 1, Settings::default());
     net.loss_rate = 0.01;
-    net.run_until(60_000, Net::all_see_each_other_alive).expect("all meet");
+    net.run_until(60_000, Net::all_see_each_other_alive).expect("all members discover each other");
     for node in 0..members {
         (0..4u8).for_each(|key| net.put(node, 8, &[key], &[key; 64]));
     }
@@ -81,17 +82,17 @@
     net
 }
 
-/// Bytes that each member sent.
+/// Returns the bytes that each member has sent.
 fn bytes_sent(net: &Net) -> Vec<u64> {
     net.nodes.iter().map(|node| node.sent_bytes).collect()
 }
 
-/// Datagrams that all members sent.
+/// Returns the number of datagrams that all members have sent.
 fn datagrams_sent(net: &Net) -> f64 {
     net.nodes.iter().map(|node| node.fleet.counters().datagrams_out).sum::<u64>() as f64
 }
 
-/// Every member sets a value; when that of one of them arrived at each member, within the second.
+/// Updates a value at every member, and returns the propagation time of one of them to each member. Runs for a second.
 fn propagation_within_a_second(net: &mut Net, second: u64) -> Vec<u64> {
     let members = net.nodes.len();
     let observed = usize::try_from(second).unwrap_or(0) % members;
@@ -113,16 +114,16 @@
     propagation_ms
 }
 
-/// Cuts a third off for 10 s; how long all took to meet again.
+/// Separates a third of the members for 10 s. Returns the time until all members see each other alive again.
 fn measure_partition_healing(net: &mut Net) -> u64 {
     let members = net.nodes.len();
     net.nodes[members - members / 3..].iter_mut().for_each(|node| node.partition = 1);
     net.run(10_000);
     net.nodes.iter_mut().for_each(|node| node.partition = 0);
-    net.run_until(120_000, Net::all_see_each_other_alive).expect("all meet again")
+    net.run_until(120_000, Net::all_see_each_other_alive).expect("the partition heals")
 }
 
-/// Kills the last member; how long the others took to declare it failed.
+/// Kills the last member. Returns the time until all others have declared it failed.
 fn measure_failure_detection(net: &mut Net) -> u64 {
     let last = net.nodes.len() - 1;
     let from = net.now;
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -1,4 +1,5 @@
-//! Membership over a network that loses, doubles, reorders, cuts and stops.
+//! Membership over a simulated network that loses, duplicates and reorders datagrams, is partitioned, and stops
+//! members.
 
 mod net;
 
@@ -8,7 +9,8 @@
 fn connected_net(nodes: usize, seed: u64, loss: f64) -> Net {
     let mut net = Net::new(nodes, seed, Settings::default());
     (net.loss_rate, net.duplication_rate, net.max_delay_ms) = (loss, 0.1, 60);
-    net.run_until(60_000, Net::all_see_each_other_alive).expect("all meet within a minute");
+    net.run_until(60_000, Net::all_see_each_other_alive)
+        .expect("all members discover each other within a minute");
     net
 }
 
@@ -37,7 +39,7 @@
             })
         });
         assert!(observed.is_some(), "seed {seed}");
-        // The planned end is heard long before a probe could have found it.
+        // The announcement of the leave arrives long before a probe could detect the end of the process.
         let observed_in_time = net.nodes.iter().flat_map(|node| &node.changes).any(|(time, of, _, state)| {
             *of == id(3) && *state == MemberState::Left && *time <= left_at + net.max_delay_ms
         });
@@ -45,7 +47,7 @@
         net.run(200_000);
         let state =
             net.nodes[0].fleet.members().find(|(member, _)| member.id == id(3)).map(|(_, state)| state);
-        assert_eq!(state, Some(MemberState::Left), "left stays left when the note has aged out");
+        assert_eq!(state, Some(MemberState::Left), "a left member stays left after its announcement expired");
     }
 }
 
@@ -68,13 +70,13 @@
         net.nodes[5..].iter_mut().for_each(|node| node.partition = 1);
         net.run(10_000);
         let declared_failed = net.nodes[0].changes.iter().any(|(.., state)| *state == MemberState::Failed);
-        assert!(declared_failed, "a cut of 10 s is seen");
+        assert!(declared_failed, "a partition of 10 s is detected");
         net.nodes.iter_mut().for_each(|node| node.partition = 0);
         let healed = net.run_until(30_000, Net::all_see_each_other_alive);
         assert!(healed.is_some(), "seed {seed}");
         assert!(
             net.nodes.iter().all(|node| node.fleet.local_member().incarnation == Incarnation(1)),
-            "a cut is no new life"
+            "a partition does not change the incarnation"
         );
     }
 }
@@ -83,7 +85,7 @@
 fn a_restart_under_the_same_name_is_a_new_incarnation() {
     for seed in 1..=5 {
         let mut net = connected_net(5, seed, 0.1);
-        net.put(2, 7, b"old", b"of the first life");
+        net.put(2, 7, b"old", b"first incarnation");
         assert!(net.run_until(20_000, |net| net.same_values_everywhere(7, 1)).is_some());
         net.kill(2);
         net.run(300);
@@ -99,7 +101,7 @@
                 })
         });
         assert!(known_after.is_some(), "seed {seed}");
-        assert!(net.same_values_everywhere(7, 0), "what the earlier life told is gone with it");
+        assert!(net.same_values_everywhere(7, 0), "cells of the earlier incarnation are dropped");
     }
 }
 
@@ -133,7 +135,7 @@
         net.run(7_900);
         let seen_inactive =
             net.nodes[0].fleet.members().any(|(member, state)| member.id == id(1) && !state.is_active());
-        assert!(seen_inactive, "seed {seed}: 8 s are more than a suspect is given");
+        assert!(seen_inactive, "seed {seed}: a stop of 8 s exceeds the suspicion timeout");
         let continued_at = net.now;
         assert!(net.run_until(20_000, Net::all_see_each_other_alive).is_some(), "seed {seed}");
         let declared_failed = net.nodes[1]
@@ -142,12 +144,12 @@
             .any(|(time, .., state)| *time > continued_at && *state == MemberState::Failed);
         assert!(
             !declared_failed,
-            "seed {seed}: those that answered all the time are not found gone by the sleeper"
+            "seed {seed}: the stopped member must not declare responsive members failed"
         );
         assert_eq!(net.nodes[1].fleet.local_member().incarnation, Incarnation(1));
         assert!(
             net.run_until(10_000, |net| net.same_values_everywhere(7, 1)).is_some(),
-            "what it holds stays good"
+            "its cells stay valid"
         );
     }
 }
@@ -160,7 +162,7 @@
         let state_of_the_last = |net: &Net| {
             net.nodes[1].fleet.members().find(|(member, _)| member.id == id(2)).map(|(_, state)| state)
         };
-        // Suspected for a cut that ends in the moment in which the judge falls asleep.
+        // The last member is suspected because of a partition, which ends when the suspecting member is stopped.
         net.nodes[2].partition = 1;
         assert!(net.run_until(20_000, |net| state_of_the_last(net) != Some(MemberState::Alive)).is_some());
         net.nodes[2].partition = 0;
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -1,5 +1,5 @@
-//! A network in simulated time for several members in one process: loses, doubles, delays and so reorders
-//! datagrams, cuts groups off, stops and restarts members. One seed, one run.
+//! A simulated network and clock for several members in one process. It loses, duplicates, delays and reorders
+//! datagrams, separates partitions, and stops and restarts members. A run is determined by its seed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     pub fleet: Fleet,
     pub up: bool,
     pub stopped_until: u64,
-    /// Raised by a restart: what was asked for before it is void.
+    /// Incremented by a restart. Timers requested in an earlier generation are ignored.
     generation: u32,
     pub partition: u8,
     pub changes: Vec<(u64, MemberId, Incarnation, MemberState)>,
@@ -34,18 +34,19 @@
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
     rng: StdRng,
-    /// Shares of all datagrams, 0 to 1.
+    /// Fraction of datagrams, 0 to 1; the same for `duplication_rate`.
     pub loss_rate: f64,
     pub duplication_rate: f64,
-    /// Milliseconds on the way, at most. More than the time between two: they are reordered.
+    /// Maximum delay of a datagram. Datagrams are reordered if it exceeds the time between two of them.
     pub max_delay_ms: u64,
-    /// What comes for a stopped member is lost: its socket's buffer is full. Else it is there when it wakes.
+    /// Drops datagrams for a stopped member, as if its socket's buffer were full. Otherwise they are delivered when it
+    /// continues.
     pub drops_while_stopped: bool,
     pub settings: Settings,
     seed: u64,
-    /// Every datagram and change, for runs to be compared.
+    /// Hash of all effects of all members, for comparing runs.
     pub trace: u64,
-    /// Copies of what was sent, while wanted.
+    /// Copies of the datagrams sent, with their recipients; `None` while nothing is recorded.
     pub recorded: Option<Vec<(usize, Vec<u8>)>>,
     pub exchanges: u32,
 }
@@ -119,7 +120,7 @@
         .unwrap()
     }
 
-    /// Lets a member do something, and carries out what comes of it.
+    /// Runs one step of a member and applies its effects.
     pub fn step<T>(&mut self, node: usize, step: impl FnOnce(&mut Fleet, u64, &mut Vec<Effect>) -> T) -> T {
         let mut effects = Vec::new();
         let result = step(&mut self.nodes[node].fleet, self.now, &mut effects);
@@ -162,7 +163,7 @@
         }
     }
 
-    /// A stream between two members, its bytes cut at random.
+    /// Runs an exchange over a stream whose bytes are read in chunks of random length.
     fn exchange(&mut self, opener: usize, acceptor: usize, peer: MemberId) {
         let acceptor_node = &self.nodes[acceptor];
         if !acceptor_node.up
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Plays `time` milliseconds.
+    /// Simulates `duration_ms` milliseconds.
     pub fn run(&mut self, duration_ms: u64) {
         let until = self.now + duration_ms;
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
@@ -238,7 +239,8 @@
         self.now = until;
     }
 
-    /// Plays until `done`, looking every 100 ms; how long it took, or `None` after `most`.
+    /// Simulates until `done`, which is checked every 100 ms. Returns the time it took in milliseconds, or `None` after
+    /// `max_ms`.
     #[allow(dead_code)]
     pub fn run_until(&mut self, max_ms: u64, done: impl Fn(&Net) -> bool) -> Option<u64> {
         let from = self.now;
@@ -268,7 +270,7 @@
         self.step(node, |fleet, now, _| fleet.put(now, kind, key, value.to_vec()).map(|_| ())).unwrap();
     }
 
-    /// Everyone that is up takes everyone else that is up, and nobody else, for alive.
+    /// Whether every running member sees exactly the other running members as alive, and none as suspect.
     pub fn all_see_each_other_alive(&self) -> bool {
         let up: Vec<_> = (0..self.nodes.len()).filter(|node| self.nodes[*node].up).collect();
         up.iter().all(|node| {
@@ -284,7 +286,7 @@
         })
     }
 
-    /// All that are up hold the same values of `kind`; `kinds` of them together.
+    /// Whether all running members store the same `expected_count` values of `kind`.
     #[allow(dead_code)]
     pub fn same_values_everywhere(&self, kind: u16, expected_count: usize) -> bool {
         let mut tables = self.nodes.iter().filter(|node| node.up).map(|node| {
--- a/crates/fleet/tests/on_call.rs
+++ b/crates/fleet/tests/on_call.rs
@@ -1,8 +1,8 @@
-//! Every error of the crate is on the page for those on call, with what to do about it.
+//! Checks that the on-call page lists every error of the crate with its advice.
 
 use glenrail_fleet::{ExchangeError, Incarnation, KeyError, MemberId, Rejection, SettingsError, TableError};
 
-/// The variant's name, and what an operator can do. A variant that is added ends the compilation of `all` below.
+/// Returns the name of an error's variant, and its advice.
 fn named(error: &dyn std::fmt::Debug, advice: &'static str) -> (String, &'static str) {
     let shown = format!("{error:?}");
     let name = shown.split([' ', '(', '{']).next().unwrap_or_default();
@@ -11,7 +11,7 @@
 
 macro_rules! all {
     ($type:ident: $($variant:ident $({ $($field:ident: $value:expr),* })? $(($inner:expr))?),* $(,)?) => {{
-        // Every variant is here, or this does not compile.
+        // Does not compile unless every variant is listed.
         let _ = |error: $type| match error { $($type::$variant { .. } => (),)* };
         [$($type::$variant $({ $($field: $value),* })? $(($inner))?),*].map(|error| {
             let (name, advice) = named(&error, error.advice());
@@ -38,7 +38,7 @@
         Entries { kind: 1, entries: 1 }, Bytes { kind: 1, bytes: 2, max_bytes: 1 }, Reserved { kind: 0 });
     let every = rejections.iter().chain(&exchange).chain(&keys).chain(&settings).chain(&table);
     for (name, advice) in every {
-        // What an exchange passes on has the advice of what it passes on.
+        // A rejection within an exchange has the advice of the rejection, which has a row of its own.
         let line = page.lines().find(|line| line.contains(&format!("`{name}`")));
         let line = line.unwrap_or_else(|| panic!("docs/on-call.md lacks {name}: {advice}"));
         assert!(
--- a/crates/fleet/tests/stored_datagrams.rs
+++ b/crates/fleet/tests/stored_datagrams.rs
@@ -1,5 +1,6 @@
-//! Sealed messages that an earlier build wrote, as the public interface takes them: a member hears every stored
-//! datagram, and answers a stored exchange with the stored bytes. `src/tests.rs` compares the messages themselves.
+//! Compatibility with sealed messages that an earlier build wrote, tested through the public interface: a member
+//! accepts every stored datagram, and responds to a stored exchange with the stored bytes. `src/tests.rs` compares the
+//! messages themselves.
 
 use std::net::SocketAddr;
 
@@ -11,17 +12,17 @@
 
 /// One message a line: channel, name, and the sealed bytes in hexadecimal digits, in the order of their counters.
 const STORED: &str = include_str!("fixtures/stored_datagrams.txt");
-/// All bytes that the receiver writes in the exchange that the stored frames make, in hexadecimal digits.
+/// All bytes that the receiver writes in response to the stored frames, in hexadecimal digits.
 const EXCHANGE_ANSWER: &str = include_str!("fixtures/stored_exchange_answer.txt");
 
 const SENDER: (&str, Incarnation) = ("a", Incarnation(5));
 const RECEIVER: (&str, Incarnation) = ("b", Incarnation(7));
 const THIRD: (&str, Incarnation) = ("c", Incarnation(1_700_000_000_000));
 const KIND: u16 = 300;
-/// Where a body begins: after the header, which is all that sealing adds but the tag of 16 bytes.
+/// Offset of a body. Sealing adds the header before it and the tag of 16 bytes after it.
 const HEADER_BYTES: usize = SEAL_OVERHEAD_BYTES - 16;
 
-/// What each name means on the wire: the number that a body begins with.
+/// Index of each message's variant on the wire, which is the first byte of its body.
 const NUMBERS: [(&str, u8); 11] = [
     ("datagram hello", 0),
     ("datagram hello_over_ipv6", 0),
@@ -66,7 +67,7 @@
     digits.map(|pair| u8::from_str_radix(pair, 16).unwrap()).collect()
 }
 
-/// Channel and name, and the sealed bytes.
+/// Channel and name of each stored message, and its sealed bytes.
 fn stored() -> Vec<(&'static str, Vec<u8>)> {
     let lines = STORED.lines().map(|line| line.rsplit_once(' ').unwrap());
     lines.map(|(name, sealed)| (name, bytes(sealed))).collect()
@@ -84,7 +85,7 @@
     }
 }
 
-/// A receiver that has heard all stored datagrams, and what it was told to do after each.
+/// Returns a receiver that has handled all stored datagrams, and the effects of each.
 fn after_the_datagrams() -> (Fleet, Vec<(&'static str, Vec<Effect>)>) {
     let mut fleet = receiver();
     let mut effects = Vec::new();
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table over the same network: convergence, bounds, replays and forgeries, determinism.
+//! The table over the simulated network of `net`: convergence, bounds, replays and forgeries, determinism.
 
 mod net;
 
@@ -14,7 +14,7 @@
         for node in 0..nodes {
             (0..5u8).for_each(|key| net.put(node, 7, &[key], &[key; 60]));
         }
-        net.put(0, 65_000, b"of a later build", b"carried on");
+        net.put(0, 65_000, b"of a later build", b"replicated");
         for write in 0..20u8 {
             net.put(0, 7, &[0], &[write; 60]);
             net.run(50);
@@ -26,7 +26,7 @@
         assert!(net.run_until(30_000, |net| net.same_values_everywhere(65_000, 1)).is_some());
         net.step(0, |fleet, now, _| fleet.delete(now, 7, &[0])).unwrap();
         assert!(net.run_until(30_000, |net| net.same_values_everywhere(7, 5 * nodes - 1)).is_some());
-        // Told anew by itself, it outlives the age of a value many times.
+        // As its origin renews it, a value is retained for much longer than its maximum age.
         net.run(3 * net.settings.entry_age);
         assert!(net.run_until(10_000, |net| net.same_values_everywhere(7, 5 * nodes - 1)).is_some());
     }
@@ -42,7 +42,7 @@
         .run_until(20_000, |net| net.same_values_everywhere(7, 1) && net.same_values_everywhere(8, 100))
         .is_some());
     assert!(net.exchanges > 0);
-    // A member that comes later gets all of it too.
+    // A member that joins later receives all cells too.
     net.kill(2);
     net.restart(2, 2);
     assert!(net
@@ -76,7 +76,7 @@
     let narrow =
         Settings { entries_per_origin: 20, bytes_per_origin: 30_000, bytes_total: 40_000, ..wide.clone() };
     let mut net = Net::new(4, 8, narrow);
-    // The last one runs with bounds of its own making.
+    // The last member runs with wider bounds than the others.
     net.settings = wide;
     net.kill(3);
     net.restart(3, 2);
@@ -88,7 +88,7 @@
         net.run(10);
     }
     net.run(5_000);
-    // Once it is quiet, what the bounds keep out is not asked for again and again.
+    // After the flood, the cells that exceed the bounds are not requested repeatedly.
     let exchanges_requested =
         |net: &Net| net.nodes.iter().map(|node| node.fleet.counters().exchanges_requested).sum::<u64>();
     let before_quiet = exchanges_requested(&net);
@@ -99,9 +99,9 @@
         assert!(table.bytes() <= 40_000);
         assert!(table.values_of_kind(7).count() <= 20 + 3);
         let quiet = table.values_of_kind(7).filter(|cell| cell.key == b"quiet").count();
-        assert_eq!(quiet, 3, "the others' cells stand");
+        assert_eq!(quiet, 3, "the cells of the other members are retained");
         let sent = (node.sent_bytes - before) / 35;
-        assert!(sent < 20_000, "{sent} bytes a second");
+        assert!(sent < 20_000, "{sent} bytes per second");
     }
 }
 
@@ -117,7 +117,8 @@
     net.run(3_000);
     assert!(net.same_values_everywhere(7, 1) && recorded.len() > 10);
     for (to, bytes) in &recorded {
-        // Again to the same, to each other one, bent, and to a later life of the same.
+        // Each datagram is replayed to its recipient and to every other member, and sent altered. Below it is sent to a
+        // later incarnation of the recipient.
         for node in 0..3 {
             let rejection =
                 net.step(node, |fleet, now, effects| fleet.handle_datagram(now, address(9), bytes, effects));
