--- a/crates/access-log/src/counts.rs
+++ b/crates/access-log/src/counts.rs
@@ -21,8 +21,8 @@
     /// Times lines of endpoint lists a hundred first attempts.
     pub discovery: f64,
     /// Times the part of all prompt tokens whose state left its cell.
-    #[serde(default)]
-    pub moved: f64,
+    #[serde(rename = "moved", default)]
+    pub cell_transfer: f64,
     /// Times work that brought no answer, as a part of what was asked for.
     #[serde(default)]
     pub waste: f64,
@@ -32,28 +32,35 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
     /// Unix time of the start (ms): it tells one process from the next.
-    pub since: f64,
+    #[serde(rename = "since")]
+    pub started_unix_ms: f64,
     /// Probes of servers.
     pub probes: u64,
     /// New connections to servers by what each was opened for.
-    pub opened: Opened,
+    #[serde(rename = "opened")]
+    pub connections_opened: ConnectionsOpened,
     /// Connections that did not come up: nobody there, no capacity, or too late.
-    pub not_opened: u64,
+    #[serde(rename = "not_opened")]
+    pub connections_failed: u64,
     /// Requests of any kind on a connection that stood idle.
-    pub reused: u64,
+    #[serde(rename = "reused")]
+    pub connections_reused: u64,
     /// Calls of discovery that were answered.
-    pub lists: u64,
+    #[serde(rename = "lists")]
+    pub discovery_responses: u64,
     /// Lines that came with these answers.
-    pub list_lines: u64,
+    #[serde(rename = "list_lines")]
+    pub discovery_lines: u64,
     /// Calls of discovery that failed.
-    pub lists_failed: u64,
+    #[serde(rename = "lists_failed")]
+    pub discovery_failures: u64,
     /// The prices of the deployment's settings.
     pub prices: Prices,
 }
 
 /// New connections by what each was opened for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Opened {
+pub struct ConnectionsOpened {
     /// An attempt.
     pub attempt: u64,
     /// A probe.
@@ -78,13 +85,13 @@
     counts.into_iter().fold(0, u64::saturating_add)
 }
 
-impl Opened {
+impl ConnectionsOpened {
     /// New connections of any purpose.
     pub fn total(&self) -> u64 {
         saturating_sum([self.attempt, self.probe, self.slot_reservation, self.release])
     }
 
-    fn add(&mut self, other: &Opened) {
+    fn add(&mut self, other: &ConnectionsOpened) {
         self.attempt = self.attempt.saturating_add(other.attempt);
         self.probe = self.probe.saturating_add(other.probe);
         self.slot_reservation = self.slot_reservation.saturating_add(other.slot_reservation);
@@ -103,7 +110,7 @@
     pub fn sum(lines: impl IntoIterator<Item = (String, Counts)>) -> Counts {
         let mut last_of_process: BTreeMap<(String, u64), Counts> = BTreeMap::new();
         for (gateway, counts) in lines {
-            let last = last_of_process.entry((gateway, counts.since as u64)).or_default();
+            let last = last_of_process.entry((gateway, counts.started_unix_ms as u64)).or_default();
             if counts.total() >= last.total() {
                 *last = counts;
             }
@@ -115,26 +122,33 @@
 
     fn add(&mut self, other: &Counts) {
         self.probes = self.probes.saturating_add(other.probes);
-        self.opened.add(&other.opened);
-        self.not_opened = self.not_opened.saturating_add(other.not_opened);
-        self.reused = self.reused.saturating_add(other.reused);
-        self.lists = self.lists.saturating_add(other.lists);
-        self.list_lines = self.list_lines.saturating_add(other.list_lines);
-        self.lists_failed = self.lists_failed.saturating_add(other.lists_failed);
+        self.connections_opened.add(&other.connections_opened);
+        self.connections_failed = self.connections_failed.saturating_add(other.connections_failed);
+        self.connections_reused = self.connections_reused.saturating_add(other.connections_reused);
+        self.discovery_responses = self.discovery_responses.saturating_add(other.discovery_responses);
+        self.discovery_lines = self.discovery_lines.saturating_add(other.discovery_lines);
+        self.discovery_failures = self.discovery_failures.saturating_add(other.discovery_failures);
         self.prices = other.prices;
     }
 
     fn total(&self) -> u64 {
-        let opened = self.opened.total();
-        saturating_sum([self.probes, opened, self.not_opened, self.reused, self.lists, self.lists_failed])
+        let connections_opened = self.connections_opened.total();
+        saturating_sum([
+            self.probes,
+            connections_opened,
+            self.connections_failed,
+            self.connections_reused,
+            self.discovery_responses,
+            self.discovery_failures,
+        ])
     }
 
     /// What these counts take off the deployment's result, for this many turns of clients.
     pub fn price(&self, turns: usize) -> f64 {
         let turns = turns.max(1) as f64;
-        let hundreds_of_lines = self.list_lines as f64 / 100.0;
+        let hundreds_of_lines = self.discovery_lines as f64 / 100.0;
         (self.prices.probe * self.probes as f64
-            + self.prices.handshake * self.opened.total() as f64
+            + self.prices.handshake * self.connections_opened.total() as f64
             + self.prices.discovery * hundreds_of_lines)
             / turns
     }
@@ -150,25 +164,29 @@
     }
 
     fn rows(&self, per_turn: impl Fn(u64) -> f64) -> [Row; 11] {
-        let Counts { opened, prices, .. } = self;
+        let Counts { connections_opened, prices, .. } = self;
         let counted = |name, count| Row { name, count, price: None };
         let priced = |name, count, price| Row { name, count, price: Some(price) };
         [
             priced("probes", self.probes, prices.probe * per_turn(self.probes)),
-            priced("connections opened", opened.total(), prices.handshake * per_turn(opened.total())),
-            counted("    for an attempt", opened.attempt),
-            counted("    for a probe", opened.probe),
-            counted("    for a place held", opened.slot_reservation),
-            counted("    to let go of a state", opened.release),
-            counted("connections not come up", self.not_opened),
-            counted("connections used again", self.reused),
-            counted("calls of discovery answered", self.lists),
+            priced(
+                "connections opened",
+                connections_opened.total(),
+                prices.handshake * per_turn(connections_opened.total()),
+            ),
+            counted("    for an attempt", connections_opened.attempt),
+            counted("    for a probe", connections_opened.probe),
+            counted("    for a place held", connections_opened.slot_reservation),
+            counted("    to let go of a state", connections_opened.release),
+            counted("connections not come up", self.connections_failed),
+            counted("connections used again", self.connections_reused),
+            counted("calls of discovery answered", self.discovery_responses),
             priced(
                 "    lines that came",
-                self.list_lines,
-                prices.discovery * per_turn(self.list_lines) / 100.0,
+                self.discovery_lines,
+                prices.discovery * per_turn(self.discovery_lines) / 100.0,
             ),
-            counted("calls of discovery that failed", self.lists_failed),
+            counted("calls of discovery that failed", self.discovery_failures),
         ]
     }
 }
--- a/crates/access-log/src/counts/tests.rs
+++ b/crates/access-log/src/counts/tests.rs
@@ -1,11 +1,11 @@
 //! The counts of many gateways, summed and priced.
 
-use super::{Counts, Opened, Prices, LOG_PREFIX};
+use super::{ConnectionsOpened, Counts, Prices, LOG_PREFIX};
 
-fn counts(since: f64, probes: u64) -> Counts {
+fn counts(started_unix_ms: f64, probes: u64) -> Counts {
     let prices = Prices { probe: 0.003, handshake: 0.01, discovery: 0.5, ..Prices::default() };
-    let opened = Opened { attempt: 10, probe: 5, ..Opened::default() };
-    Counts { since, probes, opened, list_lines: 40, prices, ..Counts::default() }
+    let connections_opened = ConnectionsOpened { attempt: 10, probe: 5, ..ConnectionsOpened::default() };
+    Counts { started_unix_ms, probes, connections_opened, discovery_lines: 40, prices, ..Counts::default() }
 }
 
 #[test]
@@ -29,7 +29,7 @@
         named("n2", counts(1.0, 5)),
     ];
     let sum = Counts::sum(lines);
-    assert_eq!((sum.probes, sum.opened.total(), sum.list_lines), (42, 45, 120));
+    assert_eq!((sum.probes, sum.connections_opened.total(), sum.discovery_lines), (42, 45, 120));
 }
 
 #[test]
@@ -42,9 +42,10 @@
 /// Guards the report against a damaged line, which may say any number.
 #[test]
 fn counts_near_the_largest_number_are_summed() {
-    let opened = Opened { attempt: u64::MAX - 1, probe: 7, ..Opened::default() };
-    let damaged = Counts { opened, probes: u64::MAX, ..counts(1.0, 0) };
+    let connections_opened =
+        ConnectionsOpened { attempt: u64::MAX - 1, probe: 7, ..ConnectionsOpened::default() };
+    let damaged = Counts { connections_opened, probes: u64::MAX, ..counts(1.0, 0) };
     let sum = Counts::sum([("n1".to_string(), damaged), ("n2".to_string(), counts(1.0, 5))]);
-    assert_eq!((sum.probes, sum.opened.total(), sum.list_lines), (u64::MAX, u64::MAX, 80));
+    assert_eq!((sum.probes, sum.connections_opened.total(), sum.discovery_lines), (u64::MAX, u64::MAX, 80));
     assert!(sum.table(10).contains("probes"));
 }
--- a/crates/access-log/src/loss_report/state_transfers.rs
+++ b/crates/access-log/src/loss_report/state_transfers.rs
@@ -64,7 +64,7 @@
         self.out_of_zone += if from.0 == to.0 { 0.0 } else { tokens };
     }
 
-    /// The share of all prompt tokens that is priced as moved: tokens whose state left its cell.
+    /// The share of all prompt tokens that is priced as cell_transfer: tokens whose state left its cell.
     pub fn moved_share(&self) -> f64 {
         self.out_of_cell / self.asked.max(1e-9)
     }
@@ -84,7 +84,11 @@
         };
         let rows = [
             ("tokens fetched by a writer", self.fetched, None),
-            ("    out of the reader's cell", self.out_of_cell, Some(prices.moved * self.moved_share())),
+            (
+                "    out of the reader's cell",
+                self.out_of_cell,
+                Some(prices.cell_transfer * self.moved_share()),
+            ),
             ("    out of its zone", self.out_of_zone, None),
             ("tokens read, not kept before", self.prefilled, None),
             ("    that no writer took", self.unclaimed, Some(prices.waste * self.wasted_share())),
--- a/crates/access-log/src/loss_report/state_transfers/tests.rs
+++ b/crates/access-log/src/loss_report/state_transfers/tests.rs
@@ -39,7 +39,7 @@
     );
     let far = transfers(vec![prefill((0, 1), 0.0), decode((1, 1), true)]);
     assert_eq!((far.moved_share(), far.out_of_zone), (1.0, 1_000.0));
-    let prices = Prices { moved: 0.03, waste: 0.16, ..Prices::default() };
+    let prices = Prices { cell_transfer: 0.03, waste: 0.16, ..Prices::default() };
     assert!(far.table(&prices).contains("3.00% priced"));
     // The same number in another zone is another cell.
     assert_eq!(transfers(vec![prefill((0, 1), 0.0), decode((0, 2), true)]).out_of_zone, 0.0);
--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -90,12 +90,13 @@
 pub struct Release {
     /// Since when no attempt was known to be on its way that would use it.
     #[serde(rename = "held")]
-    pub unclaimed_since: f64,
+    pub unclaimed_since_ms: f64,
     /// When the release was ordered.
-    pub ordered: f64,
+    #[serde(rename = "ordered")]
+    pub ordered_ms: f64,
     /// When a server had taken it, or it was given up; absent while it is under way.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub done: Option<f64>,
+    #[serde(rename = "done", default, skip_serializing_if = "Option::is_none")]
+    pub done_ms: Option<f64>,
 }
 
 /// One request, from its arrival until nothing of it was left.
--- a/crates/access-log/tests/stored_lines.rs
+++ b/crates/access-log/tests/stored_lines.rs
@@ -1,6 +1,6 @@
 //! The lines of a gateway's log, requests and counts, against fixtures that an earlier build wrote.
 
-use glenrail_access_log::counts::{self, Counts, Opened, Prices};
+use glenrail_access_log::counts::{self, ConnectionsOpened, Counts, Prices};
 use glenrail_access_log::{AttemptRecord, Release, RequestOutcome, RequestRecord, Stage, LINE_PREFIX};
 
 const REQUESTS: &str = include_str!("fixtures/request-lines.txt");
@@ -81,8 +81,8 @@
         duration_ms: 950.0,
         reject_reason: "Shed".into(),
         releases: vec![
-            Release { unclaimed_since: 10.0, ordered: 20.5, done: Some(31.0) },
-            Release { unclaimed_since: 40.0, ordered: 41.0, done: None },
+            Release { unclaimed_since_ms: 10.0, ordered_ms: 20.5, done_ms: Some(31.0) },
+            Release { unclaimed_since_ms: 40.0, ordered_ms: 41.0, done_ms: None },
         ],
         attempts: vec![full_try(Stage::Prefill, "Read"), full_try(Stage::Execute, "Served")],
     }
@@ -110,15 +110,15 @@
 
 fn all_counts() -> Vec<Counts> {
     let full = Counts {
-        since: 1_750_000_000_000.0,
+        started_unix_ms: 1_750_000_000_000.0,
         probes: 11,
-        opened: Opened { attempt: 12, probe: 13, slot_reservation: 14, release: 15 },
-        not_opened: 16,
-        reused: u64::MAX,
-        lists: 18,
-        list_lines: 19,
-        lists_failed: 20,
-        prices: Prices { probe: 0.003, handshake: 0.01, discovery: 0.5, moved: 0.03, waste: 0.25 },
+        connections_opened: ConnectionsOpened { attempt: 12, probe: 13, slot_reservation: 14, release: 15 },
+        connections_failed: 16,
+        connections_reused: u64::MAX,
+        discovery_responses: 18,
+        discovery_lines: 19,
+        discovery_failures: 20,
+        prices: Prices { probe: 0.003, handshake: 0.01, discovery: 0.5, cell_transfer: 0.03, waste: 0.25 },
     };
     vec![Counts::default(), full]
 }
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -220,7 +220,7 @@
         probe: price("probe"),
         handshake: price("handshake"),
         discovery: price("discovery"),
-        moved: settings.prices.cell_transfer,
+        cell_transfer: settings.prices.cell_transfer,
         waste: price("waste"),
     }
 }
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -95,14 +95,14 @@
 
     /// The release of a lease that was unclaimed since then starts.
     pub fn release_started(&mut self, unclaimed_since: Millis, now: Millis) {
-        let (held, ordered) = (unclaimed_since - self.arrived, now - self.arrived);
-        self.record.releases.push(Release { unclaimed_since: held, ordered, done: None });
+        let (held, ordered_ms) = (unclaimed_since - self.arrived, now - self.arrived);
+        self.record.releases.push(Release { unclaimed_since_ms: held, ordered_ms, done_ms: None });
     }
 
     /// The release that was started last has ended.
     pub fn release_finished(&mut self, now: Millis) {
         if let Some(release) = self.record.releases.last_mut() {
-            release.done = Some(now - self.arrived);
+            release.done_ms = Some(now - self.arrived);
         }
     }
 
--- a/gateway/src/daemon/counters.rs
+++ b/gateway/src/daemon/counters.rs
@@ -15,15 +15,15 @@
 
 /// Logs the counts of the platform's pool and of discovery for as long as the process runs.
 pub(super) async fn log_counts(pool: Pool, discovery: Rc<DiscoveryMetrics>, prices: Prices) {
-    let since = pool.clock.unix(pool.clock.now()).round();
+    let started_unix_ms = pool.clock.unix(pool.clock.now()).round();
     let mut logged = Counts::default();
     loop {
         sleep(LOG_INTERVAL).await;
         let current = Counts {
-            since,
-            lists: discovery.answered.get(),
-            list_lines: discovery.lines.get(),
-            lists_failed: discovery.failed.get(),
+            started_unix_ms,
+            discovery_responses: discovery.answered.get(),
+            discovery_lines: discovery.lines.get(),
+            discovery_failures: discovery.failed.get(),
             prices,
             ..pool.engine.counts()
         };
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -106,10 +106,10 @@
             }
             match opened {
                 Ok(Ok(connection)) => {
-                    engine.0.counts.borrow_mut().opened.probe += 1;
+                    engine.0.counts.borrow_mut().connections_opened.probe += 1;
                     engine.add_idle(server, connection);
                 }
-                _ => engine.0.counts.borrow_mut().not_opened += 1,
+                _ => engine.0.counts.borrow_mut().connections_failed += 1,
             }
         });
     }
@@ -128,11 +128,11 @@
         let opened = self.open(server, deadline).await;
         let mut counts = self.0.counts.borrow_mut();
         match (&opened, kind) {
-            (Err(_), _) => counts.not_opened += 1,
-            (Ok(_), RequestKind::Attempt) => counts.opened.attempt += 1,
-            (Ok(_), RequestKind::ReserveSlot) => counts.opened.slot_reservation += 1,
-            (Ok(_), RequestKind::Probe) => counts.opened.probe += 1,
-            (Ok(_), RequestKind::Release) => counts.opened.release += 1,
+            (Err(_), _) => counts.connections_failed += 1,
+            (Ok(_), RequestKind::Attempt) => counts.connections_opened.attempt += 1,
+            (Ok(_), RequestKind::ReserveSlot) => counts.connections_opened.slot_reservation += 1,
+            (Ok(_), RequestKind::Probe) => counts.connections_opened.probe += 1,
+            (Ok(_), RequestKind::Release) => counts.connections_opened.release += 1,
         }
         opened
     }
--- a/gateway/src/engine/reset_inquiry.rs
+++ b/gateway/src/engine/reset_inquiry.rs
@@ -87,11 +87,11 @@
         let mut connection = match Connection::open(peer, slot, self.closing_sender()).await {
             Ok(connection) => connection,
             Err(error) => {
-                self.0.counts.borrow_mut().not_opened += 1;
+                self.0.counts.borrow_mut().connections_failed += 1;
                 return after_failed_connect(&error);
             }
         };
-        self.0.counts.borrow_mut().opened.probe += 1;
+        self.0.counts.borrow_mut().connections_opened.probe += 1;
         let check = if is_listed { self.check_call() } else { self.release_of_unused_id() };
         let Ok((kind, check)) = check else { return ServerAfterReset::Silent };
         match self.answered_on(server, &mut connection, kind, check).await {
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -33,7 +33,7 @@
             let idle =
                 if needs_sentinel { self.take_idle_beside_sentinel(server) } else { self.take_idle(server) };
             let is_reused = idle.is_some();
-            self.0.counts.borrow_mut().reused += u64::from(is_reused);
+            self.0.counts.borrow_mut().connections_reused += u64::from(is_reused);
             let connection = match idle {
                 Some(connection) => connection,
                 None => self.open_counted(server, request.kind, request.connect_deadline).await?,
--- a/gateway/tests/delivery_confirmation.rs
+++ b/gateway/tests/delivery_confirmation.rs
@@ -195,7 +195,14 @@
             back_to_the_pool().await;
         }
         let counts = engine.counts();
-        assert_eq!((counts.opened.attempt, counts.opened.probe, counts.opened.total()), (1, 1, 2));
+        assert_eq!(
+            (
+                counts.connections_opened.attempt,
+                counts.connections_opened.probe,
+                counts.connections_opened.total()
+            ),
+            (1, 1, 2)
+        );
         let attempts_on = |connection| {
             let seen = decode.server.seen.borrow();
             seen.iter().filter(|seen| seen.method == "POST" && seen.connection == connection).count()
