--- a/crates/access-log/src/loss_report/mod.rs
+++ b/crates/access-log/src/loss_report/mod.rs
@@ -12,14 +12,16 @@
 use std::collections::BTreeMap;
 
 use self::served_shares::Owner;
-pub use self::served_shares::{ServedShare, ServedShares, Starved, STARVED_CLASS, STARVED_TENANT};
+pub use self::served_shares::{
+    ServedShare, ServedShares, StarvedOwners, STARVED_CLASS_THRESHOLD, STARVED_TENANT_THRESHOLD,
+};
 pub use self::state_transfers::StateTransfers;
 pub use self::turn::TurnResult;
-use self::turn::{Turn, PREFILLED};
+use self::turn::{Turn, PREFILLED_OUTCOME};
 use crate::{AttemptRecord, RequestOutcome, RequestRecord, Stage};
 
 /// What a rejected request is counted under where no attempt had been made.
-const UNSENT: &str = "unsent";
+const NO_ATTEMPT: &str = "unsent";
 
 /// Which turns a report counts: what a run warms up and cools down with can be left out.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +43,7 @@
 
 /// Turns, and the weight that they asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TurnSum {
+pub struct TurnTotals {
     /// Their number.
     pub turns: usize,
     /// Priority weight times tokens.
@@ -96,9 +98,9 @@
     /// Turns counted.
     pub turns: usize,
     /// Weight asked for: priority weight times tokens.
-    pub asked: f64,
+    pub requested_weight: f64,
     /// Turns by what became of them.
-    pub results: BTreeMap<TurnResult, TurnSum>,
+    pub results: BTreeMap<TurnResult, TurnTotals>,
     /// Attempts by stage and outcome.
     pub attempts: BTreeMap<AttemptKind, AttemptCount>,
     /// Rejected requests, by what their last attempt brought (`unsent`: there was none).
@@ -131,7 +133,7 @@
         let (result, weight) = (turn.result(), turn.weight());
         self.turns += 1;
         self.requests += turn.requests.len();
-        self.asked += weight;
+        self.requested_weight += weight;
         self.classes.add(turn, |request| Owner { id: request.class, at_most_once: request.at_most_once });
         self.tenants.add(turn, |request| Owner { id: request.tenant, at_most_once: false });
         self.transfers.add(turn);
@@ -147,7 +149,7 @@
     fn add_rejected(&mut self, turn: &Turn) {
         let rejected = turn.requests.iter().filter(|request| request.outcome == RequestOutcome::Rejected);
         for request in rejected {
-            let last = request.attempts.last().map_or(UNSENT, |attempt| &attempt.outcome);
+            let last = request.attempts.last().map_or(NO_ATTEMPT, |attempt| &attempt.outcome);
             *self.rejected.entry(last.into()).or_default() += 1;
         }
     }
@@ -160,7 +162,7 @@
         count.at_slow_start += usize::from(attempt.slow_start);
         let key = ServerKey { is_prefill, server: attempt.server.clone() };
         let server = self.servers.entry(key).or_default();
-        let is_lost = attempt.first_token_ms.is_none() && attempt.outcome != PREFILLED;
+        let is_lost = attempt.first_token_ms.is_none() && attempt.outcome != PREFILLED_OUTCOME;
         server.attempts += 1;
         server.lost += usize::from(is_lost);
         server.time_ms += attempt.first_token_ms.unwrap_or(attempt.ended_ms) - attempt.sent_ms;
@@ -168,7 +170,7 @@
 
     /// The share of the weight asked for that came to this result.
     pub fn share(&self, result: TurnResult) -> f64 {
-        self.results.get(&result).map_or(0.0, |sum| sum.weight) / self.asked.max(1e-9)
+        self.results.get(&result).map_or(0.0, |sum| sum.weight) / self.requested_weight.max(1e-9)
     }
 }
 
--- a/crates/access-log/src/loss_report/served_shares.rs
+++ b/crates/access-log/src/loss_report/served_shares.rs
@@ -8,11 +8,11 @@
 use crate::RequestRecord;
 
 /// A class is starved below this part of what is served on the mean.
-pub const STARVED_CLASS: f64 = 0.5;
+pub const STARVED_CLASS_THRESHOLD: f64 = 0.5;
 /// A tenant is starved below this part of what is served on the mean.
-pub const STARVED_TENANT: f64 = 1.0 / 3.0;
+pub const STARVED_TENANT_THRESHOLD: f64 = 1.0 / 3.0;
 /// Who has less than this part of the turns and of the weight is not judged, unless its class is not idempotent.
-const JUDGED_FROM: f64 = 0.05;
+const MIN_EVALUATED_SHARE: f64 = 0.05;
 
 /// What one class or tenant asked for, in priority weight times tokens; the four results add up to `asked`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -20,7 +20,7 @@
     /// Turns of clients.
     pub turns: usize,
     /// Asked for.
-    pub asked: f64,
+    pub requested_weight: f64,
     /// Answered within the latency objective.
     pub in_time: f64,
     /// Answered later.
@@ -46,7 +46,7 @@
 pub struct ServedShares(pub BTreeMap<u32, ServedShare>);
 
 /// Those that are served too little.
-pub struct Starved {
+pub struct StarvedOwners {
     /// Each with its index, worst first.
     pub owners: Vec<(u32, ServedShare)>,
     /// The share that is served in time on the mean.
@@ -55,21 +55,21 @@
 
 impl ServedShare {
     /// The part of what was asked for that was served in time.
-    pub fn served(&self) -> f64 {
-        self.in_time / self.asked.max(1e-9)
+    pub fn in_time_share(&self) -> f64 {
+        self.in_time / self.requested_weight.max(1e-9)
     }
 
     fn add(&mut self, other: &ServedShare) {
         self.turns += other.turns;
-        self.asked += other.asked;
+        self.requested_weight += other.requested_weight;
         self.in_time += other.in_time;
     }
 
     /// Whether it is large enough to be judged, or of a class that must not simply be retried.
-    fn is_judged(&self, sum: &ServedShare) -> bool {
+    fn is_evaluated(&self, sum: &ServedShare) -> bool {
         self.at_most_once
-            || self.turns as f64 >= JUDGED_FROM * sum.turns as f64
-            || self.asked >= JUDGED_FROM * sum.asked
+            || self.turns as f64 >= MIN_EVALUATED_SHARE * sum.turns as f64
+            || self.requested_weight >= MIN_EVALUATED_SHARE * sum.requested_weight
     }
 }
 
@@ -81,7 +81,7 @@
         let share = self.0.entry(owner.id).or_default();
         let weight = turn.weight();
         share.turns += 1;
-        share.asked += weight;
+        share.requested_weight += weight;
         share.at_most_once |= owner.at_most_once;
         let part = match turn.result() {
             TurnResult::InTime => &mut share.in_time,
@@ -99,25 +99,27 @@
     }
 
     /// Those that are served less than this part of the mean.
-    pub fn starved(&self, part: f64) -> Starved {
+    pub fn starved(&self, threshold: f64) -> StarvedOwners {
         let sum = self.sum();
-        let is_starved = |share: &ServedShare| share.is_judged(&sum) && share.served() < part * sum.served();
+        let is_starved = |share: &ServedShare| {
+            share.is_evaluated(&sum) && share.in_time_share() < threshold * sum.in_time_share()
+        };
         let starved = self.0.iter().filter(|(_, share)| is_starved(share));
         let mut owners: Vec<_> = starved.map(|(id, share)| (*id, *share)).collect();
-        owners.sort_by(|a, b| a.1.served().total_cmp(&b.1.served()));
-        Starved { owners, mean: sum.served() }
+        owners.sort_by(|a, b| a.1.in_time_share().total_cmp(&b.1.in_time_share()));
+        StarvedOwners { owners, mean: sum.in_time_share() }
     }
 
     /// As text, in % of what each asked for; `name` is what the indices count.
-    pub(super) fn table(&self, name: &str, part: f64) -> String {
+    pub(super) fn table(&self, name: &str, threshold: f64) -> String {
         let mut text = String::new();
         for (id, share) in &self.0 {
             write_share(&mut text, &format!("{name} {id}"), share);
         }
-        let starved = self.starved(part);
+        let starved = self.starved(threshold);
         for (id, share) in starved.owners {
             let repeats = if share.at_most_once { ", not to be repeated" } else { "" };
-            let (served, mean) = (100.0 * share.served(), 100.0 * starved.mean);
+            let (served, mean) = (100.0 * share.in_time_share(), 100.0 * starved.mean);
             let _ =
                 writeln!(text, "SHORT: {name} {id}{repeats}: {served:.2}% in time, {mean:.2}% on the mean");
         }
@@ -126,7 +128,7 @@
 }
 
 fn write_share(text: &mut String, name: &str, share: &ServedShare) {
-    let percent = |weight: f64| 100.0 * weight / share.asked.max(1e-9);
+    let percent = |weight: f64| 100.0 * weight / share.requested_weight.max(1e-9);
     let in_time = percent(share.in_time);
     let late = percent(share.late);
     let rejected = percent(share.rejected);
--- a/crates/access-log/src/loss_report/served_shares/tests.rs
+++ b/crates/access-log/src/loss_report/served_shares/tests.rs
@@ -1,6 +1,6 @@
 //! Who is named as starved.
 
-use super::{Owner, ServedShares, STARVED_CLASS, STARVED_TENANT};
+use super::{Owner, ServedShares, STARVED_CLASS_THRESHOLD, STARVED_TENANT_THRESHOLD};
 use crate::loss_report::turn::Turn;
 use crate::{AttemptRecord, RequestOutcome, RequestRecord};
 
@@ -42,17 +42,17 @@
     let ill = (0..10).map(|n| request(1, n, n < 3));
     let rare = [request(2, 0, false), request(3, 0, false)];
     let shares = shares(&well.chain(ill).chain(rare).collect::<Vec<_>>());
-    let short: Vec<u32> = shares.starved(STARVED_CLASS).owners.iter().map(|s| s.0).collect();
+    let short: Vec<u32> = shares.starved(STARVED_CLASS_THRESHOLD).owners.iter().map(|s| s.0).collect();
     assert_eq!(short, [2, 1]);
-    assert_eq!(shares.starved(STARVED_TENANT).owners.len(), 1);
+    assert_eq!(shares.starved(STARVED_TENANT_THRESHOLD).owners.len(), 1);
     // A tenant is not judged for one request of such a class.
     let mut tenants = ServedShares::default();
     let few = [request(2, 0, false)].into_iter().chain((1..60).map(|n| request(0, n, true)));
     let few: Vec<RequestRecord> = few.collect();
     few.iter().for_each(|s| tenants.add(&Turn { requests: vec![s] }, by_tenant));
-    assert_eq!(tenants.starved(STARVED_TENANT).owners, []);
+    assert_eq!(tenants.starved(STARVED_TENANT_THRESHOLD).owners, []);
     assert!(shares
-        .table("class", STARVED_CLASS)
+        .table("class", STARVED_CLASS_THRESHOLD)
         .contains("SHORT: class 2, not to be repeated: 0.00% in time"));
 }
 
@@ -61,6 +61,6 @@
     let shares = shares(&(0..30).map(|n| request(n as u32 % 3, n, n % 4 != 0)).collect::<Vec<_>>());
     for s in shares.0.values() {
         let sum = s.in_time + s.late + s.rejected + s.failed;
-        assert!((sum - s.asked).abs() < 1e-9 && s.turns == 10, "{s:?}");
+        assert!((sum - s.requested_weight).abs() < 1e-9 && s.turns == 10, "{s:?}");
     }
 }
--- a/crates/access-log/src/loss_report/state_transfers.rs
+++ b/crates/access-log/src/loss_report/state_transfers.rs
@@ -1,7 +1,7 @@
 //! KV state that was transferred out of the cell in which it was read, and prefills whose state nobody fetched. As far as a
 //! gateway's log can tell: what a server does after a cancellation, or for a killed gateway, stands in no line.
 
-use super::turn::{Turn, PREFILLED};
+use super::turn::{Turn, PREFILLED_OUTCOME};
 use crate::counts::Prices;
 use crate::{RequestRecord, Stage};
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StateTransfers {
     /// Prompts of all turns, each once.
-    pub asked: f64,
+    pub prompt_tokens: f64,
     /// Fetched by a decode server.
     pub fetched: f64,
     /// Of these, fetched out of the prefill server's cell.
@@ -23,7 +23,7 @@
 }
 
 /// A state that waits at a prefill server.
-struct WaitingState {
+struct PendingState {
     /// The server's zone and its cell in that.
     location: Option<(u32, u32)>,
     /// Tokens that were read for it.
@@ -32,28 +32,28 @@
 
 impl StateTransfers {
     pub(super) fn add(&mut self, turn: &Turn) {
-        self.asked += turn.requests.first().map_or(0.0, |request| request.prompt_tokens);
-        turn.requests.iter().for_each(|request| self.follow(request));
+        self.prompt_tokens += turn.requests.first().map_or(0.0, |request| request.prompt_tokens);
+        turn.requests.iter().for_each(|request| self.add_request(request));
     }
 
     /// Follows the state of one request from attempt to attempt.
-    fn follow(&mut self, request: &RequestRecord) {
-        let mut waiting: Option<WaitingState> = None;
+    fn add_request(&mut self, request: &RequestRecord) {
+        let mut pending: Option<PendingState> = None;
         for attempt in &request.attempts {
-            if attempt.stage == Stage::Prefill && attempt.outcome == PREFILLED {
+            if attempt.stage == Stage::Prefill && attempt.outcome == PREFILLED_OUTCOME {
                 let prefilled = (request.prompt_tokens - attempt.cached_tokens).max(0.0);
                 self.prefilled += prefilled;
-                let state = WaitingState { location: attempt.location, prefilled };
-                self.add_unclaimed(waiting.replace(state));
+                let state = PendingState { location: attempt.location, prefilled };
+                self.add_unclaimed(pending.replace(state));
             } else if attempt.stage == Stage::Execute && attempt.first_token_ms.is_some() {
-                let Some(state) = waiting.take() else { continue };
+                let Some(state) = pending.take() else { continue };
                 self.add_fetched(request.prompt_tokens, state.location, attempt.location);
             }
         }
-        self.add_unclaimed(waiting);
+        self.add_unclaimed(pending);
     }
 
-    fn add_unclaimed(&mut self, state: Option<WaitingState>) {
+    fn add_unclaimed(&mut self, state: Option<PendingState>) {
         self.unclaimed += state.map_or(0.0, |state| state.prefilled);
     }
 
@@ -66,17 +66,17 @@
 
     /// The share of all prompt tokens that is priced as cell_transfer: tokens whose state left its cell.
     pub fn moved_share(&self) -> f64 {
-        self.out_of_cell / self.asked.max(1e-9)
+        self.out_of_cell / self.prompt_tokens.max(1e-9)
     }
 
     /// The share of all prompt tokens that is priced as wasted, as far as it is seen: tokens read for nobody.
     pub fn wasted_share(&self) -> f64 {
-        self.unclaimed / self.asked.max(1e-9)
+        self.unclaimed / self.prompt_tokens.max(1e-9)
     }
 
     /// As text, with what it takes off the deployment's result.
     pub fn table(&self, prices: &Prices) -> String {
-        let percent = |tokens: f64| 100.0 * tokens / self.asked.max(1e-9);
+        let percent = |tokens: f64| 100.0 * tokens / self.prompt_tokens.max(1e-9);
         let row = |(name, tokens, price): (&str, f64, Option<f64>)| {
             let price = price.map_or(String::new(), |price| format!("{:>9.2}% priced", 100.0 * price));
             let thousands = tokens / 1e3;
--- a/crates/access-log/src/loss_report/state_transfers/tests.rs
+++ b/crates/access-log/src/loss_report/state_transfers/tests.rs
@@ -58,6 +58,6 @@
     assert_eq!(transfers(vec![prefill((0, 1), 900.0)]).wasted_share(), 0.1);
     assert_eq!(
         transfers(vec![decode((0, 1), true)]),
-        StateTransfers { asked: 1_000.0, ..StateTransfers::default() }
+        StateTransfers { prompt_tokens: 1_000.0, ..StateTransfers::default() }
     );
 }
--- a/crates/access-log/src/loss_report/text.rs
+++ b/crates/access-log/src/loss_report/text.rs
@@ -2,10 +2,12 @@
 
 use std::fmt::Write;
 
-use super::{LossReport, ServerCount, ServerKey, TurnResult, STARVED_CLASS, STARVED_TENANT};
+use super::{
+    LossReport, ServerCount, ServerKey, TurnResult, STARVED_CLASS_THRESHOLD, STARVED_TENANT_THRESHOLD,
+};
 
 /// Servers of one role that are listed.
-const LISTED_SERVERS: usize = 8;
+const MAX_LISTED_SERVERS: usize = 8;
 
 impl LossReport {
     /// The report as text; of each loss `details` turns are printed request by request, the costliest first.
@@ -13,8 +15,8 @@
         let mut text = format!("requests {}  turns {}\n", self.requests, self.turns);
         self.write_results(&mut text);
         self.write_attempts(&mut text);
-        text += &self.classes.table("class", STARVED_CLASS);
-        text += &self.tenants.table("tenant", STARVED_TENANT);
+        text += &self.classes.table("class", STARVED_CLASS_THRESHOLD);
+        text += &self.tenants.table("tenant", STARVED_TENANT_THRESHOLD);
         for (after, count) in &self.rejected {
             let _ = writeln!(text, "refused, {after:<22}{count:>7}");
         }
@@ -47,9 +49,9 @@
         let of_role = self.servers.iter().filter(|(key, _)| key.is_prefill == is_prefill);
         let mut servers: Vec<(&ServerKey, &ServerCount)> = of_role.collect();
         servers.sort_by(|a, b| b.1.time_ms.total_cmp(&a.1.time_ms));
-        let listed = servers.len().min(LISTED_SERVERS);
+        let listed = servers.len().min(MAX_LISTED_SERVERS);
         let _ = writeln!(text, "{listed} of {} servers, most time first:", servers.len());
-        for (key, count) in servers.into_iter().take(LISTED_SERVERS) {
+        for (key, count) in servers.into_iter().take(MAX_LISTED_SERVERS) {
             let mean_ms = count.time_ms / count.attempts as f64;
             let ServerCount { attempts, lost, .. } = count;
             let server = &key.server;
--- a/crates/access-log/src/loss_report/turn.rs
+++ b/crates/access-log/src/loss_report/turn.rs
@@ -9,9 +9,9 @@
 /// What any attempt takes, beside its work (ms).
 const ATTEMPT_OVERHEAD_MS: f64 = 60.0;
 /// Tokens that every request counts for, beside its prompt.
-const WEIGHT_TOKENS: f64 = 500.0;
+const BASE_WEIGHT_TOKENS: f64 = 500.0;
 /// An attempt's outcome that means a prefill ended well.
-pub(super) const PREFILLED: &str = "Read";
+pub(super) const PREFILLED_OUTCOME: &str = "Read";
 
 /// What became of a turn, and by what cause. The causes of all turns add up to what was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
     /// The stream broke after its begin.
     StreamBroken,
     /// The client disconnected before the objective, and never came back.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 impl TurnResult {
@@ -52,7 +52,7 @@
         TurnResult::RejectedAfterAttempts,
         TurnResult::Failed,
         TurnResult::StreamBroken,
-        TurnResult::ClientLeft,
+        TurnResult::ClientDisconnected,
     ];
 
     /// Its name in the report, which docs/on-call.md explains.
@@ -67,7 +67,7 @@
             TurnResult::RejectedAfterAttempts => "refused after attempts",
             TurnResult::Failed => "failed",
             TurnResult::StreamBroken => "stream cut",
-            TurnResult::ClientLeft => "client left first",
+            TurnResult::ClientDisconnected => "client left first",
         }
     }
 }
@@ -101,7 +101,7 @@
 }
 
 /// What an attempt's own work takes where it does not wait (ms).
-fn work_ms(request: &RequestRecord, attempt: &AttemptRecord) -> f64 {
+fn expected_work_ms(request: &RequestRecord, attempt: &AttemptRecord) -> f64 {
     let work = match attempt.stage {
         Stage::Prefill => (request.prompt_tokens - attempt.cached_tokens).max(0.0) * PREFILL_MS_PER_TOKEN,
         Stage::Execute => request.prompt_tokens * FIRST_TOKEN_MS_PER_TOKEN,
@@ -112,7 +112,8 @@
 impl Turn<'_> {
     /// The priority weight of the turn's class times its prompt's tokens.
     pub fn weight(&self) -> f64 {
-        let weight = |first: &&RequestRecord| first.priority_weight * (first.prompt_tokens + WEIGHT_TOKENS);
+        let weight =
+            |first: &&RequestRecord| first.priority_weight * (first.prompt_tokens + BASE_WEIGHT_TOKENS);
         self.requests.first().map_or(0.0, weight)
     }
 
@@ -137,8 +138,8 @@
             let until = attempt.first_token_ms.unwrap_or(attempt.ended_ms);
             let duration = (until - attempt.sent_ms).max(0.0);
             in_attempts += duration;
-            let waited = (duration - work_ms(request, attempt)).max(0.0);
-            if attempt.stage == Stage::Prefill && attempt.outcome == PREFILLED {
+            let waited = (duration - expected_work_ms(request, attempt)).max(0.0);
+            if attempt.stage == Stage::Prefill && attempt.outcome == PREFILLED_OUTCOME {
                 times.at_prefill += waited;
             } else if attempt.first_token_ms.is_some() {
                 times.at_decode += waited;
@@ -168,7 +169,7 @@
 
     /// What became of the turn.
     pub fn result(&self) -> TurnResult {
-        let Some(last) = self.requests.last() else { return TurnResult::ClientLeft };
+        let Some(last) = self.requests.last() else { return TurnResult::ClientDisconnected };
         if self.is_in_time() {
             return TurnResult::InTime;
         }
@@ -185,7 +186,7 @@
                 TurnResult::RejectedUnsent
             }
             RequestOutcome::Rejected => TurnResult::RejectedAfterAttempts,
-            RequestOutcome::ClientDisconnected if before_objective => TurnResult::ClientLeft,
+            RequestOutcome::ClientDisconnected if before_objective => TurnResult::ClientDisconnected,
             RequestOutcome::Failed if before_objective => TurnResult::Failed,
             _ => self.wait_times().largest(),
         }
