--- a/crates/access-log/src/counts/tests.rs
+++ b/crates/access-log/src/counts/tests.rs
@@ -9,18 +9,18 @@
 }
 
 #[test]
-fn a_line_is_read_back_whatever_stands_around_it() {
-    let one = counts(7.0, 3);
+fn counts_are_parsed_with_other_text_around_them() {
+    let written = counts(7.0, 3);
     assert_eq!(
-        Counts::parse_line(&format!("24.1 glenrail: {LOG_PREFIX}{one} (2 like it left out)")),
-        Some(one)
+        Counts::parse_line(&format!("24.1 glenrail: {LOG_PREFIX}{written} (2 like it left out)")),
+        Some(written)
     );
     assert_eq!(Counts::parse_line("24.1 glenrail: counts of nothing"), None);
 }
 
 /// Guards against counting a gateway's earlier lines beside its last, and against losing what a killed one had done.
 #[test]
-fn of_each_start_the_last_line_counts() {
+fn only_the_last_line_of_each_process_is_summed() {
     let named = |name: &str, c| (name.to_string(), c);
     let lines = [
         named("n1", counts(1.0, 30)),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_price_is_that_of_the_settings_terms() {
+fn the_price_follows_the_prices_of_the_settings() {
     let price = counts(1.0, 200).price(100);
     assert!((price - (0.003 * 2.0 + 0.01 * 0.15 + 0.5 * 0.4 / 100.0)).abs() < 1e-12, "{price}");
     assert!(counts(1.0, 200).table(100).contains("0.60% priced"));
@@ -41,7 +41,7 @@
 
 /// Guards the report against a damaged line, which may say any number.
 #[test]
-fn counts_near_the_largest_number_are_summed() {
+fn sums_saturate_at_the_largest_number() {
     let connections_opened =
         ConnectionsOpened { attempt: u64::MAX - 1, probe: 7, ..ConnectionsOpened::default() };
     let damaged = Counts { connections_opened, probes: u64::MAX, ..counts(1.0, 0) };
--- a/crates/access-log/src/loss_report/served_shares/tests.rs
+++ b/crates/access-log/src/loss_report/served_shares/tests.rs
@@ -5,14 +5,14 @@
 use crate::{AttemptRecord, RequestOutcome, RequestRecord};
 
 fn request(class: u32, session: u64, served: bool) -> RequestRecord {
-    let run = AttemptRecord { first_token_ms: Some(100.0), ..AttemptRecord::default() };
-    let (end, tries) =
-        if served { (RequestOutcome::Served, vec![run]) } else { (RequestOutcome::Rejected, vec![]) };
+    let decode = AttemptRecord { first_token_ms: Some(100.0), ..AttemptRecord::default() };
+    let (final_outcome, all_attempts) =
+        if served { (RequestOutcome::Served, vec![decode]) } else { (RequestOutcome::Rejected, vec![]) };
     RequestRecord {
         class,
         session,
-        outcome: end,
-        attempts: tries,
+        outcome: final_outcome,
+        attempts: all_attempts,
         at_most_once: class == 2,
         latency_objective_ms: 500.0,
         priority_weight: 1.0,
@@ -31,25 +31,26 @@
 
 fn shares(requests: &[RequestRecord]) -> ServedShares {
     let mut shares = ServedShares::default();
-    requests.iter().for_each(|s| shares.add(&Turn { requests: vec![s] }, by_class));
+    requests.iter().for_each(|record| shares.add(&Turn { requests: vec![record] }, by_class));
     shares
 }
 
 /// Guards against a class that starves unseen in a good mean, above all one that may not be repeated and is rare.
 #[test]
-fn starved_classes_are_named_worst_first() {
-    let well = (0..98).map(|n| request(0, n, n % 10 != 0));
-    let ill = (0..10).map(|n| request(1, n, n < 3));
+fn starved_classes_are_reported_worst_first() {
+    let mostly_served = (0..98).map(|n| request(0, n, n % 10 != 0));
+    let rarely_served = (0..10).map(|n| request(1, n, n < 3));
     let rare = [request(2, 0, false), request(3, 0, false)];
-    let shares = shares(&well.chain(ill).chain(rare).collect::<Vec<_>>());
-    let short: Vec<u32> = shares.starved(STARVED_CLASS_THRESHOLD).owners.iter().map(|s| s.0).collect();
-    assert_eq!(short, [2, 1]);
+    let shares = shares(&mostly_served.chain(rarely_served).chain(rare).collect::<Vec<_>>());
+    let starved_classes: Vec<u32> =
+        shares.starved(STARVED_CLASS_THRESHOLD).owners.iter().map(|starved| starved.0).collect();
+    assert_eq!(starved_classes, [2, 1]);
     assert_eq!(shares.starved(STARVED_TENANT_THRESHOLD).owners.len(), 1);
     // A tenant is not judged for one request of such a class.
     let mut tenants = ServedShares::default();
-    let few = [request(2, 0, false)].into_iter().chain((1..60).map(|n| request(0, n, true)));
-    let few: Vec<RequestRecord> = few.collect();
-    few.iter().for_each(|s| tenants.add(&Turn { requests: vec![s] }, by_tenant));
+    let single_requests = [request(2, 0, false)].into_iter().chain((1..60).map(|n| request(0, n, true)));
+    let single_requests: Vec<RequestRecord> = single_requests.collect();
+    single_requests.iter().for_each(|record| tenants.add(&Turn { requests: vec![record] }, by_tenant));
     assert_eq!(tenants.starved(STARVED_TENANT_THRESHOLD).owners, []);
     assert!(shares
         .table("class", STARVED_CLASS_THRESHOLD)
@@ -59,8 +60,8 @@
 #[test]
 fn the_results_of_a_class_add_up() {
     let shares = shares(&(0..30).map(|n| request(n as u32 % 3, n, n % 4 != 0)).collect::<Vec<_>>());
-    for s in shares.0.values() {
-        let sum = s.in_time + s.late + s.rejected + s.failed;
-        assert!((sum - s.requested_weight).abs() < 1e-9 && s.turns == 10, "{s:?}");
+    for share in shares.0.values() {
+        let sum = share.in_time + share.late + share.rejected + share.failed;
+        assert!((sum - share.requested_weight).abs() < 1e-9 && share.turns == 10, "{share:?}");
     }
 }
--- a/crates/access-log/src/loss_report/state_transfers.rs
+++ b/crates/access-log/src/loss_report/state_transfers.rs
@@ -65,7 +65,7 @@
     }
 
     /// The share of all prompt tokens that is priced as cell_transfer: tokens whose state left its cell.
-    pub fn moved_share(&self) -> f64 {
+    pub fn cell_transfer_share(&self) -> f64 {
         self.out_of_cell / self.prompt_tokens.max(1e-9)
     }
 
@@ -87,7 +87,7 @@
             (
                 "    out of the reader's cell",
                 self.out_of_cell,
-                Some(prices.cell_transfer * self.moved_share()),
+                Some(prices.cell_transfer * self.cell_transfer_share()),
             ),
             ("    out of its zone", self.out_of_zone, None),
             ("tokens read, not kept before", self.prefilled, None),
--- a/crates/access-log/src/loss_report/state_transfers/tests.rs
+++ b/crates/access-log/src/loss_report/state_transfers/tests.rs
@@ -31,30 +31,38 @@
 }
 
 #[test]
-fn a_state_moves_from_its_last_prefill_to_where_decoding_begins() {
-    let near = transfers(vec![prefill((0, 1), 400.0), decode((0, 2), false), decode((0, 1), true)]);
+fn a_state_is_transferred_from_its_last_prefill_to_the_decode_server() {
+    let within_cell = transfers(vec![prefill((0, 1), 400.0), decode((0, 2), false), decode((0, 1), true)]);
     assert_eq!(
-        (near.fetched, near.moved_share(), near.prefilled, near.wasted_share()),
+        (
+            within_cell.fetched,
+            within_cell.cell_transfer_share(),
+            within_cell.prefilled,
+            within_cell.wasted_share()
+        ),
         (1_000.0, 0.0, 600.0, 0.0)
     );
-    let far = transfers(vec![prefill((0, 1), 0.0), decode((1, 1), true)]);
-    assert_eq!((far.moved_share(), far.out_of_zone), (1.0, 1_000.0));
+    let across_zones = transfers(vec![prefill((0, 1), 0.0), decode((1, 1), true)]);
+    assert_eq!((across_zones.cell_transfer_share(), across_zones.out_of_zone), (1.0, 1_000.0));
     let prices = Prices { cell_transfer: 0.03, waste: 0.16, ..Prices::default() };
-    assert!(far.table(&prices).contains("3.00% priced"));
+    assert!(across_zones.table(&prices).contains("3.00% priced"));
     // The same number in another zone is another cell.
     assert_eq!(transfers(vec![prefill((0, 1), 0.0), decode((0, 2), true)]).out_of_zone, 0.0);
 }
 
 /// Guards against taking a prompt that was read twice for one that was used twice.
 #[test]
-fn a_prefill_whose_state_nobody_fetches_is_wasted() {
-    let twice = transfers(vec![
+fn a_prefill_whose_state_is_not_fetched_is_wasted() {
+    let prefilled_twice = transfers(vec![
         prefill((0, 1), 0.0),
         decode((0, 1), false),
         prefill((0, 2), 700.0),
         decode((0, 2), true),
     ]);
-    assert_eq!((twice.prefilled, twice.wasted_share(), twice.moved_share()), (1_300.0, 1.0, 0.0));
+    assert_eq!(
+        (prefilled_twice.prefilled, prefilled_twice.wasted_share(), prefilled_twice.cell_transfer_share()),
+        (1_300.0, 1.0, 0.0)
+    );
     assert_eq!(transfers(vec![prefill((0, 1), 900.0)]).wasted_share(), 0.1);
     assert_eq!(
         transfers(vec![decode((0, 1), true)]),
--- a/crates/access-log/tests/stored_lines.rs
+++ b/crates/access-log/tests/stored_lines.rs
@@ -6,7 +6,7 @@
 const REQUESTS: &str = include_str!("fixtures/request-lines.txt");
 const COUNTS: &str = include_str!("fixtures/counts-lines.txt");
 
-const ENDS: [RequestOutcome; 5] = [
+const REQUEST_OUTCOMES: [RequestOutcome; 5] = [
     RequestOutcome::Served,
     RequestOutcome::StreamBroken,
     RequestOutcome::Rejected,
@@ -15,7 +15,7 @@
 ];
 const STAGES: [Stage; 2] = [Stage::Prefill, Stage::Execute];
 /// The router's words for the outcome of an attempt.
-const OUTCOMES: [&str; 11] = [
+const ATTEMPT_OUTCOMES: [&str; 11] = [
     "Served",
     "Read",
     "Error",
@@ -29,11 +29,11 @@
     "NotSent",
 ];
 /// The router's words for why it refuses or fails a request.
-const REASONS: [&str; 7] =
+const REJECT_REASONS: [&str; 7] =
     ["UnknownClass", "Shed", "NoServer", "AttemptsSpent", "RetryBudget", "MayHaveRun", "OutOfTime"];
 
 /// An attempt with every optional figure.
-fn full_try(stage: Stage, how: &str) -> AttemptRecord {
+fn full_attempt(stage: Stage, outcome: &str) -> AttemptRecord {
     AttemptRecord {
         server: "1f".into(),
         stage,
@@ -43,7 +43,7 @@
         delivered_ms: Some(12.0),
         first_token_ms: Some(40.125),
         ended_ms: 900.75,
-        outcome: how.into(),
+        outcome: outcome.into(),
         slow_start: true,
         cached_tokens: 1_500.0,
         in_flight: Some(3.0),
@@ -52,19 +52,19 @@
 }
 
 /// An attempt with none.
-fn bare_try(stage: Stage, how: &str) -> AttemptRecord {
+fn bare_attempt(stage: Stage, outcome: &str) -> AttemptRecord {
     AttemptRecord {
         server: "15".into(),
         stage,
         sent_ms: 1.0,
         ended_ms: 2.0,
-        outcome: how.into(),
+        outcome: outcome.into(),
         ..AttemptRecord::default()
     }
 }
 
 /// A request with every optional figure.
-fn full_story(end: RequestOutcome) -> RequestRecord {
+fn full_request(final_outcome: RequestOutcome) -> RequestRecord {
     RequestRecord {
         id: "00ff00ff00ff00ff".into(),
         class: 2,
@@ -77,35 +77,37 @@
         arrived_unix_ms: 1_750_000_000_000.0,
         latency_objective_ms: 1_120.5,
         priority_weight: 0.1,
-        outcome: end,
+        outcome: final_outcome,
         duration_ms: 950.0,
         reject_reason: "Shed".into(),
         releases: vec![
             Release { unclaimed_since_ms: 10.0, ordered_ms: 20.5, done_ms: Some(31.0) },
             Release { unclaimed_since_ms: 40.0, ordered_ms: 41.0, done_ms: None },
         ],
-        attempts: vec![full_try(Stage::Prefill, "Read"), full_try(Stage::Execute, "Served")],
+        attempts: vec![full_attempt(Stage::Prefill, "Read"), full_attempt(Stage::Execute, "Served")],
     }
 }
 
 /// A request with none.
-fn bare_story(end: RequestOutcome) -> RequestRecord {
-    RequestRecord { id: "a".into(), session: 1, outcome: end, ..RequestRecord::default() }
+fn bare_request(final_outcome: RequestOutcome) -> RequestRecord {
+    RequestRecord { id: "a".into(), session: 1, outcome: final_outcome, ..RequestRecord::default() }
 }
 
 /// One request for each end, reason, and outcome at each stage, with and without what may be absent.
-fn stories() -> Vec<RequestRecord> {
-    let by_end = ENDS.iter().flat_map(|end| [bare_story(*end), full_story(*end)]);
-    let by_reason = REASONS
-        .iter()
-        .map(|why| RequestRecord { reject_reason: (*why).into(), ..bare_story(RequestOutcome::Rejected) });
-    let by_outcome = OUTCOMES.iter().flat_map(|how| {
+fn all_requests() -> Vec<RequestRecord> {
+    let by_outcome =
+        REQUEST_OUTCOMES.iter().flat_map(|outcome| [bare_request(*outcome), full_request(*outcome)]);
+    let by_reason = REJECT_REASONS.iter().map(|reason| RequestRecord {
+        reject_reason: (*reason).into(),
+        ..bare_request(RequestOutcome::Rejected)
+    });
+    let by_attempt_outcome = ATTEMPT_OUTCOMES.iter().flat_map(|outcome| {
         STAGES.map(|stage| RequestRecord {
-            attempts: vec![bare_try(stage, how), full_try(stage, how)],
-            ..bare_story(RequestOutcome::Failed)
+            attempts: vec![bare_attempt(stage, outcome), full_attempt(stage, outcome)],
+            ..bare_request(RequestOutcome::Failed)
         })
     });
-    by_end.chain(by_reason).chain(by_outcome).collect()
+    by_outcome.chain(by_reason).chain(by_attempt_outcome).collect()
 }
 
 fn all_counts() -> Vec<Counts> {
@@ -125,25 +127,26 @@
 
 /// Guards logs that are older than the program that reads them: what is written stays, to the byte.
 #[test]
-fn each_variety_of_request_is_written_as_it_was() {
-    let written: Vec<String> = stories().iter().map(|story| format!("{LINE_PREFIX}{story}")).collect();
-    assert_eq!(written, REQUESTS.lines().collect::<Vec<_>>());
+fn requests_are_serialized_to_the_stored_lines() {
+    let serialized: Vec<String> =
+        all_requests().iter().map(|request| format!("{LINE_PREFIX}{request}")).collect();
+    assert_eq!(serialized, REQUESTS.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn each_stored_request_is_read_as_what_was_written() {
-    let read: Vec<Option<RequestRecord>> = REQUESTS.lines().map(RequestRecord::parse_line).collect();
-    assert_eq!(read, stories().into_iter().map(Some).collect::<Vec<_>>());
+fn stored_request_lines_are_parsed_to_the_same_requests() {
+    let parsed: Vec<Option<RequestRecord>> = REQUESTS.lines().map(RequestRecord::parse_line).collect();
+    assert_eq!(parsed, all_requests().into_iter().map(Some).collect::<Vec<_>>());
 }
 
 #[test]
-fn counts_are_written_as_they_were() {
-    let written: Vec<String> = all_counts().iter().map(|c| format!("{}{c}", counts::LOG_PREFIX)).collect();
-    assert_eq!(written, COUNTS.lines().collect::<Vec<_>>());
+fn counts_are_serialized_to_the_stored_lines() {
+    let serialized: Vec<String> = all_counts().iter().map(|c| format!("{}{c}", counts::LOG_PREFIX)).collect();
+    assert_eq!(serialized, COUNTS.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn stored_counts_are_read_as_what_was_written() {
-    let read: Vec<Option<Counts>> = COUNTS.lines().map(Counts::parse_line).collect();
-    assert_eq!(read, all_counts().into_iter().map(Some).collect::<Vec<_>>());
+fn stored_count_lines_are_parsed_to_the_same_counts() {
+    let parsed: Vec<Option<Counts>> = COUNTS.lines().map(Counts::parse_line).collect();
+    assert_eq!(parsed, all_counts().into_iter().map(Some).collect::<Vec<_>>());
 }
