--- a/crates/access-log/src/counts.rs
+++ b/crates/access-log/src/counts.rs
@@ -1,5 +1,6 @@
-//! What a gateway has asked of servers and of discovery since it started, as it writes it to its log now and then, and
-//! the sum over many gateways. What one gateway does is little; what all of them do is priced by the settings.
+//! Counts of a gateway's calls to servers and to discovery since its start, which it logs periodically, and their sum
+//! over many gateways. The settings price the sum: the calls of a single gateway cost little, those of all gateways may
+//! not.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,67 +9,68 @@
 
 use crate::line::value_after;
 
-/// What stands in front of a gateway's counts in a log line.
+/// Prefix of a gateway's counts in a log line.
 pub const LOG_PREFIX: &str = "counts ";
 
-/// What the settings take off the deployment's result, in shares of the weight asked for.
+/// Prices of calls and of wasted work in the settings. Each price, multiplied by its quantity, is deducted from the
+/// deployment's result, as a fraction of the requested weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Prices {
-    /// Times probes a first attempt of a turn.
+    /// Multiplied by the number of probes per turn.
     pub probe: f64,
-    /// Times new connections a first attempt of a turn.
+    /// Multiplied by the number of new connections per turn.
     pub handshake: f64,
-    /// Times lines of endpoint lists a hundred first attempts.
+    /// Multiplied by the number of lines of endpoint lists per turn, in hundreds.
     pub discovery: f64,
-    /// Times the part of all prompt tokens whose state left its cell.
+    /// Multiplied by the fraction of all prompt tokens whose KV state was transferred to another cell.
     #[serde(rename = "moved", default)]
     pub cell_transfer: f64,
-    /// Times work that brought no answer, as a part of what was asked for.
+    /// Multiplied by the work that contributed to no response, as a fraction of the requested work.
     #[serde(default)]
     pub waste: f64,
 }
 
-/// What one process of a gateway has asked for since its start.
+/// Calls of one gateway process since its start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Unix time of the start (ms): it tells one process from the next.
+    /// Unix time of the start in milliseconds, which identifies the process among those of its gateway.
     #[serde(rename = "since")]
     pub started_unix_ms: f64,
-    /// Probes of servers.
+    /// Number of probes sent to servers.
     pub probes: u64,
-    /// New connections to servers by what each was opened for.
+    /// New connections to servers, by purpose.
     #[serde(rename = "opened")]
     pub connections_opened: ConnectionsOpened,
-    /// Connections that did not come up: nobody there, no capacity, or too late.
+    /// Number of connections that could not be opened: refused, no free connection slot, or timed out.
     #[serde(rename = "not_opened")]
     pub connections_failed: u64,
-    /// Requests of any kind on a connection that stood idle.
+    /// Number of requests of any kind that used an idle connection.
     #[serde(rename = "reused")]
     pub connections_reused: u64,
-    /// Calls of discovery that were answered.
+    /// Number of polls of discovery that succeeded.
     #[serde(rename = "lists")]
     pub discovery_responses: u64,
-    /// Lines that came with these answers.
+    /// Number of endpoint lines in the responses to these polls.
     #[serde(rename = "list_lines")]
     pub discovery_lines: u64,
-    /// Calls of discovery that failed.
+    /// Number of polls of discovery that failed.
     #[serde(rename = "lists_failed")]
     pub discovery_failures: u64,
-    /// The prices of the deployment's settings.
+    /// Prices in the deployment's settings.
     pub prices: Prices,
 }
 
-/// New connections by what each was opened for.
+/// Numbers of new connections, by the request that each was opened for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConnectionsOpened {
-    /// An attempt.
+    /// Opened for an attempt.
     pub attempt: u64,
-    /// A probe.
+    /// Opened for a probe, or as a sentinel.
     pub probe: u64,
-    /// A slot reservation.
+    /// Opened for a slot reservation.
     #[serde(rename = "hold")]
     pub slot_reservation: u64,
-    /// A release.
+    /// Opened for a release.
     pub release: u64,
 }
 
@@ -76,17 +78,17 @@
 struct Row {
     name: &'static str,
     count: u64,
-    /// Its share of the result that the settings take off.
+    /// Fraction deducted from the deployment's result; `None` if the count has no price.
     price: Option<f64>,
 }
 
-/// A damaged line may say any number: the sum stays at the largest.
+/// Sums counts without overflow, as a damaged line may contain any number.
 fn saturating_sum<const N: usize>(counts: [u64; N]) -> u64 {
     counts.into_iter().fold(0, u64::saturating_add)
 }
 
 impl ConnectionsOpened {
-    /// New connections of any purpose.
+    /// Number of new connections for any purpose.
     pub fn total(&self) -> u64 {
         saturating_sum([self.attempt, self.probe, self.slot_reservation, self.release])
     }
@@ -100,13 +102,13 @@
 }
 
 impl Counts {
-    /// The counts in a log line, if there are any.
+    /// Parses the counts in a log line; `None` if the line contains none.
     pub fn parse_line(line: &str) -> Option<Counts> {
         value_after(LOG_PREFIX, line)
     }
 
-    /// The sum of what many gateways wrote, each line with its gateway's name, in any order. Counts only grow, so of each
-    /// process the greatest are the last.
+    /// Sums the counts of many gateways. `lines` are counts with the name of their gateway, in any order. Counts never
+    /// decrease, so the greatest ones of each process are its last and the only ones that are summed.
     pub fn sum(lines: impl IntoIterator<Item = (String, Counts)>) -> Counts {
         let mut last_of_process: BTreeMap<(String, u64), Counts> = BTreeMap::new();
         for (gateway, counts) in lines {
@@ -143,7 +145,7 @@
         ])
     }
 
-    /// What these counts take off the deployment's result, for this many turns of clients.
+    /// Fraction that these counts deduct from the deployment's result, for this number of clients' turns.
     pub fn price(&self, turns: usize) -> f64 {
         let turns = turns.max(1) as f64;
         let hundreds_of_lines = self.discovery_lines as f64 / 100.0;
@@ -153,7 +155,7 @@
             / turns
     }
 
-    /// The counts as text, beside this many turns of clients.
+    /// The counts as text, in total and per turn, for this number of clients' turns.
     pub fn table(&self, turns: usize) -> String {
         let per_turn = |count: u64| count as f64 / turns.max(1) as f64;
         let line = |Row { name, count, price }: Row| {
--- a/crates/access-log/src/counts/tests.rs
+++ b/crates/access-log/src/counts/tests.rs
@@ -1,4 +1,4 @@
-//! The counts of many gateways, summed and priced.
+//! Summation and pricing of the counts of many gateways.
 
 use super::{ConnectionsOpened, Counts, Prices, LOG_PREFIX};
 
@@ -18,7 +18,8 @@
     assert_eq!(Counts::parse_line("24.1 glenrail: counts of nothing"), None);
 }
 
-/// Guards against counting a gateway's earlier lines beside its last, and against losing what a killed one had done.
+/// Guards against counting a process's earlier lines in addition to its last one, and against omitting the counts of a
+/// process that was killed.
 #[test]
 fn only_the_last_line_of_each_process_is_summed() {
     let named = |name: &str, c| (name.to_string(), c);
@@ -39,7 +40,7 @@
     assert!(counts(1.0, 200).table(100).contains("0.60% priced"));
 }
 
-/// Guards the report against a damaged line, which may say any number.
+/// Guards against an overflow caused by a damaged line, which may contain any number.
 #[test]
 fn sums_saturate_at_the_largest_number() {
     let connections_opened =
--- a/crates/access-log/src/lib.rs
+++ b/crates/access-log/src/lib.rs
@@ -1,8 +1,9 @@
-//! The access log: what became of each request, one JSON line a request, and what a gateway has asked of others so far.
+//! The access log of a gateway: one JSON line per request with its outcome, and periodic lines with the counts of the
+//! gateway's calls to servers and to discovery.
 //!
-//! A gateway writes these lines; `glenrail-log-report` reads them back and lays what was lost to its causes
-//! ([`loss_report`]). Field names in the code say what a value is and its unit; serde attributes bind the keys that stand
-//! in the log. No I/O.
+//! A gateway writes these lines. `glenrail-log-report` parses them and attributes losses to their causes
+//! ([`loss_report`]). Field names in the code state the value and its unit; serde attributes define the keys in the
+//! log. This crate does no I/O.
 
 #![deny(missing_docs)]
 
--- a/crates/access-log/src/line.rs
+++ b/crates/access-log/src/line.rs
@@ -2,7 +2,8 @@
 
 use serde::de::DeserializeOwned;
 
-/// The JSON value behind `prefix` in a log line, whatever stands around the two.
+/// Parses the JSON value after the first occurrence of `prefix` in a log line. Text before the prefix and after the
+/// value is ignored. `None` if there is no such value.
 pub(crate) fn value_after<T: DeserializeOwned>(prefix: &str, line: &str) -> Option<T> {
     let start = line.find(prefix)? + prefix.len();
     let mut values = serde_json::Deserializer::from_str(line.get(start..)?).into_iter();
--- a/crates/access-log/src/loss_report/mod.rs
+++ b/crates/access-log/src/loss_report/mod.rs
@@ -1,8 +1,9 @@
-//! Where the weight that clients asked for went: every turn's weight falls to exactly one [`TurnResult`], so the parts add up.
+//! Report of the weight that clients requested, by result. The weight of every turn is counted under exactly one
+//! [`TurnResult`], so the shares add up to the whole.
 //!
-//! A client's requests for one turn of a conversation have ids of their own, and may come to different gateways; they are
-//! recognized as one turn by class, session and prompt length. A turn that was not answered in time is laid to what took
-//! most of its time.
+//! A client's requests for one turn of a conversation have different ids and may arrive at different gateways. They are
+//! recognized as one turn by class, session and prompt length. The loss of a turn without a response in time is
+//! attributed to the wait that took most of its time.
 
 mod served_shares;
 mod state_transfers;
@@ -20,20 +21,20 @@
 use self::turn::{Turn, PREFILLED_OUTCOME};
 use crate::{AttemptRecord, RequestOutcome, RequestRecord, Stage};
 
-/// What a rejected request is counted under where no attempt had been made.
+/// Key in [`LossReport::rejected`] of requests without any attempt.
 const NO_ATTEMPT: &str = "unsent";
 
-/// Which turns a report counts: what a run warms up and cools down with can be left out.
+/// Interval of a run whose turns a report counts. Warm-up and cool-down can be excluded.
 #[derive(Clone, Copy, Debug)]
 pub struct Interval {
-    /// Turns that began this long after the first request, or later (s).
+    /// Start of the interval, in seconds after the first request (inclusive).
     pub from_s: f64,
-    /// Turns that began before this long after the first request (s).
+    /// End of the interval, in seconds after the first request (exclusive).
     pub to_s: f64,
 }
 
 impl Interval {
-    /// All turns.
+    /// The interval that contains all turns.
     pub const ALL: Interval = Interval { from_s: 0.0, to_s: f64::MAX };
 
     fn contains(&self, began_s: f64) -> bool {
@@ -41,30 +42,30 @@
     }
 }
 
-/// Turns, and the weight that they asked for.
+/// Totals of turns with the same result.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TurnTotals {
-    /// Their number.
+    /// Number of turns.
     pub turns: usize,
-    /// Priority weight times tokens.
+    /// Requested weight: priority weight times tokens.
     pub weight: f64,
 }
 
-/// Attempts that are counted together.
+/// Kind under which attempts are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKind {
-    /// They asked to read a prompt; else to answer.
+    /// Whether the stage was prefill; otherwise it was execution.
     pub is_prefill: bool,
-    /// Their outcome, as the router's `log_label` has it.
+    /// Outcome, as named by the router's `log_label`.
     pub outcome: String,
 }
 
-/// How many attempts there were of one kind.
+/// Numbers of attempts of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCount {
-    /// All of them.
+    /// Number of all attempts of the kind.
     pub attempts: usize,
-    /// Those at servers in slow start.
+    /// Number of attempts at servers in slow start.
     pub at_slow_start: usize,
 }
 
@@ -78,45 +79,46 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ServerCount {
     attempts: usize,
-    /// Attempts that brought nothing.
+    /// Number of attempts without a result.
     lost: usize,
     time_ms: f64,
 }
 
-/// A turn, request by request, to be printed.
+/// The lines printed for one turn, one for each request.
 #[derive(Debug, PartialEq)]
 struct TurnDetail {
     weight: f64,
     lines: String,
 }
 
-/// The report over many gateways' records.
+/// The report over the records of many gateways.
 #[derive(Debug, Default, PartialEq)]
 pub struct LossReport {
-    /// Requests counted.
+    /// Number of requests in the interval.
     pub requests: usize,
-    /// Turns counted.
+    /// Number of turns in the interval.
     pub turns: usize,
-    /// Weight asked for: priority weight times tokens.
+    /// Total requested weight: priority weight times tokens.
     pub requested_weight: f64,
-    /// Turns by what became of them.
+    /// Turns by result. Results without turns are absent.
     pub results: BTreeMap<TurnResult, TurnTotals>,
     /// Attempts by stage and outcome.
     pub attempts: BTreeMap<AttemptKind, AttemptCount>,
-    /// Rejected requests, by what their last attempt brought (`unsent`: there was none).
+    /// Number of rejected requests by the outcome of their last attempt, or `unsent` if they had no attempt.
     pub rejected: BTreeMap<String, usize>,
-    /// What each class asked for, and what became of it.
+    /// Requested and served weight by class.
     pub classes: ServedShares,
-    /// What each tenant asked for, and what became of it.
+    /// Requested and served weight by tenant.
     pub tenants: ServedShares,
-    /// States that were transferred, and those that nobody fetched.
+    /// Tokens of KV states that were transferred, and of those that no decode server fetched.
     pub transfers: StateTransfers,
     details: BTreeMap<TurnResult, Vec<TurnDetail>>,
     servers: BTreeMap<ServerKey, ServerCount>,
 }
 
 impl LossReport {
-    /// The report of these records, which stand in order of arrival, over the turns that began within the interval.
+    /// Creates the report of `records`, which must be sorted by arrival, for the turns that started within the
+    /// interval.
     pub fn new(records: &[RequestRecord], interval: Interval) -> LossReport {
         let first_arrival = records.first().map_or(0.0, |record| record.arrived_unix_ms);
         let mut report = LossReport::default();
@@ -168,13 +170,13 @@
         server.time_ms += attempt.first_token_ms.unwrap_or(attempt.ended_ms) - attempt.sent_ms;
     }
 
-    /// The share of the weight asked for that came to this result.
+    /// Fraction of the requested weight whose turns had this result.
     pub fn share(&self, result: TurnResult) -> f64 {
         self.results.get(&result).map_or(0.0, |sum| sum.weight) / self.requested_weight.max(1e-9)
     }
 }
 
-/// The records' turns, by class, session and prompt length.
+/// Groups the records into turns by class, session and prompt length.
 fn turns(records: &[RequestRecord]) -> BTreeMap<(u32, u64, u64), Turn<'_>> {
     let mut turns: BTreeMap<(u32, u64, u64), Turn> = BTreeMap::new();
     for record in records {
--- a/crates/access-log/src/loss_report/served_shares.rs
+++ b/crates/access-log/src/loss_report/served_shares.rs
@@ -1,5 +1,5 @@
-//! What each class, or each tenant, asked for, and how much of it was served. A policy that serves the sum well may still
-//! starve one of them: whoever gets far less than the mean is named.
+//! Requested and served weight of each class or tenant. A policy that serves most of the total may still starve one
+//! class or tenant, so those that are served far less than the mean are reported.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,54 +7,56 @@
 use super::turn::{Turn, TurnResult};
 use crate::RequestRecord;
 
-/// A class is starved below this part of what is served on the mean.
+/// A class is starved if its share served in time is below this fraction of the mean.
 pub const STARVED_CLASS_THRESHOLD: f64 = 0.5;
-/// A tenant is starved below this part of what is served on the mean.
+/// A tenant is starved if its share served in time is below this fraction of the mean.
 pub const STARVED_TENANT_THRESHOLD: f64 = 1.0 / 3.0;
-/// Who has less than this part of the turns and of the weight is not judged, unless its class is not idempotent.
+/// Minimum fraction of all turns, or of the requested weight, from which a class or tenant is evaluated. A class that
+/// is not idempotent is always evaluated.
 const MIN_EVALUATED_SHARE: f64 = 0.05;
 
-/// What one class or tenant asked for, in priority weight times tokens; the four results add up to `asked`.
+/// Requested and served weight of one class or tenant, as priority weight times tokens. The weights of the four results
+/// add up to `requested_weight`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServedShare {
-    /// Turns of clients.
+    /// Number of clients' turns.
     pub turns: usize,
-    /// Asked for.
+    /// Weight of all turns.
     pub requested_weight: f64,
-    /// Answered within the latency objective.
+    /// Weight of turns with a first token within the latency objective.
     pub in_time: f64,
-    /// Answered later.
+    /// Weight of turns with a later first token.
     pub late: f64,
-    /// Rejected.
+    /// Weight of rejected turns.
     pub rejected: f64,
-    /// Neither answered nor rejected.
+    /// Weight of turns that were neither served nor rejected.
     pub failed: f64,
-    /// Its class must not simply be retried.
+    /// Whether this is a class that is not idempotent and so must not simply be retried; false for tenants.
     pub at_most_once: bool,
 }
 
-/// Whom a turn is counted for.
+/// Class or tenant that a turn is counted for.
 pub(super) struct Owner {
     /// Index of the class or tenant.
     pub id: u32,
-    /// It is a class that must not simply be retried.
+    /// Whether this is a class that must not simply be retried.
     pub at_most_once: bool,
 }
 
-/// What was asked for and served, by index of class or tenant.
+/// Requested and served weight by index of class or tenant.
 #[derive(Debug, Default, PartialEq)]
 pub struct ServedShares(pub BTreeMap<u32, ServedShare>);
 
-/// Those that are served too little.
+/// Starved classes or tenants.
 pub struct StarvedOwners {
-    /// Each with its index, worst first.
+    /// Index and weights of each, the smallest share served in time first.
     pub owners: Vec<(u32, ServedShare)>,
-    /// The share that is served in time on the mean.
+    /// Fraction of the total requested weight that was served in time.
     pub mean: f64,
 }
 
 impl ServedShare {
-    /// The part of what was asked for that was served in time.
+    /// Fraction of the requested weight that was served in time.
     pub fn in_time_share(&self) -> f64 {
         self.in_time / self.requested_weight.max(1e-9)
     }
@@ -65,7 +67,7 @@
         self.in_time += other.in_time;
     }
 
-    /// Whether it is large enough to be judged, or of a class that must not simply be retried.
+    /// Whether the class or tenant is large enough to be evaluated, or is a class that must not simply be retried.
     fn is_evaluated(&self, sum: &ServedShare) -> bool {
         self.at_most_once
             || self.turns as f64 >= MIN_EVALUATED_SHARE * sum.turns as f64
@@ -98,7 +100,7 @@
         sum
     }
 
-    /// Those that are served less than this part of the mean.
+    /// Returns the classes or tenants whose share served in time is below the mean multiplied by `threshold`.
     pub fn starved(&self, threshold: f64) -> StarvedOwners {
         let sum = self.sum();
         let is_starved = |share: &ServedShare| {
@@ -110,7 +112,7 @@
         StarvedOwners { owners, mean: sum.in_time_share() }
     }
 
-    /// As text, in % of what each asked for; `name` is what the indices count.
+    /// The shares as text, in percent of each owner's requested weight. `name` is "class" or "tenant".
     pub(super) fn table(&self, name: &str, threshold: f64) -> String {
         let mut text = String::new();
         for (id, share) in &self.0 {
--- a/crates/access-log/src/loss_report/served_shares/tests.rs
+++ b/crates/access-log/src/loss_report/served_shares/tests.rs
@@ -1,4 +1,4 @@
-//! Who is named as starved.
+//! Detection of starved classes and tenants.
 
 use super::{Owner, ServedShares, STARVED_CLASS_THRESHOLD, STARVED_TENANT_THRESHOLD};
 use crate::loss_report::turn::Turn;
@@ -24,7 +24,7 @@
     Owner { id: request.class, at_most_once: request.at_most_once }
 }
 
-/// Tenants are never judged for one request of a class that must not be retried.
+/// Tenants are not evaluated because of a single request of a class that must not be retried.
 fn by_tenant(request: &RequestRecord) -> Owner {
     Owner { id: request.class, at_most_once: false }
 }
@@ -35,7 +35,7 @@
     shares
 }
 
-/// Guards against a class that starves unseen in a good mean, above all one that may not be repeated and is rare.
+/// Guards against a starved class that is hidden by a good mean, in particular a rare one that must not be retried.
 #[test]
 fn starved_classes_are_reported_worst_first() {
     let mostly_served = (0..98).map(|n| request(0, n, n % 10 != 0));
@@ -46,7 +46,7 @@
         shares.starved(STARVED_CLASS_THRESHOLD).owners.iter().map(|starved| starved.0).collect();
     assert_eq!(starved_classes, [2, 1]);
     assert_eq!(shares.starved(STARVED_TENANT_THRESHOLD).owners.len(), 1);
-    // A tenant is not judged for one request of such a class.
+    // A tenant with one request of such a class is not evaluated.
     let mut tenants = ServedShares::default();
     let single_requests = [request(2, 0, false)].into_iter().chain((1..60).map(|n| request(0, n, true)));
     let single_requests: Vec<RequestRecord> = single_requests.collect();
--- a/crates/access-log/src/loss_report/state_transfers.rs
+++ b/crates/access-log/src/loss_report/state_transfers.rs
@@ -1,5 +1,6 @@
-//! KV state that was transferred out of the cell in which it was read, and prefills whose state nobody fetched. As far as a
-//! gateway's log can tell: what a server does after a cancellation, or for a killed gateway, stands in no line.
+//! KV states that were transferred out of the cell in which they were prefilled, and prefills whose state was not
+//! fetched. The sums are limited to what gateways log: a server's work after a cancellation, or for a gateway that was
+//! killed, is not included.
 
 use super::turn::{Turn, PREFILLED_OUTCOME};
 use crate::counts::Prices;
@@ -8,25 +9,25 @@
 /// Sums over all turns, in prompt tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StateTransfers {
-    /// Prompts of all turns, each once.
+    /// Tokens of the prompts of all turns, each turn counted once.
     pub prompt_tokens: f64,
-    /// Fetched by a decode server.
+    /// Tokens of states that a decode server fetched.
     pub fetched: f64,
-    /// Of these, fetched out of the prefill server's cell.
+    /// Part of `fetched` with a decode server outside the prefill server's cell.
     pub out_of_cell: f64,
-    /// Of these, fetched out of its zone.
+    /// Part of `fetched` with a decode server outside the prefill server's zone.
     pub out_of_zone: f64,
-    /// Read by prefill servers, beyond what was cached.
+    /// Tokens that prefill servers processed, excluding cached ones.
     pub prefilled: f64,
-    /// Of these, read for states that no decode server fetched.
+    /// Part of `prefilled` for states that no decode server fetched.
     pub unclaimed: f64,
 }
 
-/// A state that waits at a prefill server.
+/// A KV state at a prefill server that was not fetched yet.
 struct PendingState {
-    /// The server's zone and its cell in that.
+    /// The server's zone and its cell within the zone; `None` if unknown.
     location: Option<(u32, u32)>,
-    /// Tokens that were read for it.
+    /// Tokens that were processed for it.
     prefilled: f64,
 }
 
@@ -36,7 +37,7 @@
         turn.requests.iter().for_each(|request| self.add_request(request));
     }
 
-    /// Follows the state of one request from attempt to attempt.
+    /// Adds the KV states of one request, followed from attempt to attempt.
     fn add_request(&mut self, request: &RequestRecord) {
         let mut pending: Option<PendingState> = None;
         for attempt in &request.attempts {
@@ -64,17 +65,18 @@
         self.out_of_zone += if from.0 == to.0 { 0.0 } else { tokens };
     }
 
-    /// The share of all prompt tokens that is priced as cell_transfer: tokens whose state left its cell.
+    /// Fraction of all prompt tokens whose state was transferred to another cell; priced by [`Prices::cell_transfer`].
     pub fn cell_transfer_share(&self) -> f64 {
         self.out_of_cell / self.prompt_tokens.max(1e-9)
     }
 
-    /// The share of all prompt tokens that is priced as wasted, as far as it is seen: tokens read for nobody.
+    /// Number of prefilled tokens whose state was not fetched, as a fraction of all prompt tokens; priced by
+    /// [`Prices::waste`]. Other wasted work is not in the log.
     pub fn wasted_share(&self) -> f64 {
         self.unclaimed / self.prompt_tokens.max(1e-9)
     }
 
-    /// As text, with what it takes off the deployment's result.
+    /// The sums as text, with the fractions that they deduct from the deployment's result.
     pub fn table(&self, prices: &Prices) -> String {
         let percent = |tokens: f64| 100.0 * tokens / self.prompt_tokens.max(1e-9);
         let row = |(name, tokens, price): (&str, f64, Option<f64>)| {
--- a/crates/access-log/src/loss_report/state_transfers/tests.rs
+++ b/crates/access-log/src/loss_report/state_transfers/tests.rs
@@ -1,4 +1,4 @@
-//! Which states count as moved and which as wasted.
+//! Counting of transferred and of wasted KV states.
 
 use super::StateTransfers;
 use crate::counts::Prices;
@@ -46,11 +46,11 @@
     assert_eq!((across_zones.cell_transfer_share(), across_zones.out_of_zone), (1.0, 1_000.0));
     let prices = Prices { cell_transfer: 0.03, waste: 0.16, ..Prices::default() };
     assert!(across_zones.table(&prices).contains("3.00% priced"));
-    // The same number in another zone is another cell.
+    // The decode server is in another cell of the same zone.
     assert_eq!(transfers(vec![prefill((0, 1), 0.0), decode((0, 2), true)]).out_of_zone, 0.0);
 }
 
-/// Guards against taking a prompt that was read twice for one that was used twice.
+/// Guards against counting both prefills of a prompt as fetched when only the second one's state was.
 #[test]
 fn a_prefill_whose_state_is_not_fetched_is_wasted() {
     let prefilled_twice = transfers(vec![
--- a/crates/access-log/src/loss_report/tests.rs
+++ b/crates/access-log/src/loss_report/tests.rs
@@ -1,4 +1,4 @@
-//! What a turn is laid to, and that the parts add up.
+//! Results of turns, and the sum of their shares.
 
 use std::collections::BTreeMap;
 
@@ -66,7 +66,7 @@
     );
 }
 
-/// Guards against counting a client's second request as a turn of its own, and its wait as nobody's.
+/// Guards against counting a client's retry as a separate turn, which would omit the wait between its requests.
 #[test]
 fn a_turn_is_timed_from_its_first_request() {
     let successful_attempts =
--- a/crates/access-log/src/loss_report/text.rs
+++ b/crates/access-log/src/loss_report/text.rs
@@ -1,4 +1,4 @@
-//! The report as text.
+//! Formatting of the report as text, which operators' tools parse.
 
 use std::fmt::Write;
 
@@ -6,11 +6,12 @@
     LossReport, ServerCount, ServerKey, TurnResult, STARVED_CLASS_THRESHOLD, STARVED_TENANT_THRESHOLD,
 };
 
-/// Servers of one role that are listed.
+/// Maximum number of servers of one role in the report.
 const MAX_LISTED_SERVERS: usize = 8;
 
 impl LossReport {
-    /// The report as text; of each loss `details` turns are printed request by request, the costliest first.
+    /// The report as text. For each result other than "in time", it lists the requests of the `details` turns with the
+    /// greatest weight.
     pub fn table(&self, details: usize) -> String {
         let mut text = format!("requests {}  turns {}\n", self.requests, self.turns);
         self.write_results(&mut text);
--- a/crates/access-log/src/loss_report/turn.rs
+++ b/crates/access-log/src/loss_report/turn.rs
@@ -1,42 +1,44 @@
-//! One turn of a conversation: all requests of a client for one answer, and what took most of their time.
+//! One turn of a conversation: all requests of a client for one response, and the cause of a late or missing response.
 
 use crate::{AttemptRecord, RequestOutcome, RequestRecord, Stage};
 
-/// A prefill that ends within this time a token that it had to read did not wait (ms; the slowest server's pace).
+/// Expected time of a prefill per uncached token, in milliseconds, at the rate of the slowest server. Time beyond it
+/// counts as waiting.
 const PREFILL_MS_PER_TOKEN: f64 = 0.12;
-/// The same for the begin of a stream, by token of state that it fetches (ms).
+/// Expected time until the first token of a stream per token of fetched KV state, in milliseconds.
 const FIRST_TOKEN_MS_PER_TOKEN: f64 = 0.02;
-/// What any attempt takes, beside its work (ms).
+/// Expected time of any attempt that does not depend on its number of tokens, in milliseconds.
 const ATTEMPT_OVERHEAD_MS: f64 = 60.0;
-/// Tokens that every request counts for, beside its prompt.
+/// Tokens that count for the weight of every turn in addition to its prompt.
 const BASE_WEIGHT_TOKENS: f64 = 500.0;
-/// An attempt's outcome that means a prefill ended well.
+/// Outcome of an attempt whose prefill succeeded, as named by the router's `log_label`.
 pub(super) const PREFILLED_OUTCOME: &str = "Read";
 
-/// What became of a turn, and by what cause. The causes of all turns add up to what was asked for.
+/// Result of a turn, with the cause of a late or missing response. The weights of all results add up to the requested
+/// weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TurnResult {
-    /// Answered within its latency objective.
+    /// The first token was sent within the latency objective.
     InTime,
-    /// Late or never answered; most of its time went by in a prefill server's queue.
+    /// Late or without a response; most of the time was spent waiting at prefill servers.
     LatePrefill,
-    /// Late or never answered; most of its time went by in a decode server's queue.
+    /// Late or without a response; most of the time was spent waiting at decode servers.
     LateDecode,
-    /// Late or never answered; most of its time went by in attempts that brought nothing: time-outs, cancellations, resets,
-    /// errors, no connection.
+    /// Late or without a response; most of the time was spent in attempts without a result: timeouts, cancellations,
+    /// resets, errors and failed connections.
     LateAttemptsLost,
-    /// Late or never answered; most of its time went by between attempts: rejected by servers, no server available, or the
-    /// client's own pauses.
+    /// Late or without a response; most of the time was spent between attempts, while servers rejected the request, no
+    /// server was available, or the client paused between its requests.
     LateBetweenAttempts,
-    /// Every request was rejected, and none had been sent to a server.
+    /// All requests were rejected, and no attempt was made.
     RejectedUnsent,
-    /// Rejected after attempts.
+    /// The last request was rejected, and at least one attempt was made.
     RejectedAfterAttempts,
-    /// Failed for good.
+    /// The last request failed before the latency objective.
     Failed,
-    /// The stream broke after its begin.
+    /// A response stream broke after its start.
     StreamBroken,
-    /// The client disconnected before the objective, and never came back.
+    /// The client disconnected before the latency objective and sent no further request.
     ClientDisconnected,
 }
 
@@ -55,7 +57,7 @@
         TurnResult::ClientDisconnected,
     ];
 
-    /// Its name in the report, which docs/on-call.md explains.
+    /// The result's name in the report, which docs/on-call.md explains.
     pub fn name(self) -> &'static str {
         match self {
             TurnResult::InTime => "in time",
@@ -77,7 +79,7 @@
     pub requests: Vec<&'a RequestRecord>,
 }
 
-/// Time of a turn beyond the work itself (ms).
+/// Time of a turn in excess of the expected work, in milliseconds, by where it was spent.
 #[derive(Default)]
 struct WaitTimes {
     at_prefill: f64,
@@ -87,7 +89,7 @@
 }
 
 impl WaitTimes {
-    /// The result for the largest of them; of equal ones the later in this order.
+    /// Returns the result for the longest time; of equal ones, the last in the order of the list below.
     fn largest(&self) -> TurnResult {
         let times = [
             (self.at_prefill, TurnResult::LatePrefill),
@@ -100,7 +102,7 @@
     }
 }
 
-/// What an attempt's own work takes where it does not wait (ms).
+/// Expected time of an attempt that does not wait, in milliseconds.
 fn expected_work_ms(request: &RequestRecord, attempt: &AttemptRecord) -> f64 {
     let work = match attempt.stage {
         Stage::Prefill => (request.prompt_tokens - attempt.cached_tokens).max(0.0) * PREFILL_MS_PER_TOKEN,
@@ -110,14 +112,15 @@
 }
 
 impl Turn<'_> {
-    /// The priority weight of the turn's class times its prompt's tokens.
+    /// Priority weight of the turn's class, multiplied by its prompt tokens plus [`BASE_WEIGHT_TOKENS`].
     pub fn weight(&self) -> f64 {
         let weight =
             |first: &&RequestRecord| first.priority_weight * (first.prompt_tokens + BASE_WEIGHT_TOKENS);
         self.requests.first().map_or(0.0, weight)
     }
 
-    /// When the first token of the answer that was served came, in ms since the first request's arrival.
+    /// Time of the first token of the served request, in milliseconds since the arrival of the turn's first request;
+    /// `None` if no request was served.
     pub fn first_token_ms(&self) -> Option<f64> {
         let arrived = self.requests.first()?.arrived_unix_ms;
         let served = self.requests.iter().find(|request| request.outcome == RequestOutcome::Served)?;
@@ -151,7 +154,8 @@
         times
     }
 
-    /// From the first arrival to the first token, or else to the end of the last request (ms).
+    /// Time in milliseconds from the arrival of the first request to the first token, or without one to the end of the
+    /// last request.
     fn duration_ms(&self) -> f64 {
         match (self.first_token_ms(), self.requests.first(), self.requests.last()) {
             (Some(first_token), ..) => first_token,
@@ -167,7 +171,7 @@
         first.is_some_and(|(request, first_token)| first_token <= request.latency_objective_ms)
     }
 
-    /// What became of the turn.
+    /// Result of the turn; for a late response, by the longest of its wait times.
     pub fn result(&self) -> TurnResult {
         let Some(last) = self.requests.last() else { return TurnResult::ClientDisconnected };
         if self.is_in_time() {
--- a/crates/access-log/src/tests.rs
+++ b/crates/access-log/src/tests.rs
@@ -1,4 +1,4 @@
-//! Log lines are read back whatever stands around them.
+//! Parsing of records within log lines.
 
 use crate::{AttemptRecord, RequestRecord, LINE_PREFIX};
 
--- a/crates/access-log/tests/stored_lines.rs
+++ b/crates/access-log/tests/stored_lines.rs
@@ -1,4 +1,4 @@
-//! The lines of a gateway's log, requests and counts, against fixtures that an earlier build wrote.
+//! Compatibility of a gateway's log lines, for requests and counts, with fixtures that an earlier build wrote.
 
 use glenrail_access_log::counts::{self, ConnectionsOpened, Counts, Prices};
 use glenrail_access_log::{AttemptRecord, Release, RequestOutcome, RequestRecord, Stage, LINE_PREFIX};
@@ -14,7 +14,7 @@
     RequestOutcome::ClientDisconnected,
 ];
 const STAGES: [Stage; 2] = [Stage::Prefill, Stage::Execute];
-/// The router's words for the outcome of an attempt.
+/// Outcomes of attempts, as named by the router's `log_label`.
 const ATTEMPT_OUTCOMES: [&str; 11] = [
     "Served",
     "Read",
@@ -28,11 +28,11 @@
     "Undelivered",
     "NotSent",
 ];
-/// The router's words for why it refuses or fails a request.
+/// Reasons for which the router rejects or fails a request, as named by its `log_label`.
 const REJECT_REASONS: [&str; 7] =
     ["UnknownClass", "Shed", "NoServer", "AttemptsSpent", "RetryBudget", "MayHaveRun", "OutOfTime"];
 
-/// An attempt with every optional figure.
+/// An attempt with every optional field.
 fn full_attempt(stage: Stage, outcome: &str) -> AttemptRecord {
     AttemptRecord {
         server: "1f".into(),
@@ -51,7 +51,7 @@
     }
 }
 
-/// An attempt with none.
+/// An attempt without optional fields.
 fn bare_attempt(stage: Stage, outcome: &str) -> AttemptRecord {
     AttemptRecord {
         server: "15".into(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// A request with every optional figure.
+/// A request with every optional field.
 fn full_request(final_outcome: RequestOutcome) -> RequestRecord {
     RequestRecord {
         id: "00ff00ff00ff00ff".into(),
@@ -88,12 +88,13 @@
     }
 }
 
-/// A request with none.
+/// A request without optional fields.
 fn bare_request(final_outcome: RequestOutcome) -> RequestRecord {
     RequestRecord { id: "a".into(), session: 1, outcome: final_outcome, ..RequestRecord::default() }
 }
 
-/// One request for each end, reason, and outcome at each stage, with and without what may be absent.
+/// Returns requests with each outcome, each reason, and each outcome of attempts at each stage, with and without
+/// optional fields.
 fn all_requests() -> Vec<RequestRecord> {
     let by_outcome =
         REQUEST_OUTCOMES.iter().flat_map(|outcome| [bare_request(*outcome), full_request(*outcome)]);
@@ -125,7 +126,7 @@
     vec![Counts::default(), full]
 }
 
-/// Guards logs that are older than the program that reads them: what is written stays, to the byte.
+/// Guards against a change of the log's format: operators' tools and later builds must be able to parse older logs.
 #[test]
 fn requests_are_serialized_to_the_stored_lines() {
     let serialized: Vec<String> =
