--- a/crates/socket-diagnosis/src/lib.rs
+++ b/crates/socket-diagnosis/src/lib.rs
@@ -14,19 +14,19 @@
 use netlink_sys::{Socket, SocketAddr as NetlinkAddress};
 
 /// The kernel's own address on a netlink socket.
-const KERNEL: (u32, u32) = (0, 0);
+const KERNEL_ADDRESS: (u32, u32) = (0, 0);
 /// Asks for a socket by its addresses alone.
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
 /// Longest answer about one socket.
-const ANSWER_BYTES: usize = 4 << 10;
+const MAX_RESPONSE_BYTES: usize = 4 << 10;
 
 /// How far a connection has come, as one of its ends sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ConnectionState {
     /// Both sides may send.
     Established,
     /// The other side has ended what it sends, this one has not (`CLOSE_WAIT`).
-    EndedByPeer,
+    CloseWait,
     /// Any other state of TCP.
     Other,
 }
@@ -34,7 +34,7 @@
 /// One end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connection {
-    pub state: State,
+    pub state: ConnectionState,
     /// Bytes that have come and that the process has not read.
     pub unread_bytes: u64,
     /// Bytes that the process has written and that the other machine has not acknowledged.
@@ -44,19 +44,19 @@
 /// The end `local` of the connection with `remote`; `None` where that end is gone.
 ///
 /// Never waits: the kernel answers within the call that asks.
-pub fn connection_at(local: SocketAddr, remote: SocketAddr) -> io::Result<Option<Connection>> {
+pub fn query_connection(local: SocketAddr, remote: SocketAddr) -> io::Result<Option<Connection>> {
     let mut socket = Socket::new(NETLINK_SOCK_DIAG)?;
     socket.bind_auto()?;
-    socket.connect(&NetlinkAddress::new(KERNEL.0, KERNEL.1))?;
+    socket.connect(&NetlinkAddress::new(KERNEL_ADDRESS.0, KERNEL_ADDRESS.1))?;
     socket.set_non_blocking(true)?;
-    socket.send(&question(local, remote), 0)?;
-    let mut answer = Vec::with_capacity(ANSWER_BYTES);
-    socket.recv(&mut answer, 0)?;
-    connection_in(&answer, local, remote)
+    socket.send(&request_bytes(local, remote), 0)?;
+    let mut response_bytes = Vec::with_capacity(MAX_RESPONSE_BYTES);
+    socket.recv(&mut response_bytes, 0)?;
+    parse_response(&response_bytes, local, remote)
 }
 
 /// The bytes of the question about one connection.
-fn question(local: SocketAddr, remote: SocketAddr) -> Vec<u8> {
+fn request_bytes(local: SocketAddr, remote: SocketAddr) -> Vec<u8> {
     let socket_id = SocketId {
         source_port: local.port(),
         destination_port: remote.port(),
@@ -82,9 +82,11 @@
 }
 
 /// What the kernel's answer says of this connection.
-fn connection_in(answer: &[u8], local: SocketAddr, remote: SocketAddr) -> io::Result<Option<Connection>> {
+fn parse_response(
+    response_bytes: &[u8], local: SocketAddr, remote: SocketAddr,
+) -> io::Result<Option<Connection>> {
     let message: NetlinkMessage<SockDiagMessage> =
-        NetlinkMessage::deserialize(answer).map_err(io::Error::other)?;
+        NetlinkMessage::deserialize(response_bytes).map_err(io::Error::other)?;
     match message.payload {
         NetlinkPayload::InnerMessage(SockDiagMessage::InetResponse(response)) => {
             let found = &response.header.socket_id;
@@ -103,9 +105,9 @@
 impl From<&InetResponseHeader> for Connection {
     fn from(header: &InetResponseHeader) -> Connection {
         let state = match header.state {
-            TCP_ESTABLISHED => State::Established,
-            TCP_CLOSE_WAIT => State::EndedByPeer,
-            _ => State::Other,
+            TCP_ESTABLISHED => ConnectionState::Established,
+            TCP_CLOSE_WAIT => ConnectionState::CloseWait,
+            _ => ConnectionState::Other,
         };
         Connection {
             state,
--- a/examples/toy/server.rs
+++ b/examples/toy/server.rs
@@ -14,29 +14,30 @@
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 
-fn figures(text: &str) -> Vec<f64> {
+fn embedding_of(text: &str) -> Vec<f64> {
     let sum = |step: usize| text.bytes().step_by(step).map(f64::from).sum::<f64>();
     (1..=4).map(|step| (sum(step) % 97.0) / 97.0).collect()
 }
 
-fn texts(v: &Value) -> Vec<String> {
-    match v {
+fn texts(input: &Value) -> Vec<String> {
+    match input {
         Value::Array(all) => all.iter().map(Value::to_string).collect(),
-        one => vec![one.to_string()],
+        single => vec![single.to_string()],
     }
 }
 
-fn reply(path: &str, body: &Value) -> Response<Full<Bytes>> {
-    let json = |v: Value| (200, "application/json", v.to_string());
-    let (status, kind, text) = match path {
+fn response_for(path: &str, body: &Value) -> Response<Full<Bytes>> {
+    let json = |value: Value| (200, "application/json", value.to_string());
+    let (status, content_type, text) = match path {
         "/v1/embeddings" => {
-            let one = |(index, text): (usize, &String)| json!({"index": index, "embedding": figures(text)});
-            let data: Vec<Value> = texts(&body["input"]).iter().enumerate().map(one).collect();
+            let embedding =
+                |(index, text): (usize, &String)| json!({"index": index, "embedding": embedding_of(text)});
+            let data: Vec<Value> = texts(&body["input"]).iter().enumerate().map(embedding).collect();
             json(json!({"object": "list", "model": body["model"], "data": data}))
         }
         "/v1/rerank" => {
             let documents = texts(&body["documents"]);
-            let score = |(index, text): (usize, &String)| json!({"index": index, "relevance_score": figures(text)[0]});
+            let score = |(index, text): (usize, &String)| json!({"index": index, "relevance_score": embedding_of(text)[0]});
             let results: Vec<Value> = documents.iter().enumerate().map(score).collect();
             json(json!({"model": body["model"], "results": results}))
         }
@@ -54,7 +55,7 @@
         }
         _ => (404, "text/plain", "no such path\n".into()),
     };
-    let response = Response::builder().status(status).header("content-type", kind);
+    let response = Response::builder().status(status).header("content-type", content_type);
     response.body(Full::from(text)).expect("status and header are plain")
 }
 
@@ -62,7 +63,7 @@
     let path = request.uri().path().to_string();
     let body =
         request.into_body().collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
-    Ok(reply(&path, &serde_json::from_slice(&body).unwrap_or(Value::Null)))
+    Ok(response_for(&path, &serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
 #[tokio::main(flavor = "current_thread")]
--- a/fault-tests/src/unread.rs
+++ b/fault-tests/src/unread.rs
@@ -3,12 +3,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-use glenrail_socket_diagnosis::connection_at;
+use glenrail_socket_diagnosis::query_connection;
 
 /// Unread bytes at the end `local` of the connection from `remote`; `None` where that end is gone.
 ///
 /// Never waits: the kernel answers within the call that asks.
 pub fn bytes_at(local: SocketAddr, remote: SocketAddr) -> io::Result<Option<u64>> {
-    let connection = connection_at(local, remote)?;
+    let connection = query_connection(local, remote)?;
     Ok(connection.map(|connection| connection.unread_bytes))
 }
--- a/gateway/tests/common/child.rs
+++ b/gateway/tests/common/child.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use glenrail_socket_diagnosis::connection_at;
+use glenrail_socket_diagnosis::query_connection;
 use serde_json::{json, Value};
 
 use super::{signals, until, StandIn};
@@ -97,7 +97,7 @@
     /// Bytes that have come from this port and that it has not read.
     pub fn unread_from(&self, port: u16) -> usize {
         let client = SocketAddr::new(self.address.ip(), port);
-        let connection = connection_at(self.address, client).expect("the kernel answers");
+        let connection = query_connection(self.address, client).expect("the kernel answers");
         connection.expect("a connection").unread_bytes.try_into().expect("a count")
     }
 
--- a/gateway/tests/common/crossing.rs
+++ b/gateway/tests/common/crossing.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use glenrail_socket_diagnosis::{connection_at, State};
+use glenrail_socket_diagnosis::{query_connection, ConnectionState};
 use serde_json::{json, Value};
 use socket2::SockRef;
 
@@ -111,8 +111,8 @@
         };
         // The program's end of it: stands, or the other side has ended it; after a reset it is no more.
         wait("the client's going", || {
-            let state = connection_at(front, own).expect("the kernel answers").map(|end| end.state);
-            let expected = if how == Going::Resets { None } else { Some(State::EndedByPeer) };
+            let state = query_connection(front, own).expect("the kernel answers").map(|end| end.state);
+            let expected = if how == Going::Resets { None } else { Some(ConnectionState::CloseWait) };
             (state == expected).then_some(())
         });
         left
--- a/gateway/tests/common/scripted.rs
+++ b/gateway/tests/common/scripted.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use glenrail_socket_diagnosis::{connection_at, State};
+use glenrail_socket_diagnosis::{query_connection, ConnectionState};
 use socket2::SockRef;
 
 use super::checks::{is_check, note_attempt};
@@ -48,8 +48,9 @@
         if resets {
             let [own, other] = [socket.local_addr(), socket.peer_addr()].map(|at| at.expect("an address"));
             wait("its coming", || {
-                let connection = connection_at(own, other).expect("the kernel answers")?;
-                let has_come = connection.state == State::Established && connection.unacknowledged_bytes == 0;
+                let connection = query_connection(own, other).expect("the kernel answers")?;
+                let has_come =
+                    connection.state == ConnectionState::Established && connection.unacknowledged_bytes == 0;
                 has_come.then_some(())
             });
             SockRef::from(&*socket).set_linger(Some(Duration::ZERO)).expect("set");
--- a/log-report/src/main.rs
+++ b/log-report/src/main.rs
@@ -54,8 +54,8 @@
             if let Some(mut record) = RequestRecord::parse_line(line) {
                 record.id = format!("{gateway}/{}", record.id);
                 records.push(record);
-            } else if let Some(counted) = Counts::parse_line(line) {
-                counts.push((gateway.clone(), counted));
+            } else if let Some(counts_of_line) = Counts::parse_line(line) {
+                counts.push((gateway.clone(), counts_of_line));
             }
         }
     }
@@ -68,8 +68,8 @@
     let Logs { records, counts } = read_logs(&logs)?;
     let interval = Interval { from_s: from, to_s: to };
     print!("{}", LossReport::new(&records, interval).table(tell));
-    let whole = LossReport::new(&records, Interval::ALL);
-    print!("over the whole time, {} first tries:\n{}", whole.turns, counts.table(whole.turns));
-    print!("{}", whole.transfers.table(&counts.prices));
+    let full_report = LossReport::new(&records, Interval::ALL);
+    print!("over the whole time, {} first tries:\n{}", full_report.turns, counts.table(full_report.turns));
+    print!("{}", full_report.transfers.table(&counts.prices));
     Ok(())
 }
