--- a/crates/socket-diagnosis/src/lib.rs
+++ b/crates/socket-diagnosis/src/lib.rs
@@ -1,7 +1,8 @@
-//! The state of one TCP connection of this machine, asked of the kernel's socket diagnosis (`sock_diag` over netlink).
+//! Queries the kernel's socket diagnosis (`sock_diag` over netlink) for the state of one TCP connection of this
+//! machine.
 //!
-//! The question names one connection by its addresses, so that the answer takes microseconds however many sockets the
-//! machine has. A list of all of them takes up to half a second to read, and shows the connection as it is by then.
+//! A query identifies one connection by its addresses, so it takes microseconds however many sockets the machine has.
+//! Listing all sockets instead takes up to half a second, and the listed state is that at the time of the listing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,21 +14,21 @@
 use netlink_sys::protocols::NETLINK_SOCK_DIAG;
 use netlink_sys::{Socket, SocketAddr as NetlinkAddress};
 
-/// The kernel's own address on a netlink socket.
+/// Netlink address of the kernel: port id and multicast groups.
 const KERNEL_ADDRESS: (u32, u32) = (0, 0);
-/// Asks for a socket by its addresses alone.
+/// Cookie with which a request matches a socket by its addresses alone.
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
-/// Longest answer about one socket.
+/// Capacity of the buffer for the response about one socket, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 10;
 
-/// How far a connection has come, as one of its ends sees it.
+/// TCP state of one end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Both sides may send.
+    /// Both sides may send (`ESTABLISHED`).
     Established,
-    /// The other side has ended what it sends, this one has not (`CLOSE_WAIT`).
+    /// The remote side has closed its direction, this side has not (`CLOSE_WAIT`).
     CloseWait,
-    /// Any other state of TCP.
+    /// Any other TCP state.
     Other,
 }
 
@@ -35,15 +36,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connection {
     pub state: ConnectionState,
-    /// Bytes that have come and that the process has not read.
+    /// Bytes that were received but not read by the process.
     pub unread_bytes: u64,
-    /// Bytes that the process has written and that the other machine has not acknowledged.
+    /// Bytes that were written by the process but not acknowledged by the remote machine.
     pub unacknowledged_bytes: u64,
 }
 
-/// The end `local` of the connection with `remote`; `None` where that end is gone.
+/// Returns the end `local` of the connection with `remote`; `None` if that end does not exist.
 ///
-/// Never waits: the kernel answers within the call that asks.
+/// Does not block: the kernel responds within the system call that sends the request.
 pub fn query_connection(local: SocketAddr, remote: SocketAddr) -> io::Result<Option<Connection>> {
     let mut socket = Socket::new(NETLINK_SOCK_DIAG)?;
     socket.bind_auto()?;
@@ -55,7 +56,7 @@
     parse_response(&response_bytes, local, remote)
 }
 
-/// The bytes of the question about one connection.
+/// Serializes the request for one connection.
 fn request_bytes(local: SocketAddr, remote: SocketAddr) -> Vec<u8> {
     let socket_id = SocketId {
         source_port: local.port(),
@@ -81,7 +82,7 @@
     bytes
 }
 
-/// What the kernel's answer says of this connection.
+/// Parses the kernel's response; `None` if the connection does not exist.
 fn parse_response(
     response_bytes: &[u8], local: SocketAddr, remote: SocketAddr,
 ) -> io::Result<Option<Connection>> {
@@ -90,7 +91,7 @@
     match message.payload {
         NetlinkPayload::InnerMessage(SockDiagMessage::InetResponse(response)) => {
             let found = &response.header.socket_id;
-            // Once the connection's end is gone, the kernel finds the listener at the same address.
+            // If the connection's end does not exist, the kernel returns the listener at the same address.
             let is_connection = found.source_port == local.port() && found.destination_port == remote.port();
             Ok(is_connection.then(|| Connection::from(&response.header)))
         }
--- a/crates/socket-diagnosis/tests/connections.rs
+++ b/crates/socket-diagnosis/tests/connections.rs
@@ -1,4 +1,4 @@
-//! One connection on loopback, from its first bytes to its end.
+//! Queries of one loopback connection, from its first bytes to its end.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -6,10 +6,10 @@
 
 use glenrail_socket_diagnosis::{query_connection, Connection, ConnectionState};
 
-/// Far above what loopback takes; only a hang reaches it.
+/// Far longer than loopback takes: only a hang reaches it.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Guards tests that wait for a connection's bytes, its half-close and its end.
+/// Guards other packages' tests, which use these queries to wait for a connection's bytes, half-close and end.
 #[test]
 fn a_connection_is_reported_from_its_first_bytes_to_its_end() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -19,7 +19,7 @@
     let (server, _) = listener.accept().expect("a connection");
     let wait_until = |expected: Option<Connection>| {
         let started_at = Instant::now();
-        while query_connection(local, remote).expect("the kernel answers") != expected {
+        while query_connection(local, remote).expect("the kernel responds") != expected {
             assert!(started_at.elapsed() < TIMEOUT, "not {expected:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
--- a/examples/toy/server.rs
+++ b/examples/toy/server.rs
@@ -1,6 +1,7 @@
 //! A toy model server for trying the gateway: `cargo run -p glenrail --example toy_server -- 127.0.0.1:9001`.
 //!
-//! It answers embeddings, rerank and chat with figures made from the text's bytes. No model is behind it.
+//! It responds to embeddings, rerank and chat requests. Its embeddings and scores are computed from the bytes of the
+//! text, without a model.
 
 use std::convert::Infallible;
 
@@ -14,11 +15,13 @@
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 
-fn embedding_of(text: &str) -> Vec<f64> {
+/// Returns four numbers computed from the bytes of the text.
+fn embed(text: &str) -> Vec<f64> {
     let sum = |step: usize| text.bytes().step_by(step).map(f64::from).sum::<f64>();
     (1..=4).map(|step| (sum(step) % 97.0) / 97.0).collect()
 }
 
+/// Returns the texts of an array, or a single text, each as JSON.
 fn texts(input: &Value) -> Vec<String> {
     match input {
         Value::Array(all) => all.iter().map(Value::to_string).collect(),
@@ -31,13 +34,14 @@
     let (status, content_type, text) = match path {
         "/v1/embeddings" => {
             let embedding =
-                |(index, text): (usize, &String)| json!({"index": index, "embedding": embedding_of(text)});
+                |(index, text): (usize, &String)| json!({"index": index, "embedding": embed(text)});
             let data: Vec<Value> = texts(&body["input"]).iter().enumerate().map(embedding).collect();
             json(json!({"object": "list", "model": body["model"], "data": data}))
         }
         "/v1/rerank" => {
             let documents = texts(&body["documents"]);
-            let score = |(index, text): (usize, &String)| json!({"index": index, "relevance_score": embedding_of(text)[0]});
+            let score =
+                |(index, text): (usize, &String)| json!({"index": index, "relevance_score": embed(text)[0]});
             let results: Vec<Value> = documents.iter().enumerate().map(score).collect();
             json(json!({"model": body["model"], "results": results}))
         }
@@ -56,7 +60,7 @@
         _ => (404, "text/plain", "no such path\n".into()),
     };
     let response = Response::builder().status(status).header("content-type", content_type);
-    response.body(Full::from(text)).expect("status and header are plain")
+    response.body(Full::from(text)).expect("status and header are valid")
 }
 
 async fn answer(request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
--- a/log-report/src/main.rs
+++ b/log-report/src/main.rs
@@ -1,4 +1,5 @@
-//! `glenrail-log-report account LOGS`: what of the weight that clients asked for was lost, and by what cause.
+//! `glenrail-log-report account LOGS`: reports how much of the weight that clients requested was lost, and to which
+//! causes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -18,31 +19,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// An account of the worth lost, by cause, and of what was asked of servers and of discovery and its price, from the
-    /// logs of all gateways in a folder.
+    /// Report the weight lost by cause, and the number and price of calls to servers and to discovery, from the logs of
+    /// all gateways in a directory.
     Account {
+        /// Directory with one log file per gateway.
         logs: PathBuf,
-        /// Also tell this many of the costliest turns of each cause, request by request.
+        /// Also print the requests of this many turns with the greatest weight for each cause.
         #[arg(long, default_value_t = 0)]
         tell: usize,
-        /// Only turns that began so many seconds after the first request, or later.
+        /// Count only turns that started at least this many seconds after the first request.
         #[arg(long, default_value_t = 0.0)]
         from: f64,
-        /// Only turns that began before so many seconds after the first request.
+        /// Count only turns that started less than this many seconds after the first request.
         #[arg(long, default_value_t = f64::MAX)]
         to: f64,
     },
 }
 
-/// What the logs of all gateways hold.
+/// Contents of the logs of all gateways.
 struct Logs {
-    /// In order of arrival.
+    /// Records of all requests, sorted by arrival.
     records: Vec<RequestRecord>,
-    /// The sum over all gateways.
+    /// Sum over all gateways.
     counts: Counts,
 }
 
-/// Reads every file of a folder; a file's name without its ending is its gateway's.
+/// Reads every file of a directory. The name of a file without its extension is the name of its gateway.
 fn read_logs(folder: &Path) -> Result<Logs> {
     let mut records = Vec::new();
     let mut counts = Vec::new();
