--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -55,7 +55,7 @@
     },
     /// The cells of this member would exceed their maximum weight.
     #[error(
-        "cannot write a cell of kind {kind}: this member's cells would take {bytes} bytes of at most {max_bytes}"
+        "cannot write a cell of kind {kind}: {bytes} bytes of cells would exceed this member's maximum of {max_bytes}"
     )]
     Bytes {
         /// Kind of the cell.
--- a/crates/fleet/src/table/tests.rs
+++ b/crates/fleet/src/table/tests.rs
@@ -83,7 +83,13 @@
 
     #[test]
     fn merging_never_exceeds_the_bounds(cells_to_merge in cells(), big in 0usize..300) {
-        let bounds = Bounds { max_entries_per_origin: 3, max_bytes_per_origin: 400, max_origins: 2, max_total_bytes: 500, ..BOUNDS() };
+        let bounds = Bounds {
+            max_entries_per_origin: 3,
+            max_bytes_per_origin: 400,
+            max_origins: 2,
+            max_total_bytes: 500,
+            ..BOUNDS()
+        };
         let mut table = Table::new(MemberId(9), bounds);
         for mut cell in cells_to_merge {
             cell.value = cell.value.map(|value| value.repeat(big));
--- a/crates/socket-diagnosis/src/lib.rs
+++ b/crates/socket-diagnosis/src/lib.rs
@@ -2,7 +2,8 @@
 //! machine.
 //!
 //! A query identifies one connection by its addresses, so it takes microseconds however many sockets the machine has.
-//! Listing all sockets instead takes up to half a second, and the listed state is that at the time of the listing.
+//! Listing all sockets takes up to half a second, so a list would report a later state than that at the time of the
+//! query.
 
 use std::io;
 use std::net::SocketAddr;
