--- a/crates/access-log/src/counts.rs
+++ b/crates/access-log/src/counts.rs
@@ -1,5 +1,6 @@
-//! What a gateway has asked of servers and of discovery since it started, as it writes it to its log now and then, and
-//! the sum over many gateways. What one gateway does is little; what all of them do is priced by the settings.
+//! Counts of a gateway's calls to servers and to discovery since its start, which it logs periodically, and their sum
+//! over many gateways. The settings price the sum: the calls of a single gateway cost little, those of all gateways may
+//! not.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,60 +9,68 @@
 
 use crate::line::value_after;
 
-/// What stands in front of a gateway's counts in a log line.
+/// Prefix of a gateway's counts in a log line.
 pub const LOG_PREFIX: &str = "counts ";
 
-/// What the settings take off the deployment's result, in shares of the weight asked for.
+/// Prices of calls and of wasted work in the settings. Each price, multiplied by its quantity, is deducted from the
+/// deployment's result, as a fraction of the requested weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Prices {
-    /// Times probes a first attempt of a turn.
+    /// Multiplied by the number of probes per turn.
     pub probe: f64,
-    /// Times new connections a first attempt of a turn.
+    /// Multiplied by the number of new connections per turn.
     pub handshake: f64,
-    /// Times lines of endpoint lists a hundred first attempts.
+    /// Multiplied by the number of lines of endpoint lists per turn, in hundreds.
     pub discovery: f64,
-    /// Times the part of all prompt tokens whose state left its cell.
-    #[serde(default)]
-    pub moved: f64,
-    /// Times work that brought no answer, as a part of what was asked for.
+    /// Multiplied by the fraction of all prompt tokens whose KV state was transferred to another cell.
+    #[serde(rename = "moved", default)]
+    pub cell_transfer: f64,
+    /// Multiplied by the work that contributed to no response, as a fraction of the requested work.
     #[serde(default)]
     pub waste: f64,
 }
 
-/// What one process of a gateway has asked for since its start.
+/// Calls of one gateway process since its start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Unix time of the start (ms): it tells one process from the next.
-    pub since: f64,
-    /// Probes of servers.
+    /// Unix time of the start in milliseconds, which identifies the process among those of its gateway.
+    #[serde(rename = "since")]
+    pub started_unix_ms: f64,
+    /// Number of probes sent to servers.
     pub probes: u64,
-    /// New connections to servers by what each was opened for.
-    pub opened: Opened,
-    /// Connections that did not come up: nobody there, no capacity, or too late.
-    pub not_opened: u64,
-    /// Requests of any kind on a connection that stood idle.
-    pub reused: u64,
-    /// Calls of discovery that were answered.
-    pub lists: u64,
-    /// Lines that came with these answers.
-    pub list_lines: u64,
-    /// Calls of discovery that failed.
-    pub lists_failed: u64,
-    /// The prices of the deployment's settings.
+    /// New connections to servers, by purpose.
+    #[serde(rename = "opened")]
+    pub connections_opened: ConnectionsOpened,
+    /// Number of connections that could not be opened: refused, no free connection slot, or timed out.
+    #[serde(rename = "not_opened")]
+    pub connections_failed: u64,
+    /// Number of requests of any kind that used an idle connection.
+    #[serde(rename = "reused")]
+    pub connections_reused: u64,
+    /// Number of polls of discovery that succeeded.
+    #[serde(rename = "lists")]
+    pub discovery_responses: u64,
+    /// Number of endpoint lines in the responses to these polls.
+    #[serde(rename = "list_lines")]
+    pub discovery_lines: u64,
+    /// Number of polls of discovery that failed.
+    #[serde(rename = "lists_failed")]
+    pub discovery_failures: u64,
+    /// Prices in the deployment's settings.
     pub prices: Prices,
 }
 
-/// New connections by what each was opened for.
+/// Numbers of new connections, by the request that each was opened for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Opened {
-    /// An attempt.
+pub struct ConnectionsOpened {
+    /// Opened for an attempt.
     pub attempt: u64,
-    /// A probe.
+    /// Opened for a probe, or as a sentinel.
     pub probe: u64,
-    /// A slot reservation.
+    /// Opened for a slot reservation.
     #[serde(rename = "hold")]
     pub slot_reservation: u64,
-    /// A release.
+    /// Opened for a release.
     pub release: u64,
 }
 
@@ -69,22 +78,22 @@
 struct Row {
     name: &'static str,
     count: u64,
-    /// Its share of the result that the settings take off.
+    /// Fraction deducted from the deployment's result; `None` if the count has no price.
     price: Option<f64>,
 }
 
-/// A damaged line may say any number: the sum stays at the largest.
+/// Sums counts without overflow, as a damaged line may contain any number.
 fn saturating_sum<const N: usize>(counts: [u64; N]) -> u64 {
     counts.into_iter().fold(0, u64::saturating_add)
 }
 
-impl Opened {
-    /// New connections of any purpose.
+impl ConnectionsOpened {
+    /// Number of new connections for any purpose.
     pub fn total(&self) -> u64 {
         saturating_sum([self.attempt, self.probe, self.slot_reservation, self.release])
     }
 
-    fn add(&mut self, other: &Opened) {
+    fn add(&mut self, other: &ConnectionsOpened) {
         self.attempt = self.attempt.saturating_add(other.attempt);
         self.probe = self.probe.saturating_add(other.probe);
         self.slot_reservation = self.slot_reservation.saturating_add(other.slot_reservation);
@@ -93,17 +102,17 @@
 }
 
 impl Counts {
-    /// The counts in a log line, if there are any.
+    /// Parses the counts in a log line; `None` if the line contains none.
     pub fn parse_line(line: &str) -> Option<Counts> {
         value_after(LOG_PREFIX, line)
     }
 
-    /// The sum of what many gateways wrote, each line with its gateway's name, in any order. Counts only grow, so of each
-    /// process the greatest are the last.
+    /// Sums the counts of many gateways. `lines` are counts with the name of their gateway, in any order. Counts never
+    /// decrease, so the greatest ones of each process are its last and the only ones that are summed.
     pub fn sum(lines: impl IntoIterator<Item = (String, Counts)>) -> Counts {
         let mut last_of_process: BTreeMap<(String, u64), Counts> = BTreeMap::new();
         for (gateway, counts) in lines {
-            let last = last_of_process.entry((gateway, counts.since as u64)).or_default();
+            let last = last_of_process.entry((gateway, counts.started_unix_ms as u64)).or_default();
             if counts.total() >= last.total() {
                 *last = counts;
             }
@@ -115,31 +124,38 @@
 
     fn add(&mut self, other: &Counts) {
         self.probes = self.probes.saturating_add(other.probes);
-        self.opened.add(&other.opened);
-        self.not_opened = self.not_opened.saturating_add(other.not_opened);
-        self.reused = self.reused.saturating_add(other.reused);
-        self.lists = self.lists.saturating_add(other.lists);
-        self.list_lines = self.list_lines.saturating_add(other.list_lines);
-        self.lists_failed = self.lists_failed.saturating_add(other.lists_failed);
+        self.connections_opened.add(&other.connections_opened);
+        self.connections_failed = self.connections_failed.saturating_add(other.connections_failed);
+        self.connections_reused = self.connections_reused.saturating_add(other.connections_reused);
+        self.discovery_responses = self.discovery_responses.saturating_add(other.discovery_responses);
+        self.discovery_lines = self.discovery_lines.saturating_add(other.discovery_lines);
+        self.discovery_failures = self.discovery_failures.saturating_add(other.discovery_failures);
         self.prices = other.prices;
     }
 
     fn total(&self) -> u64 {
-        let opened = self.opened.total();
-        saturating_sum([self.probes, opened, self.not_opened, self.reused, self.lists, self.lists_failed])
+        let connections_opened = self.connections_opened.total();
+        saturating_sum([
+            self.probes,
+            connections_opened,
+            self.connections_failed,
+            self.connections_reused,
+            self.discovery_responses,
+            self.discovery_failures,
+        ])
     }
 
-    /// What these counts take off the deployment's result, for this many turns of clients.
+    /// Fraction that these counts deduct from the deployment's result, for this number of clients' turns.
     pub fn price(&self, turns: usize) -> f64 {
         let turns = turns.max(1) as f64;
-        let hundreds_of_lines = self.list_lines as f64 / 100.0;
+        let hundreds_of_lines = self.discovery_lines as f64 / 100.0;
         (self.prices.probe * self.probes as f64
-            + self.prices.handshake * self.opened.total() as f64
+            + self.prices.handshake * self.connections_opened.total() as f64
             + self.prices.discovery * hundreds_of_lines)
             / turns
     }
 
-    /// The counts as text, beside this many turns of clients.
+    /// The counts as text, in total and per turn, for this number of clients' turns.
     pub fn table(&self, turns: usize) -> String {
         let per_turn = |count: u64| count as f64 / turns.max(1) as f64;
         let line = |Row { name, count, price }: Row| {
@@ -150,25 +166,29 @@
     }
 
     fn rows(&self, per_turn: impl Fn(u64) -> f64) -> [Row; 11] {
-        let Counts { opened, prices, .. } = self;
+        let Counts { connections_opened, prices, .. } = self;
         let counted = |name, count| Row { name, count, price: None };
         let priced = |name, count, price| Row { name, count, price: Some(price) };
         [
             priced("probes", self.probes, prices.probe * per_turn(self.probes)),
-            priced("connections opened", opened.total(), prices.handshake * per_turn(opened.total())),
-            counted("    for an attempt", opened.attempt),
-            counted("    for a probe", opened.probe),
-            counted("    for a place held", opened.slot_reservation),
-            counted("    to let go of a state", opened.release),
-            counted("connections not come up", self.not_opened),
-            counted("connections used again", self.reused),
-            counted("calls of discovery answered", self.lists),
+            priced(
+                "connections opened",
+                connections_opened.total(),
+                prices.handshake * per_turn(connections_opened.total()),
+            ),
+            counted("    for an attempt", connections_opened.attempt),
+            counted("    for a probe", connections_opened.probe),
+            counted("    for a place held", connections_opened.slot_reservation),
+            counted("    to let go of a state", connections_opened.release),
+            counted("connections not come up", self.connections_failed),
+            counted("connections used again", self.connections_reused),
+            counted("calls of discovery answered", self.discovery_responses),
             priced(
                 "    lines that came",
-                self.list_lines,
-                prices.discovery * per_turn(self.list_lines) / 100.0,
+                self.discovery_lines,
+                prices.discovery * per_turn(self.discovery_lines) / 100.0,
             ),
-            counted("calls of discovery that failed", self.lists_failed),
+            counted("calls of discovery that failed", self.discovery_failures),
         ]
     }
 }
--- a/crates/access-log/src/counts/tests.rs
+++ b/crates/access-log/src/counts/tests.rs
@@ -1,26 +1,27 @@
-//! The counts of many gateways, summed and priced.
+//! Summation and pricing of the counts of many gateways.
 
-use super::{Counts, Opened, Prices, LOG_PREFIX};
+use super::{ConnectionsOpened, Counts, Prices, LOG_PREFIX};
 
-fn counts(since: f64, probes: u64) -> Counts {
+fn counts(started_unix_ms: f64, probes: u64) -> Counts {
     let prices = Prices { probe: 0.003, handshake: 0.01, discovery: 0.5, ..Prices::default() };
-    let opened = Opened { attempt: 10, probe: 5, ..Opened::default() };
-    Counts { since, probes, opened, list_lines: 40, prices, ..Counts::default() }
+    let connections_opened = ConnectionsOpened { attempt: 10, probe: 5, ..ConnectionsOpened::default() };
+    Counts { started_unix_ms, probes, connections_opened, discovery_lines: 40, prices, ..Counts::default() }
 }
 
 #[test]
-fn a_line_is_read_back_whatever_stands_around_it() {
-    let one = counts(7.0, 3);
+fn counts_are_parsed_with_other_text_around_them() {
+    let written = counts(7.0, 3);
     assert_eq!(
-        Counts::parse_line(&format!("24.1 glenrail: {LOG_PREFIX}{one} (2 like it left out)")),
-        Some(one)
+        Counts::parse_line(&format!("24.1 glenrail: {LOG_PREFIX}{written} (2 like it left out)")),
+        Some(written)
     );
     assert_eq!(Counts::parse_line("24.1 glenrail: counts of nothing"), None);
 }
 
-/// Guards against counting a gateway's earlier lines beside its last, and against losing what a killed one had done.
+/// Guards against counting a process's earlier lines in addition to its last one, and against omitting the counts of a
+/// process that was killed.
 #[test]
-fn of_each_start_the_last_line_counts() {
+fn only_the_last_line_of_each_process_is_summed() {
     let named = |name: &str, c| (name.to_string(), c);
     let lines = [
         named("n1", counts(1.0, 30)),
@@ -29,22 +30,23 @@
         named("n2", counts(1.0, 5)),
     ];
     let sum = Counts::sum(lines);
-    assert_eq!((sum.probes, sum.opened.total(), sum.list_lines), (42, 45, 120));
+    assert_eq!((sum.probes, sum.connections_opened.total(), sum.discovery_lines), (42, 45, 120));
 }
 
 #[test]
-fn the_price_is_that_of_the_settings_terms() {
+fn the_price_follows_the_prices_of_the_settings() {
     let price = counts(1.0, 200).price(100);
     assert!((price - (0.003 * 2.0 + 0.01 * 0.15 + 0.5 * 0.4 / 100.0)).abs() < 1e-12, "{price}");
     assert!(counts(1.0, 200).table(100).contains("0.60% priced"));
 }
 
-/// Guards the report against a damaged line, which may say any number.
+/// Guards against an overflow caused by a damaged line, which may contain any number.
 #[test]
-fn counts_near_the_largest_number_are_summed() {
-    let opened = Opened { attempt: u64::MAX - 1, probe: 7, ..Opened::default() };
-    let damaged = Counts { opened, probes: u64::MAX, ..counts(1.0, 0) };
+fn sums_saturate_at_the_largest_number() {
+    let connections_opened =
+        ConnectionsOpened { attempt: u64::MAX - 1, probe: 7, ..ConnectionsOpened::default() };
+    let damaged = Counts { connections_opened, probes: u64::MAX, ..counts(1.0, 0) };
     let sum = Counts::sum([("n1".to_string(), damaged), ("n2".to_string(), counts(1.0, 5))]);
-    assert_eq!((sum.probes, sum.opened.total(), sum.list_lines), (u64::MAX, u64::MAX, 80));
+    assert_eq!((sum.probes, sum.connections_opened.total(), sum.discovery_lines), (u64::MAX, u64::MAX, 80));
     assert!(sum.table(10).contains("probes"));
 }
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -1,8 +1,10 @@
-//! The anti-entropy exchange of two members over a stream. The opener sends its digests; the acceptor sends the cells
-//! that the opener lacks, then its own digests; the opener sends the cells that the acceptor lacks.
+//! The anti-entropy exchange of two members over a stream.
 //!
-//! A frame is its length (four bytes, little-endian, at most [`MAX_FRAME_BYTES`]) and a sealed body. The driver owns
-//! the stream and its time limit; an [`Exchange`] owns the bytes that do not make a frame yet.
+//! The opener sends its digests. The acceptor responds with the cells that the opener lacks, followed by its own
+//! digests. The opener finishes with the cells that the acceptor lacks.
+//!
+//! A frame consists of its length (four bytes, little-endian, at most [`MAX_FRAME_BYTES`]) and a sealed body. The
+//! driver owns the stream and its time limit; an [`Exchange`] buffers the bytes of an incomplete frame.
 
 use super::{Effect, Fleet};
 use crate::rejection::Rejection;
@@ -11,44 +13,44 @@
 use crate::wire::{paginate, Body, MAX_FRAME_BYTES};
 use crate::{Incarnation, MemberId};
 
-/// Why an exchange was aborted. Cells that came before stay merged; the next exchange brings the others.
+/// Why an exchange was aborted. Cells received before the error stay merged; the next exchange delivers the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// The other side is not an active member.
-    #[error("member {with:?} is not active here")]
+    /// The member to open an exchange with is not active, or this member has left.
+    #[error("cannot open an exchange with {peer:?}: not an active member here")]
     NotAMember {
-        /// The other side.
-        with: MemberId,
+        /// The requested member.
+        peer: MemberId,
     },
-    /// A frame is too long.
-    #[error("a frame of {bytes} bytes is over the bound of {most}")]
+    /// The length of a frame exceeds its maximum.
+    #[error("frame of {bytes} bytes exceeds the maximum of {max_bytes}")]
     TooLong {
-        /// Bytes found.
+        /// Length that the frame announces.
         bytes: usize,
-        /// The bound.
-        most: usize,
+        /// Maximum length, [`MAX_FRAME_BYTES`].
+        max_bytes: usize,
     },
-    /// The other side sent more than a whole table in one exchange.
-    #[error("{bytes} bytes in one exchange are over the bound of {most}")]
+    /// The peer sent more bytes in one exchange than a full table can need.
+    #[error("{bytes} bytes received in one exchange exceed the maximum of {max_bytes}")]
     TooManyBytes {
         /// Bytes received so far.
         bytes: usize,
-        /// The bound.
-        most: usize,
+        /// Maximum for one exchange.
+        max_bytes: usize,
     },
     /// A frame was rejected.
-    #[error("a frame was refused: {0}")]
+    #[error("frame rejected: {0}")]
     Rejection(#[from] Rejection),
-    /// A frame that does not belong at this stage of the exchange, or that another member sealed.
-    #[error("the other side, {with:?}, sent a frame out of turn")]
+    /// A frame that is not expected at this stage of the exchange, or that another member sealed.
+    #[error("member {peer:?} sent a frame that is not expected at this stage of the exchange")]
     OutOfTurn {
-        /// The other side.
-        with: MemberId,
+        /// The member that sealed the frame.
+        peer: MemberId,
     },
 }
 
 impl ExchangeError {
-    /// What an operator can do about it.
+    /// Advice to the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             ExchangeError::NotAMember { .. } => {
@@ -65,35 +67,35 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The acceptor waits for the opener's digests.
+    /// The acceptor waits for [`Body::ExchangeOpen`].
     AwaitOpen,
-    /// Cells, then [`Body::ExchangeDone`] of the other side, which the opener answers with cells.
+    /// Waits for cells and [`Body::ExchangeDone`] of the peer. The opener responds to the latter with cells.
     AwaitDone { opener: bool },
     /// Finished or aborted.
     Finished,
 }
 
-/// This member's side of one exchange.
+/// This member's side of one exchange. `peer` is `None` at the acceptor until the first frame is authenticated.
 pub struct Exchange {
-    with: Option<(MemberId, Incarnation)>,
+    peer: Option<(MemberId, Incarnation)>,
     stage: Stage,
     buffer: Vec<u8>,
     received_bytes: usize,
 }
 
-/// What the driver does with the stream next.
+/// Instructions to the driver for the stream of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Step {
-    /// Bytes to write.
+pub struct ExchangeStep {
+    /// Bytes to write; may be empty.
     pub write: Vec<u8>,
     /// Whether to close the stream after writing.
     pub is_finished: bool,
 }
 
 impl Exchange {
-    /// The side of a member that accepted a stream.
+    /// Creates the exchange of the member that accepted a stream.
     pub fn accept() -> Exchange {
-        Exchange { with: None, stage: Stage::AwaitOpen, buffer: Vec::new(), received_bytes: 0 }
+        Exchange { peer: None, stage: Stage::AwaitOpen, buffer: Vec::new(), received_bytes: 0 }
     }
 
     /// Removes the first frame from the buffer, if it is complete.
@@ -101,7 +103,7 @@
         let Some((length, rest)) = self.buffer.split_first_chunk::<4>() else { return Ok(None) };
         let bytes = u32::from_le_bytes(*length) as usize;
         if bytes > MAX_FRAME_BYTES {
-            return Err(ExchangeError::TooLong { bytes, most: MAX_FRAME_BYTES });
+            return Err(ExchangeError::TooLong { bytes, max_bytes: MAX_FRAME_BYTES });
         }
         if rest.len() < bytes {
             return Ok(None);
@@ -113,28 +115,29 @@
 }
 
 impl Fleet {
-    /// The side of a member that opened a stream after [`Effect::OpenExchange`], and the first bytes to write.
-    pub fn open_exchange(&mut self, with: MemberId) -> Result<(Exchange, Vec<u8>), ExchangeError> {
-        let active = self.membership.get(with).filter(|(_, state)| state.is_active() && !self.has_left);
-        let member = *active.ok_or(ExchangeError::NotAMember { with })?.0;
+    /// Creates the exchange of the member that opened a stream after [`Effect::OpenExchange`]. Also returns the first
+    /// bytes to write.
+    pub fn open_exchange(&mut self, peer: MemberId) -> Result<(Exchange, Vec<u8>), ExchangeError> {
+        let active = self.membership.get(peer).filter(|(_, state)| state.is_active() && !self.has_left);
+        let member = *active.ok_or(ExchangeError::NotAMember { peer })?.0;
         let to = (member.id, member.incarnation);
         let mut write = Vec::new();
         let digests = self.all_digests();
         self.write_frame(to, &Body::ExchangeOpen(digests), &mut write);
         let stage = Stage::AwaitDone { opener: true };
-        Ok((Exchange { with: Some(to), stage, buffer: Vec::new(), received_bytes: 0 }, write))
+        Ok((Exchange { peer: Some(to), stage, buffer: Vec::new(), received_bytes: 0 }, write))
     }
 
-    /// Handles bytes that were read from the stream. After an error the stream must be closed.
-    pub fn exchange(
+    /// Handles bytes that were read from the stream. The driver must close the stream after an error.
+    pub fn handle_exchange_bytes(
         &mut self, now: u64, exchange: &mut Exchange, bytes: &[u8], effects: &mut Vec<Effect>,
-    ) -> Result<Step, ExchangeError> {
-        let most = self.settings.bytes_total * 2 + MAX_FRAME_BYTES;
+    ) -> Result<ExchangeStep, ExchangeError> {
+        let max_bytes = self.settings.bytes_total * 2 + MAX_FRAME_BYTES;
         self.counters.bytes_in += bytes.len() as u64;
         exchange.received_bytes = exchange.received_bytes.saturating_add(bytes.len());
-        if exchange.received_bytes > most {
+        if exchange.received_bytes > max_bytes {
             exchange.stage = Stage::Finished;
-            return Err(ExchangeError::TooManyBytes { bytes: exchange.received_bytes, most });
+            return Err(ExchangeError::TooManyBytes { bytes: exchange.received_bytes, max_bytes });
         }
         exchange.buffer.extend_from_slice(bytes);
         let mut write = Vec::new();
@@ -152,7 +155,7 @@
                 return Err(error);
             }
         }
-        Ok(Step { write, is_finished: exchange.stage == Stage::Finished })
+        Ok(ExchangeStep { write, is_finished: exchange.stage == Stage::Finished })
     }
 
     fn handle_frame(
@@ -164,23 +167,23 @@
         }
         let (sender, body) = self.sealer.open(Channel::Frame, now, frame)?;
         let from = (sender.id, sender.incarnation);
-        let out_of_turn = ExchangeError::OutOfTurn { with: sender.id };
-        if !sender.addressed || exchange.with.is_some_and(|with| with != from) {
+        let out_of_turn = ExchangeError::OutOfTurn { peer: sender.id };
+        if !sender.addressed || exchange.peer.is_some_and(|peer| peer != from) {
             return Err(out_of_turn);
         }
-        exchange.with = Some(from);
+        exchange.peer = Some(from);
         self.counters.by_second_key += u64::from(sender.by_second_key);
-        let body = Body::read(body).ok_or(Rejection::Malformed { from: sender.id })?;
+        let body = Body::parse(body).ok_or(Rejection::Malformed { from: sender.id })?;
         match (exchange.stage, body) {
-            (Stage::AwaitOpen, Body::ExchangeOpen(theirs)) => {
-                self.write_missing_cells(now, from, &theirs, write);
+            (Stage::AwaitOpen, Body::ExchangeOpen(remote_digests)) => {
+                self.write_missing_cells(now, from, &remote_digests, write);
                 let digests = self.all_digests();
                 self.write_frame(from, &Body::ExchangeDone(digests), write);
                 exchange.stage = Stage::AwaitDone { opener: false };
             }
             (Stage::AwaitDone { .. }, Body::Cells(cells)) => self.merge_cells(now, &cells, effects),
-            (Stage::AwaitDone { opener: true }, Body::ExchangeDone(theirs)) => {
-                self.write_missing_cells(now, from, &theirs, write);
+            (Stage::AwaitDone { opener: true }, Body::ExchangeDone(remote_digests)) => {
+                self.write_missing_cells(now, from, &remote_digests, write);
                 self.write_frame(from, &Body::ExchangeDone(Vec::new()), write);
                 exchange.stage = Stage::Finished;
             }
@@ -194,16 +197,17 @@
         self.table.digests(MemberId(0), MemberId(u64::MAX))
     }
 
-    /// Appends frames with the cells that a member with the digests `theirs` lacks.
+    /// Appends frames with the cells that the peer lacks according to its digests.
     fn write_missing_cells(
-        &mut self, now: u64, to: (MemberId, Incarnation), theirs: &[Digest], write: &mut Vec<u8>,
+        &mut self, now: u64, to: (MemberId, Incarnation), remote_digests: &[Digest], write: &mut Vec<u8>,
     ) {
-        let mut missing_at_peer = self.missing_at_peer(theirs);
-        let unknown = |digest: &&Digest| theirs.iter().all(|known| known.origin != digest.origin);
+        let mut missing_at_peer = self.missing_at_peer(remote_digests);
+        let unknown = |digest: &&Digest| remote_digests.iter().all(|known| known.origin != digest.origin);
         missing_at_peer.extend(self.all_digests().iter().filter(unknown).map(|digest| (digest.origin, 0)));
-        let above = |(origin, above): &(MemberId, u64)| self.table.above(now, *origin, *above);
-        let cells: Vec<Cell> = missing_at_peer.iter().flat_map(above).collect();
-        // The bounds of the settings make every cell fit into a frame.
+        let missing_cells =
+            |(origin, version): &(MemberId, u64)| self.table.cells_above(now, *origin, *version);
+        let cells: Vec<Cell> = missing_at_peer.iter().flat_map(missing_cells).collect();
+        // Every cell fits into a frame: the upper bounds of `key_bytes` and `value_bytes` ensure it.
         let (pages, _) = paginate(cells, MAX_FRAME_BYTES - SEAL_OVERHEAD_BYTES);
         for page in pages {
             self.write_frame(to, &Body::Cells(page), write);
@@ -212,7 +216,7 @@
 
     /// Appends one sealed frame.
     pub(super) fn write_frame(&mut self, to: (MemberId, Incarnation), body: &Body, write: &mut Vec<u8>) {
-        let sealed = self.sealer.seal(Channel::Frame, Some(to), &body.bytes());
+        let sealed = self.sealer.seal(Channel::Frame, Some(to), &body.to_bytes());
         self.counters.bytes_out += sealed.len() as u64 + 4;
         write.extend((sealed.len() as u32).to_le_bytes());
         write.extend(sealed);
--- a/crates/fleet/src/rejection/tests.rs
+++ b/crates/fleet/src/rejection/tests.rs
@@ -5,8 +5,8 @@
     let (from, incarnation) = (MemberId(1), Incarnation(1));
     let rejections = [
         Rejection::TooShort { bytes: 1 },
-        Rejection::TooLong { bytes: 1, most: 0 },
-        Rejection::UnknownVersion { found: 2, ours: 1 },
+        Rejection::TooLong { bytes: 1, max_bytes: 0 },
+        Rejection::UnknownVersion { version: 2, supported: 1 },
         Rejection::Forged,
         Rejection::Replayed { from, counter: 1 },
         Rejection::Stale { from, counter: 1 },
@@ -18,12 +18,12 @@
         Rejection::Left,
     ];
     for (index, rejection) in rejections.iter().enumerate() {
-        assert_eq!(rejection.reason(), index);
+        assert_eq!(rejection.reason_index(), index);
         assert!(rejection.advice().len() > 20);
     }
 }
 
-/// Operators read these texts, and tools may match them.
+/// Operators' tools may match these texts.
 #[test]
 fn texts_that_name_an_incarnation_keep_the_spelling_of_earlier_builds() {
     let (from, incarnation) = (MemberId(1), Incarnation(7));
--- a/crates/fleet/src/table/digest.rs
+++ b/crates/fleet/src/table/digest.rs
@@ -1,5 +1,5 @@
-//! Digests of the table for anti-entropy: what a member holds of an origin, and which of two members lacks cells. Plain
-//! data; needs no clock.
+//! Digests of the table for anti-entropy: summaries of the cells of an origin, whose comparison shows which of two
+//! members lacks cells. Plain data.
 
 use std::cmp::Ordering;
 
@@ -8,26 +8,26 @@
 use super::origin::Origin;
 use crate::{Incarnation, MemberId};
 
-/// What a member holds of one origin, in about 26 bytes. Serialized in this order of fields.
+/// Summary of the cells that a member stores of one origin, in about 26 bytes. Serialized in this order of fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The origin.
+    /// The member that wrote the cells.
     pub origin: MemberId,
-    /// Its newest incarnation that is known.
+    /// Newest known incarnation of the origin.
     pub incarnation: Incarnation,
-    /// Number of its cells, tombstones included.
+    /// Number of cells, tombstones included.
     pub cells: u32,
-    /// Highest version among them.
+    /// Highest version among the cells; 0 without cells.
     pub newest_version: u64,
-    /// A bound was reached and the lowest versions were dropped: only versions above `newest_version` are of use.
+    /// Whether the lowest versions were dropped at a bound. Only versions above `newest_version` are then exchanged.
     pub truncated: bool,
-    /// Exclusive or of the hashes of the cells.
+    /// XOR of the hashes of the cells.
     #[serde(with = "postcard::fixint::le")]
     pub hash: u64,
 }
 
-/// Digest of the cells held of one origin.
-pub(super) fn of((id, origin): (&MemberId, &Origin)) -> Digest {
+/// Returns the digest of the stored cells of one origin.
+pub(super) fn of_origin((id, origin): (&MemberId, &Origin)) -> Digest {
     Digest {
         origin: *id,
         incarnation: origin.incarnation,
@@ -38,45 +38,51 @@
     }
 }
 
-/// What two members have to send each other about one origin.
+/// Which cells of one origin two members have to exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reconciliation {
-    /// The other member lacks cells of versions above this one.
-    pub send_above: Option<u64>,
-    /// This member lacks cells that the other has.
+    /// The remote member may lack cells with versions above this one; `None` if it lacks none.
+    pub send_above_version: Option<u64>,
+    /// Whether the local member may lack cells that the remote member has.
     pub request: bool,
 }
 
-/// Compares the digests of two members about one origin. A later incarnation replaces all of an earlier one. Within
-/// an incarnation, members with the same highest version or a different number of cells may lack any cell, so all
-/// are sent; otherwise, and where a bound was reached, only the versions above the other's highest.
-pub fn compare(mine: Option<&Digest>, theirs: Option<&Digest>) -> Reconciliation {
+/// Compares the digests of two members for one origin; `None` is a member without cells of that origin.
+///
+/// A later incarnation replaces all cells of an earlier one. Within an incarnation:
+///
+/// - Members with equal hashes and numbers of cells have nothing to exchange.
+/// - If the cells of either member are truncated, only versions above the other's highest one are sent.
+/// - Otherwise, with equal numbers of cells, only versions above the other's highest one are sent, or all cells if the
+///   highest versions are equal too.
+/// - With different numbers of cells, any cell may be missing, so all are sent.
+pub fn compare(local: Option<&Digest>, remote: Option<&Digest>) -> Reconciliation {
     let everything = Some(0);
-    match (mine, theirs) {
-        (None, None) => Reconciliation { send_above: None, request: false },
-        (Some(_), None) => Reconciliation { send_above: everything, request: false },
-        (None, Some(_)) => Reconciliation { send_above: None, request: true },
-        (Some(mine), Some(theirs)) if mine.incarnation != theirs.incarnation => {
-            let later = mine.incarnation > theirs.incarnation;
-            Reconciliation { send_above: later.then_some(0), request: !later }
+    match (local, remote) {
+        (None, None) => Reconciliation { send_above_version: None, request: false },
+        (Some(_), None) => Reconciliation { send_above_version: everything, request: false },
+        (None, Some(_)) => Reconciliation { send_above_version: None, request: true },
+        (Some(local), Some(remote)) if local.incarnation != remote.incarnation => {
+            let later = local.incarnation > remote.incarnation;
+            Reconciliation { send_above_version: later.then_some(0), request: !later }
         }
-        (Some(mine), Some(theirs)) if mine.hash == theirs.hash && mine.cells == theirs.cells => {
-            Reconciliation { send_above: None, request: false }
+        (Some(local), Some(remote)) if local.hash == remote.hash && local.cells == remote.cells => {
+            Reconciliation { send_above_version: None, request: false }
         }
-        (Some(mine), Some(theirs)) if mine.truncated || theirs.truncated || mine.cells == theirs.cells => {
-            match mine.newest_version.cmp(&theirs.newest_version) {
+        (Some(local), Some(remote)) if local.truncated || remote.truncated || local.cells == remote.cells => {
+            match local.newest_version.cmp(&remote.newest_version) {
                 Ordering::Greater => {
-                    Reconciliation { send_above: Some(theirs.newest_version), request: false }
+                    Reconciliation { send_above_version: Some(remote.newest_version), request: false }
                 }
-                Ordering::Less => Reconciliation { send_above: None, request: true },
-                Ordering::Equal if mine.truncated || theirs.truncated => {
-                    Reconciliation { send_above: None, request: false }
+                Ordering::Less => Reconciliation { send_above_version: None, request: true },
+                Ordering::Equal if local.truncated || remote.truncated => {
+                    Reconciliation { send_above_version: None, request: false }
                 }
-                Ordering::Equal => Reconciliation { send_above: everything, request: true },
+                Ordering::Equal => Reconciliation { send_above_version: everything, request: true },
             }
         }
-        (Some(mine), Some(theirs)) => {
-            Reconciliation { send_above: (mine.cells > 0).then_some(0), request: theirs.cells > 0 }
+        (Some(local), Some(remote)) => {
+            Reconciliation { send_above_version: (local.cells > 0).then_some(0), request: remote.cells > 0 }
         }
     }
 }
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -1,5 +1,5 @@
-//! Sealed messages of every kind as an earlier build wrote them: the present code seals the same messages to the same
-//! bytes, and opens the stored bytes to the same messages.
+//! Compatibility with sealed messages of every kind that an earlier build wrote: this build must seal the same messages
+//! to the same bytes, and open the stored bytes to the same messages.
 
 use crate::membership::{Membership, MembershipOutput};
 use crate::seal::{Channel, Sealer};
@@ -40,19 +40,21 @@
     Membership::new(member, &Settings::default(), 1)
 }
 
-/// The packet with which a member introduces itself to another.
+/// Packet with which a member announces itself to another.
 fn announcement(from: Member, to: Member) -> Vec<u8> {
     let mut output = MembershipOutput::default();
     membership(from).announce(to, &mut output).unwrap();
     output.sends.pop().unwrap().1
 }
 
-/// What the sender answers the receiver's announcement with, when the third is the only other member it knows.
-fn feed() -> Vec<u8> {
+/// The sender's response to the receiver's announcement, when the third member is the only other one that it knows.
+fn feed_packet() -> Vec<u8> {
     let mut sender = membership(sender());
-    sender.packet(&announcement(third(), sender.me()), &mut MembershipOutput::default()).unwrap();
+    sender
+        .handle_packet(&announcement(third(), sender.local_member()), &mut MembershipOutput::default())
+        .unwrap();
     let mut output = MembershipOutput::default();
-    sender.packet(&announcement(receiver(), sender.me()), &mut output).unwrap();
+    sender.handle_packet(&announcement(receiver(), sender.local_member()), &mut output).unwrap();
     output.sends.into_iter().find(|(to, _)| *to == receiver()).unwrap().1
 }
 
@@ -86,7 +88,7 @@
         ("hello", Body::Hello(sender())),
         ("hello_over_ipv6", Body::Hello(sender_over_ipv6())),
         ("swim_announcement", Body::Swim(announcement(sender(), receiver()))),
-        ("swim_feed", Body::Swim(feed())),
+        ("swim_feed", Body::Swim(feed_packet())),
         ("cells", Body::Cells(cells())),
         ("digests", Body::Digests { from, to, digests: digests() }),
         ("want", Body::Request(vec![digest(receiver(), 0, 0, false, 0)])),
@@ -123,14 +125,14 @@
     STORED.lines().map(|line| bytes(line.rsplit(' ').next().unwrap())).collect()
 }
 
-/// A greeting is meant for whoever listens, all else for the receiver.
+/// A hello message has no recipient; all other messages are addressed to the receiver.
 fn addressee(body: &Body) -> Option<(MemberId, Incarnation)> {
     let greeting = matches!(body, Body::Hello(_));
     (!greeting).then_some((receiver().id, receiver().incarnation))
 }
 
 fn sealed_line(sealer: &mut Sealer, channel: Channel, name: &str, body: &Body) -> String {
-    let sealed = sealer.seal(channel, addressee(body), &body.bytes());
+    let sealed = sealer.seal(channel, addressee(body), &body.to_bytes());
     format!("{} {name} {}\n", format!("{channel:?}").to_lowercase(), hexadecimal(&sealed))
 }
 
@@ -151,7 +153,7 @@
         let (from, body) = opener.open(channel, 0, sealed).unwrap();
         assert_eq!((from.id, from.incarnation), (sender().id, sender().incarnation), "{name}");
         assert_eq!(from.addressed, addressee(&expected).is_some(), "{name}");
-        assert_eq!(Body::read(body), Some(expected), "{name}");
+        assert_eq!(Body::parse(body), Some(expected), "{name}");
     }
 }
 
@@ -162,13 +164,13 @@
     let mut packets = 0;
     for sealed in stored().iter().take(datagrams().len()) {
         let (_, body) = opener.open(Channel::Datagram, 0, sealed).unwrap();
-        let Some(Body::Swim(packet)) = Body::read(body) else { continue };
-        assert_eq!(Membership::source(&packet), Some(sender()));
-        receiver.packet(&packet, &mut MembershipOutput::default()).unwrap();
+        let Some(Body::Swim(packet)) = Body::parse(body) else { continue };
+        assert_eq!(Membership::packet_source(&packet), Some(sender()));
+        receiver.handle_packet(&packet, &mut MembershipOutput::default()).unwrap();
         packets += 1;
     }
     assert_eq!(packets, 2);
     let mut expected = vec![(sender(), MemberState::Alive), (third(), MemberState::Alive)];
     expected.sort_by_key(|(member, _)| member.id);
-    assert_eq!(receiver.changes(|_, _| false), expected);
+    assert_eq!(receiver.take_changes(|_, _| false), expected);
 }
--- a/crates/socket-diagnosis/src/lib.rs
+++ b/crates/socket-diagnosis/src/lib.rs
@@ -1,7 +1,9 @@
-//! The state of one TCP connection of this machine, asked of the kernel's socket diagnosis (`sock_diag` over netlink).
+//! Queries the kernel's socket diagnosis (`sock_diag` over netlink) for the state of one TCP connection of this
+//! machine.
 //!
-//! The question names one connection by its addresses, so that the answer takes microseconds however many sockets the
-//! machine has. A list of all of them takes up to half a second to read, and shows the connection as it is by then.
+//! A query identifies one connection by its addresses, so it takes microseconds however many sockets the machine has.
+//! Listing all sockets takes up to half a second, so a list would report a later state than that at the time of the
+//! query.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,50 +15,50 @@
 use netlink_sys::protocols::NETLINK_SOCK_DIAG;
 use netlink_sys::{Socket, SocketAddr as NetlinkAddress};
 
-/// The kernel's own address on a netlink socket.
-const KERNEL: (u32, u32) = (0, 0);
-/// Asks for a socket by its addresses alone.
+/// Netlink address of the kernel: port id and multicast groups.
+const KERNEL_ADDRESS: (u32, u32) = (0, 0);
+/// Cookie with which a request matches a socket by its addresses alone.
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
-/// Longest answer about one socket.
-const ANSWER_BYTES: usize = 4 << 10;
+/// Capacity of the buffer for the response about one socket, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 10;
 
-/// How far a connection has come, as one of its ends sees it.
+/// TCP state of one end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Both sides may send.
+pub enum ConnectionState {
+    /// Both sides may send (`ESTABLISHED`).
     Established,
-    /// The other side has ended what it sends, this one has not (`CLOSE_WAIT`).
-    EndedByPeer,
-    /// Any other state of TCP.
+    /// The remote side has closed its direction, this side has not (`CLOSE_WAIT`).
+    CloseWait,
+    /// Any other TCP state.
     Other,
 }
 
 /// One end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connection {
-    pub state: State,
-    /// Bytes that have come and that the process has not read.
+    pub state: ConnectionState,
+    /// Bytes that were received but not read by the process.
     pub unread_bytes: u64,
-    /// Bytes that the process has written and that the other machine has not acknowledged.
+    /// Bytes that were written by the process but not acknowledged by the remote machine.
     pub unacknowledged_bytes: u64,
 }
 
-/// The end `local` of the connection with `remote`; `None` where that end is gone.
+/// Returns the end `local` of the connection with `remote`; `None` if that end does not exist.
 ///
-/// Never waits: the kernel answers within the call that asks.
-pub fn connection_at(local: SocketAddr, remote: SocketAddr) -> io::Result<Option<Connection>> {
+/// Does not block: the kernel responds within the system call that sends the request.
+pub fn query_connection(local: SocketAddr, remote: SocketAddr) -> io::Result<Option<Connection>> {
     let mut socket = Socket::new(NETLINK_SOCK_DIAG)?;
     socket.bind_auto()?;
-    socket.connect(&NetlinkAddress::new(KERNEL.0, KERNEL.1))?;
+    socket.connect(&NetlinkAddress::new(KERNEL_ADDRESS.0, KERNEL_ADDRESS.1))?;
     socket.set_non_blocking(true)?;
-    socket.send(&question(local, remote), 0)?;
-    let mut answer = Vec::with_capacity(ANSWER_BYTES);
-    socket.recv(&mut answer, 0)?;
-    connection_in(&answer, local, remote)
+    socket.send(&request_bytes(local, remote), 0)?;
+    let mut response_bytes = Vec::with_capacity(MAX_RESPONSE_BYTES);
+    socket.recv(&mut response_bytes, 0)?;
+    parse_response(&response_bytes, local, remote)
 }
 
-/// The bytes of the question about one connection.
-fn question(local: SocketAddr, remote: SocketAddr) -> Vec<u8> {
+/// Serializes the request for one connection.
+fn request_bytes(local: SocketAddr, remote: SocketAddr) -> Vec<u8> {
     let socket_id = SocketId {
         source_port: local.port(),
         destination_port: remote.port(),
@@ -81,14 +83,16 @@
     bytes
 }
 
-/// What the kernel's answer says of this connection.
-fn connection_in(answer: &[u8], local: SocketAddr, remote: SocketAddr) -> io::Result<Option<Connection>> {
+/// Parses the kernel's response; `None` if the connection does not exist.
+fn parse_response(
+    response_bytes: &[u8], local: SocketAddr, remote: SocketAddr,
+) -> io::Result<Option<Connection>> {
     let message: NetlinkMessage<SockDiagMessage> =
-        NetlinkMessage::deserialize(answer).map_err(io::Error::other)?;
+        NetlinkMessage::deserialize(response_bytes).map_err(io::Error::other)?;
     match message.payload {
         NetlinkPayload::InnerMessage(SockDiagMessage::InetResponse(response)) => {
             let found = &response.header.socket_id;
-            // Once the connection's end is gone, the kernel finds the listener at the same address.
+            // If the connection's end does not exist, the kernel returns the listener at the same address.
             let is_connection = found.source_port == local.port() && found.destination_port == remote.port();
             Ok(is_connection.then(|| Connection::from(&response.header)))
         }
@@ -103,9 +107,9 @@
 impl From<&InetResponseHeader> for Connection {
     fn from(header: &InetResponseHeader) -> Connection {
         let state = match header.state {
-            TCP_ESTABLISHED => State::Established,
-            TCP_CLOSE_WAIT => State::EndedByPeer,
-            _ => State::Other,
+            TCP_ESTABLISHED => ConnectionState::Established,
+            TCP_CLOSE_WAIT => ConnectionState::CloseWait,
+            _ => ConnectionState::Other,
         };
         Connection {
             state,
--- a/examples/toy/server.rs
+++ b/examples/toy/server.rs
@@ -1,6 +1,7 @@
 //! A toy model server for trying the gateway: `cargo run -p glenrail --example toy_server -- 127.0.0.1:9001`.
 //!
-//! It answers embeddings, rerank and chat with figures made from the text's bytes. No model is behind it.
+//! It responds to embeddings, rerank and chat requests. Its embeddings and scores are computed from the bytes of the
+//! text, without a model.
 
 use std::convert::Infallible;
 
@@ -14,29 +15,33 @@
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 
-fn figures(text: &str) -> Vec<f64> {
+/// Returns four numbers computed from the bytes of the text.
+fn embed(text: &str) -> Vec<f64> {
     let sum = |step: usize| text.bytes().step_by(step).map(f64::from).sum::<f64>();
     (1..=4).map(|step| (sum(step) % 97.0) / 97.0).collect()
 }
 
-fn texts(v: &Value) -> Vec<String> {
-    match v {
+/// Returns the texts of an array, or a single text, each as JSON.
+fn texts(input: &Value) -> Vec<String> {
+    match input {
         Value::Array(all) => all.iter().map(Value::to_string).collect(),
-        one => vec![one.to_string()],
+        single => vec![single.to_string()],
     }
 }
 
-fn reply(path: &str, body: &Value) -> Response<Full<Bytes>> {
-    let json = |v: Value| (200, "application/json", v.to_string());
-    let (status, kind, text) = match path {
+fn response_for(path: &str, body: &Value) -> Response<Full<Bytes>> {
+    let json = |value: Value| (200, "application/json", value.to_string());
+    let (status, content_type, text) = match path {
         "/v1/embeddings" => {
-            let one = |(index, text): (usize, &String)| json!({"index": index, "embedding": figures(text)});
-            let data: Vec<Value> = texts(&body["input"]).iter().enumerate().map(one).collect();
+            let embedding =
+                |(index, text): (usize, &String)| json!({"index": index, "embedding": embed(text)});
+            let data: Vec<Value> = texts(&body["input"]).iter().enumerate().map(embedding).collect();
             json(json!({"object": "list", "model": body["model"], "data": data}))
         }
         "/v1/rerank" => {
             let documents = texts(&body["documents"]);
-            let score = |(index, text): (usize, &String)| json!({"index": index, "relevance_score": figures(text)[0]});
+            let score =
+                |(index, text): (usize, &String)| json!({"index": index, "relevance_score": embed(text)[0]});
             let results: Vec<Value> = documents.iter().enumerate().map(score).collect();
             json(json!({"model": body["model"], "results": results}))
         }
@@ -54,15 +59,15 @@
         }
         _ => (404, "text/plain", "no such path\n".into()),
     };
-    let response = Response::builder().status(status).header("content-type", kind);
-    response.body(Full::from(text)).expect("status and header are plain")
+    let response = Response::builder().status(status).header("content-type", content_type);
+    response.body(Full::from(text)).expect("status and header are valid")
 }
 
 async fn answer(request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
     let path = request.uri().path().to_string();
     let body =
         request.into_body().collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
-    Ok(reply(&path, &serde_json::from_slice(&body).unwrap_or(Value::Null)))
+    Ok(response_for(&path, &serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
 #[tokio::main(flavor = "current_thread")]
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -97,14 +97,14 @@
 
     /// Records the start of the release of a lease that no attempt has claimed since `unclaimed_since`.
     pub fn release_started(&mut self, unclaimed_since: Millis, now: Millis) {
-        let (unclaimed, ordered) = (unclaimed_since - self.arrived, now - self.arrived);
-        self.record.releases.push(Release { unclaimed_since: unclaimed, ordered, done: None });
+        let (unclaimed, ordered_ms) = (unclaimed_since - self.arrived, now - self.arrived);
+        self.record.releases.push(Release { unclaimed_since_ms: unclaimed, ordered_ms, done_ms: None });
     }
 
     /// Records the end of the release that was started last.
     pub fn release_finished(&mut self, now: Millis) {
         if let Some(release) = self.record.releases.last_mut() {
-            release.done = Some(now - self.arrived);
+            release.done_ms = Some(now - self.arrived);
         }
     }
 
