--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request is sent once, and its response is streamed or buffered.
+//! Attempts: sends a request once and streams or buffers its response.
 
 use std::future::Future;
 use std::time::Duration;
@@ -21,20 +21,21 @@
 use crate::log;
 use crate::upstream::{CallError, Frame, Reply};
 
-/// Most bytes of a response that is buffered until it is complete.
+/// Maximum size in bytes of a response that is buffered until it is complete.
 const MAX_BUFFERED_BODY: usize = 16 << 20;
 
-/// On the platform an engine writes the head of its response together with its first event, or with all of a short
-/// response. What has not come so long after the head is malformed: a response without an end would use up its request's
-/// entire deadline.
+/// Time limit on the platform from the head of a response to its first event, or to the end of a short response.
+///
+/// Platform engines write the head together with either, so a later response is malformed. Without the limit, a response
+/// that never ends would use up the entire deadline of its request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How the response of an attempt is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseMode {
-    /// Event by event.
+    /// Events are forwarded as they become complete.
     Streamed,
-    /// As one document, once it is complete.
+    /// The body is forwarded as one document once it is complete.
     Buffered,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl Engine {
-    /// Sends an attempt once, and returns what its response amounts to.
+    /// Sends an attempt once and converts its response to a [`Reply`].
     pub(super) async fn attempt(
         &self, server: ServerId, request: &ServerRequest, mode: ResponseMode,
     ) -> Result<Reply, CallError> {
@@ -56,7 +57,7 @@
         let (parts, body) = response.into_parts();
         let head = ResponseHead { status: parts.status, headers: parts.headers };
         if head.status != StatusCode::OK {
-            // Its work is done, whether or not the rest of the answer comes.
+            // The server's work on the attempt has ended, even if the rest of the response never arrives.
             request.cancel_token.note(Observation::ResponseOnConnection);
         }
         if head.status == StatusCode::OK && mode == ResponseMode::Streamed {
@@ -66,16 +67,16 @@
         }
     }
 
-    /// A stream whose first event is there.
+    /// Waits for the first event of a streamed response and returns the reply that streams the rest.
     async fn streamed_reply(
         &self, server: ServerId, head: ResponseHead, body: Incoming, mut connection: Connection,
     ) -> Result<Reply, CallError> {
         if !is_event_stream(&head) {
-            log!("a response of server {:x} is no event stream", server.0);
+            log!("response of server {:x} has no event stream content type; treated as malformed", server.0);
             return Err(CallError::MalformedResponse);
         }
         let report = load_report_of(&head.headers);
-        // From here on the connection is dropped, so closed, unless the stream comes to its end.
+        // From here on the connection is dropped, and so closed, unless the stream is completed or handed over.
         let handing_over = self.0.handing_over.subscribe();
         let mut stream = EventStream::new(body, connection.tap.clone(), handing_over);
         let first = match self.within_body_timeout(ResponseMode::Streamed, stream.next()).await?? {
@@ -94,16 +95,16 @@
         Ok(Reply::Response { head, frames })
     }
 
-    /// The reply to a response that is read to its end before it is forwarded.
+    /// Reads the complete body of a response and returns the reply.
     async fn buffered_reply(
         &self, server: ServerId, head: ResponseHead, body: Incoming, connection: Connection,
         mode: ResponseMode,
     ) -> Result<Reply, CallError> {
         let report = load_report_of(&head.headers);
         let Some(body) = self.within_body_timeout(mode, self.buffer(body)).await?? else {
-            log!("a response of server {:x} is too large to buffer", server.0);
+            log!("response of server {:x} exceeds the size limit or the memory budget for buffering", server.0);
             return match head.status {
-                // The prefill has ended well, so the server holds a state all the same.
+                // The prefill has succeeded, so the server holds a state lease although the body was not read.
                 StatusCode::ACCEPTED => Err(CallError::MalformedResponse),
                 _ => Ok(Reply::Error { report }),
             };
@@ -112,7 +113,7 @@
         Ok(self.reply_of(head, body, report))
     }
 
-    /// What a complete response amounts to.
+    /// Classifies a complete response by its status.
     fn reply_of(&self, head: ResponseHead, body: Bytes, report: Option<LoadReport>) -> Reply {
         let public_api = self.0.limits.public_api;
         let is_rejection = is_rejection(&head, public_api);
@@ -130,7 +131,8 @@
         }
     }
 
-    /// Waits for what has to follow a head at once; a public API has its own pace, and so has a document.
+    /// Waits for data that must follow the head of a response within [`BODY_TIMEOUT`]. A public API and the body of a
+    /// document have no such limit.
     async fn within_body_timeout<T>(
         &self, mode: ResponseMode, awaited: impl Future<Output = T>,
     ) -> Result<T, CallError> {
@@ -138,12 +140,12 @@
             return Ok(awaited.await);
         }
         timeout(BODY_TIMEOUT, awaited).await.map_err(|_| {
-            log!("a response did not continue after its head");
+            log!("response body did not arrive within the time limit after its head; treated as malformed");
             CallError::MalformedResponse
         })
     }
 
-    /// A complete body; `None` where it is too large or the budget is used up.
+    /// Reads a complete body. Returns `None` if it exceeds [`MAX_BUFFERED_BODY`] or the memory budget.
     async fn buffer(&self, mut body: Incoming) -> Result<Option<Bytes>, CallError> {
         let mut bytes = Vec::new();
         let mut claim = self.0.buffer_budget.claim(0).ok_or(CallError::Reset)?;
@@ -159,18 +161,18 @@
     }
 }
 
-/// A stream whose first events were forwarded.
+/// A stream of which the first events have been forwarded.
 struct OpenStream {
     engine: Engine,
     server: ServerId,
-    /// The load that the head reported.
+    /// Load report in the response head. A report at the end of the stream takes precedence.
     report: Option<LoadReport>,
     stream: EventStream,
     connection: Connection,
 }
 
 impl OpenStream {
-    /// The next frame, and the stream again unless that was its last frame.
+    /// Returns the next frame, with the stream itself unless that was its last frame.
     async fn next_frame(mut self) -> Result<(Frame, Option<OpenStream>), CallError> {
         match self.stream.next().await? {
             StreamStep::Events(events) => Ok((Frame::Data(events), Some(self))),
--- a/gateway/src/engine/body_tap.rs
+++ b/gateway/src/engine/body_tap.rs
@@ -1,5 +1,6 @@
-//! The chunked body of the current response, on its way to hyper: reading can be paused between two chunks, so that the
-//! successor process can continue it.
+//! Read state of a response body. Reading can be paused between two chunks, where the successor process can continue it.
+//!
+//! The connection's reader updates the state while it passes the body to hyper; the event stream requests the pause.
 
 use std::cell::{Cell, RefCell};
 use std::task::{Context, Waker};
@@ -8,25 +9,26 @@
 
 use crate::chunk_position::{ChunkPosition, ReadUntil};
 
-/// Follows the framing of a body as it is read.
+/// Tracks the chunk framing of a response body as it is read, and pauses reading on request.
 #[derive(Default)]
 pub struct BodyTap {
-    /// The position in the framing after all that was passed on; `None` where the body has no chunks.
+    /// Position in the chunk framing after the bytes passed to hyper; `None` if the body is not chunked, or its framing
+    /// is malformed.
     position: Cell<Option<ChunkPosition>>,
-    /// Bytes of data among what was passed on.
+    /// Number of bytes passed to hyper that are body data, not framing.
     data: Cell<u64>,
     /// Whether reading is to pause at the end of the current chunk.
     pausing: Cell<bool>,
-    /// Bytes that were read and not passed on, since reading is to pause.
+    /// Bytes that were read from the socket and not passed to hyper because a pause was requested.
     pub read_ahead: RefCell<Vec<u8>>,
-    /// The reader that waits for reading to continue.
+    /// Waker of the task that waits for reading to continue.
     reader: RefCell<Option<Waker>>,
-    /// Notified each time that reading pauses: the end of a chunk alone brings no data that would wake the stream.
+    /// Notified whenever reading pauses. The end of a chunk alone carries no data, so it would not wake the event stream.
     paused: Notify,
 }
 
 impl BodyTap {
-    /// Pauses reading at the end of the current chunk, or continues it.
+    /// Sets whether reading is to pause at the end of the current chunk. Clearing it continues paused reading.
     pub fn set_pausing(&self, pausing: bool) {
         if self.pausing.replace(pausing) && !pausing {
             if let Some(reader) = self.reader.take() {
@@ -35,12 +37,12 @@
         }
     }
 
-    /// Whether reading is to pause at the end of the current chunk.
+    /// Returns whether reading is to pause at the end of the current chunk.
     pub fn is_pausing(&self) -> bool {
         self.pausing.get()
     }
 
-    /// Whether reading has paused between two chunks, with so many bytes of data passed on.
+    /// Returns whether reading has paused between two chunks after exactly `data` bytes of body data.
     pub fn is_paused_after(&self, data: u64) -> bool {
         self.pausing.get() && self.data.get() == data && self.is_between_chunks()
     }
@@ -50,7 +52,7 @@
         self.paused.notified().await;
     }
 
-    /// Whether reading has paused; if so, the task of this context is woken when it continues.
+    /// Returns whether reading has paused. If so, the task of this context is woken when reading continues.
     pub fn poll_paused(&self, context: &mut Context<'_>) -> bool {
         if !self.pausing.get() || !self.is_between_chunks() {
             return false;
@@ -64,21 +66,21 @@
         self.position.get().is_some_and(|position| position.is_between_chunks())
     }
 
-    /// A response with another body begins.
+    /// Resets the state for the body of the next response.
     pub fn begin(&self, is_chunked: bool) {
         self.position.set(is_chunked.then(ChunkPosition::default));
         self.data.set(0);
         self.set_pausing(false);
     }
 
-    /// Follows the framing through these bytes, and returns how many of them are passed on.
+    /// Advances the position by these bytes and returns how many of them may be passed to hyper.
     pub fn pass_on(&self, bytes: &[u8]) -> usize {
         let Some(mut position) = self.position.get() else { return bytes.len() };
         let mut data = self.data.get();
         let until = if self.pausing.get() { ReadUntil::EndOfChunk } else { ReadUntil::EndOfBody };
         let read = position.read(bytes, until, |part| data += part.len() as u64);
         self.data.set(data);
-        // hyper reports what it cannot read either; the stream only cannot be handed over any more.
+        // hyper reports malformed framing itself. Here it only means that the stream can no longer be handed over.
         self.position.set(read.is_ok().then_some(position));
         match read {
             Ok(read) if !position.is_ended() => read,
--- a/gateway/src/engine/closing.rs
+++ b/gateway/src/engine/closing.rs
@@ -1,7 +1,8 @@
-//! Connections on which an attempt was cut off, until their servers have ended them too.
+//! Connections with an interrupted attempt that wait for their servers to close them.
 //!
-//! The gateway has ended its sending. The server's own end comes after all that it did for the attempt, so it proves that the server
-//! has noticed; what each end proves is decided in [`evidence`](glenrail_request_lifecycle::evidence).
+//! The gateway has shut down its sending direction. A server closes its own direction only after all work on the attempt,
+//! so the close proves that the server has noticed the interruption.
+//! [`evidence`](glenrail_request_lifecycle::evidence) decides what each kind of end proves.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,24 +18,24 @@
 use super::Engine;
 use crate::exchange::CancelToken;
 
-/// A server's end that has not come by then is not waited for any longer.
+/// Time limit for a server to close its direction; after that the connection is closed without a result.
 const SERVER_END_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes of a response that are dropped at once.
+/// Number of response bytes that are read and discarded at once.
 const READ_SIZE: usize = 4 << 10;
 
-/// A connection on which an attempt was cut off.
+/// A connection whose attempt was interrupted.
 pub(super) struct ClosingConnection {
     pub socket: Rc<TcpStream>,
     pub attempt: CancelToken,
-    /// It occupies its slot for as long as it is open.
+    /// Connection slot, occupied until the connection is closed.
     pub slot: OwnedSemaphorePermit,
 }
 
-/// The way to the task that waits for servers' ends.
+/// Channel to the task that waits for servers to close their connections.
 pub(super) type ClosingSender = mpsc::UnboundedSender<ClosingConnection>;
 
-/// The connections that wait for their servers' ends.
+/// Connections that wait for their servers to close them.
 #[derive(Default)]
 pub(super) struct ClosingConnections {
     sender: RefCell<Option<ClosingSender>>,
@@ -42,14 +43,14 @@
 }
 
 impl ClosingConnections {
-    /// Closes all of them at once; what their servers notice then stays unknown.
+    /// Closes all of them immediately. Whether their servers notice the interruption then remains unknown.
     pub fn abandon(&self) {
         self.waiting.borrow_mut().abort_all();
     }
 }
 
 impl ClosingConnection {
-    /// Waits for the server's end, and tells the attempt.
+    /// Waits until the server closes or resets the connection, and records that in the attempt's token.
     async fn await_end(self) {
         let ends = async {
             while self.socket.readable().await.is_ok() {
@@ -67,7 +68,7 @@
 }
 
 impl Engine {
-    /// The way to the task that waits for servers' ends, which starts with the first connection.
+    /// Returns the channel to the task that waits for servers to close, and starts that task if it is not running.
     pub(super) fn closing_sender(&self) -> ClosingSender {
         let mut sender = self.0.closing.sender.borrow_mut();
         if let Some(sender) = sender.as_ref().filter(|sender| !sender.is_closed()) {
@@ -79,7 +80,7 @@
         spawn_local(async move {
             while let Some(connection) = cut.recv().await {
                 let mut waiting = waiting.borrow_mut();
-                // What has ended is removed.
+                // Removes completed tasks from the set.
                 while waiting.try_join_next().is_some() {}
                 waiting.spawn_local(connection.await_end());
             }
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a server, with what hyper does not report: how much of a request was written, and whether the server
-//! has closed the connection while it was idle.
+//! Connection to a server. It tracks what hyper does not report: how much of a request was written, and whether the
+//! server closed the connection while it was idle.
 
 use std::cell::Cell;
 use std::io;
@@ -29,57 +29,59 @@
 use crate::exchange::{CancelToken, StreamRemainder};
 use crate::log;
 
-/// Most bytes read at once, more than the largest head. A part of a stream is not larger, unless one event is: hyper's own
-/// limit of 400 kB, times the parts that are queued for a slow client, was 7 MB a stream.
+/// Maximum number of bytes that hyper reads at once; larger than the largest response head.
+///
+/// This also limits the parts of a stream, unless a single event is larger. With hyper's default of 400 kB, the parts
+/// queued for a slow client took 7 MB per stream.
 const READ_BUFFER: usize = 32 << 10;
 
 /// Why a request got no response.
 pub enum SendFailure {
-    /// Not a byte was written: another connection may carry the same request.
+    /// No byte was written; the request may be sent on another connection.
     Replace,
-    /// Not a byte was written, and none may be.
+    /// No byte was written, and the request must not be sent.
     Withheld,
-    /// The request was not written completely, so it never ran.
+    /// The request was written only in part, so the server never ran it.
     NeverRan,
-    /// The request may have run.
+    /// The request was written completely, so the server may have run it.
     MayHaveRun(hyper::Error),
 }
 
-/// Where a connection leads.
+/// Remote end of a connection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Peer {
     /// Host and port.
     pub address: String,
-    /// When the server had last started, by the list of that time; Unix milliseconds.
+    /// When the server last started, as listed when the connection was opened; Unix milliseconds.
     pub started_ms: u64,
 }
 
-/// A connection to a server; dropping it closes it.
+/// A connection to a server, closed on drop.
 pub struct Connection {
-    /// Where it leads.
+    /// Server address and start time for which it was opened.
     pub peer: Peer,
-    /// When it was opened.
+    /// When the connection was established.
     pub opened: Instant,
-    /// When it last carried a complete response; before the first one, when it was opened.
+    /// When the last complete response was received; the time of opening before the first one.
     pub last_answer: Instant,
     machine: server::Connection,
-    /// hyper's end, for requests.
+    /// hyper's handle for sending requests.
     pub sender: SendRequest<Full<Bytes>>,
     socket: CountedSocket,
     gate: Rc<WriteGate>,
     awaiting_head: Rc<Cell<bool>>,
-    /// The body of the current response, as it is read.
+    /// Read state of the current response's body.
     pub tap: Rc<BodyTap>,
     task: AbortHandle,
     slot: Option<OwnedSemaphorePermit>,
-    /// The attempt that was written last; it is told when its server has ended the connection.
+    /// The attempt in progress, if any. What the connection shows about the server's work is recorded in its token.
     attempt: Option<CancelToken>,
-    /// Takes the connection where an attempt on it is cut off.
+    /// Receives the connection if it is dropped during an attempt.
     closing: ClosingSender,
 }
 
 impl Connection {
-    /// Opens a connection, which occupies the slot for as long as it is open.
+    /// Opens a connection. It occupies `slot` for as long as it is open.
     pub async fn open(
         peer: Peer, slot: OwnedSemaphorePermit, closing: ClosingSender,
     ) -> io::Result<Connection> {
@@ -93,7 +95,7 @@
         let handshake = Builder::new().max_buf_size(READ_BUFFER).handshake(TokioIo::new(reader));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let task = spawn_local(async move {
-            // The task that awaits the response gets the error.
+            // The error is also returned to the task that awaits the response.
             let _ = connection.await;
         });
         let mut machine = server::Connection::default();
@@ -117,13 +119,13 @@
         })
     }
 
-    /// Whether a request may be written; `may_receive`: whether the server may receive it now.
+    /// Returns whether a request may be written now. `may_receive` states whether the server may receive it.
     pub fn may_write(&mut self, may_receive: bool) -> bool {
         step(&mut self.machine, Input::Send { serving: may_receive }) == Effect::Write
     }
 
-    /// Sends a request, if `is_clear` when its first byte is written; its response is the next thing that the server may
-    /// send.
+    /// Sends a request and waits for the head of its response. The request is withheld if `is_clear` returns false when
+    /// its first byte is about to be written, and fails if the server sends anything before that.
     pub async fn send(
         &mut self, request: Request<Bytes>, is_clear: impl Fn() -> bool + 'static,
     ) -> Result<Response<Incoming>, SendFailure> {
@@ -159,7 +161,7 @@
         })
     }
 
-    /// The current response is complete; returns whether the connection may be reused.
+    /// Records that the current response is complete, and returns whether the connection may be reused.
     pub fn finish_response(&mut self, is_serving: bool) -> bool {
         if !is_serving {
             step(&mut self.machine, Input::Drained);
@@ -169,31 +171,31 @@
         step(&mut self.machine, Input::ResponseComplete) == Effect::Reuse
     }
 
-    /// Notes the attempt that is written next.
+    /// Sets the attempt that is written next, and records this connection in its token.
     pub fn carry(&mut self, attempt: &CancelToken) {
         attempt.set_server_address(&self.peer.address);
         attempt.set_connection_opened_at(self.opened);
         self.attempt = Some(attempt.clone());
     }
 
-    /// The stream of the attempt has begun: nothing that its server does for it later has to be known.
+    /// Records that the attempt's stream has begun. From then on its token needs no further observations.
     pub fn begin_stream(&mut self) {
         self.attempt = None;
     }
 
-    /// Adds one to `count` when the request that is sent next has been handed to the kernel completely.
+    /// Increments `count` once the request that is sent next has been handed to the kernel completely.
     pub fn count_when_written(&self, request: &Request<Bytes>, count: Rc<Cell<u64>>) {
         self.socket.count_after(encoded_length(request), count);
     }
 
-    /// Hands the connection over as it is; nothing more is read of it here.
+    /// Converts the connection for handover to the successor process; this process reads nothing more from it.
     pub fn into_remainder(mut self) -> io::Result<StreamRemainder> {
         let socket = self.socket.socket.as_fd().try_clone_to_owned()?;
         step(&mut self.machine, Input::ReadPaused);
         Ok(StreamRemainder { socket: socket.into(), read_ahead: self.tap.read_ahead.take() })
     }
 
-    /// Whether an idle connection can still be used: neither closed nor with bytes that no request was sent for.
+    /// Returns whether an idle connection can still be used. It cannot if it is closed or has received unsolicited bytes.
     pub fn is_usable(&mut self) -> bool {
         let is_usable = self.socket.is_quiet() && self.sender.is_ready();
         if !is_usable {
@@ -203,7 +205,7 @@
     }
 }
 
-/// What a failed response shows of the connection.
+/// Returns the observation that a failed response allows about its connection.
 fn observation(error: &hyper::Error) -> Observation {
     if error.is_incomplete_message() {
         Observation::ServerClose
@@ -214,7 +216,7 @@
     }
 }
 
-/// Feeds the machine. An input that it calls impossible is logged, and has the caller close the connection.
+/// Applies an input to the state machine. An invalid input is logged, and the returned effect closes the connection.
 fn step(machine: &mut server::Connection, input: Input) -> Effect {
     machine.step(input).unwrap_or_else(|invalid| {
         log!("{invalid}");
@@ -222,9 +224,11 @@
     })
 }
 
-/// A connection that is dropped is closed at once, whatever it carries: so an attempt is cancelled. The socket itself is
-/// shut down here, since its task ends only when it runs next, and the next attempt of the request must not find this one
-/// still open. Where an attempt is cut off, only the sending ends: the server's own end shows that it has noticed.
+/// Closes the connection immediately, which cancels an attempt in progress.
+///
+/// The socket is shut down here because the connection's task ends only when it is next scheduled, and the request's
+/// next attempt must not begin while this connection is open. If an attempt is interrupted, only the sending direction is
+/// shut down: the server's own close then shows that it has noticed.
 impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
@@ -238,16 +242,16 @@
         let is_open = SockRef::from(&*self.socket.socket).shutdown(how).is_ok();
         let Some((attempt, slot)) = cut_attempt.zip(self.slot.take()) else { return };
         if !is_open {
-            // The other side has reset it, and nobody has read that yet.
+            // The connection was reset, and the error has not been read yet.
             return attempt.note(Observation::Reset);
         }
         let socket = self.socket.socket.clone();
-        // An engine that has ended waits for nothing.
+        // Sending fails only if the receiving task has ended with the engine; the connection is then closed at once.
         let _ = self.closing.send(ClosingConnection { socket, attempt, slot });
     }
 }
 
-/// Bytes of a request on a connection, as hyper writes it; a test compares this with what it does write.
+/// Returns the size in bytes of a request as hyper encodes it. A test compares it with the bytes that hyper writes.
 pub fn encoded_length(request: &Request<Bytes>) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -1,4 +1,4 @@
-//! Short calls other than attempts: probes and slot reservations.
+//! Short calls to servers other than attempts: probes and slot reservations.
 
 use std::time::Duration;
 
@@ -16,17 +16,18 @@
 use crate::exchange::{Payload, ResponseHead};
 use crate::upstream::{CallError, Reply};
 
-/// Most bytes read of a response of which only the outcome counts.
+/// Maximum size in bytes of the response to a short call.
 pub(super) const MAX_SHORT_BODY: usize = 64 << 10;
 
-/// Longest time of a probe.
+/// Time limit of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Longest time of a slot reservation: after that the server itself says that it does not know whether the slot is reserved.
+/// Time limit of a slot reservation. After this time the server itself reports that it cannot tell whether the slot is
+/// reserved.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Engine {
-    /// Sends a request and reads its complete, short response.
+    /// Sends a request and reads the complete response, of at most [`MAX_SHORT_BODY`] bytes.
     pub(super) async fn short_call(
         &self, server: ServerId, request: &ServerRequest,
     ) -> Result<(ResponseHead, Bytes), CallError> {
@@ -38,7 +39,7 @@
         Ok((ResponseHead { status: parts.status, headers: parts.headers }, body))
     }
 
-    /// Reserves a slot for a request.
+    /// Requests a slot reservation from a server.
     pub(super) async fn reserve_slot(&self, server: ServerId, payload: &Payload) -> Result<Reply, CallError> {
         let request = lease_request(Method::POST, &payload.request_id)?;
         let request = ServerRequest::new(RequestKind::ReserveSlot, request);
@@ -51,7 +52,7 @@
         }))
     }
 
-    /// Asks a server for its load.
+    /// Probes a server for its health and load report.
     pub(super) async fn probe(&self, server: ServerId) -> Result<Reply, CallError> {
         let request = ServerRequest::new(RequestKind::Probe, load_request()?);
         self.0.counts.borrow_mut().probes += 1;
--- a/gateway/src/engine/event_stream.rs
+++ b/gateway/src/engine/event_stream.rs
@@ -1,4 +1,4 @@
-//! The stream of one response, as it is read.
+//! Reading of the event stream of one response.
 
 use std::error::Error;
 use std::io;
@@ -14,40 +14,40 @@
 use super::response_fields::StreamTail;
 use crate::upstream::CallError;
 
-/// A stream of events that is being read.
+/// An event stream in progress.
 pub(super) struct EventStream {
     body: Incoming,
     events: EventBuffer,
-    /// The last bytes of the stream so far.
+    /// The last bytes received, with the load report and the token counts.
     pub tail: StreamTail,
-    /// Bytes of the body that were read.
+    /// Number of body bytes received from hyper, without the chunk framing.
     read: u64,
     tap: Rc<BodyTap>,
-    /// Whether the stream is to be handed over to the successor process.
+    /// Becomes true when the stream is to be handed over to the successor process.
     handing_over: watch::Receiver<bool>,
 }
 
-/// One step of a stream.
+/// Result of one step of reading a stream.
 pub(super) enum StreamStep {
-    /// Complete events.
+    /// One or more complete events.
     Events(Bytes),
-    /// The last chunk has come.
+    /// The body has ended after a complete event.
     End,
-    /// All that was read has been returned, and reading has paused, so that the successor process can continue.
+    /// Reading has paused with all data returned, so the successor process can continue the stream.
     Paused,
 }
 
 impl EventStream {
-    /// A stream of which nothing was read.
+    /// Creates a stream of which nothing has been read.
     pub fn new(body: Incoming, tap: Rc<BodyTap>, handing_over: watch::Receiver<bool>) -> Self {
         let (events, tail) = (EventBuffer::default(), StreamTail::default());
         EventStream { body, events, tail, read: 0, tap, handing_over }
     }
 
-    /// The next step; nothing follows one that is not events.
+    /// Reads until the next step is complete. A step other than events is the last one.
     pub async fn next(&mut self) -> Result<StreamStep, CallError> {
         loop {
-            // Between two chunks, but never within an event.
+            // A stream is handed over between two chunks, and only where no event is incomplete.
             let pausing = *self.handing_over.borrow_and_update() && self.events.is_complete();
             self.tap.set_pausing(pausing);
             if pausing && self.tap.is_paused_after(self.read) {
@@ -56,7 +56,7 @@
             let frame = tokio::select! {
                 biased;
                 frame = self.body.frame() => frame,
-                // The sender lives as long as the engine does.
+                // The engine owns the sender, so this cannot fail while the engine exists.
                 _ = self.handing_over.changed() => continue,
                 () = self.tap.paused() => continue,
             };
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether a response broke off or could not be read. Either way the request may have run.
+/// Classifies a failed response as incomplete or malformed. In either case the request may have run.
 pub(super) fn broken_response(error: &hyper::Error) -> CallError {
     let cause = error.source().and_then(|source| source.downcast_ref::<io::Error>());
     match cause.map(io::Error::kind) {
--- a/gateway/src/engine/events/mod.rs
+++ b/gateway/src/engine/events/mod.rs
@@ -1,36 +1,37 @@
-//! The events of a stream: only complete ones are passed on, unchanged, and what is no event is found at its first bytes.
+//! Buffering and validation of server-sent events. Only complete events are forwarded, unchanged; malformed bytes are
+//! detected as soon as they are received, before their line or event is complete.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event.
+/// Maximum size in bytes of one event.
 const MAX_EVENT: usize = 256 << 10;
 
-/// The beginnings of the lines of an event.
+/// Prefixes of which every non-empty line of an event has one.
 const FIELDS: [&[u8]; 5] = [b"data:", b"event:", b"id:", b"retry:", b":"];
 
-/// The bytes are no event, or one without an end.
+/// The bytes are not a valid event, or the event exceeds [`MAX_EVENT`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct MalformedEvent;
 
-/// The bytes of a stream that were not passed on, since their event is not complete.
+/// The bytes of a stream that have not been forwarded because their event is incomplete.
 #[derive(Default)]
 pub struct EventBuffer {
     bytes: BytesMut,
-    /// How many of the bytes were examined.
+    /// Number of bytes searched for line ends.
     examined: usize,
-    /// Where the last line begins.
+    /// Offset of the last line.
     line_start: usize,
-    /// How many bytes of that line were found to be text.
+    /// Number of bytes of that line that have been validated as text.
     text: usize,
-    /// Where the last complete event ends.
+    /// Offset of the end of the last complete event; 0 if there is none.
     events_end: usize,
-    /// Whether an event with data was passed on; a comment alone does not begin a response.
+    /// Whether an event with data has been completed. Comments alone do not begin a response.
     has_begun: bool,
-    /// Whether the event that is not complete has data.
+    /// Whether the incomplete event has a data line.
     has_data: bool,
 }
 
-/// Whether a line is complete, or more of it may come.
+/// Whether a line is complete or may continue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LineState {
     Complete,
@@ -38,12 +39,12 @@
 }
 
 impl EventBuffer {
-    /// The buffer of a stream whose first events were passed on already.
+    /// Creates the buffer of a resumed stream, whose first events were forwarded by the predecessor process.
     pub fn resumed() -> Self {
         EventBuffer { has_begun: true, ..EventBuffer::default() }
     }
 
-    /// Adds bytes, and returns the events that are complete now.
+    /// Appends bytes and returns the events that are now complete, if any.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Option<Bytes>, MalformedEvent> {
         self.bytes.extend_from_slice(bytes);
         while let Some(length) = self.bytes[self.examined..].iter().position(|byte| *byte == b'\n') {
@@ -65,7 +66,7 @@
         Ok(Some(events))
     }
 
-    /// Examines the line that ends with the line feed at `end`.
+    /// Validates the line that ends with the line feed at offset `end`, and marks the end of an event if it is empty.
     fn end_line(&mut self, end: usize) -> Result<(), MalformedEvent> {
         let line = &self.bytes[self.line_start..end];
         let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -82,23 +83,24 @@
         Ok(())
     }
 
-    /// Whether the stream may end here.
+    /// Returns whether the stream may end here: an event with data was forwarded and no bytes are pending.
     pub fn is_complete(&self) -> bool {
         self.has_begun && self.bytes.is_empty()
     }
 }
 
-/// Checks that a line is empty, or begins with the name of a field and is text; of a partial line, what is there must fit.
+/// Validates that a line is empty, or is UTF-8 text without control characters other than tab that begins with one of
+/// [`FIELDS`]. A partial line must be a possible beginning of a valid one.
 ///
-/// Its first `known` bytes were found to be text before: a long line in small pieces is examined once, since all other
-/// streams wait for what this thread does for one. Returns how many bytes are known now.
+/// The first `known` bytes were validated before, so a long line in small pieces is examined only once; all streams share
+/// this thread. Returns the number of bytes that are validated now.
 fn check_line(line: &[u8], known: usize, state: LineState) -> Result<usize, MalformedEvent> {
     let is_partial = state == LineState::Partial;
-    // The end of a partial line may be the first half of its line ending.
+    // A carriage return at the end of a partial line may belong to its line ending.
     let content = if is_partial { line.strip_suffix(b"\r").unwrap_or(line) } else { line };
     let text = match std::str::from_utf8(&line[known..]) {
         Ok(_) => Some(line.len()),
-        // A character may be cut where the line goes on.
+        // A partial line may end within a multi-byte character.
         Err(error) => (is_partial && error.error_len().is_none()).then_some(known + error.valid_up_to()),
     };
     if content.is_empty() {
--- a/gateway/src/engine/events/tests.rs
+++ b/gateway/src/engine/events/tests.rs
@@ -1,4 +1,4 @@
-//! Streams in whatever pieces they come: which events are passed on, and what is malformed.
+//! Tests of the event buffer: streams split at any position, and malformed events.
 
 use proptest::prelude::*;
 
@@ -8,7 +8,8 @@
     ": hi\n\ndata: {\"a\": \"ü\"}\n\nevent: x\r\ndata: y\r\n\r\ndata: [DONE]\n\n: Srv-Load: T\n\n";
 
 proptest! {
-    /// Guards streams in whatever pieces they come: all of their bytes are passed on, unchanged, in complete events.
+    /// Guards against bytes that are lost or altered, and events that are forwarded incomplete, when a stream is split at
+    /// any position.
     #[test]
     fn events_are_passed_on_unchanged_in_whatever_pieces(lengths in prop::collection::vec(1usize..30, 100)) {
         let (mut buffer, mut passed, mut remaining) = (EventBuffer::default(), Vec::new(), STREAM.as_bytes());
@@ -26,7 +27,8 @@
     }
 }
 
-/// Guards the client from bytes that are no events, complete lines or not, and memory from an endless event.
+/// Guards against malformed bytes that reach the client, in complete or partial lines, and against an event that uses
+/// unlimited memory.
 #[test]
 fn malformed_events_are_found() {
     let push = |text: &[u8]| EventBuffer::default().push(&Bytes::copy_from_slice(text));
@@ -43,8 +45,9 @@
     assert!(!buffer.is_complete());
 }
 
-/// Guards every other stream on the one thread: an event that comes a byte at a time costs its length, not the square of
-/// it. Examined from its line's beginning each time, this one took minutes here.
+/// Guards against a cost that grows with the square of an event's length if the event arrives a byte at a time, which
+/// would block all other streams of the thread. When each piece was examined from the start of its line, this event took
+/// minutes.
 #[test]
 fn an_event_in_small_pieces_is_examined_once() {
     let started = std::time::Instant::now();
@@ -59,7 +62,7 @@
     assert!(elapsed < std::time::Duration::from_secs(10), "{elapsed:?}");
 }
 
-/// Guards the pieces: what was half a character, or perhaps half a line ending, is examined again.
+/// Guards against malformed bytes that go undetected because a character or a line ending was split between two pieces.
 #[test]
 fn a_cut_between_two_pieces_hides_nothing() {
     let push = |pieces: &[&'static [u8]]| {
@@ -72,6 +75,6 @@
     assert_eq!(push(&[b"da", b"to"]), Err(MalformedEvent));
     assert_eq!(push(&[b"data: \xc3", b"\n"]), Err(MalformedEvent));
     assert!(matches!(push(&[b"data: a\xc3", b"\xbc\r", b"\n\r", b"\n"]), Ok(Some(_))));
-    // The next line begins anew.
+    // The validated length of one line must not carry over to the next line.
     assert_eq!(push(&[b"data: 123456789", b"\n", b"nope"]), Err(MalformedEvent));
 }
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -1,9 +1,9 @@
-//! Verification that a server, and the network path to it, responds now.
+//! Verification that a server responds now and that the network path to it works.
 //!
-//! An open connection may fall silent with no error, and bytes that were handed to the kernel may never be delivered. Before
-//! an attempt that a lease waits for is written to a connection, the connection answers a probe; after that, a connection that
-//! stood beside it answers one ([`standing`](super::standing)). Where servers may not be probed, the release of an id that is no
-//! request's stands for the probe.
+//! An open connection may stop delivering without an error, so bytes that were handed to the kernel may never arrive. An
+//! attempt that a lease waits for is therefore written only to a connection that has just answered a probe. After the
+//! write, a connection that was already open by then is probed ([`standing`](super::standing)). Where servers may not be
+//! probed, the release of an unused id replaces the probe.
 
 use std::time::Duration;
 
@@ -23,26 +23,26 @@
 use crate::log;
 use crate::upstream::{CallError, ConnectionCheck, Reply};
 
-/// A server that is well answers a probe within this time.
+/// Time limit within which a healthy server answers a probe.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Why a connection is not to be written to.
+/// Why a connection must not be written to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unverified {
-    /// It has ended.
+    /// The connection has ended.
     Broken,
-    /// It is open, and gave no answer.
+    /// The connection is open but did not answer the check in time.
     Unresponsive,
-    /// The time left was too short for an answer.
+    /// The remaining time was too short to expect an answer.
     NoTime,
-    /// The server must receive nothing.
+    /// The server must not receive the check.
     Withheld,
 }
 
 impl From<Unverified> for CallError {
     fn from(unverified: Unverified) -> CallError {
         match unverified {
-            // Nothing of a request was written.
+            // No byte of the request was written.
             Unverified::Broken | Unverified::Unresponsive => CallError::ConnectFailed,
             Unverified::NoTime | Unverified::Withheld => CallError::NotSent,
         }
@@ -50,7 +50,7 @@
 }
 
 impl Engine {
-    /// Verifies that this connection answers the check that the request needs, by the time at which it must be written.
+    /// Verifies that the connection passes the check that the request requires, within the request's connect deadline.
     pub(super) async fn verify_connection(
         &self, server: ServerId, connection: Connection, request: &ServerRequest,
     ) -> Result<Connection, Unverified> {
@@ -60,7 +60,7 @@
         let wait = time_for(ANSWER_TIMEOUT, request.connect_deadline);
         let mut checked = self.start_check(server, connection)?;
         match within(wait, &mut checked).await {
-            // Without a word its task has ended with the engine.
+            // The sender is dropped without a result only if its task has ended with the engine.
             Some(checked) => checked.unwrap_or(Err(Unverified::Broken)),
             None if wait < ANSWER_TIMEOUT / 2 => Err(Unverified::NoTime),
             None => Err(Unverified::Unresponsive),
@@ -69,14 +69,14 @@
 
     pub(super) fn record_unresponsive(&self, server: ServerId) {
         self.record(server, Reachability::query_lost);
-        log!("a connection to server {:x} is open and unresponsive", server.0);
-        // The other idle connections to it are not tried one after the other.
+        log!("connection to server {:x} is open but unresponsive; closing the idle connections to this server", server.0);
+        // Otherwise its other idle connections could each be tried and time out in turn.
         self.close_idle_of(server);
     }
 
-    /// Sends a check on a connection that is free, and reads its response.
+    /// Sends a check call on an idle connection and reads its response.
     ///
-    /// What is not allowed for a request of this `kind` must not be written.
+    /// Returns [`Unverified::Withheld`] if the server may not receive a request of this `kind`.
     pub(super) async fn answered_on(
         &self, server: ServerId, connection: &mut Connection, kind: RequestKind, check: Request<Bytes>,
     ) -> Result<(), Unverified> {
@@ -94,8 +94,8 @@
         is_free.then_some(()).ok_or(Unverified::Broken)
     }
 
-    /// A call that changes nothing and is answered: a probe, or where servers may not be probed the release of an id that is
-    /// no request's.
+    /// Returns a call that has no side effects and that a server answers: a probe or, where servers may not be probed, the
+    /// release of an unused id.
     pub(super) fn check_call(&self) -> Result<(RequestKind, Request<Bytes>), CallError> {
         if self.0.limits.probes {
             self.0.counts.borrow_mut().probes += 1;
@@ -104,12 +104,12 @@
         self.release_of_unused_id()
     }
 
-    /// A call that every server answers that runs, also one that must receive nothing else.
+    /// Returns a call that every running server answers, including one that may receive no other request.
     pub(super) fn release_of_unused_id(&self) -> Result<(RequestKind, Request<Bytes>), CallError> {
         Ok((RequestKind::Release, lease_request(Method::DELETE, &self.0.unused_request_id)?))
     }
 
-    /// Verifies that a server responds after this call.
+    /// Verifies that a server answers a call that is sent now.
     pub(super) async fn verify_reachable(&self, server: ServerId) -> Result<Reply, CallError> {
         let (kind, call) = self.check_call()?;
         let request = ServerRequest::new(kind, call);
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! The upstream side: attempts, probes and leases as one tower service over hyper connections of its own pool.
+//! Client of the servers: a tower service that sends attempts, probes and lease calls over its own pool of connections.
 //!
-//! Every call is written once. A connection that proves dead before a byte was written is replaced; nothing else is ever
-//! sent again here, because whether to retry is the router's decision. [`Engine`] owns the table of servers and their idle
-//! connections; the clock is tokio's.
+//! Every call is written once. A connection that fails before its first byte was written is replaced; nothing else is
+//! ever sent again here, because the router decides about retries. [`Engine`] owns the table of servers and their idle
+//! connections. Time is measured by tokio's clock.
 
 #![deny(missing_docs)]
 
@@ -53,47 +53,48 @@
 use crate::exchange::StreamRemainder;
 use crate::upstream::{Call, CallError, Frames, Reply};
 
-/// What the servers of a pool have in common, beyond what the list says.
+/// Settings that apply to all servers of a pool, in addition to what discovery lists for each server.
 #[derive(Clone, Debug)]
 pub struct EngineLimits {
-    /// Longest time for opening a connection.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Whether servers may be probed.
+    /// Whether servers may be probed; if not, checks send the release of an unused id instead.
     pub probes: bool,
-    /// Connections that were idle for so long are closed; well under the server's own timeout.
+    /// Idle time after which a connection is closed; must be well below the idle timeout of the servers.
     pub idle_timeout: Duration,
-    /// Whether the servers are a public API. There a 429, or a 503 with a Retry-After, means that the request was rejected,
-    /// and other 4xx are the client's own mistake; on the platform only a marked answer means a rejection.
+    /// Whether the servers are a public API. For a public API, status 429, or 503 with a Retry-After header, means that
+    /// the request was rejected, and any other 4xx status is the client's error and is forwarded. On the platform,
+    /// only a response with the rejection header means a rejection.
     pub public_api: bool,
 }
 
-/// The state of one engine, which its tasks share.
+/// State of one engine, shared by its tasks.
 struct Shared {
     limits: EngineLimits,
     servers: RefCell<ServerTable>,
-    /// Bounds the connections of all pools together.
+    /// Limits the number of open connections of all pools together.
     connection_slots: Arc<Semaphore>,
-    /// Bounds the bytes of responses that are buffered until they are complete.
+    /// Limits the memory of responses that are buffered until they are complete.
     buffer_budget: Budget,
-    /// Whether a task closes connections that were idle for too long.
+    /// Whether the task that closes connections at their idle timeout is running.
     is_reaping: Cell<bool>,
-    /// Whether streams in flight are to be handed over to the successor process.
+    /// Whether open streams are to be handed over to the successor process.
     handing_over: watch::Sender<bool>,
     attempts_written: Rc<Cell<u64>>,
     closing: ClosingConnections,
     reset_inquiries: ResetInquiries,
-    /// An id that this process has made and gives to no request.
+    /// Random id that belongs to no request, for releases that serve as checks.
     unused_request_id: String,
     counts: RefCell<Counts>,
 }
 
-/// The client of one pool's servers. A clone is the same engine.
+/// Client of one pool's servers. All clones share the same state.
 #[derive(Clone)]
 pub struct Engine(Rc<Shared>);
 
 impl Engine {
-    /// An engine without servers; `slots` bounds the connections of all pools together, `budget` the bytes of buffered
-    /// bodies.
+    /// Creates an engine without servers. `slots` limits the open connections of all pools together, `budget` the bytes
+    /// of buffered bodies.
     pub fn new(limits: EngineLimits, slots: Arc<Semaphore>, budget: Budget) -> Self {
         Engine(Rc::new(Shared {
             limits,
@@ -110,7 +111,7 @@
         }))
     }
 
-    /// Applies a list of servers: all of them if it is `complete`, else changes to the servers known.
+    /// Applies a server list from discovery: the full list if it is `complete`, otherwise changes to the present one.
     pub fn update_servers(&self, complete: bool, changed: &[ServerAddress], removed: &[ServerId]) {
         let mut servers = self.0.servers.borrow_mut();
         if complete {
@@ -119,35 +120,36 @@
         servers.update(changed, removed);
     }
 
-    /// Ends every stream here, now and from now on, where the successor process can continue it.
+    /// Hands over every stream, present and future, to the successor process at the next position from which that can
+    /// continue it.
     pub fn hand_over_streams(&self) {
         self.0.handing_over.send_replace(true);
     }
 
-    /// Continues a stream that the predecessor process began.
+    /// Continues a stream that the predecessor process has handed over.
     pub fn resume(&self, remainder: StreamRemainder) -> Frames {
         let slot = self.0.connection_slots.clone().try_acquire_owned().ok();
         resumed_stream::resume(remainder, slot, self.0.handing_over.subscribe())
     }
 
-    /// Attempts whose last byte was handed to the kernel.
+    /// Returns the number of attempts whose last byte was handed to the kernel.
     pub fn attempts_written(&self) -> u64 {
         self.0.attempts_written.get()
     }
 
-    /// What was asked of servers so far.
+    /// Returns the counts of connections, checks and probes so far.
     pub fn counts(&self) -> Counts {
         self.0.counts.borrow().clone()
     }
 
-    /// Closes all idle connections, as a process does that ends.
+    /// Closes all idle connections, at shutdown or to free their slots.
     pub fn close_idle(&self) {
         for server in self.0.servers.borrow_mut().values_mut() {
             server.idle.clear();
         }
     }
 
-    /// Records what a call has shown of a server's reachability.
+    /// Records the result of a call in the reachability of its server.
     fn record(&self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
         self.0.servers.borrow_mut().record(server, event);
     }
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections: idle ones are reused, and closed after their idle time.
+//! Connection pool: reuses idle connections and closes them at the idle timeout.
 
 use std::time::Duration;
 
@@ -15,26 +15,27 @@
 use super::Engine;
 use crate::upstream::CallError;
 
-/// A connection whose response has been read is free for the next request within this time, or it is closed.
+/// Time limit within which a connection must accept another request once its response has been read; otherwise it is
+/// closed.
 const REUSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Idle connections that are looked at for an attempt: the one that it takes and the one that stands beside it.
+/// Number of idle connections considered for an attempt: the one that it uses and its sentinel.
 const MOST_COMPARED: usize = 2;
 
-/// The usual time for a step, or what is left until the deadline if that is less.
+/// Returns the usual time limit of a step, or the time until the deadline if that is shorter.
 pub(super) fn time_for(usual: Duration, deadline: Option<Instant>) -> Duration {
     deadline.map_or(usual, |deadline| usual.min(deadline.saturating_duration_since(Instant::now())))
 }
 
 impl Engine {
-    /// Whether the list says that a server receives new requests.
+    /// Returns whether a server is listed as receiving new requests.
     pub(super) fn is_serving(&self, server: ServerId) -> bool {
         self.0.servers.borrow().get(server).is_some_and(|record| record.is_serving)
     }
 
-    /// Whether a server may receive this over a connection that leads there, by what the list says now.
+    /// Returns whether the current server list allows this kind of request over a connection to `peer`.
     pub(super) fn may_receive(&self, server: ServerId, peer: &Peer, kind: RequestKind) -> bool {
-        // Any server that runs accepts a release, also one that has left the list.
+        // Any running server accepts a release, even one that is no longer listed.
         if kind == RequestKind::Release {
             return true;
         }
@@ -43,13 +44,14 @@
         record.peer.address == peer.address && (record.is_serving || kind.allowed_while_draining())
     }
 
-    /// An idle connection that can be used.
+    /// Takes the usable connection that became idle last.
     pub(super) fn take_idle(&self, server: ServerId) -> Option<Connection> {
         let mut servers = self.0.servers.borrow_mut();
         self.pop_usable(servers.get_mut(server)?).map(|(_, connection)| connection)
     }
 
-    /// An idle connection for an attempt that a lease waits for, with another one left beside it if there are two.
+    /// Takes an idle connection for an attempt that a lease waits for. If there are two, the other one remains idle as
+    /// the sentinel.
     pub(super) fn take_idle_beside_sentinel(&self, server: ServerId) -> Option<Connection> {
         let mut servers = self.0.servers.borrow_mut();
         let record = servers.get_mut(server)?;
@@ -63,10 +65,10 @@
         taken.map(|(_, connection)| connection)
     }
 
-    /// The connection that became idle last, of those that can be used.
+    /// Removes the usable connection that became idle last, with the time since which it was idle.
     fn pop_usable(&self, record: &mut ServerRecord) -> Option<(Instant, Connection)> {
         while let Some((idle_since, mut connection)) = record.idle.pop() {
-            // The task that closes old ones may not have run yet.
+            // The task that closes connections at the idle timeout may not have run yet.
             if idle_since.elapsed() < self.0.limits.idle_timeout && connection.is_usable() {
                 return Some((idle_since, connection));
             }
@@ -74,7 +76,7 @@
         None
     }
 
-    /// Takes the idle connection that was used last of those that were open at this moment.
+    /// Takes, of the idle connections that were opened before `at`, the one that became idle last.
     pub(super) fn take_standing(&self, server: ServerId, at: Instant) -> Option<Connection> {
         let mut servers = self.0.servers.borrow_mut();
         let record = servers.get_mut(server)?;
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Opens a connection that stands beside attempts where the policy wants one. Nothing waits for it, and it occupies a slot
-    /// that is free.
+    /// Opens a sentinel if the policy requires one. Nothing waits for it, and it is opened only if a connection slot is
+    /// free.
     pub(super) fn open_sentinel(&self, server: ServerId) {
         let mut servers = self.0.servers.borrow_mut();
         let Some(record) = servers.get_mut(server) else { return };
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Opens a connection for a request of this kind, and counts it.
+    /// Opens a connection and counts it under the kind of its first request.
     pub(super) async fn open_counted(
         &self, server: ServerId, kind: RequestKind, deadline: Option<Instant>,
     ) -> Result<Connection, CallError> {
@@ -142,12 +144,12 @@
         let limit = time_for(usual, deadline);
         let peer = self.0.servers.borrow().get(server).map(|record| record.peer.clone());
         let peer = peer.ok_or(CallError::NotSent)?;
-        // Without a slot nothing is known of the server: the lack is here.
+        // A lack of slots is local and says nothing about the server, so this is not recorded as a failure.
         let slot = self.acquire_slot().await.ok_or(CallError::NotSent)?;
         let closing = self.closing_sender();
         match timeout(limit, Connection::open(peer, slot, closing)).await {
             Ok(Ok(connection)) => Ok(connection),
-            // So short a time says nothing about the server.
+            // A timeout after less than half the usual limit says nothing about the server.
             Err(_) if limit < usual / 2 => Err(CallError::NotSent),
             _ => {
                 self.record(server, Reachability::query_lost);
@@ -156,15 +158,15 @@
         }
     }
 
-    /// A slot for one more connection; where there is none, all idle connections are closed for it, and those that wait for
-    /// their servers' ends.
+    /// Acquires a slot for one more connection. If none is free, closes all idle connections and those that wait for
+    /// their servers to close.
     async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(slot) = self.0.connection_slots.clone().try_acquire_owned() {
             return Some(slot);
         }
         self.close_idle();
         self.0.closing.abandon();
-        // Their tasks end in the next turn of the loop.
+        // The tasks of these connections end when they are next scheduled.
         yield_now().await;
         self.0.connection_slots.clone().try_acquire_owned().ok()
     }
@@ -187,7 +189,7 @@
         {
             let mut servers = self.0.servers.borrow_mut();
             let Some(record) = servers.get_mut(server) else { return };
-            // The list may have said meanwhile that the server is at another address now.
+            // The list may have changed since: the server may have moved, restarted or started to drain.
             if !record.is_serving || record.peer != connection.peer {
                 return;
             }
@@ -196,8 +198,8 @@
         self.reap_idle();
     }
 
-    /// Closes connections that were idle for too long, for as long as there are any. One task does so for all: one for
-    /// each connection that was returned used memory with rate times idle time.
+    /// Closes connections at the idle timeout until none is idle. One task serves all connections: with a task for each
+    /// returned connection, memory use grew with the request rate times the idle timeout.
     fn reap_idle(&self) {
         if self.0.is_reaping.replace(true) {
             return;
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -1,5 +1,6 @@
-//! Releases of the leases that servers hold for a request. Which server is asked when is decided by
-//! [`reachability`](glenrail_request_lifecycle::reachability).
+//! Release of the leases that servers hold for a request.
+//!
+//! [`reachability`](glenrail_request_lifecycle::reachability) decides which servers are called, and when.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,15 +18,16 @@
 use crate::exchange::Payload;
 use crate::upstream::{CallError, Reply};
 
-/// A round in which no server has accepted the release ends after this time; the caller begins the next round, with the
-/// servers asked in vain last.
+/// Time after which a release fails if no server has accepted it. The caller then starts another one, in which the
+/// servers that did not answer come last.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A server that was asked may answer for so long, also once another has: its connection is reused.
+/// Time limit for the answer of one server. It applies even after another server has accepted the release, so that the
+/// connection can be reused.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Engine {
-    /// Asks servers that run, concurrently, until one has accepted the release.
+    /// Sends a release to running servers in rounds until one has accepted it. The calls run concurrently.
     pub(super) async fn release(&self, payload: &Payload) -> Result<Reply, CallError> {
         let request = lease_request(Method::DELETE, &payload.request_id)?;
         let request = Rc::new(ServerRequest::new(RequestKind::Release, request));
@@ -36,8 +38,8 @@
         let (answer_sender, mut answers) = mpsc::unbounded_channel();
         loop {
             for server in release.next_round(now()) {
-                // In a task of its own, so that it is not cancelled, and its connection lost, when another server was
-                // faster.
+                // A separate task keeps the call, and so its connection, from being cancelled when another server
+                // answers first.
                 let release = self.clone().release_at(server, request.clone(), answer_sender.clone());
                 spawn_local(release);
             }
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Asks one server, and reports whether it has accepted the release.
+    /// Sends the release to one server and reports whether the server accepted it.
     async fn release_at(
         self, server: ServerId, request: Rc<ServerRequest>, answers: mpsc::UnboundedSender<bool>,
     ) {
@@ -65,7 +67,7 @@
                 false
             }
         };
-        // Nobody receives it any more once the release has ended.
+        // The receiver is dropped when the release has ended.
         let _ = answers.send(accepted);
     }
 }
--- a/gateway/src/engine/requests.rs
+++ b/gateway/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! What is written to a server.
+//! Construction of the HTTP requests to servers.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::exchange::Payload;
 use crate::upstream::CallError;
 
-/// The header with the request's id.
+/// Header with the request's id.
 const REQUEST_ID: HeaderName = HeaderName::from_static("req-id");
 
-/// The header with the time for which the gateway still waits, in seconds.
+/// Header with the time for which the gateway still waits for the response, in seconds.
 const REMAINING_TIME: HeaderName = HeaderName::from_static("req-deadline");
 
-/// The host that a server is addressed by, unless the client names one.
+/// Value of the Host header unless the client sent one.
 const HOST: &str = "api.internal";
 
-/// Headers that are not forwarded: they belong to one connection, or the gateway sets them.
+/// Headers that are not forwarded because they apply to one connection only or the gateway sets them.
 const NOT_FORWARDED: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -30,12 +30,12 @@
     REQUEST_ID,
 ];
 
-/// The request of an attempt: method, path, query, body and headers as they came, without what belongs to one connection;
-/// the time that remains is added last ([`set_remaining_time`]).
+/// Builds the request of an attempt: method, path, query, body and headers as received, without the headers in
+/// [`NOT_FORWARDED`]. The remaining time is added immediately before the write ([`set_remaining_time`]).
 pub(super) fn attempt_request(payload: &Payload) -> Request<Bytes> {
     let mut request = Request::new(payload.body.clone());
     *request.method_mut() = payload.method.clone();
-    // A client may name the whole target; a server that is no proxy is asked for path and query.
+    // A client may send an absolute target; an origin server expects only path and query.
     *request.uri_mut() = payload.uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from);
     *request.headers_mut() = attempt_headers(payload);
     request
@@ -58,8 +58,8 @@
     headers
 }
 
-/// States for how long the gateway still waits, when the request is about to be written: connecting may take most of that
-/// time.
+/// Sets the header with the time for which the gateway still waits. This is done immediately before the write because
+/// connecting may take most of that time.
 pub(super) fn set_remaining_time(request: &mut Request<Bytes>, remaining: Duration) {
     let seconds = HeaderValue::from_str(&format!("{:.3}", remaining.as_secs_f64()));
     request.headers_mut().extend(seconds.ok().map(|seconds| (REMAINING_TIME, seconds)));
@@ -70,12 +70,12 @@
     request.header(header::CONTENT_LENGTH, "0").body(Bytes::new()).map_err(|_| CallError::NotSent)
 }
 
-/// Asks a server for its load: a probe.
+/// Builds a probe, which requests the load report of a server.
 pub(super) fn load_request() -> Result<Request<Bytes>, CallError> {
     empty_request(Method::GET, "/status/load")
 }
 
-/// Reserves (POST) or releases (DELETE) what a server holds for the request of this id.
+/// Builds a call that reserves a slot (POST) or releases the leases (DELETE) of the request with this id.
 pub(super) fn lease_request(method: Method, request_id: &str) -> Result<Request<Bytes>, CallError> {
     empty_request(method, &format!("/kv/leases/{request_id}"))
 }
--- a/gateway/src/engine/reset_inquiry.rs
+++ b/gateway/src/engine/reset_inquiry.rs
@@ -1,8 +1,8 @@
-//! What has become of a server after a reset: a connection that is begun after it is refused, is answered, or stays silent.
+//! Inquiries about a server after a reset: a new connection to it is refused, is answered, or times out.
 //!
-//! What each of the three proves is decided in [`evidence`](glenrail_request_lifecycle::evidence). New connections and probes
-//! are priced over a fleet, so a server is asked once at a time, and all whose resets came before that question share its
-//! result.
+//! [`evidence`](glenrail_request_lifecycle::evidence) decides what each of the three proves. New connections and probes
+//! have a cost across the fleet, so each server gets one inquiry at a time, and its result is shared by all attempts
+//! whose connections were reset before it began.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,22 +21,22 @@
 use crate::exchange::CancelToken;
 use crate::upstream::ServerAfterReset;
 
-/// A question that was asked.
+/// A completed inquiry.
 #[derive(Clone, Copy)]
 struct Inquiry {
     begun_at: Instant,
     found: ServerAfterReset,
 }
 
-/// The last question to one address; locked while one is asked.
+/// Last inquiry at one address; `None` before the first has been completed. Locked while an inquiry is in progress.
 type LastInquiry = Rc<Mutex<Option<Inquiry>>>;
 
-/// The questions that are asked now, by the servers' addresses.
+/// Inquiries in progress, keyed by server address.
 #[derive(Default)]
 pub(super) struct ResetInquiries(RefCell<BTreeMap<String, LastInquiry>>);
 
 impl ResetInquiries {
-    /// The last question to this address; those that nobody waits for are forgotten.
+    /// Returns the entry for this address and removes the entries that no task uses.
     fn of(&self, address: &str) -> LastInquiry {
         let mut inquiries = self.0.borrow_mut();
         inquiries.retain(|_, inquiry| Rc::strong_count(inquiry) > 1);
@@ -45,7 +45,8 @@
 }
 
 impl Engine {
-    /// Finds out what has become of the server that this attempt was written to. Its connection was reset before this call.
+    /// Finds out the state of the server to which this attempt was written. The attempt's connection must have been reset
+    /// before this call.
     pub(super) async fn inquire_after_reset(
         &self, server: ServerId, attempt: &CancelToken,
     ) -> ServerAfterReset {
@@ -63,7 +64,7 @@
     }
 
     async fn ask_on_new_connection(&self, server: ServerId, address: String) -> ServerAfterReset {
-        // Connections that stand are evidence for other requests: none is closed for a question.
+        // Open connections serve as evidence for other requests, so none is closed to free a slot for an inquiry.
         let Ok(slot) = self.0.connection_slots.clone().try_acquire_owned() else {
             return ServerAfterReset::Silent;
         };
@@ -108,7 +109,7 @@
     }
 }
 
-/// What a connection has shown that did not come up.
+/// Returns what a failed connection attempt shows about the server.
 fn after_failed_connect(error: &io::Error) -> ServerAfterReset {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => ServerAfterReset::Refuses,
--- a/gateway/src/engine/response_fields.rs
+++ b/gateway/src/engine/response_fields.rs
@@ -1,4 +1,4 @@
-//! The few fields of a server's response that decisions need.
+//! Parsing of the response fields on which the gateway's decisions depend.
 
 use bytes::Bytes;
 use glenrail_router::LoadReport;
@@ -7,19 +7,19 @@
 
 use crate::exchange::ResponseHead;
 
-/// The media type of a stream of events.
+/// Media type of a server-sent event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The header, and the comment at the end of a stream, with the server's load.
+/// Name of the header with the load report, and of the comment with it at the end of a stream.
 const LOAD: &str = "srv-load";
 
-/// The header that marks a response as a rejection.
+/// Header that marks a response as a rejection if its value is 1.
 const REJECTED: &str = "srv-declined";
 
-/// The last events of a stream are within so many bytes of its end.
+/// Number of bytes at the end of a stream that contain its last events.
 const TAIL_SIZE: usize = 2048;
 
-/// Whether the server says that the request never ran there; `public_api` as in
+/// Returns whether the response states that the server did not run the request; `public_api` as in
 /// [`EngineLimits`](super::EngineLimits::public_api).
 pub fn is_rejection(head: &ResponseHead, public_api: bool) -> bool {
     if head.headers.get(REJECTED).is_some_and(|mark| mark == "1") {
@@ -33,14 +33,14 @@
     public_api && is_public_rejection
 }
 
-/// Whether a response says that it is a stream of events.
+/// Returns whether the content type of a response is that of an event stream.
 pub fn is_event_stream(head: &ResponseHead) -> bool {
     let media_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let prefix = media_type.and_then(|media_type| media_type.get(..EVENT_STREAM.len()));
     prefix.is_some_and(|prefix| prefix.eq_ignore_ascii_case(EVENT_STREAM))
 }
 
-/// Parses a load report: a word for its form, then `name=value` pairs.
+/// Parses a load report: an optional format name `TEXT`, then `name=value` pairs separated by commas.
 pub fn load_report(text: &str) -> Option<LoadReport> {
     let mut pairs: Vec<(&str, f64)> = Vec::new();
     for pair in text.trim().trim_start_matches("TEXT").split(',') {
@@ -56,12 +56,13 @@
     Some(glenrail_settings::load_report(value))
 }
 
-/// The load report in the headers of a response.
+/// Returns the load report in the headers of a response; `None` if it is absent or malformed.
 pub fn load_report_of(headers: &HeaderMap) -> Option<LoadReport> {
     load_report(headers.get(LOAD)?.to_str().ok()?)
 }
 
-/// Prompt tokens that the server found in its cache: the number after the last `"cached_tokens":`, or 0.
+/// Returns the number of prompt tokens that the server found in its cache: the number after the last
+/// `"cached_tokens":`, or 0 if there is none.
 pub fn cached_tokens(body: &[u8]) -> f64 {
     let text = String::from_utf8_lossy(body);
     let Some((_, after)) = text.rsplit_once("\"cached_tokens\":") else { return 0.0 };
@@ -69,24 +70,24 @@
     digits.parse().unwrap_or(0.0)
 }
 
-/// The last bytes of a stream so far.
+/// The last bytes received of a stream, up to [`TAIL_SIZE`].
 #[derive(Default)]
 pub struct StreamTail(Vec<u8>);
 
 impl StreamTail {
-    /// Adds events that were read.
+    /// Appends events and discards the oldest bytes beyond [`TAIL_SIZE`].
     pub fn push(&mut self, events: &Bytes) {
         self.0.extend_from_slice(events);
         let surplus = self.0.len().saturating_sub(TAIL_SIZE);
         self.0.drain(..surplus);
     }
 
-    /// As [`cached_tokens`] has it of a body.
+    /// Returns the number of cached prompt tokens, parsed as by [`cached_tokens`].
     pub fn cached_tokens(&self) -> f64 {
         cached_tokens(&self.0)
     }
 
-    /// The load report that a stream has as its last comment.
+    /// Returns the load report in the last comment that has one.
     pub fn load_report(&self) -> Option<LoadReport> {
         let text = String::from_utf8_lossy(&self.0);
         let value = text.lines().rev().find_map(load_comment)?;
@@ -94,7 +95,7 @@
     }
 }
 
-/// The value of a comment line with the server's load.
+/// Returns the value of a comment line with a load report; `None` for any other line.
 fn load_comment(line: &str) -> Option<&str> {
     let (name, value) = line.strip_prefix(':')?.trim_start().split_once(':')?;
     name.eq_ignore_ascii_case(LOAD).then_some(value)
--- a/gateway/src/engine/response_fields/tests.rs
+++ b/gateway/src/engine/response_fields/tests.rs
@@ -1,8 +1,9 @@
-//! The fields of a response, as servers write them.
+//! Tests of the parsing of response fields.
 
 use super::*;
 
-/// Guards the router against a load that it does not learn, and memory against a long stream.
+/// Guards against load reports that are not parsed, so that the router lacks them, and against a tail that grows with the
+/// length of its stream.
 #[test]
 fn a_load_report_is_read_from_a_header_and_from_the_end_of_a_stream() {
     let report = load_report("TEXT inflight=7, queue=2, x0=0.61, odd=nan, bad").expect("a report");
@@ -18,7 +19,7 @@
     assert!(tail.0.len() <= TAIL_SIZE);
 }
 
-/// Guards rule 2: an unmarked 503 of the platform may have run.
+/// Guards rule 2: a request that got an unmarked 503 on the platform may have run, so it must not count as rejected.
 #[test]
 fn only_a_marked_response_is_a_rejection() {
     let head = |status: u16, name: &'static str| {
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -1,5 +1,5 @@
-//! What a server sends, as hyper reads it: the head of a response is passed on once it is complete, without the interim
-//! responses before it. hyper would take a 101 for an upgrade, and has no time limit for a head.
+//! Reader between a connection's socket and hyper. It passes the head of a response to hyper once it is complete, and
+//! drops the interim responses (1xx) before it: hyper would treat a 101 as an upgrade, and has no time limit for a head.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -16,28 +16,28 @@
 use super::write_gate::WriteGate;
 use crate::counted_socket::CountedSocket;
 
-/// Most bytes of a head, together with all interim responses before it.
+/// Maximum size in bytes of a response head together with all interim responses before it.
 const MAX_HEAD: usize = 16 << 10;
 
-/// Most headers of a head.
+/// Maximum number of headers in a response head.
 const MAX_HEADERS: usize = 100;
 
-/// A head that has begun must be complete within this time.
+/// Time limit from the first bytes of a response head to its end.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection's socket, as hyper reads and writes it.
+/// The socket of a connection as hyper reads and writes it.
 pub struct ResponseReader {
     socket: CountedSocket,
     gate: Rc<WriteGate>,
-    /// Whether a request was sent, and the head of its response has not come.
+    /// Whether a request was sent and the head of its response has not been received.
     awaiting_head: Rc<Cell<bool>>,
-    /// Bytes that were read and not passed on.
+    /// Bytes that were read from the socket and not yet passed to hyper.
     buffered: Vec<u8>,
-    /// How many of the buffered bytes may be passed on.
+    /// Number of buffered bytes that may be passed to hyper; 0 until the head is complete.
     passable: usize,
-    /// Bytes of the interim responses so far.
+    /// Number of bytes of interim responses received before the current head.
     interim: usize,
-    /// The time limit of a head that has begun.
+    /// Timer of a head that has been received in part.
     head_timeout: Option<Pin<Box<Sleep>>>,
     tap: Rc<BodyTap>,
 }
@@ -46,7 +46,7 @@
     io::Error::new(io::ErrorKind::InvalidData, detail)
 }
 
-/// Whether a response's body is framed in chunks.
+/// Returns whether the body of a response uses the chunked transfer coding.
 fn is_chunked(response: &httparse::Response<'_, '_>) -> bool {
     response.headers.iter().any(|header| {
         header.name.eq_ignore_ascii_case("transfer-encoding") && header.value.eq_ignore_ascii_case(b"chunked")
@@ -54,7 +54,7 @@
 }
 
 impl ResponseReader {
-    /// A reader of a connection on which no request was sent yet.
+    /// Creates the reader of a new connection.
     pub fn new(
         socket: CountedSocket, gate: Rc<WriteGate>, awaiting_head: Rc<Cell<bool>>, tap: Rc<BodyTap>,
     ) -> Self {
@@ -62,7 +62,7 @@
         ResponseReader { socket, gate, awaiting_head, buffered, passable: 0, interim: 0, head_timeout, tap }
     }
 
-    /// Looks for a final head in what is buffered, and drops interim responses; false if more has to come.
+    /// Searches the buffered bytes for a final head and drops interim responses. Returns false if more bytes are needed.
     fn find_head(&mut self) -> io::Result<bool> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Reads until a final head has come; false at the end of what the server sends.
+    /// Reads until a final head is complete. Returns false if the server closes its direction before.
     fn poll_head(&mut self, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
         loop {
             let Poll::Ready(read) = self.socket.poll_read_into(context, &mut self.buffered)? else {
@@ -99,7 +99,7 @@
                     return Poll::Pending;
                 };
                 ready!(timeout.as_mut().poll(context));
-                return Poll::Ready(Err(malformed("a head does not end in time")));
+                return Poll::Ready(Err(malformed("response head not complete within the time limit")));
             };
             if read == 0 {
                 return Poll::Ready(Ok(false));
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Passes buffered bytes on.
+    /// Passes buffered bytes to hyper.
     fn pass_buffered(&mut self, buffer: &mut ReadBuf<'_>) {
         let count = self.passable.min(buffer.remaining());
         buffer.put_slice(&self.buffered[..count]);
@@ -121,7 +121,7 @@
         self.passable -= count;
     }
 
-    /// Reads the body, as far as the tap lets it.
+    /// Reads the body and passes it to hyper, up to the end of the current chunk if a pause was requested.
     fn poll_body(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let tap = self.tap.clone();
         if tap.poll_paused(context) {
@@ -144,7 +144,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Writes where the gate lets it; after the first byte it is open.
+    /// Writes if the gate permits it, and disarms the gate once the first byte has been written.
     fn poll_gated(
         &mut self, write: impl FnOnce(Pin<&mut CountedSocket>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
--- a/gateway/src/engine/resumed_stream.rs
+++ b/gateway/src/engine/resumed_stream.rs
@@ -1,4 +1,5 @@
-//! The remainder of a stream that the predecessor process began: its server's connection, read on from between two chunks.
+//! Continuation of a stream that the predecessor process handed over: the rest of its body is read from the server's
+//! connection, starting between two chunks.
 
 use std::net::Shutdown;
 
@@ -14,22 +15,23 @@
 use crate::exchange::StreamRemainder;
 use crate::upstream::{CallError, Frame, Frames};
 
-/// Bytes read at once.
+/// Number of bytes read from the socket at once.
 const READ_SIZE: usize = 16 << 10;
 
 struct ResumedStream {
-    /// `None` only once the stream was handed over again.
+    /// Connection to the server; `None` once the stream has been handed over again.
     socket: Option<TcpStream>,
-    /// Bytes that were read and not parsed yet.
+    /// Bytes that were read and not yet parsed.
     read_ahead: BytesMut,
     position: ChunkPosition,
     events: EventBuffer,
-    /// Whether the stream is to be handed over to the successor process.
+    /// Becomes true when the stream is to be handed over to the next successor process.
     handing_over: watch::Receiver<bool>,
     _slot: Option<OwnedSemaphorePermit>,
 }
 
-/// Only this process reads the connection now, so it is closed here, whichever copies of it are still open.
+/// Shuts the connection down, which closes it even if another process still holds a copy of the descriptor. Only this
+/// process reads from it now.
 impl Drop for ResumedStream {
     fn drop(&mut self) {
         if let Some(socket) = &self.socket {
@@ -39,7 +41,7 @@
 }
 
 impl ResumedStream {
-    /// The next frame; nothing follows one that is not data.
+    /// Returns the next frame. A frame other than data is the last one.
     async fn next(&mut self) -> Result<Frame, CallError> {
         loop {
             if let Some(frame) = self.parse()? {
@@ -53,7 +55,7 @@
             let socket = self.socket.as_mut().ok_or(CallError::Reset)?;
             let read = tokio::select! {
                 read = socket.read_buf(&mut self.read_ahead) => read.map_err(|_| CallError::Reset)?,
-                // The sender lives as long as the engine does.
+                // The engine owns the sender, so this cannot fail while the engine exists.
                 _ = self.handing_over.changed() => continue,
             };
             if read == 0 {
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The frame that what was read amounts to; `None` if more has to be read.
+    /// Parses the bytes read so far into a frame; `None` if more bytes are needed.
     fn parse(&mut self) -> Result<Option<Frame>, CallError> {
         let mut data = BytesMut::new();
         let read = self
@@ -91,7 +93,7 @@
     }
 }
 
-/// Continues a stream; its connection occupies `slot` for as long as it is open.
+/// Continues a stream. Its connection occupies `slot` for as long as it is open; `None` if no slot was free.
 pub fn resume(
     remainder: StreamRemainder, slot: Option<OwnedSemaphorePermit>, handing_over: watch::Receiver<bool>,
 ) -> Frames {
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -1,4 +1,4 @@
-//! Sending of a request: written once, on an idle connection or a new one.
+//! Sending of requests: each is written once, on an idle connection or a new one.
 
 use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
@@ -18,12 +18,12 @@
 use crate::upstream::{CallError, ConnectionCheck};
 
 impl Engine {
-    /// Writes a request to a server once and returns the head of the response, and the connection that it comes on.
+    /// Writes a request to a server once. Returns the response and the connection on which its body arrives.
     pub(super) async fn send(
         &self, server: ServerId, request: &ServerRequest,
     ) -> Result<(Response<Incoming>, Connection), CallError> {
         loop {
-            // No connection is opened in vain: it costs the server work, and the request time.
+            // Checked before a connection is opened, since that costs the server work and the request time.
             if !request.cancel_token.is_active()
                 || !(request.kind.allowed_while_draining() || self.is_serving(server))
             {
@@ -43,11 +43,12 @@
             }
             let mut connection = match self.verify_connection(server, connection, request).await {
                 Ok(connection) => connection,
-                // It was closed while it was idle, which says nothing about its server.
+                // The connection was closed while it was idle, which says nothing about its server.
                 Err(Unverified::Broken) if is_reused => continue,
                 Err(unverified) => return Err(unverified.into()),
             };
-            // Servers answer these at once, whoever asks, and they may use the connection that stands beside an attempt.
+            // Servers answer these calls immediately, and the calls may use the sentinel of an attempt, so they count as
+            // checks of their connections.
             let is_check = matches!(request.kind, RequestKind::Probe | RequestKind::Release);
             let call = is_check.then(|| self.add_check(server, &connection));
             let (call, failure) = match self.write(server, request, &mut connection).await {
@@ -60,7 +61,7 @@
             };
             call.iter().for_each(CallInFlight::broken);
             match failure {
-                // The server closed the idle connection just now, and not a byte was written.
+                // The server closed the connection before any byte was written; the loop tries another connection.
                 SendFailure::Replace => request.cancel_token.set_written(false),
                 SendFailure::Withheld => return Err(CallError::NotSent),
                 SendFailure::NeverRan => return Err(CallError::ConnectFailed),
@@ -69,17 +70,17 @@
         }
     }
 
-    /// Writes a request on this connection, unless the server may not receive it any more.
+    /// Writes a request on this connection unless the server may no longer receive it.
     async fn write(
         &self, server: ServerId, request: &ServerRequest, connection: &mut Connection,
     ) -> Result<Response<Incoming>, SendFailure> {
         let kind = request.kind;
         if kind == RequestKind::Attempt {
-            // What has come by now is handled before, a client's leaving above all: after a stall a timer may have
-            // brought this about in the same wake-up.
+            // Pending events are handled first, above all a client's disconnection: after a stall, the timer that
+            // started this attempt may have fired in the same wake-up as the disconnection.
             yield_now().await;
         }
-        // Connecting takes time: the list as it is now counts.
+        // The server list may have changed while the connection was being opened.
         if !connection.may_write(self.may_receive(server, &connection.peer, kind)) {
             return Err(SendFailure::Withheld);
         }
@@ -100,19 +101,19 @@
     }
 }
 
-/// What must hold when the first byte of a request is written.
+/// Condition under which the first byte of a request may be written.
 struct FirstByteGate {
     engine: Engine,
     server: ServerId,
     peer: Peer,
     kind: RequestKind,
     cancel_token: CancelToken,
-    /// When the request was given its remaining time.
+    /// When the remaining time in the request's header was computed.
     stated_at: Instant,
 }
 
 impl FirstByteGate {
-    /// Whether the first byte may be written now; the token says that it is.
+    /// Returns whether the first byte may be written now, and records that in the token.
     fn pass(&self) -> bool {
         let is_clear = self.stated_at.elapsed() <= MAX_STATED_DEADLINE_AGE
             && self.cancel_token.is_active()
--- a/gateway/src/engine/server_request.rs
+++ b/gateway/src/engine/server_request.rs
@@ -1,4 +1,4 @@
-//! A request to a server, with the conditions under which it may be written.
+//! Requests to servers, with the conditions under which each may be written.
 
 use std::time::Duration;
 
@@ -10,11 +10,13 @@
 use crate::exchange::CancelToken;
 use crate::upstream::ConnectionCheck;
 
-/// A server is told so much less than the time that is left: bytes that came while this process stood still are counted from
-/// their reading, and the platform's slack is no more than the longest hold-up.
+/// Margin by which the remaining time stated to a server is reduced.
+///
+/// A request that arrives while this process is stalled gets its arrival time only when it is read, so the computed
+/// remaining time is too long by up to the stall. The platform tolerates no more than the longest stall.
 const STATED_TIME_MARGIN: Duration = Duration::from_millis(20);
 
-/// What a request to a server is for.
+/// Purpose of a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestKind {
     Attempt,
@@ -24,27 +26,27 @@
 }
 
 impl RequestKind {
-    /// Whether a draining server may receive it too.
+    /// Returns whether a draining server may also receive this kind of request.
     pub fn allowed_while_draining(self) -> bool {
         matches!(self, RequestKind::Probe | RequestKind::Release)
     }
 }
 
-/// A request to a server, and the conditions under which it may be written.
+/// A request to a server and the conditions under which it may be written.
 pub(super) struct ServerRequest {
     pub kind: RequestKind,
     pub request: Request<Bytes>,
-    /// By when it must be on a connection, an idle one included.
+    /// Time by which the request must be written to a new or idle connection; `None`: no lease waits for it.
     pub connect_deadline: Option<Instant>,
-    /// What must show, immediately before, that the connection still delivers.
+    /// Check that the connection must pass immediately before the request is written.
     pub connection_check: ConnectionCheck,
-    /// Until when its response may begin.
+    /// Time by which the response must begin; `None` for requests other than attempts.
     pub deadline: Option<Instant>,
     pub cancel_token: CancelToken,
 }
 
 impl ServerRequest {
-    /// A request that is no attempt: it has no deadline of its own, and nothing cancels it.
+    /// Creates a request other than an attempt. It has no deadline of its own and cannot be cancelled.
     pub fn new(kind: RequestKind, request: Request<Bytes>) -> Self {
         ServerRequest {
             kind,
@@ -56,8 +58,10 @@
         }
     }
 
-    /// What is written at this moment, with the time that remains now; `None` once a deadline has passed: its own, that of the
-    /// lease that waits for it, or that until which it may be retried.
+    /// Returns the request as it is to be written now, with the remaining time in its header.
+    ///
+    /// Returns `None` once one of its deadlines has passed: its own, that of the lease that waits for it, or the end of
+    /// the time in which it may be retried.
     pub fn to_write_now(&self) -> Option<Request<Bytes>> {
         let (mut request, now) = (self.request.clone(), Instant::now());
         let mut deadlines = [self.connect_deadline, self.deadline].into_iter().flatten();
--- a/gateway/src/engine/server_table.rs
+++ b/gateway/src/engine/server_table.rs
@@ -1,4 +1,4 @@
-//! The servers as the engine knows them: their addresses, the idle connections to them, and whether they can be reached.
+//! Table of the servers of one engine: their addresses, idle connections, recent checks and reachability.
 
 use std::collections::BTreeMap;
 
@@ -12,34 +12,34 @@
 /// A server as discovery lists it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerAddress {
-    /// The server.
+    /// Identifier assigned by discovery.
     pub server: ServerId,
     /// Host and port.
     pub address: String,
-    /// Whether it receives new requests.
+    /// Whether the server receives new requests; false while it drains.
     pub is_serving: bool,
-    /// Its zone; servers become unreachable by zones.
+    /// Zone of the server. Servers of one zone tend to become unreachable together.
     pub zone: u32,
-    /// When it last started, in Unix milliseconds, as the list says; 0 for long ago.
+    /// When the server last started, in Unix milliseconds, as listed; 0 if that was long ago.
     pub started_ms: u64,
 }
 
-/// What the engine knows of one server.
+/// State of one server.
 #[derive(Default)]
 pub(super) struct ServerRecord {
     pub peer: Peer,
     pub is_serving: bool,
     zone: u32,
-    /// Idle connections, and since when; the oldest first.
+    /// Idle connections with the time since which each is idle, the longest idle first.
     pub idle: Vec<(Instant, Connection)>,
-    /// Whether a connection is being opened that is to stand beside attempts.
+    /// Whether a sentinel is being opened.
     pub is_opening_sentinel: bool,
-    /// The last checks of connections to it.
+    /// Recent checks of connections to its present address.
     pub checks: RecentChecks,
     reachability: Reachability,
 }
 
-/// All servers of one engine.
+/// The servers of one engine, keyed by identifier.
 pub(super) struct ServerTable {
     created: Instant,
     servers: BTreeMap<ServerId, ServerRecord>,
@@ -50,12 +50,12 @@
         ServerTable { created: Instant::now(), servers: BTreeMap::new() }
     }
 
-    /// Removes the servers that a complete list lacks.
+    /// Removes the servers that are absent from a complete list.
     pub fn retain_listed(&mut self, listed: &[ServerAddress]) {
         self.servers.retain(|id, _| listed.iter().any(|address| address.server == *id));
     }
 
-    /// Applies changes to the list.
+    /// Adds or updates the changed servers and removes the removed ones.
     pub fn update(&mut self, changed: &[ServerAddress], removed: &[ServerId]) {
         for id in removed {
             self.servers.remove(id);
@@ -67,7 +67,7 @@
                 record.reachability = Reachability::default();
                 record.checks = RecentChecks::default();
             }
-            // A connection to its earlier address, or to the process before its restart, carries no request.
+            // Connections to an earlier address or to the process before a restart must not carry requests.
             if record.peer != peer || !listed.is_serving {
                 record.idle.clear();
             }
@@ -89,18 +89,18 @@
         self.servers.values_mut()
     }
 
-    /// Since when the connection that was idle longest is idle.
+    /// Returns the time since which the longest idle connection of all servers is idle; `None` without idle connections.
     pub fn oldest_idle(&self) -> Option<Instant> {
         let oldest = |record: &ServerRecord| record.idle.first().map(|(idle_since, _)| *idle_since);
         self.servers.values().filter_map(oldest).min()
     }
 
-    /// Milliseconds since the table was created.
+    /// Returns the milliseconds since the table was created.
     pub fn now(&self) -> Millis {
         self.created.elapsed().as_millis() as Millis
     }
 
-    /// Records what a call has shown of a server's reachability.
+    /// Records the result of a call in the reachability of its server.
     pub fn record(&mut self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
         let now = self.now();
         if let Some(record) = self.servers.get_mut(&server) {
@@ -108,15 +108,15 @@
         }
     }
 
-    /// The servers that may be asked for a release, in the order in which they are to be asked: any that runs accepts it,
-    /// and those that drain come last.
+    /// Returns the servers in the order in which to send them a release. Every running server accepts one; draining
+    /// servers come last.
     pub fn release_order(&self) -> Vec<ServerId> {
         let mut servers = self.ordered(true);
         servers.extend(self.ordered(false));
         servers
     }
 
-    /// The servers that receive new requests, or those that do not, the most likely to answer first.
+    /// Returns the servers that receive new requests, or those that do not, in release order.
     fn ordered(&self, is_serving: bool) -> Vec<ServerId> {
         let mut candidates = Vec::new();
         for (server, record) in &self.servers {
--- a/gateway/src/engine/stall_tolerance.rs
+++ b/gateway/src/engine/stall_tolerance.rs
@@ -1,18 +1,19 @@
-//! Waits for a server's answer that allow for stalls of this process.
+//! Timeouts for servers' answers that allow for stalls of this process.
 
 use std::future::Future;
 use std::time::Duration;
 
 use tokio::time::{timeout, Instant};
 
-/// A wait that lasted this much longer than it should says that this process was stalled, not that the server is
+/// A wait that exceeds its limit by more than this time shows that this process was stalled, not that the server is
 /// unresponsive.
 const STALL_THRESHOLD: Duration = Duration::from_millis(30);
 
-/// Waits that may be repeated since this process was stalled.
+/// Maximum number of times that a wait is repeated because this process was stalled.
 const MAX_REPEATED_WAITS: usize = 2;
 
-/// What is awaited, if it comes within this time; the wait is repeated where this process was stalled meanwhile.
+/// Returns the output of `awaited`, or `None` if it takes longer than `wait`. The wait is repeated if this process was
+/// stalled during it.
 pub(super) async fn within<T>(wait: Duration, awaited: impl Future<Output = T>) -> Option<T> {
     tokio::pin!(awaited);
     let mut repeated_waits = 0;
--- a/gateway/src/engine/standing.rs
+++ b/gateway/src/engine/standing.rs
@@ -1,8 +1,9 @@
-//! Checks of connections, and what they say of attempts that were written to the same server before.
+//! Checks of connections, and their results for attempts that were written earlier to the same server.
 //!
-//! Each check is a call that changes nothing. It speaks for its own connection, and if that one stood when an attempt was
-//! written, also for the attempt: what silences connections with no error strikes those that stand. What a check says of an
-//! attempt is decided in [`evidence`](glenrail_request_lifecycle::evidence).
+//! Each check is a call without side effects. Its result applies to its own connection. If that connection was already
+//! open when an attempt was written, the result applies to the attempt as well, because a failure that breaks connections
+//! without an error affects all that are open at that time. [`evidence`](glenrail_request_lifecycle::evidence) decides
+//! what a check proves about an attempt.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,24 +25,24 @@
 use crate::exchange::CancelToken;
 use crate::upstream::{CallError, Reply};
 
-/// A silent connection may still answer for so long: a server that stood still for a moment answers late on each of its
-/// connections.
+/// Time for which a response is still awaited after a check has timed out. A server that stalled for a moment answers
+/// late on each of its connections.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Checks of one server's connections that are remembered. Attempts ask for them within the lease limit.
+/// Maximum number of recent checks stored per server. Attempts look them up within the lease limit.
 const MAX_CHECKS: usize = 32;
 
-/// A call that has been pending for longer is taken for silent; whoever makes it may wait longer.
+/// Time after which a pending call counts as timed out, even if its caller waits longer.
 const OVERDUE_AFTER: Duration = ANSWER_TIMEOUT.saturating_mul(2);
 
-/// What has come of a check.
+/// Outcome of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Pending,
-    /// No answer came in time; one may come late.
+    /// No answer was received in time; a late one is possible.
     Silent,
     Answered,
-    /// The connection has ended, which shows nothing.
+    /// The connection has ended, which proves nothing about others.
     Broken,
 }
 
@@ -60,33 +61,34 @@
         }
     }
 
-    /// Waits until the outcome is not pending.
+    /// Waits until the check has an outcome or is overdue.
     async fn settled(mut self) {
         let overdue_at = self.call.sent + OVERDUE_AFTER;
         let outcome = self.outcome.wait_for(|outcome| *outcome != Outcome::Pending);
-        // What comes of it is read from the check.
+        // The caller reads the outcome from the list of checks.
         let _ = timeout_at(overdue_at, outcome).await;
     }
 
-    /// Whether an answer comes late, for as long as somebody listens.
+    /// Waits for a late answer. Returns false once the check has ended without one.
     async fn answers_late(mut self) -> bool {
         self.outcome.wait_for(|outcome| *outcome == Outcome::Answered).await.is_ok()
     }
 }
 
-/// A call that serves as a check, until its response has begun. One that is given up counts as silent if it was overdue.
+/// A call that serves as a check, until its response has begun. If it is dropped before, it counts as timed out if it was
+/// overdue, otherwise as broken.
 pub(super) struct CallInFlight {
     sent: Instant,
     outcome: watch::Sender<Outcome>,
 }
 
 impl CallInFlight {
-    /// Its response has begun.
+    /// Records that the response to the call has begun.
     pub fn answered(&self) {
         self.settle(Outcome::Answered);
     }
 
-    /// Its connection has ended, which shows nothing.
+    /// Records that the connection has ended, which proves nothing about others.
     pub fn broken(&self) {
         self.settle(Outcome::Broken);
     }
@@ -109,7 +111,7 @@
     }
 }
 
-/// The last checks of one server's connections.
+/// Recent checks of one server's connections, the oldest first.
 #[derive(Default)]
 pub(super) struct RecentChecks(VecDeque<Check>);
 
@@ -121,7 +123,7 @@
         self.0.push_back(check);
     }
 
-    /// The last check with this outcome that speaks for the attempt.
+    /// Returns the latest check with this outcome that is evidence about the attempt.
     fn find(&self, outcome: Outcome, attempt: &WrittenAttempt<Instant>) -> Option<Check> {
         let speaks_for_attempt = |check: &&Check| match outcome {
             Outcome::Silent => check.call.timeout_makes_delivery_doubtful(attempt),
@@ -133,8 +135,8 @@
 }
 
 impl Engine {
-    /// Asks the server for a sign that an attempt was delivered. A connection that stood when the attempt was written is
-    /// asked; where none did, or it is silent, a newer one.
+    /// Seeks confirmation that an attempt was delivered. The check uses a connection that was open when the attempt was
+    /// written; if there is none, or it does not answer in time, a call on any connection verifies the server.
     pub(super) async fn confirm_delivery(
         &self, server: ServerId, cancel_token: &CancelToken,
     ) -> Result<Reply, CallError> {
@@ -148,16 +150,16 @@
                 continue;
             }
             let Some(connection) = self.take_standing(server, attempt.written) else { break };
-            // The connection goes back to the pool once it has answered.
+            // The receiver is dropped, so the connection returns to the pool once it has answered.
             let _ = self.start_check(server, connection);
         }
         let silent = self.find_check(server, Outcome::Silent, &attempt);
         self.verify_reachable(server).await?;
-        // The call may have gone out on a connection that stood, and has come back to the pool since.
+        // That call may have used a connection that was open at the write and has returned to the pool since.
         let is_shown = self.find_check(server, Outcome::Answered, &attempt).is_some();
         Ok(Reply::Observed(match silent {
             _ if is_shown => Observation::ResponseOnEarlierConnection,
-            // A server that stood still answers on all of its connections.
+            // A server that was only stalled answers late on all of its connections.
             Some(silent) if silent.clone().answers_late().await => Observation::ResponseOnEarlierConnection,
             Some(_) => Observation::TimeoutOnEarlierConnection,
             None => Observation::ResponseOnLaterConnection,
@@ -170,8 +172,8 @@
         self.0.servers.borrow().get(server)?.checks.find(outcome, attempt)
     }
 
-    /// Starts a check of a connection that is free, and gives the connection back once it has answered; if nobody waits for
-    /// that any more it goes to the pool.
+    /// Starts a check of an idle connection. The receiver gets the connection once it has answered; if the receiver was
+    /// dropped, the connection returns to the pool.
     pub(super) fn start_check(
         &self, server: ServerId, connection: Connection,
     ) -> Result<oneshot::Receiver<Result<Connection, Unverified>>, Unverified> {
@@ -182,7 +184,7 @@
         Ok(receiver)
     }
 
-    /// Notes a call that a server answers at once, and that so serves as a check of its connection.
+    /// Registers a call as a check of its connection. It must be one that a server answers immediately.
     pub(super) fn add_check(&self, server: ServerId, connection: &Connection) -> CallInFlight {
         let sent = Instant::now();
         let (connection_opened, last_answer) = (connection.opened, connection.last_answer);
@@ -200,7 +202,7 @@
     ) {
         let mut checked = Some(checked);
         let answered = {
-            // A server that must not be probed must not be written to either.
+            // The check counts as a probe here even if it is a release: a server that may not be probed gets neither.
             let answer = self.answered_on(server, &mut connection, RequestKind::Probe, request);
             tokio::pin!(answer);
             match within(ANSWER_TIMEOUT, &mut answer).await {
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Gives a connection to whoever had it checked, or to the pool.
+    /// Returns a checked connection to the requester of the check or, if that no longer waits, to the pool.
     fn give_back(
         &self, server: ServerId, connection: Connection,
         checked: Option<oneshot::Sender<Result<Connection, Unverified>>>,
--- a/gateway/src/engine/write_gate.rs
+++ b/gateway/src/engine/write_gate.rs
@@ -1,10 +1,11 @@
-//! A condition on the first byte of a request, checked in the moment in which that is written.
+//! Condition on the first byte of a request, checked at the moment of the write.
 
 use std::cell::{Cell, RefCell};
 use std::io;
 
-/// What must hold when the first byte of a request is written. The sender checks it before, but other tasks run between
-/// that and the write, and the network does not wait.
+/// Condition that must hold when the first byte of a request is written.
+///
+/// The sender has checked it before, but other tasks run and data arrives between that check and the write.
 #[derive(Default)]
 pub struct WriteGate {
     is_clear: RefCell<Option<Box<dyn Fn() -> bool>>>,
@@ -12,33 +13,33 @@
 }
 
 impl WriteGate {
-    /// Checks this condition before the next byte is written.
+    /// Sets the condition to check before the next byte is written.
     pub fn arm(&self, is_clear: impl Fn() -> bool + 'static) {
         self.has_blocked.set(false);
         self.is_clear.replace(Some(Box::new(is_clear)));
     }
 
-    /// Lets the following bytes pass unchecked, once the first has been written.
+    /// Removes the condition once the first byte has been written.
     pub fn disarm(&self) {
         self.is_clear.take();
     }
 
-    /// Whether the condition did not hold, so that nothing was written.
+    /// Returns whether the condition failed, in which case nothing was written.
     pub fn has_blocked(&self) -> bool {
         self.has_blocked.get()
     }
 
-    /// Fails unless the next byte may be written; `is_quiet`: the server has sent nothing since its last response, and has
-    /// not closed.
+    /// Returns an error unless the next byte may be written. `is_quiet` returns whether the server has neither closed the
+    /// connection nor sent anything since its last response.
     pub fn check(&self, is_quiet: impl FnOnce() -> bool) -> io::Result<()> {
         let is_clear = self.is_clear.borrow();
         let Some(is_clear) = is_clear.as_ref() else { return Ok(()) };
         if !is_clear() {
             self.has_blocked.set(true);
-            return Err(io::Error::other("not to be sent any more"));
+            return Err(io::Error::other("request withheld: the server must not receive it any more"));
         }
         if !is_quiet() {
-            return Err(io::Error::other("closed, or an answer before its request"));
+            return Err(io::Error::other("connection closed, or data received before the request was written"));
         }
         Ok(())
     }
