--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -102,7 +102,7 @@
     ) -> Result<Reply, CallError> {
         let report = load_report_of(&head.headers);
         let Some(body) = self.within_body_timeout(mode, self.buffer(body)).await?? else {
-            log!("response of server {:x} exceeds the size limit or the memory budget for buffering", server.0);
+            log!("response of server {:x} exceeds the size limit or the memory budget", server.0);
             return match head.status {
                 // The prefill has succeeded, so the server holds a state lease although the body was not read.
                 StatusCode::ACCEPTED => Err(CallError::MalformedResponse),
@@ -140,7 +140,7 @@
             return Ok(awaited.await);
         }
         timeout(BODY_TIMEOUT, awaited).await.map_err(|_| {
-            log!("response body did not arrive within the time limit after its head; treated as malformed");
+            log!("response body not received in time after its head; treated as malformed");
             CallError::MalformedResponse
         })
     }
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -69,7 +69,10 @@
 
     pub(super) fn record_unresponsive(&self, server: ServerId) {
         self.record(server, Reachability::query_lost);
-        log!("connection to server {:x} is open but unresponsive; closing the idle connections to this server", server.0);
+        log!(
+            "connection to server {:x} is open but unresponsive; closing the idle connections to this server",
+            server.0
+        );
         // Otherwise its other idle connections could each be tried and time out in turn.
         self.close_idle_of(server);
     }
--- a/gateway/src/engine/write_gate.rs
+++ b/gateway/src/engine/write_gate.rs
@@ -39,7 +39,9 @@
             return Err(io::Error::other("request withheld: the server must not receive it any more"));
         }
         if !is_quiet() {
-            return Err(io::Error::other("connection closed, or data received before the request was written"));
+            return Err(io::Error::other(
+                "connection closed, or data received before the request was written",
+            ));
         }
         Ok(())
     }
