--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -21,7 +21,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-use super::body_tap::BodyTap;
+use super::body_read_state::BodyTap;
 use super::closing::{ClosingConnection, ClosingSender};
 use super::response_reader::ResponseReader;
 use super::write_gate::WriteGate;
--- a/gateway/src/engine/event_stream.rs
+++ b/gateway/src/engine/event_stream.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-use super::body_tap::BodyTap;
+use super::body_read_state::BodyTap;
 use super::events::{EventBuffer, MalformedEvent};
 use super::response_fields::StreamTail;
 use crate::upstream::CallError;
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -2,7 +2,7 @@
 //!
 //! An open connection may stop delivering without an error, so bytes that were handed to the kernel may never arrive. An
 //! attempt that a lease waits for is therefore written only to a connection that has just answered a probe. After the
-//! write, a connection that was already open by then is probed ([`standing`](super::standing)). Where servers may not be
+//! write, a connection that was already open by then is probed ([`connection_checks`](super::connection_checks)). Where servers may not be
 //! probed, the release of an unused id replaces the probe.
 
 use std::time::Duration;
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -7,9 +7,10 @@
 #![deny(missing_docs)]
 
 mod attempt;
-mod body_tap;
+mod body_read_state;
 mod closing;
 mod connection;
+mod connection_checks;
 mod control_calls;
 mod event_stream;
 mod events;
@@ -25,7 +26,6 @@
 mod server_request;
 mod server_table;
 mod stall_tolerance;
-mod standing;
 mod write_gate;
 
 use std::cell::{Cell, RefCell};
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-use super::body_tap::BodyTap;
+use super::body_read_state::BodyTap;
 use super::write_gate::WriteGate;
 use crate::counted_socket::CountedSocket;
 
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -8,10 +8,10 @@
 use tokio::time::Instant;
 
 use super::connection::{Connection, Peer, SendFailure};
+use super::connection_checks::CallInFlight;
 use super::event_stream::broken_response;
 use super::liveness::Unverified;
 use super::server_request::{RequestKind, ServerRequest};
-use super::standing::CallInFlight;
 use super::Engine;
 use crate::exchange::CancelToken;
 use crate::invariants::MAX_STATED_DEADLINE_AGE;
--- a/gateway/src/engine/server_table.rs
+++ b/gateway/src/engine/server_table.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::connection::{Connection, Peer};
-use super::standing::RecentChecks;
+use super::connection_checks::RecentChecks;
 
 /// A server as discovery lists it.
 #[derive(Clone, Debug, Default, PartialEq)]
