--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -2,8 +2,8 @@
 //!
 //! An open connection may stop delivering without an error, so bytes that were handed to the kernel may never arrive. An
 //! attempt that a lease waits for is therefore written only to a connection that has just answered a probe. After the
-//! write, a connection that was already open by then is probed ([`connection_checks`](super::connection_checks)). Where servers may not be
-//! probed, the release of an unused id replaces the probe.
+//! write, a connection that was already open by then is probed ([`connection_checks`](super::connection_checks)). Where
+//! servers may not be probed, the release of an unused id replaces the probe.
 
 use std::time::Duration;
 
@@ -69,10 +69,7 @@
 
     pub(super) fn record_unresponsive(&self, server: ServerId) {
         self.record(server, Reachability::query_lost);
-        log!(
-            "connection to server {:x} is open but unresponsive; closing the idle connections to this server",
-            server.0
-        );
+        log!("connection to server {:x} is open but unresponsive; closing its idle connections", server.0);
         // Otherwise its other idle connections could each be tried and time out in turn.
         self.close_idle_of(server);
     }
@@ -97,8 +94,8 @@
         is_free.then_some(()).ok_or(Unverified::Broken)
     }
 
-    /// Returns a call that has no side effects and that a server answers: a probe or, where servers may not be probed, the
-    /// release of an unused id.
+    /// Returns a call without side effects that a server answers: a probe or, where servers may not be probed, the release
+    /// of an unused id.
     pub(super) fn check_call(&self) -> Result<(RequestKind, Request<Bytes>), CallError> {
         if self.0.limits.probes {
             self.0.counts.borrow_mut().probes += 1;
--- a/gateway/src/engine/write_gate.rs
+++ b/gateway/src/engine/write_gate.rs
@@ -36,12 +36,10 @@
         let Some(is_clear) = is_clear.as_ref() else { return Ok(()) };
         if !is_clear() {
             self.has_blocked.set(true);
-            return Err(io::Error::other("request withheld: the server must not receive it any more"));
+            return Err(io::Error::other("request withheld: it may no longer be sent"));
         }
         if !is_quiet() {
-            return Err(io::Error::other(
-                "connection closed, or data received before the request was written",
-            ));
+            return Err(io::Error::other("connection closed, or data received before the request"));
         }
         Ok(())
     }
