--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -14,7 +14,7 @@
 
 use super::connection::Connection;
 use super::event_stream::{broken_response, EventStream, StreamStep};
-use super::response_fields::{cached_tokens, is_event_stream, is_rejection, load_report_of};
+use super::response_fields::{cached_tokens, is_event_stream, is_rejection, load_report_from_headers};
 use super::server_request::ServerRequest;
 use super::Engine;
 use crate::exchange::{Payload, ResponseHead};
@@ -22,7 +22,7 @@
 use crate::upstream::{CallError, Frame, Reply};
 
 /// Maximum size in bytes of a response that is buffered until it is complete.
-const MAX_BUFFERED_BODY: usize = 16 << 20;
+const MAX_BUFFERED_BODY_BYTES: usize = 16 << 20;
 
 /// Time limit on the platform from the head of a response to its first event, or to the end of a short response.
 ///
@@ -75,10 +75,10 @@
             log!("response of server {:x} has no event stream content type; treated as malformed", server.0);
             return Err(CallError::MalformedResponse);
         }
-        let report = load_report_of(&head.headers);
+        let report = load_report_from_headers(&head.headers);
         // From here on the connection is dropped, and so closed, unless the stream is completed or handed over.
         let handing_over = self.0.handing_over.subscribe();
-        let mut stream = EventStream::new(body, connection.tap.clone(), handing_over);
+        let mut stream = EventStream::new(body, connection.body_state.clone(), handing_over);
         let first = match self.within_body_timeout(ResponseMode::Streamed, stream.next()).await?? {
             StreamStep::Events(first) => first,
             StreamStep::End | StreamStep::Paused => return Err(CallError::Reset),
@@ -100,7 +100,7 @@
         &self, server: ServerId, head: ResponseHead, body: Incoming, connection: Connection,
         mode: ResponseMode,
     ) -> Result<Reply, CallError> {
-        let report = load_report_of(&head.headers);
+        let report = load_report_from_headers(&head.headers);
         let Some(body) = self.within_body_timeout(mode, self.buffer(body)).await?? else {
             log!("response of server {:x} exceeds the size limit or the memory budget", server.0);
             return match head.status {
@@ -145,14 +145,14 @@
         })
     }
 
-    /// Reads a complete body. Returns `None` if it exceeds [`MAX_BUFFERED_BODY`] or the memory budget.
+    /// Reads a complete body. Returns `None` if it exceeds [`MAX_BUFFERED_BODY_BYTES`] or the memory budget.
     async fn buffer(&self, mut body: Incoming) -> Result<Option<Bytes>, CallError> {
         let mut bytes = Vec::new();
         let mut claim = self.0.buffer_budget.claim(0).ok_or(CallError::Reset)?;
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|error| broken_response(&error))?;
             let Ok(data) = frame.into_data() else { continue };
-            if bytes.len() + data.len() > MAX_BUFFERED_BODY || !claim.grow(data.len()) {
+            if bytes.len() + data.len() > MAX_BUFFERED_BODY_BYTES || !claim.grow(data.len()) {
                 return Ok(None);
             }
             bytes.extend_from_slice(&data);
--- a/gateway/src/engine/body_read_state.rs
+++ b/gateway/src/engine/body_read_state.rs
@@ -11,53 +11,53 @@
 
 /// Tracks the chunk framing of a response body as it is read, and pauses reading on request.
 #[derive(Default)]
-pub struct BodyTap {
+pub struct BodyReadState {
     /// Position in the chunk framing after the bytes passed to hyper; `None` if the body is not chunked, or its framing
     /// is malformed.
     position: Cell<Option<ChunkPosition>>,
     /// Number of bytes passed to hyper that are body data, not framing.
-    data: Cell<u64>,
+    data_bytes: Cell<u64>,
     /// Whether reading is to pause at the end of the current chunk.
-    pausing: Cell<bool>,
+    pause_requested: Cell<bool>,
     /// Bytes that were read from the socket and not passed to hyper because a pause was requested.
     pub read_ahead: RefCell<Vec<u8>>,
     /// Waker of the task that waits for reading to continue.
-    reader: RefCell<Option<Waker>>,
+    reader_waker: RefCell<Option<Waker>>,
     /// Notified whenever reading pauses. The end of a chunk alone carries no data, so it would not wake the event stream.
     paused: Notify,
 }
 
-impl BodyTap {
+impl BodyReadState {
     /// Sets whether reading is to pause at the end of the current chunk. Clearing it continues paused reading.
-    pub fn set_pausing(&self, pausing: bool) {
-        if self.pausing.replace(pausing) && !pausing {
-            if let Some(reader) = self.reader.take() {
+    pub fn set_pause_requested(&self, pause_requested: bool) {
+        if self.pause_requested.replace(pause_requested) && !pause_requested {
+            if let Some(reader) = self.reader_waker.take() {
                 reader.wake();
             }
         }
     }
 
     /// Returns whether reading is to pause at the end of the current chunk.
-    pub fn is_pausing(&self) -> bool {
-        self.pausing.get()
+    pub fn is_pause_requested(&self) -> bool {
+        self.pause_requested.get()
     }
 
     /// Returns whether reading has paused between two chunks after exactly `data` bytes of body data.
     pub fn is_paused_after(&self, data: u64) -> bool {
-        self.pausing.get() && self.data.get() == data && self.is_between_chunks()
+        self.pause_requested.get() && self.data_bytes.get() == data && self.is_between_chunks()
     }
 
     /// Waits until reading has paused.
-    pub async fn paused(&self) {
+    pub async fn wait_paused(&self) {
         self.paused.notified().await;
     }
 
     /// Returns whether reading has paused. If so, the task of this context is woken when reading continues.
     pub fn poll_paused(&self, context: &mut Context<'_>) -> bool {
-        if !self.pausing.get() || !self.is_between_chunks() {
+        if !self.pause_requested.get() || !self.is_between_chunks() {
             return false;
         }
-        self.reader.replace(Some(context.waker().clone()));
+        self.reader_waker.replace(Some(context.waker().clone()));
         self.paused.notify_one();
         true
     }
@@ -67,19 +67,19 @@
     }
 
     /// Resets the state for the body of the next response.
-    pub fn begin(&self, is_chunked: bool) {
+    pub fn begin_body(&self, is_chunked: bool) {
         self.position.set(is_chunked.then(ChunkPosition::default));
-        self.data.set(0);
-        self.set_pausing(false);
+        self.data_bytes.set(0);
+        self.set_pause_requested(false);
     }
 
     /// Advances the position by these bytes and returns how many of them may be passed to hyper.
-    pub fn pass_on(&self, bytes: &[u8]) -> usize {
+    pub fn advance(&self, bytes: &[u8]) -> usize {
         let Some(mut position) = self.position.get() else { return bytes.len() };
-        let mut data = self.data.get();
-        let until = if self.pausing.get() { ReadUntil::EndOfChunk } else { ReadUntil::EndOfBody };
+        let mut data = self.data_bytes.get();
+        let until = if self.pause_requested.get() { ReadUntil::EndOfChunk } else { ReadUntil::EndOfBody };
         let read = position.read(bytes, until, |part| data += part.len() as u64);
-        self.data.set(data);
+        self.data_bytes.set(data);
         // hyper reports malformed framing itself. Here it only means that the stream can no longer be handed over.
         self.position.set(read.is_ok().then_some(position));
         match read {
--- a/gateway/src/engine/closing.rs
+++ b/gateway/src/engine/closing.rs
@@ -22,7 +22,7 @@
 const SERVER_END_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Number of response bytes that are read and discarded at once.
-const READ_SIZE: usize = 4 << 10;
+const READ_SIZE_BYTES: usize = 4 << 10;
 
 /// A connection whose attempt was interrupted.
 pub(super) struct ClosingConnection {
@@ -54,7 +54,7 @@
     async fn await_end(self) {
         let ends = async {
             while self.socket.readable().await.is_ok() {
-                match self.socket.try_read(&mut [0; READ_SIZE]) {
+                match self.socket.try_read(&mut [0; READ_SIZE_BYTES]) {
                     Ok(0) => return self.attempt.note(Observation::ServerClose),
                     Ok(_) => {}
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -21,7 +21,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-use super::body_read_state::BodyTap;
+use super::body_read_state::BodyReadState;
 use super::closing::{ClosingConnection, ClosingSender};
 use super::response_reader::ResponseReader;
 use super::write_gate::WriteGate;
@@ -33,7 +33,7 @@
 ///
 /// This also limits the parts of a stream, unless a single event is larger. With hyper's default of 400 kB, the parts
 /// queued for a slow client took 7 MB per stream.
-const READ_BUFFER: usize = 32 << 10;
+const READ_BUFFER_BYTES: usize = 32 << 10;
 
 /// Why a request got no response.
 pub enum SendFailure {
@@ -71,7 +71,7 @@
     gate: Rc<WriteGate>,
     awaiting_head: Rc<Cell<bool>>,
     /// Read state of the current response's body.
-    pub tap: Rc<BodyTap>,
+    pub body_state: Rc<BodyReadState>,
     task: AbortHandle,
     slot: Option<OwnedSemaphorePermit>,
     /// The attempt in progress, if any. What the connection shows about the server's work is recorded in its token.
@@ -90,9 +90,10 @@
         let socket = CountedSocket::new(socket);
         let awaiting_head = Rc::new(Cell::new(false));
         let gate = Rc::new(WriteGate::default());
-        let tap = Rc::new(BodyTap::default());
-        let reader = ResponseReader::new(socket.clone(), gate.clone(), awaiting_head.clone(), tap.clone());
-        let handshake = Builder::new().max_buf_size(READ_BUFFER).handshake(TokioIo::new(reader));
+        let body_state = Rc::new(BodyReadState::default());
+        let reader =
+            ResponseReader::new(socket.clone(), gate.clone(), awaiting_head.clone(), body_state.clone());
+        let handshake = Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(TokioIo::new(reader));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let task = spawn_local(async move {
             // The error is also returned to the task that awaits the response.
@@ -111,7 +112,7 @@
             socket,
             gate,
             awaiting_head,
-            tap,
+            body_state,
             task,
             slot,
             attempt,
@@ -124,13 +125,13 @@
         step(&mut self.machine, Input::Send { serving: may_receive }) == Effect::Write
     }
 
-    /// Sends a request and waits for the head of its response. The request is withheld if `is_clear` returns false when
-    /// its first byte is about to be written, and fails if the server sends anything before that.
+    /// Sends a request and waits for the head of its response. The request is withheld if `is_permitted` returns false
+    /// when its first byte is about to be written, and fails if the server sends anything before that.
     pub async fn send(
-        &mut self, request: Request<Bytes>, is_clear: impl Fn() -> bool + 'static,
+        &mut self, request: Request<Bytes>, is_permitted: impl Fn() -> bool + 'static,
     ) -> Result<Response<Incoming>, SendFailure> {
         let (written_before, length) = (self.socket.written(), encoded_length(&request));
-        self.gate.arm(is_clear);
+        self.gate.arm(is_permitted);
         self.awaiting_head.set(true);
         let response = self.sender.send_request(request.map(Full::new)).await;
         let written = self.socket.written() - written_before;
@@ -192,7 +193,7 @@
     pub fn into_remainder(mut self) -> io::Result<StreamRemainder> {
         let socket = self.socket.socket.as_fd().try_clone_to_owned()?;
         step(&mut self.machine, Input::ReadPaused);
-        Ok(StreamRemainder { socket: socket.into(), read_ahead: self.tap.read_ahead.take() })
+        Ok(StreamRemainder { socket: socket.into(), read_ahead: self.body_state.read_ahead.take() })
     }
 
     /// Returns whether an idle connection can still be used. It cannot if it is closed or has received unsolicited bytes.
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -10,14 +10,14 @@
 use tokio::time::timeout;
 
 use super::requests::{lease_request, load_request};
-use super::response_fields::{load_report, load_report_of};
+use super::response_fields::{load_report_from_headers, parse_load_report};
 use super::server_request::{RequestKind, ServerRequest};
 use super::Engine;
 use crate::exchange::{Payload, ResponseHead};
 use crate::upstream::{CallError, Reply};
 
 /// Maximum size in bytes of the response to a short call.
-pub(super) const MAX_SHORT_BODY: usize = 64 << 10;
+pub(super) const MAX_SHORT_BODY_BYTES: usize = 64 << 10;
 
 /// Time limit of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(750);
@@ -27,13 +27,13 @@
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Engine {
-    /// Sends a request and reads the complete response, of at most [`MAX_SHORT_BODY`] bytes.
+    /// Sends a request and reads the complete response, of at most [`MAX_SHORT_BODY_BYTES`] bytes.
     pub(super) async fn short_call(
         &self, server: ServerId, request: &ServerRequest,
     ) -> Result<(ResponseHead, Bytes), CallError> {
         let (response, connection) = self.send(server, request).await?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, MAX_SHORT_BODY).collect().await.map_err(|_| CallError::Reset)?;
+        let body = Limited::new(body, MAX_SHORT_BODY_BYTES).collect().await.map_err(|_| CallError::Reset)?;
         let body = body.to_bytes();
         self.recycle(server, connection);
         Ok((ResponseHead { status: parts.status, headers: parts.headers }, body))
@@ -62,9 +62,9 @@
             self.record(server, Reachability::query_lost);
         }
         let (head, body) = answer.map_err(|_| CallError::Reset)??;
-        let report = match load_report_of(&head.headers) {
+        let report = match load_report_from_headers(&head.headers) {
             Some(report) => Some(report),
-            None => std::str::from_utf8(&body).ok().and_then(load_report),
+            None => std::str::from_utf8(&body).ok().and_then(parse_load_report),
         };
         Ok(Reply::Probed { healthy: head.status == StatusCode::OK, report })
     }
--- a/gateway/src/engine/event_stream.rs
+++ b/gateway/src/engine/event_stream.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-use super::body_read_state::BodyTap;
+use super::body_read_state::BodyReadState;
 use super::events::{EventBuffer, MalformedEvent};
 use super::response_fields::StreamTail;
 use crate::upstream::CallError;
@@ -21,8 +21,8 @@
     /// The last bytes received, with the load report and the token counts.
     pub tail: StreamTail,
     /// Number of body bytes received from hyper, without the chunk framing.
-    read: u64,
-    tap: Rc<BodyTap>,
+    data_read: u64,
+    body_state: Rc<BodyReadState>,
     /// Becomes true when the stream is to be handed over to the successor process.
     handing_over: watch::Receiver<bool>,
 }
@@ -39,18 +39,18 @@
 
 impl EventStream {
     /// Creates a stream of which nothing has been read.
-    pub fn new(body: Incoming, tap: Rc<BodyTap>, handing_over: watch::Receiver<bool>) -> Self {
+    pub fn new(body: Incoming, body_state: Rc<BodyReadState>, handing_over: watch::Receiver<bool>) -> Self {
         let (events, tail) = (EventBuffer::default(), StreamTail::default());
-        EventStream { body, events, tail, read: 0, tap, handing_over }
+        EventStream { body, events, tail, data_read: 0, body_state, handing_over }
     }
 
     /// Reads until the next step is complete. A step other than events is the last one.
     pub async fn next(&mut self) -> Result<StreamStep, CallError> {
         loop {
             // A stream is handed over between two chunks, and only where no event is incomplete.
-            let pausing = *self.handing_over.borrow_and_update() && self.events.is_complete();
-            self.tap.set_pausing(pausing);
-            if pausing && self.tap.is_paused_after(self.read) {
+            let pause_requested = *self.handing_over.borrow_and_update() && self.events.is_complete();
+            self.body_state.set_pause_requested(pause_requested);
+            if pause_requested && self.body_state.is_paused_after(self.data_read) {
                 return Ok(StreamStep::Paused);
             }
             let frame = tokio::select! {
@@ -58,12 +58,12 @@
                 frame = self.body.frame() => frame,
                 // The engine owns the sender, so this cannot fail while the engine exists.
                 _ = self.handing_over.changed() => continue,
-                () = self.tap.paused() => continue,
+                () = self.body_state.wait_paused() => continue,
             };
             let Some(frame) = frame else { break };
             let frame = frame.map_err(|error| broken_response(&error))?;
             let Ok(data) = frame.into_data() else { continue };
-            self.read += data.len() as u64;
+            self.data_read += data.len() as u64;
             let events = self.events.push(&data).map_err(|MalformedEvent| CallError::MalformedResponse)?;
             if let Some(events) = events {
                 self.tail.push(&events);
--- a/gateway/src/engine/events/mod.rs
+++ b/gateway/src/engine/events/mod.rs
@@ -4,12 +4,12 @@
 use bytes::{Bytes, BytesMut};
 
 /// Maximum size in bytes of one event.
-const MAX_EVENT: usize = 256 << 10;
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// Prefixes of which every non-empty line of an event has one.
-const FIELDS: [&[u8]; 5] = [b"data:", b"event:", b"id:", b"retry:", b":"];
+const LINE_PREFIXES: [&[u8]; 5] = [b"data:", b"event:", b"id:", b"retry:", b":"];
 
-/// The bytes are not a valid event, or the event exceeds [`MAX_EVENT`].
+/// The bytes are not a valid event, or the event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct MalformedEvent;
 
@@ -22,7 +22,7 @@
     /// Offset of the last line.
     line_start: usize,
     /// Number of bytes of that line that have been validated as text.
-    text: usize,
+    validated_text: usize,
     /// Offset of the end of the last complete event; 0 if there is none.
     events_end: usize,
     /// Whether an event with data has been completed. Comments alone do not begin a response.
@@ -50,10 +50,11 @@
         while let Some(length) = self.bytes[self.examined..].iter().position(|byte| *byte == b'\n') {
             self.end_line(self.examined + length)?;
         }
-        self.text = check_line(&self.bytes[self.line_start..], self.text, LineState::Partial)?;
+        self.validated_text =
+            check_line(&self.bytes[self.line_start..], self.validated_text, LineState::Partial)?;
         self.examined = self.bytes.len();
         let incomplete = self.bytes.len() - self.events_end;
-        if incomplete > MAX_EVENT || !self.has_begun && self.bytes.len() > MAX_EVENT {
+        if incomplete > MAX_EVENT_BYTES || !self.has_begun && self.bytes.len() > MAX_EVENT_BYTES {
             return Err(MalformedEvent);
         }
         if self.events_end == 0 || !self.has_begun {
@@ -70,12 +71,12 @@
     fn end_line(&mut self, end: usize) -> Result<(), MalformedEvent> {
         let line = &self.bytes[self.line_start..end];
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        check_line(line, self.text, LineState::Complete)?;
+        check_line(line, self.validated_text, LineState::Complete)?;
         self.has_data |= line.starts_with(b"data:");
         let is_event_end = line.is_empty();
         self.examined = end + 1;
         self.line_start = self.examined;
-        self.text = 0;
+        self.validated_text = 0;
         if is_event_end {
             self.events_end = self.examined;
             self.has_begun |= std::mem::take(&mut self.has_data);
@@ -90,18 +91,18 @@
 }
 
 /// Validates that a line is empty, or is UTF-8 text without control characters other than tab that begins with one of
-/// [`FIELDS`]. A partial line must be a possible beginning of a valid one.
+/// [`LINE_PREFIXES`]. A partial line must be a possible beginning of a valid one.
 ///
-/// The first `known` bytes were validated before, so a long line in small pieces is examined only once; all streams share
-/// this thread. Returns the number of bytes that are validated now.
-fn check_line(line: &[u8], known: usize, state: LineState) -> Result<usize, MalformedEvent> {
+/// The first `validated` bytes are skipped since an earlier call has validated them. A long line in small pieces is thus
+/// examined only once, which matters because all streams share this thread. Returns the number of validated bytes.
+fn check_line(line: &[u8], validated: usize, state: LineState) -> Result<usize, MalformedEvent> {
     let is_partial = state == LineState::Partial;
     // A carriage return at the end of a partial line may belong to its line ending.
     let content = if is_partial { line.strip_suffix(b"\r").unwrap_or(line) } else { line };
-    let text = match std::str::from_utf8(&line[known..]) {
+    let text = match std::str::from_utf8(&line[validated..]) {
         Ok(_) => Some(line.len()),
         // A partial line may end within a multi-byte character.
-        Err(error) => (is_partial && error.error_len().is_none()).then_some(known + error.valid_up_to()),
+        Err(error) => (is_partial && error.error_len().is_none()).then_some(validated + error.valid_up_to()),
     };
     if content.is_empty() {
         return Ok(0);
@@ -109,7 +110,7 @@
     let fits = |field: &&[u8]| line.starts_with(field) || is_partial && field.starts_with(line);
     let is_control = |byte: &u8| byte.is_ascii_control() && *byte != b'\t';
     match text {
-        Some(text) if FIELDS.iter().any(fits) && !content[known..].iter().any(is_control) => {
+        Some(text) if LINE_PREFIXES.iter().any(fits) && !content[validated..].iter().any(is_control) => {
             Ok(text.min(content.len()))
         }
         _ => Err(MalformedEvent),
--- a/gateway/src/engine/events/tests.rs
+++ b/gateway/src/engine/events/tests.rs
@@ -36,7 +36,7 @@
     {
         assert_eq!(push(malformed), Err(MalformedEvent), "{malformed:?}");
     }
-    assert_eq!(push(&[&b"data: "[..], &vec![b'x'; MAX_EVENT + 1]].concat()), Err(MalformedEvent));
+    assert_eq!(push(&[&b"data: "[..], &vec![b'x'; MAX_EVENT_BYTES + 1]].concat()), Err(MalformedEvent));
     for partial in [&b"data: {"[..], b"da", b"\r", b"data: \xc3", b": only a comment\n\n"] {
         assert_eq!(push(partial), Ok(None), "{partial:?}");
     }
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Limited};
 
 use super::connection::{Connection, SendFailure};
-use super::control_calls::MAX_SHORT_BODY;
+use super::control_calls::MAX_SHORT_BODY_BYTES;
 use super::pool::time_for;
 use super::requests::{lease_request, load_request};
 use super::server_request::{RequestKind, ServerRequest};
@@ -88,7 +88,7 @@
             Err(SendFailure::Withheld) => return Err(Unverified::Withheld),
             Err(_) => return Err(Unverified::Broken),
         };
-        let body = Limited::new(response.into_body(), MAX_SHORT_BODY).collect().await;
+        let body = Limited::new(response.into_body(), MAX_SHORT_BODY_BYTES).collect().await;
         let is_free =
             body.is_ok() && connection.finish_response(true) && connection.sender.ready().await.is_ok();
         is_free.then_some(()).ok_or(Unverified::Broken)
--- a/gateway/src/engine/requests.rs
+++ b/gateway/src/engine/requests.rs
@@ -16,7 +16,7 @@
 const REMAINING_TIME: HeaderName = HeaderName::from_static("req-deadline");
 
 /// Value of the Host header unless the client sent one.
-const HOST: &str = "api.internal";
+const DEFAULT_HOST: &str = "api.internal";
 
 /// Headers that are not forwarded because they apply to one connection only or the gateway sets them.
 const NOT_FORWARDED: [HeaderName; 8] = [
@@ -54,7 +54,7 @@
     if let Ok(request_id) = HeaderValue::from_str(&payload.request_id) {
         headers.insert(REQUEST_ID, request_id);
     }
-    headers.entry(header::HOST).or_insert(HeaderValue::from_static(HOST));
+    headers.entry(header::HOST).or_insert(HeaderValue::from_static(DEFAULT_HOST));
     headers
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn empty_request(method: Method, path: &str) -> Result<Request<Bytes>, CallError> {
-    let request = Request::builder().method(method).uri(path).header(header::HOST, HOST);
+    let request = Request::builder().method(method).uri(path).header(header::HOST, DEFAULT_HOST);
     request.header(header::CONTENT_LENGTH, "0").body(Bytes::new()).map_err(|_| CallError::NotSent)
 }
 
--- a/gateway/src/engine/response_fields/tests.rs
+++ b/gateway/src/engine/response_fields/tests.rs
@@ -6,17 +6,17 @@
 /// length of its stream.
 #[test]
 fn a_load_report_is_read_from_a_header_and_from_the_end_of_a_stream() {
-    let report = load_report("TEXT inflight=7, queue=2, x0=0.61, odd=nan, bad").expect("a report");
+    let report = parse_load_report("TEXT inflight=7, queue=2, x0=0.61, odd=nan, bad").expect("a report");
     assert_eq!((report.in_flight, report.queue, report.memory_share), (Some(7.0), Some(2.0), Some(0.61)));
-    assert!(load_report("TEXT").is_none());
+    assert!(parse_load_report("TEXT").is_none());
     let mut tail = StreamTail::default();
-    tail.push(&Bytes::from(vec![b'x'; 3 * TAIL_SIZE]));
+    tail.push(&Bytes::from(vec![b'x'; 3 * TAIL_BYTES]));
     tail.push(&Bytes::from("data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\": 4096}}}\n\n"));
     tail.push(&Bytes::from("data: [DONE]\n\n: Srv-Load: TEXT infl"));
     tail.push(&Bytes::from("ight=3, x0=0.5\n\n"));
     assert_eq!(tail.cached_tokens(), 4096.0);
     assert_eq!(tail.load_report().expect("a report").in_flight, Some(3.0));
-    assert!(tail.0.len() <= TAIL_SIZE);
+    assert!(tail.0.len() <= TAIL_BYTES);
 }
 
 /// Guards rule 2: a request that got an unmarked 503 on the platform may have run, so it must not count as rejected.
@@ -28,7 +28,7 @@
         head.headers.insert(name, http::HeaderValue::from_static("1"));
         head
     };
-    assert!(is_rejection(&head(503, REJECTED), false));
+    assert!(is_rejection(&head(503, REJECTION_HEADER), false));
     assert!(!is_rejection(&head(503, "retry-after"), false));
     assert!(is_rejection(&head(503, "retry-after"), true));
     assert!(is_rejection(&head(429, "x-other"), true));
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -12,12 +12,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-use super::body_read_state::BodyTap;
+use super::body_read_state::BodyReadState;
 use super::write_gate::WriteGate;
 use crate::counted_socket::CountedSocket;
 
 /// Maximum size in bytes of a response head together with all interim responses before it.
-const MAX_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Maximum number of headers in a response head.
 const MAX_HEADERS: usize = 100;
@@ -34,12 +34,12 @@
     /// Bytes that were read from the socket and not yet passed to hyper.
     buffered: Vec<u8>,
     /// Number of buffered bytes that may be passed to hyper; 0 until the head is complete.
-    passable: usize,
+    deliverable: usize,
     /// Number of bytes of interim responses received before the current head.
-    interim: usize,
+    interim_bytes: usize,
     /// Timer of a head that has been received in part.
     head_timeout: Option<Pin<Box<Sleep>>>,
-    tap: Rc<BodyTap>,
+    body_state: Rc<BodyReadState>,
 }
 
 fn malformed(detail: &'static str) -> io::Error {
@@ -56,10 +56,20 @@
 impl ResponseReader {
     /// Creates the reader of a new connection.
     pub fn new(
-        socket: CountedSocket, gate: Rc<WriteGate>, awaiting_head: Rc<Cell<bool>>, tap: Rc<BodyTap>,
+        socket: CountedSocket, gate: Rc<WriteGate>, awaiting_head: Rc<Cell<bool>>,
+        body_state: Rc<BodyReadState>,
     ) -> Self {
         let (buffered, head_timeout) = (Vec::new(), None);
-        ResponseReader { socket, gate, awaiting_head, buffered, passable: 0, interim: 0, head_timeout, tap }
+        ResponseReader {
+            socket,
+            gate,
+            awaiting_head,
+            buffered,
+            deliverable: 0,
+            interim_bytes: 0,
+            head_timeout,
+            body_state,
+        }
     }
 
     /// Searches the buffered bytes for a final head and drops interim responses. Returns false if more bytes are needed.
@@ -70,18 +80,20 @@
             match response.parse(&self.buffered) {
                 Ok(httparse::Status::Complete(size)) if matches!(response.code, Some(100..=199)) => {
                     self.buffered.drain(..size);
-                    self.interim += size;
+                    self.interim_bytes += size;
                 }
                 Ok(httparse::Status::Complete(size)) => {
-                    self.tap.begin(is_chunked(&response));
-                    self.tap.pass_on(&self.buffered[size..]);
-                    self.passable = self.buffered.len();
-                    self.interim = 0;
+                    self.body_state.begin_body(is_chunked(&response));
+                    self.body_state.advance(&self.buffered[size..]);
+                    self.deliverable = self.buffered.len();
+                    self.interim_bytes = 0;
                     self.head_timeout = None;
                     self.awaiting_head.set(false);
                     return Ok(true);
                 }
-                Ok(httparse::Status::Partial) if self.buffered.len() + self.interim < MAX_HEAD => {
+                Ok(httparse::Status::Partial)
+                    if self.buffered.len() + self.interim_bytes < MAX_HEAD_BYTES =>
+                {
                     return Ok(false);
                 }
                 Ok(httparse::Status::Partial) => return Err(malformed("a head does not end")),
@@ -114,31 +126,31 @@
     }
 
     /// Passes buffered bytes to hyper.
-    fn pass_buffered(&mut self, buffer: &mut ReadBuf<'_>) {
-        let count = self.passable.min(buffer.remaining());
+    fn deliver_buffered(&mut self, buffer: &mut ReadBuf<'_>) {
+        let count = self.deliverable.min(buffer.remaining());
         buffer.put_slice(&self.buffered[..count]);
         self.buffered.drain(..count);
-        self.passable -= count;
+        self.deliverable -= count;
     }
 
     /// Reads the body and passes it to hyper, up to the end of the current chunk if a pause was requested.
     fn poll_body(&mut self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let tap = self.tap.clone();
-        if tap.poll_paused(context) {
+        let body_state = self.body_state.clone();
+        if body_state.poll_paused(context) {
             return Poll::Pending;
         }
-        let mut read_ahead = tap.read_ahead.borrow_mut();
-        if !tap.is_pausing() && read_ahead.is_empty() {
+        let mut read_ahead = body_state.read_ahead.borrow_mut();
+        if !body_state.is_pause_requested() && read_ahead.is_empty() {
             let before = buffer.filled().len();
             ready!(Pin::new(&mut self.socket).poll_read(context, buffer))?;
-            tap.pass_on(&buffer.filled()[before..]);
+            body_state.advance(&buffer.filled()[before..]);
             return Poll::Ready(Ok(()));
         }
         if read_ahead.is_empty() {
             ready!(self.socket.poll_read_into(context, &mut read_ahead))?;
         }
         let available = read_ahead.len().min(buffer.remaining());
-        let count = tap.pass_on(&read_ahead[..available]);
+        let count = body_state.advance(&read_ahead[..available]);
         buffer.put_slice(&read_ahead[..count]);
         read_ahead.drain(..count);
         Poll::Ready(Ok(()))
@@ -162,11 +174,11 @@
         self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let reader = self.get_mut();
-        if reader.passable == 0 && reader.awaiting_head.get() && !ready!(reader.poll_head(context))? {
+        if reader.deliverable == 0 && reader.awaiting_head.get() && !ready!(reader.poll_head(context))? {
             return Poll::Ready(Ok(()));
         }
-        if reader.passable > 0 {
-            reader.pass_buffered(buffer);
+        if reader.deliverable > 0 {
+            reader.deliver_buffered(buffer);
             return Poll::Ready(Ok(()));
         }
         reader.buffered = Vec::new();
--- a/gateway/src/engine/resumed_stream.rs
+++ b/gateway/src/engine/resumed_stream.rs
@@ -16,7 +16,7 @@
 use crate::upstream::{CallError, Frame, Frames};
 
 /// Number of bytes read from the socket at once.
-const READ_SIZE: usize = 16 << 10;
+const READ_SIZE_BYTES: usize = 16 << 10;
 
 struct ResumedStream {
     /// Connection to the server; `None` once the stream has been handed over again.
@@ -51,7 +51,7 @@
             if *self.handing_over.borrow_and_update() && can_pause {
                 return self.hand_over();
             }
-            self.read_ahead.reserve(READ_SIZE);
+            self.read_ahead.reserve(READ_SIZE_BYTES);
             let socket = self.socket.as_mut().ok_or(CallError::Reset)?;
             let read = tokio::select! {
                 read = socket.read_buf(&mut self.read_ahead) => read.map_err(|_| CallError::Reset)?,
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -85,7 +85,7 @@
             return Err(SendFailure::Withheld);
         }
         let to_write = request.to_write_now().ok_or(SendFailure::Withheld)?;
-        let gate = FirstByteGate {
+        let condition = FirstByteCondition {
             engine: self.clone(),
             server,
             peer: connection.peer.clone(),
@@ -97,12 +97,12 @@
             connection.carry(&request.cancel_token);
             connection.count_when_written(&to_write, self.0.attempts_written.clone());
         }
-        connection.send(to_write, move || gate.pass()).await
+        connection.send(to_write, move || condition.check()).await
     }
 }
 
 /// Condition under which the first byte of a request may be written.
-struct FirstByteGate {
+struct FirstByteCondition {
     engine: Engine,
     server: ServerId,
     peer: Peer,
@@ -112,13 +112,13 @@
     stated_at: Instant,
 }
 
-impl FirstByteGate {
+impl FirstByteCondition {
     /// Returns whether the first byte may be written now, and records that in the token.
-    fn pass(&self) -> bool {
-        let is_clear = self.stated_at.elapsed() <= MAX_STATED_DEADLINE_AGE
+    fn check(&self) -> bool {
+        let is_permitted = self.stated_at.elapsed() <= MAX_STATED_DEADLINE_AGE
             && self.cancel_token.is_active()
             && self.engine.may_receive(self.server, &self.peer, self.kind);
-        self.cancel_token.set_written(is_clear);
-        is_clear
+        self.cancel_token.set_written(is_permitted);
+        is_permitted
     }
 }
