--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -40,7 +40,7 @@
 }
 
 impl ResponseMode {
-    pub fn of(payload: &Payload) -> Self {
+    pub fn for_payload(payload: &Payload) -> Self {
         match payload.buffer_response {
             true => ResponseMode::Buffered,
             false => ResponseMode::Streamed,
@@ -110,11 +110,11 @@
             };
         };
         self.recycle(server, connection);
-        Ok(self.reply_of(head, body, report))
+        Ok(self.classify_response(head, body, report))
     }
 
     /// Classifies a complete response by its status.
-    fn reply_of(&self, head: ResponseHead, body: Bytes, report: Option<LoadReport>) -> Reply {
+    fn classify_response(&self, head: ResponseHead, body: Bytes, report: Option<LoadReport>) -> Reply {
         let public_api = self.0.limits.public_api;
         let is_rejection = is_rejection(&head, public_api);
         match head.status.as_u16() {
--- a/gateway/src/engine/closing.rs
+++ b/gateway/src/engine/closing.rs
@@ -19,7 +19,7 @@
 use crate::exchange::CancelToken;
 
 /// Time limit for a server to close its direction; after that the connection is closed without a result.
-const SERVER_END_TIMEOUT: Duration = Duration::from_secs(30);
+const SERVER_CLOSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Number of response bytes that are read and discarded at once.
 const READ_SIZE_BYTES: usize = 4 << 10;
@@ -44,15 +44,15 @@
 
 impl ClosingConnections {
     /// Closes all of them immediately. Whether their servers notice the interruption then remains unknown.
-    pub fn abandon(&self) {
+    pub fn close_all(&self) {
         self.waiting.borrow_mut().abort_all();
     }
 }
 
 impl ClosingConnection {
     /// Waits until the server closes or resets the connection, and records that in the attempt's token.
-    async fn await_end(self) {
-        let ends = async {
+    async fn wait_for_close(self) {
+        let server_close = async {
             while self.socket.readable().await.is_ok() {
                 match self.socket.try_read(&mut [0; READ_SIZE_BYTES]) {
                     Ok(0) => return self.attempt.note(Observation::ServerClose),
@@ -62,7 +62,7 @@
                 }
             }
         };
-        let _ = timeout(SERVER_END_TIMEOUT, ends).await;
+        let _ = timeout(SERVER_CLOSE_TIMEOUT, server_close).await;
         drop(self.slot);
     }
 }
@@ -74,15 +74,15 @@
         if let Some(sender) = sender.as_ref().filter(|sender| !sender.is_closed()) {
             return sender.clone();
         }
-        let (new_sender, mut cut) = mpsc::unbounded_channel::<ClosingConnection>();
+        let (new_sender, mut receiver) = mpsc::unbounded_channel::<ClosingConnection>();
         *sender = Some(new_sender.clone());
         let waiting = self.0.closing.waiting.clone();
         spawn_local(async move {
-            while let Some(connection) = cut.recv().await {
+            while let Some(connection) = receiver.recv().await {
                 let mut waiting = waiting.borrow_mut();
                 // Removes completed tasks from the set.
                 while waiting.try_join_next().is_some() {}
-                waiting.spawn_local(connection.await_end());
+                waiting.spawn_local(connection.wait_for_close());
             }
         });
         new_sender
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -100,7 +100,7 @@
             let _ = connection.await;
         });
         let mut machine = server::Connection::default();
-        step(&mut machine, Input::Connected);
+        apply_input(&mut machine, Input::Connected);
         let (task, slot) = (task.abort_handle(), Some(slot));
         let (attempt, opened) = (None, Instant::now());
         Ok(Connection {
@@ -122,7 +122,7 @@
 
     /// Returns whether a request may be written now. `may_receive` states whether the server may receive it.
     pub fn may_write(&mut self, may_receive: bool) -> bool {
-        step(&mut self.machine, Input::Send { serving: may_receive }) == Effect::Write
+        apply_input(&mut self.machine, Input::Send { serving: may_receive }) == Effect::Write
     }
 
     /// Sends a request and waits for the head of its response. The request is withheld if `is_permitted` returns false
@@ -137,16 +137,16 @@
         let written = self.socket.written() - written_before;
         if written > 0 {
             let input = if written < length { Input::BytesWritten } else { Input::LastByteWritten };
-            step(&mut self.machine, input);
+            apply_input(&mut self.machine, input);
         }
         let error = match response {
             Ok(response) => {
-                step(&mut self.machine, Input::HeadReceived);
+                apply_input(&mut self.machine, Input::HeadReceived);
                 return Ok(response);
             }
             Err(error) => error,
         };
-        let effect = step(&mut self.machine, Input::Broken);
+        let effect = apply_input(&mut self.machine, Input::Broken);
         if self.gate.has_blocked() {
             return Err(SendFailure::Withheld);
         }
@@ -155,7 +155,7 @@
             Effect::NeverRan => SendFailure::NeverRan,
             _ => {
                 if let Some(attempt) = &self.attempt {
-                    attempt.note(observation(&error));
+                    attempt.note(observation_from_error(&error));
                 }
                 SendFailure::MayHaveRun(error)
             }
@@ -165,15 +165,15 @@
     /// Records that the current response is complete, and returns whether the connection may be reused.
     pub fn finish_response(&mut self, is_serving: bool) -> bool {
         if !is_serving {
-            step(&mut self.machine, Input::Drained);
+            apply_input(&mut self.machine, Input::Drained);
         }
         self.attempt = None;
         self.last_answer = Instant::now();
-        step(&mut self.machine, Input::ResponseComplete) == Effect::Reuse
+        apply_input(&mut self.machine, Input::ResponseComplete) == Effect::Reuse
     }
 
     /// Sets the attempt that is written next, and records this connection in its token.
-    pub fn carry(&mut self, attempt: &CancelToken) {
+    pub fn set_attempt(&mut self, attempt: &CancelToken) {
         attempt.set_server_address(&self.peer.address);
         attempt.set_connection_opened_at(self.opened);
         self.attempt = Some(attempt.clone());
@@ -192,7 +192,7 @@
     /// Converts the connection for handover to the successor process; this process reads nothing more from it.
     pub fn into_remainder(mut self) -> io::Result<StreamRemainder> {
         let socket = self.socket.socket.as_fd().try_clone_to_owned()?;
-        step(&mut self.machine, Input::ReadPaused);
+        apply_input(&mut self.machine, Input::ReadPaused);
         Ok(StreamRemainder { socket: socket.into(), read_ahead: self.body_state.read_ahead.take() })
     }
 
@@ -200,14 +200,14 @@
     pub fn is_usable(&mut self) -> bool {
         let is_usable = self.socket.is_quiet() && self.sender.is_ready();
         if !is_usable {
-            step(&mut self.machine, Input::Broken);
+            apply_input(&mut self.machine, Input::Broken);
         }
         is_usable
     }
 }
 
 /// Returns the observation that a failed response allows about its connection.
-fn observation(error: &hyper::Error) -> Observation {
+fn observation_from_error(error: &hyper::Error) -> Observation {
     if error.is_incomplete_message() {
         Observation::ServerClose
     } else if error.is_parse() {
@@ -218,7 +218,7 @@
 }
 
 /// Applies an input to the state machine. An invalid input is logged, and the returned effect closes the connection.
-fn step(machine: &mut server::Connection, input: Input) -> Effect {
+fn apply_input(machine: &mut server::Connection, input: Input) -> Effect {
     machine.step(input).unwrap_or_else(|invalid| {
         log!("{invalid}");
         Effect::Close
@@ -233,15 +233,17 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
-        let is_cut = matches!(self.machine.stage(), Stage::Writing | Stage::AwaitingHead | Stage::Streaming);
-        let cut_attempt = self.attempt.take().filter(|attempt| is_cut && attempt.is_written());
-        let how = match (self.machine.stage(), &cut_attempt) {
+        let is_interrupted =
+            matches!(self.machine.stage(), Stage::Writing | Stage::AwaitingHead | Stage::Streaming);
+        let interrupted_attempt =
+            self.attempt.take().filter(|attempt| is_interrupted && attempt.is_written());
+        let direction = match (self.machine.stage(), &interrupted_attempt) {
             (Stage::HandedOver, _) => return,
             (_, Some(_)) => Shutdown::Write,
             (_, None) => Shutdown::Both,
         };
-        let is_open = SockRef::from(&*self.socket.socket).shutdown(how).is_ok();
-        let Some((attempt, slot)) = cut_attempt.zip(self.slot.take()) else { return };
+        let is_open = SockRef::from(&*self.socket.socket).shutdown(direction).is_ok();
+        let Some((attempt, slot)) = interrupted_attempt.zip(self.slot.take()) else { return };
         if !is_open {
             // The connection was reset, and the error has not been read yet.
             return attempt.note(Observation::Reset);
--- a/gateway/src/engine/connection_checks.rs
+++ b/gateway/src/engine/connection_checks.rs
@@ -18,9 +18,9 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 use super::connection::Connection;
-use super::liveness::{Unverified, ANSWER_TIMEOUT};
+use super::liveness::{VerificationError, ANSWER_TIMEOUT};
 use super::server_request::RequestKind;
-use super::stall_tolerance::within;
+use super::stall_tolerance::timeout_allowing_stalls;
 use super::Engine;
 use crate::exchange::CancelToken;
 use crate::upstream::{CallError, Reply};
@@ -35,12 +35,12 @@
 /// Time after which a pending call counts as timed out, even if its caller waits longer.
 const OVERDUE_AFTER: Duration = ANSWER_TIMEOUT.saturating_mul(2);
 
-/// Outcome of a check.
+/// State or result of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Outcome {
+enum CheckOutcome {
     Pending,
     /// No answer was received in time; a late one is possible.
-    Silent,
+    TimedOut,
     Answered,
     /// The connection has ended, which proves nothing about others.
     Broken,
@@ -50,61 +50,61 @@
 #[derive(Clone)]
 pub(super) struct Check {
     call: CheckCall<Instant>,
-    outcome: watch::Receiver<Outcome>,
+    outcome: watch::Receiver<CheckOutcome>,
 }
 
 impl Check {
-    fn outcome(&self) -> Outcome {
+    fn outcome(&self) -> CheckOutcome {
         match *self.outcome.borrow() {
-            Outcome::Pending if self.call.sent.elapsed() >= OVERDUE_AFTER => Outcome::Silent,
+            CheckOutcome::Pending if self.call.sent.elapsed() >= OVERDUE_AFTER => CheckOutcome::TimedOut,
             outcome => outcome,
         }
     }
 
     /// Waits until the check has an outcome or is overdue.
-    async fn settled(mut self) {
+    async fn wait_for_outcome(mut self) {
         let overdue_at = self.call.sent + OVERDUE_AFTER;
-        let outcome = self.outcome.wait_for(|outcome| *outcome != Outcome::Pending);
+        let outcome = self.outcome.wait_for(|outcome| *outcome != CheckOutcome::Pending);
         // The caller reads the outcome from the list of checks.
         let _ = timeout_at(overdue_at, outcome).await;
     }
 
     /// Waits for a late answer. Returns false once the check has ended without one.
     async fn answers_late(mut self) -> bool {
-        self.outcome.wait_for(|outcome| *outcome == Outcome::Answered).await.is_ok()
+        self.outcome.wait_for(|outcome| *outcome == CheckOutcome::Answered).await.is_ok()
     }
 }
 
 /// A call that serves as a check, until its response has begun. If it is dropped before, it counts as timed out if it was
 /// overdue, otherwise as broken.
-pub(super) struct CallInFlight {
+pub(super) struct PendingCheck {
     sent: Instant,
-    outcome: watch::Sender<Outcome>,
+    outcome: watch::Sender<CheckOutcome>,
 }
 
-impl CallInFlight {
+impl PendingCheck {
     /// Records that the response to the call has begun.
-    pub fn answered(&self) {
-        self.settle(Outcome::Answered);
+    pub fn mark_answered(&self) {
+        self.set_outcome(CheckOutcome::Answered);
     }
 
     /// Records that the connection has ended, which proves nothing about others.
-    pub fn broken(&self) {
-        self.settle(Outcome::Broken);
+    pub fn mark_broken(&self) {
+        self.set_outcome(CheckOutcome::Broken);
     }
 
-    fn settle(&self, outcome: Outcome) {
+    fn set_outcome(&self, outcome: CheckOutcome) {
         self.outcome.send_replace(outcome);
     }
 }
 
-impl Drop for CallInFlight {
+impl Drop for PendingCheck {
     fn drop(&mut self) {
-        let is_silent = self.sent.elapsed() >= OVERDUE_AFTER;
+        let is_overdue = self.sent.elapsed() >= OVERDUE_AFTER;
         self.outcome.send_if_modified(|outcome| {
-            let is_pending = *outcome == Outcome::Pending;
+            let is_pending = *outcome == CheckOutcome::Pending;
             if is_pending {
-                *outcome = if is_silent { Outcome::Silent } else { Outcome::Broken };
+                *outcome = if is_overdue { CheckOutcome::TimedOut } else { CheckOutcome::Broken };
             }
             is_pending
         });
@@ -124,13 +124,13 @@
     }
 
     /// Returns the latest check with this outcome that is evidence about the attempt.
-    fn find(&self, outcome: Outcome, attempt: &WrittenAttempt<Instant>) -> Option<Check> {
-        let speaks_for_attempt = |check: &&Check| match outcome {
-            Outcome::Silent => check.call.timeout_makes_delivery_doubtful(attempt),
+    fn find(&self, outcome: CheckOutcome, attempt: &WrittenAttempt<Instant>) -> Option<Check> {
+        let is_evidence = |check: &&Check| match outcome {
+            CheckOutcome::TimedOut => check.call.timeout_makes_delivery_doubtful(attempt),
             _ => check.call.response_confirms_delivery(attempt),
         };
         let with_outcome = self.0.iter().rev().filter(|check| check.outcome() == outcome);
-        with_outcome.clone().find(speaks_for_attempt).cloned()
+        with_outcome.clone().find(is_evidence).cloned()
     }
 }
 
@@ -142,32 +142,32 @@
     ) -> Result<Reply, CallError> {
         let attempt = cancel_token.written_attempt().ok_or(CallError::NotSent)?;
         loop {
-            if self.find_check(server, Outcome::Answered, &attempt).is_some() {
+            if self.find_check(server, CheckOutcome::Answered, &attempt).is_some() {
                 return Ok(Reply::Observed(Observation::ResponseOnEarlierConnection));
             }
-            if let Some(check) = self.find_check(server, Outcome::Pending, &attempt) {
-                check.settled().await;
+            if let Some(check) = self.find_check(server, CheckOutcome::Pending, &attempt) {
+                check.wait_for_outcome().await;
                 continue;
             }
-            let Some(connection) = self.take_standing(server, attempt.written) else { break };
+            let Some(connection) = self.take_idle_opened_before(server, attempt.written) else { break };
             // The receiver is dropped, so the connection returns to the pool once it has answered.
             let _ = self.start_check(server, connection);
         }
-        let silent = self.find_check(server, Outcome::Silent, &attempt);
+        let overdue = self.find_check(server, CheckOutcome::TimedOut, &attempt);
         self.verify_reachable(server).await?;
         // That call may have used a connection that was open at the write and has returned to the pool since.
-        let is_shown = self.find_check(server, Outcome::Answered, &attempt).is_some();
-        Ok(Reply::Observed(match silent {
-            _ if is_shown => Observation::ResponseOnEarlierConnection,
+        let is_confirmed = self.find_check(server, CheckOutcome::Answered, &attempt).is_some();
+        Ok(Reply::Observed(match overdue {
+            _ if is_confirmed => Observation::ResponseOnEarlierConnection,
             // A server that was only stalled answers late on all of its connections.
-            Some(silent) if silent.clone().answers_late().await => Observation::ResponseOnEarlierConnection,
+            Some(overdue) if overdue.clone().answers_late().await => Observation::ResponseOnEarlierConnection,
             Some(_) => Observation::TimeoutOnEarlierConnection,
             None => Observation::ResponseOnLaterConnection,
         }))
     }
 
     fn find_check(
-        &self, server: ServerId, outcome: Outcome, attempt: &WrittenAttempt<Instant>,
+        &self, server: ServerId, outcome: CheckOutcome, attempt: &WrittenAttempt<Instant>,
     ) -> Option<Check> {
         self.0.servers.borrow().get(server)?.checks.find(outcome, attempt)
     }
@@ -176,68 +176,68 @@
     /// dropped, the connection returns to the pool.
     pub(super) fn start_check(
         &self, server: ServerId, connection: Connection,
-    ) -> Result<oneshot::Receiver<Result<Connection, Unverified>>, Unverified> {
-        let (_, request) = self.check_call().map_err(|_| Unverified::Withheld)?;
+    ) -> Result<oneshot::Receiver<Result<Connection, VerificationError>>, VerificationError> {
+        let (_, request) = self.check_call().map_err(|_| VerificationError::Withheld)?;
         let (checked, receiver) = oneshot::channel();
-        let call = self.add_check(server, &connection);
+        let call = self.register_check(server, &connection);
         spawn_local(self.clone().check(server, connection, request, call, checked));
         Ok(receiver)
     }
 
     /// Registers a call as a check of its connection. It must be one that a server answers immediately.
-    pub(super) fn add_check(&self, server: ServerId, connection: &Connection) -> CallInFlight {
+    pub(super) fn register_check(&self, server: ServerId, connection: &Connection) -> PendingCheck {
         let sent = Instant::now();
         let (connection_opened, last_answer) = (connection.opened, connection.last_answer);
-        let (sender, outcome) = watch::channel(Outcome::Pending);
+        let (sender, outcome) = watch::channel(CheckOutcome::Pending);
         if let Some(record) = self.0.servers.borrow_mut().get_mut(server) {
             let call = CheckCall { connection_opened, last_answer, sent };
             record.checks.add(Check { call, outcome });
         }
-        CallInFlight { sent, outcome: sender }
+        PendingCheck { sent, outcome: sender }
     }
 
     async fn check(
-        self, server: ServerId, mut connection: Connection, request: Request<Bytes>, call: CallInFlight,
-        checked: oneshot::Sender<Result<Connection, Unverified>>,
+        self, server: ServerId, mut connection: Connection, request: Request<Bytes>, call: PendingCheck,
+        checked: oneshot::Sender<Result<Connection, VerificationError>>,
     ) {
         let mut checked = Some(checked);
         let answered = {
             // The check counts as a probe here even if it is a release: a server that may not be probed gets neither.
-            let answer = self.answered_on(server, &mut connection, RequestKind::Probe, request);
+            let answer = self.send_check_call(server, &mut connection, RequestKind::Probe, request);
             tokio::pin!(answer);
-            match within(ANSWER_TIMEOUT, &mut answer).await {
+            match timeout_allowing_stalls(ANSWER_TIMEOUT, &mut answer).await {
                 Some(answered) => answered,
                 None => {
                     self.record_unresponsive(server);
-                    call.settle(Outcome::Silent);
+                    call.set_outcome(CheckOutcome::TimedOut);
                     if let Some(checked) = checked.take() {
-                        let _ = checked.send(Err(Unverified::Unresponsive));
+                        let _ = checked.send(Err(VerificationError::Unresponsive));
                     }
-                    timeout(LATE_ANSWER_TIMEOUT, answer).await.unwrap_or(Err(Unverified::Unresponsive))
+                    timeout(LATE_ANSWER_TIMEOUT, answer).await.unwrap_or(Err(VerificationError::Unresponsive))
                 }
             }
         };
         match answered {
             Ok(()) => {
-                self.record(server, Reachability::answered);
-                call.answered();
-                self.give_back(server, connection, checked);
+                self.record_reachability(server, Reachability::answered);
+                call.mark_answered();
+                self.return_connection(server, connection, checked);
             }
-            Err(unverified) => {
-                if unverified != Unverified::Unresponsive {
-                    call.settle(Outcome::Broken);
+            Err(error) => {
+                if error != VerificationError::Unresponsive {
+                    call.set_outcome(CheckOutcome::Broken);
                 }
                 if let Some(checked) = checked {
-                    let _ = checked.send(Err(unverified));
+                    let _ = checked.send(Err(error));
                 }
             }
         }
     }
 
     /// Returns a checked connection to the requester of the check or, if that no longer waits, to the pool.
-    fn give_back(
+    fn return_connection(
         &self, server: ServerId, connection: Connection,
-        checked: Option<oneshot::Sender<Result<Connection, Unverified>>>,
+        checked: Option<oneshot::Sender<Result<Connection, VerificationError>>>,
     ) {
         let not_taken = match checked {
             Some(checked) => checked.send(Ok(connection)).err(),
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -56,10 +56,10 @@
     pub(super) async fn probe(&self, server: ServerId) -> Result<Reply, CallError> {
         let request = ServerRequest::new(RequestKind::Probe, load_request()?);
         self.0.counts.borrow_mut().probes += 1;
-        self.record(server, Reachability::query_sent);
+        self.record_reachability(server, Reachability::query_sent);
         let answer = timeout(PROBE_TIMEOUT, self.short_call(server, &request)).await;
         if answer.is_err() {
-            self.record(server, Reachability::query_lost);
+            self.record_reachability(server, Reachability::query_lost);
         }
         let (head, body) = answer.map_err(|_| CallError::Reset)??;
         let report = match load_report_from_headers(&head.headers) {
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -15,10 +15,10 @@
 
 use super::connection::{Connection, SendFailure};
 use super::control_calls::MAX_SHORT_BODY_BYTES;
-use super::pool::time_for;
+use super::pool::limit_to_deadline;
 use super::requests::{lease_request, load_request};
 use super::server_request::{RequestKind, ServerRequest};
-use super::stall_tolerance::within;
+use super::stall_tolerance::timeout_allowing_stalls;
 use super::Engine;
 use crate::log;
 use crate::upstream::{CallError, ConnectionCheck, Reply};
@@ -28,23 +28,23 @@
 
 /// Why a connection must not be written to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unverified {
+pub(super) enum VerificationError {
     /// The connection has ended.
     Broken,
     /// The connection is open but did not answer the check in time.
     Unresponsive,
     /// The remaining time was too short to expect an answer.
-    NoTime,
+    InsufficientTime,
     /// The server must not receive the check.
     Withheld,
 }
 
-impl From<Unverified> for CallError {
-    fn from(unverified: Unverified) -> CallError {
-        match unverified {
+impl From<VerificationError> for CallError {
+    fn from(error: VerificationError) -> CallError {
+        match error {
             // No byte of the request was written.
-            Unverified::Broken | Unverified::Unresponsive => CallError::ConnectFailed,
-            Unverified::NoTime | Unverified::Withheld => CallError::NotSent,
+            VerificationError::Broken | VerificationError::Unresponsive => CallError::ConnectFailed,
+            VerificationError::InsufficientTime | VerificationError::Withheld => CallError::NotSent,
         }
     }
 }
@@ -53,22 +53,22 @@
     /// Verifies that the connection passes the check that the request requires, within the request's connect deadline.
     pub(super) async fn verify_connection(
         &self, server: ServerId, connection: Connection, request: &ServerRequest,
-    ) -> Result<Connection, Unverified> {
+    ) -> Result<Connection, VerificationError> {
         if request.connection_check == ConnectionCheck::None {
             return Ok(connection);
         }
-        let wait = time_for(ANSWER_TIMEOUT, request.connect_deadline);
+        let wait = limit_to_deadline(ANSWER_TIMEOUT, request.connect_deadline);
         let mut checked = self.start_check(server, connection)?;
-        match within(wait, &mut checked).await {
+        match timeout_allowing_stalls(wait, &mut checked).await {
             // The sender is dropped without a result only if its task has ended with the engine.
-            Some(checked) => checked.unwrap_or(Err(Unverified::Broken)),
-            None if wait < ANSWER_TIMEOUT / 2 => Err(Unverified::NoTime),
-            None => Err(Unverified::Unresponsive),
+            Some(checked) => checked.unwrap_or(Err(VerificationError::Broken)),
+            None if wait < ANSWER_TIMEOUT / 2 => Err(VerificationError::InsufficientTime),
+            None => Err(VerificationError::Unresponsive),
         }
     }
 
     pub(super) fn record_unresponsive(&self, server: ServerId) {
-        self.record(server, Reachability::query_lost);
+        self.record_reachability(server, Reachability::query_lost);
         log!("connection to server {:x} is open but unresponsive; closing its idle connections", server.0);
         // Otherwise its other idle connections could each be tried and time out in turn.
         self.close_idle_of(server);
@@ -76,22 +76,22 @@
 
     /// Sends a check call on an idle connection and reads its response.
     ///
-    /// Returns [`Unverified::Withheld`] if the server may not receive a request of this `kind`.
-    pub(super) async fn answered_on(
+    /// Returns [`VerificationError::Withheld`] if the server may not receive a request of this `kind`.
+    pub(super) async fn send_check_call(
         &self, server: ServerId, connection: &mut Connection, kind: RequestKind, check: Request<Bytes>,
-    ) -> Result<(), Unverified> {
+    ) -> Result<(), VerificationError> {
         if !connection.may_write(self.may_receive(server, &connection.peer, kind)) {
-            return Err(Unverified::Withheld);
+            return Err(VerificationError::Withheld);
         }
         let response = match connection.send(check, || true).await {
             Ok(response) => response,
-            Err(SendFailure::Withheld) => return Err(Unverified::Withheld),
-            Err(_) => return Err(Unverified::Broken),
+            Err(SendFailure::Withheld) => return Err(VerificationError::Withheld),
+            Err(_) => return Err(VerificationError::Broken),
         };
         let body = Limited::new(response.into_body(), MAX_SHORT_BODY_BYTES).collect().await;
         let is_free =
             body.is_ok() && connection.finish_response(true) && connection.sender.ready().await.is_ok();
-        is_free.then_some(()).ok_or(Unverified::Broken)
+        is_free.then_some(()).ok_or(VerificationError::Broken)
     }
 
     /// Returns a call without side effects that a server answers: a probe or, where servers may not be probed, the release
@@ -114,10 +114,10 @@
         let (kind, call) = self.check_call()?;
         let request = ServerRequest::new(kind, call);
         let verified = self.short_call(server, &request);
-        match within(ANSWER_TIMEOUT, verified).await {
+        match timeout_allowing_stalls(ANSWER_TIMEOUT, verified).await {
             Some(verified) => verified.map(|_| Reply::Done),
             None => {
-                self.record(server, Reachability::query_lost);
+                self.record_reachability(server, Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -150,11 +150,11 @@
     }
 
     /// Records the result of a call in the reachability of its server.
-    fn record(&self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
-        self.0.servers.borrow_mut().record(server, event);
+    fn record_reachability(&self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
+        self.0.servers.borrow_mut().record_reachability(server, event);
     }
 
-    async fn answer(self, call: Call) -> Result<Reply, CallError> {
+    async fn handle_call(self, call: Call) -> Result<Reply, CallError> {
         match call {
             Call::Attempt { server, payload, deadline, connect_timeout, connection_check, cancel_token } => {
                 let request = ServerRequest {
@@ -165,7 +165,7 @@
                     deadline: Some(deadline),
                     cancel_token,
                 };
-                self.attempt(server, &request, ResponseMode::of(&payload)).await
+                self.attempt(server, &request, ResponseMode::for_payload(&payload)).await
             }
             Call::Release { payload } => self.release(&payload).await,
             Call::ReserveSlot { server, payload } => self.reserve_slot(server, &payload).await,
@@ -195,6 +195,6 @@
     }
 
     fn call(&mut self, call: Call) -> Self::Future {
-        Box::pin(self.clone().answer(call))
+        Box::pin(self.clone().handle_call(call))
     }
 }
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -20,10 +20,10 @@
 const REUSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Number of idle connections considered for an attempt: the one that it uses and its sentinel.
-const MOST_COMPARED: usize = 2;
+const MAX_COMPARED_IDLE: usize = 2;
 
 /// Returns the usual time limit of a step, or the time until the deadline if that is shorter.
-pub(super) fn time_for(usual: Duration, deadline: Option<Instant>) -> Duration {
+pub(super) fn limit_to_deadline(usual: Duration, deadline: Option<Instant>) -> Duration {
     deadline.map_or(usual, |deadline| usual.min(deadline.saturating_duration_since(Instant::now())))
 }
 
@@ -56,7 +56,7 @@
         let mut servers = self.0.servers.borrow_mut();
         let record = servers.get_mut(server)?;
         let mut last_idle = Vec::new();
-        while last_idle.len() < MOST_COMPARED {
+        while last_idle.len() < MAX_COMPARED_IDLE {
             let Some(usable) = self.pop_usable(record) else { break };
             last_idle.push(usable);
         }
@@ -77,7 +77,7 @@
     }
 
     /// Takes, of the idle connections that were opened before `at`, the one that became idle last.
-    pub(super) fn take_standing(&self, server: ServerId, at: Instant) -> Option<Connection> {
+    pub(super) fn take_idle_opened_before(&self, server: ServerId, at: Instant) -> Option<Connection> {
         let mut servers = self.0.servers.borrow_mut();
         let record = servers.get_mut(server)?;
         loop {
@@ -124,7 +124,7 @@
     }
 
     /// Opens a connection and counts it under the kind of its first request.
-    pub(super) async fn open_counted(
+    pub(super) async fn open_and_count(
         &self, server: ServerId, kind: RequestKind, deadline: Option<Instant>,
     ) -> Result<Connection, CallError> {
         let opened = self.open(server, deadline).await;
@@ -141,7 +141,7 @@
 
     async fn open(&self, server: ServerId, deadline: Option<Instant>) -> Result<Connection, CallError> {
         let usual = self.0.limits.connect_timeout;
-        let limit = time_for(usual, deadline);
+        let limit = limit_to_deadline(usual, deadline);
         let peer = self.0.servers.borrow().get(server).map(|record| record.peer.clone());
         let peer = peer.ok_or(CallError::NotSent)?;
         // A lack of slots is local and says nothing about the server, so this is not recorded as a failure.
@@ -152,7 +152,7 @@
             // A timeout after less than half the usual limit says nothing about the server.
             Err(_) if limit < usual / 2 => Err(CallError::NotSent),
             _ => {
-                self.record(server, Reachability::query_lost);
+                self.record_reachability(server, Reachability::query_lost);
                 Err(CallError::ConnectFailed)
             }
         }
@@ -165,7 +165,7 @@
             return Some(slot);
         }
         self.close_idle();
-        self.0.closing.abandon();
+        self.0.closing.close_all();
         // The tasks of these connections end when they are next scheduled.
         yield_now().await;
         self.0.connection_slots.clone().try_acquire_owned().ok()
--- a/gateway/src/engine/release.rs
+++ b/gateway/src/engine/release.rs
@@ -33,21 +33,21 @@
         let request = Rc::new(ServerRequest::new(RequestKind::Release, request));
         let now = || self.0.servers.borrow().now();
         let (started, limit) = (now(), ROUND_TIMEOUT.as_millis() as u64);
-        let mut release =
+        let mut rounds =
             ReleaseRounds::new(self.0.servers.borrow().release_order(), started, started + limit);
         let (answer_sender, mut answers) = mpsc::unbounded_channel();
         loop {
-            for server in release.next_round(now()) {
+            for server in rounds.next_round(now()) {
                 // A separate task keeps the call, and so its connection, from being cancelled when another server
                 // answers first.
                 let release = self.clone().release_at(server, request.clone(), answer_sender.clone());
                 spawn_local(release);
             }
-            let Some(wake) = release.next_wake(now()) else { return Err(CallError::ConnectFailed) };
+            let Some(wake) = rounds.next_wake(now()) else { return Err(CallError::ConnectFailed) };
             tokio::select! {
                 accepted = answers.recv() => match accepted {
                     Some(true) => return Ok(Reply::Done),
-                    _ => release.failed(now()),
+                    _ => rounds.failed(now()),
                 },
                 () = sleep(Duration::from_millis(wake.saturating_sub(now()))) => {}
             }
@@ -58,12 +58,12 @@
     async fn release_at(
         self, server: ServerId, request: Rc<ServerRequest>, answers: mpsc::UnboundedSender<bool>,
     ) {
-        self.record(server, Reachability::query_sent);
+        self.record_reachability(server, Reachability::query_sent);
         let answer = timeout(ANSWER_TIMEOUT, self.short_call(server, &request)).await;
         let accepted = match answer {
             Ok(Ok((head, _))) => head.status.is_success(),
             _ => {
-                self.record(server, Reachability::query_lost);
+                self.record_reachability(server, Reachability::query_lost);
                 false
             }
         };
--- a/gateway/src/engine/reset_inquiry.rs
+++ b/gateway/src/engine/reset_inquiry.rs
@@ -16,7 +16,7 @@
 
 use super::connection::{Connection, Peer};
 use super::liveness::ANSWER_TIMEOUT;
-use super::stall_tolerance::within;
+use super::stall_tolerance::timeout_allowing_stalls;
 use super::Engine;
 use crate::exchange::CancelToken;
 use crate::upstream::ServerAfterReset;
@@ -24,8 +24,8 @@
 /// A completed inquiry.
 #[derive(Clone, Copy)]
 struct Inquiry {
-    begun_at: Instant,
-    found: ServerAfterReset,
+    started_at: Instant,
+    result: ServerAfterReset,
 }
 
 /// Last inquiry at one address; `None` before the first has been completed. Locked while an inquiry is in progress.
@@ -37,7 +37,7 @@
 
 impl ResetInquiries {
     /// Returns the entry for this address and removes the entries that no task uses.
-    fn of(&self, address: &str) -> LastInquiry {
+    fn entry(&self, address: &str) -> LastInquiry {
         let mut inquiries = self.0.borrow_mut();
         inquiries.retain(|_, inquiry| Rc::strong_count(inquiry) > 1);
         inquiries.entry(address.to_string()).or_default().clone()
@@ -52,34 +52,35 @@
     ) -> ServerAfterReset {
         let Some(address) = attempt.server_address() else { return ServerAfterReset::Silent };
         let reset_before = Instant::now();
-        let inquiry = self.0.reset_inquiries.of(&address);
+        let inquiry = self.0.reset_inquiries.entry(&address);
         let mut last = inquiry.lock().await;
-        if let Some(shared) = last.filter(|last| last.begun_at >= reset_before) {
-            return shared.found;
+        if let Some(shared) = last.filter(|last| last.started_at >= reset_before) {
+            return shared.result;
         }
-        let begun_at = Instant::now();
-        let found = self.ask_on_new_connection(server, address).await;
-        *last = Some(Inquiry { begun_at, found });
-        found
+        let started_at = Instant::now();
+        let result = self.inquire_on_new_connection(server, address).await;
+        *last = Some(Inquiry { started_at, result });
+        result
     }
 
-    async fn ask_on_new_connection(&self, server: ServerId, address: String) -> ServerAfterReset {
+    async fn inquire_on_new_connection(&self, server: ServerId, address: String) -> ServerAfterReset {
         // Open connections serve as evidence for other requests, so none is closed to free a slot for an inquiry.
         let Ok(slot) = self.0.connection_slots.clone().try_acquire_owned() else {
             return ServerAfterReset::Silent;
         };
-        let answer = within(ANSWER_TIMEOUT, self.answer_on_new_connection(server, address, slot)).await;
-        let found = answer.unwrap_or(ServerAfterReset::Silent);
-        match found {
-            ServerAfterReset::Answers => self.record(server, Reachability::answered),
+        let answer =
+            timeout_allowing_stalls(ANSWER_TIMEOUT, self.call_on_new_connection(server, address, slot)).await;
+        let result = answer.unwrap_or(ServerAfterReset::Silent);
+        match result {
+            ServerAfterReset::Answers => self.record_reachability(server, Reachability::answered),
             ServerAfterReset::Refuses | ServerAfterReset::Silent => {
-                self.record(server, Reachability::query_lost);
+                self.record_reachability(server, Reachability::query_lost);
             }
         }
-        found
+        result
     }
 
-    async fn answer_on_new_connection(
+    async fn call_on_new_connection(
         &self, server: ServerId, address: String, slot: OwnedSemaphorePermit,
     ) -> ServerAfterReset {
         let listed = self.listed_peer(server).filter(|peer| peer.address == address);
@@ -89,13 +90,13 @@
             Ok(connection) => connection,
             Err(error) => {
                 self.0.counts.borrow_mut().not_opened += 1;
-                return after_failed_connect(&error);
+                return result_of_failed_connect(&error);
             }
         };
         self.0.counts.borrow_mut().opened.probe += 1;
         let check = if is_listed { self.check_call() } else { self.release_of_unused_id() };
         let Ok((kind, check)) = check else { return ServerAfterReset::Silent };
-        match self.answered_on(server, &mut connection, kind, check).await {
+        match self.send_check_call(server, &mut connection, kind, check).await {
             Ok(()) => {
                 self.add_idle(server, connection);
                 ServerAfterReset::Answers
@@ -110,7 +111,7 @@
 }
 
 /// Returns what a failed connection attempt shows about the server.
-fn after_failed_connect(error: &io::Error) -> ServerAfterReset {
+fn result_of_failed_connect(error: &io::Error) -> ServerAfterReset {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => ServerAfterReset::Refuses,
         _ => ServerAfterReset::Silent,
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -8,9 +8,9 @@
 use tokio::time::Instant;
 
 use super::connection::{Connection, Peer, SendFailure};
-use super::connection_checks::CallInFlight;
+use super::connection_checks::PendingCheck;
 use super::event_stream::broken_response;
-use super::liveness::Unverified;
+use super::liveness::VerificationError;
 use super::server_request::{RequestKind, ServerRequest};
 use super::Engine;
 use crate::exchange::CancelToken;
@@ -36,7 +36,7 @@
             self.0.counts.borrow_mut().reused += u64::from(is_reused);
             let connection = match idle {
                 Some(connection) => connection,
-                None => self.open_counted(server, request.kind, request.connect_deadline).await?,
+                None => self.open_and_count(server, request.kind, request.connect_deadline).await?,
             };
             if needs_sentinel {
                 self.open_sentinel(server);
@@ -44,22 +44,22 @@
             let mut connection = match self.verify_connection(server, connection, request).await {
                 Ok(connection) => connection,
                 // The connection was closed while it was idle, which says nothing about its server.
-                Err(Unverified::Broken) if is_reused => continue,
-                Err(unverified) => return Err(unverified.into()),
+                Err(VerificationError::Broken) if is_reused => continue,
+                Err(error) => return Err(error.into()),
             };
             // Servers answer these calls immediately, and the calls may use the sentinel of an attempt, so they count as
             // checks of their connections.
             let is_check = matches!(request.kind, RequestKind::Probe | RequestKind::Release);
-            let call = is_check.then(|| self.add_check(server, &connection));
+            let call = is_check.then(|| self.register_check(server, &connection));
             let (call, failure) = match self.write(server, request, &mut connection).await {
                 Ok(response) => {
-                    call.iter().for_each(CallInFlight::answered);
-                    self.record(server, Reachability::answered);
+                    call.iter().for_each(PendingCheck::mark_answered);
+                    self.record_reachability(server, Reachability::answered);
                     return Ok((response, connection));
                 }
                 Err(failure) => (call, failure),
             };
-            call.iter().for_each(CallInFlight::broken);
+            call.iter().for_each(PendingCheck::mark_broken);
             match failure {
                 // The server closed the connection before any byte was written; the loop tries another connection.
                 SendFailure::Replace => request.cancel_token.set_written(false),
@@ -84,7 +84,7 @@
         if !connection.may_write(self.may_receive(server, &connection.peer, kind)) {
             return Err(SendFailure::Withheld);
         }
-        let to_write = request.to_write_now().ok_or(SendFailure::Withheld)?;
+        let to_write = request.prepare_write().ok_or(SendFailure::Withheld)?;
         let condition = FirstByteCondition {
             engine: self.clone(),
             server,
@@ -94,7 +94,7 @@
             stated_at: Instant::now(),
         };
         if kind == RequestKind::Attempt {
-            connection.carry(&request.cancel_token);
+            connection.set_attempt(&request.cancel_token);
             connection.count_when_written(&to_write, self.0.attempts_written.clone());
         }
         connection.send(to_write, move || condition.check()).await
--- a/gateway/src/engine/server_request.rs
+++ b/gateway/src/engine/server_request.rs
@@ -62,7 +62,7 @@
     ///
     /// Returns `None` once one of its deadlines has passed: its own, that of the lease that waits for it, or the end of
     /// the time in which it may be retried.
-    pub fn to_write_now(&self) -> Option<Request<Bytes>> {
+    pub fn prepare_write(&self) -> Option<Request<Bytes>> {
         let (mut request, now) = (self.request.clone(), Instant::now());
         let mut deadlines = [self.connect_deadline, self.deadline].into_iter().flatten();
         if deadlines.any(|deadline| deadline <= now) {
--- a/gateway/src/engine/server_table.rs
+++ b/gateway/src/engine/server_table.rs
@@ -101,7 +101,7 @@
     }
 
     /// Records the result of a call in the reachability of its server.
-    pub fn record(&mut self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
+    pub fn record_reachability(&mut self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
         let now = self.now();
         if let Some(record) = self.servers.get_mut(&server) {
             event(&mut record.reachability, now);
@@ -111,13 +111,13 @@
     /// Returns the servers in the order in which to send them a release. Every running server accepts one; draining
     /// servers come last.
     pub fn release_order(&self) -> Vec<ServerId> {
-        let mut servers = self.ordered(true);
-        servers.extend(self.ordered(false));
+        let mut servers = self.in_release_order(true);
+        servers.extend(self.in_release_order(false));
         servers
     }
 
     /// Returns the servers that receive new requests, or those that do not, in release order.
-    fn ordered(&self, is_serving: bool) -> Vec<ServerId> {
+    fn in_release_order(&self, is_serving: bool) -> Vec<ServerId> {
         let mut candidates = Vec::new();
         for (server, record) in &self.servers {
             if record.is_serving == is_serving {
--- a/gateway/src/engine/stall_tolerance.rs
+++ b/gateway/src/engine/stall_tolerance.rs
@@ -14,7 +14,9 @@
 
 /// Returns the output of `awaited`, or `None` if it takes longer than `wait`. The wait is repeated if this process was
 /// stalled during it.
-pub(super) async fn within<T>(wait: Duration, awaited: impl Future<Output = T>) -> Option<T> {
+pub(super) async fn timeout_allowing_stalls<T>(
+    wait: Duration, awaited: impl Future<Output = T>,
+) -> Option<T> {
     tokio::pin!(awaited);
     let mut repeated_waits = 0;
     loop {
