--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -43,7 +43,7 @@
     Withheld,
     /// The request was written only in part, so the server never ran it.
     NeverRan,
-    /// The request was written completely, so the server may have run it.
+    /// The server may have run the request; the error is that of the response.
     MayHaveRun(hyper::Error),
 }
 
@@ -74,7 +74,8 @@
     pub body_state: Rc<BodyReadState>,
     task: AbortHandle,
     slot: Option<OwnedSemaphorePermit>,
-    /// The attempt in progress, if any. What the connection shows about the server's work is recorded in its token.
+    /// The attempt in progress until its stream begins. Its token records what the connection shows about the server's
+    /// work.
     attempt: Option<CancelToken>,
     /// Receives the connection if it is dropped during an attempt.
     closing: ClosingSender,
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -144,12 +144,12 @@
         let limit = limit_to_deadline(usual, deadline);
         let peer = self.0.servers.borrow().get(server).map(|record| record.peer.clone());
         let peer = peer.ok_or(CallError::NotSent)?;
-        // A lack of slots is local and says nothing about the server, so this is not recorded as a failure.
+        // A lack of slots is local, so it is not recorded as a failure of the server.
         let slot = self.acquire_slot().await.ok_or(CallError::NotSent)?;
         let closing = self.closing_sender();
         match timeout(limit, Connection::open(peer, slot, closing)).await {
             Ok(Ok(connection)) => Ok(connection),
-            // A timeout after less than half the usual limit says nothing about the server.
+            // A timeout after less than half the usual limit is no evidence against the server.
             Err(_) if limit < usual / 2 => Err(CallError::NotSent),
             _ => {
                 self.record_reachability(server, Reachability::query_lost);
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -96,8 +96,8 @@
                 {
                     return Ok(false);
                 }
-                Ok(httparse::Status::Partial) => return Err(malformed("a head does not end")),
-                Err(_) => return Err(malformed("no head of an answer")),
+                Ok(httparse::Status::Partial) => return Err(malformed("response head is too large")),
+                Err(_) => return Err(malformed("invalid response head")),
             }
         }
     }
--- a/gateway/src/engine/resumed_stream.rs
+++ b/gateway/src/engine/resumed_stream.rs
@@ -93,7 +93,8 @@
     }
 }
 
-/// Continues a stream. Its connection occupies `slot` for as long as it is open; `None` if no slot was free.
+/// Continues a stream. Its connection occupies `slot` for as long as it is open; `slot` is `None` if
+/// none was free.
 pub fn resume(
     remainder: StreamRemainder, slot: Option<OwnedSemaphorePermit>, handing_over: watch::Receiver<bool>,
 ) -> Frames {
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -43,7 +43,7 @@
             }
             let mut connection = match self.verify_connection(server, connection, request).await {
                 Ok(connection) => connection,
-                // The connection was closed while it was idle, which says nothing about its server.
+                // The connection was closed while it was idle, which is no evidence against the server.
                 Err(VerificationError::Broken) if is_reused => continue,
                 Err(error) => return Err(error.into()),
             };
