--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -1,4 +1,4 @@
-//! Short calls other than attempts: probes and slot reservations.
+//! Short calls to servers other than attempts: probes and slot reservations.
 
 use std::time::Duration;
 
@@ -10,35 +10,36 @@
 use tokio::time::timeout;
 
 use super::requests::{lease_request, load_request};
-use super::response_fields::{load_report, load_report_of};
+use super::response_fields::{load_report_from_headers, parse_load_report};
 use super::server_request::{RequestKind, ServerRequest};
 use super::Engine;
 use crate::exchange::{Payload, ResponseHead};
 use crate::upstream::{CallError, Reply};
 
-/// Most bytes read of a response of which only the outcome counts.
-pub(super) const MAX_SHORT_BODY: usize = 64 << 10;
+/// Maximum size in bytes of the response to a short call.
+pub(super) const MAX_SHORT_BODY_BYTES: usize = 64 << 10;
 
-/// Longest time of a probe.
+/// Time limit of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Longest time of a slot reservation: after that the server itself says that it does not know whether the slot is reserved.
+/// Time limit of a slot reservation. After this time the server itself reports that it cannot tell whether the slot is
+/// reserved.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Engine {
-    /// Sends a request and reads its complete, short response.
+    /// Sends a request and reads the complete response, of at most [`MAX_SHORT_BODY_BYTES`] bytes.
     pub(super) async fn short_call(
         &self, server: ServerId, request: &ServerRequest,
     ) -> Result<(ResponseHead, Bytes), CallError> {
         let (response, connection) = self.send(server, request).await?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, MAX_SHORT_BODY).collect().await.map_err(|_| CallError::Reset)?;
+        let body = Limited::new(body, MAX_SHORT_BODY_BYTES).collect().await.map_err(|_| CallError::Reset)?;
         let body = body.to_bytes();
         self.recycle(server, connection);
         Ok((ResponseHead { status: parts.status, headers: parts.headers }, body))
     }
 
-    /// Reserves a slot for a request.
+    /// Requests a slot reservation from a server.
     pub(super) async fn reserve_slot(&self, server: ServerId, payload: &Payload) -> Result<Reply, CallError> {
         let request = lease_request(Method::POST, &payload.request_id)?;
         let request = ServerRequest::new(RequestKind::ReserveSlot, request);
@@ -51,19 +52,19 @@
         }))
     }
 
-    /// Asks a server for its load.
+    /// Probes a server for its health and load report.
     pub(super) async fn probe(&self, server: ServerId) -> Result<Reply, CallError> {
         let request = ServerRequest::new(RequestKind::Probe, load_request()?);
         self.0.counts.borrow_mut().probes += 1;
-        self.record(server, Reachability::query_sent);
+        self.record_reachability(server, Reachability::query_sent);
         let answer = timeout(PROBE_TIMEOUT, self.short_call(server, &request)).await;
         if answer.is_err() {
-            self.record(server, Reachability::query_lost);
+            self.record_reachability(server, Reachability::query_lost);
         }
         let (head, body) = answer.map_err(|_| CallError::Reset)??;
-        let report = match load_report_of(&head.headers) {
+        let report = match load_report_from_headers(&head.headers) {
             Some(report) => Some(report),
-            None => std::str::from_utf8(&body).ok().and_then(load_report),
+            None => std::str::from_utf8(&body).ok().and_then(parse_load_report),
         };
         Ok(Reply::Probed { healthy: head.status == StatusCode::OK, report })
     }
--- a/gateway/src/engine/events/mod.rs
+++ b/gateway/src/engine/events/mod.rs
@@ -1,36 +1,37 @@
-//! The events of a stream: only complete ones are passed on, unchanged, and what is no event is found at its first bytes.
+//! Buffering and validation of server-sent events. Only complete events are forwarded, unchanged; malformed bytes are
+//! detected as soon as they are received, before their line or event is complete.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event.
-const MAX_EVENT: usize = 256 << 10;
+/// Maximum size in bytes of one event.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// The beginnings of the lines of an event.
-const FIELDS: [&[u8]; 5] = [b"data:", b"event:", b"id:", b"retry:", b":"];
+/// Prefixes of which every non-empty line of an event has one.
+const LINE_PREFIXES: [&[u8]; 5] = [b"data:", b"event:", b"id:", b"retry:", b":"];
 
-/// The bytes are no event, or one without an end.
+/// The bytes are not a valid event, or the event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct MalformedEvent;
 
-/// The bytes of a stream that were not passed on, since their event is not complete.
+/// The bytes of a stream that have not been forwarded because their event is incomplete.
 #[derive(Default)]
 pub struct EventBuffer {
     bytes: BytesMut,
-    /// How many of the bytes were examined.
+    /// Number of bytes searched for line ends.
     examined: usize,
-    /// Where the last line begins.
+    /// Offset of the last line.
     line_start: usize,
-    /// How many bytes of that line were found to be text.
-    text: usize,
-    /// Where the last complete event ends.
+    /// Number of bytes of that line that have been validated as text.
+    validated_text: usize,
+    /// Offset of the end of the last complete event; 0 if there is none.
     events_end: usize,
-    /// Whether an event with data was passed on; a comment alone does not begin a response.
+    /// Whether an event with data has been completed. Comments alone do not begin a response.
     has_begun: bool,
-    /// Whether the event that is not complete has data.
+    /// Whether the incomplete event has a data line.
     has_data: bool,
 }
 
-/// Whether a line is complete, or more of it may come.
+/// Whether a line is complete or may continue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LineState {
     Complete,
@@ -38,21 +39,22 @@
 }
 
 impl EventBuffer {
-    /// The buffer of a stream whose first events were passed on already.
+    /// Creates the buffer of a resumed stream, whose first events were forwarded by the predecessor process.
     pub fn resumed() -> Self {
         EventBuffer { has_begun: true, ..EventBuffer::default() }
     }
 
-    /// Adds bytes, and returns the events that are complete now.
+    /// Appends bytes and returns the events that are now complete, if any.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Option<Bytes>, MalformedEvent> {
         self.bytes.extend_from_slice(bytes);
         while let Some(length) = self.bytes[self.examined..].iter().position(|byte| *byte == b'\n') {
             self.end_line(self.examined + length)?;
         }
-        self.text = check_line(&self.bytes[self.line_start..], self.text, LineState::Partial)?;
+        self.validated_text =
+            check_line(&self.bytes[self.line_start..], self.validated_text, LineState::Partial)?;
         self.examined = self.bytes.len();
         let incomplete = self.bytes.len() - self.events_end;
-        if incomplete > MAX_EVENT || !self.has_begun && self.bytes.len() > MAX_EVENT {
+        if incomplete > MAX_EVENT_BYTES || !self.has_begun && self.bytes.len() > MAX_EVENT_BYTES {
             return Err(MalformedEvent);
         }
         if self.events_end == 0 || !self.has_begun {
@@ -65,16 +67,16 @@
         Ok(Some(events))
     }
 
-    /// Examines the line that ends with the line feed at `end`.
+    /// Validates the line that ends with the line feed at offset `end`, and marks the end of an event if it is empty.
     fn end_line(&mut self, end: usize) -> Result<(), MalformedEvent> {
         let line = &self.bytes[self.line_start..end];
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        check_line(line, self.text, LineState::Complete)?;
+        check_line(line, self.validated_text, LineState::Complete)?;
         self.has_data |= line.starts_with(b"data:");
         let is_event_end = line.is_empty();
         self.examined = end + 1;
         self.line_start = self.examined;
-        self.text = 0;
+        self.validated_text = 0;
         if is_event_end {
             self.events_end = self.examined;
             self.has_begun |= std::mem::take(&mut self.has_data);
@@ -82,24 +84,25 @@
         Ok(())
     }
 
-    /// Whether the stream may end here.
+    /// Returns whether the stream may end here: an event with data was forwarded and no bytes are pending.
     pub fn is_complete(&self) -> bool {
         self.has_begun && self.bytes.is_empty()
     }
 }
 
-/// Checks that a line is empty, or begins with the name of a field and is text; of a partial line, what is there must fit.
+/// Validates that a line is empty, or is UTF-8 text without control characters other than tab that begins with one of
+/// [`LINE_PREFIXES`]. A partial line must be a possible beginning of a valid one.
 ///
-/// Its first `known` bytes were found to be text before: a long line in small pieces is examined once, since all other
-/// streams wait for what this thread does for one. Returns how many bytes are known now.
-fn check_line(line: &[u8], known: usize, state: LineState) -> Result<usize, MalformedEvent> {
+/// The first `validated` bytes are skipped since an earlier call has validated them. A long line in small pieces is thus
+/// examined only once, which matters because all streams share this thread. Returns the number of validated bytes.
+fn check_line(line: &[u8], validated: usize, state: LineState) -> Result<usize, MalformedEvent> {
     let is_partial = state == LineState::Partial;
-    // The end of a partial line may be the first half of its line ending.
+    // A carriage return at the end of a partial line may belong to its line ending.
     let content = if is_partial { line.strip_suffix(b"\r").unwrap_or(line) } else { line };
-    let text = match std::str::from_utf8(&line[known..]) {
+    let text = match std::str::from_utf8(&line[validated..]) {
         Ok(_) => Some(line.len()),
-        // A character may be cut where the line goes on.
-        Err(error) => (is_partial && error.error_len().is_none()).then_some(known + error.valid_up_to()),
+        // A partial line may end within a multi-byte character.
+        Err(error) => (is_partial && error.error_len().is_none()).then_some(validated + error.valid_up_to()),
     };
     if content.is_empty() {
         return Ok(0);
@@ -107,7 +110,7 @@
     let fits = |field: &&[u8]| line.starts_with(field) || is_partial && field.starts_with(line);
     let is_control = |byte: &u8| byte.is_ascii_control() && *byte != b'\t';
     match text {
-        Some(text) if FIELDS.iter().any(fits) && !content[known..].iter().any(is_control) => {
+        Some(text) if LINE_PREFIXES.iter().any(fits) && !content[validated..].iter().any(is_control) => {
             Ok(text.min(content.len()))
         }
         _ => Err(MalformedEvent),
--- a/gateway/src/engine/reset_inquiry.rs
+++ b/gateway/src/engine/reset_inquiry.rs
@@ -1,8 +1,8 @@
-//! What has become of a server after a reset: a connection that is begun after it is refused, is answered, or stays silent.
+//! Inquiries about a server after a reset: a new connection to it is refused, is answered, or times out.
 //!
-//! What each of the three proves is decided in [`evidence`](glenrail_request_lifecycle::evidence). New connections and probes
-//! are priced over a fleet, so a server is asked once at a time, and all whose resets came before that question share its
-//! result.
+//! [`evidence`](glenrail_request_lifecycle::evidence) decides what each of the three proves. New connections and probes
+//! have a cost across the fleet, so each server gets one inquiry at a time, and its result is shared by all attempts
+//! whose connections were reset before it began.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,28 +16,28 @@
 
 use super::connection::{Connection, Peer};
 use super::liveness::ANSWER_TIMEOUT;
-use super::stall_tolerance::within;
+use super::stall_tolerance::timeout_allowing_stalls;
 use super::Engine;
 use crate::exchange::CancelToken;
 use crate::upstream::ServerAfterReset;
 
-/// A question that was asked.
+/// A completed inquiry.
 #[derive(Clone, Copy)]
 struct Inquiry {
-    begun_at: Instant,
-    found: ServerAfterReset,
+    started_at: Instant,
+    result: ServerAfterReset,
 }
 
-/// The last question to one address; locked while one is asked.
+/// Last inquiry at one address; `None` before the first has been completed. Locked while an inquiry is in progress.
 type LastInquiry = Rc<Mutex<Option<Inquiry>>>;
 
-/// The questions that are asked now, by the servers' addresses.
+/// Inquiries in progress, keyed by server address.
 #[derive(Default)]
 pub(super) struct ResetInquiries(RefCell<BTreeMap<String, LastInquiry>>);
 
 impl ResetInquiries {
-    /// The last question to this address; those that nobody waits for are forgotten.
-    fn of(&self, address: &str) -> LastInquiry {
+    /// Returns the entry for this address and removes the entries that no task uses.
+    fn entry(&self, address: &str) -> LastInquiry {
         let mut inquiries = self.0.borrow_mut();
         inquiries.retain(|_, inquiry| Rc::strong_count(inquiry) > 1);
         inquiries.entry(address.to_string()).or_default().clone()
@@ -45,40 +45,42 @@
 }
 
 impl Engine {
-    /// Finds out what has become of the server that this attempt was written to. Its connection was reset before this call.
+    /// Finds out the state of the server to which this attempt was written. The attempt's connection must have been reset
+    /// before this call.
     pub(super) async fn inquire_after_reset(
         &self, server: ServerId, attempt: &CancelToken,
     ) -> ServerAfterReset {
         let Some(address) = attempt.server_address() else { return ServerAfterReset::Silent };
         let reset_before = Instant::now();
-        let inquiry = self.0.reset_inquiries.of(&address);
+        let inquiry = self.0.reset_inquiries.entry(&address);
         let mut last = inquiry.lock().await;
-        if let Some(shared) = last.filter(|last| last.begun_at >= reset_before) {
-            return shared.found;
+        if let Some(shared) = last.filter(|last| last.started_at >= reset_before) {
+            return shared.result;
         }
-        let begun_at = Instant::now();
-        let found = self.ask_on_new_connection(server, address).await;
-        *last = Some(Inquiry { begun_at, found });
-        found
+        let started_at = Instant::now();
+        let result = self.inquire_on_new_connection(server, address).await;
+        *last = Some(Inquiry { started_at, result });
+        result
     }
 
-    async fn ask_on_new_connection(&self, server: ServerId, address: String) -> ServerAfterReset {
-        // Connections that stand are evidence for other requests: none is closed for a question.
+    async fn inquire_on_new_connection(&self, server: ServerId, address: String) -> ServerAfterReset {
+        // Open connections serve as evidence for other requests, so none is closed to free a slot for an inquiry.
         let Ok(slot) = self.0.connection_slots.clone().try_acquire_owned() else {
             return ServerAfterReset::Silent;
         };
-        let answer = within(ANSWER_TIMEOUT, self.answer_on_new_connection(server, address, slot)).await;
-        let found = answer.unwrap_or(ServerAfterReset::Silent);
-        match found {
-            ServerAfterReset::Answers => self.record(server, Reachability::answered),
+        let answer =
+            timeout_allowing_stalls(ANSWER_TIMEOUT, self.call_on_new_connection(server, address, slot)).await;
+        let result = answer.unwrap_or(ServerAfterReset::Silent);
+        match result {
+            ServerAfterReset::Answers => self.record_reachability(server, Reachability::answered),
             ServerAfterReset::Refuses | ServerAfterReset::Silent => {
-                self.record(server, Reachability::query_lost);
+                self.record_reachability(server, Reachability::query_lost);
             }
         }
-        found
+        result
     }
 
-    async fn answer_on_new_connection(
+    async fn call_on_new_connection(
         &self, server: ServerId, address: String, slot: OwnedSemaphorePermit,
     ) -> ServerAfterReset {
         let listed = self.listed_peer(server).filter(|peer| peer.address == address);
@@ -88,13 +90,13 @@
             Ok(connection) => connection,
             Err(error) => {
                 self.0.counts.borrow_mut().connections_failed += 1;
-                return after_failed_connect(&error);
+                return result_of_failed_connect(&error);
             }
         };
         self.0.counts.borrow_mut().connections_opened.probe += 1;
         let check = if is_listed { self.check_call() } else { self.release_of_unused_id() };
         let Ok((kind, check)) = check else { return ServerAfterReset::Silent };
-        match self.answered_on(server, &mut connection, kind, check).await {
+        match self.send_check_call(server, &mut connection, kind, check).await {
             Ok(()) => {
                 self.add_idle(server, connection);
                 ServerAfterReset::Answers
@@ -108,8 +110,8 @@
     }
 }
 
-/// What a connection has shown that did not come up.
-fn after_failed_connect(error: &io::Error) -> ServerAfterReset {
+/// Returns what a failed connection attempt shows about the server.
+fn result_of_failed_connect(error: &io::Error) -> ServerAfterReset {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => ServerAfterReset::Refuses,
         _ => ServerAfterReset::Silent,
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -1,4 +1,4 @@
-//! Sending of a request: written once, on an idle connection or a new one.
+//! Sending of requests: each is written once, on an idle connection or a new one.
 
 use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
@@ -8,22 +8,22 @@
 use tokio::time::Instant;
 
 use super::connection::{Connection, Peer, SendFailure};
+use super::connection_checks::PendingCheck;
 use super::event_stream::broken_response;
-use super::liveness::Unverified;
+use super::liveness::VerificationError;
 use super::server_request::{RequestKind, ServerRequest};
-use super::standing::CallInFlight;
 use super::Engine;
 use crate::exchange::CancelToken;
 use crate::invariants::MAX_STATED_DEADLINE_AGE;
 use crate::upstream::{CallError, ConnectionCheck};
 
 impl Engine {
-    /// Writes a request to a server once and returns the head of the response, and the connection that it comes on.
+    /// Writes a request to a server once. Returns the response and the connection on which its body arrives.
     pub(super) async fn send(
         &self, server: ServerId, request: &ServerRequest,
     ) -> Result<(Response<Incoming>, Connection), CallError> {
         loop {
-            // No connection is opened in vain: it costs the server work, and the request time.
+            // Checked before a connection is opened, since that costs the server work and the request time.
             if !request.cancel_token.is_active()
                 || !(request.kind.allowed_while_draining() || self.is_serving(server))
             {
@@ -36,31 +36,32 @@
             self.0.counts.borrow_mut().connections_reused += u64::from(is_reused);
             let connection = match idle {
                 Some(connection) => connection,
-                None => self.open_counted(server, request.kind, request.connect_deadline).await?,
+                None => self.open_and_count(server, request.kind, request.connect_deadline).await?,
             };
             if needs_sentinel {
                 self.open_sentinel(server);
             }
             let mut connection = match self.verify_connection(server, connection, request).await {
                 Ok(connection) => connection,
-                // It was closed while it was idle, which says nothing about its server.
-                Err(Unverified::Broken) if is_reused => continue,
-                Err(unverified) => return Err(unverified.into()),
+                // The connection was closed while it was idle, which is no evidence against the server.
+                Err(VerificationError::Broken) if is_reused => continue,
+                Err(error) => return Err(error.into()),
             };
-            // Servers answer these at once, whoever asks, and they may use the connection that stands beside an attempt.
+            // Servers answer these calls immediately, and the calls may use the sentinel of an attempt, so they count as
+            // checks of their connections.
             let is_check = matches!(request.kind, RequestKind::Probe | RequestKind::Release);
-            let call = is_check.then(|| self.add_check(server, &connection));
+            let call = is_check.then(|| self.register_check(server, &connection));
             let (call, failure) = match self.write(server, request, &mut connection).await {
                 Ok(response) => {
-                    call.iter().for_each(CallInFlight::answered);
-                    self.record(server, Reachability::answered);
+                    call.iter().for_each(PendingCheck::mark_answered);
+                    self.record_reachability(server, Reachability::answered);
                     return Ok((response, connection));
                 }
                 Err(failure) => (call, failure),
             };
-            call.iter().for_each(CallInFlight::broken);
+            call.iter().for_each(PendingCheck::mark_broken);
             match failure {
-                // The server closed the idle connection just now, and not a byte was written.
+                // The server closed the connection before any byte was written; the loop tries another connection.
                 SendFailure::Replace => request.cancel_token.set_written(false),
                 SendFailure::Withheld => return Err(CallError::NotSent),
                 SendFailure::NeverRan => return Err(CallError::ConnectFailed),
@@ -69,22 +70,22 @@
         }
     }
 
-    /// Writes a request on this connection, unless the server may not receive it any more.
+    /// Writes a request on this connection unless the server may no longer receive it.
     async fn write(
         &self, server: ServerId, request: &ServerRequest, connection: &mut Connection,
     ) -> Result<Response<Incoming>, SendFailure> {
         let kind = request.kind;
         if kind == RequestKind::Attempt {
-            // What has come by now is handled before, a client's leaving above all: after a stall a timer may have
-            // brought this about in the same wake-up.
+            // Pending events are handled first, above all a client's disconnection: after a stall, the timer that
+            // started this attempt may have fired in the same wake-up as the disconnection.
             yield_now().await;
         }
-        // Connecting takes time: the list as it is now counts.
+        // The server list may have changed while the connection was being opened.
         if !connection.may_write(self.may_receive(server, &connection.peer, kind)) {
             return Err(SendFailure::Withheld);
         }
-        let to_write = request.to_write_now().ok_or(SendFailure::Withheld)?;
-        let gate = FirstByteGate {
+        let to_write = request.prepare_write().ok_or(SendFailure::Withheld)?;
+        let condition = FirstByteCondition {
             engine: self.clone(),
             server,
             peer: connection.peer.clone(),
@@ -93,31 +94,31 @@
             stated_at: Instant::now(),
         };
         if kind == RequestKind::Attempt {
-            connection.carry(&request.cancel_token);
+            connection.set_attempt(&request.cancel_token);
             connection.count_when_written(&to_write, self.0.attempts_written.clone());
         }
-        connection.send(to_write, move || gate.pass()).await
+        connection.send(to_write, move || condition.check()).await
     }
 }
 
-/// What must hold when the first byte of a request is written.
-struct FirstByteGate {
+/// Condition under which the first byte of a request may be written.
+struct FirstByteCondition {
     engine: Engine,
     server: ServerId,
     peer: Peer,
     kind: RequestKind,
     cancel_token: CancelToken,
-    /// When the request was given its remaining time.
+    /// When the remaining time in the request's header was computed.
     stated_at: Instant,
 }
 
-impl FirstByteGate {
-    /// Whether the first byte may be written now; the token says that it is.
-    fn pass(&self) -> bool {
-        let is_clear = self.stated_at.elapsed() <= MAX_STATED_DEADLINE_AGE
+impl FirstByteCondition {
+    /// Returns whether the first byte may be written now, and records that in the token.
+    fn check(&self) -> bool {
+        let is_permitted = self.stated_at.elapsed() <= MAX_STATED_DEADLINE_AGE
             && self.cancel_token.is_active()
             && self.engine.may_receive(self.server, &self.peer, self.kind);
-        self.cancel_token.set_written(is_clear);
-        is_clear
+        self.cancel_token.set_written(is_permitted);
+        is_permitted
     }
 }
