--- a/crates/router/src/fleet_load.rs
+++ b/crates/router/src/fleet_load.rs
@@ -122,8 +122,9 @@
     }
 
     /// Returns the part of the demand that a server may receive, in units of capacity. The preferred server
-    /// receives at most its own capacity, because there is a preferred server for each such part. Any other
-    /// server may receive all of it, because all routers divert to the first server that is not overloaded.
+    /// receives at most its own capacity, because a prefix with more demand has several preferred servers.
+    /// Any other server may receive all of it, because all routers divert to the first server that is not
+    /// overloaded.
     pub fn at_server(&self, server: &ServerRecord) -> f64 {
         if self.preferred == Some(server.entry.server) {
             self.units.min(slow_start_budget::capacity_units(server, 1.0))
--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -128,8 +128,8 @@
         prop_assert!(at_preferred <= demand(same_prefix, None, first) && at_preferred <= weights[0]);
     }
 
-    /// A server with a typical load, or up to the floor above it, is not overloaded. The load of an
-    /// overloaded server is not the typical load even if it is the only known one.
+    /// A load that exceeds the typical load by at most [`OVERLOAD_FLOOR`] is not an overload. A load of 10 or
+    /// more is one even if it is the only known load, because default loads then determine the typical load.
     #[test]
     fn the_typical_load_is_not_an_overload(
         loads in prop::collection::vec(0.0..60.0, 0..40), high in 10.0..80.0,
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Returns whether the capacity of all decode servers until the end of the lease of a new prefill is
-    /// needed by other requests. This can be determined only if routers probe, and only while every decode
-    /// server is in slow start.
+    /// Returns whether other requests need all sends that slow start permits to the reachable decode and
+    /// mixed servers until the lease of a new prefill ends. Returns `false` if routers do not probe, or if
+    /// one of these servers is outside slow start and therefore has no such limit.
     fn lacks_decode_capacity(&self, prefill_time: Millis) -> bool {
         if !self.probes_before_send() {
             return false;
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -12,16 +12,17 @@
 
 /// Maximum time without progress at a server, as a multiple of the shortest objective of all classes.
 const OBJECTIVES_WITHOUT_PROGRESS: f64 = 3.0;
-/// Maximum objective of a class in this calculation, as a share of the deadline of the class.
+/// Upper bound of the objective of a class when the shortest objective is determined, as a share of the
+/// deadline of the class.
 const MAX_OBJECTIVE_DEADLINE_SHARE: f64 = 0.25;
-/// Maximum objective in this calculation (ms).
+/// Upper bound of that shortest objective (ms).
 const MAX_OBJECTIVE: Millis = 1e6;
-/// Factor by which that time is longer at a server that still sends load reports.
+/// Factor by which the maximum time without progress is longer at a server that still sends load reports.
 const REPORTING_TIMEOUT_FACTOR: f64 = 2.5;
 /// Maximum age of the last load report of a server that still sends load reports (ms).
 const MAX_REPORT_AGE: Millis = 2.0 * PROBE_INTERVAL;
-/// Share of its objective after which an attempt is lost that was overtaken by later ones at its server, or
-/// whose server has restarted. The time for its own work, multiplied by [`LOST_WORK_FACTOR`], is added.
+/// An attempt that later ones have overtaken at its server, or whose server has restarted, is lost after this
+/// share of its objective plus the time for its own work, multiplied by [`LOST_WORK_FACTOR`].
 const LOST_OBJECTIVE_SHARE: f64 = 0.3;
 /// Multiple of the estimated time for the work of an attempt before the attempt is lost.
 const LOST_WORK_FACTOR: f64 = 2.0;
--- a/crates/router/src/slow_start_budget.rs
+++ b/crates/router/src/slow_start_budget.rs
@@ -28,8 +28,8 @@
 /// Time after its receipt for which a load report represents the traffic of all routers (ms). It is short
 /// because a report is already old when it is received.
 pub const FLEET_REPORT_TTL: Millis = 250.0;
-/// Minimum value of the credit above which a router may rely on a load report, in sends. Routers with less
-/// credit send to other servers, because the report has the same age at all routers.
+/// Lower bound of the credit above which a router may rely on a load report, in sends. Routers with less
+/// credit send to other servers, because otherwise all routers would act on the same outdated report.
 const MIN_REPORT_THRESHOLD: f64 = 0.4;
 /// Minimum share of its capacity with which a server starts, regardless of the settings.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
@@ -78,8 +78,9 @@
     if credit < 1.0 || routers <= SMALL_FLEET {
         return credit.min(1.0);
     }
-    // Whole sends that many routers have accumulated could all be used in one burst. Therefore a whole send
-    // expires, such that the unexpired ones of all routers do not exceed the permitted part of the margin.
+    // If many routers accumulated a whole send, they could use all of them in one burst. Therefore a whole
+    // send expires once the credit has grown by `time_to_live` beyond it. The unexpired sends of all routers
+    // then stay within `ACCUMULATED_CREDIT_FACTOR * (sqrt(fleet_bound) + 1)` on average.
     let fleet_bound = overload_rate(units) * routers * rules.overload_window / 1000.0;
     let time_to_live = (ACCUMULATED_CREDIT_FACTOR * (fleet_bound.sqrt() + 1.0) / routers).min(1.0);
     let has_whole_send = credit.fract() <= time_to_live;
--- a/crates/router/src/state/statistics.rs
+++ b/crates/router/src/state/statistics.rs
@@ -93,7 +93,7 @@
 /// Estimate of the time for a token of work, without the wait in a queue.
 #[derive(Clone, Copy, Default)]
 pub struct ServiceTime {
-    /// Time per token.
+    /// Time that one token of work takes; 0 before the first sample.
     pub per_token: Millis,
     /// Number of samples in the estimate.
     pub samples: u32,
--- a/crates/router/src/tenant_quota.rs
+++ b/crates/router/src/tenant_quota.rs
@@ -12,7 +12,7 @@
 
 /// Decay time of a tenant's request count (ms).
 const REQUESTS_DECAY: Millis = 10_000.0;
-/// Burst of a tenant, as the time over which its unused allowance accumulates (ms).
+/// Maximum burst of a tenant, as the time over which its unused allowance accumulates (ms).
 const MAX_BURST_TIME: Millis = 3_000.0;
 /// Minimum burst of a tenant at a router, in requests. In a fleet of hundreds of routers, the allowance at
 /// one router is less than one request per second.
--- a/crates/router/tests/prefix_affinity.rs
+++ b/crates/router/tests/prefix_affinity.rs
@@ -89,7 +89,7 @@
         .expect("some prefix hashes to the mixed server");
     router.first_token(id, 0, 31, 9.0);
     router.outcome(id, 0, 31, AttemptStatus::Served);
-    // The session has a new prefix, so only its own table entry selects the server.
+    // The prefix is new, so only the table entry of the session selects the mixed server.
     let same_session = Request { session: 1_000 + id, ..request_with_prefix(900, 5_000) };
     assert_eq!(router.prefill_server_for(same_session), 31);
 }
--- a/crates/router/tests/retries.rs
+++ b/crates/router/tests/retries.rs
@@ -5,7 +5,7 @@
 use common::*;
 use glenrail_router::*;
 
-/// Returns the zone of a sample server.
+/// Returns the zone of a sample server, which is the last digit of its identifier minus 1.
 fn zone_of(server: u64) -> u32 {
     (server % 10 - 1) as u32
 }
--- a/crates/router/tests/timeout_detection.rs
+++ b/crates/router/tests/timeout_detection.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// Guards against the cancellation of a slow prefill that no other overtakes, and of a non-idempotent request
-/// at its decode server, which may have been executed although later streams began before it.
+/// Guards against two wrong cancellations. A slow prefill that no other prefill overtakes is not lost. A
+/// non-idempotent request at its decode server may have been executed, even if later requests overtake it.
 #[test]
 fn slow_attempts_and_non_idempotent_ones_are_not_cancelled() {
     let servers = vec![server_entry(11, PREFILL, 0), server_entry(21, DECODE, 0)];
