--- a/crates/request-lifecycle/src/discovery_polling/backoff.rs
+++ b/crates/request-lifecycle/src/discovery_polling/backoff.rs
@@ -36,7 +36,8 @@
 /// Parameters of backoff and of the time limits of polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BackoffPolicy {
-    /// Mean backoff after the first lost poll. If it is short enough, discovery continues the same watch.
+    /// Mean backoff after the first lost poll. It is short, because discovery continues the watch of the lost
+    /// poll only if the next poll follows soon.
     pub initial_backoff: Duration,
     /// Maximum mean backoff after lost polls.
     pub max_backoff: Duration,
@@ -82,7 +83,7 @@
         let freshness_limit =
             if poll_limit.is_zero() { FRESHNESS_LIMIT } else { FRESHNESS_LIMIT.min(poll_limit) };
         BackoffPolicy {
-            // Short enough for discovery to continue the same watch.
+            // Short enough for discovery to continue the watch of the lost poll.
             initial_backoff: Duration::from_millis(100).min(freshness_limit / 4),
             max_backoff: Duration::from_millis(2_500),
             round: (ROUND_TIME_PER_GATEWAY * gateway_count)
--- a/crates/request-lifecycle/src/sentinel/tests.rs
+++ b/crates/request-lifecycle/src/sentinel/tests.rs
@@ -40,7 +40,8 @@
     assert_eq!(simulate_pool(SentinelPolicy::OpenIfNone, 4).1, [1, 2, 1, 2]);
 }
 
-/// Guards the selection: of several idle connections the one that became idle last remains, and none is opened.
+/// Guards the selection: if several connections are idle, an attempt leaves the one that became idle last
+/// as the sentinel. With one idle connection left, no sentinel is opened.
 #[test]
 fn the_connection_that_became_idle_last_remains_as_sentinel() {
     assert_eq!([0, 1, 2, 3, 9].map(connection_to_take), [None, Some(0), Some(1), Some(1), Some(1)]);
