--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -103,7 +103,8 @@
     Input::Replied { attempt, reply: MachineReply::NotSent }
 }
 
-/// Converts the result of a call that started no response to a reply for the state machine, with the server's report.
+/// Converts the result of a call without a response stream to a reply for the state machine. Also returns the
+/// server's report.
 fn machine_reply(reply: Result<Reply, CallError>) -> (MachineReply, ServerReport) {
     let report = |load| ServerReport { status_detail: 0.0, load };
     match reply {
--- a/gateway/src/core/forwarding.rs
+++ b/gateway/src/core/forwarding.rs
@@ -13,8 +13,9 @@
 use crate::log;
 use crate::upstream::{CallError, Frame, Frames};
 
-/// Maximum time between two complete events of a stream. A client's connection must end within the 5 s of the platform's
-/// rules. The timeout is close to that limit because a decode server may have queued the request again.
+/// Maximum time between two complete events of a stream. It is less than the 5 s within which the platform's
+/// rules require the client's connection to end. It is close to that limit because a decode server that has
+/// queued the request again may still continue the stream.
 const EVENT_IDLE_TIMEOUT: Duration = Duration::from_millis(4_600);
 
 /// Maximum time for which a client may read nothing of its stream before the stream is ended.
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -23,7 +23,8 @@
     pub ordered_at: Instant,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// Shared with the connection, which records here when the first byte is written.
+    /// Token shared with the connection, which records in it when the first byte was written and whether the
+    /// server has stopped working on the attempt.
     pub cancel_token: CancelToken,
     /// Cancels the attempt when dropped; `None` before the attempt starts and after it was cancelled.
     pub cancel: Option<oneshot::Sender<()>>,
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -87,7 +87,7 @@
     connect_timeouts: Rc<RefCell<Vec<Option<Duration>>>>,
     in_flight: Rc<Cell<usize>>,
     max_in_flight: Rc<Cell<usize>>,
-    /// Number of the next releases that fail.
+    /// Number of further release calls that fail before one is accepted.
     failing_releases: Rc<Cell<usize>>,
     /// Whether all delivery confirmations fail to connect.
     unreachable: Rc<Cell<bool>>,
--- a/gateway/src/core/tests/rejections.rs
+++ b/gateway/src/core/tests/rejections.rs
@@ -5,7 +5,7 @@
 
 /// Timeout of every attempt, in milliseconds.
 const ATTEMPT_TIMEOUT: Millis = 5_000.0;
-/// When the process answers pending requests.
+/// Time from the submission of a request until the process answers pending requests.
 const ANSWER_DELAY: Duration = Duration::from_millis(300);
 /// The at-most-once class.
 const AT_MOST_ONCE_CLASS: u32 = 1;
--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A replay in progress.
+/// State of the replay of one trace, with the core under test and its simulated servers.
 struct Replay<U> {
     core: Core<U, RecordingPolicy>,
     policy: RecordingPolicy,
--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -168,8 +168,8 @@
     });
 }
 
-/// Guards an open request against a duplicate, whose attempts and releases servers would attribute to the first. The id is
-/// available again once the first request has finished.
+/// Guards an open request against a duplicate: servers would attribute the attempts and releases of the
+/// duplicate to the first request. The id is available again once the first request has finished.
 #[test]
 fn a_request_id_is_in_use_until_its_request_has_finished() {
     let duplicate = [Some(ResponsePart::Failed(Failure::DuplicateRequestId))];
@@ -193,8 +193,9 @@
     });
 }
 
-/// Guards another gateway's open request whose duplicate arrived here: a request that a server reports as unprocessable fails
-/// at once without a retry, and nothing held under its id is released.
+/// Guards an open request of another gateway against a duplicate that arrives here. A request that a server
+/// reports as unprocessable fails at once without a retry, and nothing that servers hold under its id is
+/// released.
 #[test]
 fn an_unprocessable_request_fails_and_releases_nothing() {
     run_paused(async {
--- a/gateway/src/core/timing.rs
+++ b/gateway/src/core/timing.rs
@@ -16,8 +16,9 @@
 /// Maximum delay between two queries to a server that does not answer after a reset.
 pub(super) const RESET_INQUIRY_MAX_DELAY: Duration = Duration::from_secs(2);
 
-/// Maximum time for which the network may delay the bytes of an interrupted attempt. A server works on the attempt, from its
-/// arrival on, for at most the time stated in it.
+/// Maximum time for which the network may delay the bytes of an interrupted attempt. A server that does not
+/// notice the interruption may work on the attempt for the timeout stated in it, counted from its arrival, so
+/// this delay is added to that timeout.
 pub(super) const MAX_NETWORK_DELAY: Duration = Duration::from_secs(30);
 
 /// Added to the timeout that the router orders for an attempt, so that the router's own timer for the same moment expires
