--- a/crates/overload/examples/figures/policy.rs
+++ b/crates/overload/examples/figures/policy.rs
@@ -12,7 +12,7 @@
 /// Admission policies that are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// Each gateway alone by the rules of the router, without this crate.
+    /// Each gateway decides independently by the router's rules, without this crate.
     Independent,
     /// This crate's decisions without messages between gateways.
     Standalone,
--- a/crates/overload/src/budget/lender.rs
+++ b/crates/overload/src/budget/lender.rs
@@ -18,8 +18,8 @@
     expires_at: Ms,
 }
 
-/// Leases of one incarnation of a borrower. A later incarnation reports nothing about the leases of an
-/// earlier one: those expire.
+/// Leases granted to one incarnation of a borrower. A later incarnation does not report which of them are
+/// still held, so that they stay reserved until they expire.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct BorrowerRecord {
     /// Sequence number of the newest request received.
@@ -49,7 +49,7 @@
         self.borrowers.values().fold(0, |sum, record| sum.saturating_add(record.reserved(now)))
     }
 
-    /// Returns the units reserved for all but one incarnation of a member.
+    /// Returns the units reserved for all borrowers except the incarnation `borrower`.
     pub fn reserved_except(&self, now: Ms, borrower: (Member, Incarnation)) -> Units {
         let excepted = self.borrowers.get(&borrower).map_or(0, |record| record.reserved(now));
         self.reserved(now) - excepted
--- a/crates/overload/src/budget/machine.rs
+++ b/crates/overload/src/budget/machine.rs
@@ -34,8 +34,9 @@
     }
 }
 
-/// State of one member for one budget. Methods that take `now` may be called in any order; while a clock goes
-/// back, it counts as stopped.
+/// State of one member for one budget. Methods treat a `now` before the latest one of a mutating call as that
+/// latest time, so that a clock that goes back counts as stopped. Only [`Budget::holds_share`] uses its `now`
+/// unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub(super) config: BudgetConfig,
@@ -43,7 +44,7 @@
     pub(super) incarnation: Incarnation,
     /// Time from which nothing that a former incarnation lent or voted for is in force any more.
     pub(super) former_leases_end: Ms,
-    /// Latest time that a call has passed.
+    /// Latest `now` that a mutating method has received.
     latest_time: Ms,
     ledger: LenderLedger,
     pub(super) leases: BorrowedLeases,
@@ -117,7 +118,7 @@
         self.floor().saturating_add(self.lendable(now).saturating_sub(reserved))
     }
 
-    /// Returns the units that it has borrowed from other members.
+    /// Returns the units that this member has borrowed from other members.
     pub fn borrowed(&self, now: Ms) -> Units {
         #[cfg(feature = "mutants")]
         if self.fault == Some(Fault::TrustsOldClock) {
@@ -126,7 +127,7 @@
         self.leases.total(now.max(self.latest_time))
     }
 
-    /// Returns the units that it has borrowed from one lender.
+    /// Returns the units that this member has borrowed from one lender.
     pub fn borrowed_from(&self, now: Ms, lender: Member) -> Units {
         let leases = self.leases.active(now.max(self.latest_time));
         leases.filter(|(from, _)| *from == lender).map(|(_, lease)| lease.amount).sum()
--- a/crates/overload/src/budget/share_voting.rs
+++ b/crates/overload/src/budget/share_voting.rs
@@ -1,8 +1,9 @@
-//! Votes on who holds a *share*: the lendable part of what a member owns. Its owner holds it while enough
-//! others (the witnesses) have voted for it recently. When the owner is unreachable, one successor holds it
-//! with so many votes that the owner could not have enough witnesses among the other voters. So the share of
-//! a failed member returns to the others without a majority or a leader, and one side of a partition keeps
-//! its own shares as long as it has the witnesses for them.
+//! Votes on who holds a *share*: the lendable part of what a member owns. Its owner holds it while at least
+//! `witnesses` other members have recently voted for that. If the owner is unreachable, one successor can
+//! hold it with `share_owners - witnesses` votes: the owner does not vote on its own share, so fewer than
+//! `witnesses` voters remain for the owner. The share of a failed member thus passes to another member
+//! without an elected leader, and members on one side of a partition keep their own shares as long as that
+//! side has enough witnesses.
 
 use std::collections::BTreeMap;
 
@@ -47,7 +48,7 @@
     reclaimed_until: Ms,
 }
 
-/// Records of a voter.
+/// Votes that one voter has given, by the owner of the share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct VoterLedger {
     records: BTreeMap<Member, ShareRecord>,
--- a/crates/overload/src/budget/token_bucket.rs
+++ b/crates/overload/src/budget/token_bucket.rs
@@ -27,7 +27,8 @@
     /// limits them by the current `rate`.
     pub fn refill(&mut self, now: Ms, min_rate: Units, rate: Units, burst_duration: Ms) {
         let earned = now.saturating_sub(self.refilled_at).saturating_mul(u64::from(min_rate));
-        // Room for at least one spend, or the lowest rates could never spend.
+        // At any rate above zero, the bucket has room for at least one spend. Otherwise, a member with a very
+        // low rate could never save up enough tokens.
         let capacity =
             u64::from(rate).saturating_mul(burst_duration).max(if rate > 0 { TOKENS_PER_SPEND } else { 0 });
         self.tokens = self.tokens.saturating_add(earned).min(capacity);
--- a/crates/overload/src/level/fleet.rs
+++ b/crates/overload/src/level/fleet.rs
@@ -34,7 +34,8 @@
     pub level: PerMille,
     /// Number of members that have a report with any weight.
     pub member_count: usize,
-    /// Each member's share of the fleet's traffic, capped by what others observe.
+    /// Each member's share of the fleet's traffic. A member's traffic is capped by what others observe, and
+    /// weighted by the age of its report.
     pub traffic_shares: BTreeMap<Member, PerMille>,
     /// Work by priority band, lowest band first. Only the proportions matter: the scale is arbitrary.
     pub work_by_band: Vec<(u8, u64)>,
--- a/crates/overload/src/priority/admission.rs
+++ b/crates/overload/src/priority/admission.rs
@@ -33,7 +33,8 @@
     },
 }
 
-/// Cutoff, and the served sessions that are exempt from it.
+/// Admission state of one gateway: the current cutoff, and the sessions that it has served, which are exempt
+/// from the cutoff unless everything is rejected.
 #[derive(Clone, Debug)]
 pub struct Admission {
     served: ServedSessions,
--- a/crates/overload/src/priority/cutoff.rs
+++ b/crates/overload/src/priority/cutoff.rs
@@ -2,11 +2,12 @@
 
 use crate::{PerMille, PER_MILLE_SCALE};
 
-/// Rejects everything below a band, and in that band the ranks below `below_rank`.
+/// Rejects all bands below `band`, and in `band` the ranks below `below_rank`. If `band` is 255 and
+/// `below_rank` is less than 65,536, it instead rejects the ranks below `below_rank` in every band.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Cutoff {
     band: u8,
-    /// First rank that is admitted, of 65,536.
+    /// Lowest rank that is admitted, or 65,536 if none is.
     below_rank: u32,
 }
 
