--- a/crates/cache-warming/benches/sketch.rs
+++ b/crates/cache-warming/benches/sketch.rs
@@ -15,8 +15,8 @@
     divan::main();
 }
 
-/// Returns requests whose prefixes follow Zipf's law (the inverse of its continuous form), the same in every
-/// run.
+/// Returns the same requests in every run. The popularity of their prefixes approximates Zipf's law, by
+/// inverse transform sampling of its continuous form.
 fn requests() -> Vec<(PromptPrefix, u32)> {
     let mut rng = fastrand::Rng::with_seed(7);
     let rank = |unit: f64| PREFIXES.powf(unit) as u64;
--- a/crates/cache-warming/src/cutover/mod.rs
+++ b/crates/cache-warming/src/cutover/mod.rs
@@ -32,7 +32,8 @@
     /// Time after the start (ms) from which slices move whether prefilled or not, still one per
     /// `move_interval`.
     pub deadline: Ms,
-    /// Minimum ratio of cached to expected tokens. Below it, no slice moves before the deadline.
+    /// Minimum ratio of the tokens that were cached at the new node to those that were expected to be. Below
+    /// it, no slice moves before the deadline, unless the old node is lost.
     pub min_hit_ratio: f64,
     /// Minimum number of requested tokens before the hit ratio is evaluated.
     pub min_sample_tokens: u64,
@@ -55,7 +56,7 @@
     Moving,
     /// All slices have moved; the old node is still available to take them back.
     Settling,
-    /// The old node may drain.
+    /// The settling time is over; the old node, if there is one, may drain.
     Done,
     /// All slices belong to the old node again.
     RolledBack(Reason),
@@ -64,7 +65,7 @@
 /// An event that a member reports to a cutover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
-    /// A member, whichever it is, has prefilled a planned prefix at the new node.
+    /// Any member has prefilled a planned prefix at the new node.
     Prefilled(PromptPrefix),
     /// A prefix was requested at the new node: its length in tokens, and how many of them were cached there.
     Requested { tokens: u32, cached: u32 },
@@ -151,7 +152,7 @@
         &self.stats
     }
 
-    /// Whether the replacement has ended and no slice will move any more.
+    /// Returns whether the replacement has ended, after which no slice moves.
     pub fn is_finished(&self) -> bool {
         matches!(self.state, State::Done | State::RolledBack(_))
     }
--- a/crates/cache-warming/src/cutover/replacements.rs
+++ b/crates/cache-warming/src/cutover/replacements.rs
@@ -50,8 +50,8 @@
 }
 
 impl Replacements {
-    /// Allows at most `limit` replacements in progress. A finished one is kept, one for each new node, until
-    /// [`Replacements::remove_finished`] removes it.
+    /// Allows at most `limit` replacements in progress. A finished replacement is kept until
+    /// [`Replacements::remove_finished`] removes it or a later one with the same new node takes its place.
     pub fn new(config: CutoverConfig, limit: usize) -> Replacements {
         Replacements { config, limit, cutovers: BTreeMap::new(), lost_nodes: BTreeSet::new() }
     }
@@ -91,7 +91,8 @@
             let caused = previous.step(Input::Superseded, now);
             transitions.extend(caused.into_iter().map(|transition| (previous.replacement, transition)));
         }
-        // If the old node never owned its keys, they are taken over from the node that serves them.
+        // If `old` is the new node of a replacement that was rolled back, its keys belong to the old node of
+        // that replacement and are taken over from there.
         let previous = old.and_then(|node| self.cutovers.get(&node)).filter(|c| c.state != State::Done);
         let source = previous.map_or(old, |c| c.old).filter(|node| *node != new);
         let mut cutover = Cutover::new(replacement, source, plan, self.config, now);
@@ -150,9 +151,9 @@
         self.cutovers.values()
     }
 
-    /// Removes replacements that are done, and nodes for which `is_unlisted` returns true. A replacement
-    /// that was rolled back stays until its node is no longer listed or is part of a new order, because the
-    /// node still must not own anything.
+    /// Removes replacements that are done or whose new node is unlisted, and the records of unlisted nodes as
+    /// lost. A replacement that was rolled back stays until its new node is unlisted or is the new node of a
+    /// later replacement, because until then that node must not own anything.
     pub fn remove_finished(&mut self, is_unlisted: &dyn Fn(Node) -> bool) {
         self.cutovers.retain(|node, c| !is_unlisted(*node) && c.state() != State::Done);
         self.lost_nodes.retain(|node| !is_unlisted(*node));
--- a/crates/cache-warming/src/cutover/report.rs
+++ b/crates/cache-warming/src/cutover/report.rs
@@ -28,7 +28,7 @@
     RolledBack {
         reason: Reason,
     },
-    /// The old node may drain now.
+    /// The settling time is over; the old node, if there is one, may drain now.
     Done {
         old: Option<Node>,
     },
--- a/crates/cache-warming/src/hot_prefixes.rs
+++ b/crates/cache-warming/src/hot_prefixes.rs
@@ -5,7 +5,7 @@
 use crate::text_cache::{heat, TextCache, TextLimits};
 use crate::types::{Member, Model, Ms, Node, PromptPrefix, Team};
 
-/// Counts and texts of one member's hot prefixes. If the limits of the texts are zero, nothing is counted
+/// Counts and texts of one member's hot prefixes. If any limit of the texts is zero, nothing is counted
 /// either.
 pub struct HotPrefixes {
     own_member: Member,
--- a/crates/cache-warming/src/sketch.rs
+++ b/crates/cache-warming/src/sketch.rs
@@ -102,8 +102,9 @@
         }
     }
 
-    /// Adds the counts of another sketch. The bound holds for the sum, with the smaller of both capacities.
-    /// No sketch may be merged twice: a view over all members is rebuilt from the latest sketch of each.
+    /// Adds the counts of another sketch, decayed to `now`. The module's bound on the undercount then holds
+    /// for the sum, with the smaller of both capacities. No sketch may be merged twice: callers rebuild a
+    /// view over all members from the latest sketch of each.
     pub fn merge(&mut self, other: &Sketch, now: Ms) {
         self.decay(now);
         let decay_factor = other.decay_factor(now);
--- a/crates/cache-warming/src/text_cache.rs
+++ b/crates/cache-warming/src/text_cache.rs
@@ -51,14 +51,15 @@
         TextCache { limits, entries: HashMap::new(), bytes: 0, by_team: HashMap::new() }
     }
 
-    /// Whether a limit of zero disables the cache.
+    /// Returns whether any limit is zero, in which case the cache keeps nothing.
     pub fn is_disabled(&self) -> bool {
         self.limits.bytes == 0 || self.limits.team_bytes == 0 || self.limits.age == 0
     }
 
-    /// Inserts a text that was requested now, with its [`heat`], and evicts colder texts while a limit is
-    /// exceeded: texts of the same team first, then of all. Returns the evicted prefixes; the new one is
-    /// among them if it is the coldest, or larger than a limit.
+    /// Inserts a text that was requested now, with its [`heat`], and evicts the coldest texts while a limit
+    /// is exceeded: first those of the same team, then those of all teams. Returns the evicted prefixes, with
+    /// the new one if it was evicted itself or is larger than a limit. A disabled cache ignores the text and
+    /// returns nothing.
     pub fn insert(&mut self, prefix: PromptPrefix, text: &[u8], heat: f64, now: Ms) -> Vec<PromptPrefix> {
         let bytes = text.len() + ENTRY_OVERHEAD_BYTES;
         if self.is_disabled() {
--- a/crates/cache-warming/tests/text_cache.rs
+++ b/crates/cache-warming/tests/text_cache.rs
@@ -1,4 +1,4 @@
-//! What the text cache keeps, and what it does not.
+//! Limits, expiry and eviction of the text cache, and the removal of prefixes whose grant was revoked.
 
 use std::collections::HashMap;
 
