--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -208,8 +208,7 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Guards readers against any contents of a file: the decoders accept arbitrary bytes and return only
-        /// what was written.
+        /// The decoders do not panic on arbitrary bytes, and no random bytes are decoded as a frame.
         #[test]
         fn decoders_accept_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200), keyed: bool) {
             let mac_key = keyed.then_some([7; 32]);
@@ -218,7 +217,7 @@
             let _ = decode_ops(&bytes);
         }
 
-        /// Guards values against errors of the disk: a frame with a flipped bit is never decoded.
+        /// A frame with a flipped bit, for example after a disk error, is never decoded.
         #[test]
         fn a_flipped_bit_is_detected(payload in prop::collection::vec(any::<u8>(), 0..100), at: prop::sample::Index,
             bit in 0u8..8, keyed: bool) {
@@ -232,7 +231,7 @@
         }
     }
 
-    /// Guards against a file that is complete but was written without the key.
+    /// A complete frame whose MAC was computed with another key is rejected.
     #[test]
     fn a_frame_with_another_key_is_rejected() {
         let mut out = Vec::new();
--- a/crates/store/src/packed.rs
+++ b/crates/store/src/packed.rs
@@ -6,7 +6,7 @@
 use crate::recover::accounted_bytes;
 use crate::view::Entry;
 
-/// Size of the changes from which a frame is written, in bytes.
+/// Total size of pending changes at which they are written as a frame, in bytes.
 const FRAME_PAYLOAD_BYTES: usize = 32 << 10;
 
 pub(crate) struct PackedWriter<F> {
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -72,7 +72,7 @@
             if live_bytes > limits.max_copied_bytes {
                 break;
             }
-            // The limit that holds for all files holds for each run, which bounds the amplification.
+            // The minimum share of dead bytes applies to each run too, which bounds the write amplification.
             if (reclaimed as f64) < limits.min_dead_share * bytes as f64 || reclaimed == 0 {
                 continue;
             }
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Guards the order of the log and the space: only adjacent files are merged, and the ones with the most
-    /// dead bytes first.
+    /// Only adjacent files are merged, and the run that reclaims the most bytes for each byte copied is
+    /// chosen.
     #[test]
     fn the_run_with_the_most_dead_bytes_is_chosen() {
         let limits = CompactionLimits { min_dead_bytes: 1, ..CompactionLimits::default() };
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -14,7 +14,7 @@
 use crate::plan::FileUsage;
 use crate::view::{file_name, Entry, Index};
 
-/// Result of a recovery.
+/// What a recovery read, and what it cut or removed; without a repair, what it would have.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
     pub files: usize,
@@ -119,7 +119,8 @@
             }
         }
         if repair && is_newest {
-            // What the previous process wrote without a sync must be durable before anything builds on it.
+            // The previous process may have written batches without a sync. They must be durable before new
+            // batches follow them.
             file.sync()?;
         }
         report.bytes += end;
@@ -270,7 +271,7 @@
     pub bytes: u64,
 }
 
-/// Result of a salvage.
+/// What [`salvage`] wrote to the new folder, and what it could not read or find.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SalvageReport {
     pub keys: usize,
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,6 +1,7 @@
-//! Simulated disk with faults, for tests. After a crash, any subset of the sectors written since the last
-//! sync is kept, and of the changes to names since the last sync of the folder a prefix. The disk fills up,
-//! fails or stops at a given call. The same seed gives the same result.
+//! Simulated disk with faults, for tests. A crash keeps any subset of the sector writes and truncations since
+//! the last sync of a file. Of the changes to names since the last sync of the folder, it keeps the first
+//! ones, up to any number. At a given call, the disk can be full, fail or stop. The same seed gives the same
+//! result.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -60,7 +60,7 @@
     pub copied_bytes: u64,
     /// Bytes in all files.
     pub total_bytes: u64,
-    /// Bytes of these that are current.
+    /// Bytes in all files that belong to current values.
     pub live_bytes: u64,
 }
 
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -47,8 +47,8 @@
     WORDS.scan(&log.view(), "", 0).expect("readable")
 }
 
-/// Guards every restart: the newest file opens to an earlier state wherever it is cut. An older file was
-/// durable, so that a cut in it is reported as damage.
+/// After a restart, the newest file opens to an earlier state wherever it was cut. An older file was durable,
+/// so that a cut in it is reported as damage.
 #[test]
 fn a_file_cut_at_any_byte_opens_to_a_prefix_or_is_reported() {
     let disk = SimDisk::default();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Guards values: whichever bit is flipped, nothing is returned that was not written.
+/// Whichever bit of a file is flipped, no value is returned that was not written.
 #[test]
 fn a_flipped_bit_is_never_returned() {
     let disk = SimDisk::default();
@@ -108,7 +108,8 @@
     assert!(WORDS.scan(&view, "", 0).is_ok());
 }
 
-/// Guards against damage that looks like a torn end: a later batch counts the damaged one as synced.
+/// A damaged batch is not mistaken for a torn end, because a later batch counts it as synced. A salvage keeps
+/// all other batches and reports the lost one.
 #[test]
 fn damage_in_the_middle_is_reported_and_salvage_reports_what_it_dropped() {
     let disk = SimDisk::default();
@@ -146,7 +147,8 @@
     }
 }
 
-/// Guards against files of another program, another format and another key, and against a second process.
+/// Files of another program, another format version or another key are rejected, and so is a folder that is
+/// already open.
 #[test]
 fn foreign_files_and_wrong_keys_are_rejected() {
     let disk = SimDisk::default();
@@ -198,9 +200,9 @@
     Store::open(Folder::new(path).expect("a folder"), options).expect("opened").0
 }
 
-/// Guards the file system and the store's thread: acknowledged writes are there after a restart, a view does
-/// not change while writers and compaction continue, a snapshot opens, and only one process at a time opens
-/// the folder.
+/// On a real file system and with the store's thread, acknowledged writes are there after a restart, a view
+/// does not change while writers and compaction continue, a snapshot can be opened as a store, and a folder
+/// that is open cannot be opened again.
 #[test]
 fn the_file_system_keeps_acknowledged_writes() {
     let top = tempfile::tempdir().expect("a folder");
@@ -242,8 +244,7 @@
     }
 }
 
-/// Guards values that expire: they cannot be read from their expiry on, compaction removes them, and they
-/// never reappear.
+/// Values cannot be read from their expiry on, compaction removes them, and they never reappear.
 #[test]
 fn expired_values_do_not_reappear() {
     let disk = SimDisk::default();
