--- a/crates/grants/benches/check.rs
+++ b/crates/grants/benches/check.rs
@@ -7,8 +7,8 @@
 
 use divan::{black_box, Bencher};
 use glenrail_grants::compiled::Table;
-use glenrail_grants::parts::Parts;
-use glenrail_grants::twin::Twin;
+use glenrail_grants::reference::Twin;
+use glenrail_grants::sections::Parts;
 use large::{document, model, team, MODELS, TEAMS};
 
 fn main() {
--- a/crates/grants/src/compiled/build.rs
+++ b/crates/grants/src/compiled/build.rs
@@ -4,13 +4,13 @@
 
 use crate::document::check::DEEPEST;
 use crate::document::{is_pattern, matches, Effect, Rule};
-use crate::generations::{depths, order};
-use crate::parts::{PartKey, Parts, TeamPart};
+use crate::hierarchy::{depths, order};
+use crate::sections::{PartKey, Parts, TeamPart};
 
 use super::clauses::{Clause, ClauseId, Clauses};
 use super::models::{ModelSet, Names, Resolver};
 use super::rows::{rows, RowPlan};
-use super::verdicts::Verdicts;
+use super::timelines::Verdicts;
 use super::{RuleId, RuleName, Table};
 
 /// Something in merged parts that cannot be made out, and refuses for that.
--- a/crates/grants/src/compiled/mod.rs
+++ b/crates/grants/src/compiled/mod.rs
@@ -23,20 +23,20 @@
 mod build;
 mod clauses;
 mod models;
+mod reason_text;
 mod rows;
-mod said;
-mod verdicts;
+mod timelines;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::document::{Document, UnderWay};
-use crate::parts::{PartKey, Parts};
+use crate::sections::{PartKey, Parts};
 
 pub use build::Trouble;
+pub use reason_text::Said;
 use rows::Rows;
-pub use said::Said;
-use verdicts::Verdict;
+use timelines::Verdict;
 
 /// A team of one table. Of no use with another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/grants/src/compiled/models.rs
+++ b/crates/grants/src/compiled/models.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use crate::document::{is_pattern, matches};
-use crate::parts::Catalogue;
+use crate::sections::Catalogue;
 
 /// A bit a model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
--- a/crates/grants/src/compiled/said.rs
+++ b/crates/grants/src/compiled/reason_text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::parts::PartKey;
+use crate::sections::PartKey;
 
 use super::{RuleId, Table};
 
--- a/crates/grants/src/compiled/rows.rs
+++ b/crates/grants/src/compiled/rows.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::clauses::{ClauseId, Clauses};
-use super::verdicts::{Reason, Verdicts};
+use super::timelines::{Reason, Verdicts};
 use super::RuleId;
 
 /// Cells a block. One word of a set of models.
--- a/crates/grants/src/document/check.rs
+++ b/crates/grants/src/document/check.rs
@@ -4,7 +4,7 @@
 
 use super::error::{Fault, Kind};
 use super::pattern::is_pattern;
-use super::place::KeyPath;
+use super::position::KeyPath;
 use super::{Document, Rule};
 
 /// The longest name, bytes.
@@ -166,7 +166,7 @@
         .iter()
         .map(|edge| edge.1.iter().filter_map(|name| index.get(name.as_str()).copied()).collect())
         .collect();
-    let left = crate::generations::left_over(&parents);
+    let left = crate::hierarchy::left_over(&parents);
     let mut walk = vec![*left.iter().next()?];
     let mut stands: HashMap<usize, usize> = HashMap::from([(walk[0], 0)]);
     loop {
@@ -188,7 +188,7 @@
         .iter()
         .map(|team| team.parents.iter().filter_map(|name| index.get(name.as_str()).copied()).collect())
         .collect();
-    for (at, depth) in crate::generations::depths(&parents).into_iter().enumerate() {
+    for (at, depth) in crate::hierarchy::depths(&parents).into_iter().enumerate() {
         if depth.is_some_and(|depth| depth > DEEPEST) {
             let name = document.teams[at].name.clone();
             found.push((KeyPath::at("team", at, "parents"), Fault::Deep { name, limit: DEEPEST }));
--- a/crates/grants/src/document/error.rs
+++ b/crates/grants/src/document/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::place::{in_json, KeyPath, Place};
+use super::position::{in_json, KeyPath, Place};
 
 /// A document that was not taken: where, under which key, and why. Nothing changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/grants/src/document/mod.rs
+++ b/crates/grants/src/document/mod.rs
@@ -25,14 +25,14 @@
 pub mod check;
 mod error;
 mod pattern;
-mod place;
+mod position;
 mod read;
 
 use serde::{Deserialize, Serialize};
 
 pub use error::{DocumentError, Fault, Kind};
 pub use pattern::{is_pattern, matches};
-pub use place::{Key, KeyPath, Place};
+pub use position::{Key, KeyPath, Place};
 
 /// The whole of what admins say. What no rule allows is refused; a rule that denies goes before one that
 /// allows. Names of models, aliases and groups share one space.
--- a/crates/grants/src/document/read.rs
+++ b/crates/grants/src/document/read.rs
@@ -3,11 +3,11 @@
 use serde::de::DeserializeOwned;
 use serde_path_to_error::{Path, Segment};
 
-use crate::parts::TeamPart;
+use crate::sections::TeamPart;
 
 use super::check::faults;
 use super::error::{DocumentError, Fault};
-use super::place::{in_json, in_toml, Key, KeyPath, Place};
+use super::position::{in_json, in_toml, Key, KeyPath, Place};
 use super::Document;
 
 /// The longest text that is read, bytes.
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -15,8 +15,8 @@
 pub mod compiled;
 pub mod document;
 pub mod dry_run;
-mod generations;
-pub mod parts;
+mod hierarchy;
+pub mod reference;
 pub mod revocation;
-pub mod twin;
+pub mod sections;
 pub mod versions;
--- a/crates/grants/src/twin.rs
+++ b/crates/grants/src/reference.rs
@@ -6,7 +6,7 @@
 use crate::compiled::{RuleId, RuleName};
 use crate::document::check::DEEPEST;
 use crate::document::{is_pattern, matches, Effect, Rule};
-use crate::parts::{Catalogue, PartKey, Parts, TeamPart};
+use crate::sections::{Catalogue, PartKey, Parts, TeamPart};
 
 pub struct Twin {
     parts: Parts,
--- a/crates/grants/src/revocation/lease.rs
+++ b/crates/grants/src/revocation/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::compiled::{Decision, RuleId};
 
-use super::terms::Stale;
+use super::lease_config::Stale;
 
 /// Until when this member knows, and what it does afterwards. Small and copied; a driver keeps the time in
 /// an atomic and takes [`super::Member::lease`] anew after each answer.
--- a/crates/grants/src/revocation/member.rs
+++ b/crates/grants/src/revocation/member.rs
@@ -5,17 +5,17 @@
 
 use super::journal::Journal;
 use super::lease::Lease;
+use super::lease_config::{Stale, Start, Terms};
+use super::messages::{Answer, Ask, Lessees};
 use super::peer::Peer;
 use super::progress::Tracks;
-use super::roster::{Roster, RosterError};
-use super::talk::{Answer, Ask, Lessees};
-use super::terms::{Stale, Start, Terms};
+use super::voter_config::{Roster, RosterError};
 use super::MemberId;
 
 /// Keys in one answer.
 const MOST_KEYS: usize = 256;
 
-/// Generic over the key of what changes ([`crate::parts::PartKey`] in the gateway). The order that it relies on:
+/// Generic over the key of what changes ([`crate::sections::PartKey`] in the gateway). The order that it relies on:
 /// what is told is **kept on disk, then enforced, then** said to [`changed`](Member::changed) and
 /// [`answered`](Member::answered).
 #[derive(Clone, Debug)]
--- a/crates/grants/src/revocation/mod.rs
+++ b/crates/grants/src/revocation/mod.rs
@@ -28,19 +28,19 @@
 
 mod journal;
 mod lease;
+mod lease_config;
 mod member;
+mod messages;
 mod peer;
 mod progress;
-mod roster;
-mod talk;
-mod terms;
+mod voter_config;
 
 pub use lease::Lease;
+pub use lease_config::{Stale, Start, Terms, TermsError};
 pub use member::Member;
+pub use messages::{Answer, Ask, Lessees, Mark};
 pub use progress::{Bound, Progress, Stage};
-pub use roster::{Needs, Roster, RosterError};
-pub use talk::{Answer, Ask, Lessees, Mark};
-pub use terms::{Stale, Start, Terms, TermsError};
+pub use voter_config::{Needs, Roster, RosterError};
 
 /// A gateway, by the hash of its name.
 pub type MemberId = u64;
--- a/crates/grants/src/revocation/peer.rs
+++ b/crates/grants/src/revocation/peer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::talk::{Lessees, Mark};
+use super::messages::{Lessees, Mark};
 
 /// Questions to one member that wait for an answer; the oldest are given up.
 const MOST_ASKS: usize = 16;
--- a/crates/grants/src/revocation/progress.rs
+++ b/crates/grants/src/revocation/progress.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hash;
 
+use super::lease_config::Terms;
 use super::member::Member;
+use super::messages::Lessees;
 use super::peer::Peer;
-use super::roster::Roster;
-use super::talk::Lessees;
-use super::terms::Terms;
+use super::voter_config::Roster;
 use super::MemberId;
 
 /// Changes that are followed; beyond it the oldest is forgotten.
--- a/crates/grants/src/versions/bytes.rs
+++ b/crates/grants/src/versions/entry.rs
@@ -1,9 +1,9 @@
 //! Entries as bytes, for the store and the replicated table: a format version, then postcard.
 
-use crate::parts::PartKey;
+use crate::sections::PartKey;
 
-use super::cell::Cell;
 use super::error::ByteError;
+use super::versioned_section::Cell;
 
 /// The format that is written, and the only one read.
 pub const FORMAT: u8 = 1;
--- a/crates/grants/src/versions/error.rs
+++ b/crates/grants/src/versions/error.rs
@@ -1,9 +1,9 @@
 //! What can go wrong with versions.
 
 use crate::document::DocumentError;
-use crate::parts::PartKey;
+use crate::sections::PartKey;
 
-use super::clock::{Origin, Version};
+use super::version_vector::{Origin, Version};
 
 /// A change that was not taken, or a store that was not. Nothing changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/grants/src/versions/mod.rs
+++ b/crates/grants/src/versions/mod.rs
@@ -10,16 +10,16 @@
 //! The one condition: **a member never uses a life twice**. A change under a life that was used is found
 //! ([`Merged::forked`], [`LedgerError::LifeUsed`]) where the two versions meet, and both are kept.
 
-mod bytes;
-mod cell;
-mod clock;
+mod entry;
 mod error;
-mod ledger;
 mod propose;
+mod replica;
+mod version_vector;
+mod versioned_section;
 
-pub use bytes::{Entry, FORMAT, MOST_BYTES};
-pub use cell::{Cell, Sibling};
-pub use clock::{Clock, Dot, Origin, Version};
+pub use entry::{Entry, FORMAT, MOST_BYTES};
 pub use error::{ByteError, LedgerError};
-pub use ledger::{Ledger, Merged};
 pub use propose::Proposal;
+pub use replica::{Ledger, Merged};
+pub use version_vector::{Clock, Dot, Origin, Version};
+pub use versioned_section::{Cell, Sibling};
--- a/crates/grants/src/versions/propose.rs
+++ b/crates/grants/src/versions/propose.rs
@@ -4,13 +4,13 @@
 
 use crate::document::check::faults;
 use crate::document::{Document, DocumentError, Fault, Key, KeyPath, Team};
-use crate::parts::{Part, PartKey, Parts, TeamPart};
+use crate::sections::{Part, PartKey, Parts, TeamPart};
 
-use super::bytes::Entry;
-use super::cell::Cell;
-use super::clock::{Dot, Version};
+use super::entry::Entry;
 use super::error::LedgerError;
-use super::ledger::{Ledger, Merged};
+use super::replica::{Ledger, Merged};
+use super::version_vector::{Dot, Version};
+use super::versioned_section::Cell;
 
 /// Changes that are checked and not taken yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/grants/src/versions/ledger.rs
+++ b/crates/grants/src/versions/replica.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::parts::{Part, PartKey, Parts};
+use crate::sections::{Part, PartKey, Parts};
 
-use super::bytes::key_bytes;
-use super::cell::{Cell, Sibling};
-use super::clock::{Dot, Origin, Version};
+use super::entry::key_bytes;
 use super::error::LedgerError;
+use super::version_vector::{Dot, Origin, Version};
+use super::versioned_section::{Cell, Sibling};
 
 /// Changes go in three steps: [`propose`](Ledger::propose), then the driver keeps the proposal's entries on disk,
 /// then [`apply`](Ledger::apply). A store that fails leaves all as it was. What other members tell is merged
--- a/crates/grants/src/versions/cell.rs
+++ b/crates/grants/src/versions/versioned_section.rs
@@ -4,9 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::parts::{Part, PartKey};
+use crate::sections::{Part, PartKey};
 
-use super::clock::{Clock, Dot};
+use super::version_vector::{Clock, Dot};
 
 /// What one change says. No part: that it is taken away.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/grants/tests/agree.rs
+++ b/crates/grants/tests/agree.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use glenrail_grants::compiled::{RuleId, Table};
-use glenrail_grants::parts::Parts;
-use glenrail_grants::twin::Twin;
+use glenrail_grants::reference::Twin;
+use glenrail_grants::sections::Parts;
 use proptest::prelude::*;
 use support::{parts, ASKED, TEAMS};
 
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use glenrail_grants::document::{Effect, Group, Model, Rule, UnderWay};
-use glenrail_grants::parts::{Catalogue, Parts, TeamPart};
+use glenrail_grants::sections::{Catalogue, Parts, TeamPart};
 use proptest::collection::vec;
 use proptest::option;
 use proptest::prelude::*;
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -6,7 +6,7 @@
 
 use glenrail_grants::compiled::Table;
 use glenrail_grants::document::{Document, Fault};
-use glenrail_grants::parts::{PartKey, TeamPart};
+use glenrail_grants::sections::{PartKey, TeamPart};
 use glenrail_grants::versions::{ByteError, Dot, Entry, Ledger, LedgerError, Origin, FORMAT};
 use proptest::collection::vec;
 use proptest::prelude::*;
