--- a/crates/grants/benches/check.rs
+++ b/crates/grants/benches/check.rs
@@ -8,11 +8,11 @@
 use divan::{black_box, Bencher};
 use glenrail_grants::compiled::Table;
 use glenrail_grants::reference::Twin;
-use glenrail_grants::sections::Parts;
+use glenrail_grants::sections::Sections;
 use large::{document, model, team, MODELS, TEAMS};
 
 fn main() {
-    let table = Table::of(&document());
+    let table = Table::from_document(&document());
     let (rows, blocks, verdicts) = table.sizes();
     println!("{rows} rows, {blocks} blocks of 64 cells, {verdicts} verdicts");
     divan::main();
@@ -25,7 +25,7 @@
 
 #[divan::bench(sample_count = 100, sample_size = 1000)]
 fn by_ids(bencher: Bencher) {
-    let table = Table::of(&document());
+    let table = Table::from_document(&document());
     let ids: Vec<_> = pairs()
         .into_iter()
         .filter_map(|(t, m)| Some((table.team(&team(t))?, table.model(&model(m))?)))
@@ -39,7 +39,7 @@
 
 #[divan::bench(sample_count = 100, sample_size = 1000)]
 fn by_names(bencher: Bencher) {
-    let table = Table::of(&document());
+    let table = Table::from_document(&document());
     let names: Vec<_> = pairs().into_iter().map(|(t, m)| (team(t), model(m))).collect();
     let mut n = 0;
     bencher.bench_local(|| {
@@ -50,7 +50,7 @@
 
 #[divan::bench(sample_count = 50, sample_size = 4)]
 fn plain_twin_by_names(bencher: Bencher) {
-    let twin = Twin::of(&Parts::of(&document()));
+    let twin = Twin::of(&Sections::from_document(&document()));
     let names: Vec<_> = pairs().into_iter().map(|(t, m)| (team(t), model(m))).collect();
     let mut n = 0;
     bencher.bench_local(|| {
@@ -62,5 +62,5 @@
 #[divan::bench(sample_count = 10, sample_size = 1)]
 fn building(bencher: Bencher) {
     let document = document();
-    bencher.bench_local(|| Table::of(&document));
+    bencher.bench_local(|| Table::from_document(&document));
 }
--- a/crates/grants/src/compiled/build.rs
+++ b/crates/grants/src/compiled/build.rs
@@ -5,7 +5,7 @@
 use crate::document::check::DEEPEST;
 use crate::document::{is_pattern, matches, Effect, Rule};
 use crate::hierarchy::{depths, order};
-use crate::sections::{PartKey, Parts, TeamPart};
+use crate::sections::{SectionKey, Sections, TeamSection};
 
 use super::clauses::{Clause, ClauseId, Clauses};
 use super::models::{ModelSet, Names, Resolver};
@@ -48,13 +48,13 @@
     resolvers: Vec<Resolver<'a>>,
     models: usize,
     clauses: Clauses,
-    rules: HashMap<(PartKey, &'a str), u32>,
+    rules: HashMap<(SectionKey, &'a str), u32>,
 }
 
 impl Builder<'_> {
     /// The rule as a clause, if it can ever hold: another member's bytes may say that it ends before it begins.
     /// Of several catalogues, allowing needs all of them and denying any.
-    fn clause(&mut self, part: &PartKey, rule: &Rule) -> Option<ClauseId> {
+    fn clause(&mut self, section: &SectionKey, rule: &Rule) -> Option<ClauseId> {
         let (from, until) = (rule.from.unwrap_or(0), rule.until.unwrap_or(u64::MAX));
         let sets = self.resolvers.iter().map(|resolver| resolver.models(&rule.models));
         let models = sets.reduce(|mut some, more| {
@@ -65,15 +65,15 @@
             some
         });
         let models = models.unwrap_or_else(|| ModelSet::none(self.models));
-        let named = self.rules.get(&(part.clone(), rule.name.as_str())).copied().unwrap_or(u32::MAX);
+        let named = self.rules.get(&(section.clone(), rule.name.as_str())).copied().unwrap_or(u32::MAX);
         let clause = Clause { models, from, until, rule: named, streams: rule.streams };
         (from < until).then(|| self.clauses.intern(clause))
     }
 
-    fn said(&mut self, part: &PartKey, rules: &[Rule]) -> Said {
+    fn said(&mut self, section: &SectionKey, rules: &[Rule]) -> Said {
         let mut said = Said::default();
         for rule in rules {
-            let Some(clause) = self.clause(part, rule) else { continue };
+            let Some(clause) = self.clause(section, rule) else { continue };
             match rule.effect {
                 Effect::Allow => said.allows.insert(clause),
                 Effect::Deny => said.denies.insert(clause),
@@ -83,40 +83,43 @@
     }
 }
 
-pub fn build(parts: &Parts, stamp: u64) -> Table {
-    let models = Names::of(&parts.catalogue);
-    let names: Vec<&str> = parts.teams.keys().map(String::as_str).collect();
+pub fn build(sections: &Sections, stamp: u64) -> Table {
+    let models = Names::of(&sections.catalogue);
+    let names: Vec<&str> = sections.teams.keys().map(String::as_str).collect();
     let index: HashMap<&str, usize> = names.iter().enumerate().map(|(at, &name)| (name, at)).collect();
-    let rules = rule_names(parts);
+    let rules = rule_names(sections);
     let mut builder = Builder {
-        resolvers: parts.catalogue.iter().map(|catalogue| Resolver::of(catalogue, &models)).collect(),
+        resolvers: sections.catalogue.iter().map(|catalogue| Resolver::of(catalogue, &models)).collect(),
         models: models.names().len(),
         clauses: Clauses::default(),
-        rules: (0u32..).zip(&rules).map(|(at, name)| ((name.part.clone(), name.rule.as_str()), at)).collect(),
+        rules: (0u32..)
+            .zip(&rules)
+            .map(|(at, name)| ((name.section.clone(), name.rule.as_str()), at))
+            .collect(),
     };
-    let shared = shared(parts, &names, &index, &mut builder);
-    let (above, broken, mut troubles) = lineage(parts, &names, &index);
-    let siblings: Vec<&[Option<TeamPart>]> = parts.teams.values().map(Vec::as_slice).collect();
+    let shared = shared(sections, &names, &index, &mut builder);
+    let (above, broken, mut troubles) = lineage(sections, &names, &index);
+    let siblings: Vec<&[Option<TeamSection>]> = sections.teams.values().map(Vec::as_slice).collect();
 
     // By sibling of the shared rules, then by team: the clauses that allow. By team: those that deny.
     let mut allows = vec![vec![BTreeSet::new(); names.len()]; shared.len()];
     let mut denies = vec![BTreeSet::new(); names.len()];
     let mut plans = vec![None; names.len()];
-    let everywhere = parts.catalogue.len() > 1 || parts.shared.len() > 1;
+    let everywhere = sections.catalogue.len() > 1 || sections.shared.len() > 1;
     let mut unsettled: Vec<bool> = siblings.iter().map(|own| everywhere || own.len() > 1).collect();
     for team in order(&above) {
         if broken[team] {
             continue;
         }
-        let key = PartKey::Team(names[team].to_owned());
+        let key = SectionKey::Team(names[team].to_owned());
         let mut lists = vec![Vec::new(); shared.len()];
         let mut short = false;
-        for part in siblings[team] {
-            let own = part.as_ref().map(|part| builder.said(&key, &part.rules)).unwrap_or_default();
+        for section in siblings[team] {
+            let own = section.as_ref().map(|section| builder.said(&key, &section.rules)).unwrap_or_default();
             denies[team].extend(own.denies);
             for (list, before) in lists.iter_mut().zip(&allows) {
                 let mut all = own.allows.clone();
-                for parent in part.iter().flat_map(|part| &part.parents) {
+                for parent in section.iter().flat_map(|section| &section.parents) {
                     all.extend(index.get(parent.as_str()).into_iter().flat_map(|&up| &before[up]));
                 }
                 list.push(all);
@@ -165,30 +168,33 @@
 }
 
 /// Every rule's name, in the order in which they decide.
-fn rule_names(parts: &Parts) -> Vec<RuleName> {
+fn rule_names(sections: &Sections) -> Vec<RuleName> {
     let mut names = BTreeSet::new();
-    let mut take = |part: PartKey, rules: &[Rule]| {
-        names.extend(rules.iter().map(|rule| RuleName { part: part.clone(), rule: rule.name.clone() }));
+    let mut take = |section: SectionKey, rules: &[Rule]| {
+        names.extend(rules.iter().map(|rule| RuleName { section: section.clone(), rule: rule.name.clone() }));
     };
-    parts.shared.iter().for_each(|rules| take(PartKey::Shared, rules));
-    for (name, siblings) in &parts.teams {
-        siblings.iter().flatten().for_each(|part| take(PartKey::Team(name.clone()), &part.rules));
+    sections.shared.iter().for_each(|rules| take(SectionKey::Shared, rules));
+    for (name, siblings) in &sections.teams {
+        siblings.iter().flatten().for_each(|section| take(SectionKey::Team(name.clone()), &section.rules));
     }
     names.into_iter().collect()
 }
 
 /// By sibling of the shared rules, by team: what they say of the team by its own name.
 fn shared(
-    parts: &Parts, names: &[&str], index: &HashMap<&str, usize>, builder: &mut Builder,
+    sections: &Sections, names: &[&str], index: &HashMap<&str, usize>, builder: &mut Builder,
 ) -> Vec<Vec<Said>> {
     let none: &[Rule] = &[];
-    let lists =
-        if parts.shared.is_empty() { vec![none] } else { parts.shared.iter().map(Vec::as_slice).collect() };
+    let lists = if sections.shared.is_empty() {
+        vec![none]
+    } else {
+        sections.shared.iter().map(Vec::as_slice).collect()
+    };
     let mut by_list = Vec::new();
     for rules in lists {
         let mut said = vec![Said::default(); names.len()];
         for rule in rules {
-            let Some(clause) = builder.clause(&PartKey::Shared, rule) else { continue };
+            let Some(clause) = builder.clause(&SectionKey::Shared, rule) else { continue };
             let mut take = |team: usize| {
                 match rule.effect {
                     Effect::Allow => said[team].allows.insert(clause),
@@ -211,14 +217,14 @@
 
 /// Each team's parents, of all siblings together; which teams' parents cannot be made out; and why.
 fn lineage(
-    parts: &Parts, names: &[&str], index: &HashMap<&str, usize>,
+    sections: &Sections, names: &[&str], index: &HashMap<&str, usize>,
 ) -> (Vec<Vec<usize>>, Vec<bool>, Vec<Trouble>) {
     let mut above = Vec::new();
     let mut broken = vec![false; names.len()];
     let mut troubles = Vec::new();
-    for (team, siblings) in parts.teams.values().enumerate() {
+    for (team, siblings) in sections.teams.values().enumerate() {
         let mut parents = BTreeSet::new();
-        for parent in siblings.iter().flatten().flat_map(|part| &part.parents) {
+        for parent in siblings.iter().flatten().flat_map(|section| &section.parents) {
             match index.get(parent.as_str()) {
                 Some(&up) => drop(parents.insert(up)),
                 None => {
--- a/crates/grants/src/compiled/mod.rs
+++ b/crates/grants/src/compiled/mod.rs
@@ -31,7 +31,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::document::{Document, UnderWay};
-use crate::sections::{PartKey, Parts};
+use crate::sections::{SectionKey, Sections};
 
 pub use build::Trouble;
 pub use reason_text::Said;
@@ -102,8 +102,8 @@
 /// A rule's name and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RuleName {
-    /// [`PartKey::Shared`] or a team.
-    pub part: PartKey,
+    /// [`SectionKey::Shared`] or a team.
+    pub section: SectionKey,
     pub rule: String,
 }
 
@@ -123,14 +123,14 @@
 }
 
 impl Table {
-    pub fn of(document: &Document) -> Table {
-        Table::compile(&Parts::of(document))
+    pub fn from_document(document: &Document) -> Table {
+        Table::compile(&Sections::from_document(document))
     }
 
     /// Never fails: what cannot be made out refuses, and is listed by [`troubles`](Table::troubles).
-    pub fn compile(parts: &Parts) -> Table {
+    pub fn compile(sections: &Sections) -> Table {
         static STAMPS: AtomicU64 = AtomicU64::new(0);
-        build::build(parts, STAMPS.fetch_add(1, Ordering::Relaxed))
+        build::build(sections, STAMPS.fetch_add(1, Ordering::Relaxed))
     }
 
     /// The team's id in this table.
--- a/crates/grants/src/compiled/reason_text.rs
+++ b/crates/grants/src/compiled/reason_text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::sections::PartKey;
+use crate::sections::SectionKey;
 
 use super::{RuleId, Table};
 
@@ -24,8 +24,8 @@
         let text = match self.rule {
             RuleId::Rule(_) => {
                 return match self.table.rule(self.rule) {
-                    Some(name) if name.part == PartKey::Shared => write!(out, "rule `{}`", name.rule),
-                    Some(name) => write!(out, "rule `{}` of {}", name.rule, name.part),
+                    Some(name) if name.section == SectionKey::Shared => write!(out, "rule `{}`", name.rule),
+                    Some(name) => write!(out, "rule `{}` of {}", name.rule, name.section),
                     None => out.write_str("a rule of another table"),
                 }
             }
--- a/crates/grants/src/document/read.rs
+++ b/crates/grants/src/document/read.rs
@@ -3,7 +3,7 @@
 use serde::de::DeserializeOwned;
 use serde_path_to_error::{Path, Segment};
 
-use crate::sections::TeamPart;
+use crate::sections::TeamSection;
 
 use super::check::faults;
 use super::error::{DocumentError, Fault};
@@ -59,15 +59,15 @@
     Ok(read)
 }
 
-impl TeamPart {
+impl TeamSection {
     /// Reads one team's entry as it came over the wire. A rule without `teams` is for this team. What it names
     /// is checked when it is proposed ([`crate::versions::Ledger::propose`]), for it needs the rest.
-    pub fn from_json(team: &str, text: &str) -> Result<TeamPart, DocumentError> {
-        let mut part: TeamPart = json(text)?;
-        for rule in part.rules.iter_mut().filter(|rule| rule.teams.is_empty()) {
+    pub fn from_json(team: &str, text: &str) -> Result<TeamSection, DocumentError> {
+        let mut section: TeamSection = json(text)?;
+        for rule in section.rules.iter_mut().filter(|rule| rule.teams.is_empty()) {
             rule.teams.push(team.to_owned());
         }
-        Ok(part)
+        Ok(section)
     }
 }
 
--- a/crates/grants/src/reference.rs
+++ b/crates/grants/src/reference.rs
@@ -6,10 +6,10 @@
 use crate::compiled::{RuleId, RuleName};
 use crate::document::check::DEEPEST;
 use crate::document::{is_pattern, matches, Effect, Rule};
-use crate::sections::{Catalogue, PartKey, Parts, TeamPart};
+use crate::sections::{Catalogue, SectionKey, Sections, TeamSection};
 
 pub struct Twin {
-    parts: Parts,
+    sections: Sections,
     catalogues: Vec<HashMap<String, BTreeSet<String>>>,
     known: HashMap<String, String>,
     rules: HashMap<RuleName, u32>,
@@ -25,35 +25,35 @@
 }
 
 impl Twin {
-    pub fn of(parts: &Parts) -> Twin {
-        let catalogues: Vec<_> = parts.catalogue.iter().map(meanings).collect();
+    pub fn of(sections: &Sections) -> Twin {
+        let catalogues: Vec<_> = sections.catalogue.iter().map(meanings).collect();
         let mut known = HashMap::new();
         for (name, _) in catalogues.first().into_iter().flatten() {
             let models: Vec<Option<String>> =
-                parts.catalogue.iter().map(|catalogue| resolve(catalogue, name)).collect();
+                sections.catalogue.iter().map(|catalogue| resolve(catalogue, name)).collect();
             if let Some(model) = models.first().cloned().flatten() {
-                let everywhere = parts.catalogue.iter().all(|c| c.models.iter().any(|m| m.name == model));
+                let everywhere = sections.catalogue.iter().all(|c| c.models.iter().any(|m| m.name == model));
                 if everywhere && models.iter().all(|other| other.as_ref() == Some(&model)) {
                     known.insert(name.clone(), model);
                 }
             }
         }
         let mut names = BTreeSet::new();
-        for rule in parts.shared.iter().flatten() {
-            names.insert(RuleName { part: PartKey::Shared, rule: rule.name.clone() });
+        for rule in sections.shared.iter().flatten() {
+            names.insert(RuleName { section: SectionKey::Shared, rule: rule.name.clone() });
         }
-        for (team, siblings) in &parts.teams {
-            for rule in siblings.iter().flatten().flat_map(|part| &part.rules) {
-                names.insert(RuleName { part: PartKey::Team(team.clone()), rule: rule.name.clone() });
+        for (team, siblings) in &sections.teams {
+            for rule in siblings.iter().flatten().flat_map(|section| &section.rules) {
+                names.insert(RuleName { section: SectionKey::Team(team.clone()), rule: rule.name.clone() });
             }
         }
         let rules = names.into_iter().zip(0u32..).collect();
-        Twin { parts: parts.clone(), catalogues, known, rules }
+        Twin { sections: sections.clone(), catalogues, known, rules }
     }
 
     pub fn check(&self, team: &str, model: &str, now: u64) -> Plain {
         let refused = |rule| Plain { allowed: false, rule, unsettled: false };
-        if !self.parts.teams.contains_key(team) {
+        if !self.sections.teams.contains_key(team) {
             return refused(RuleId::UnknownTeam);
         }
         let Some(model) = self.known.get(model) else { return refused(RuleId::UnknownModel) };
@@ -62,27 +62,27 @@
             return refused(RuleId::Broken);
         }
         let mut holding = BTreeMap::new();
-        for rule in self.parts.shared.iter().flatten() {
+        for rule in self.sections.shared.iter().flatten() {
             if lineage.keys().any(|team| names(&rule.teams, team)) {
-                self.hold(PartKey::Shared, rule, model, now, &mut holding);
+                self.hold(SectionKey::Shared, rule, model, now, &mut holding);
             }
         }
         for (team, siblings) in &lineage {
-            for rule in siblings.iter().flatten().flat_map(|part| &part.rules) {
-                self.hold(PartKey::Team((*team).to_owned()), rule, model, now, &mut holding);
+            for rule in siblings.iter().flatten().flat_map(|section| &section.rules) {
+                self.hold(SectionKey::Team((*team).to_owned()), rule, model, now, &mut holding);
             }
         }
-        let unsettled = self.parts.catalogue.len() > 1
-            || self.parts.shared.len() > 1
+        let unsettled = self.sections.catalogue.len() > 1
+            || self.sections.shared.len() > 1
             || lineage.values().any(|siblings| siblings.len() > 1);
         let first = |effect| holding.iter().find(|((_, is), ())| *is == effect).map(|((rule, _), ())| *rule);
         if let Some(rule) = first(Effect::Deny) {
             return Plain { allowed: false, rule: RuleId::Rule(rule), unsettled };
         }
         let none: &[Rule] = &[];
-        let shared: Vec<&[Rule]> = match self.parts.shared.len() {
+        let shared: Vec<&[Rule]> = match self.sections.shared.len() {
             0 => vec![none],
-            _ => self.parts.shared.iter().map(Vec::as_slice).collect(),
+            _ => self.sections.shared.iter().map(Vec::as_slice).collect(),
         };
         let allowed = shared.iter().all(|shared| self.allows(team, shared, model, now));
         match first(Effect::Allow) {
@@ -94,9 +94,9 @@
 
     /// The team and all generations above, of any sibling; none if they cannot be made out.
     fn walk<'a>(
-        &'a self, team: &'a str, depth: usize, seen: &mut BTreeMap<&'a str, &'a [Option<TeamPart>]>,
+        &'a self, team: &'a str, depth: usize, seen: &mut BTreeMap<&'a str, &'a [Option<TeamSection>]>,
     ) -> Option<()> {
-        let siblings = self.parts.teams.get(team)?;
+        let siblings = self.sections.teams.get(team)?;
         seen.insert(team, siblings);
         if depth > DEEPEST {
             return None;
@@ -104,13 +104,15 @@
         siblings
             .iter()
             .flatten()
-            .flat_map(|part| &part.parents)
+            .flat_map(|section| &section.parents)
             .try_for_each(|up| self.walk(up, depth + 1, seen))
     }
 
-    fn hold(&self, part: PartKey, rule: &Rule, model: &str, now: u64, out: &mut BTreeMap<(u32, Effect), ()>) {
+    fn hold(
+        &self, section: SectionKey, rule: &Rule, model: &str, now: u64, out: &mut BTreeMap<(u32, Effect), ()>,
+    ) {
         if rule.holds(now) && self.applies(rule, model) {
-            let name = RuleName { part, rule: rule.name.clone() };
+            let name = RuleName { section, rule: rule.name.clone() };
             out.insert((self.rules[&name], rule.effect), ());
         }
     }
@@ -133,10 +135,10 @@
     fn allows(&self, team: &str, shared: &[Rule], model: &str, now: u64) -> bool {
         let is = |rule: &Rule| rule.effect == Effect::Allow && rule.holds(now) && self.applies(rule, model);
         shared.iter().any(|rule| names(&rule.teams, team) && is(rule))
-            || self.parts.teams[team].iter().all(|part| {
-                part.as_ref().is_some_and(|part| {
-                    part.rules.iter().any(is)
-                        || part.parents.iter().any(|up| self.allows(up, shared, model, now))
+            || self.sections.teams[team].iter().all(|section| {
+                section.as_ref().is_some_and(|section| {
+                    section.rules.iter().any(is)
+                        || section.parents.iter().any(|up| self.allows(up, shared, model, now))
                 })
             })
     }
--- a/crates/grants/src/revocation/member.rs
+++ b/crates/grants/src/revocation/member.rs
@@ -15,7 +15,7 @@
 /// Keys in one answer.
 const MOST_KEYS: usize = 256;
 
-/// Generic over the key of what changes ([`crate::sections::PartKey`] in the gateway). The order that it relies on:
+/// Generic over the key of what changes ([`crate::sections::SectionKey`] in the gateway). The order that it relies on:
 /// what is told is **kept on disk, then enforced, then** said to [`changed`](Member::changed) and
 /// [`answered`](Member::answered).
 #[derive(Clone, Debug)]
--- a/crates/grants/src/sections.rs
+++ b/crates/grants/src/sections.rs
@@ -13,7 +13,7 @@
 
 /// The name of a part, and its key in the replicated table.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum PartKey {
+pub enum SectionKey {
     /// Models and groups.
     Catalogue,
     /// Rules for several teams, or by a pattern.
@@ -33,7 +33,7 @@
 /// A team's entry: its parents, and the rules whose `teams` is this team's name alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TeamPart {
+pub struct TeamSection {
     #[serde(default)]
     pub parents: Vec<String>,
     #[serde(default)]
@@ -41,29 +41,29 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Part {
+pub enum Section {
     Catalogue(Catalogue),
     Shared(Vec<Rule>),
-    Team(TeamPart),
+    Team(TeamSection),
 }
 
-impl fmt::Display for PartKey {
+impl fmt::Display for SectionKey {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PartKey::Catalogue => out.write_str("the list of models and groups"),
-            PartKey::Shared => out.write_str("the list of rules for several teams"),
-            PartKey::Team(name) => write!(out, "team `{name}`"),
+            SectionKey::Catalogue => out.write_str("the list of models and groups"),
+            SectionKey::Shared => out.write_str("the list of rules for several teams"),
+            SectionKey::Team(name) => write!(out, "team `{name}`"),
         }
     }
 }
 
-impl Part {
+impl Section {
     /// Whether it is such as the key names. A team's rules are for that team alone.
-    pub fn fits(&self, key: &PartKey) -> bool {
+    pub fn matches_key(&self, key: &SectionKey) -> bool {
         match (self, key) {
-            (Part::Catalogue(_), PartKey::Catalogue) | (Part::Shared(_), PartKey::Shared) => true,
-            (Part::Team(part), PartKey::Team(name)) => {
-                part.rules.iter().all(|rule| rule.teams.as_slice() == std::slice::from_ref(name))
+            (Section::Catalogue(_), SectionKey::Catalogue) | (Section::Shared(_), SectionKey::Shared) => true,
+            (Section::Team(section), SectionKey::Team(name)) => {
+                section.rules.iter().all(|rule| rule.teams.as_slice() == std::slice::from_ref(name))
             }
             _ => false,
         }
@@ -72,50 +72,57 @@
 
 /// All parts with their siblings. A list without siblings is as one that says nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Parts {
+pub struct Sections {
     pub catalogue: Vec<Catalogue>,
     pub shared: Vec<Vec<Rule>>,
     /// None among the siblings: one of the concurrent changes took the team away.
-    pub teams: BTreeMap<String, Vec<Option<TeamPart>>>,
+    pub teams: BTreeMap<String, Vec<Option<TeamSection>>>,
 }
 
-impl Parts {
+impl Sections {
     /// The parts of a document, one sibling each.
-    pub fn of(document: &Document) -> Parts {
-        let mut teams: BTreeMap<String, Vec<Option<TeamPart>>> = BTreeMap::new();
+    pub fn from_document(document: &Document) -> Sections {
+        let mut teams: BTreeMap<String, Vec<Option<TeamSection>>> = BTreeMap::new();
         for team in &document.teams {
-            let part = TeamPart { parents: team.parents.clone(), rules: Vec::new() };
-            teams.insert(team.name.clone(), vec![Some(part)]);
+            let section = TeamSection { parents: team.parents.clone(), rules: Vec::new() };
+            teams.insert(team.name.clone(), vec![Some(section)]);
         }
         let mut shared = Vec::new();
         for rule in &document.rules {
-            let own = match rule.teams.as_slice() {
+            let single_team = match rule.teams.as_slice() {
                 [team] if !is_pattern(team) => teams.get_mut(team),
                 _ => None,
             };
-            match own.and_then(|siblings| siblings[0].as_mut()) {
-                Some(part) => part.rules.push(rule.clone()),
+            match single_team.and_then(|siblings| siblings[0].as_mut()) {
+                Some(section) => section.rules.push(rule.clone()),
                 None => shared.push(rule.clone()),
             }
         }
         let catalogue = Catalogue { models: document.models.clone(), groups: document.groups.clone() };
-        Parts { catalogue: vec![catalogue], shared: vec![shared], teams }
+        Sections { catalogue: vec![catalogue], shared: vec![shared], teams }
     }
 
     /// The parts by key.
-    pub fn split(document: &Document) -> BTreeMap<PartKey, Part> {
-        let parts = Parts::of(document);
-        let catalogue = parts.catalogue.into_iter().map(|part| (PartKey::Catalogue, Part::Catalogue(part)));
-        let shared = parts.shared.into_iter().map(|part| (PartKey::Shared, Part::Shared(part)));
-        let teams = parts.teams.into_iter().flat_map(|(name, siblings)| {
-            siblings.into_iter().flatten().map(move |part| (PartKey::Team(name.clone()), Part::Team(part)))
+    pub fn by_key(document: &Document) -> BTreeMap<SectionKey, Section> {
+        let sections = Sections::from_document(document);
+        let catalogue = sections
+            .catalogue
+            .into_iter()
+            .map(|section| (SectionKey::Catalogue, Section::Catalogue(section)));
+        let shared =
+            sections.shared.into_iter().map(|section| (SectionKey::Shared, Section::Shared(section)));
+        let teams = sections.teams.into_iter().flat_map(|(name, siblings)| {
+            siblings
+                .into_iter()
+                .flatten()
+                .map(move |section| (SectionKey::Team(name.clone()), Section::Team(section)))
         });
         catalogue.chain(shared).chain(teams).collect()
     }
 
     /// The document that the first sibling of each part makes, as an admin reads it; where no part is in
     /// conflict, the whole truth.
-    pub fn document(&self) -> Document {
+    pub fn to_document(&self) -> Document {
         let mut document = Document::default();
         if let Some(catalogue) = self.catalogue.first() {
             document.models = catalogue.models.clone();
@@ -123,20 +130,20 @@
         }
         document.rules.extend(self.shared.first().into_iter().flatten().cloned());
         for (name, siblings) in &self.teams {
-            if let Some(part) = siblings.iter().flatten().next() {
-                document.teams.push(Team { name: name.clone(), parents: part.parents.clone() });
-                document.rules.extend(part.rules.iter().cloned());
+            if let Some(section) = siblings.iter().flatten().next() {
+                document.teams.push(Team { name: name.clone(), parents: section.parents.clone() });
+                document.rules.extend(section.rules.iter().cloned());
             }
         }
         document
     }
 
     /// The parts that are in conflict.
-    pub fn conflicts(&self) -> Vec<PartKey> {
-        let catalogue = (self.catalogue.len() > 1).then_some(PartKey::Catalogue);
-        let shared = (self.shared.len() > 1).then_some(PartKey::Shared);
+    pub fn conflicts(&self) -> Vec<SectionKey> {
+        let catalogue = (self.catalogue.len() > 1).then_some(SectionKey::Catalogue);
+        let shared = (self.shared.len() > 1).then_some(SectionKey::Shared);
         let teams = self.teams.iter().filter(|(_, siblings)| siblings.len() > 1);
-        let teams = teams.map(|(name, _)| PartKey::Team(name.clone()));
+        let teams = teams.map(|(name, _)| SectionKey::Team(name.clone()));
         catalogue.into_iter().chain(shared).chain(teams).collect()
     }
 }
--- a/crates/grants/src/versions/entry.rs
+++ b/crates/grants/src/versions/entry.rs
@@ -1,6 +1,6 @@
 //! Entries as bytes, for the store and the replicated table: a format version, then postcard.
 
-use crate::sections::PartKey;
+use crate::sections::SectionKey;
 
 use super::error::ByteError;
 use super::versioned_section::Cell;
@@ -20,14 +20,14 @@
 
 impl Entry {
     /// None where it would be longer than [`MOST_BYTES`].
-    pub fn of(key: &PartKey, cell: &Cell) -> Result<Entry, ByteError> {
+    pub fn of(key: &SectionKey, cell: &Cell) -> Result<Entry, ByteError> {
         let damaged = |_| ByteError::Damaged { key: key.clone() };
         let value = postcard::to_extend(cell, vec![FORMAT]).map_err(damaged)?;
         within(&value)?;
         Ok(Entry { key: key_bytes(key), value })
     }
 
-    pub fn read(&self) -> Result<(PartKey, Cell), ByteError> {
+    pub fn read(&self) -> Result<(SectionKey, Cell), ByteError> {
         let key = key_of(&self.key)?;
         within(&self.value)?;
         let damaged = || ByteError::Damaged { key: key.clone() };
@@ -51,21 +51,21 @@
 }
 
 /// `c`, `s`, or `t` and the team's name.
-pub(super) fn key_bytes(key: &PartKey) -> Vec<u8> {
+pub(super) fn key_bytes(key: &SectionKey) -> Vec<u8> {
     match key {
-        PartKey::Catalogue => b"c".to_vec(),
-        PartKey::Shared => b"s".to_vec(),
-        PartKey::Team(name) => [b"t", name.as_bytes()].concat(),
+        SectionKey::Catalogue => b"c".to_vec(),
+        SectionKey::Shared => b"s".to_vec(),
+        SectionKey::Team(name) => [b"t", name.as_bytes()].concat(),
     }
 }
 
-fn key_of(bytes: &[u8]) -> Result<PartKey, ByteError> {
+fn key_of(bytes: &[u8]) -> Result<SectionKey, ByteError> {
     match bytes.split_first() {
-        Some((b'c', [])) => Ok(PartKey::Catalogue),
-        Some((b's', [])) => Ok(PartKey::Shared),
-        Some((b't', name)) => {
-            std::str::from_utf8(name).map(|name| PartKey::Team(name.to_owned())).map_err(|_| ByteError::Key)
-        }
+        Some((b'c', [])) => Ok(SectionKey::Catalogue),
+        Some((b's', [])) => Ok(SectionKey::Shared),
+        Some((b't', name)) => std::str::from_utf8(name)
+            .map(|name| SectionKey::Team(name.to_owned()))
+            .map_err(|_| ByteError::Key),
         _ => Err(ByteError::Key),
     }
 }
--- a/crates/grants/src/versions/error.rs
+++ b/crates/grants/src/versions/error.rs
@@ -1,7 +1,7 @@
 //! What can go wrong with versions.
 
 use crate::document::DocumentError;
-use crate::sections::PartKey;
+use crate::sections::SectionKey;
 
 use super::version_vector::{Origin, Version};
 
@@ -10,23 +10,23 @@
 pub enum LedgerError {
     /// No key: the document as a whole.
     #[error("{} is at version {present}, not at {expected}", whole(.key))]
-    Conflict { key: Option<PartKey>, expected: Version, present: Version },
+    Conflict { key: Option<SectionKey>, expected: Version, present: Version },
     #[error(transparent)]
     Document(#[from] DocumentError),
     #[error("the content is not of the form of {key}")]
-    Form { key: PartKey },
+    Form { key: SectionKey },
     #[error("{key} would take {bytes} bytes, more than {most}")]
-    Large { key: PartKey, bytes: usize, most: usize },
+    Large { key: SectionKey, bytes: usize, most: usize },
     #[error("there is no {key}")]
-    Missing { key: PartKey },
+    Missing { key: SectionKey },
     #[error("life {} of member {:016x} has made changes before this start", .origin.life, .origin.member)]
     LifeUsed { origin: Origin },
     #[error(transparent)]
     Bytes(#[from] ByteError),
 }
 
-fn whole(key: &Option<PartKey>) -> String {
-    key.as_ref().map_or_else(|| "the document".to_owned(), PartKey::to_string)
+fn whole(key: &Option<SectionKey>) -> String {
+    key.as_ref().map_or_else(|| "the document".to_owned(), SectionKey::to_string)
 }
 
 impl LedgerError {
@@ -54,7 +54,7 @@
     #[error("{bytes} bytes of an entry are more than {most}")]
     Large { bytes: usize, most: usize },
     #[error("the bytes of {key} are no entry")]
-    Damaged { key: PartKey },
+    Damaged { key: SectionKey },
     #[error("bytes that are no key of an entry")]
     Key,
 }
--- a/crates/grants/src/versions/propose.rs
+++ b/crates/grants/src/versions/propose.rs
@@ -4,7 +4,7 @@
 
 use crate::document::check::faults;
 use crate::document::{Document, DocumentError, Fault, Key, KeyPath, Team};
-use crate::sections::{Part, PartKey, Parts, TeamPart};
+use crate::sections::{Section, SectionKey, Sections, TeamSection};
 
 use super::entry::Entry;
 use super::error::LedgerError;
@@ -15,7 +15,7 @@
 /// Changes that are checked and not taken yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    changes: Vec<(PartKey, Cell, Dot)>,
+    changes: Vec<(SectionKey, Cell, Dot)>,
 }
 
 impl Proposal {
@@ -29,7 +29,7 @@
         self.changes.iter().map(|(key, cell, _)| Ok(Entry::of(key, cell)?)).collect()
     }
 
-    pub fn keys(&self) -> impl Iterator<Item = &PartKey> {
+    pub fn keys(&self) -> impl Iterator<Item = &SectionKey> {
         self.changes.iter().map(|change| &change.0)
     }
 
@@ -43,25 +43,27 @@
     /// No part: the team is taken away. What it names has to be there; faults that stood before, as
     /// merging may leave them, do not hinder it.
     pub fn propose(
-        &mut self, team: &str, expected: Version, part: Option<TeamPart>,
+        &mut self, team: &str, expected: Version, section: Option<TeamSection>,
     ) -> Result<Proposal, LedgerError> {
-        let key = PartKey::Team(team.to_owned());
+        let key = SectionKey::Team(team.to_owned());
         self.expect(Some(&key), expected, self.version(&key))?;
         let before = self.parts();
-        if part.is_none() && !before.teams.contains_key(team) {
+        if section.is_none() && !before.teams.contains_key(team) {
             return Err(LedgerError::Missing { key });
         }
-        if let Some(rule) = part.iter().flat_map(|part| &part.rules).find(|rule| rule.teams != [team]) {
+        if let Some(rule) =
+            section.iter().flat_map(|section| &section.rules).find(|rule| rule.teams != [team])
+        {
             let fault = Fault::Elsewhere { rule: rule.name.clone(), team: team.to_owned() };
             return Err(DocumentError { place: None, key: KeyPath::default(), fault }.into());
         }
         let mut after = before.clone();
-        match &part {
-            Some(part) => after.teams.insert(team.to_owned(), vec![Some(part.clone())]),
+        match &section {
+            Some(section) => after.teams.insert(team.to_owned(), vec![Some(section.clone())]),
             None => after.teams.remove(team),
         };
         no_new_fault(&before, &after, team)?;
-        let change = self.change(key, part.map(Part::Team))?;
+        let change = self.change(key, section.map(Section::Team))?;
         Ok(Proposal { changes: vec![change] })
     }
 
@@ -74,48 +76,52 @@
         if let Some((key, fault)) = faults(document).into_iter().next() {
             return Err(DocumentError { place: None, key, fault }.into());
         }
-        let mut wanted = Parts::split(document);
-        let keys: BTreeSet<PartKey> = self.cells.keys().chain(wanted.keys()).cloned().collect();
+        let mut wanted = Sections::by_key(document);
+        let keys: BTreeSet<SectionKey> = self.cells.keys().chain(wanted.keys()).cloned().collect();
         let mut changes = Vec::new();
         for key in keys {
-            let part = wanted.remove(&key);
+            let section = wanted.remove(&key);
             let same = match self.cells.get(&key) {
-                Some(cell) => cell.contents() == BTreeSet::from([&part]),
+                Some(cell) => cell.contents() == BTreeSet::from([&section]),
                 None => false,
             };
             if !same {
-                changes.push(self.change(key, part)?);
+                changes.push(self.change(key, section)?);
             }
         }
         Ok(Proposal { changes })
     }
 
     /// What all parts would be with the proposal taken, to try it.
-    pub fn with(&self, proposal: &Proposal) -> Parts {
+    pub fn with(&self, proposal: &Proposal) -> Sections {
         let mut tried = self.clone();
         tried.apply(proposal);
         tried.parts()
     }
 
     /// Takes a proposal, once it is kept. Should another change have come between, both stand, in conflict.
-    pub fn apply(&mut self, proposal: &Proposal) -> Vec<(PartKey, Merged)> {
+    pub fn apply(&mut self, proposal: &Proposal) -> Vec<(SectionKey, Merged)> {
         let changes = proposal.changes.iter();
         changes.map(|(key, cell, _)| (key.clone(), self.merge(key, cell))).collect()
     }
 
-    fn expect(&self, key: Option<&PartKey>, expected: Version, present: Version) -> Result<(), LedgerError> {
+    fn expect(
+        &self, key: Option<&SectionKey>, expected: Version, present: Version,
+    ) -> Result<(), LedgerError> {
         match expected == present {
             true => Ok(()),
             false => Err(LedgerError::Conflict { key: key.cloned(), expected, present }),
         }
     }
 
-    fn change(&mut self, key: PartKey, part: Option<Part>) -> Result<(PartKey, Cell, Dot), LedgerError> {
-        if part.as_ref().is_some_and(|part| !part.fits(&key)) {
+    fn change(
+        &mut self, key: SectionKey, section: Option<Section>,
+    ) -> Result<(SectionKey, Cell, Dot), LedgerError> {
+        if section.as_ref().is_some_and(|section| !section.matches_key(&key)) {
             return Err(LedgerError::Form { key });
         }
         let dot = Dot { origin: self.origin, count: self.count.saturating_add(1) };
-        let cell = self.cells.get(&key).cloned().unwrap_or_default().changed(dot, part);
+        let cell = self.cells.get(&key).cloned().unwrap_or_default().changed(dot, section);
         Entry::of(&key, &cell)?;
         // Used up even if the proposal is never applied: a store may hold it all the same.
         self.count = dot.count;
@@ -124,8 +130,8 @@
 }
 
 /// The first fault that the change would bring, under its key in the team's entry.
-fn no_new_fault(before: &Parts, after: &Parts, team: &str) -> Result<(), DocumentError> {
-    let (old, new) = (before.document(), after.document());
+fn no_new_fault(before: &Sections, after: &Sections, team: &str) -> Result<(), DocumentError> {
+    let (old, new) = (before.to_document(), after.to_document());
     let known: Vec<Fault> = faults(&old).into_iter().map(|(_, fault)| fault).collect();
     match faults(&new).into_iter().find(|(_, fault)| !known.contains(fault)) {
         None => Ok(()),
--- a/crates/grants/src/versions/replica.rs
+++ b/crates/grants/src/versions/replica.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::sections::{Part, PartKey, Parts};
+use crate::sections::{Section, SectionKey, Sections};
 
 use super::entry::key_bytes;
 use super::error::LedgerError;
@@ -17,7 +17,7 @@
     pub(super) origin: Origin,
     /// Changes taken in this life, and those that another used it for.
     pub(super) count: u64,
-    pub(super) cells: BTreeMap<PartKey, Cell>,
+    pub(super) cells: BTreeMap<SectionKey, Cell>,
 }
 
 /// What became of a merge.
@@ -44,9 +44,9 @@
 
     /// A ledger of what a store kept, under a new life.
     pub fn restore(
-        origin: Origin, cells: impl IntoIterator<Item = (PartKey, Cell)>,
+        origin: Origin, cells: impl IntoIterator<Item = (SectionKey, Cell)>,
     ) -> Result<Ledger, LedgerError> {
-        let cells: BTreeMap<PartKey, Cell> = cells.into_iter().collect();
+        let cells: BTreeMap<SectionKey, Cell> = cells.into_iter().collect();
         let later = |dot: Dot| dot.origin.member == origin.member && dot.origin.life >= origin.life;
         if cells.values().any(|cell| cell.clock().dots().any(later)) {
             return Err(LedgerError::LifeUsed { origin });
@@ -58,17 +58,17 @@
         self.cells.is_empty()
     }
 
-    pub fn cell(&self, key: &PartKey) -> Option<&Cell> {
+    pub fn cell(&self, key: &SectionKey) -> Option<&Cell> {
         self.cells.get(key)
     }
 
     /// All cells, those of parts taken away included: they say that it was done.
-    pub fn cells(&self) -> impl Iterator<Item = (&PartKey, &Cell)> {
+    pub fn cells(&self) -> impl Iterator<Item = (&SectionKey, &Cell)> {
         self.cells.iter()
     }
 
     /// The version of one part; of one that never was, too.
-    pub fn version(&self, key: &PartKey) -> Version {
+    pub fn version(&self, key: &SectionKey) -> Version {
         let mut hash = blake3::Hasher::new();
         if let Some(cell) = self.cells.get(key) {
             digest(&mut hash, key, cell);
@@ -84,8 +84,8 @@
     }
 
     /// All parts with their siblings, to be compiled.
-    pub fn parts(&self) -> Parts {
-        let mut parts = Parts::default();
+    pub fn parts(&self) -> Sections {
+        let mut sections = Sections::default();
         for (key, cell) in &self.cells {
             let contents = cell.contents();
             if contents == BTreeSet::from([&None]) {
@@ -93,36 +93,42 @@
             }
             for content in contents {
                 match (key, content) {
-                    (PartKey::Team(name), None) => parts.teams.entry(name.clone()).or_default().push(None),
-                    (PartKey::Team(name), Some(Part::Team(part))) => {
-                        parts.teams.entry(name.clone()).or_default().push(Some(part.clone()));
+                    (SectionKey::Team(name), None) => {
+                        sections.teams.entry(name.clone()).or_default().push(None)
                     }
-                    (PartKey::Catalogue, Some(Part::Catalogue(part))) => parts.catalogue.push(part.clone()),
-                    (PartKey::Catalogue, None) => parts.catalogue.push(Default::default()),
-                    (PartKey::Shared, Some(Part::Shared(part))) => parts.shared.push(part.clone()),
-                    (PartKey::Shared, None) => parts.shared.push(Vec::new()),
+                    (SectionKey::Team(name), Some(Section::Team(section))) => {
+                        sections.teams.entry(name.clone()).or_default().push(Some(section.clone()));
+                    }
+                    (SectionKey::Catalogue, Some(Section::Catalogue(section))) => {
+                        sections.catalogue.push(section.clone())
+                    }
+                    (SectionKey::Catalogue, None) => sections.catalogue.push(Default::default()),
+                    (SectionKey::Shared, Some(Section::Shared(section))) => {
+                        sections.shared.push(section.clone())
+                    }
+                    (SectionKey::Shared, None) => sections.shared.push(Vec::new()),
                     _ => {}
                 }
             }
         }
-        parts
+        sections
     }
 
     /// The parts in conflict, each with what stands against what.
-    pub fn conflicts(&self) -> impl Iterator<Item = (&PartKey, Vec<&Sibling>)> {
+    pub fn conflicts(&self) -> impl Iterator<Item = (&SectionKey, Vec<&Sibling>)> {
         let cells = self.cells.iter().filter(|(_, cell)| cell.conflict());
         cells.map(|(key, cell)| (key, cell.siblings().collect()))
     }
 
     /// What the cell would be with this one merged; none if it says nothing new.
-    pub fn merged(&self, key: &PartKey, told: &Cell) -> Option<Cell> {
+    pub fn merged(&self, key: &SectionKey, told: &Cell) -> Option<Cell> {
         let Some(own) = self.cells.get(key) else { return Some(told.clone()) };
         let merged = own.merge(told);
         (merged != *own).then_some(merged)
     }
 
     /// Takes what another member, or a proposal, says of a part.
-    pub fn merge(&mut self, key: &PartKey, told: &Cell) -> Merged {
+    pub fn merge(&mut self, key: &SectionKey, told: &Cell) -> Merged {
         let mut became = Merged::default();
         if let Some(dot) = told.clock().dots().find(|dot| dot.origin == self.origin && dot.count > self.count)
         {
@@ -144,7 +150,7 @@
     }
 }
 
-fn digest(hash: &mut blake3::Hasher, key: &PartKey, cell: &Cell) {
+fn digest(hash: &mut blake3::Hasher, key: &SectionKey, cell: &Cell) {
     let name = key_bytes(key);
     hash.update(&(name.len() as u64).to_le_bytes()).update(&name);
     for dot in cell.clock().dots() {
--- a/crates/grants/src/versions/versioned_section.rs
+++ b/crates/grants/src/versions/versioned_section.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::sections::{Part, PartKey};
+use crate::sections::{Section, SectionKey};
 
 use super::version_vector::{Clock, Dot};
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Sibling {
     pub dot: Dot,
-    pub part: Option<Part>,
+    pub section: Option<Section>,
 }
 
 /// The changes of a part that none known replaces, and a clock of all that are known.
@@ -24,10 +24,10 @@
 
 impl Cell {
     /// The cell after a change that knew all of this one.
-    pub(super) fn changed(&self, dot: Dot, part: Option<Part>) -> Cell {
+    pub(super) fn changed(&self, dot: Dot, section: Option<Section>) -> Cell {
         let mut clock = self.clock.clone();
         clock.take(&dot);
-        Cell { clock, siblings: BTreeSet::from([Sibling { dot, part }]) }
+        Cell { clock, siblings: BTreeSet::from([Sibling { dot, section }]) }
     }
 
     /// What both know together. Commutative, associative, idempotent.
@@ -55,8 +55,8 @@
     }
 
     /// The differing contents of the siblings, sorted. Two changes that say the same are one.
-    pub fn contents(&self) -> BTreeSet<&Option<Part>> {
-        self.siblings.iter().map(|sibling| &sibling.part).collect()
+    pub fn contents(&self) -> BTreeSet<&Option<Section>> {
+        self.siblings.iter().map(|sibling| &sibling.section).collect()
     }
 
     /// Whether concurrent changes differ, which an admin has to settle by a change that knows both.
@@ -71,10 +71,10 @@
     }
 
     /// Whether every sibling is such as the key names, and its dot is in the clock.
-    pub(super) fn sound(&self, key: &PartKey) -> bool {
+    pub(super) fn sound(&self, key: &SectionKey) -> bool {
         self.siblings.iter().all(|sibling| {
-            let fits = sibling.part.as_ref().is_none_or(|part| part.fits(key));
-            fits && self.clock.covers(&sibling.dot)
+            let matches_key = sibling.section.as_ref().is_none_or(|section| section.matches_key(key));
+            matches_key && self.clock.covers(&sibling.dot)
         })
     }
 }
--- a/crates/grants/tests/agree.rs
+++ b/crates/grants/tests/agree.rs
@@ -4,12 +4,12 @@
 
 use glenrail_grants::compiled::{RuleId, Table};
 use glenrail_grants::reference::Twin;
-use glenrail_grants::sections::Parts;
+use glenrail_grants::sections::Sections;
 use proptest::prelude::*;
-use support::{parts, ASKED, TEAMS};
+use support::{sections, ASKED, TEAMS};
 
-fn agree(parts: &Parts) -> Result<(), TestCaseError> {
-    let (table, twin) = (Table::compile(parts), Twin::of(parts));
+fn agree(sections: &Sections) -> Result<(), TestCaseError> {
+    let (table, twin) = (Table::compile(sections), Twin::of(sections));
     for now in 0..12 {
         for team in TEAMS {
             for model in ASKED {
@@ -33,18 +33,18 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn both_say_the_same_without_conflicts(parts in parts(1)) {
-        agree(&parts)?;
+    fn both_say_the_same_without_conflicts(sections in sections(1)) {
+        agree(&sections)?;
     }
 
     #[test]
-    fn both_say_the_same_with_conflicts(parts in parts(3)) {
-        agree(&parts)?;
+    fn both_say_the_same_with_conflicts(sections in sections(3)) {
+        agree(&sections)?;
     }
 
     #[test]
-    fn nothing_changes_before_the_next_change(parts in parts(2)) {
-        let table = Table::compile(&parts);
+    fn nothing_changes_before_the_next_change(sections in sections(2)) {
+        let table = Table::compile(&sections);
         for now in 0..12 {
             let next = table.next_change(now).unwrap_or(12);
             prop_assert!(next > now);
@@ -63,21 +63,21 @@
     }
 
     #[test]
-    fn what_any_sibling_refuses_is_refused(parts in parts(2)) {
+    fn what_any_sibling_refuses_is_refused(sections in sections(2)) {
         // Each part alone at its sibling: all choices of siblings, the others as they are.
-        let table = Table::compile(&parts);
-        for (team, siblings) in &parts.teams {
+        let table = Table::compile(&sections);
+        for (team, siblings) in &sections.teams {
             for one in siblings {
-                let mut alone = parts.clone();
+                let mut alone = sections.clone();
                 alone.teams.insert(team.clone(), vec![one.clone()]);
                 no_more(&table, &Table::compile(&alone))?;
             }
         }
-        for one in &parts.shared {
-            no_more(&table, &Table::compile(&Parts { shared: vec![one.clone()], ..parts.clone() }))?;
+        for one in &sections.shared {
+            no_more(&table, &Table::compile(&Sections { shared: vec![one.clone()], ..sections.clone() }))?;
         }
-        for one in &parts.catalogue {
-            no_more(&table, &Table::compile(&Parts { catalogue: vec![one.clone()], ..parts.clone() }))?;
+        for one in &sections.catalogue {
+            no_more(&table, &Table::compile(&Sections { catalogue: vec![one.clone()], ..sections.clone() }))?;
         }
     }
 }
@@ -109,7 +109,7 @@
         "[[team]]\nname='t'\n[[model]]\nname='m'\n[[rule]]\nname='r'\neffect='allow'\nteams=['*']\nmodels=['*']",
     )
     .unwrap();
-    let (old, new) = (Table::of(&document), Table::of(&document));
+    let (old, new) = (Table::from_document(&document), Table::from_document(&document));
     let (team, model) = (old.team("t").unwrap(), old.model("m").unwrap());
     assert!(old.check(team, model, 0).allowed);
     assert_eq!(new.check(team, model, 0).rule, RuleId::OtherTable);
--- a/crates/grants/tests/dry_run.rs
+++ b/crates/grants/tests/dry_run.rs
@@ -9,7 +9,7 @@
 fn table(rules: &str) -> Table {
     let head =
         "team=[{name='a'},{name='b',parents=['a']},{name='c'}]\nmodel=[{name='m',aliases=['x']},{name='n'}]";
-    Table::of(&Document::from_toml(&format!("{head}\n{rules}")).unwrap())
+    Table::from_document(&Document::from_toml(&format!("{head}\n{rules}")).unwrap())
 }
 
 #[test]
--- a/crates/grants/tests/no_alloc.rs
+++ b/crates/grants/tests/no_alloc.rs
@@ -12,7 +12,7 @@
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 fn main() {
-    let table = Table::of(&large::document());
+    let table = Table::from_document(&large::document());
     assert_eq!(table.teams().count(), large::TEAMS);
     assert_eq!(table.models().count(), large::MODELS);
     let names: Vec<_> = (0..2_000).map(|n| (large::team(n), large::model(n % 1_000))).collect();
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use glenrail_grants::document::{Effect, Group, Model, Rule, UnderWay};
-use glenrail_grants::sections::{Catalogue, Parts, TeamPart};
+use glenrail_grants::sections::{Catalogue, Sections, TeamSection};
 use proptest::collection::vec;
 use proptest::option;
 use proptest::prelude::*;
@@ -35,9 +35,9 @@
     )
 }
 
-pub fn team_part(name: &'static str) -> impl Strategy<Value = TeamPart> {
+pub fn team_part(name: &'static str) -> impl Strategy<Value = TeamSection> {
     let rules = vec(rule(Just(vec![name.to_owned()])), 0..4);
-    (names(&TEAMS, 1), rules).prop_map(|(parents, rules)| TeamPart { parents, rules: once(rules) })
+    (names(&TEAMS, 1), rules).prop_map(|(parents, rules)| TeamSection { parents, rules: once(rules) })
 }
 
 pub fn shared() -> impl Strategy<Value = Vec<Rule>> {
@@ -65,7 +65,7 @@
 }
 
 /// Parts with up to two siblings each, and all that merging may bring about: circles, parents not there.
-pub fn parts(siblings: usize) -> impl Strategy<Value = Parts> {
+pub fn sections(siblings: usize) -> impl Strategy<Value = Sections> {
     let team = |name| vec(option::weighted(0.9, team_part(name)), 1..=siblings);
     let teams = (team("a"), team("ab"), team("b"), team("ba"), option::of(team("c")));
     (vec(catalogue(), 1..=siblings), vec(shared(), 1..=siblings), teams).prop_map(
@@ -73,7 +73,7 @@
             let listed = [Some(a), Some(ab), Some(b), Some(ba), c];
             let teams = TEAMS.iter().zip(listed);
             let teams = teams.filter_map(|(name, it)| Some(((*name).to_owned(), it?))).collect();
-            Parts { catalogue, shared, teams }
+            Sections { catalogue, shared, teams }
         },
     )
 }
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -6,7 +6,7 @@
 
 use glenrail_grants::compiled::Table;
 use glenrail_grants::document::{Document, Fault};
-use glenrail_grants::sections::{PartKey, TeamPart};
+use glenrail_grants::sections::{SectionKey, TeamSection};
 use glenrail_grants::versions::{ByteError, Dot, Entry, Ledger, LedgerError, Origin, FORMAT};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -33,8 +33,8 @@
     Ledger::new(Origin { member, life })
 }
 
-fn team(name: &str) -> PartKey {
-    PartKey::Team(name.to_owned())
+fn team(name: &str) -> SectionKey {
+    SectionKey::Team(name.to_owned())
 }
 
 /// The first takes the document, and tells all.
@@ -51,7 +51,7 @@
 }
 
 /// By way of bytes, one key or all. What it replaced.
-fn tell(all: &mut [Ledger], from: usize, to: usize, only: Option<&PartKey>) -> Vec<Dot> {
+fn tell(all: &mut [Ledger], from: usize, to: usize, only: Option<&SectionKey>) -> Vec<Dot> {
     let mut replaced = Vec::new();
     let cells: Vec<_> = all[from].cells().map(|(key, cell)| Entry::of(key, cell).unwrap()).collect();
     for entry in cells {
@@ -63,16 +63,16 @@
     replaced
 }
 
-fn change(ledger: &mut Ledger, name: &str, part: Option<TeamPart>) -> Result<Dot, LedgerError> {
+fn change(ledger: &mut Ledger, name: &str, section: Option<TeamSection>) -> Result<Dot, LedgerError> {
     let version = ledger.version(&team(name));
-    let proposal = ledger.propose(name, version, part)?;
+    let proposal = ledger.propose(name, version, section)?;
     ledger.apply(&proposal);
     Ok(proposal.dots()[0])
 }
 
-fn only(model: &str) -> TeamPart {
+fn only(model: &str) -> TeamSection {
     let text = format!(r#"{{"rules": [{{"name": "own", "effect": "allow", "models": ["{model}"]}}]}}"#);
-    TeamPart::from_json("a", &text).unwrap()
+    TeamSection::from_json("a", &text).unwrap()
 }
 
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
     Change {
         at: usize,
         team: &'static str,
-        part: Option<TeamPart>,
+        section: Option<TeamSection>,
     },
     Tell {
         from: usize,
@@ -103,11 +103,11 @@
 fn step() -> impl Strategy<Value = Step> {
     let at = || 0..3usize;
     let name = || select(&["a", "b"][..]);
-    let part = || select(&["m", "n", "*"][..]).prop_map(|model| Some(only(model)));
+    let section = || select(&["m", "n", "*"][..]).prop_map(|model| Some(only(model)));
     prop_oneof![
-        5 => (at(), prop_oneof![4 => part(), 1 => Just(None)])
-            .prop_map(|(at, part)| Step::Change { at, team: "a", part }),
-        2 => at().prop_map(|at| Step::Change { at, team: "b", part: Some(TeamPart::default()) }),
+        5 => (at(), prop_oneof![4 => section(), 1 => Just(None)])
+            .prop_map(|(at, section)| Step::Change { at, team: "a", section }),
+        2 => at().prop_map(|at| Step::Change { at, team: "b", section: Some(TeamSection::default()) }),
         8 => (at(), at(), proptest::option::of(name())).prop_map(|(from, to, team)| Step::Tell { from, to, team }),
         1 => at().prop_map(|at| Step::Keep { at }),
         1 => at().prop_map(|at| Step::PutBack { at }),
@@ -116,7 +116,7 @@
 }
 
 /// Of each change, by its part, the dots that it replaced.
-type Made = BTreeMap<(PartKey, Dot), Vec<Dot>>;
+type Made = BTreeMap<(SectionKey, Dot), Vec<Dot>>;
 
 fn play(steps: Vec<Step>) -> (Vec<Ledger>, Made) {
     let mut all = fleet(3);
@@ -125,13 +125,13 @@
     let mut made = BTreeMap::new();
     for step in steps {
         match step {
-            Step::Change { at, team: name, part } => {
+            Step::Change { at, team: name, section } => {
                 let key = team(name);
                 let knew: Vec<Dot> = all[at]
                     .cell(&key)
                     .map(|cell| cell.siblings().map(|it| it.dot).collect())
                     .unwrap_or_default();
-                if let Ok(dot) = change(&mut all[at], name, part) {
+                if let Ok(dot) = change(&mut all[at], name, section) {
                     made.insert((key, dot), knew);
                 }
             }
@@ -272,8 +272,8 @@
     let mut all = fleet(1);
     let before = all[0].version_of_all();
     let text = "{\"rules\": [\n {\"name\": \"own\", \"effect\": \"deny\",\n  \"models\": [\"m\", \"zz\"]}]}";
-    let part = TeamPart::from_json("b", text).unwrap();
-    let Err(LedgerError::Document(error)) = change(&mut all[0], "b", Some(part)) else { panic!("taken") };
+    let section = TeamSection::from_json("b", text).unwrap();
+    let Err(LedgerError::Document(error)) = change(&mut all[0], "b", Some(section)) else { panic!("taken") };
     assert_eq!(
         error.placed(text).to_string(),
         "line 3, column 19: rules[0].models[1]: there is no model, alias or group `zz`"
@@ -281,7 +281,7 @@
     // Its parent cannot go either, nor be under it.
     let Err(LedgerError::Document(error)) = change(&mut all[0], "a", None) else { panic!("taken") };
     assert!(matches!(error.fault, Fault::Unknown { .. }), "{error}");
-    let circle = TeamPart { parents: vec!["b".to_owned()], rules: Vec::new() };
+    let circle = TeamSection { parents: vec!["b".to_owned()], rules: Vec::new() };
     let Err(LedgerError::Document(error)) = change(&mut all[0], "a", Some(circle)) else { panic!("taken") };
     assert!(matches!(error.fault, Fault::Circle { .. }), "{error}");
     assert_eq!(all[0].version_of_all(), before);
