--- a/crates/grants/src/compiled/build.rs
+++ b/crates/grants/src/compiled/build.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::document::check::DEEPEST;
+use crate::document::check::MAX_ANCESTOR_GENERATIONS;
 use crate::document::{is_pattern, matches, Effect, Rule};
-use crate::hierarchy::{depths, order};
+use crate::hierarchy::{depths, topological_order};
 use crate::sections::{SectionKey, Sections, TeamSection};
 
 use super::clauses::{Clause, ClauseId, Clauses};
@@ -107,7 +107,7 @@
     let mut plans = vec![None; names.len()];
     let everywhere = sections.catalogue.len() > 1 || sections.shared.len() > 1;
     let mut unsettled: Vec<bool> = siblings.iter().map(|own| everywhere || own.len() > 1).collect();
-    for team in order(&above) {
+    for team in topological_order(&above) {
         if broken[team] {
             continue;
         }
@@ -170,12 +170,12 @@
 /// Every rule's name, in the order in which they decide.
 fn rule_names(sections: &Sections) -> Vec<RuleName> {
     let mut names = BTreeSet::new();
-    let mut take = |section: SectionKey, rules: &[Rule]| {
+    let mut add = |section: SectionKey, rules: &[Rule]| {
         names.extend(rules.iter().map(|rule| RuleName { section: section.clone(), rule: rule.name.clone() }));
     };
-    sections.shared.iter().for_each(|rules| take(SectionKey::Shared, rules));
+    sections.shared.iter().for_each(|rules| add(SectionKey::Shared, rules));
     for (name, siblings) in &sections.teams {
-        siblings.iter().flatten().for_each(|section| take(SectionKey::Team(name.clone()), &section.rules));
+        siblings.iter().flatten().for_each(|section| add(SectionKey::Team(name.clone()), &section.rules));
     }
     names.into_iter().collect()
 }
@@ -195,7 +195,7 @@
         let mut said = vec![Said::default(); names.len()];
         for rule in rules {
             let Some(clause) = builder.clause(&SectionKey::Shared, rule) else { continue };
-            let mut take = |team: usize| {
+            let mut add = |team: usize| {
                 match rule.effect {
                     Effect::Allow => said[team].allows.insert(clause),
                     Effect::Deny => said[team].denies.insert(clause),
@@ -204,9 +204,9 @@
             for wanted in &rule.teams {
                 if is_pattern(wanted) {
                     let all = names.iter().enumerate();
-                    all.filter(|(_, name)| matches(wanted, name)).for_each(|(team, _)| take(team));
+                    all.filter(|(_, name)| matches(wanted, name)).for_each(|(team, _)| add(team));
                 } else {
-                    index.get(wanted.as_str()).copied().into_iter().for_each(&mut take);
+                    index.get(wanted.as_str()).copied().into_iter().for_each(&mut add);
                 }
             }
         }
@@ -237,12 +237,12 @@
         above.push(parents.into_iter().collect::<Vec<_>>());
     }
     for (team, depth) in depths(&above).into_iter().enumerate() {
-        if depth.is_none_or(|depth| depth > DEEPEST) {
+        if depth.is_none_or(|depth| depth > MAX_ANCESTOR_GENERATIONS) {
             broken[team] = true;
             troubles.push(Trouble::Circle { team: names[team].to_owned() });
         }
     }
-    for team in order(&above) {
+    for team in topological_order(&above) {
         broken[team] = broken[team] || above[team].iter().any(|&up| broken[up]);
     }
     (above, broken, troubles)
--- a/crates/grants/src/compiled/clauses.rs
+++ b/crates/grants/src/compiled/clauses.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::document::UnderWay;
+use crate::document::StreamPolicy;
 
 use super::models::ModelSet;
 
@@ -19,7 +19,7 @@
     pub until: u64,
     /// Index of the rule that is named.
     pub rule: u32,
-    pub streams: UnderWay,
+    pub streams: StreamPolicy,
 }
 
 pub type ClauseId = u32;
--- a/crates/grants/src/compiled/mod.rs
+++ b/crates/grants/src/compiled/mod.rs
@@ -30,7 +30,7 @@
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::document::{Document, UnderWay};
+use crate::document::{Document, StreamPolicy};
 use crate::sections::{SectionKey, Sections};
 
 pub use build::Trouble;
@@ -79,18 +79,18 @@
     pub rule: RuleId,
     /// What becomes of a stream under way: of one that it refuses, if a rule denies; of one that it let in,
     /// once nothing allows it any more.
-    pub streams: UnderWay,
+    pub streams: StreamPolicy,
 }
 
 impl Decision {
     pub(crate) const fn refused(rule: RuleId) -> Decision {
-        Decision { allowed: false, rule, streams: UnderWay::Finish }
+        Decision { allowed: false, rule, streams: StreamPolicy::Finish }
     }
 
     /// What becomes of a stream that this decision let in, now that the same check says `now`. None while it
     /// is still allowed. A rule that denies says so itself; where a grant has merely ended, or knowledge has,
     /// what let the stream in said it.
-    pub fn under_way(&self, now: &Decision) -> Option<UnderWay> {
+    pub fn under_way(&self, now: &Decision) -> Option<StreamPolicy> {
         match now {
             Decision { allowed: true, .. } => None,
             Decision { rule: RuleId::Rule(_), streams, .. } => Some(*streams),
--- a/crates/grants/src/compiled/timelines.rs
+++ b/crates/grants/src/compiled/timelines.rs
@@ -56,18 +56,18 @@
 /// Goes through the times at which clauses begin and end, with the places of those that hold in order.
 fn verdict(reason: &Reason, clauses: &Clauses) -> Verdict {
     let mut events: Vec<(u64, usize, bool)> = Vec::new();
-    for (place, &(id, _)) in reason.clauses.iter().enumerate() {
+    for (position, &(id, _)) in reason.clauses.iter().enumerate() {
         let clause = clauses.get(id);
-        events.push((clause.from, place, true));
+        events.push((clause.from, position, true));
         if clause.until != u64::MAX {
-            events.push((clause.until, place, false));
+            events.push((clause.until, position, false));
         }
     }
     events.sort_unstable();
     let decide = |holding: &BTreeSet<usize>| match holding.first() {
         None => Decision::refused(reason.otherwise),
-        Some(&place) => {
-            let (id, denies) = reason.clauses[place];
+        Some(&position) => {
+            let (id, denies) = reason.clauses[position];
             let clause = clauses.get(id);
             Decision { allowed: !denies, rule: RuleId::Rule(clause.rule), streams: clause.streams }
         }
@@ -75,11 +75,11 @@
     let mut holding = BTreeSet::new();
     let mut pieces: Vec<(u64, Decision)> = vec![(0, decide(&holding))];
     let mut events = events.into_iter().peekable();
-    while let Some((at, place, begins)) = events.next() {
+    while let Some((at, position, begins)) = events.next() {
         if begins {
-            holding.insert(place);
+            holding.insert(position);
         } else {
-            holding.remove(&place);
+            holding.remove(&position);
         }
         if events.peek().is_some_and(|next| next.0 == at) {
             continue;
--- a/crates/grants/src/document/check.rs
+++ b/crates/grants/src/document/check.rs
@@ -2,185 +2,193 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::error::{Fault, Kind};
+use super::error::{Fault, NameKind};
 use super::pattern::is_pattern;
 use super::position::KeyPath;
 use super::{Document, Rule};
 
 /// The longest name, bytes.
-pub const LONGEST_NAME: usize = 200;
+pub const MAX_NAME_BYTES: usize = 200;
 /// The most generations above a team.
-pub const DEEPEST: usize = 64;
+pub const MAX_ANCESTOR_GENERATIONS: usize = 64;
 /// The most teams, models with their aliases, groups, or rules.
-pub const MOST: usize = 100_000;
+pub const MAX_ENTRIES: usize = 100_000;
 /// The most names that one list of a document has.
-pub const MOST_NAMES: usize = 10_000;
+pub const MAX_LIST_NAMES: usize = 10_000;
 
 /// Everything that is wrong with the document, in the order in which it is looked for; empty for a good one.
-pub fn faults(document: &Document) -> Vec<(KeyPath, Fault)> {
+pub fn find_faults(document: &Document) -> Vec<(KeyPath, Fault)> {
     let mut found = Vec::new();
-    counts(document, &mut found);
-    let teams = teams(document, &mut found);
-    let (named, groups) = models(document, &mut found);
-    references(document, &teams, &groups, &mut found);
+    check_counts(document, &mut found);
+    let teams = check_teams(document, &mut found);
+    let (named, groups) = check_models(document, &mut found);
+    check_references(document, &teams, &groups, &mut found);
     let mut rules = HashSet::new();
     for (at, rule) in document.rules.iter().enumerate() {
-        let key = |field| KeyPath::at("rule", at, field);
-        name(&rule.name, key("name"), &mut found);
+        let key = |field| KeyPath::list_item("rule", at, field);
+        check_name(&rule.name, key("name"), &mut found);
         if !rules.insert(rule.name.as_str()) {
-            found.push((key("name"), Fault::Twice { kind: Kind::Rule, name: rule.name.clone() }));
+            found.push((key("name"), Fault::DuplicateName { kind: NameKind::Rule, name: rule.name.clone() }));
         }
-        listed(&rule.teams, Kind::Team, &teams, &key("teams"), &mut found);
-        listed(&rule.models, Kind::Model, &named, &key("models"), &mut found);
-        window(rule, key("until"), &mut found);
+        check_rule_list(&rule.teams, NameKind::Team, &teams, &key("teams"), &mut found);
+        check_rule_list(&rule.models, NameKind::Model, &named, &key("models"), &mut found);
+        check_window(rule, key("until"), &mut found);
     }
-    generations(document, &mut found);
-    circles(document, &mut found);
+    check_generations(document, &mut found);
+    check_cycles(document, &mut found);
     found
 }
 
 type Found = Vec<(KeyPath, Fault)>;
 
-fn counts(document: &Document, found: &mut Found) {
-    let names = document.models.iter().map(|model| 1 + model.aliases.len()).sum();
+fn check_counts(document: &Document, found: &mut Found) {
+    let model_names = document.models.iter().map(|model| 1 + model.aliases.len()).sum();
     for (what, count) in [
         ("team", document.teams.len()),
-        ("model", names),
+        ("model", model_names),
         ("group", document.groups.len()),
         ("rule", document.rules.len()),
     ] {
-        if count > MOST {
-            found.push((KeyPath::at(what, MOST, ""), Fault::Many { what, count, limit: MOST }));
+        if count > MAX_ENTRIES {
+            found.push((
+                KeyPath::list_item(what, MAX_ENTRIES, ""),
+                Fault::LimitExceeded { what, count, limit: MAX_ENTRIES },
+            ));
         }
     }
 }
 
-fn name(name: &str, key: KeyPath, found: &mut Found) {
-    let good = !name.is_empty()
-        && name.len() <= LONGEST_NAME
+fn check_name(name: &str, key: KeyPath, found: &mut Found) {
+    let valid = !name.is_empty()
+        && name.len() <= MAX_NAME_BYTES
         && !is_pattern(name)
         && !name.chars().any(char::is_control);
-    if !good {
-        found.push((key, Fault::Name { name: name.to_owned(), limit: LONGEST_NAME }));
+    if !valid {
+        found.push((key, Fault::InvalidName { name: name.to_owned(), limit: MAX_NAME_BYTES }));
     }
 }
 
-fn teams<'a>(document: &'a Document, found: &mut Found) -> HashSet<&'a str> {
+fn check_teams<'a>(document: &'a Document, found: &mut Found) -> HashSet<&'a str> {
     let mut seen = HashSet::new();
     for (at, team) in document.teams.iter().enumerate() {
-        let key = KeyPath::at("team", at, "name");
-        name(&team.name, key.clone(), found);
+        let key = KeyPath::list_item("team", at, "name");
+        check_name(&team.name, key.clone(), found);
         if !seen.insert(team.name.as_str()) {
-            found.push((key, Fault::Twice { kind: Kind::Team, name: team.name.clone() }));
+            found.push((key, Fault::DuplicateName { kind: NameKind::Team, name: team.name.clone() }));
         }
     }
     seen
 }
 
 /// All names that a rule may use for models, and the groups among them.
-fn models<'a>(document: &'a Document, found: &mut Found) -> (HashSet<&'a str>, HashSet<&'a str>) {
+fn check_models<'a>(document: &'a Document, found: &mut Found) -> (HashSet<&'a str>, HashSet<&'a str>) {
     let mut seen = HashSet::new();
     let mut groups = HashSet::new();
-    let mut take = |text: &'a str, key: KeyPath| {
-        name(text, key.clone(), found);
+    let mut add = |text: &'a str, key: KeyPath| {
+        check_name(text, key.clone(), found);
         if !seen.insert(text) {
-            found.push((key, Fault::Twice { kind: Kind::Model, name: text.to_owned() }));
+            found.push((key, Fault::DuplicateName { kind: NameKind::Model, name: text.to_owned() }));
         }
     };
     for (at, group) in document.groups.iter().enumerate() {
-        take(&group.name, KeyPath::at("group", at, "name"));
+        add(&group.name, KeyPath::list_item("group", at, "name"));
         groups.insert(group.name.as_str());
     }
     for (at, model) in document.models.iter().enumerate() {
-        take(&model.name, KeyPath::at("model", at, "name"));
+        add(&model.name, KeyPath::list_item("model", at, "name"));
         for (nth, alias) in model.aliases.iter().enumerate() {
-            take(alias, KeyPath::at("model", at, "aliases").item(nth));
+            add(alias, KeyPath::list_item("model", at, "aliases").with_index(nth));
         }
     }
     (seen, groups)
 }
 
-fn references(document: &Document, teams: &HashSet<&str>, groups: &HashSet<&str>, found: &mut Found) {
-    let mut known = |names: &[String], kind: Kind, among: &HashSet<&str>, key: KeyPath| {
-        if names.len() > MOST_NAMES {
-            let fault = Fault::Many { what: "names", count: names.len(), limit: MOST_NAMES };
+fn check_references(document: &Document, teams: &HashSet<&str>, groups: &HashSet<&str>, found: &mut Found) {
+    let mut check_list = |names: &[String], kind: NameKind, valid_names: &HashSet<&str>, key: KeyPath| {
+        if names.len() > MAX_LIST_NAMES {
+            let fault = Fault::LimitExceeded { what: "names", count: names.len(), limit: MAX_LIST_NAMES };
             found.push((key.clone(), fault));
         }
         for (nth, name) in names.iter().enumerate() {
-            if !among.contains(name.as_str()) {
-                found.push((key.clone().item(nth), Fault::Unknown { kind, name: name.clone() }));
+            if !valid_names.contains(name.as_str()) {
+                found.push((key.clone().with_index(nth), Fault::UnknownName { kind, name: name.clone() }));
             }
         }
     };
     for (at, team) in document.teams.iter().enumerate() {
-        known(&team.parents, Kind::Team, teams, KeyPath::at("team", at, "parents"));
+        check_list(&team.parents, NameKind::Team, teams, KeyPath::list_item("team", at, "parents"));
     }
     for (at, group) in document.groups.iter().enumerate() {
-        known(&group.groups, Kind::Group, groups, KeyPath::at("group", at, "groups"));
+        check_list(&group.groups, NameKind::Group, groups, KeyPath::list_item("group", at, "groups"));
     }
     for (at, model) in document.models.iter().enumerate() {
-        known(&model.groups, Kind::Group, groups, KeyPath::at("model", at, "groups"));
+        check_list(&model.groups, NameKind::Group, groups, KeyPath::list_item("model", at, "groups"));
     }
 }
 
-fn listed(names: &[String], kind: Kind, among: &HashSet<&str>, key: &KeyPath, found: &mut Found) {
+fn check_rule_list(
+    names: &[String], kind: NameKind, valid_names: &HashSet<&str>, key: &KeyPath, found: &mut Found,
+) {
     if names.is_empty() {
-        found.push((key.clone(), Fault::Nothing));
+        found.push((key.clone(), Fault::EmptyList));
     }
-    if names.len() > MOST_NAMES {
-        found.push((key.clone(), Fault::Many { what: "names", count: names.len(), limit: MOST_NAMES }));
+    if names.len() > MAX_LIST_NAMES {
+        found.push((
+            key.clone(),
+            Fault::LimitExceeded { what: "names", count: names.len(), limit: MAX_LIST_NAMES },
+        ));
     }
     for (nth, name) in names.iter().enumerate() {
-        if !is_pattern(name) && !among.contains(name.as_str()) {
-            found.push((key.clone().item(nth), Fault::Unknown { kind, name: name.clone() }));
+        if !is_pattern(name) && !valid_names.contains(name.as_str()) {
+            found.push((key.clone().with_index(nth), Fault::UnknownName { kind, name: name.clone() }));
         }
     }
 }
 
-fn window(rule: &Rule, key: KeyPath, found: &mut Found) {
+fn check_window(rule: &Rule, key: KeyPath, found: &mut Found) {
     if let (Some(from), Some(until)) = (rule.from, rule.until) {
         if until <= from {
-            found.push((key, Fault::Window { from, until }));
+            found.push((key, Fault::EmptyWindow { from, until }));
         }
     }
 }
 
-fn circles(document: &Document, found: &mut Found) {
+fn check_cycles(document: &Document, found: &mut Found) {
     let teams = document.teams.iter().map(|team| (team.name.as_str(), team.parents.as_slice()));
     let groups = document.groups.iter().map(|group| (group.name.as_str(), group.groups.as_slice()));
     for (kind, list, field, edges) in [
-        (Kind::Team, "team", "parents", teams.collect::<Vec<_>>()),
-        (Kind::Group, "group", "groups", groups.collect::<Vec<_>>()),
+        (NameKind::Team, "team", "parents", teams.collect::<Vec<_>>()),
+        (NameKind::Group, "group", "groups", groups.collect::<Vec<_>>()),
     ] {
-        if let Some((at, names)) = circle(&edges) {
-            found.push((KeyPath::at(list, at, field), Fault::Circle { kind, names }));
+        if let Some((at, names)) = find_cycle(&edges) {
+            found.push((KeyPath::list_item(list, at, field), Fault::Cycle { kind, names }));
         }
     }
 }
 
 /// A circle among the edges, first name repeated at its end, with the index of its first. What has no parents
 /// left is taken away until nothing changes; what stays has a circle above it, and walking up finds it.
-fn circle(edges: &[(&str, &[String])]) -> Option<(usize, Vec<String>)> {
+fn find_cycle(edges: &[(&str, &[String])]) -> Option<(usize, Vec<String>)> {
     let index: HashMap<&str, usize> = edges.iter().enumerate().map(|(at, edge)| (edge.0, at)).collect();
     let parents: Vec<Vec<usize>> = edges
         .iter()
         .map(|edge| edge.1.iter().filter_map(|name| index.get(name.as_str()).copied()).collect())
         .collect();
-    let left = crate::hierarchy::left_over(&parents);
-    let mut walk = vec![*left.iter().next()?];
-    let mut stands: HashMap<usize, usize> = HashMap::from([(walk[0], 0)]);
+    let candidates = crate::hierarchy::in_or_below_cycle(&parents);
+    let mut path = vec![*candidates.iter().next()?];
+    let mut path_index: HashMap<usize, usize> = HashMap::from([(path[0], 0)]);
     loop {
-        let next = *parents[*walk.last()?].iter().find(|parent| left.contains(*parent))?;
-        if let Some(&from) = stands.get(&next) {
-            let names = walk[from..].iter().chain([&next]).map(|&at| edges[at].0.to_owned()).collect();
+        let next = *parents[*path.last()?].iter().find(|parent| candidates.contains(*parent))?;
+        if let Some(&start) = path_index.get(&next) {
+            let names = path[start..].iter().chain([&next]).map(|&at| edges[at].0.to_owned()).collect();
             return Some((next, names));
         }
-        stands.insert(next, walk.len());
-        walk.push(next);
+        path_index.insert(next, path.len());
+        path.push(next);
     }
 }
 
-fn generations(document: &Document, found: &mut Found) {
+fn check_generations(document: &Document, found: &mut Found) {
     let index: HashMap<&str, usize> =
         document.teams.iter().enumerate().map(|(at, team)| (team.name.as_str(), at)).collect();
     let parents: Vec<Vec<usize>> = document
@@ -189,9 +197,12 @@
         .map(|team| team.parents.iter().filter_map(|name| index.get(name.as_str()).copied()).collect())
         .collect();
     for (at, depth) in crate::hierarchy::depths(&parents).into_iter().enumerate() {
-        if depth.is_some_and(|depth| depth > DEEPEST) {
+        if depth.is_some_and(|depth| depth > MAX_ANCESTOR_GENERATIONS) {
             let name = document.teams[at].name.clone();
-            found.push((KeyPath::at("team", at, "parents"), Fault::Deep { name, limit: DEEPEST }));
+            found.push((
+                KeyPath::list_item("team", at, "parents"),
+                Fault::TooManyGenerations { name, limit: MAX_ANCESTOR_GENERATIONS },
+            ));
             return;
         }
     }
--- a/crates/grants/src/document/mod.rs
+++ b/crates/grants/src/document/mod.rs
@@ -30,9 +30,9 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use error::{DocumentError, Fault, Kind};
+pub use error::{DocumentError, Fault, NameKind};
 pub use pattern::{is_pattern, matches};
-pub use position::{Key, KeyPath, Place};
+pub use position::{KeyPath, KeySegment, Position};
 
 /// The whole of what admins say. What no rule allows is refused; a rule that denies goes before one that
 /// allows. Names of models, aliases and groups share one space.
@@ -91,7 +91,7 @@
 /// What becomes of a stream under way when its grant ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum UnderWay {
+pub enum StreamPolicy {
     /// It runs to its end.
     #[default]
     Finish,
@@ -120,12 +120,12 @@
     /// Of a rule that denies: for the streams that it stops. Of one that allows: for the streams that it let in,
     /// when nothing allows them any more.
     #[serde(default)]
-    pub streams: UnderWay,
+    pub streams: StreamPolicy,
 }
 
 impl Rule {
     /// Whether it holds at `now` (Unix ms).
-    pub fn holds(&self, now: u64) -> bool {
+    pub fn is_active(&self, now: u64) -> bool {
         self.from.is_none_or(|from| from <= now) && self.until.is_none_or(|until| now < until)
     }
 }
--- a/crates/grants/src/document/pattern.rs
+++ b/crates/grants/src/document/pattern.rs
@@ -8,23 +8,23 @@
 /// Whether the name is one that the pattern stands for. Takes time of at most the product of both lengths.
 pub fn matches(pattern: &str, name: &str) -> bool {
     let (pattern, name) = (pattern.as_bytes(), name.as_bytes());
-    let (mut at, mut read) = (0, 0);
-    let mut star: Option<(usize, usize)> = None;
-    while read < name.len() {
-        if pattern.get(at) == Some(&b'*') {
-            star = Some((at, read));
-            at += 1;
-        } else if pattern.get(at) == Some(&name[read]) {
-            (at, read) = (at + 1, read + 1);
-        } else if let Some((stood, from)) = star {
+    let (mut pattern_pos, mut name_pos) = (0, 0);
+    let mut last_star: Option<(usize, usize)> = None;
+    while name_pos < name.len() {
+        if pattern.get(pattern_pos) == Some(&b'*') {
+            last_star = Some((pattern_pos, name_pos));
+            pattern_pos += 1;
+        } else if pattern.get(pattern_pos) == Some(&name[name_pos]) {
+            (pattern_pos, name_pos) = (pattern_pos + 1, name_pos + 1);
+        } else if let Some((star_pos, match_end)) = last_star {
             // The last star takes one more character.
-            star = Some((stood, from + 1));
-            (at, read) = (stood + 1, from + 1);
+            last_star = Some((star_pos, match_end + 1));
+            (pattern_pos, name_pos) = (star_pos + 1, match_end + 1);
         } else {
             return false;
         }
     }
-    pattern[at..].iter().all(|&byte| byte == b'*')
+    pattern[pattern_pos..].iter().all(|&byte| byte == b'*')
 }
 
 #[cfg(test)]
@@ -32,8 +32,8 @@
     use super::matches;
 
     #[test]
-    fn a_star_is_any_run() {
-        for (pattern, name, is) in [
+    fn a_star_matches_any_run_of_characters() {
+        for (pattern, name, expected) in [
             ("*", "", true),
             ("*", "a", true),
             ("a*", "abc", true),
@@ -44,7 +44,7 @@
             ("ab*", "a", false),
             ("a**", "a", true),
         ] {
-            assert_eq!(matches(pattern, name), is, "{pattern} {name}");
+            assert_eq!(matches(pattern, name), expected, "{pattern} {name}");
         }
     }
 }
--- a/crates/grants/src/document/position.rs
+++ b/crates/grants/src/document/position.rs
@@ -10,61 +10,61 @@
 
 /// A line and a column, both from 1; the column counts characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     pub line: usize,
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "line {}, column {}", self.line, self.column)
     }
 }
 
-impl Place {
+impl Position {
     /// The place of a byte of the text; the last place for one beyond it.
-    pub fn of(text: &str, byte: usize) -> Place {
+    pub fn at_byte(text: &str, byte: usize) -> Position {
         let before = text.get(..byte.min(text.len())).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-        Place { line, column }
+        Position { line, column }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Key {
-    Named(String),
+pub enum KeySegment {
+    Field(String),
     /// Counted from 0.
     Index(usize),
 }
 
 /// The way to a value, such as `rule[2].teams[0]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KeyPath(pub Vec<Key>);
+pub struct KeyPath(pub Vec<KeySegment>);
 
 impl KeyPath {
     /// `list[index].field`, or `list[index]` alone where the field is empty.
-    pub fn at(list: &str, index: usize, field: &str) -> KeyPath {
-        let mut path = vec![Key::Named(list.to_owned()), Key::Index(index)];
+    pub fn list_item(list: &str, index: usize, field: &str) -> KeyPath {
+        let mut path = vec![KeySegment::Field(list.to_owned()), KeySegment::Index(index)];
         if !field.is_empty() {
-            path.push(Key::Named(field.to_owned()));
+            path.push(KeySegment::Field(field.to_owned()));
         }
         KeyPath(path)
     }
 
-    pub fn item(mut self, index: usize) -> KeyPath {
-        self.0.push(Key::Index(index));
+    pub fn with_index(mut self, index: usize) -> KeyPath {
+        self.0.push(KeySegment::Index(index));
         self
     }
 }
 
 impl fmt::Display for KeyPath {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, key) in self.0.iter().enumerate() {
-            match key {
-                Key::Named(name) if at == 0 => write!(out, "{name}")?,
-                Key::Named(name) => write!(out, ".{name}")?,
-                Key::Index(index) => write!(out, "[{index}]")?,
+        for (depth, segment) in self.0.iter().enumerate() {
+            match segment {
+                KeySegment::Field(name) if depth == 0 => write!(out, "{name}")?,
+                KeySegment::Field(name) => write!(out, ".{name}")?,
+                KeySegment::Index(index) => write!(out, "[{index}]")?,
             }
         }
         Ok(())
@@ -72,40 +72,40 @@
 }
 
 /// Where the value stands in a TOML text, or the nearest one above it that is there.
-pub fn in_toml(text: &str, path: &KeyPath) -> Option<Place> {
+pub fn locate_in_toml(text: &str, path: &KeyPath) -> Option<Position> {
     let table = DeTable::parse(text).ok()?;
     let mut start = table.span().start;
     let mut value: Option<&Spanned<DeValue<'_>>> = None;
-    for key in &path.0 {
-        let next = match (value.map(Spanned::get_ref), key) {
-            (None, Key::Named(name)) => table.get_ref().get(name.as_str()),
-            (Some(DeValue::Table(table)), Key::Named(name)) => table.get(name.as_str()),
-            (Some(DeValue::Array(list)), Key::Index(index)) => list.get(*index),
+    for segment in &path.0 {
+        let next = match (value.map(Spanned::get_ref), segment) {
+            (None, KeySegment::Field(name)) => table.get_ref().get(name.as_str()),
+            (Some(DeValue::Table(table)), KeySegment::Field(name)) => table.get(name.as_str()),
+            (Some(DeValue::Array(list)), KeySegment::Index(index)) => list.get(*index),
             _ => None,
         };
         let Some(next) = next else { break };
         start = next.span().start;
         value = Some(next);
     }
-    Some(Place::of(text, start))
+    Some(Position::at_byte(text, start))
 }
 
 /// Where the value stands in a JSON text, or the nearest one above it that is there.
-pub fn in_json(text: &str, path: &KeyPath) -> Option<Place> {
-    let mut here = text.trim_start();
-    for key in &path.0 {
-        let next = match key {
-            Key::Named(name) => serde_json::from_str::<HashMap<String, &RawValue>>(here)
+pub fn locate_in_json(text: &str, path: &KeyPath) -> Option<Position> {
+    let mut current = text.trim_start();
+    for segment in &path.0 {
+        let next = match segment {
+            KeySegment::Field(name) => serde_json::from_str::<HashMap<String, &RawValue>>(current)
                 .ok()
                 .and_then(|fields| fields.get(name).map(|value| value.get())),
-            Key::Index(index) => serde_json::from_str::<Vec<&RawValue>>(here)
+            KeySegment::Index(index) => serde_json::from_str::<Vec<&RawValue>>(current)
                 .ok()
                 .and_then(|items| items.get(*index).map(|value| value.get())),
         };
         let Some(next) = next else { break };
-        here = next;
+        current = next;
     }
     // A raw value is a part of the text itself, so its address says where it stands.
-    let byte = (here.as_ptr() as usize).checked_sub(text.as_ptr() as usize)?;
-    Some(Place::of(text, byte))
+    let byte = (current.as_ptr() as usize).checked_sub(text.as_ptr() as usize)?;
+    Some(Position::at_byte(text, byte))
 }
--- a/crates/grants/src/document/read.rs
+++ b/crates/grants/src/document/read.rs
@@ -5,33 +5,34 @@
 
 use crate::sections::TeamSection;
 
-use super::check::faults;
+use super::check::find_faults;
 use super::error::{DocumentError, Fault};
-use super::position::{in_json, in_toml, Key, KeyPath, Place};
+use super::position::{locate_in_json, locate_in_toml, KeyPath, KeySegment, Position};
 use super::Document;
 
 /// The longest text that is read, bytes.
-pub const LONGEST: usize = 16 << 20;
+pub const MAX_TEXT_BYTES: usize = 16 << 20;
 
 impl Document {
     /// Reads an operators' file.
     pub fn from_toml(text: &str) -> Result<Document, DocumentError> {
-        within(text)?;
-        let form = |key: KeyPath, error: toml::de::Error| DocumentError {
-            place: error.span().map(|span| Place::of(text, span.start)),
+        check_length(text)?;
+        let malformed = |key: KeyPath, error: toml::de::Error| DocumentError {
+            position: error.span().map(|span| Position::at_byte(text, span.start)),
             key,
-            fault: Fault::Form { message: error.message().to_owned() },
+            fault: Fault::Malformed { message: error.message().to_owned() },
         };
-        let reader = toml::Deserializer::parse(text).map_err(|error| form(KeyPath::default(), error))?;
-        let document: Document = serde_path_to_error::deserialize(reader)
-            .map_err(|error| form(key_path(error.path()), error.into_inner()))?;
-        checked(document, |path| in_toml(text, path))
+        let deserializer =
+            toml::Deserializer::parse(text).map_err(|error| malformed(KeyPath::default(), error))?;
+        let document: Document = serde_path_to_error::deserialize(deserializer)
+            .map_err(|error| malformed(key_path(error.path()), error.into_inner()))?;
+        validated(document, |path| locate_in_toml(text, path))
     }
 
     /// Reads what came over the wire.
     pub fn from_json(text: &str) -> Result<Document, DocumentError> {
-        let document = json(text)?;
-        checked(document, |path| in_json(text, path))
+        let document = parse_json(text)?;
+        validated(document, |path| locate_in_json(text, path))
     }
 
     /// The text of an operators' file that reads as this document.
@@ -45,25 +46,25 @@
 }
 
 /// Any form of JSON, by its form alone.
-fn json<T: DeserializeOwned>(text: &str) -> Result<T, DocumentError> {
-    within(text)?;
-    let form = |key: KeyPath, error: serde_json::Error| DocumentError {
-        place: Some(Place { line: error.line().max(1), column: error.column().max(1) }),
+fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, DocumentError> {
+    check_length(text)?;
+    let malformed = |key: KeyPath, error: serde_json::Error| DocumentError {
+        position: Some(Position { line: error.line().max(1), column: error.column().max(1) }),
         key,
-        fault: Fault::Form { message: error.to_string() },
+        fault: Fault::Malformed { message: error.to_string() },
     };
-    let mut reader = serde_json::Deserializer::from_str(text);
-    let read = serde_path_to_error::deserialize(&mut reader)
-        .map_err(|error| form(key_path(error.path()), error.into_inner()))?;
-    reader.end().map_err(|error| form(KeyPath::default(), error))?;
-    Ok(read)
+    let mut deserializer = serde_json::Deserializer::from_str(text);
+    let value = serde_path_to_error::deserialize(&mut deserializer)
+        .map_err(|error| malformed(key_path(error.path()), error.into_inner()))?;
+    deserializer.end().map_err(|error| malformed(KeyPath::default(), error))?;
+    Ok(value)
 }
 
 impl TeamSection {
     /// Reads one team's entry as it came over the wire. A rule without `teams` is for this team. What it names
     /// is checked when it is proposed ([`crate::versions::Ledger::propose`]), for it needs the rest.
     pub fn from_json(team: &str, text: &str) -> Result<TeamSection, DocumentError> {
-        let mut section: TeamSection = json(text)?;
+        let mut section: TeamSection = parse_json(text)?;
         for rule in section.rules.iter_mut().filter(|rule| rule.teams.is_empty()) {
             rule.teams.push(team.to_owned());
         }
@@ -73,21 +74,27 @@
 
 /// A time beyond what TOML's integers hold is all that cannot be written.
 fn unwritable(error: impl std::fmt::Display) -> DocumentError {
-    DocumentError { place: None, key: KeyPath::default(), fault: Fault::Form { message: error.to_string() } }
+    DocumentError {
+        position: None,
+        key: KeyPath::default(),
+        fault: Fault::Malformed { message: error.to_string() },
+    }
 }
 
-fn within(text: &str) -> Result<(), DocumentError> {
-    if text.len() <= LONGEST {
+fn check_length(text: &str) -> Result<(), DocumentError> {
+    if text.len() <= MAX_TEXT_BYTES {
         return Ok(());
     }
-    let fault = Fault::Many { what: "bytes", count: text.len(), limit: LONGEST };
-    Err(DocumentError { place: None, key: KeyPath::default(), fault })
+    let fault = Fault::LimitExceeded { what: "bytes", count: text.len(), limit: MAX_TEXT_BYTES };
+    Err(DocumentError { position: None, key: KeyPath::default(), fault })
 }
 
-fn checked(document: Document, place: impl Fn(&KeyPath) -> Option<Place>) -> Result<Document, DocumentError> {
-    match faults(&document).into_iter().next() {
+fn validated(
+    document: Document, locate: impl Fn(&KeyPath) -> Option<Position>,
+) -> Result<Document, DocumentError> {
+    match find_faults(&document).into_iter().next() {
         None => Ok(document),
-        Some((key, fault)) => Err(DocumentError { place: place(&key), key, fault }),
+        Some((key, fault)) => Err(DocumentError { position: locate(&key), key, fault }),
     }
 }
 
@@ -95,9 +102,9 @@
     KeyPath(
         path.iter()
             .filter_map(|segment| match segment {
-                Segment::Seq { index } => Some(Key::Index(*index)),
-                Segment::Map { key } => Some(Key::Named(key.clone())),
-                Segment::Enum { variant } => Some(Key::Named(variant.clone())),
+                Segment::Seq { index } => Some(KeySegment::Index(*index)),
+                Segment::Map { key } => Some(KeySegment::Field(key.clone())),
+                Segment::Enum { variant } => Some(KeySegment::Field(variant.clone())),
                 Segment::Unknown => None,
             })
             .collect(),
--- a/crates/grants/src/reference.rs
+++ b/crates/grants/src/reference.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::compiled::{RuleId, RuleName};
-use crate::document::check::DEEPEST;
+use crate::document::check::MAX_ANCESTOR_GENERATIONS;
 use crate::document::{is_pattern, matches, Effect, Rule};
 use crate::sections::{Catalogue, SectionKey, Sections, TeamSection};
 
@@ -98,20 +98,20 @@
     ) -> Option<()> {
         let siblings = self.sections.teams.get(team)?;
         seen.insert(team, siblings);
-        if depth > DEEPEST {
+        if depth > MAX_ANCESTOR_GENERATIONS {
             return None;
         }
         siblings
             .iter()
             .flatten()
             .flat_map(|section| &section.parents)
-            .try_for_each(|up| self.walk(up, depth + 1, seen))
+            .try_for_each(|parent| self.walk(parent, depth + 1, seen))
     }
 
     fn hold(
         &self, section: SectionKey, rule: &Rule, model: &str, now: u64, out: &mut BTreeMap<(u32, Effect), ()>,
     ) {
-        if rule.holds(now) && self.applies(rule, model) {
+        if rule.is_active(now) && self.applies(rule, model) {
             let name = RuleName { section, rule: rule.name.clone() };
             out.insert((self.rules[&name], rule.effect), ());
         }
@@ -133,12 +133,13 @@
 
     /// Whether, with these shared rules, every choice of siblings allows it.
     fn allows(&self, team: &str, shared: &[Rule], model: &str, now: u64) -> bool {
-        let is = |rule: &Rule| rule.effect == Effect::Allow && rule.holds(now) && self.applies(rule, model);
+        let is =
+            |rule: &Rule| rule.effect == Effect::Allow && rule.is_active(now) && self.applies(rule, model);
         shared.iter().any(|rule| names(&rule.teams, team) && is(rule))
             || self.sections.teams[team].iter().all(|section| {
                 section.as_ref().is_some_and(|section| {
                     section.rules.iter().any(is)
-                        || section.parents.iter().any(|up| self.allows(up, shared, model, now))
+                        || section.parents.iter().any(|parent| self.allows(parent, shared, model, now))
                 })
             })
     }
@@ -160,16 +161,20 @@
     for group in &catalogue.groups {
         let mut within = BTreeSet::from([group.name.as_str()]);
         loop {
-            let more =
-                catalogue.groups.iter().filter(|it| it.groups.iter().any(|up| within.contains(up.as_str())));
+            let more = catalogue
+                .groups
+                .iter()
+                .filter(|it| it.groups.iter().any(|parent| within.contains(parent.as_str())));
             let before = within.len();
             within.extend(more.map(|it| it.name.as_str()).collect::<Vec<_>>());
             if within.len() == before {
                 break;
             }
         }
-        let models =
-            catalogue.models.iter().filter(|m| m.groups.iter().any(|up| within.contains(up.as_str())));
+        let models = catalogue
+            .models
+            .iter()
+            .filter(|m| m.groups.iter().any(|parent| within.contains(parent.as_str())));
         meanings.insert(group.name.clone(), models.map(|model| model.name.clone()).collect());
     }
     for name in catalogue.models.iter().flat_map(|model| model.aliases.iter().chain([&model.name])) {
--- a/crates/grants/src/versions/entry.rs
+++ b/crates/grants/src/versions/entry.rs
@@ -23,13 +23,13 @@
     pub fn of(key: &SectionKey, cell: &Cell) -> Result<Entry, ByteError> {
         let damaged = |_| ByteError::Damaged { key: key.clone() };
         let value = postcard::to_extend(cell, vec![FORMAT]).map_err(damaged)?;
-        within(&value)?;
+        check_length(&value)?;
         Ok(Entry { key: key_bytes(key), value })
     }
 
     pub fn read(&self) -> Result<(SectionKey, Cell), ByteError> {
         let key = key_of(&self.key)?;
-        within(&self.value)?;
+        check_length(&self.value)?;
         let damaged = || ByteError::Damaged { key: key.clone() };
         let (&format, content) = self.value.split_first().ok_or_else(damaged)?;
         if format != FORMAT {
@@ -43,7 +43,7 @@
     }
 }
 
-fn within(value: &[u8]) -> Result<(), ByteError> {
+fn check_length(value: &[u8]) -> Result<(), ByteError> {
     match value.len() {
         bytes if bytes > MOST_BYTES => Err(ByteError::Large { bytes, most: MOST_BYTES }),
         _ => Ok(()),
--- a/crates/grants/src/versions/propose.rs
+++ b/crates/grants/src/versions/propose.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use crate::document::check::faults;
-use crate::document::{Document, DocumentError, Fault, Key, KeyPath, Team};
+use crate::document::check::find_faults;
+use crate::document::{Document, DocumentError, Fault, KeyPath, KeySegment, Team};
 use crate::sections::{Section, SectionKey, Sections, TeamSection};
 
 use super::entry::Entry;
@@ -54,8 +54,8 @@
         if let Some(rule) =
             section.iter().flat_map(|section| &section.rules).find(|rule| rule.teams != [team])
         {
-            let fault = Fault::Elsewhere { rule: rule.name.clone(), team: team.to_owned() };
-            return Err(DocumentError { place: None, key: KeyPath::default(), fault }.into());
+            let fault = Fault::RuleForOtherTeams { rule: rule.name.clone(), team: team.to_owned() };
+            return Err(DocumentError { position: None, key: KeyPath::default(), fault }.into());
         }
         let mut after = before.clone();
         match &section {
@@ -73,8 +73,8 @@
         &mut self, expected: Version, document: &Document,
     ) -> Result<Proposal, LedgerError> {
         self.expect(None, expected, self.version_of_all())?;
-        if let Some((key, fault)) = faults(document).into_iter().next() {
-            return Err(DocumentError { place: None, key, fault }.into());
+        if let Some((key, fault)) = find_faults(document).into_iter().next() {
+            return Err(DocumentError { position: None, key, fault }.into());
         }
         let mut wanted = Sections::by_key(document);
         let keys: BTreeSet<SectionKey> = self.cells.keys().chain(wanted.keys()).cloned().collect();
@@ -132,10 +132,10 @@
 /// The first fault that the change would bring, under its key in the team's entry.
 fn no_new_fault(before: &Sections, after: &Sections, team: &str) -> Result<(), DocumentError> {
     let (old, new) = (before.to_document(), after.to_document());
-    let known: Vec<Fault> = faults(&old).into_iter().map(|(_, fault)| fault).collect();
-    match faults(&new).into_iter().find(|(_, fault)| !known.contains(fault)) {
+    let known: Vec<Fault> = find_faults(&old).into_iter().map(|(_, fault)| fault).collect();
+    match find_faults(&new).into_iter().find(|(_, fault)| !known.contains(fault)) {
         None => Ok(()),
-        Some((key, fault)) => Err(DocumentError { place: None, key: within(key, &new, team), fault }),
+        Some((key, fault)) => Err(DocumentError { position: None, key: within(key, &new, team), fault }),
     }
 }
 
@@ -143,13 +143,15 @@
 fn within(key: KeyPath, document: &Document, team: &str) -> KeyPath {
     let own = |at: &usize| document.rules.get(*at).is_some_and(|rule| rule.teams == [team]);
     match key.0.as_slice() {
-        [Key::Named(list), Key::Index(at), rest @ ..] if list == "team" => match document.teams.get(*at) {
-            Some(Team { name, .. }) if name == team => KeyPath(rest.to_vec()),
-            _ => key,
-        },
-        [Key::Named(list), Key::Index(at), rest @ ..] if list == "rule" && own(at) => {
+        [KeySegment::Field(list), KeySegment::Index(at), rest @ ..] if list == "team" => {
+            match document.teams.get(*at) {
+                Some(Team { name, .. }) if name == team => KeyPath(rest.to_vec()),
+                _ => key,
+            }
+        }
+        [KeySegment::Field(list), KeySegment::Index(at), rest @ ..] if list == "rule" && own(at) => {
             let first = document.rules.iter().position(|rule| rule.teams == [team]).unwrap_or(*at);
-            let mut path = vec![Key::Named("rules".to_owned()), Key::Index(at - first)];
+            let mut path = vec![KeySegment::Field("rules".to_owned()), KeySegment::Index(at - first)];
             path.extend_from_slice(rest);
             KeyPath(path)
         }
--- a/crates/grants/src/versions/version_vector.rs
+++ b/crates/grants/src/versions/version_vector.rs
@@ -36,13 +36,13 @@
         self.0.get(&dot.origin).is_some_and(|&count| dot.count <= count)
     }
 
-    pub fn take(&mut self, dot: &Dot) {
+    pub fn add(&mut self, dot: &Dot) {
         let count = self.0.entry(dot.origin).or_default();
         *count = dot.count.max(*count);
     }
 
     pub fn merge(&mut self, other: &Clock) {
-        other.dots().for_each(|dot| self.take(&dot));
+        other.dots().for_each(|dot| self.add(&dot));
     }
 
     /// Whether it covers all of the other.
--- a/crates/grants/src/versions/versioned_section.rs
+++ b/crates/grants/src/versions/versioned_section.rs
@@ -26,7 +26,7 @@
     /// The cell after a change that knew all of this one.
     pub(super) fn changed(&self, dot: Dot, section: Option<Section>) -> Cell {
         let mut clock = self.clock.clone();
-        clock.take(&dot);
+        clock.add(&dot);
         Cell { clock, siblings: BTreeSet::from([Sibling { dot, section }]) }
     }
 
--- a/crates/grants/tests/documents.rs
+++ b/crates/grants/tests/documents.rs
@@ -1,6 +1,6 @@
 //! Documents from text: each error names line and key, and both forms say the same.
 
-use glenrail_grants::document::{Document, DocumentError, Fault, Kind};
+use glenrail_grants::document::{Document, DocumentError, Fault, NameKind};
 
 const GOOD: &str = r#"
 [[group]]
@@ -68,12 +68,12 @@
 fn form_errors_name_line_and_key() {
     let error = wrong("\"allow\"", "\"permit\"");
     assert_eq!(error.key.to_string(), "rule[0].effect");
-    assert_eq!(error.place.unwrap().line, 24);
+    assert_eq!(error.position.unwrap().line, 24);
     let error = wrong("restricted = true", "restrict = true");
-    assert_eq!((error.key.to_string().as_str(), error.place.unwrap().line), ("model[0].restrict", 13));
+    assert_eq!((error.key.to_string().as_str(), error.position.unwrap().line), ("model[0].restrict", 13));
     let error = wrong("[[team]]", "[[team]");
-    assert!(matches!(error.fault, Fault::Form { .. }));
-    assert_eq!(error.place.unwrap().line, 15);
+    assert!(matches!(error.fault, Fault::Malformed { .. }));
+    assert_eq!(error.position.unwrap().line, 15);
 }
 
 #[test]
@@ -81,9 +81,9 @@
     let text = "{\n \"team\": [\n  {\"name\": \"a\",\n   \"parents\": [\"é\",\n    \"b\"]}]}";
     let error = Document::from_json(text).unwrap_err();
     assert_eq!(error.to_string(), "line 4, column 16: team[0].parents[0]: there is no team `é`");
-    assert_eq!(error.fault, Fault::Unknown { kind: Kind::Team, name: "é".to_owned() });
+    assert_eq!(error.fault, Fault::UnknownName { kind: NameKind::Team, name: "é".to_owned() });
     let error = Document::from_json("{\n\"rule\": [{\"name\": 3}]}").unwrap_err();
-    assert_eq!((error.key.to_string().as_str(), error.place.unwrap().line), ("rule[0].name", 2));
+    assert_eq!((error.key.to_string().as_str(), error.position.unwrap().line), ("rule[0].name", 2));
     assert!(Document::from_json("{} x").is_err());
     assert!(Document::from_json("").is_err());
 }
--- a/crates/grants/tests/dry_run.rs
+++ b/crates/grants/tests/dry_run.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use glenrail_grants::compiled::{RuleId, Table};
-use glenrail_grants::document::{Document, UnderWay};
+use glenrail_grants::document::{Document, StreamPolicy};
 use glenrail_grants::dry_run::{DryRun, Unconfirmed};
 
 fn table(rules: &str) -> Table {
@@ -45,8 +45,8 @@
     let check = |table: &Table| table.check_names("a", "m", 0);
     let let_in = check(&granted("cut"));
     assert_eq!(let_in.under_way(&check(&granted("finish"))), None);
-    assert_eq!(let_in.under_way(&check(&table(""))), Some(UnderWay::Cut));
-    assert_eq!(let_in.under_way(&check(&denied("finish"))), Some(UnderWay::Finish));
-    assert_eq!(check(&granted("finish")).under_way(&check(&denied("cut"))), Some(UnderWay::Cut));
-    assert_eq!(check(&granted("finish")).under_way(&check(&table(""))), Some(UnderWay::Finish));
+    assert_eq!(let_in.under_way(&check(&table(""))), Some(StreamPolicy::Cut));
+    assert_eq!(let_in.under_way(&check(&denied("finish"))), Some(StreamPolicy::Finish));
+    assert_eq!(check(&granted("finish")).under_way(&check(&denied("cut"))), Some(StreamPolicy::Cut));
+    assert_eq!(check(&granted("finish")).under_way(&check(&table(""))), Some(StreamPolicy::Finish));
 }
--- a/crates/grants/tests/support/large.rs
+++ b/crates/grants/tests/support/large.rs
@@ -1,6 +1,6 @@
 //! The size that is promised for: 10,000 teams, 1,000 models.
 
-use glenrail_grants::document::{Document, Effect, Group, Model, Rule, Team, UnderWay};
+use glenrail_grants::document::{Document, Effect, Group, Model, Rule, StreamPolicy, Team};
 
 pub const TEAMS: usize = 10_000;
 pub const MODELS: usize = 1_000;
@@ -49,7 +49,7 @@
             models: vec![models],
             from: window.map(|window| window.0),
             until: window.map(|window| window.1),
-            streams: UnderWay::Finish,
+            streams: StreamPolicy::Finish,
         });
     };
     for n in 0..300u64 {
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use glenrail_grants::document::{Effect, Group, Model, Rule, UnderWay};
+use glenrail_grants::document::{Effect, Group, Model, Rule, StreamPolicy};
 use glenrail_grants::sections::{Catalogue, Sections, TeamSection};
 use proptest::collection::vec;
 use proptest::option;
@@ -30,7 +30,7 @@
             models,
             from,
             until,
-            streams: if cut { UnderWay::Cut } else { UnderWay::Finish },
+            streams: if cut { StreamPolicy::Cut } else { StreamPolicy::Finish },
         },
     )
 }
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -275,15 +275,15 @@
     let section = TeamSection::from_json("b", text).unwrap();
     let Err(LedgerError::Document(error)) = change(&mut all[0], "b", Some(section)) else { panic!("taken") };
     assert_eq!(
-        error.placed(text).to_string(),
+        error.with_position(text).to_string(),
         "line 3, column 19: rules[0].models[1]: there is no model, alias or group `zz`"
     );
     // Its parent cannot go either, nor be under it.
     let Err(LedgerError::Document(error)) = change(&mut all[0], "a", None) else { panic!("taken") };
-    assert!(matches!(error.fault, Fault::Unknown { .. }), "{error}");
+    assert!(matches!(error.fault, Fault::UnknownName { .. }), "{error}");
     let circle = TeamSection { parents: vec!["b".to_owned()], rules: Vec::new() };
     let Err(LedgerError::Document(error)) = change(&mut all[0], "a", Some(circle)) else { panic!("taken") };
-    assert!(matches!(error.fault, Fault::Circle { .. }), "{error}");
+    assert!(matches!(error.fault, Fault::Cycle { .. }), "{error}");
     assert_eq!(all[0].version_of_all(), before);
 }
 
