--- a/crates/grants/benches/check.rs
+++ b/crates/grants/benches/check.rs
@@ -7,14 +7,14 @@
 
 use divan::{black_box, Bencher};
 use glenrail_grants::compiled::Table;
-use glenrail_grants::reference::Twin;
+use glenrail_grants::reference::ReferenceTable;
 use glenrail_grants::sections::Sections;
 use large::{document, model, team, MODELS, TEAMS};
 
 fn main() {
     let table = Table::from_document(&document());
-    let (rows, blocks, verdicts) = table.sizes();
-    println!("{rows} rows, {blocks} blocks of 64 cells, {verdicts} verdicts");
+    let (rows, blocks, timelines) = table.sizes();
+    println!("{rows} rows, {blocks} blocks of 64 cells, {timelines} verdicts");
     divan::main();
 }
 
@@ -50,7 +50,7 @@
 
 #[divan::bench(sample_count = 50, sample_size = 4)]
 fn plain_twin_by_names(bencher: Bencher) {
-    let twin = Twin::of(&Sections::from_document(&document()));
+    let twin = ReferenceTable::new(&Sections::from_document(&document()));
     let names: Vec<_> = pairs().into_iter().map(|(t, m)| (team(t), model(m))).collect();
     let mut n = 0;
     bencher.bench_local(|| {
--- a/crates/grants/src/compiled/clauses.rs
+++ b/crates/grants/src/compiled/clauses.rs
@@ -8,7 +8,7 @@
 
 /// The most clauses that siblings' differing lists are multiplied out to for one team. Beyond it the rest is
 /// left out, which allows less and never more.
-pub const MOST_PRODUCTS: usize = 4_096;
+pub const MAX_PRODUCT_CLAUSES: usize = 4_096;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Clause {
@@ -19,7 +19,7 @@
     pub until: u64,
     /// Index of the rule that is named.
     pub rule: u32,
-    pub streams: StreamPolicy,
+    pub stream_policy: StreamPolicy,
 }
 
 pub type ClauseId = u32;
@@ -53,36 +53,41 @@
 
     /// What all the lists allow. What all have in common stays as it is, and only the rest is multiplied out:
     /// (C or A) and (C or B) is C or (A and B). The second is whether something was left out for its number.
-    pub fn all_of(&mut self, lists: Vec<BTreeSet<ClauseId>>) -> (BTreeSet<ClauseId>, bool) {
-        let Some(common) = lists.iter().cloned().reduce(|some, more| &some & &more) else {
+    pub fn intersect_lists(&mut self, lists: Vec<BTreeSet<ClauseId>>) -> (BTreeSet<ClauseId>, bool) {
+        let Some(common) = lists.iter().cloned().reduce(|left, right| &left & &right) else {
             return (BTreeSet::new(), false);
         };
         let mut rests = lists.iter().map(|list| list - &common);
         let mut product = rests.next().unwrap_or_default();
-        let mut short = false;
+        let mut limit_reached = false;
         for rest in rests {
             let mut next = BTreeSet::new();
             'pairs: for &one in &product {
                 for &other in &rest {
-                    if next.len() >= MOST_PRODUCTS {
-                        short = true;
+                    if next.len() >= MAX_PRODUCT_CLAUSES {
+                        limit_reached = true;
                         break 'pairs;
                     }
-                    next.extend(self.both(one, other));
+                    next.extend(self.intersect(one, other));
                 }
             }
             product = next;
         }
-        (&common | &product, short)
+        (&common | &product, limit_reached)
     }
 
-    fn both(&mut self, one: ClauseId, other: ClauseId) -> Option<ClauseId> {
+    fn intersect(&mut self, one: ClauseId, other: ClauseId) -> Option<ClauseId> {
         let (a, b) = (self.get(one), self.get(other));
         let mut models = a.models.clone();
-        models.intersect(&b.models);
+        models.intersect_with(&b.models);
         let (from, until) = (a.from.max(b.from), a.until.min(b.until));
-        let both =
-            Clause { models, from, until, rule: a.rule.min(b.rule), streams: a.streams.max(b.streams) };
-        (from < until && !both.models.is_empty()).then(|| self.intern(both))
+        let intersection = Clause {
+            models,
+            from,
+            until,
+            rule: a.rule.min(b.rule),
+            stream_policy: a.stream_policy.max(b.stream_policy),
+        };
+        (from < until && !intersection.models.is_empty()).then(|| self.intern(intersection))
     }
 }
--- a/crates/grants/src/compiled/models.rs
+++ b/crates/grants/src/compiled/models.rs
@@ -10,7 +10,7 @@
 pub struct ModelSet(Box<[u64]>);
 
 impl ModelSet {
-    pub fn none(models: usize) -> ModelSet {
+    pub fn empty(models: usize) -> ModelSet {
         ModelSet(vec![0; models.div_ceil(64)].into())
     }
 
@@ -26,30 +26,31 @@
         &self.0
     }
 
-    pub fn unite(&mut self, other: &ModelSet) {
-        self.0.iter_mut().zip(&other.0).for_each(|(word, &more)| *word |= more);
+    pub fn union_with(&mut self, other: &ModelSet) {
+        self.0.iter_mut().zip(&other.0).for_each(|(word, &other_word)| *word |= other_word);
     }
 
-    pub fn intersect(&mut self, other: &ModelSet) {
-        self.0.iter_mut().zip(&other.0).for_each(|(word, &also)| *word &= also);
+    pub fn intersect_with(&mut self, other: &ModelSet) {
+        self.0.iter_mut().zip(&other.0).for_each(|(word, &other_word)| *word &= other_word);
     }
 }
 
 /// The models that all siblings of the catalogue know, with the names that mean the same in all of them.
 #[derive(Debug)]
-pub struct Names {
+pub struct ModelNames {
     by_name: HashMap<Box<str>, u32>,
     names: Vec<Box<str>>,
     restricted: Vec<bool>,
 }
 
-impl Names {
-    pub fn of(catalogues: &[Catalogue]) -> Names {
-        let named = |catalogue: &Catalogue| -> BTreeSet<String> {
+impl ModelNames {
+    pub fn new(catalogues: &[Catalogue]) -> ModelNames {
+        let own_names = |catalogue: &Catalogue| -> BTreeSet<String> {
             catalogue.models.iter().map(|model| model.name.clone()).collect()
         };
-        let all = catalogues.iter().map(named).reduce(|some, more| &some & &more).unwrap_or_default();
-        let names: Vec<Box<str>> = all.into_iter().map(String::into_boxed_str).collect();
+        let in_all =
+            catalogues.iter().map(own_names).reduce(|left, right| &left & &right).unwrap_or_default();
+        let names: Vec<Box<str>> = in_all.into_iter().map(String::into_boxed_str).collect();
         let index: HashMap<&str, u32> =
             names.iter().enumerate().map(|(at, name)| (&**name, at as u32)).collect();
         let mut restricted = vec![false; names.len()];
@@ -58,15 +59,15 @@
                 restricted[at as usize] |= model.restricted;
             }
         }
-        let meant: Vec<HashMap<&str, &str>> = catalogues.iter().map(aliases).collect();
+        let resolved: Vec<HashMap<&str, &str>> = catalogues.iter().map(resolve_names).collect();
         let mut by_name: HashMap<Box<str>, u32> = HashMap::new();
-        for (&name, &model) in meant.first().into_iter().flatten() {
-            let same = meant.iter().all(|other| other.get(name) == Some(&model));
-            if let (true, Some(&at)) = (same, index.get(model)) {
+        for (&name, &model) in resolved.first().into_iter().flatten() {
+            let same_in_all = resolved.iter().all(|other| other.get(name) == Some(&model));
+            if let (true, Some(&at)) = (same_in_all, index.get(model)) {
                 by_name.insert(name.into(), at);
             }
         }
-        Names { by_name, names, restricted }
+        ModelNames { by_name, names, restricted }
     }
 
     pub fn get(&self, name: &str) -> Option<u32> {
@@ -87,33 +88,33 @@
 }
 
 /// What each name means in one catalogue: a model's own name goes before another's alias.
-fn aliases(catalogue: &Catalogue) -> HashMap<&str, &str> {
-    let mut meant = HashMap::new();
+fn resolve_names(catalogue: &Catalogue) -> HashMap<&str, &str> {
+    let mut model_by_name = HashMap::new();
     for model in &catalogue.models {
         for alias in &model.aliases {
-            meant.entry(alias.as_str()).or_insert(model.name.as_str());
+            model_by_name.entry(alias.as_str()).or_insert(model.name.as_str());
         }
     }
     for model in &catalogue.models {
-        meant.insert(model.name.as_str(), model.name.as_str());
+        model_by_name.insert(model.name.as_str(), model.name.as_str());
     }
-    meant
+    model_by_name
 }
 
 /// What names and patterns of rules stand for, in one catalogue.
-pub struct Resolver<'a> {
-    names: &'a Names,
+pub struct ModelResolver<'a> {
+    names: &'a ModelNames,
     sets: HashMap<&'a str, ModelSet>,
 }
 
-impl<'a> Resolver<'a> {
-    pub fn of(catalogue: &'a Catalogue, names: &'a Names) -> Resolver<'a> {
+impl<'a> ModelResolver<'a> {
+    pub fn new(catalogue: &'a Catalogue, names: &'a ModelNames) -> ModelResolver<'a> {
         let index: HashMap<&str, u32> =
             names.names.iter().enumerate().map(|(at, name)| (&**name, at as u32)).collect();
-        let above: HashMap<&str, &[String]> =
+        let parents: HashMap<&str, &[String]> =
             catalogue.groups.iter().map(|group| (group.name.as_str(), group.groups.as_slice())).collect();
         let mut sets: HashMap<&str, ModelSet> =
-            above.keys().map(|&group| (group, ModelSet::none(names.names.len()))).collect();
+            parents.keys().map(|&group| (group, ModelSet::empty(names.names.len()))).collect();
         for model in &catalogue.models {
             let Some(&at) = index.get(model.name.as_str()) else { continue };
             let mut seen: BTreeSet<&str> = BTreeSet::new();
@@ -126,28 +127,30 @@
                 if let Some(set) = sets.get_mut(group) {
                     set.insert(at);
                 }
-                next.extend(above.get(group).into_iter().flat_map(|up| up.iter()).map(String::as_str));
+                next.extend(
+                    parents.get(group).into_iter().flat_map(|groups| groups.iter()).map(String::as_str),
+                );
             }
         }
-        for (name, model) in aliases(catalogue) {
+        for (name, model) in resolve_names(catalogue) {
             if let Some(&at) = index.get(model) {
-                let mut one = ModelSet::none(names.names.len());
-                one.insert(at);
-                sets.insert(name, one);
+                let mut single = ModelSet::empty(names.names.len());
+                single.insert(at);
+                sets.insert(name, single);
             }
         }
-        Resolver { names, sets }
+        ModelResolver { names, sets }
     }
 
     /// The models that any of the names and patterns stands for.
     pub fn models(&self, wanted: &[String]) -> ModelSet {
-        let mut found = ModelSet::none(self.names.names.len());
+        let mut found = ModelSet::empty(self.names.names.len());
         for name in wanted {
             if is_pattern(name) {
                 let all = self.names.names.iter().enumerate();
                 all.filter(|(_, model)| matches(name, model)).for_each(|(at, _)| found.insert(at as u32));
             } else if let Some(set) = self.sets.get(name.as_str()) {
-                found.unite(set);
+                found.union_with(set);
             }
         }
         found
--- a/crates/grants/src/compiled/rows.rs
+++ b/crates/grants/src/compiled/rows.rs
@@ -3,14 +3,14 @@
 use std::collections::HashMap;
 
 use super::clauses::{ClauseId, Clauses};
-use super::timelines::{Reason, Verdicts};
-use super::RuleId;
+use super::timelines::{TimelineKey, Timelines};
+use super::DecisionReason;
 
 /// Cells a block. One word of a set of models.
-const BLOCK: usize = 64;
+const BLOCK_CELLS: usize = 64;
 
 /// Clauses in the order in which they decide, with whether they deny.
-type Order = Vec<(ClauseId, bool)>;
+type OrderedClauses = Vec<(ClauseId, bool)>;
 
 /// What a team's row is made of.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -18,24 +18,24 @@
     /// Those that deny, in the order in which they decide.
     pub denies: Vec<ClauseId>,
     pub allows: Vec<ClauseId>,
-    pub otherwise: RuleId,
+    pub default_reason: DecisionReason,
 }
 
 /// Each team's row, each row's blocks, each block's cells; like ones once.
 #[derive(Debug)]
 pub struct Rows {
-    row_of: Vec<u32>,
+    row_by_team: Vec<u32>,
     /// `width` blocks a row.
     rows: Vec<u32>,
     width: usize,
-    blocks: Vec<[u32; BLOCK]>,
+    blocks: Vec<[u32; BLOCK_CELLS]>,
 }
 
 impl Rows {
-    pub fn verdict(&self, team: u32, model: u32) -> u32 {
-        let row = self.row_of[team as usize] as usize;
-        let block = self.rows[row * self.width + model as usize / BLOCK];
-        self.blocks[block as usize][model as usize % BLOCK]
+    pub fn timeline(&self, team: u32, model: u32) -> u32 {
+        let row = self.row_by_team[team as usize] as usize;
+        let block = self.rows[row * self.width + model as usize / BLOCK_CELLS];
+        self.blocks[block as usize][model as usize % BLOCK_CELLS]
     }
 
     /// Rows and blocks kept.
@@ -45,83 +45,84 @@
 }
 
 /// Makes the rows of all teams.
-pub fn rows(models: usize, plans: Vec<RowPlan>, clauses: &Clauses, verdicts: &mut Verdicts) -> Rows {
-    let width = models.div_ceil(BLOCK);
-    let mut made =
-        Rows { row_of: Vec::with_capacity(plans.len()), rows: Vec::new(), width, blocks: Vec::new() };
-    let mut known: HashMap<RowPlan, u32> = HashMap::new();
-    let mut blocks: HashMap<[u32; BLOCK], u32> = HashMap::new();
+pub fn build_rows(models: usize, plans: Vec<RowPlan>, clauses: &Clauses, timelines: &mut Timelines) -> Rows {
+    let width = models.div_ceil(BLOCK_CELLS);
+    let mut built =
+        Rows { row_by_team: Vec::with_capacity(plans.len()), rows: Vec::new(), width, blocks: Vec::new() };
+    let mut row_ids: HashMap<RowPlan, u32> = HashMap::new();
+    let mut block_ids: HashMap<[u32; BLOCK_CELLS], u32> = HashMap::new();
     // By word, default, and the clauses that say something of its cells: teams that differ by their own rules
     // alone share most blocks, which are then not made again.
-    let mut seen: HashMap<(usize, RuleId, Order), u32> = HashMap::new();
+    let mut block_by_clauses: HashMap<(usize, DecisionReason, OrderedClauses), u32> = HashMap::new();
     for plan in plans {
-        if let Some(&row) = known.get(&plan) {
-            made.row_of.push(row);
+        if let Some(&row) = row_ids.get(&plan) {
+            built.row_by_team.push(row);
             continue;
         }
-        let row = known.len() as u32;
+        let row = row_ids.len() as u32;
         for word in 0..width {
-            let key = (word, plan.otherwise, relevant(&plan, word, clauses));
-            let id = seen.get(&key).copied().unwrap_or_else(|| {
-                let cells = block(&key.2, plan.otherwise, word, clauses, verdicts);
-                let id = *blocks.entry(cells).or_insert_with(|| {
-                    made.blocks.push(cells);
-                    made.blocks.len() as u32 - 1
+            let key = (word, plan.default_reason, clauses_of_word(&plan, word, clauses));
+            let id = block_by_clauses.get(&key).copied().unwrap_or_else(|| {
+                let cells = build_block(&key.2, plan.default_reason, word, clauses, timelines);
+                let id = *block_ids.entry(cells).or_insert_with(|| {
+                    built.blocks.push(cells);
+                    built.blocks.len() as u32 - 1
                 });
-                seen.insert(key, id);
+                block_by_clauses.insert(key, id);
                 id
             });
-            made.rows.push(id);
+            built.rows.push(id);
         }
-        known.insert(plan, row);
-        made.row_of.push(row);
+        row_ids.insert(plan, row);
+        built.row_by_team.push(row);
     }
-    made
+    built
 }
 
 /// The clauses that say something of a block's cells.
-fn relevant(plan: &RowPlan, word: usize, clauses: &Clauses) -> Order {
+fn clauses_of_word(plan: &RowPlan, word: usize, clauses: &Clauses) -> OrderedClauses {
     let denies = plan.denies.iter().map(|&id| (id, true));
     let all = denies.chain(plan.allows.iter().map(|&id| (id, false)));
     all.filter(|&(id, _)| clauses.get(id).models.words()[word] != 0).collect()
 }
 
 /// One block: the clauses in order, each over the cells that nothing before has settled for all time.
-fn block(
-    order: &[(ClauseId, bool)], otherwise: RuleId, word: usize, clauses: &Clauses, verdicts: &mut Verdicts,
-) -> [u32; BLOCK] {
-    let default = Reason { clauses: Vec::new(), otherwise };
-    let mut cells = [verdicts.intern(default, clauses); BLOCK];
+fn build_block(
+    ordered: &[(ClauseId, bool)], default_reason: DecisionReason, word: usize, clauses: &Clauses,
+    timelines: &mut Timelines,
+) -> [u32; BLOCK_CELLS] {
+    let default = TimelineKey { clauses: Vec::new(), default_reason };
+    let mut cells = [timelines.intern(default, clauses); BLOCK_CELLS];
     // Clauses that hold for a time only, of the cells that are not settled yet.
     let mut timed: HashMap<u32, Vec<(ClauseId, bool)>> = HashMap::new();
-    let mut open = u64::MAX;
-    for &(id, denies) in order {
+    let mut undecided = u64::MAX;
+    for &(id, denies) in ordered {
         let clause = clauses.get(id);
-        let mut bits = clause.models.words()[word] & open;
+        let mut bits = clause.models.words()[word] & undecided;
         if bits == 0 {
             continue;
         }
-        let always = clause.from == 0 && clause.until == u64::MAX;
-        if always {
-            open &= !bits;
+        let always_valid = clause.from == 0 && clause.until == u64::MAX;
+        if always_valid {
+            undecided &= !bits;
         }
-        let settled = always.then(|| {
-            let reason = Reason { clauses: vec![(id, denies)], otherwise };
-            verdicts.intern(reason, clauses)
+        let constant = always_valid.then(|| {
+            let key = TimelineKey { clauses: vec![(id, denies)], default_reason };
+            timelines.intern(key, clauses)
         });
         while bits != 0 {
             let bit = bits.trailing_zeros();
             bits &= bits - 1;
-            match (settled, timed.get_mut(&bit)) {
-                (Some(verdict), None) => cells[bit as usize] = verdict,
+            match (constant, timed.get_mut(&bit)) {
+                (Some(timeline), None) => cells[bit as usize] = timeline,
                 (_, Some(list)) => list.push((id, denies)),
                 (None, None) => drop(timed.insert(bit, vec![(id, denies)])),
             }
         }
     }
-    for (bit, clauses_here) in timed {
-        let reason = Reason { clauses: clauses_here, otherwise };
-        cells[bit as usize] = verdicts.intern(reason, clauses);
+    for (bit, cell_clauses) in timed {
+        let key = TimelineKey { clauses: cell_clauses, default_reason };
+        cells[bit as usize] = timelines.intern(key, clauses);
     }
     cells
 }
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | at the start | [`versions::Ledger::restore`] from the store, [`compiled::Table::compile`], [`revocation::Member::new`] |
 //! | at a request, and before each attempt | the lease, then [`compiled::Table::check`], then the clock: [`revocation::Lease::gate`] |
-//! | at [`compiled::Table::next_change`] | look again at streams under way: [`compiled::Decision::under_way`] |
+//! | at [`compiled::Table::next_change`] | look again at streams under way: [`compiled::Decision::open_stream_policy`] |
 //! | an admin's change | [`versions::Ledger::propose`], [`dry_run::DryRun`], keep, [`versions::Ledger::apply`], compile, swap, [`revocation::Member::changed`], [`track`](revocation::Member::track) |
 //! | what a member tells | [`versions::Ledger::merged`], keep, [`merge`](versions::Ledger::merge), compile, swap, [`changed`](revocation::Member::changed), [`answered`](revocation::Member::answered) |
 //!
--- a/crates/grants/src/reference.rs
+++ b/crates/grants/src/reference.rs
@@ -3,101 +3,114 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use crate::compiled::{RuleId, RuleName};
+use crate::compiled::{DecisionReason, RuleName};
 use crate::document::check::MAX_ANCESTOR_GENERATIONS;
 use crate::document::{is_pattern, matches, Effect, Rule};
 use crate::sections::{Catalogue, SectionKey, Sections, TeamSection};
 
-pub struct Twin {
+pub struct ReferenceTable {
     sections: Sections,
-    catalogues: Vec<HashMap<String, BTreeSet<String>>>,
-    known: HashMap<String, String>,
-    rules: HashMap<RuleName, u32>,
+    expanded_names: Vec<HashMap<String, BTreeSet<String>>>,
+    model_by_name: HashMap<String, String>,
+    rule_indices: HashMap<RuleName, u32>,
 }
 
 /// Whether, and what decided. Where siblings had to agree to allow, the rule named is any that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plain {
+pub struct ReferenceDecision {
     pub allowed: bool,
-    pub rule: RuleId,
+    pub reason: DecisionReason,
     /// A part that has a say is in conflict.
-    pub unsettled: bool,
+    pub in_conflict: bool,
 }
 
-impl Twin {
-    pub fn of(sections: &Sections) -> Twin {
-        let catalogues: Vec<_> = sections.catalogue.iter().map(meanings).collect();
-        let mut known = HashMap::new();
-        for (name, _) in catalogues.first().into_iter().flatten() {
+impl ReferenceTable {
+    pub fn new(sections: &Sections) -> ReferenceTable {
+        let expanded_names: Vec<_> = sections.catalogue.iter().map(expand_names).collect();
+        let mut model_by_name = HashMap::new();
+        for (name, _) in expanded_names.first().into_iter().flatten() {
             let models: Vec<Option<String>> =
                 sections.catalogue.iter().map(|catalogue| resolve(catalogue, name)).collect();
             if let Some(model) = models.first().cloned().flatten() {
-                let everywhere = sections.catalogue.iter().all(|c| c.models.iter().any(|m| m.name == model));
-                if everywhere && models.iter().all(|other| other.as_ref() == Some(&model)) {
-                    known.insert(name.clone(), model);
+                let in_all_catalogues =
+                    sections.catalogue.iter().all(|c| c.models.iter().any(|m| m.name == model));
+                if in_all_catalogues && models.iter().all(|other| other.as_ref() == Some(&model)) {
+                    model_by_name.insert(name.clone(), model);
                 }
             }
         }
-        let mut names = BTreeSet::new();
+        let mut rule_names = BTreeSet::new();
         for rule in sections.shared.iter().flatten() {
-            names.insert(RuleName { section: SectionKey::Shared, rule: rule.name.clone() });
+            rule_names.insert(RuleName { section: SectionKey::Shared, rule: rule.name.clone() });
         }
         for (team, siblings) in &sections.teams {
             for rule in siblings.iter().flatten().flat_map(|section| &section.rules) {
-                names.insert(RuleName { section: SectionKey::Team(team.clone()), rule: rule.name.clone() });
+                rule_names
+                    .insert(RuleName { section: SectionKey::Team(team.clone()), rule: rule.name.clone() });
             }
         }
-        let rules = names.into_iter().zip(0u32..).collect();
-        Twin { sections: sections.clone(), catalogues, known, rules }
+        let rule_indices = rule_names.into_iter().zip(0u32..).collect();
+        ReferenceTable { sections: sections.clone(), expanded_names, model_by_name, rule_indices }
     }
 
-    pub fn check(&self, team: &str, model: &str, now: u64) -> Plain {
-        let refused = |rule| Plain { allowed: false, rule, unsettled: false };
+    pub fn check(&self, team: &str, model: &str, now: u64) -> ReferenceDecision {
+        let refused = |reason| ReferenceDecision { allowed: false, reason, in_conflict: false };
         if !self.sections.teams.contains_key(team) {
-            return refused(RuleId::UnknownTeam);
+            return refused(DecisionReason::UnknownTeam);
         }
-        let Some(model) = self.known.get(model) else { return refused(RuleId::UnknownModel) };
+        let Some(model) = self.model_by_name.get(model) else { return refused(DecisionReason::UnknownModel) };
         let mut lineage = BTreeMap::new();
-        if self.walk(team, 0, &mut lineage).is_none() {
-            return refused(RuleId::Broken);
+        if self.collect_lineage(team, 0, &mut lineage).is_none() {
+            return refused(DecisionReason::UnresolvedParents);
         }
-        let mut holding = BTreeMap::new();
+        let mut matching = BTreeMap::new();
         for rule in self.sections.shared.iter().flatten() {
-            if lineage.keys().any(|team| names(&rule.teams, team)) {
-                self.hold(SectionKey::Shared, rule, model, now, &mut holding);
+            if lineage.keys().any(|team| names_team(&rule.teams, team)) {
+                self.collect_if_matching(SectionKey::Shared, rule, model, now, &mut matching);
             }
         }
         for (team, siblings) in &lineage {
             for rule in siblings.iter().flatten().flat_map(|section| &section.rules) {
-                self.hold(SectionKey::Team((*team).to_owned()), rule, model, now, &mut holding);
+                self.collect_if_matching(
+                    SectionKey::Team((*team).to_owned()),
+                    rule,
+                    model,
+                    now,
+                    &mut matching,
+                );
             }
         }
-        let unsettled = self.sections.catalogue.len() > 1
+        let in_conflict = self.sections.catalogue.len() > 1
             || self.sections.shared.len() > 1
             || lineage.values().any(|siblings| siblings.len() > 1);
-        let first = |effect| holding.iter().find(|((_, is), ())| *is == effect).map(|((rule, _), ())| *rule);
+        let first =
+            |effect| matching.iter().find(|((_, found), ())| *found == effect).map(|((rule, _), ())| *rule);
         if let Some(rule) = first(Effect::Deny) {
-            return Plain { allowed: false, rule: RuleId::Rule(rule), unsettled };
+            return ReferenceDecision { allowed: false, reason: DecisionReason::Rule(rule), in_conflict };
         }
-        let none: &[Rule] = &[];
+        let no_rules: &[Rule] = &[];
         let shared: Vec<&[Rule]> = match self.sections.shared.len() {
-            0 => vec![none],
+            0 => vec![no_rules],
             _ => self.sections.shared.iter().map(Vec::as_slice).collect(),
         };
         let allowed = shared.iter().all(|shared| self.allows(team, shared, model, now));
         match first(Effect::Allow) {
-            Some(rule) if allowed => Plain { allowed, rule: RuleId::Rule(rule), unsettled },
-            _ if unsettled => Plain { allowed: false, rule: RuleId::Conflict, unsettled },
-            _ => Plain { allowed: false, rule: RuleId::Default, unsettled },
+            Some(rule) if allowed => {
+                ReferenceDecision { allowed, reason: DecisionReason::Rule(rule), in_conflict }
+            }
+            _ if in_conflict => {
+                ReferenceDecision { allowed: false, reason: DecisionReason::Conflict, in_conflict }
+            }
+            _ => ReferenceDecision { allowed: false, reason: DecisionReason::Default, in_conflict },
         }
     }
 
     /// The team and all generations above, of any sibling; none if they cannot be made out.
-    fn walk<'a>(
-        &'a self, team: &'a str, depth: usize, seen: &mut BTreeMap<&'a str, &'a [Option<TeamSection>]>,
+    fn collect_lineage<'a>(
+        &'a self, team: &'a str, depth: usize, lineage: &mut BTreeMap<&'a str, &'a [Option<TeamSection>]>,
     ) -> Option<()> {
         let siblings = self.sections.teams.get(team)?;
-        seen.insert(team, siblings);
+        lineage.insert(team, siblings);
         if depth > MAX_ANCESTOR_GENERATIONS {
             return None;
         }
@@ -105,47 +118,48 @@
             .iter()
             .flatten()
             .flat_map(|section| &section.parents)
-            .try_for_each(|parent| self.walk(parent, depth + 1, seen))
+            .try_for_each(|parent| self.collect_lineage(parent, depth + 1, lineage))
     }
 
-    fn hold(
+    fn collect_if_matching(
         &self, section: SectionKey, rule: &Rule, model: &str, now: u64, out: &mut BTreeMap<(u32, Effect), ()>,
     ) {
-        if rule.is_active(now) && self.applies(rule, model) {
+        if rule.is_active(now) && self.covers_model(rule, model) {
             let name = RuleName { section, rule: rule.name.clone() };
-            out.insert((self.rules[&name], rule.effect), ());
+            out.insert((self.rule_indices[&name], rule.effect), ());
         }
     }
 
     /// Whether the rule speaks of the model: to allow, in all catalogues; to deny, in any.
-    fn applies(&self, rule: &Rule, model: &str) -> bool {
-        let mut each = self.catalogues.iter().map(|meanings| {
+    fn covers_model(&self, rule: &Rule, model: &str) -> bool {
+        let mut by_catalogue = self.expanded_names.iter().map(|expanded| {
             rule.models.iter().any(|wanted| match is_pattern(wanted) {
                 true => matches(wanted, model),
-                false => meanings.get(wanted).is_some_and(|models| models.contains(model)),
+                false => expanded.get(wanted).is_some_and(|models| models.contains(model)),
             })
         });
         match rule.effect {
-            Effect::Allow => each.all(|it| it),
-            Effect::Deny => each.any(|it| it),
+            Effect::Allow => by_catalogue.all(|covered| covered),
+            Effect::Deny => by_catalogue.any(|covered| covered),
         }
     }
 
     /// Whether, with these shared rules, every choice of siblings allows it.
     fn allows(&self, team: &str, shared: &[Rule], model: &str, now: u64) -> bool {
-        let is =
-            |rule: &Rule| rule.effect == Effect::Allow && rule.is_active(now) && self.applies(rule, model);
-        shared.iter().any(|rule| names(&rule.teams, team) && is(rule))
+        let rule_allows = |rule: &Rule| {
+            rule.effect == Effect::Allow && rule.is_active(now) && self.covers_model(rule, model)
+        };
+        shared.iter().any(|rule| names_team(&rule.teams, team) && rule_allows(rule))
             || self.sections.teams[team].iter().all(|section| {
                 section.as_ref().is_some_and(|section| {
-                    section.rules.iter().any(is)
+                    section.rules.iter().any(rule_allows)
                         || section.parents.iter().any(|parent| self.allows(parent, shared, model, now))
                 })
             })
     }
 }
 
-fn names(wanted: &[String], team: &str) -> bool {
+fn names_team(wanted: &[String], team: &str) -> bool {
     wanted.iter().any(|wanted| if is_pattern(wanted) { matches(wanted, team) } else { wanted == team })
 }
 
@@ -156,29 +170,29 @@
 }
 
 /// What each name, alias and group of a catalogue stands for.
-fn meanings(catalogue: &Catalogue) -> HashMap<String, BTreeSet<String>> {
-    let mut meanings: HashMap<String, BTreeSet<String>> = HashMap::new();
+fn expand_names(catalogue: &Catalogue) -> HashMap<String, BTreeSet<String>> {
+    let mut expanded: HashMap<String, BTreeSet<String>> = HashMap::new();
     for group in &catalogue.groups {
-        let mut within = BTreeSet::from([group.name.as_str()]);
+        let mut subgroups = BTreeSet::from([group.name.as_str()]);
         loop {
             let more = catalogue
                 .groups
                 .iter()
-                .filter(|it| it.groups.iter().any(|parent| within.contains(parent.as_str())));
-            let before = within.len();
-            within.extend(more.map(|it| it.name.as_str()).collect::<Vec<_>>());
-            if within.len() == before {
+                .filter(|other| other.groups.iter().any(|parent| subgroups.contains(parent.as_str())));
+            let before = subgroups.len();
+            subgroups.extend(more.map(|other| other.name.as_str()).collect::<Vec<_>>());
+            if subgroups.len() == before {
                 break;
             }
         }
         let models = catalogue
             .models
             .iter()
-            .filter(|m| m.groups.iter().any(|parent| within.contains(parent.as_str())));
-        meanings.insert(group.name.clone(), models.map(|model| model.name.clone()).collect());
+            .filter(|m| m.groups.iter().any(|parent| subgroups.contains(parent.as_str())));
+        expanded.insert(group.name.clone(), models.map(|model| model.name.clone()).collect());
     }
     for name in catalogue.models.iter().flat_map(|model| model.aliases.iter().chain([&model.name])) {
-        meanings.insert(name.clone(), resolve(catalogue, name).into_iter().collect());
+        expanded.insert(name.clone(), resolve(catalogue, name).into_iter().collect());
     }
-    meanings
+    expanded
 }
--- a/crates/grants/src/revocation/lease.rs
+++ b/crates/grants/src/revocation/lease.rs
@@ -1,6 +1,6 @@
 //! What a request needs of all this: one comparison.
 
-use crate::compiled::{Decision, RuleId};
+use crate::compiled::{Decision, DecisionReason};
 
 use super::lease_config::Stale;
 
@@ -31,7 +31,11 @@
             Stale::GoOn => false,
         };
         if decision.allowed && refuses && !self.knows(now) {
-            return Decision { allowed: false, rule: RuleId::Stale, streams: decision.streams };
+            return Decision {
+                allowed: false,
+                reason: DecisionReason::LeaseExpired,
+                stream_policy: decision.stream_policy,
+            };
         }
         decision
     }
--- a/crates/grants/src/revocation/voter_config.rs
+++ b/crates/grants/src/revocation/voter_config.rs
@@ -70,9 +70,9 @@
     /// Whether the next roster may follow this one; `knows` is whether this member does now. Taking former voters in
     /// beside these is safe at any time, for it asks for more; letting them go is not.
     pub(super) fn step(&self, next: &Roster, knows: bool) -> Result<(), RosterError> {
-        let now = (&self.voters, self.needs);
-        let same = now == (&next.voters, next.needs);
-        let joins = next.former.as_ref().is_some_and(|former| now == (&former.0, former.1));
+        let current = (&self.voters, self.needs);
+        let same = current == (&next.voters, next.needs);
+        let joins = next.former.as_ref().is_some_and(|former| current == (&former.0, former.1));
         match (&self.former, &next.former) {
             _ if self == next => Ok(()),
             (None, Some(_)) if joins || same => Ok(()),
--- a/crates/grants/tests/agree.rs
+++ b/crates/grants/tests/agree.rs
@@ -2,22 +2,22 @@
 
 mod support;
 
-use glenrail_grants::compiled::{RuleId, Table};
-use glenrail_grants::reference::Twin;
+use glenrail_grants::compiled::{DecisionReason, Table};
+use glenrail_grants::reference::ReferenceTable;
 use glenrail_grants::sections::Sections;
 use proptest::prelude::*;
 use support::{sections, ASKED, TEAMS};
 
 fn agree(sections: &Sections) -> Result<(), TestCaseError> {
-    let (table, twin) = (Table::compile(sections), Twin::of(sections));
+    let (table, twin) = (Table::compile(sections), ReferenceTable::new(sections));
     for now in 0..12 {
         for team in TEAMS {
             for model in ASKED {
                 let (fast, plain) = (table.check_names(team, model, now), twin.check(team, model, now));
                 let what = || format!("{team} {model} at {now}: {fast:?} {plain:?}");
                 prop_assert_eq!(fast.allowed, plain.allowed, "{}", what());
-                if !(fast.allowed && plain.unsettled) {
-                    prop_assert_eq!(fast.rule, plain.rule, "{}", what());
+                if !(fast.allowed && plain.in_conflict) {
+                    prop_assert_eq!(fast.reason, plain.reason, "{}", what());
                 }
                 // By ids it is the same as by names.
                 if let (Some(team), Some(model)) = (table.team(team), table.model(model)) {
@@ -112,6 +112,6 @@
     let (old, new) = (Table::from_document(&document), Table::from_document(&document));
     let (team, model) = (old.team("t").unwrap(), old.model("m").unwrap());
     assert!(old.check(team, model, 0).allowed);
-    assert_eq!(new.check(team, model, 0).rule, RuleId::OtherTable);
+    assert_eq!(new.check(team, model, 0).reason, DecisionReason::OtherTable);
     assert!(new.restricted(model));
 }
--- a/crates/grants/tests/dry_run.rs
+++ b/crates/grants/tests/dry_run.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use glenrail_grants::compiled::{RuleId, Table};
+use glenrail_grants::compiled::{DecisionReason, Table};
 use glenrail_grants::document::{Document, StreamPolicy};
-use glenrail_grants::dry_run::{DryRun, Unconfirmed};
+use glenrail_grants::dry_run::{ConfirmationRequired, DryRun};
 
 fn table(rules: &str) -> Table {
     let head =
@@ -19,20 +19,20 @@
         "rule=[{name='r',effect='allow',teams=['c'],models=['*'],until=10},
                {name='no',effect='deny',teams=['b'],models=['m']}]",
     );
-    let calling: BTreeSet<String> = ["b".to_owned(), "c".to_owned()].into();
-    let run = DryRun::of(&before, &after, 5, &calling);
+    let active_teams: BTreeSet<String> = ["b".to_owned(), "c".to_owned()].into();
+    let run = DryRun::compare(&before, &after, 5, &active_teams);
     assert_eq!(run.teams.keys().collect::<Vec<_>>(), ["a", "b", "c"]);
-    assert_eq!(run.teams["c"].gains, ["m", "n"]);
-    let (model, decision) = &run.teams["b"].loses[0];
-    assert_eq!((model.as_str(), after.rule(decision.rule).unwrap().rule.as_str()), ("m", "no"));
-    assert_eq!(run.teams["a"].loses[0].1.rule, RuleId::Default);
-    assert_eq!(after.say(decision.rule).to_string(), "rule `no` of team `b`");
+    assert_eq!(run.teams["c"].gained, ["m", "n"]);
+    let (model, decision) = &run.teams["b"].lost[0];
+    assert_eq!((model.as_str(), after.rule_name(decision.reason).unwrap().rule.as_str()), ("m", "no"));
+    assert_eq!(run.teams["a"].lost[0].1.reason, DecisionReason::Default);
+    assert_eq!(after.describe(decision.reason).to_string(), "rule `no` of team `b`");
     // The team `a` loses all, and does not call.
-    assert_eq!(run.confirm(false), Err(Unconfirmed { teams: vec!["b".to_owned()] }));
-    assert_eq!(run.confirm(true), Ok(()));
+    assert_eq!(run.require_confirmation(false), Err(ConfirmationRequired { teams: vec!["b".to_owned()] }));
+    assert_eq!(run.require_confirmation(true), Ok(()));
     // By its end the rule gives nothing more.
-    assert!(!DryRun::of(&before, &after, 10, &calling).teams.contains_key("c"));
-    assert_eq!(DryRun::of(&after, &after, 5, &calling), DryRun::default());
+    assert!(!DryRun::compare(&before, &after, 10, &active_teams).teams.contains_key("c"));
+    assert_eq!(DryRun::compare(&after, &after, 5, &active_teams), DryRun::default());
 }
 
 #[test]
@@ -44,9 +44,9 @@
         |word| table(&format!("rule=[{{name='d',effect='deny',teams=['a'],models=['m'],streams='{word}'}}]"));
     let check = |table: &Table| table.check_names("a", "m", 0);
     let let_in = check(&granted("cut"));
-    assert_eq!(let_in.under_way(&check(&granted("finish"))), None);
-    assert_eq!(let_in.under_way(&check(&table(""))), Some(StreamPolicy::Cut));
-    assert_eq!(let_in.under_way(&check(&denied("finish"))), Some(StreamPolicy::Finish));
-    assert_eq!(check(&granted("finish")).under_way(&check(&denied("cut"))), Some(StreamPolicy::Cut));
-    assert_eq!(check(&granted("finish")).under_way(&check(&table(""))), Some(StreamPolicy::Finish));
+    assert_eq!(let_in.open_stream_policy(&check(&granted("finish"))), None);
+    assert_eq!(let_in.open_stream_policy(&check(&table(""))), Some(StreamPolicy::Cut));
+    assert_eq!(let_in.open_stream_policy(&check(&denied("finish"))), Some(StreamPolicy::Finish));
+    assert_eq!(check(&granted("finish")).open_stream_policy(&check(&denied("cut"))), Some(StreamPolicy::Cut));
+    assert_eq!(check(&granted("finish")).open_stream_policy(&check(&table(""))), Some(StreamPolicy::Finish));
 }
--- a/crates/grants/tests/no_alloc.rs
+++ b/crates/grants/tests/no_alloc.rs
@@ -6,7 +6,7 @@
 use std::alloc::System;
 
 use cap::Cap;
-use glenrail_grants::compiled::{RuleId, Table};
+use glenrail_grants::compiled::{DecisionReason, Table};
 
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
@@ -27,7 +27,7 @@
             *(if decision.allowed { &mut allowed } else { &mut refused }) += 1;
         }
     }
-    assert_eq!(table.check_names("nobody", "model-0000", 0).rule, RuleId::UnknownTeam);
+    assert_eq!(table.check_names("nobody", "model-0000", 0).reason, DecisionReason::UnknownTeam);
     assert!(table.next_change(0).is_some());
     let after = ALLOCATOR.total_allocated();
     assert_eq!(after, before, "allocated");
--- a/crates/grants/tests/support/fleet.rs
+++ b/crates/grants/tests/support/fleet.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use glenrail_grants::compiled::{Decision, RuleId};
+use glenrail_grants::compiled::{Decision, DecisionReason};
 use glenrail_grants::document::StreamPolicy;
 use glenrail_grants::revocation::{
     Answer, Ask, Bound, Lease, Member, MemberId, Needs, Progress, Roster, Stage, Stale, Start, Terms,
@@ -296,7 +296,8 @@
 }
 
 fn lets_in(lease: Lease, clock: u64) -> bool {
-    let allowed = Decision { allowed: true, rule: RuleId::Rule(0), streams: StreamPolicy::Finish };
+    let allowed =
+        Decision { allowed: true, reason: DecisionReason::Rule(0), stream_policy: StreamPolicy::Finish };
     lease.gate(allowed, true, clock).allowed
 }
 
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -54,13 +54,13 @@
 pub fn catalogue() -> impl Strategy<Value = Catalogue> {
     let model = (names(&["x", "y"], 1), names(&["g", "h"], 2), any::<bool>(), any::<bool>());
     let groups = names(&["g", "h"], 1);
-    (vec(model, MODELS.len()), groups).prop_map(|(models, above)| {
+    (vec(model, MODELS.len()), groups).prop_map(|(models, parents)| {
         let models = MODELS.iter().zip(models).filter(|(_, (.., there))| *there).map(|(name, it)| {
             let (aliases, groups, restricted, _) = it;
             Model { name: (*name).to_owned(), aliases, groups, restricted }
         });
         let group = |name: &str, groups| Group { name: name.to_owned(), groups };
-        Catalogue { models: models.collect(), groups: vec![group("g", above), group("h", Vec::new())] }
+        Catalogue { models: models.collect(), groups: vec![group("g", parents), group("h", Vec::new())] }
     })
 }
 
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -248,11 +248,11 @@
     let used = Ledger::restore(Origin { member: 0, life: 1 }, yesterday.clone()).unwrap_err();
     assert_eq!(used, LedgerError::LifeUsed { origin: Origin { member: 0, life: 1 } });
     all[0] = Ledger::restore(Origin { member: 0, life: 2 }, yesterday).unwrap();
-    let now = all[1].parts();
+    let current = all[1].parts();
     assert!(tell(&mut all, 0, 1, None).is_empty());
-    assert_eq!(all[1].parts(), now);
+    assert_eq!(all[1].parts(), current);
     assert_eq!(tell(&mut all, 1, 0, None).len(), 1);
-    assert_eq!(all[0].parts(), now);
+    assert_eq!(all[0].parts(), current);
 }
 
 #[test]
