--- a/crates/grants/src/document/read.rs
+++ b/crates/grants/src/document/read.rs
@@ -62,7 +62,7 @@
 
 impl TeamSection {
     /// Reads one team's entry as it came over the wire. A rule without `teams` is for this team. What it names
-    /// is checked when it is proposed ([`crate::versions::Ledger::propose`]), for it needs the rest.
+    /// is checked when it is proposed ([`crate::versions::Replica::propose`]), for it needs the rest.
     pub fn from_json(team: &str, text: &str) -> Result<TeamSection, DocumentError> {
         let mut section: TeamSection = parse_json(text)?;
         for rule in section.rules.iter_mut().filter(|rule| rule.teams.is_empty()) {
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -4,11 +4,11 @@
 //!
 //! | when | what |
 //! | --- | --- |
-//! | at the start | [`versions::Ledger::restore`] from the store, [`compiled::Table::compile`], [`revocation::Member::new`] |
+//! | at the start | [`versions::Replica::restore`] from the store, [`compiled::Table::compile`], [`revocation::Member::new`] |
 //! | at a request, and before each attempt | the lease, then [`compiled::Table::check`], then the clock: [`revocation::Lease::gate`] |
 //! | at [`compiled::Table::next_change`] | look again at streams under way: [`compiled::Decision::open_stream_policy`] |
-//! | an admin's change | [`versions::Ledger::propose`], [`dry_run::DryRun`], keep, [`versions::Ledger::apply`], compile, swap, [`revocation::Member::changed`], [`track`](revocation::Member::track) |
-//! | what a member tells | [`versions::Ledger::merged`], keep, [`merge`](versions::Ledger::merge), compile, swap, [`changed`](revocation::Member::changed), [`answered`](revocation::Member::answered) |
+//! | an admin's change | [`versions::Replica::propose`], [`dry_run::DryRun`], keep, [`versions::Replica::apply`], compile, swap, [`revocation::Member::changed`], [`track`](revocation::Member::track) |
+//! | what a member tells | [`versions::Replica::preview_merge`], keep, [`merge`](versions::Replica::merge), compile, swap, [`changed`](revocation::Member::changed), [`answered`](revocation::Member::answered) |
 //!
 //! The order within a line is what the promises of `docs/one-fleet.md` rest on: kept, then enforced, then told.
 
--- a/crates/grants/src/revocation/lease_config.rs
+++ b/crates/grants/src/revocation/lease_config.rs
@@ -35,12 +35,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TermsError {
-    #[error("a lease of {lease} ms is not from {least} to {most} ms")]
-    Lease { lease: u64, least: u64, most: u64 },
-    #[error("a drift of {drift} millionths is more than {most}")]
-    Drift { drift: u64, most: u64 },
-    #[error("a wait of {wait} ms before a start without grants is more than {most} ms")]
-    Wait { wait: u64, most: u64 },
+    #[error("a lease of {lease} ms is not from {least} to {max} ms")]
+    Lease { lease: u64, least: u64, max: u64 },
+    #[error("a drift of {drift} millionths is more than {max}")]
+    Drift { drift: u64, max: u64 },
+    #[error("a wait of {wait} ms before a start without grants is more than {max} ms")]
+    Wait { wait: u64, max: u64 },
 }
 
 impl TermsError {
@@ -64,13 +64,13 @@
     /// slow. `wait`: how long an empty member asks before it is ready all the same, ms.
     pub fn new(lease: u64, drift: u64, wait: u64) -> Result<Terms, TermsError> {
         if !(LEAST_LEASE..=MOST_LEASE).contains(&lease) {
-            return Err(TermsError::Lease { lease, least: LEAST_LEASE, most: MOST_LEASE });
+            return Err(TermsError::Lease { lease, least: LEAST_LEASE, max: MOST_LEASE });
         }
         if drift > MOST_DRIFT {
-            return Err(TermsError::Drift { drift, most: MOST_DRIFT });
+            return Err(TermsError::Drift { drift, max: MOST_DRIFT });
         }
         if wait > MOST_WAIT {
-            return Err(TermsError::Wait { wait, most: MOST_WAIT });
+            return Err(TermsError::Wait { wait, max: MOST_WAIT });
         }
         Ok(Terms { lease, drift, wait })
     }
--- a/crates/grants/src/revocation/member.rs
+++ b/crates/grants/src/revocation/member.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Member<K> {
     pub(super) id: MemberId,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) terms: Terms,
     stale: Stale,
     pub(super) roster: Roster,
@@ -42,7 +42,7 @@
 impl<K: Clone + Eq + Hash> Member<K> {
     /// `life` is later than all before. `kept`: the keys that the store had; none for an empty start.
     pub fn new(
-        (id, life): (MemberId, u64), terms: Terms, stale: Stale, roster: Roster, start: Start,
+        (id, incarnation): (MemberId, u64), terms: Terms, stale: Stale, roster: Roster, start: Start,
         kept: impl IntoIterator<Item = K>, now: u64,
     ) -> Member<K> {
         let mut journal = Journal::new();
@@ -53,7 +53,7 @@
         let caught_up = start == Start::Kept;
         let mut member = Member {
             id,
-            life,
+            incarnation,
             terms,
             stale,
             roster,
@@ -82,7 +82,14 @@
         let follows = self.peers.get(&to).is_some_and(|peer| peer.follows);
         let lessees = if follows { self.lessees(now) } else { Lessees::Unknown };
         let (number, knows) = self.peers.entry(to).or_default().ask(now);
-        Ask { from: self.id, life: self.life, roster: self.roster.stamp(), number, knows, lessees }
+        Ask {
+            from: self.id,
+            incarnation: self.incarnation,
+            roster: self.roster.stamp(),
+            number,
+            knows,
+            lessees,
+        }
     }
 
     /// The answer to a question; none to an earlier life's.
@@ -91,10 +98,14 @@
         let voter = self.roster.is_voter(self.id);
         let lent = now.saturating_add(self.terms.outlasts());
         let peer = self.peers.entry(ask.from).or_default();
-        if self.retired || ask.from == self.id || !peer.lives(ask.life) {
+        if self.retired || ask.from == self.id || !peer.lives(ask.incarnation) {
             return None;
         }
-        let known = if ask.knows.life == self.life { ask.knows.sequence.min(self.journal.last()) } else { 0 };
+        let known = if ask.knows.incarnation == self.incarnation {
+            ask.knows.sequence.min(self.journal.last())
+        } else {
+            0
+        };
         peer.confirmed = known.max(peer.confirmed);
         // An earlier question that comes late says less than what is known already.
         if ask.number > peer.heard {
@@ -110,9 +121,9 @@
         self.look(now);
         Some(Answer {
             from: self.id,
-            life: self.life,
+            incarnation: self.incarnation,
             roster: self.roster.stamp(),
-            to_life: ask.life,
+            to_life: ask.incarnation,
             number: ask.number,
             after: known,
             reach,
@@ -138,7 +149,8 @@
         let same_roster = answer.roster == self.roster.stamp();
         let voter = self.roster.is_voter(answer.from);
         let peer = self.peers.entry(answer.from).or_default();
-        if answer.to_life != self.life || !peer.lives(answer.life) || answer.after > peer.knows {
+        if answer.to_life != self.incarnation || !peer.lives(answer.incarnation) || answer.after > peer.knows
+        {
             return false;
         }
         let Some(sent) = peer.sent(answer.number) else { return false };
@@ -172,7 +184,7 @@
     /// What it may have been lent ends as all leases do.
     pub fn left(&mut self, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
-            peer.begin(peer.life);
+            peer.begin(peer.incarnation);
         }
     }
 
@@ -231,8 +243,9 @@
         let lent = self
             .peers
             .iter()
-            .flat_map(|(&id, peer)| peer.lent.iter().map(move |(&life, end)| (id, life, end)));
-        (now >= since).then(|| lent.filter(|it| *it.2 > now).map(|(id, life, _)| (id, life)).collect())
+            .flat_map(|(&id, peer)| peer.lent.iter().map(move |(&incarnation, end)| (id, incarnation, end)));
+        (now >= since)
+            .then(|| lent.filter(|it| *it.2 > now).map(|(id, incarnation, _)| (id, incarnation)).collect())
     }
 
     fn lessees(&self, now: u64) -> Lessees {
--- a/crates/grants/src/revocation/messages.rs
+++ b/crates/grants/src/revocation/messages.rs
@@ -7,7 +7,7 @@
 /// How far one life's journal is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    pub life: u64,
+    pub incarnation: u64,
     pub sequence: u64,
 }
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
     pub from: MemberId,
-    pub life: u64,
+    pub incarnation: u64,
     pub roster: u64,
     /// Each question of a life to one member has its own.
     pub number: u64,
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer<K> {
     pub from: MemberId,
-    pub life: u64,
+    pub incarnation: u64,
     pub roster: u64,
     /// The question's life and number.
     pub to_life: u64,
--- a/crates/grants/src/revocation/peer.rs
+++ b/crates/grants/src/revocation/peer.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
     /// The latest life heard of.
-    pub life: u64,
+    pub incarnation: u64,
     /// How far its journal in that life is taken.
     pub knows: u64,
     /// Its latest question in that life.
@@ -32,18 +32,18 @@
 
 impl Peer {
     /// Whether the life is its present one. A later one is taken up: what the earlier one had may be lost.
-    pub fn lives(&mut self, life: u64) -> bool {
-        if life > self.life {
-            self.begin(life);
+    pub fn lives(&mut self, incarnation: u64) -> bool {
+        if incarnation > self.incarnation {
+            self.begin(incarnation);
         }
-        life == self.life
+        incarnation == self.incarnation
     }
 
     /// Forgets what it had. What was lent on either side ends by itself: an earlier life may still run, as during
     /// a hand-over, and a question to it may be answered by the next.
-    pub fn begin(&mut self, life: u64) {
+    pub fn begin(&mut self, incarnation: u64) {
         *self = Peer {
-            life,
+            incarnation,
             lent: std::mem::take(&mut self.lent),
             known_since: self.known_since,
             number: self.number,
@@ -55,7 +55,7 @@
     /// Its present life may know by this member's word until then.
     pub fn lend(&mut self, now: u64, until: u64) {
         self.lent.retain(|_, end| *end > now);
-        let end = self.lent.entry(self.life).or_default();
+        let end = self.lent.entry(self.incarnation).or_default();
         *end = until.max(*end);
     }
 
@@ -65,7 +65,7 @@
         while self.asks.len() > MOST_ASKS {
             self.asks.pop_first();
         }
-        (self.number, Mark { life: self.life, sequence: self.knows })
+        (self.number, Mark { incarnation: self.incarnation, sequence: self.knows })
     }
 
     /// When the question was sent, once.
--- a/crates/grants/src/revocation/progress.rs
+++ b/crates/grants/src/revocation/progress.rs
@@ -88,9 +88,12 @@
             _ => None,
         };
         // An earlier life of one that confirms may still run, as during a hand-over, and knows what it knew.
-        let lives = |id: MemberId, life: u64| self.peers.get(&id).is_some_and(|peer| peer.life == life);
-        let confirms = |&(id, life): &(MemberId, u64)| {
-            (id, life) == self.own || id != self.own.0 && lives(id, life) && self.confirmed(id, sequence)
+        let lives = |id: MemberId, incarnation: u64| {
+            self.peers.get(&id).is_some_and(|peer| peer.incarnation == incarnation)
+        };
+        let confirms = |&(id, incarnation): &(MemberId, u64)| {
+            (id, incarnation) == self.own
+                || id != self.own.0 && lives(id, incarnation) && self.confirmed(id, sequence)
         };
         lessees.is_some_and(|all| all.iter().all(confirms))
     }
@@ -161,7 +164,7 @@
         Standing {
             peers: &self.peers,
             roster: &self.roster,
-            own: (self.id, self.life),
+            own: (self.id, self.incarnation),
             own_lessees: self.own_lessees(now),
             early: now >= self.roster_since.saturating_add(self.terms.outlasts()),
         }
--- a/crates/grants/src/versions/entry.rs
+++ b/crates/grants/src/versions/entry.rs
@@ -2,13 +2,13 @@
 
 use crate::sections::SectionKey;
 
-use super::error::ByteError;
-use super::versioned_section::Cell;
+use super::error::EntryError;
+use super::versioned_section::VersionedSection;
 
 /// The format that is written, and the only one read.
-pub const FORMAT: u8 = 1;
+pub const ENTRY_FORMAT: u8 = 1;
 /// The longest entry, bytes. One beyond it is refused where it would be made.
-pub const MOST_BYTES: usize = 4 << 20;
+pub const MAX_ENTRY_BYTES: usize = 4 << 20;
 
 /// A part as the replicated table carries it. The table's own version of an entry is the driver's: it grows each
 /// time an origin tells a key anew; what goes before what is decided by the content alone.
@@ -19,33 +19,33 @@
 }
 
 impl Entry {
-    /// None where it would be longer than [`MOST_BYTES`].
-    pub fn of(key: &SectionKey, cell: &Cell) -> Result<Entry, ByteError> {
-        let damaged = |_| ByteError::Damaged { key: key.clone() };
-        let value = postcard::to_extend(cell, vec![FORMAT]).map_err(damaged)?;
+    /// None where it would be longer than [`MAX_ENTRY_BYTES`].
+    pub fn encode(key: &SectionKey, content: &VersionedSection) -> Result<Entry, EntryError> {
+        let corrupt = |_| EntryError::Corrupt { key: key.clone() };
+        let value = postcard::to_extend(content, vec![ENTRY_FORMAT]).map_err(corrupt)?;
         check_length(&value)?;
         Ok(Entry { key: key_bytes(key), value })
     }
 
-    pub fn read(&self) -> Result<(SectionKey, Cell), ByteError> {
-        let key = key_of(&self.key)?;
+    pub fn decode(&self) -> Result<(SectionKey, VersionedSection), EntryError> {
+        let key = parse_key(&self.key)?;
         check_length(&self.value)?;
-        let damaged = || ByteError::Damaged { key: key.clone() };
-        let (&format, content) = self.value.split_first().ok_or_else(damaged)?;
-        if format != FORMAT {
-            return Err(ByteError::Format { format, ours: FORMAT });
+        let corrupt = || EntryError::Corrupt { key: key.clone() };
+        let (&format, encoded) = self.value.split_first().ok_or_else(corrupt)?;
+        if format != ENTRY_FORMAT {
+            return Err(EntryError::UnsupportedFormat { format, supported: ENTRY_FORMAT });
         }
-        let cell: Cell = postcard::from_bytes(content).map_err(|_| damaged())?;
-        if !cell.sound(&key) {
-            return Err(damaged());
+        let content: VersionedSection = postcard::from_bytes(encoded).map_err(|_| corrupt())?;
+        if !content.is_valid(&key) {
+            return Err(corrupt());
         }
-        Ok((key, cell))
+        Ok((key, content))
     }
 }
 
-fn check_length(value: &[u8]) -> Result<(), ByteError> {
+fn check_length(value: &[u8]) -> Result<(), EntryError> {
     match value.len() {
-        bytes if bytes > MOST_BYTES => Err(ByteError::Large { bytes, most: MOST_BYTES }),
+        bytes if bytes > MAX_ENTRY_BYTES => Err(EntryError::TooLarge { bytes, max: MAX_ENTRY_BYTES }),
         _ => Ok(()),
     }
 }
@@ -59,13 +59,13 @@
     }
 }
 
-fn key_of(bytes: &[u8]) -> Result<SectionKey, ByteError> {
+fn parse_key(bytes: &[u8]) -> Result<SectionKey, EntryError> {
     match bytes.split_first() {
         Some((b'c', [])) => Ok(SectionKey::Catalogue),
         Some((b's', [])) => Ok(SectionKey::Shared),
         Some((b't', name)) => std::str::from_utf8(name)
             .map(|name| SectionKey::Team(name.to_owned()))
-            .map_err(|_| ByteError::Key),
-        _ => Err(ByteError::Key),
+            .map_err(|_| EntryError::InvalidKey),
+        _ => Err(EntryError::InvalidKey),
     }
 }
--- a/crates/grants/src/versions/mod.rs
+++ b/crates/grants/src/versions/mod.rs
@@ -8,7 +8,7 @@
 //! clocks cover, and a change made on it, in its new life, stands beside those that it did not know.
 //!
 //! The one condition: **a member never uses a life twice**. A change under a life that was used is found
-//! ([`Merged::forked`], [`LedgerError::LifeUsed`]) where the two versions meet, and both are kept.
+//! ([`MergeOutcome::forked`], [`ReplicaError::IncarnationUsed`]) where the two versions meet, and both are kept.
 
 mod entry;
 mod error;
@@ -17,9 +17,9 @@
 mod version_vector;
 mod versioned_section;
 
-pub use entry::{Entry, FORMAT, MOST_BYTES};
-pub use error::{ByteError, LedgerError};
+pub use entry::{Entry, ENTRY_FORMAT, MAX_ENTRY_BYTES};
+pub use error::{EntryError, ReplicaError};
 pub use propose::Proposal;
-pub use replica::{Ledger, Merged};
-pub use version_vector::{Clock, Dot, Origin, Version};
-pub use versioned_section::{Cell, Sibling};
+pub use replica::{MergeOutcome, Replica};
+pub use version_vector::{Dot, Origin, Version, VersionVector};
+pub use versioned_section::{Sibling, VersionedSection};
--- a/crates/grants/src/versions/propose.rs
+++ b/crates/grants/src/versions/propose.rs
@@ -7,15 +7,15 @@
 use crate::sections::{Section, SectionKey, Sections, TeamSection};
 
 use super::entry::Entry;
-use super::error::LedgerError;
-use super::replica::{Ledger, Merged};
+use super::error::ReplicaError;
+use super::replica::{MergeOutcome, Replica};
 use super::version_vector::{Dot, Version};
-use super::versioned_section::Cell;
+use super::versioned_section::VersionedSection;
 
 /// Changes that are checked and not taken yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    changes: Vec<(SectionKey, Cell, Dot)>,
+    changes: Vec<(SectionKey, VersionedSection, Dot)>,
 }
 
 impl Proposal {
@@ -25,8 +25,8 @@
     }
 
     /// What to keep on disk before it is applied, and to tell the others after.
-    pub fn entries(&self) -> Result<Vec<Entry>, LedgerError> {
-        self.changes.iter().map(|(key, cell, _)| Ok(Entry::of(key, cell)?)).collect()
+    pub fn entries(&self) -> Result<Vec<Entry>, ReplicaError> {
+        self.changes.iter().map(|(key, section, _)| Ok(Entry::encode(key, section)?)).collect()
     }
 
     pub fn keys(&self) -> impl Iterator<Item = &SectionKey> {
@@ -38,18 +38,18 @@
     }
 }
 
-impl Ledger {
+impl Replica {
     /// A change of one team against the version that the admin saw. Made against a conflict, it settles it.
     /// No part: the team is taken away. What it names has to be there; faults that stood before, as
     /// merging may leave them, do not hinder it.
     pub fn propose(
         &mut self, team: &str, expected: Version, section: Option<TeamSection>,
-    ) -> Result<Proposal, LedgerError> {
+    ) -> Result<Proposal, ReplicaError> {
         let key = SectionKey::Team(team.to_owned());
-        self.expect(Some(&key), expected, self.version(&key))?;
-        let before = self.parts();
+        self.check_version(Some(&key), expected, self.version(&key))?;
+        let before = self.contents();
         if section.is_none() && !before.teams.contains_key(team) {
-            return Err(LedgerError::Missing { key });
+            return Err(ReplicaError::Missing { key });
         }
         if let Some(rule) =
             section.iter().flat_map(|section| &section.rules).find(|rule| rule.teams != [team])
@@ -62,8 +62,8 @@
             Some(section) => after.teams.insert(team.to_owned(), vec![Some(section.clone())]),
             None => after.teams.remove(team),
         };
-        no_new_fault(&before, &after, team)?;
-        let change = self.change(key, section.map(Section::Team))?;
+        check_for_new_faults(&before, &after, team)?;
+        let change = self.prepare_change(key, section.map(Section::Team))?;
         Ok(Proposal { changes: vec![change] })
     }
 
@@ -71,77 +71,79 @@
     /// those in conflict, which it settles.
     pub fn propose_document(
         &mut self, expected: Version, document: &Document,
-    ) -> Result<Proposal, LedgerError> {
-        self.expect(None, expected, self.version_of_all())?;
+    ) -> Result<Proposal, ReplicaError> {
+        self.check_version(None, expected, self.version_of_all())?;
         if let Some((key, fault)) = find_faults(document).into_iter().next() {
             return Err(DocumentError { position: None, key, fault }.into());
         }
         let mut wanted = Sections::by_key(document);
-        let keys: BTreeSet<SectionKey> = self.cells.keys().chain(wanted.keys()).cloned().collect();
+        let keys: BTreeSet<SectionKey> = self.sections.keys().chain(wanted.keys()).cloned().collect();
         let mut changes = Vec::new();
         for key in keys {
             let section = wanted.remove(&key);
-            let same = match self.cells.get(&key) {
-                Some(cell) => cell.contents() == BTreeSet::from([&section]),
+            let unchanged = match self.sections.get(&key) {
+                Some(versioned) => versioned.contents() == BTreeSet::from([&section]),
                 None => false,
             };
-            if !same {
-                changes.push(self.change(key, section)?);
+            if !unchanged {
+                changes.push(self.prepare_change(key, section)?);
             }
         }
         Ok(Proposal { changes })
     }
 
     /// What all parts would be with the proposal taken, to try it.
-    pub fn with(&self, proposal: &Proposal) -> Sections {
-        let mut tried = self.clone();
-        tried.apply(proposal);
-        tried.parts()
+    pub fn preview(&self, proposal: &Proposal) -> Sections {
+        let mut copy = self.clone();
+        copy.apply(proposal);
+        copy.contents()
     }
 
     /// Takes a proposal, once it is kept. Should another change have come between, both stand, in conflict.
-    pub fn apply(&mut self, proposal: &Proposal) -> Vec<(SectionKey, Merged)> {
+    pub fn apply(&mut self, proposal: &Proposal) -> Vec<(SectionKey, MergeOutcome)> {
         let changes = proposal.changes.iter();
-        changes.map(|(key, cell, _)| (key.clone(), self.merge(key, cell))).collect()
+        changes.map(|(key, section, _)| (key.clone(), self.merge(key, section))).collect()
     }
 
-    fn expect(
-        &self, key: Option<&SectionKey>, expected: Version, present: Version,
-    ) -> Result<(), LedgerError> {
-        match expected == present {
+    fn check_version(
+        &self, key: Option<&SectionKey>, expected: Version, current: Version,
+    ) -> Result<(), ReplicaError> {
+        match expected == current {
             true => Ok(()),
-            false => Err(LedgerError::Conflict { key: key.cloned(), expected, present }),
+            false => Err(ReplicaError::VersionMismatch { key: key.cloned(), expected, current }),
         }
     }
 
-    fn change(
+    fn prepare_change(
         &mut self, key: SectionKey, section: Option<Section>,
-    ) -> Result<(SectionKey, Cell, Dot), LedgerError> {
+    ) -> Result<(SectionKey, VersionedSection, Dot), ReplicaError> {
         if section.as_ref().is_some_and(|section| !section.matches_key(&key)) {
-            return Err(LedgerError::Form { key });
+            return Err(ReplicaError::WrongSection { key });
         }
         let dot = Dot { origin: self.origin, count: self.count.saturating_add(1) };
-        let cell = self.cells.get(&key).cloned().unwrap_or_default().changed(dot, section);
-        Entry::of(&key, &cell)?;
+        let versioned = self.sections.get(&key).cloned().unwrap_or_default().with_change(dot, section);
+        Entry::encode(&key, &versioned)?;
         // Used up even if the proposal is never applied: a store may hold it all the same.
         self.count = dot.count;
-        Ok((key, cell, dot))
+        Ok((key, versioned, dot))
     }
 }
 
 /// The first fault that the change would bring, under its key in the team's entry.
-fn no_new_fault(before: &Sections, after: &Sections, team: &str) -> Result<(), DocumentError> {
+fn check_for_new_faults(before: &Sections, after: &Sections, team: &str) -> Result<(), DocumentError> {
     let (old, new) = (before.to_document(), after.to_document());
-    let known: Vec<Fault> = find_faults(&old).into_iter().map(|(_, fault)| fault).collect();
-    match find_faults(&new).into_iter().find(|(_, fault)| !known.contains(fault)) {
+    let existing: Vec<Fault> = find_faults(&old).into_iter().map(|(_, fault)| fault).collect();
+    match find_faults(&new).into_iter().find(|(_, fault)| !existing.contains(fault)) {
         None => Ok(()),
-        Some((key, fault)) => Err(DocumentError { position: None, key: within(key, &new, team), fault }),
+        Some((key, fault)) => {
+            Err(DocumentError { position: None, key: relative_key(key, &new, team), fault })
+        }
     }
 }
 
 /// The key as a reader of the one entry knows it: `team[7].parents` is `parents`, `rule[30]` is `rules[0]`.
-fn within(key: KeyPath, document: &Document, team: &str) -> KeyPath {
-    let own = |at: &usize| document.rules.get(*at).is_some_and(|rule| rule.teams == [team]);
+fn relative_key(key: KeyPath, document: &Document, team: &str) -> KeyPath {
+    let is_own_rule = |at: &usize| document.rules.get(*at).is_some_and(|rule| rule.teams == [team]);
     match key.0.as_slice() {
         [KeySegment::Field(list), KeySegment::Index(at), rest @ ..] if list == "team" => {
             match document.teams.get(*at) {
@@ -149,7 +151,7 @@
                 _ => key,
             }
         }
-        [KeySegment::Field(list), KeySegment::Index(at), rest @ ..] if list == "rule" && own(at) => {
+        [KeySegment::Field(list), KeySegment::Index(at), rest @ ..] if list == "rule" && is_own_rule(at) => {
             let first = document.rules.iter().position(|rule| rule.teams == [team]).unwrap_or(*at);
             let mut path = vec![KeySegment::Field("rules".to_owned()), KeySegment::Index(at - first)];
             path.extend_from_slice(rest);
--- a/crates/grants/src/versions/replica.rs
+++ b/crates/grants/src/versions/replica.rs
@@ -5,89 +5,90 @@
 use crate::sections::{Section, SectionKey, Sections};
 
 use super::entry::key_bytes;
-use super::error::LedgerError;
+use super::error::ReplicaError;
 use super::version_vector::{Dot, Origin, Version};
-use super::versioned_section::{Cell, Sibling};
+use super::versioned_section::{Sibling, VersionedSection};
 
-/// Changes go in three steps: [`propose`](Ledger::propose), then the driver keeps the proposal's entries on disk,
-/// then [`apply`](Ledger::apply). A store that fails leaves all as it was. What other members tell is merged
-/// likewise: [`merged`](Ledger::merged) to keep, [`merge`](Ledger::merge) to take.
+/// Changes go in three steps: [`propose`](Replica::propose), then the driver keeps the proposal's entries on disk,
+/// then [`apply`](Replica::apply). A store that fails leaves all as it was. What other members tell is merged
+/// likewise: [`preview_merge`](Replica::preview_merge) to keep, [`merge`](Replica::merge) to take.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct Replica {
     pub(super) origin: Origin,
     /// Changes taken in this life, and those that another used it for.
     pub(super) count: u64,
-    pub(super) cells: BTreeMap<SectionKey, Cell>,
+    pub(super) sections: BTreeMap<SectionKey, VersionedSection>,
 }
 
 /// What became of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Merged {
+pub struct MergeOutcome {
     /// Something is known that was not before.
-    pub news: bool,
+    pub changed: bool,
     /// The part is in conflict now.
-    pub conflict: bool,
+    pub in_conflict: bool,
     /// Changes that stood here and were replaced by ones that knew them. Together with the siblings that stay,
     /// every change is named once where it ends.
     pub replaced: Vec<Dot>,
     /// Dots with two contents: a life was used twice. Both contents are kept, in conflict.
     pub forked: Vec<Dot>,
     /// A change under this very life that was not made here: a second process has this name, or had this life.
-    pub usurped: bool,
+    pub foreign_change: bool,
 }
 
-impl Ledger {
+impl Replica {
     /// A ledger that knows nothing.
-    pub fn new(origin: Origin) -> Ledger {
-        Ledger { origin, count: 0, cells: BTreeMap::new() }
+    pub fn new(origin: Origin) -> Replica {
+        Replica { origin, count: 0, sections: BTreeMap::new() }
     }
 
     /// A ledger of what a store kept, under a new life.
     pub fn restore(
-        origin: Origin, cells: impl IntoIterator<Item = (SectionKey, Cell)>,
-    ) -> Result<Ledger, LedgerError> {
-        let cells: BTreeMap<SectionKey, Cell> = cells.into_iter().collect();
-        let later = |dot: Dot| dot.origin.member == origin.member && dot.origin.life >= origin.life;
-        if cells.values().any(|cell| cell.clock().dots().any(later)) {
-            return Err(LedgerError::LifeUsed { origin });
+        origin: Origin, sections: impl IntoIterator<Item = (SectionKey, VersionedSection)>,
+    ) -> Result<Replica, ReplicaError> {
+        let sections: BTreeMap<SectionKey, VersionedSection> = sections.into_iter().collect();
+        let already_used =
+            |dot: Dot| dot.origin.member == origin.member && dot.origin.incarnation >= origin.incarnation;
+        if sections.values().any(|section| section.vector().dots().any(already_used)) {
+            return Err(ReplicaError::IncarnationUsed { origin });
         }
-        Ok(Ledger { origin, count: 0, cells })
+        Ok(Replica { origin, count: 0, sections })
     }
 
     pub fn is_empty(&self) -> bool {
-        self.cells.is_empty()
+        self.sections.is_empty()
     }
 
-    pub fn cell(&self, key: &SectionKey) -> Option<&Cell> {
-        self.cells.get(key)
+    pub fn section(&self, key: &SectionKey) -> Option<&VersionedSection> {
+        self.sections.get(key)
     }
 
     /// All cells, those of parts taken away included: they say that it was done.
-    pub fn cells(&self) -> impl Iterator<Item = (&SectionKey, &Cell)> {
-        self.cells.iter()
+    pub fn sections(&self) -> impl Iterator<Item = (&SectionKey, &VersionedSection)> {
+        self.sections.iter()
     }
 
     /// The version of one part; of one that never was, too.
     pub fn version(&self, key: &SectionKey) -> Version {
         let mut hash = blake3::Hasher::new();
-        if let Some(cell) = self.cells.get(key) {
-            digest(&mut hash, key, cell);
+        if let Some(section) = self.sections.get(key) {
+            hash_section(&mut hash, key, section);
         }
-        Version::of(&hash)
+        Version::from_hasher(&hash)
     }
 
     /// The version of all together.
     pub fn version_of_all(&self) -> Version {
         let mut hash = blake3::Hasher::new();
-        self.cells.iter().for_each(|(key, cell)| digest(&mut hash, key, cell));
-        Version::of(&hash)
+        self.sections.iter().for_each(|(key, section)| hash_section(&mut hash, key, section));
+        Version::from_hasher(&hash)
     }
 
     /// All parts with their siblings, to be compiled.
-    pub fn parts(&self) -> Sections {
+    pub fn contents(&self) -> Sections {
         let mut sections = Sections::default();
-        for (key, cell) in &self.cells {
-            let contents = cell.contents();
+        for (key, versioned) in &self.sections {
+            let contents = versioned.contents();
             if contents == BTreeSet::from([&None]) {
                 continue;
             }
@@ -116,45 +117,46 @@
 
     /// The parts in conflict, each with what stands against what.
     pub fn conflicts(&self) -> impl Iterator<Item = (&SectionKey, Vec<&Sibling>)> {
-        let cells = self.cells.iter().filter(|(_, cell)| cell.conflict());
-        cells.map(|(key, cell)| (key, cell.siblings().collect()))
+        let sections = self.sections.iter().filter(|(_, section)| section.in_conflict());
+        sections.map(|(key, section)| (key, section.siblings().collect()))
     }
 
     /// What the cell would be with this one merged; none if it says nothing new.
-    pub fn merged(&self, key: &SectionKey, told: &Cell) -> Option<Cell> {
-        let Some(own) = self.cells.get(key) else { return Some(told.clone()) };
-        let merged = own.merge(told);
+    pub fn preview_merge(&self, key: &SectionKey, received: &VersionedSection) -> Option<VersionedSection> {
+        let Some(own) = self.sections.get(key) else { return Some(received.clone()) };
+        let merged = own.merge(received);
         (merged != *own).then_some(merged)
     }
 
     /// Takes what another member, or a proposal, says of a part.
-    pub fn merge(&mut self, key: &SectionKey, told: &Cell) -> Merged {
-        let mut became = Merged::default();
-        if let Some(dot) = told.clock().dots().find(|dot| dot.origin == self.origin && dot.count > self.count)
+    pub fn merge(&mut self, key: &SectionKey, received: &VersionedSection) -> MergeOutcome {
+        let mut outcome = MergeOutcome::default();
+        if let Some(dot) =
+            received.vector().dots().find(|dot| dot.origin == self.origin && dot.count > self.count)
         {
-            became.usurped = true;
+            outcome.foreign_change = true;
             self.count = dot.count;
         }
-        if let Some(merged) = self.merged(key, told) {
-            let before = self.cells.get(key).into_iter().flat_map(Cell::siblings);
-            let gone = before.filter(|old| !merged.siblings().any(|stays| stays == *old));
-            became.replaced = gone.map(|old| old.dot).collect();
-            became.news = true;
-            self.cells.insert(key.clone(), merged);
+        if let Some(merged) = self.preview_merge(key, received) {
+            let before = self.sections.get(key).into_iter().flat_map(VersionedSection::siblings);
+            let replaced = before.filter(|old| !merged.siblings().any(|remaining| remaining == *old));
+            outcome.replaced = replaced.map(|old| old.dot).collect();
+            outcome.changed = true;
+            self.sections.insert(key.clone(), merged);
         }
-        if let Some(cell) = self.cells.get(key) {
-            became.conflict = cell.conflict();
-            became.forked = cell.forks().into_iter().collect();
+        if let Some(section) = self.sections.get(key) {
+            outcome.in_conflict = section.in_conflict();
+            outcome.forked = section.forked_dots().into_iter().collect();
         }
-        became
+        outcome
     }
 }
 
-fn digest(hash: &mut blake3::Hasher, key: &SectionKey, cell: &Cell) {
+fn hash_section(hash: &mut blake3::Hasher, key: &SectionKey, section: &VersionedSection) {
     let name = key_bytes(key);
     hash.update(&(name.len() as u64).to_le_bytes()).update(&name);
-    for dot in cell.clock().dots() {
-        for number in [dot.origin.member, dot.origin.life, dot.count] {
+    for dot in section.vector().dots() {
+        for number in [dot.origin.member, dot.origin.incarnation, dot.count] {
             hash.update(&number.to_le_bytes());
         }
     }
--- a/crates/grants/src/versions/version_vector.rs
+++ b/crates/grants/src/versions/version_vector.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
     pub member: u64,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// One change: the nth that this life of a member took, from 1.
@@ -22,16 +22,16 @@
 
 impl fmt::Display for Dot {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{:016x}.{}.{}", self.origin.member, self.origin.life, self.count)
+        write!(out, "{:016x}.{}.{}", self.origin.member, self.origin.incarnation, self.count)
     }
 }
 
 /// All changes of one part that are known: of each life all up to its highest count. Lives of one member stand
 /// beside each other: a later one may have begun without its earlier ones' changes, and must not cover them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Clock(BTreeMap<Origin, u64>);
+pub struct VersionVector(BTreeMap<Origin, u64>);
 
-impl Clock {
+impl VersionVector {
     pub fn covers(&self, dot: &Dot) -> bool {
         self.0.get(&dot.origin).is_some_and(|&count| dot.count <= count)
     }
@@ -41,12 +41,12 @@
         *count = dot.count.max(*count);
     }
 
-    pub fn merge(&mut self, other: &Clock) {
+    pub fn merge(&mut self, other: &VersionVector) {
         other.dots().for_each(|dot| self.add(&dot));
     }
 
     /// Whether it covers all of the other.
-    pub fn covers_all(&self, other: &Clock) -> bool {
+    pub fn covers_all(&self, other: &VersionVector) -> bool {
         other.dots().all(|dot| self.covers(&dot))
     }
 
@@ -63,7 +63,7 @@
 pub struct Version([u8; 16]);
 
 impl Version {
-    pub(super) fn of(hash: &blake3::Hasher) -> Version {
+    pub(super) fn from_hasher(hash: &blake3::Hasher) -> Version {
         let mut version = [0; 16];
         version.copy_from_slice(&hash.finalize().as_bytes()[..16]);
         Version(version)
@@ -85,9 +85,9 @@
 /// A text that is no version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a version is 32 hex digits")]
-pub struct NoVersion;
+pub struct ParseVersionError;
 
-impl NoVersion {
+impl ParseVersionError {
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         "give the version as the last answer showed it"
@@ -95,24 +95,24 @@
 }
 
 impl FromStr for Version {
-    type Err = NoVersion;
+    type Err = ParseVersionError;
 
-    fn from_str(text: &str) -> Result<Version, NoVersion> {
+    fn from_str(text: &str) -> Result<Version, ParseVersionError> {
         if text.len() != 32 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(NoVersion);
+            return Err(ParseVersionError);
         }
         let mut version = [0; 16];
         for (at, byte) in version.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).map_err(|_| NoVersion)?;
+            *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).map_err(|_| ParseVersionError)?;
         }
         Ok(Version(version))
     }
 }
 
 impl TryFrom<String> for Version {
-    type Error = NoVersion;
+    type Error = ParseVersionError;
 
-    fn try_from(text: String) -> Result<Version, NoVersion> {
+    fn try_from(text: String) -> Result<Version, ParseVersionError> {
         text.parse()
     }
 }
--- a/crates/grants/tests/agree.rs
+++ b/crates/grants/tests/agree.rs
@@ -48,17 +48,17 @@
         for now in 0..12 {
             let next = table.next_change(now).unwrap_or(12);
             prop_assert!(next > now);
-            let mut same = true;
+            let mut unchanged = true;
             for (_, team) in table.teams() {
                 for (_, model) in table.models() {
                     let first = table.check(team, model, now);
-                    same &= table.check(team, model, next) == first;
+                    unchanged &= table.check(team, model, next) == first;
                     for time in now..next {
                         prop_assert_eq!(table.check(team, model, time), first);
                     }
                 }
             }
-            prop_assert!(!same || table.next_change(now).is_none(), "nothing changes at {}", next);
+            prop_assert!(!unchanged || table.next_change(now).is_none(), "nothing changes at {}", next);
         }
     }
 
--- a/crates/grants/tests/revocation.rs
+++ b/crates/grants/tests/revocation.rs
@@ -301,7 +301,7 @@
     let change = one.changed(7);
     one.track(change, now);
     let early = Ask { lessees: Lessees::These(Vec::new()), ..other.ask(1, now) };
-    let knows = Mark { life: 1, sequence: change };
+    let knows = Mark { incarnation: 1, sequence: change };
     let late = Ask { knows, lessees: Lessees::These(vec![(4, 1)]), ..other.ask(1, now) };
     for ask in [&late, &early] {
         one.asked(ask, now).unwrap();
--- a/crates/grants/tests/support/fleet.rs
+++ b/crates/grants/tests/support/fleet.rs
@@ -15,7 +15,7 @@
 
 pub struct Node {
     pub member: Member<u32>,
-    pub life: u64,
+    pub incarnation: u64,
     /// What it keeps on disk and enforces.
     pub kept: BTreeSet<u32>,
     copy: BTreeSet<u32>,
@@ -74,7 +74,7 @@
             let (copy, followed) = (BTreeSet::new(), BTreeMap::new());
             fleet.nodes.push(Node {
                 member,
-                life: 1,
+                incarnation: 1,
                 kept,
                 copy,
                 offset,
@@ -237,9 +237,9 @@
             Start::Empty => node.kept.clear(),
             Start::Restored => node.kept = node.copy.clone(),
         }
-        node.life += 1;
+        node.incarnation += 1;
         node.paused = false;
-        node.member = member(at, node.life, &self.rosters[node.stage], start, &node.kept, clock);
+        node.member = member(at, node.incarnation, &self.rosters[node.stage], start, &node.kept, clock);
         node.followed.clear();
     }
 
@@ -306,9 +306,9 @@
 }
 
 fn member(
-    at: usize, life: u64, roster: &Roster, start: Start, kept: &BTreeSet<u32>, clock: u64,
+    at: usize, incarnation: u64, roster: &Roster, start: Start, kept: &BTreeSet<u32>, clock: u64,
 ) -> Member<u32> {
     let terms = Terms::new(LEASE, DRIFT, 3_000).unwrap();
     let kept = kept.iter().copied();
-    Member::new((id(at), life), terms, Stale::RefuseRestricted, roster.clone(), start, kept, clock)
+    Member::new((id(at), incarnation), terms, Stale::RefuseRestricted, roster.clone(), start, kept, clock)
 }
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -14,8 +14,8 @@
 /// All that a request may name for a model, one that is never there included.
 pub const ASKED: [&str; 8] = ["m", "mn", "n", "no", "x", "y", "g", "none"];
 
-fn names(of: &'static [&'static str], most: usize) -> impl Strategy<Value = Vec<String>> {
-    vec(select(of).prop_map(str::to_owned), 0..=most)
+fn names(of: &'static [&'static str], max: usize) -> impl Strategy<Value = Vec<String>> {
+    vec(select(of).prop_map(str::to_owned), 0..=max)
 }
 
 /// The name is of the effect, so that none stands for both.
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -7,7 +7,7 @@
 use glenrail_grants::compiled::Table;
 use glenrail_grants::document::{Document, Fault};
 use glenrail_grants::sections::{SectionKey, TeamSection};
-use glenrail_grants::versions::{ByteError, Dot, Entry, Ledger, LedgerError, Origin, FORMAT};
+use glenrail_grants::versions::{Dot, Entry, EntryError, Origin, Replica, ReplicaError, ENTRY_FORMAT};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::select;
@@ -29,8 +29,8 @@
 models = ["m", "n"]
 "#;
 
-fn ledger(member: u64, life: u64) -> Ledger {
-    Ledger::new(Origin { member, life })
+fn ledger(member: u64, incarnation: u64) -> Replica {
+    Replica::new(Origin { member, incarnation })
 }
 
 fn team(name: &str) -> SectionKey {
@@ -38,8 +38,8 @@
 }
 
 /// The first takes the document, and tells all.
-fn fleet(members: u64) -> Vec<Ledger> {
-    let mut all: Vec<Ledger> = (0..members).map(|member| ledger(member, 1)).collect();
+fn fleet(members: u64) -> Vec<Replica> {
+    let mut all: Vec<Replica> = (0..members).map(|member| ledger(member, 1)).collect();
     let document = Document::from_toml(DOCUMENT).unwrap();
     let version = all[0].version_of_all();
     let proposal = all[0].propose_document(version, &document).unwrap();
@@ -51,19 +51,20 @@
 }
 
 /// By way of bytes, one key or all. What it replaced.
-fn tell(all: &mut [Ledger], from: usize, to: usize, only: Option<&SectionKey>) -> Vec<Dot> {
+fn tell(all: &mut [Replica], from: usize, to: usize, only: Option<&SectionKey>) -> Vec<Dot> {
     let mut replaced = Vec::new();
-    let cells: Vec<_> = all[from].cells().map(|(key, cell)| Entry::of(key, cell).unwrap()).collect();
+    let cells: Vec<_> =
+        all[from].sections().map(|(key, section)| Entry::encode(key, section).unwrap()).collect();
     for entry in cells {
-        let (key, cell) = entry.read().unwrap();
+        let (key, section) = entry.decode().unwrap();
         if only.is_none_or(|only| *only == key) {
-            replaced.extend(all[to].merge(&key, &cell).replaced);
+            replaced.extend(all[to].merge(&key, &section).replaced);
         }
     }
     replaced
 }
 
-fn change(ledger: &mut Ledger, name: &str, section: Option<TeamSection>) -> Result<Dot, LedgerError> {
+fn change(ledger: &mut Replica, name: &str, section: Option<TeamSection>) -> Result<Dot, ReplicaError> {
     let version = ledger.version(&team(name));
     let proposal = ledger.propose(name, version, section)?;
     ledger.apply(&proposal);
@@ -118,7 +119,7 @@
 /// Of each change, by its part, the dots that it replaced.
 type Made = BTreeMap<(SectionKey, Dot), Vec<Dot>>;
 
-fn play(steps: Vec<Step>) -> (Vec<Ledger>, Made) {
+fn play(steps: Vec<Step>) -> (Vec<Replica>, Made) {
     let mut all = fleet(3);
     let mut kept = all.clone();
     let mut lives = 1;
@@ -128,8 +129,8 @@
             Step::Change { at, team: name, section } => {
                 let key = team(name);
                 let knew: Vec<Dot> = all[at]
-                    .cell(&key)
-                    .map(|cell| cell.siblings().map(|it| it.dot).collect())
+                    .section(&key)
+                    .map(|versioned| versioned.siblings().map(|it| it.dot).collect())
                     .unwrap_or_default();
                 if let Ok(dot) = change(&mut all[at], name, section) {
                     made.insert((key, dot), knew);
@@ -139,14 +140,14 @@
             Step::Keep { at } => kept[at] = all[at].clone(),
             Step::PutBack { at } | Step::Lose { at } => {
                 lives += 1;
-                let origin = Origin { member: at as u64, life: lives };
-                let cells: Vec<_> = match step {
+                let origin = Origin { member: at as u64, incarnation: lives };
+                let sections: Vec<_> = match step {
                     Step::Lose { .. } => Vec::new(),
-                    _ => kept[at].cells().map(|(key, cell)| (key.clone(), cell.clone())).collect(),
+                    _ => kept[at].sections().map(|(key, section)| (key.clone(), section.clone())).collect(),
                 };
                 // What only it knew is lost with its store; so it tells one other first.
                 tell(&mut all, at, (at + 1) % 3, None);
-                all[at] = Ledger::restore(origin, cells).unwrap();
+                all[at] = Replica::restore(origin, sections).unwrap();
             }
         }
     }
@@ -160,8 +161,8 @@
     fn merging_is_a_join(steps in vec(step(), 0..30)) {
         let (all, _) = play(steps);
         for name in ["a", "b"] {
-            let cells: Vec<_> = all.iter().map(|it| it.cell(&team(name)).cloned().unwrap_or_default()).collect();
-            let [a, b, c] = &cells[..] else { unreachable!() };
+            let sections: Vec<_> = all.iter().map(|it| it.section(&team(name)).cloned().unwrap_or_default()).collect();
+            let [a, b, c] = &sections[..] else { unreachable!() };
             prop_assert_eq!(a.merge(b), b.merge(a));
             prop_assert_eq!(a.merge(b).merge(c), a.merge(&b.merge(c)));
             prop_assert_eq!(&a.merge(a), a);
@@ -179,30 +180,30 @@
             }
         }
         prop_assert_eq!(all[0].version_of_all(), all[1].version_of_all());
-        prop_assert_eq!(all[0].parts(), all[1].parts());
-        prop_assert_eq!(all[0].parts(), all[2].parts());
+        prop_assert_eq!(all[0].contents(), all[1].contents());
+        prop_assert_eq!(all[0].contents(), all[2].contents());
         // A change stands, unless one was made by an admin who saw it. And nothing else stands.
         for name in ["a", "b"] {
             let key = team(name);
             let seen: BTreeSet<Dot> =
                 made.iter().filter(|((of, _), _)| *of == key).flat_map(|(_, knew)| knew).copied().collect();
-            let cell = all[0].cell(&key).unwrap();
-            let stand: BTreeSet<Dot> = cell.siblings().map(|it| it.dot).collect();
+            let versioned = all[0].section(&key).unwrap();
+            let stand: BTreeSet<Dot> = versioned.siblings().map(|it| it.dot).collect();
             for (of, dot) in made.keys() {
                 prop_assert!(*of != key || stand.contains(dot) != seen.contains(dot), "{} {}", name, dot);
             }
             prop_assert!(stand.is_disjoint(&seen));
-            prop_assert!(cell.forks().is_empty());
+            prop_assert!(versioned.forked_dots().is_empty());
         }
     }
 
     #[test]
     fn no_bytes_bring_it_down(bytes in vec(any::<u8>(), 0..60), key in "[cst][a-c]{0,2}") {
-        for value in [bytes.clone(), [vec![FORMAT], bytes.clone()].concat()] {
-            if let Ok((key, cell)) = (Entry { key: key.clone().into_bytes(), value }).read() {
+        for value in [bytes.clone(), [vec![ENTRY_FORMAT], bytes.clone()].concat()] {
+            if let Ok((key, section)) = (Entry { key: key.clone().into_bytes(), value }).decode() {
                 let mut all = fleet(1);
-                all[0].merge(&key, &cell);
-                Table::compile(&all[0].parts());
+                all[0].merge(&key, &section);
+                Table::compile(&all[0].contents());
             }
         }
     }
@@ -216,7 +217,7 @@
         tell(&mut all, from, to, None);
     }
     for ledger in &all {
-        let table = Table::compile(&ledger.parts());
+        let table = Table::compile(&ledger.contents());
         assert!(table.check_names("b", "m", 0).allowed);
         assert!(!table.check_names("b", "n", 0).allowed);
         let (key, standing) = ledger.conflicts().next().unwrap();
@@ -225,34 +226,34 @@
         assert_eq!(dots, [one.clone().unwrap(), other.clone().unwrap()]);
     }
     // An admin who saw only one side is told, with the present version.
-    let (seen, present) = (fleet(1)[0].version(&team("a")), all[2].version(&team("a")));
+    let (seen, current) = (fleet(1)[0].version(&team("a")), all[2].version(&team("a")));
     let refused = all[2].propose("a", seen, Some(only("n"))).unwrap_err();
-    assert_eq!(refused, LedgerError::Conflict { key: Some(team("a")), expected: seen, present });
+    assert_eq!(refused, ReplicaError::VersionMismatch { key: Some(team("a")), expected: seen, current });
     // One who saw both settles it, everywhere.
     change(&mut all[2], "a", Some(only("n"))).unwrap();
     assert_eq!(tell(&mut all, 2, 0, None), dots_of(&[one, other]));
     assert_eq!(all[0].conflicts().count(), 0);
-    assert!(Table::compile(&all[0].parts()).check_names("b", "n", 0).allowed);
+    assert!(Table::compile(&all[0].contents()).check_names("b", "n", 0).allowed);
 }
 
-fn dots_of(made: &[Result<Dot, LedgerError>]) -> Vec<Dot> {
+fn dots_of(made: &[Result<Dot, ReplicaError>]) -> Vec<Dot> {
     made.iter().map(|dot| dot.clone().unwrap()).collect()
 }
 
 #[test]
 fn yesterdays_copy_does_not_win() {
     let mut all = fleet(2);
-    let yesterday: Vec<_> = all[0].cells().map(|(key, cell)| (key.clone(), cell.clone())).collect();
+    let yesterday: Vec<_> = all[0].sections().map(|(key, section)| (key.clone(), section.clone())).collect();
     change(&mut all[0], "a", Some(only("m"))).unwrap();
     tell(&mut all, 0, 1, None);
-    let used = Ledger::restore(Origin { member: 0, life: 1 }, yesterday.clone()).unwrap_err();
-    assert_eq!(used, LedgerError::LifeUsed { origin: Origin { member: 0, life: 1 } });
-    all[0] = Ledger::restore(Origin { member: 0, life: 2 }, yesterday).unwrap();
-    let current = all[1].parts();
+    let used = Replica::restore(Origin { member: 0, incarnation: 1 }, yesterday.clone()).unwrap_err();
+    assert_eq!(used, ReplicaError::IncarnationUsed { origin: Origin { member: 0, incarnation: 1 } });
+    all[0] = Replica::restore(Origin { member: 0, incarnation: 2 }, yesterday).unwrap();
+    let current = all[1].contents();
     assert!(tell(&mut all, 0, 1, None).is_empty());
-    assert_eq!(all[1].parts(), current);
+    assert_eq!(all[1].contents(), current);
     assert_eq!(tell(&mut all, 1, 0, None).len(), 1);
-    assert_eq!(all[0].parts(), current);
+    assert_eq!(all[0].contents(), current);
 }
 
 #[test]
@@ -261,10 +262,10 @@
     let mut double = all[0].clone();
     change(&mut all[0], "a", Some(only("m"))).unwrap();
     let dot = change(&mut double, "a", Some(only("n"))).unwrap();
-    let became = all[0].merge(&team("a"), double.cell(&team("a")).unwrap());
-    assert_eq!((became.forked, became.conflict, became.usurped), (vec![dot], true, false));
+    let outcome = all[0].merge(&team("a"), double.section(&team("a")).unwrap());
+    assert_eq!((outcome.forked, outcome.in_conflict, outcome.foreign_change), (vec![dot], true, false));
     change(&mut double, "a", Some(only("n"))).unwrap();
-    assert!(all[0].merge(&team("a"), double.cell(&team("a")).unwrap()).usurped);
+    assert!(all[0].merge(&team("a"), double.section(&team("a")).unwrap()).foreign_change);
 }
 
 #[test]
@@ -273,16 +274,16 @@
     let before = all[0].version_of_all();
     let text = "{\"rules\": [\n {\"name\": \"own\", \"effect\": \"deny\",\n  \"models\": [\"m\", \"zz\"]}]}";
     let section = TeamSection::from_json("b", text).unwrap();
-    let Err(LedgerError::Document(error)) = change(&mut all[0], "b", Some(section)) else { panic!("taken") };
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "b", Some(section)) else { panic!("taken") };
     assert_eq!(
         error.with_position(text).to_string(),
         "line 3, column 19: rules[0].models[1]: there is no model, alias or group `zz`"
     );
     // Its parent cannot go either, nor be under it.
-    let Err(LedgerError::Document(error)) = change(&mut all[0], "a", None) else { panic!("taken") };
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", None) else { panic!("taken") };
     assert!(matches!(error.fault, Fault::UnknownName { .. }), "{error}");
     let circle = TeamSection { parents: vec!["b".to_owned()], rules: Vec::new() };
-    let Err(LedgerError::Document(error)) = change(&mut all[0], "a", Some(circle)) else { panic!("taken") };
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", Some(circle)) else { panic!("taken") };
     assert!(matches!(error.fault, Fault::Cycle { .. }), "{error}");
     assert_eq!(all[0].version_of_all(), before);
 }
@@ -290,8 +291,11 @@
 #[test]
 fn another_format_is_refused_by_name() {
     let all = fleet(1);
-    let (key, cell) = all[0].cells().next().unwrap();
-    let mut entry = Entry::of(key, cell).unwrap();
-    entry.value[0] = FORMAT + 1;
-    assert_eq!(entry.read().unwrap_err(), ByteError::Format { format: FORMAT + 1, ours: FORMAT });
+    let (key, section) = all[0].sections().next().unwrap();
+    let mut entry = Entry::encode(key, section).unwrap();
+    entry.value[0] = ENTRY_FORMAT + 1;
+    assert_eq!(
+        entry.decode().unwrap_err(),
+        EntryError::UnsupportedFormat { format: ENTRY_FORMAT + 1, supported: ENTRY_FORMAT }
+    );
 }
