--- a/crates/grants/src/revocation/journal.rs
+++ b/crates/grants/src/revocation/journal.rs
@@ -29,14 +29,14 @@
     }
 
     /// Up to so many keys after the sequence, how far they reach, and whether there are more.
-    pub fn after(&self, sequence: u64, most: usize) -> (Vec<K>, u64, bool) {
+    pub fn after(&self, sequence: u64, limit: usize) -> (Vec<K>, u64, bool) {
         let mut rest = self.by_sequence.range(sequence.saturating_add(1)..);
-        let taken: Vec<(u64, K)> = rest.by_ref().take(most).map(|(&at, key)| (at, key.clone())).collect();
-        let more = rest.next().is_some();
-        let reach = match taken.last() {
-            Some(&(at, _)) if more => at,
+        let taken: Vec<(u64, K)> = rest.by_ref().take(limit).map(|(&at, key)| (at, key.clone())).collect();
+        let has_more = rest.next().is_some();
+        let up_to = match taken.last() {
+            Some(&(at, _)) if has_more => at,
             _ => self.last,
         };
-        (taken.into_iter().map(|(_, key)| key).collect(), reach, more)
+        (taken.into_iter().map(|(_, key)| key).collect(), up_to, has_more)
     }
 }
--- a/crates/grants/src/revocation/lease_config.rs
+++ b/crates/grants/src/revocation/lease_config.rs
@@ -5,7 +5,7 @@
 /// What a member does whose knowledge has ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stale {
+pub enum StalePolicy {
     /// Models marked restricted are refused, others go on by what was known last.
     #[default]
     RefuseRestricted,
@@ -16,76 +16,83 @@
 
 /// What a member starts from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StoreState {
     /// Its own store, with all that it ever confirmed.
-    Kept,
+    Intact,
     /// Nothing.
     Empty,
     /// A copy of its store, which may be older than what it confirmed. Enforced, and not trusted as a voter's.
     Restored,
 }
 
-/// The same at all members; checked by [`new`](Terms::new).
+/// The same at all members; checked by [`new`](LeaseConfig::new).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
-    lease: u64,
-    drift: u64,
-    wait: u64,
+pub struct LeaseConfig {
+    lease_ms: u64,
+    drift_ppm: u64,
+    wait_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TermsError {
-    #[error("a lease of {lease} ms is not from {least} to {max} ms")]
-    Lease { lease: u64, least: u64, max: u64 },
-    #[error("a drift of {drift} millionths is more than {max}")]
-    Drift { drift: u64, max: u64 },
-    #[error("a wait of {wait} ms before a start without grants is more than {max} ms")]
-    Wait { wait: u64, max: u64 },
+pub enum LeaseConfigError {
+    #[error("a lease of {lease_ms} ms is not from {min} to {max} ms")]
+    LeaseOutOfRange { lease_ms: u64, min: u64, max: u64 },
+    #[error("a drift of {drift_ppm} millionths is more than {max}")]
+    DriftTooLarge { drift_ppm: u64, max: u64 },
+    #[error("a wait of {wait_ms} ms before a start without grants is more than {max} ms")]
+    WaitTooLong { wait_ms: u64, max: u64 },
 }
 
-impl TermsError {
+impl LeaseConfigError {
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            TermsError::Lease { .. } => "choose how long a cut-off member may go on: 5000 ms suits most",
-            TermsError::Drift { .. } => "clocks that drift so much need mending; 1000 millionths are plenty",
-            TermsError::Wait { .. } => "let it start sooner; `stale` says what it may do without grants",
+            LeaseConfigError::LeaseOutOfRange { .. } => {
+                "choose how long a cut-off member may go on: 5000 ms suits most"
+            }
+            LeaseConfigError::DriftTooLarge { .. } => {
+                "clocks that drift so much need mending; 1000 millionths are plenty"
+            }
+            LeaseConfigError::WaitTooLong { .. } => {
+                "let it start sooner; `stale` says what it may do without grants"
+            }
         }
     }
 }
 
-const LEAST_LEASE: u64 = 100;
-const MOST_LEASE: u64 = 3_600_000;
-const MOST_DRIFT: u64 = 200_000;
-const MOST_WAIT: u64 = 600_000;
+const MIN_LEASE_MS: u64 = 100;
+const MAX_LEASE_MS: u64 = 3_600_000;
+const MAX_DRIFT_PPM: u64 = 200_000;
+const MAX_WAIT_MS: u64 = 600_000;
 
-impl Terms {
+impl LeaseConfig {
     /// `lease`: how long an answer counts, ms. `drift`: by how many millionths any clock may run fast or
     /// slow. `wait`: how long an empty member asks before it is ready all the same, ms.
-    pub fn new(lease: u64, drift: u64, wait: u64) -> Result<Terms, TermsError> {
-        if !(LEAST_LEASE..=MOST_LEASE).contains(&lease) {
-            return Err(TermsError::Lease { lease, least: LEAST_LEASE, max: MOST_LEASE });
+    pub fn new(lease_ms: u64, drift_ppm: u64, wait_ms: u64) -> Result<LeaseConfig, LeaseConfigError> {
+        if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&lease_ms) {
+            return Err(LeaseConfigError::LeaseOutOfRange { lease_ms, min: MIN_LEASE_MS, max: MAX_LEASE_MS });
         }
-        if drift > MOST_DRIFT {
-            return Err(TermsError::Drift { drift, max: MOST_DRIFT });
+        if drift_ppm > MAX_DRIFT_PPM {
+            return Err(LeaseConfigError::DriftTooLarge { drift_ppm, max: MAX_DRIFT_PPM });
         }
-        if wait > MOST_WAIT {
-            return Err(TermsError::Wait { wait, max: MOST_WAIT });
+        if wait_ms > MAX_WAIT_MS {
+            return Err(LeaseConfigError::WaitTooLong { wait_ms, max: MAX_WAIT_MS });
         }
-        Ok(Terms { lease, drift, wait })
+        Ok(LeaseConfig { lease_ms, drift_ppm, wait_ms })
     }
 
-    pub fn lease(&self) -> u64 {
-        self.lease
+    pub fn lease_ms(&self) -> u64 {
+        self.lease_ms
     }
 
-    pub fn wait(&self) -> u64 {
-        self.wait
+    pub fn wait_ms(&self) -> u64 {
+        self.wait_ms
     }
 
     /// How long this clock has to run until a lease on any other has surely ended, ms: this one may run
     /// fast, the other slow; and one more, for the parts of a millisecond that neither clock shows.
-    pub fn outlasts(&self) -> u64 {
-        (self.lease + 1).saturating_mul(1_000_000 + self.drift).div_ceil(1_000_000 - self.drift) + 1
+    pub fn lease_bound_ms(&self) -> u64 {
+        (self.lease_ms + 1).saturating_mul(1_000_000 + self.drift_ppm).div_ceil(1_000_000 - self.drift_ppm)
+            + 1
     }
 }
--- a/crates/grants/src/revocation/member.rs
+++ b/crates/grants/src/revocation/member.rs
@@ -5,133 +5,135 @@
 
 use super::journal::Journal;
 use super::lease::Lease;
-use super::lease_config::{Stale, Start, Terms};
-use super::messages::{Answer, Ask, Lessees};
+use super::lease_config::{LeaseConfig, StalePolicy, StoreState};
+use super::messages::{Lessees, SyncRequest, SyncResponse};
 use super::peer::Peer;
-use super::progress::Tracks;
-use super::voter_config::{Roster, RosterError};
+use super::progress::TrackedChanges;
+use super::voter_config::{VoterConfig, VoterConfigError};
 use super::MemberId;
 
 /// Keys in one answer.
-const MOST_KEYS: usize = 256;
+const MAX_RESPONSE_KEYS: usize = 256;
 
 /// Generic over the key of what changes ([`crate::sections::SectionKey`] in the gateway). The order that it relies on:
-/// what is told is **kept on disk, then enforced, then** said to [`changed`](Member::changed) and
-/// [`answered`](Member::answered).
+/// what is told is **kept on disk, then enforced, then** said to [`record_change`](Member::record_change) and
+/// [`handle_response`](Member::handle_response).
 #[derive(Clone, Debug)]
 pub struct Member<K> {
     pub(super) id: MemberId,
     pub(super) incarnation: u64,
-    pub(super) terms: Terms,
-    stale: Stale,
-    pub(super) roster: Roster,
+    pub(super) lease_config: LeaseConfig,
+    stale_policy: StalePolicy,
+    pub(super) voter_config: VoterConfig,
     /// When it was taken.
-    pub(super) roster_since: u64,
-    start: Start,
-    started: u64,
+    pub(super) voter_config_since: u64,
+    store_state: StoreState,
+    started_at: u64,
     /// A voter's word counts once it surely has all that it ever confirmed.
     caught_up: bool,
     retired: bool,
     /// Until then: the other voters heard of in full since the start, and whether they began with nothing.
-    heard: BTreeMap<MemberId, bool>,
+    synced_voters: BTreeMap<MemberId, bool>,
     pub(super) journal: Journal<K>,
     pub(super) peers: BTreeMap<MemberId, Peer>,
-    pub(super) tracks: Tracks,
+    pub(super) tracked_changes: TrackedChanges,
 }
 
 impl<K: Clone + Eq + Hash> Member<K> {
     /// `life` is later than all before. `kept`: the keys that the store had; none for an empty start.
     pub fn new(
-        (id, incarnation): (MemberId, u64), terms: Terms, stale: Stale, roster: Roster, start: Start,
-        kept: impl IntoIterator<Item = K>, now: u64,
+        (id, incarnation): (MemberId, u64), lease_config: LeaseConfig, stale_policy: StalePolicy,
+        voter_config: VoterConfig, store_state: StoreState, stored_keys: impl IntoIterator<Item = K>,
+        now: u64,
     ) -> Member<K> {
         let mut journal = Journal::new();
-        for key in kept {
+        for key in stored_keys {
             journal.push(key);
         }
-        let (heard, peers, tracks) = (BTreeMap::new(), BTreeMap::new(), Tracks::default());
-        let caught_up = start == Start::Kept;
+        let (synced_voters, peers, tracked_changes) =
+            (BTreeMap::new(), BTreeMap::new(), TrackedChanges::default());
+        let caught_up = store_state == StoreState::Intact;
         let mut member = Member {
             id,
             incarnation,
-            terms,
-            stale,
-            roster,
-            roster_since: now,
-            start,
-            started: now,
+            lease_config,
+            stale_policy,
+            voter_config,
+            voter_config_since: now,
+            store_state,
+            started_at: now,
             caught_up,
             retired: false,
-            heard,
+            synced_voters,
             journal,
             peers,
-            tracks,
+            tracked_changes,
         };
-        member.catch_up();
+        member.update_caught_up();
         member
     }
 
     /// Something here is new, by an admin or by what another member told: it is kept and enforced. The number
     /// is for [`track`](Member::track).
-    pub fn changed(&mut self, key: K) -> u64 {
+    pub fn record_change(&mut self, key: K) -> u64 {
         self.journal.push(key)
     }
 
     /// The next question to another member. To be asked of every member that is not known to have left.
-    pub fn ask(&mut self, to: MemberId, now: u64) -> Ask {
-        let follows = self.peers.get(&to).is_some_and(|peer| peer.follows);
-        let lessees = if follows { self.lessees(now) } else { Lessees::Unknown };
-        let (number, knows) = self.peers.entry(to).or_default().ask(now);
-        Ask {
+    pub fn sync_request(&mut self, to: MemberId, now: u64) -> SyncRequest {
+        let wants_lessees = self.peers.get(&to).is_some_and(|peer| peer.wants_lessees);
+        let lessees = if wants_lessees { self.lessees(now) } else { Lessees::Unknown };
+        let (number, received) = self.peers.entry(to).or_default().start_request(now);
+        SyncRequest {
             from: self.id,
             incarnation: self.incarnation,
-            roster: self.roster.stamp(),
+            voter_config: self.voter_config.fingerprint(),
             number,
-            knows,
+            received,
             lessees,
         }
     }
 
     /// The answer to a question; none to an earlier life's.
-    pub fn asked(&mut self, ask: &Ask, now: u64) -> Option<Answer<K>> {
-        let same_roster = ask.roster == self.roster.stamp();
-        let voter = self.roster.is_voter(self.id);
-        let lent = now.saturating_add(self.terms.outlasts());
-        let peer = self.peers.entry(ask.from).or_default();
-        if self.retired || ask.from == self.id || !peer.lives(ask.incarnation) {
+    pub fn handle_request(&mut self, request: &SyncRequest, now: u64) -> Option<SyncResponse<K>> {
+        let same_voter_config = request.voter_config == self.voter_config.fingerprint();
+        let is_voter = self.voter_config.is_voter(self.id);
+        let lease_end = now.saturating_add(self.lease_config.lease_bound_ms());
+        let peer = self.peers.entry(request.from).or_default();
+        if self.retired || request.from == self.id || !peer.accept_incarnation(request.incarnation) {
             return None;
         }
-        let known = if ask.knows.incarnation == self.incarnation {
-            ask.knows.sequence.min(self.journal.last())
+        let received = if request.received.incarnation == self.incarnation {
+            request.received.sequence.min(self.journal.last())
         } else {
             0
         };
-        peer.confirmed = known.max(peer.confirmed);
+        peer.confirmed_up_to = received.max(peer.confirmed_up_to);
         // An earlier question that comes late says less than what is known already.
-        if ask.number > peer.heard {
-            peer.heard = ask.number;
-            peer.same_roster = same_roster;
-            peer.lessees = Some(ask.lessees.clone());
+        if request.number > peer.last_request {
+            peer.last_request = request.number;
+            peer.same_voter_config = same_voter_config;
+            peer.lessees = Some(request.lessees.clone());
         }
-        let (keys, reach, more) = self.journal.after(known, MOST_KEYS);
-        let lends = voter && self.caught_up && same_roster && !more;
-        if lends {
-            peer.lend(now, lent);
+        let (keys, up_to, has_more) = self.journal.after(received, MAX_RESPONSE_KEYS);
+        let grants_lease = is_voter && self.caught_up && same_voter_config && !has_more;
+        if grants_lease {
+            peer.grant_lease(now, lease_end);
         }
-        self.look(now);
-        Some(Answer {
+        self.update_progress(now);
+        Some(SyncResponse {
             from: self.id,
             incarnation: self.incarnation,
-            roster: self.roster.stamp(),
-            to_life: ask.incarnation,
-            number: ask.number,
-            after: known,
-            reach,
+            voter_config: self.voter_config.fingerprint(),
+            request_incarnation: request.incarnation,
+            request_number: request.number,
+            after: received,
+            up_to,
             keys,
-            more,
-            lends,
-            follows: self.tracks.any_open(),
-            empty: self.start == Start::Empty && !self.caught_up,
+            has_more,
+            grants_lease,
+            wants_lessees: self.tracked_changes.any_pending(),
+            empty: self.store_state == StoreState::Empty && !self.caught_up,
         })
     }
 
@@ -145,62 +147,64 @@
     /// An answer, **after** the cells of its keys are merged, kept and enforced here. One of which a cell could not
     /// be read or kept must not come here: this member then goes stale, and nobody counts on it. False for
     /// one that is of no use: too late, told twice, of an earlier life.
-    pub fn answered(&mut self, answer: &Answer<K>) -> bool {
-        let same_roster = answer.roster == self.roster.stamp();
-        let voter = self.roster.is_voter(answer.from);
-        let peer = self.peers.entry(answer.from).or_default();
-        if answer.to_life != self.incarnation || !peer.lives(answer.incarnation) || answer.after > peer.knows
+    pub fn handle_response(&mut self, response: &SyncResponse<K>) -> bool {
+        let same_voter_config = response.voter_config == self.voter_config.fingerprint();
+        let is_voter = self.voter_config.is_voter(response.from);
+        let peer = self.peers.entry(response.from).or_default();
+        if response.request_incarnation != self.incarnation
+            || !peer.accept_incarnation(response.incarnation)
+            || response.after > peer.received_up_to
         {
             return false;
         }
-        let Some(sent) = peer.sent(answer.number) else { return false };
-        peer.knows = answer.reach.max(peer.knows);
-        peer.follows = answer.follows;
-        if !answer.more && same_roster && voter {
-            if answer.lends {
-                peer.known_since = peer.known_since.max(Some(sent));
+        let Some(sent_at) = peer.finish_request(response.request_number) else { return false };
+        peer.received_up_to = response.up_to.max(peer.received_up_to);
+        peer.wants_lessees = response.wants_lessees;
+        if !response.has_more && same_voter_config && is_voter {
+            if response.grants_lease {
+                peer.lease_start = peer.lease_start.max(Some(sent_at));
             }
-            self.heard.insert(answer.from, answer.empty);
-            self.catch_up();
+            self.synced_voters.insert(response.from, response.empty);
+            self.update_caught_up();
         }
         true
     }
 
-    /// Takes a new roster, by the steps that [`RosterError`] tells.
-    pub fn set_roster(&mut self, next: Roster, now: u64) -> Result<(), RosterError> {
-        self.roster.step(&next, self.knows(now))?;
-        if next != self.roster {
+    /// Takes a new roster, by the steps that [`VoterConfigError`] tells.
+    pub fn set_voter_config(&mut self, next: VoterConfig, now: u64) -> Result<(), VoterConfigError> {
+        self.voter_config.check_transition(&next, self.has_valid_lease(now))?;
+        if next != self.voter_config {
             // What was answered under the last roster counts for nothing under this one.
-            self.peers.values_mut().for_each(|peer| peer.known_since = None);
-            self.peers.values_mut().for_each(|peer| peer.same_roster = false);
-            self.heard.clear();
-            self.roster = next;
-            self.roster_since = now;
+            self.peers.values_mut().for_each(|peer| peer.lease_start = None);
+            self.peers.values_mut().for_each(|peer| peer.same_voter_config = false);
+            self.synced_voters.clear();
+            self.voter_config = next;
+            self.voter_config_since = now;
         }
         Ok(())
     }
 
     /// A member told that it leaves, or was taken out by an operator: it needs not be asked, and is not counted.
     /// What it may have been lent ends as all leases do.
-    pub fn left(&mut self, member: MemberId) {
+    pub fn peer_left(&mut self, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
-            peer.begin(peer.incarnation);
+            peer.reset(peer.incarnation);
         }
     }
 
     /// Until when this member knows, and what it may do after.
     pub fn lease(&self) -> Lease {
-        Lease { until: self.known_until(), stale: self.stale }
+        Lease { expires_at: self.lease_expiry(), stale_policy: self.stale_policy }
     }
 
-    pub fn knows(&self, now: u64) -> bool {
-        self.lease().knows(now)
+    pub fn has_valid_lease(&self, now: u64) -> bool {
+        self.lease().is_valid(now)
     }
 
     /// Whether it may take requests: at once with a store; without, once it knows, or has waited long enough.
-    pub fn ready(&self, now: u64) -> bool {
-        let waited = now >= self.started.saturating_add(self.terms.wait());
-        self.start != Start::Empty || waited || self.knows(now)
+    pub fn is_ready(&self, now: u64) -> bool {
+        let waited = now >= self.started_at.saturating_add(self.lease_config.wait_ms());
+        self.store_state != StoreState::Empty || waited || self.has_valid_lease(now)
     }
 
     /// Whether this member, if it is a voter, surely has all that it ever confirmed, and lends.
@@ -209,19 +213,20 @@
     }
 
     /// The latest time at which those whose answers still count are enough.
-    fn known_until(&self) -> u64 {
-        let end = |peer: &Peer| peer.known_since.map(|since| since.saturating_add(self.terms.lease()));
-        let mut ends: Vec<(u64, MemberId)> =
-            self.peers.iter().filter_map(|(&id, peer)| Some((end(peer)?, id))).collect();
+    fn lease_expiry(&self) -> u64 {
+        let expiry =
+            |peer: &Peer| peer.lease_start.map(|start| start.saturating_add(self.lease_config.lease_ms()));
+        let mut expiries: Vec<(u64, MemberId)> =
+            self.peers.iter().filter_map(|(&id, peer)| Some((expiry(peer)?, id))).collect();
         if self.caught_up {
-            ends.push((u64::MAX, self.id));
+            expiries.push((u64::MAX, self.id));
         }
-        ends.sort_unstable_by(|one, other| other.cmp(one));
-        let mut are = BTreeSet::new();
-        for (end, id) in ends {
-            are.insert(id);
-            if self.roster.know(&are) {
-                return end;
+        expiries.sort_unstable_by(|one, other| other.cmp(one));
+        let mut members = BTreeSet::new();
+        for (expires_at, id) in expiries {
+            members.insert(id);
+            if self.voter_config.is_lease_quorum(&members) {
+                return expires_at;
             }
         }
         0
@@ -229,26 +234,26 @@
 
     /// A voter without its own store has caught up when the others would be enough without it, not counting those
     /// that began with nothing; or when all of them have spoken, so that there is nobody left to ask.
-    fn catch_up(&mut self) {
-        let mut others = self.roster.voters();
+    fn update_caught_up(&mut self) {
+        let mut others = self.voter_config.voters();
         others.remove(&self.id);
-        let full: BTreeSet<MemberId> =
-            self.heard.iter().filter(|(_, &empty)| !empty).map(|(&id, _)| id).collect();
-        let all = others.iter().all(|id| self.heard.contains_key(id));
-        self.caught_up = self.caught_up || all || self.roster.know(&full);
+        let not_empty: BTreeSet<MemberId> =
+            self.synced_voters.iter().filter(|(_, &empty)| !empty).map(|(&id, _)| id).collect();
+        let all_synced = others.iter().all(|id| self.synced_voters.contains_key(id));
+        self.caught_up = self.caught_up || all_synced || self.voter_config.is_lease_quorum(&not_empty);
     }
 
     pub(super) fn own_lessees(&self, now: u64) -> Option<Vec<(MemberId, u64)>> {
-        let since = self.started.saturating_add(self.terms.outlasts());
-        let lent = self
-            .peers
-            .iter()
-            .flat_map(|(&id, peer)| peer.lent.iter().map(move |(&incarnation, end)| (id, incarnation, end)));
-        (now >= since)
-            .then(|| lent.filter(|it| *it.2 > now).map(|(id, incarnation, _)| (id, incarnation)).collect())
+        let known_from = self.started_at.saturating_add(self.lease_config.lease_bound_ms());
+        let granted = self.peers.iter().flat_map(|(&id, peer)| {
+            peer.granted_leases.iter().map(move |(&incarnation, end)| (id, incarnation, end))
+        });
+        (now >= known_from).then(|| {
+            granted.filter(|lease| *lease.2 > now).map(|(id, incarnation, _)| (id, incarnation)).collect()
+        })
     }
 
     fn lessees(&self, now: u64) -> Lessees {
-        self.own_lessees(now).map_or(Lessees::Unknown, Lessees::These)
+        self.own_lessees(now).map_or(Lessees::Unknown, Lessees::Known)
     }
 }
--- a/crates/grants/src/revocation/mod.rs
+++ b/crates/grants/src/revocation/mod.rs
@@ -1,10 +1,10 @@
 //! When a change of grants has taken hold everywhere: leases of knowledge, without I/O and without a clock.
 //!
-//! Some members are *voters* ([`Roster`]). A member *knows* as long as enough voters have answered it lately: each
+//! Some members are *voters* ([`VoterConfig`]). A member *knows* as long as enough voters have answered it lately: each
 //! answer hands over all that the voter has, and counts for a lease's length from when the question was **sent**, on
 //! the asker's clock. A change *is held* once enough voters have confirmed that they enforce it, kept on disk. Any
 //! set that is enough to know and any that is enough to hold share a voter, so what is known after a change is held
-//! includes it. What was known before ends by itself: after [`Terms::outlasts`] on the clock of the member that
+//! includes it. What was known before ends by itself: after [`LeaseConfig::lease_bound_ms`] on the clock of the member that
 //! took the change, nobody knows without it, and the change is *fleet-wide*; sooner, if everybody to whom the
 //! holders have lent knowledge confirms.
 //!
@@ -19,8 +19,8 @@
 //!     | then: the `stale` rule       |                              |  or once all lessees confirm
 //! ```
 //!
-//! Drivers ask every member at a cadence well under the lease ([`Member::ask`]), hand over what comes
-//! ([`Member::asked`], [`Member::answered`]) and say what changed here ([`Member::changed`]). `now` is ms on a clock
+//! Drivers ask every member at a cadence well under the lease ([`Member::sync_request`]), hand over what comes
+//! ([`Member::handle_request`], [`Member::handle_response`]) and say what changed here ([`Member::record_change`]). `now` is ms on a clock
 //! of this machine that never goes back **and runs while the machine sleeps** (on Linux `CLOCK_BOOTTIME`).
 //!
 //! What does not hold: voters whose stores go back unnoticed, or are lost, more than one at a time; clocks that
@@ -36,11 +36,11 @@
 mod voter_config;
 
 pub use lease::Lease;
-pub use lease_config::{Stale, Start, Terms, TermsError};
+pub use lease_config::{LeaseConfig, LeaseConfigError, StalePolicy, StoreState};
 pub use member::Member;
-pub use messages::{Answer, Ask, Lessees, Mark};
+pub use messages::{JournalPosition, Lessees, SyncRequest, SyncResponse};
 pub use progress::{Bound, Progress, Stage};
-pub use voter_config::{Needs, Roster, RosterError};
+pub use voter_config::{QuorumRule, VoterConfig, VoterConfigError};
 
 /// A gateway, by the hash of its name.
 pub type MemberId = u64;
--- a/crates/grants/tests/revocation.rs
+++ b/crates/grants/tests/revocation.rs
@@ -7,7 +7,8 @@
 
 use fleet::{Fleet, DRIFT, LEASE};
 use glenrail_grants::revocation::{
-    Ask, Bound, Lessees, Mark, Member, Needs, Roster, RosterError, Stage, Stale, Start, Terms,
+    Bound, JournalPosition, LeaseConfig, Lessees, Member, QuorumRule, Stage, StalePolicy, StoreState,
+    SyncRequest, VoterConfig, VoterConfigError,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -27,7 +28,7 @@
     Heal,
     Pause(usize, bool),
     Copy(usize),
-    Restart(usize, Start),
+    Restart(usize, StoreState),
     NextRoster(usize),
     LastRoster(usize),
 }
@@ -50,8 +51,8 @@
         1 => at().prop_map(Step::Copy),
         1 => at().prop_map(Step::NextRoster),
         1 => at().prop_map(Step::LastRoster),
-        2 => (at(), select(&[Start::Kept, Start::Empty, Start::Restored][..]))
-            .prop_map(|(at, start)| Step::Restart(at, start)),
+        2 => (at(), select(&[StoreState::Intact, StoreState::Empty, StoreState::Restored][..]))
+            .prop_map(|(at, store_state)| Step::Restart(at, store_state)),
     ]
 }
 
@@ -76,7 +77,7 @@
             Step::Copy(at) => fleet.copy(at),
             Step::NextRoster(at) => fleet.next_roster(at),
             Step::LastRoster(at) => fleet.last_roster(at),
-            Step::Restart(at, start) => fleet.restart(at, start),
+            Step::Restart(at, store_state) => fleet.restart(at, store_state),
         }
         fleet.check()?;
     }
@@ -114,11 +115,11 @@
 
     #[test]
     fn nobody_admits_against_what_is_fleet_wide(
-        steps in vec(step(4), 0..120), needs in select(&[Needs::Majority, Needs::Every][..]), turn in 0..4usize,
+        steps in vec(step(4), 0..120), quorum_rule in select(&[QuorumRule::Majority, QuorumRule::Every][..]), turn in 0..4usize,
     ) {
         let mut rates = RATES;
         rates.rotate_left(turn);
-        let mut fleet = Fleet::new(4, 3, needs, &rates);
+        let mut fleet = Fleet::new(4, 3, quorum_rule, &rates);
         fleet.round();
         play(&mut fleet, steps).map_err(TestCaseError::fail)?;
         // Once it is quiet, all know, all are the same, and a change comes through at once or by its bound.
@@ -132,23 +133,23 @@
         fleet.round();
         fleet.round();
         let progress = fleet.progress(3, change).unwrap();
-        prop_assert_eq!((progress.told, progress.of), (3, 3));
-        let after = Terms::new(LEASE, DRIFT, 0).unwrap().outlasts();
+        prop_assert_eq!((progress.confirmed, progress.total), (3, 3));
+        let after = LeaseConfig::new(LEASE, DRIFT, 0).unwrap().lease_bound_ms();
         match progress.bound {
-            Bound::Done => {}
-            Bound::Within(time) => {
+            Bound::Reached => {}
+            Bound::WithinMs(time) => {
                 prop_assert!(time <= after);
                 fleet.now += after * 1_000 / 910 + 2;
                 prop_assert_eq!(fleet.progress(3, change).unwrap().stage, Stage::FleetWide);
             }
-            Bound::OnceHeld { .. } => prop_assert!(false, "not held"),
+            Bound::AfterCommit { .. } => prop_assert!(false, "not held"),
         }
     }
 }
 
 #[test]
 fn a_member_cut_off_is_stale_and_the_change_is_fleet_wide_by_its_bound() {
-    let mut fleet = Fleet::new(5, 5, Needs::Majority, &[1_000]);
+    let mut fleet = Fleet::new(5, 5, QuorumRule::Majority, &[1_000]);
     fleet.now += 5_000;
     fleet.round();
     for other in 0..4 {
@@ -156,13 +157,13 @@
         fleet.cut(other, 4);
     }
     let change = fleet.change(0).unwrap();
-    assert_eq!(fleet.progress(0, change).unwrap().stage, Stage::Kept);
+    assert_eq!(fleet.progress(0, change).unwrap().stage, Stage::Local);
     fleet.round();
     fleet.round();
     let progress = fleet.progress(0, change).unwrap();
-    let after = Terms::new(LEASE, DRIFT, 0).unwrap().outlasts();
-    assert_eq!((progress.stage, progress.told, progress.of), (Stage::Told, 3, 4));
-    assert_eq!((progress.missing.len(), progress.bound), (1, Bound::Within(after)));
+    let after = LeaseConfig::new(LEASE, DRIFT, 0).unwrap().lease_bound_ms();
+    assert_eq!((progress.stage, progress.confirmed, progress.total), (Stage::Propagating, 3, 4));
+    assert_eq!((progress.missing.len(), progress.bound), (1, Bound::WithinMs(after)));
     assert!(fleet.admits(4));
     fleet.now += after;
     assert_eq!(fleet.progress(0, change).unwrap().stage, Stage::FleetWide);
@@ -174,8 +175,8 @@
 
 #[test]
 fn the_smaller_side_is_told_that_nothing_bounds_its_change_and_by_every_it_is() {
-    for (needs, held) in [(Needs::Majority, false), (Needs::Every, true)] {
-        let mut fleet = Fleet::new(5, 5, needs, &[1_000]);
+    for (quorum_rule, held) in [(QuorumRule::Majority, false), (QuorumRule::Every, true)] {
+        let mut fleet = Fleet::new(5, 5, quorum_rule, &[1_000]);
         fleet.now += 5_000;
         fleet.round();
         for (one, other) in [0, 1].into_iter().flat_map(|one| (2..5).map(move |other| (one, other))) {
@@ -185,11 +186,13 @@
         let change = fleet.change(0).unwrap();
         fleet.round();
         fleet.round();
-        let after = Terms::new(LEASE, DRIFT, 0).unwrap().outlasts();
-        fleet.now += after;
+        let after_ms = LeaseConfig::new(LEASE, DRIFT, 0).unwrap().lease_bound_ms();
+        fleet.now += after_ms;
         let progress = fleet.progress(0, change).unwrap();
         match held {
-            false => assert_eq!(progress.bound, Bound::OnceHeld { after, missing: vec![102, 103, 104] }),
+            false => {
+                assert_eq!(progress.bound, Bound::AfterCommit { after_ms, missing: vec![102, 103, 104] })
+            }
             true => assert_eq!(progress.stage, Stage::FleetWide),
         }
         // A majority goes on; with every voter needed nobody does.
@@ -206,20 +209,20 @@
 
 #[test]
 fn voters_change_by_way_of_both() {
-    let mut fleet = Fleet::new(4, 3, Needs::Majority, &[1_000]);
+    let mut fleet = Fleet::new(4, 3, QuorumRule::Majority, &[1_000]);
     fleet.round();
-    let next = || Roster::new(101..104, Needs::Majority).unwrap();
-    let both = next().after(&Roster::new(100..103, Needs::Majority).unwrap());
+    let next = || VoterConfig::new(101..104, QuorumRule::Majority).unwrap();
+    let both = next().joint_with(&VoterConfig::new(100..103, QuorumRule::Majority).unwrap());
     let member = &mut fleet.nodes[0].member;
-    assert_eq!(member.set_roster(next(), 0), Err(RosterError::Step));
-    assert_eq!(member.set_roster(both, 0), Ok(()));
-    assert_eq!(member.set_roster(next(), 0), Err(RosterError::TooSoon));
-    assert_eq!(Roster::new([], Needs::Every).unwrap_err(), RosterError::None);
+    assert_eq!(member.set_voter_config(next(), 0), Err(VoterConfigError::InvalidTransition));
+    assert_eq!(member.set_voter_config(both, 0), Ok(()));
+    assert_eq!(member.set_voter_config(next(), 0), Err(VoterConfigError::NoLease));
+    assert_eq!(VoterConfig::new([], QuorumRule::Every).unwrap_err(), VoterConfigError::NoVoters);
 }
 
 #[test]
 fn a_retired_process_lends_nothing() {
-    let mut fleet = Fleet::new(2, 1, Needs::Majority, &[1_000]);
+    let mut fleet = Fleet::new(2, 1, QuorumRule::Majority, &[1_000]);
     fleet.nodes[0].member.retire();
     fleet.round();
     assert!(!fleet.admits(1));
@@ -227,7 +230,7 @@
 
 #[test]
 fn all_confirmed_is_fleet_wide_without_waiting() {
-    let mut fleet = Fleet::new(4, 3, Needs::Majority, &[1_000]);
+    let mut fleet = Fleet::new(4, 3, QuorumRule::Majority, &[1_000]);
     fleet.now += 5_000;
     fleet.round();
     let change = fleet.change(3).unwrap();
@@ -238,29 +241,29 @@
 
 #[test]
 fn an_empty_member_is_ready_once_it_knows_or_has_waited() {
-    let mut fleet = Fleet::new(3, 3, Needs::Majority, &[1_000]);
+    let mut fleet = Fleet::new(3, 3, QuorumRule::Majority, &[1_000]);
     let change = fleet.change(0).unwrap();
     fleet.round();
-    fleet.restart(2, Start::Empty);
-    let ready = |fleet: &Fleet| fleet.nodes[2].member.ready(fleet.clock(2));
-    assert!(!ready(&fleet) && !fleet.admits(2));
+    fleet.restart(2, StoreState::Empty);
+    let is_ready = |fleet: &Fleet| fleet.nodes[2].member.is_ready(fleet.clock(2));
+    assert!(!is_ready(&fleet) && !fleet.admits(2));
     fleet.exchange(2, 1);
-    assert!(!ready(&fleet), "one answer of two that are needed without its own");
+    assert!(!is_ready(&fleet), "one answer of two that are needed without its own");
     fleet.exchange(2, 0);
-    assert!(ready(&fleet) && fleet.admits(2) && fleet.nodes[2].kept.contains(&change));
+    assert!(is_ready(&fleet) && fleet.admits(2) && fleet.nodes[2].kept.contains(&change));
     // Cut off from all, it is ready after the wait, and stale.
     for other in 0..2 {
         fleet.cut(2, other);
         fleet.cut(other, 2);
     }
-    fleet.restart(2, Start::Empty);
+    fleet.restart(2, StoreState::Empty);
     fleet.round();
-    assert!(!ready(&fleet));
+    assert!(!is_ready(&fleet));
     fleet.now += 3_000;
-    assert!(ready(&fleet) && !fleet.admits(2));
+    assert!(is_ready(&fleet) && !fleet.admits(2));
     // A fleet in which all begin with nothing has nothing to wait for.
-    let mut fleet = Fleet::new(3, 3, Needs::Majority, &[1_000]);
-    (0..3).for_each(|at| fleet.restart_unbounded(at, Start::Empty));
+    let mut fleet = Fleet::new(3, 3, QuorumRule::Majority, &[1_000]);
+    (0..3).for_each(|at| fleet.restart_unbounded(at, StoreState::Empty));
     fleet.round();
     fleet.round();
     assert!((0..3).all(|at| fleet.admits(at)));
@@ -268,73 +271,100 @@
 
 #[test]
 fn nobody_knows_before_all_is_handed_over() {
-    let terms = Terms::new(LEASE, DRIFT, 0).unwrap();
-    let roster = || Roster::new([1], Needs::Majority).unwrap();
-    let mut voter = Member::new((1, 1), terms, Stale::RefuseAll, roster(), Start::Kept, 0..600u32, 0);
-    let mut other = Member::new((2, 1), terms, Stale::RefuseAll, roster(), Start::Empty, [], 0);
+    let lease_config = LeaseConfig::new(LEASE, DRIFT, 0).unwrap();
+    let voter_config = || VoterConfig::new([1], QuorumRule::Majority).unwrap();
+    let mut voter = Member::new(
+        (1, 1),
+        lease_config,
+        StalePolicy::RefuseAll,
+        voter_config(),
+        StoreState::Intact,
+        0..600u32,
+        0,
+    );
+    let mut other =
+        Member::new((2, 1), lease_config, StalePolicy::RefuseAll, voter_config(), StoreState::Empty, [], 0);
     let mut keys = BTreeSet::new();
     for (turn, last) in [(0, false), (1, false), (2, true)] {
-        let ask = other.ask(1, turn);
-        let answer = voter.asked(&ask, turn).unwrap();
-        assert_eq!((answer.more, answer.lends), (!last, last));
-        keys.extend(answer.keys.iter().copied());
-        assert!(other.answered(&answer));
-        assert!(!other.answered(&answer), "told twice");
-        assert_eq!(other.knows(turn), last);
+        let request = other.sync_request(1, turn);
+        let response = voter.handle_request(&request, turn).unwrap();
+        assert_eq!((response.has_more, response.grants_lease), (!last, last));
+        keys.extend(response.keys.iter().copied());
+        assert!(other.handle_response(&response));
+        assert!(!other.handle_response(&response), "told twice");
+        assert_eq!(other.has_valid_lease(turn), last);
     }
     assert_eq!(keys.len(), 600);
     // A question without news is answered in a few bytes.
-    let ask = other.ask(1, 3);
-    let answer = voter.asked(&ask, 3).unwrap();
-    assert!(postcard::to_stdvec(&ask).unwrap().len() <= 64);
-    assert!(postcard::to_stdvec(&answer).unwrap().len() <= 64);
+    let request = other.sync_request(1, 3);
+    let response = voter.handle_request(&request, 3).unwrap();
+    assert!(postcard::to_stdvec(&request).unwrap().len() <= 64);
+    assert!(postcard::to_stdvec(&response).unwrap().len() <= 64);
 }
 
 #[test]
 fn a_question_that_comes_late_does_not_take_back_whom_was_lent_to() {
-    let terms = Terms::new(LEASE, DRIFT, 0).unwrap();
+    let lease_config = LeaseConfig::new(LEASE, DRIFT, 0).unwrap();
     let member = |id| {
-        let roster = Roster::new([1, 2, 3], Needs::Majority).unwrap();
-        Member::<u32>::new((id, 1), terms, Stale::RefuseAll, roster, Start::Kept, [], 0)
+        let voter_config = VoterConfig::new([1, 2, 3], QuorumRule::Majority).unwrap();
+        Member::<u32>::new(
+            (id, 1),
+            lease_config,
+            StalePolicy::RefuseAll,
+            voter_config,
+            StoreState::Intact,
+            [],
+            0,
+        )
     };
-    let (mut one, mut other, now) = (member(1), member(2), terms.outlasts());
-    let change = one.changed(7);
+    let (mut one, mut other, now) = (member(1), member(2), lease_config.lease_bound_ms());
+    let change = one.record_change(7);
     one.track(change, now);
-    let early = Ask { lessees: Lessees::These(Vec::new()), ..other.ask(1, now) };
-    let knows = Mark { incarnation: 1, sequence: change };
-    let late = Ask { knows, lessees: Lessees::These(vec![(4, 1)]), ..other.ask(1, now) };
-    for ask in [&late, &early] {
-        one.asked(ask, now).unwrap();
+    let early = SyncRequest { lessees: Lessees::Known(Vec::new()), ..other.sync_request(1, now) };
+    let received = JournalPosition { incarnation: 1, sequence: change };
+    let late = SyncRequest { received, lessees: Lessees::Known(vec![(4, 1)]), ..other.sync_request(1, now) };
+    for request in [&late, &early] {
+        one.handle_request(request, now).unwrap();
         let progress = one.progress(change, &BTreeSet::from([2, 4]), now).unwrap();
-        assert_eq!((progress.stage, progress.told), (Stage::Told, 1));
+        assert_eq!((progress.stage, progress.confirmed), (Stage::Propagating, 1));
     }
 }
 
 #[test]
 fn one_that_begins_anew_has_not_been_told() {
-    let mut fleet = Fleet::new(3, 2, Needs::Majority, &[1_000]);
+    let mut fleet = Fleet::new(3, 2, QuorumRule::Majority, &[1_000]);
     fleet.round();
     let change = fleet.change(0).unwrap();
     fleet.round();
     fleet.round();
-    assert_eq!(fleet.progress(0, change).unwrap().told, 2);
-    fleet.restart(2, Start::Empty);
+    assert_eq!(fleet.progress(0, change).unwrap().confirmed, 2);
+    fleet.restart(2, StoreState::Empty);
     fleet.ask(2, 0);
     fleet.deliver(0, false);
     let progress = fleet.progress(0, change).unwrap();
-    assert_eq!((progress.told, progress.missing), (1, vec![102]));
+    assert_eq!((progress.confirmed, progress.missing), (1, vec![102]));
 }
 
 #[test]
 fn an_answer_under_the_last_roster_lends_nothing_under_the_next() {
-    let terms = Terms::new(LEASE, DRIFT, 0).unwrap();
-    let roster = |needs| Roster::new([1], needs).unwrap();
+    let lease_config = LeaseConfig::new(LEASE, DRIFT, 0).unwrap();
+    let voter_config = |quorum_rule| VoterConfig::new([1], quorum_rule).unwrap();
     let member = |id| {
-        Member::<u32>::new((id, 1), terms, Stale::RefuseAll, roster(Needs::Majority), Start::Kept, [], 0)
+        Member::<u32>::new(
+            (id, 1),
+            lease_config,
+            StalePolicy::RefuseAll,
+            voter_config(QuorumRule::Majority),
+            StoreState::Intact,
+            [],
+            0,
+        )
     };
     let (mut voter, mut other) = (member(1), member(2));
-    let answers = [0, 1].map(|now| voter.asked(&other.ask(1, now), now).unwrap());
-    assert!(other.answered(&answers[0]) && other.knows(2));
-    other.set_roster(roster(Needs::Every).after(&roster(Needs::Majority)), 2).unwrap();
-    assert!(other.answered(&answers[1]) && !other.knows(2));
+    let answers = [0, 1].map(|now| voter.handle_request(&other.sync_request(1, now), now).unwrap());
+    assert!(other.handle_response(&answers[0]) && other.has_valid_lease(2));
+    other
+        .set_voter_config(voter_config(QuorumRule::Every).joint_with(&voter_config(QuorumRule::Majority)), 2)
+        .unwrap();
+    assert!(other.handle_response(&answers[1]) && !other.has_valid_lease(2));
 }
--- a/crates/grants/tests/support/fleet.rs
+++ b/crates/grants/tests/support/fleet.rs
@@ -6,7 +6,8 @@
 use glenrail_grants::compiled::{Decision, DecisionReason};
 use glenrail_grants::document::StreamPolicy;
 use glenrail_grants::revocation::{
-    Answer, Ask, Bound, Lease, Member, MemberId, Needs, Progress, Roster, Stage, Stale, Start, Terms,
+    Bound, Lease, LeaseConfig, Member, MemberId, Progress, QuorumRule, Stage, StalePolicy, StoreState,
+    SyncRequest, SyncResponse, VoterConfig,
 };
 
 pub const LEASE: u64 = 1_000;
@@ -31,15 +32,15 @@
 
 #[derive(Clone)]
 enum Message {
-    Ask { to: usize, ask: Ask },
-    Answer { to: usize, answer: Answer<u32>, cells: BTreeSet<u32> },
+    Ask { to: usize, request: SyncRequest },
+    Answer { to: usize, response: SyncResponse<u32>, cells: BTreeSet<u32> },
 }
 
 pub struct Fleet {
     pub nodes: Vec<Node>,
     pub now: u64,
     /// The first voters, both, and the next: the same number, shifted by one.
-    rosters: [Roster; 3],
+    rosters: [VoterConfig; 3],
     wire: Vec<(usize, Message)>,
     cut: BTreeSet<(usize, usize)>,
     changes: u32,
@@ -52,13 +53,13 @@
 }
 
 impl Fleet {
-    pub fn new(members: usize, voters: usize, needs: Needs, rates: &[u64]) -> Fleet {
-        let first = Roster::new((0..voters).map(id), needs).unwrap();
-        let last = Roster::new((members - voters..members).map(id), needs).unwrap();
+    pub fn new(members: usize, voters: usize, quorum_rule: QuorumRule, rates: &[u64]) -> Fleet {
+        let first = VoterConfig::new((0..voters).map(id), quorum_rule).unwrap();
+        let last = VoterConfig::new((members - voters..members).map(id), quorum_rule).unwrap();
         let mut fleet = Fleet {
             nodes: Vec::new(),
             now: 10_000,
-            rosters: [first.clone(), last.clone().after(&first), last],
+            rosters: [first.clone(), last.clone().joint_with(&first), last],
             wire: Vec::new(),
             cut: BTreeSet::new(),
             changes: 0,
@@ -70,7 +71,7 @@
             let (offset, rate) = (at as u64 * 777, rates[at % rates.len()]);
             let kept = BTreeSet::new();
             let clock = offset + fleet.now * rate / 1_000;
-            let member = member(at, 1, &fleet.rosters[0], Start::Kept, &kept, clock);
+            let member = member(at, 1, &fleet.rosters[0], StoreState::Intact, &kept, clock);
             let (copy, followed) = (BTreeSet::new(), BTreeMap::new());
             fleet.nodes.push(Node {
                 member,
@@ -98,8 +99,8 @@
     pub fn ask(&mut self, from: usize, to: usize) {
         let clock = self.clock(from);
         if from != to && !self.nodes[from].paused {
-            let ask = self.nodes[from].member.ask(id(to), clock);
-            self.wire.push((from, Message::Ask { to, ask }));
+            let request = self.nodes[from].member.sync_request(id(to), clock);
+            self.wire.push((from, Message::Ask { to, request }));
         }
     }
 
@@ -120,19 +121,19 @@
         let clock = self.clock(to);
         let node = &mut self.nodes[to];
         match message {
-            Message::Ask { ask, .. } => {
-                if let Some(answer) = node.member.asked(&ask, clock) {
-                    let cells = answer.keys.iter().copied().filter(|key| node.kept.contains(key)).collect();
-                    self.wire.push((to, Message::Answer { to: from, answer, cells }));
+            Message::Ask { request, .. } => {
+                if let Some(response) = node.member.handle_request(&request, clock) {
+                    let cells = response.keys.iter().copied().filter(|key| node.kept.contains(key)).collect();
+                    self.wire.push((to, Message::Answer { to: from, response, cells }));
                 }
             }
-            Message::Answer { answer, cells, .. } => {
+            Message::Answer { response, cells, .. } => {
                 for change in cells {
                     if node.kept.insert(change) {
-                        node.member.changed(change);
+                        node.member.record_change(change);
                     }
                 }
-                node.member.answered(&answer);
+                node.member.handle_response(&response);
             }
         }
         if self.wire.len() > 200 {
@@ -171,7 +172,7 @@
         let (change, clock) = (self.changes, self.clock(at));
         let node = &mut self.nodes[at];
         node.kept.insert(change);
-        let number = node.member.changed(change);
+        let number = node.member.record_change(change);
         node.member.track(number, clock);
         node.followed.insert(change, number);
         Some(change)
@@ -182,7 +183,7 @@
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
         let next = self.rosters.get(node.stage + 1).cloned();
-        if next.is_some_and(|next| !node.paused && node.member.set_roster(next, clock).is_ok()) {
+        if next.is_some_and(|next| !node.paused && node.member.set_voter_config(next, clock).is_ok()) {
             node.stage += 1;
         }
     }
@@ -192,7 +193,7 @@
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
         if node.stage == 2 {
-            node.member.set_roster(self.rosters[1].clone(), clock).unwrap();
+            node.member.set_voter_config(self.rosters[1].clone(), clock).unwrap();
             node.stage = 1;
         }
     }
@@ -214,8 +215,8 @@
     }
 
     /// At most one at a time loses what it kept: of voters, more is outside of what is promised.
-    pub fn restart(&mut self, at: usize, start: Start) {
-        let goes_back = start != Start::Kept;
+    pub fn restart(&mut self, at: usize, store_state: StoreState) {
+        let goes_back = store_state != StoreState::Intact;
         if goes_back && self.lost.is_some_and(|other| other != at) {
             return;
         }
@@ -223,23 +224,23 @@
         if !goes_back && self.lost == Some(at) {
             return;
         }
-        self.restart_unbounded(at, start);
+        self.restart_unbounded(at, store_state);
         if goes_back {
             self.lost = Some(at);
         }
     }
 
-    pub fn restart_unbounded(&mut self, at: usize, start: Start) {
+    pub fn restart_unbounded(&mut self, at: usize, store_state: StoreState) {
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
-        match start {
-            Start::Kept => self.before.push((at, node.member.lease(), node.kept.clone())),
-            Start::Empty => node.kept.clear(),
-            Start::Restored => node.kept = node.copy.clone(),
+        match store_state {
+            StoreState::Intact => self.before.push((at, node.member.lease(), node.kept.clone())),
+            StoreState::Empty => node.kept.clear(),
+            StoreState::Restored => node.kept = node.copy.clone(),
         }
         node.incarnation += 1;
         node.paused = false;
-        node.member = member(at, node.incarnation, &self.rosters[node.stage], start, &node.kept, clock);
+        node.member = member(at, node.incarnation, &self.rosters[node.stage], store_state, &node.kept, clock);
         node.followed.clear();
     }
 
@@ -268,7 +269,7 @@
             }
             for change in self.nodes[at].followed.keys().copied().collect::<Vec<_>>() {
                 let progress = self.progress(at, change);
-                if progress.is_some_and(|it| it.stage == Stage::FleetWide && it.bound == Bound::Done) {
+                if progress.is_some_and(|it| it.stage == Stage::FleetWide && it.bound == Bound::Reached) {
                     self.fleet_wide.insert(change);
                 }
             }
@@ -298,7 +299,7 @@
 fn lets_in(lease: Lease, clock: u64) -> bool {
     let allowed =
         Decision { allowed: true, reason: DecisionReason::Rule(0), stream_policy: StreamPolicy::Finish };
-    lease.gate(allowed, true, clock).allowed
+    lease.apply(allowed, true, clock).allowed
 }
 
 fn id(at: usize) -> MemberId {
@@ -306,9 +307,18 @@
 }
 
 fn member(
-    at: usize, incarnation: u64, roster: &Roster, start: Start, kept: &BTreeSet<u32>, clock: u64,
+    at: usize, incarnation: u64, voter_config: &VoterConfig, store_state: StoreState, kept: &BTreeSet<u32>,
+    clock: u64,
 ) -> Member<u32> {
-    let terms = Terms::new(LEASE, DRIFT, 3_000).unwrap();
-    let kept = kept.iter().copied();
-    Member::new((id(at), incarnation), terms, Stale::RefuseRestricted, roster.clone(), start, kept, clock)
+    let lease_config = LeaseConfig::new(LEASE, DRIFT, 3_000).unwrap();
+    let stored_keys = kept.iter().copied();
+    Member::new(
+        (id(at), incarnation),
+        lease_config,
+        StalePolicy::RefuseRestricted,
+        voter_config.clone(),
+        store_state,
+        stored_keys,
+        clock,
+    )
 }
