--- a/crates/grants/benches/check.rs
+++ b/crates/grants/benches/check.rs
@@ -49,18 +49,18 @@
 }
 
 #[divan::bench(sample_count = 50, sample_size = 4)]
-fn plain_twin_by_names(bencher: Bencher) {
-    let twin = ReferenceTable::new(&Sections::from_document(&document()));
+fn reference_by_names(bencher: Bencher) {
+    let reference = ReferenceTable::new(&Sections::from_document(&document()));
     let names: Vec<_> = pairs().into_iter().map(|(t, m)| (team(t), model(m))).collect();
     let mut n = 0;
     bencher.bench_local(|| {
         n = (n + 1) % names.len();
-        black_box(twin.check(&names[n].0, &names[n].1, n as u64))
+        black_box(reference.check(&names[n].0, &names[n].1, n as u64))
     });
 }
 
 #[divan::bench(sample_count = 10, sample_size = 1)]
-fn building(bencher: Bencher) {
+fn compile(bencher: Bencher) {
     let document = document();
     bencher.bench_local(|| Table::from_document(&document));
 }
--- a/crates/grants/tests/agree.rs
+++ b/crates/grants/tests/agree.rs
@@ -6,22 +6,23 @@
 use glenrail_grants::reference::ReferenceTable;
 use glenrail_grants::sections::Sections;
 use proptest::prelude::*;
-use support::{sections, ASKED, TEAMS};
+use support::{sections, REQUESTED_MODELS, TEAMS};
 
-fn agree(sections: &Sections) -> Result<(), TestCaseError> {
-    let (table, twin) = (Table::compile(sections), ReferenceTable::new(sections));
+fn check_agreement(sections: &Sections) -> Result<(), TestCaseError> {
+    let (table, reference) = (Table::compile(sections), ReferenceTable::new(sections));
     for now in 0..12 {
         for team in TEAMS {
-            for model in ASKED {
-                let (fast, plain) = (table.check_names(team, model, now), twin.check(team, model, now));
-                let what = || format!("{team} {model} at {now}: {fast:?} {plain:?}");
-                prop_assert_eq!(fast.allowed, plain.allowed, "{}", what());
-                if !(fast.allowed && plain.in_conflict) {
-                    prop_assert_eq!(fast.reason, plain.reason, "{}", what());
+            for model in REQUESTED_MODELS {
+                let (compiled, expected) =
+                    (table.check_names(team, model, now), reference.check(team, model, now));
+                let context = || format!("{team} {model} at {now}: {compiled:?} {expected:?}");
+                prop_assert_eq!(compiled.allowed, expected.allowed, "{}", context());
+                if !(compiled.allowed && expected.in_conflict) {
+                    prop_assert_eq!(compiled.reason, expected.reason, "{}", context());
                 }
                 // By ids it is the same as by names.
                 if let (Some(team), Some(model)) = (table.team(team), table.model(model)) {
-                    prop_assert_eq!(table.check(team, model, now), fast);
+                    prop_assert_eq!(table.check(team, model, now), compiled);
                 }
             }
         }
@@ -33,17 +34,17 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn both_say_the_same_without_conflicts(sections in sections(1)) {
-        agree(&sections)?;
+    fn compiled_table_matches_reference_without_conflicts(sections in sections(1)) {
+        check_agreement(&sections)?;
     }
 
     #[test]
-    fn both_say_the_same_with_conflicts(sections in sections(3)) {
-        agree(&sections)?;
+    fn compiled_table_matches_reference_with_conflicts(sections in sections(3)) {
+        check_agreement(&sections)?;
     }
 
     #[test]
-    fn nothing_changes_before_the_next_change(sections in sections(2)) {
+    fn decisions_are_constant_until_the_next_change(sections in sections(2)) {
         let table = Table::compile(&sections);
         for now in 0..12 {
             let next = table.next_change(now).unwrap_or(12);
@@ -63,39 +64,39 @@
     }
 
     #[test]
-    fn what_any_sibling_refuses_is_refused(sections in sections(2)) {
+    fn a_call_that_any_sibling_refuses_is_refused(sections in sections(2)) {
         // Each part alone at its sibling: all choices of siblings, the others as they are.
         let table = Table::compile(&sections);
         for (team, siblings) in &sections.teams {
-            for one in siblings {
-                let mut alone = sections.clone();
-                alone.teams.insert(team.clone(), vec![one.clone()]);
-                no_more(&table, &Table::compile(&alone))?;
+            for sibling in siblings {
+                let mut reduced = sections.clone();
+                reduced.teams.insert(team.clone(), vec![sibling.clone()]);
+                check_allows_no_more(&table, &Table::compile(&reduced))?;
             }
         }
-        for one in &sections.shared {
-            no_more(&table, &Table::compile(&Sections { shared: vec![one.clone()], ..sections.clone() }))?;
+        for sibling in &sections.shared {
+            check_allows_no_more(&table, &Table::compile(&Sections { shared: vec![sibling.clone()], ..sections.clone() }))?;
         }
-        for one in &sections.catalogue {
-            no_more(&table, &Table::compile(&Sections { catalogue: vec![one.clone()], ..sections.clone() }))?;
+        for sibling in &sections.catalogue {
+            check_allows_no_more(&table, &Table::compile(&Sections { catalogue: vec![sibling.clone()], ..sections.clone() }))?;
         }
     }
 }
 
-fn no_more(merged: &Table, alone: &Table) -> Result<(), TestCaseError> {
+fn check_allows_no_more(merged: &Table, reduced: &Table) -> Result<(), TestCaseError> {
     for now in [0, 3, 6, 9] {
         for team in TEAMS {
-            for model in ASKED {
-                let both = merged.check_names(team, model, now);
-                let one = alone.check_names(team, model, now);
+            for model in REQUESTED_MODELS {
+                let with_siblings = merged.check_names(team, model, now);
+                let with_one = reduced.check_names(team, model, now);
                 prop_assert!(
-                    !both.allowed || one.allowed,
+                    !with_siblings.allowed || with_one.allowed,
                     "{} {} {}: {:?} {:?}",
                     team,
                     model,
                     now,
-                    both,
-                    one
+                    with_siblings,
+                    with_one
                 );
             }
         }
--- a/crates/grants/tests/documents.rs
+++ b/crates/grants/tests/documents.rs
@@ -2,7 +2,7 @@
 
 use glenrail_grants::document::{Document, DocumentError, Fault, NameKind};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [[group]]
 name = "large"
 
@@ -33,20 +33,20 @@
 "#;
 
 #[test]
-fn both_forms_say_the_same() {
-    let document = Document::from_toml(GOOD).unwrap();
+fn toml_and_json_round_trips_yield_the_same_document() {
+    let document = Document::from_toml(VALID).unwrap();
     assert_eq!(Document::from_json(&document.to_json().unwrap()).unwrap(), document);
     assert_eq!(Document::from_toml(&document.to_toml().unwrap()).unwrap(), document);
 }
 
-fn wrong(from: &str, to: &str) -> DocumentError {
-    assert!(GOOD.contains(from), "{from}");
-    Document::from_toml(&GOOD.replacen(from, to, 1)).unwrap_err()
+fn error_after_replacing(from: &str, to: &str) -> DocumentError {
+    assert!(VALID.contains(from), "{from}");
+    Document::from_toml(&VALID.replacen(from, to, 1)).unwrap_err()
 }
 
 #[test]
-fn errors_name_line_and_key() {
-    for (from, to, text) in [
+fn validation_errors_name_line_and_key() {
+    for (from, to, message) in [
         ("[\"research\"]", "[\"resaerch\"]", "line 17, column 12: team[0].parents[0]: there is no team `resaerch`"),
         ("[\"large\"]\n\n", "[\"big\"]\n\n", "line 7, column 11: group[1].groups[0]: there is no group `big`"),
         ("\"proj-*\"]", "\"proj\"]", "line 25, column 22: rule[0].teams[1]: there is no team `proj`"),
@@ -58,20 +58,20 @@
         ("name = \"large\"", "name = \"large\"\ngroups = [\"new\"]", "line 4, column 10: group[0].groups: group `large` is its own parent by way of new, large"),
         ("name = \"research\"", "name = \"search\"", "line 20, column 8: team[1].name: there are two of team `search`"),
     ] {
-        let error = wrong(from, to);
-        assert_eq!(error.to_string(), text);
+        let error = error_after_replacing(from, to);
+        assert_eq!(error.to_string(), message);
         assert!(!error.advice().is_empty());
     }
 }
 
 #[test]
-fn form_errors_name_line_and_key() {
-    let error = wrong("\"allow\"", "\"permit\"");
+fn syntax_and_type_errors_name_line_and_key() {
+    let error = error_after_replacing("\"allow\"", "\"permit\"");
     assert_eq!(error.key.to_string(), "rule[0].effect");
     assert_eq!(error.position.unwrap().line, 24);
-    let error = wrong("restricted = true", "restrict = true");
+    let error = error_after_replacing("restricted = true", "restrict = true");
     assert_eq!((error.key.to_string().as_str(), error.position.unwrap().line), ("model[0].restrict", 13));
-    let error = wrong("[[team]]", "[[team]");
+    let error = error_after_replacing("[[team]]", "[[team]");
     assert!(matches!(error.fault, Fault::Malformed { .. }));
     assert_eq!(error.position.unwrap().line, 15);
 }
@@ -90,7 +90,7 @@
 
 proptest::proptest! {
     #[test]
-    fn no_text_brings_it_down(text in "[\\[\\]a-z=\"'{}:,.\n 0-9*]{0,80}") {
+    fn no_text_causes_a_panic(text in "[\\[\\]a-z=\"'{}:,.\n 0-9*]{0,80}") {
         let _ = Document::from_toml(&text);
         let _ = Document::from_json(&text);
     }
--- a/crates/grants/tests/dry_run.rs
+++ b/crates/grants/tests/dry_run.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn it_says_who_gains_who_loses_and_whom_it_silences() {
+fn reports_gains_losses_and_active_teams_that_lose_all_models() {
     let before = table("rule=[{name='r',effect='allow',teams=['a'],models=['x']}]");
     let after = table(
         "rule=[{name='r',effect='allow',teams=['c'],models=['*'],until=10},
@@ -36,17 +36,18 @@
 }
 
 #[test]
-fn a_stream_under_way_ends_by_the_rules_word() {
-    let granted = |word| {
-        table(&format!("rule=[{{name='r',effect='allow',teams=['a'],models=['m'],streams='{word}'}}]"))
+fn an_open_stream_ends_by_the_policy_of_the_deciding_rule() {
+    let granted = |policy| {
+        table(&format!("rule=[{{name='r',effect='allow',teams=['a'],models=['m'],streams='{policy}'}}]"))
+    };
+    let denied = |policy| {
+        table(&format!("rule=[{{name='d',effect='deny',teams=['a'],models=['m'],streams='{policy}'}}]"))
     };
-    let denied =
-        |word| table(&format!("rule=[{{name='d',effect='deny',teams=['a'],models=['m'],streams='{word}'}}]"));
     let check = |table: &Table| table.check_names("a", "m", 0);
-    let let_in = check(&granted("cut"));
-    assert_eq!(let_in.open_stream_policy(&check(&granted("finish"))), None);
-    assert_eq!(let_in.open_stream_policy(&check(&table(""))), Some(StreamPolicy::Cut));
-    assert_eq!(let_in.open_stream_policy(&check(&denied("finish"))), Some(StreamPolicy::Finish));
+    let admitted = check(&granted("cut"));
+    assert_eq!(admitted.open_stream_policy(&check(&granted("finish"))), None);
+    assert_eq!(admitted.open_stream_policy(&check(&table(""))), Some(StreamPolicy::Cut));
+    assert_eq!(admitted.open_stream_policy(&check(&denied("finish"))), Some(StreamPolicy::Finish));
     assert_eq!(check(&granted("finish")).open_stream_policy(&check(&denied("cut"))), Some(StreamPolicy::Cut));
     assert_eq!(check(&granted("finish")).open_stream_policy(&check(&table(""))), Some(StreamPolicy::Finish));
 }
--- a/crates/grants/tests/revocation.rs
+++ b/crates/grants/tests/revocation.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use fleet::{Fleet, DRIFT, LEASE};
+use fleet::{Fleet, DRIFT_PPM, LEASE_MS};
 use glenrail_grants::revocation::{
     Bound, JournalPosition, LeaseConfig, Lessees, Member, QuorumRule, Stage, StalePolicy, StoreState,
     SyncRequest, VoterConfig, VoterConfigError,
@@ -19,18 +19,18 @@
     Wait(u64),
     Exchange(usize, usize),
     Round,
-    Ask(usize, usize),
+    SendRequest(usize, usize),
     Deliver(usize, bool),
-    Lose(usize),
+    LoseMessage(usize),
     Change(usize),
-    Cut(usize, usize),
-    CutOff(usize),
-    Heal,
+    Block(usize, usize),
+    Isolate(usize),
+    UnblockAll,
     Pause(usize, bool),
-    Copy(usize),
+    BackUp(usize),
     Restart(usize, StoreState),
-    NextRoster(usize),
-    LastRoster(usize),
+    NextVoterConfig(usize),
+    BackToJointConfig(usize),
 }
 
 fn step(members: usize) -> impl Strategy<Value = Step> {
@@ -40,43 +40,43 @@
         1 => (800..1_300u64).prop_map(Step::Wait),
         8 => (at(), at()).prop_map(|(a, b)| Step::Exchange(a, b)),
         3 => Just(Step::Round),
-        4 => (at(), at()).prop_map(|(a, b)| Step::Ask(a, b)),
-        6 => (0..200usize, any::<bool>()).prop_map(|(which, again)| Step::Deliver(which, again)),
-        1 => (0..200usize).prop_map(Step::Lose),
+        4 => (at(), at()).prop_map(|(a, b)| Step::SendRequest(a, b)),
+        6 => (0..200usize, any::<bool>()).prop_map(|(which, duplicate)| Step::Deliver(which, duplicate)),
+        1 => (0..200usize).prop_map(Step::LoseMessage),
         4 => at().prop_map(Step::Change),
-        2 => (at(), at()).prop_map(|(a, b)| Step::Cut(a, b)),
-        2 => at().prop_map(Step::CutOff),
-        1 => Just(Step::Heal),
+        2 => (at(), at()).prop_map(|(a, b)| Step::Block(a, b)),
+        2 => at().prop_map(Step::Isolate),
+        1 => Just(Step::UnblockAll),
         2 => (at(), any::<bool>()).prop_map(|(at, paused)| Step::Pause(at, paused)),
-        1 => at().prop_map(Step::Copy),
-        1 => at().prop_map(Step::NextRoster),
-        1 => at().prop_map(Step::LastRoster),
+        1 => at().prop_map(Step::BackUp),
+        1 => at().prop_map(Step::NextVoterConfig),
+        1 => at().prop_map(Step::BackToJointConfig),
         2 => (at(), select(&[StoreState::Intact, StoreState::Empty, StoreState::Restored][..]))
             .prop_map(|(at, store_state)| Step::Restart(at, store_state)),
     ]
 }
 
-fn play(fleet: &mut Fleet, steps: Vec<Step>) -> Result<(), String> {
+fn run_steps(fleet: &mut Fleet, steps: Vec<Step>) -> Result<(), String> {
     let members = fleet.nodes.len();
     for step in steps {
         match step {
             Step::Wait(time) => fleet.now += time,
             Step::Exchange(from, to) => fleet.exchange(from, to),
             Step::Round => fleet.round(),
-            Step::Ask(from, to) => fleet.ask(from, to),
-            Step::Deliver(which, again) => fleet.deliver(which, again),
-            Step::Lose(which) => fleet.lose(which),
+            Step::SendRequest(from, to) => fleet.send_request(from, to),
+            Step::Deliver(which, duplicate) => fleet.deliver(which, duplicate),
+            Step::LoseMessage(which) => fleet.lose_message(which),
             Step::Change(at) => drop(fleet.change(at)),
-            Step::Cut(from, to) => fleet.cut(from, to),
-            Step::CutOff(at) => (0..members).for_each(|other| {
-                fleet.cut(at, other);
-                fleet.cut(other, at);
+            Step::Block(from, to) => fleet.block(from, to),
+            Step::Isolate(at) => (0..members).for_each(|other| {
+                fleet.block(at, other);
+                fleet.block(other, at);
             }),
-            Step::Heal => fleet.heal(),
+            Step::UnblockAll => fleet.unblock_all(),
             Step::Pause(at, paused) => fleet.pause(at, paused),
-            Step::Copy(at) => fleet.copy(at),
-            Step::NextRoster(at) => fleet.next_roster(at),
-            Step::LastRoster(at) => fleet.last_roster(at),
+            Step::BackUp(at) => fleet.back_up(at),
+            Step::NextVoterConfig(at) => fleet.next_voter_config(at),
+            Step::BackToJointConfig(at) => fleet.back_to_joint_config(at),
             Step::Restart(at, store_state) => fleet.restart(at, store_state),
         }
         fleet.check()?;
@@ -84,62 +84,62 @@
     Ok(())
 }
 
-fn quiet(fleet: &mut Fleet) {
-    fleet.heal();
+fn recover(fleet: &mut Fleet) {
+    fleet.unblock_all();
     for at in 0..fleet.nodes.len() {
         fleet.pause(at, false);
-        fleet.last_roster(at);
+        fleet.back_to_joint_config(at);
     }
-    for stage in 0..3 {
+    for config_index in 0..3 {
         for _ in 0..4 {
             fleet.now += 10;
             fleet.round();
         }
         for at in 0..fleet.nodes.len() {
-            if fleet.nodes[at].stage <= stage {
-                fleet.next_roster(at);
+            if fleet.nodes[at].config_index <= config_index {
+                fleet.next_voter_config(at);
             }
         }
     }
 }
 
 /// More with PROPTEST_CASES.
-fn cases(usual: u32) -> u32 {
-    std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+fn cases(default: u32) -> u32 {
+    std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-const RATES: [u64; 4] = [910, 1_090, 1_000, 950];
+const CLOCK_RATES: [u64; 4] = [910, 1_090, 1_000, 950];
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(400), ..ProptestConfig::default() })]
 
     #[test]
-    fn nobody_admits_against_what_is_fleet_wide(
+    fn no_member_admits_requests_without_a_fleet_wide_change(
         steps in vec(step(4), 0..120), quorum_rule in select(&[QuorumRule::Majority, QuorumRule::Every][..]), turn in 0..4usize,
     ) {
-        let mut rates = RATES;
-        rates.rotate_left(turn);
-        let mut fleet = Fleet::new(4, 3, quorum_rule, &rates);
+        let mut clock_rates = CLOCK_RATES;
+        clock_rates.rotate_left(turn);
+        let mut fleet = Fleet::new(4, 3, quorum_rule, &clock_rates);
         fleet.round();
-        play(&mut fleet, steps).map_err(TestCaseError::fail)?;
+        run_steps(&mut fleet, steps).map_err(TestCaseError::fail)?;
         // Once it is quiet, all know, all are the same, and a change comes through at once or by its bound.
-        quiet(&mut fleet);
+        recover(&mut fleet);
         fleet.check().map_err(TestCaseError::fail)?;
         for at in 0..4 {
             prop_assert!(fleet.admits(at), "{} does not know", at);
-            prop_assert_eq!(&fleet.nodes[at].kept, &fleet.nodes[0].kept);
+            prop_assert_eq!(&fleet.nodes[at].stored, &fleet.nodes[0].stored);
         }
         let change = fleet.change(3).unwrap();
         fleet.round();
         fleet.round();
         let progress = fleet.progress(3, change).unwrap();
         prop_assert_eq!((progress.confirmed, progress.total), (3, 3));
-        let after = LeaseConfig::new(LEASE, DRIFT, 0).unwrap().lease_bound_ms();
+        let lease_bound = LeaseConfig::new(LEASE_MS, DRIFT_PPM, 0).unwrap().lease_bound_ms();
         match progress.bound {
             Bound::Reached => {}
             Bound::WithinMs(time) => {
-                prop_assert!(time <= after);
-                fleet.now += after * 1_000 / 910 + 2;
+                prop_assert!(time <= lease_bound);
+                fleet.now += lease_bound * 1_000 / 910 + 2;
                 prop_assert_eq!(fleet.progress(3, change).unwrap().stage, Stage::FleetWide);
             }
             Bound::AfterCommit { .. } => prop_assert!(false, "not held"),
@@ -148,24 +148,24 @@
 }
 
 #[test]
-fn a_member_cut_off_is_stale_and_the_change_is_fleet_wide_by_its_bound() {
+fn an_isolated_member_becomes_stale_by_the_bound_of_the_change() {
     let mut fleet = Fleet::new(5, 5, QuorumRule::Majority, &[1_000]);
     fleet.now += 5_000;
     fleet.round();
     for other in 0..4 {
-        fleet.cut(4, other);
-        fleet.cut(other, 4);
+        fleet.block(4, other);
+        fleet.block(other, 4);
     }
     let change = fleet.change(0).unwrap();
     assert_eq!(fleet.progress(0, change).unwrap().stage, Stage::Local);
     fleet.round();
     fleet.round();
     let progress = fleet.progress(0, change).unwrap();
-    let after = LeaseConfig::new(LEASE, DRIFT, 0).unwrap().lease_bound_ms();
+    let lease_bound = LeaseConfig::new(LEASE_MS, DRIFT_PPM, 0).unwrap().lease_bound_ms();
     assert_eq!((progress.stage, progress.confirmed, progress.total), (Stage::Propagating, 3, 4));
-    assert_eq!((progress.missing.len(), progress.bound), (1, Bound::WithinMs(after)));
+    assert_eq!((progress.missing.len(), progress.bound), (1, Bound::WithinMs(lease_bound)));
     assert!(fleet.admits(4));
-    fleet.now += after;
+    fleet.now += lease_bound;
     assert_eq!(fleet.progress(0, change).unwrap().stage, Stage::FleetWide);
     assert!(!fleet.admits(4));
     // The others went on asking, and know.
@@ -174,22 +174,22 @@
 }
 
 #[test]
-fn the_smaller_side_is_told_that_nothing_bounds_its_change_and_by_every_it_is() {
-    for (quorum_rule, held) in [(QuorumRule::Majority, false), (QuorumRule::Every, true)] {
+fn a_change_on_the_smaller_side_of_a_partition_has_a_bound_only_with_the_every_rule() {
+    for (quorum_rule, committed) in [(QuorumRule::Majority, false), (QuorumRule::Every, true)] {
         let mut fleet = Fleet::new(5, 5, quorum_rule, &[1_000]);
         fleet.now += 5_000;
         fleet.round();
         for (one, other) in [0, 1].into_iter().flat_map(|one| (2..5).map(move |other| (one, other))) {
-            fleet.cut(one, other);
-            fleet.cut(other, one);
+            fleet.block(one, other);
+            fleet.block(other, one);
         }
         let change = fleet.change(0).unwrap();
         fleet.round();
         fleet.round();
-        let after_ms = LeaseConfig::new(LEASE, DRIFT, 0).unwrap().lease_bound_ms();
+        let after_ms = LeaseConfig::new(LEASE_MS, DRIFT_PPM, 0).unwrap().lease_bound_ms();
         fleet.now += after_ms;
         let progress = fleet.progress(0, change).unwrap();
-        match held {
+        match committed {
             false => {
                 assert_eq!(progress.bound, Bound::AfterCommit { after_ms, missing: vec![102, 103, 104] })
             }
@@ -199,7 +199,7 @@
         fleet.round();
         assert_eq!(
             (0..5).map(|at| fleet.admits(at)).collect::<Vec<_>>(),
-            match held {
+            match committed {
                 false => [false, false, true, true, true],
                 true => [false; 5],
             }
@@ -208,20 +208,20 @@
 }
 
 #[test]
-fn voters_change_by_way_of_both() {
+fn voters_change_through_a_joint_configuration() {
     let mut fleet = Fleet::new(4, 3, QuorumRule::Majority, &[1_000]);
     fleet.round();
     let next = || VoterConfig::new(101..104, QuorumRule::Majority).unwrap();
-    let both = next().joint_with(&VoterConfig::new(100..103, QuorumRule::Majority).unwrap());
+    let joint = next().joint_with(&VoterConfig::new(100..103, QuorumRule::Majority).unwrap());
     let member = &mut fleet.nodes[0].member;
     assert_eq!(member.set_voter_config(next(), 0), Err(VoterConfigError::InvalidTransition));
-    assert_eq!(member.set_voter_config(both, 0), Ok(()));
+    assert_eq!(member.set_voter_config(joint, 0), Ok(()));
     assert_eq!(member.set_voter_config(next(), 0), Err(VoterConfigError::NoLease));
     assert_eq!(VoterConfig::new([], QuorumRule::Every).unwrap_err(), VoterConfigError::NoVoters);
 }
 
 #[test]
-fn a_retired_process_lends_nothing() {
+fn a_retired_process_grants_no_leases() {
     let mut fleet = Fleet::new(2, 1, QuorumRule::Majority, &[1_000]);
     fleet.nodes[0].member.retire();
     fleet.round();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn all_confirmed_is_fleet_wide_without_waiting() {
+fn a_change_that_all_members_confirm_is_fleet_wide_at_once() {
     let mut fleet = Fleet::new(4, 3, QuorumRule::Majority, &[1_000]);
     fleet.now += 5_000;
     fleet.round();
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn an_empty_member_is_ready_once_it_knows_or_has_waited() {
+fn an_empty_member_is_ready_with_a_lease_or_after_the_wait() {
     let mut fleet = Fleet::new(3, 3, QuorumRule::Majority, &[1_000]);
     let change = fleet.change(0).unwrap();
     fleet.round();
@@ -250,11 +250,11 @@
     fleet.exchange(2, 1);
     assert!(!is_ready(&fleet), "one answer of two that are needed without its own");
     fleet.exchange(2, 0);
-    assert!(is_ready(&fleet) && fleet.admits(2) && fleet.nodes[2].kept.contains(&change));
+    assert!(is_ready(&fleet) && fleet.admits(2) && fleet.nodes[2].stored.contains(&change));
     // Cut off from all, it is ready after the wait, and stale.
     for other in 0..2 {
-        fleet.cut(2, other);
-        fleet.cut(other, 2);
+        fleet.block(2, other);
+        fleet.block(other, 2);
     }
     fleet.restart(2, StoreState::Empty);
     fleet.round();
@@ -263,15 +263,15 @@
     assert!(is_ready(&fleet) && !fleet.admits(2));
     // A fleet in which all begin with nothing has nothing to wait for.
     let mut fleet = Fleet::new(3, 3, QuorumRule::Majority, &[1_000]);
-    (0..3).for_each(|at| fleet.restart_unbounded(at, StoreState::Empty));
+    (0..3).for_each(|at| fleet.restart_unchecked(at, StoreState::Empty));
     fleet.round();
     fleet.round();
     assert!((0..3).all(|at| fleet.admits(at)));
 }
 
 #[test]
-fn nobody_knows_before_all_is_handed_over() {
-    let lease_config = LeaseConfig::new(LEASE, DRIFT, 0).unwrap();
+fn no_lease_is_granted_before_all_changes_are_transferred() {
+    let lease_config = LeaseConfig::new(LEASE_MS, DRIFT_PPM, 0).unwrap();
     let voter_config = || VoterConfig::new([1], QuorumRule::Majority).unwrap();
     let mut voter = Member::new(
         (1, 1),
@@ -303,8 +303,8 @@
 }
 
 #[test]
-fn a_question_that_comes_late_does_not_take_back_whom_was_lent_to() {
-    let lease_config = LeaseConfig::new(LEASE, DRIFT, 0).unwrap();
+fn a_late_request_does_not_overwrite_newer_lessees() {
+    let lease_config = LeaseConfig::new(LEASE_MS, DRIFT_PPM, 0).unwrap();
     let member = |id| {
         let voter_config = VoterConfig::new([1, 2, 3], QuorumRule::Majority).unwrap();
         Member::<u32>::new(
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn one_that_begins_anew_has_not_been_told() {
+fn a_restart_without_a_store_resets_confirmations() {
     let mut fleet = Fleet::new(3, 2, QuorumRule::Majority, &[1_000]);
     fleet.round();
     let change = fleet.change(0).unwrap();
@@ -339,15 +339,15 @@
     fleet.round();
     assert_eq!(fleet.progress(0, change).unwrap().confirmed, 2);
     fleet.restart(2, StoreState::Empty);
-    fleet.ask(2, 0);
+    fleet.send_request(2, 0);
     fleet.deliver(0, false);
     let progress = fleet.progress(0, change).unwrap();
     assert_eq!((progress.confirmed, progress.missing), (1, vec![102]));
 }
 
 #[test]
-fn an_answer_under_the_last_roster_lends_nothing_under_the_next() {
-    let lease_config = LeaseConfig::new(LEASE, DRIFT, 0).unwrap();
+fn a_response_under_the_previous_voter_configuration_grants_no_lease_under_the_next() {
+    let lease_config = LeaseConfig::new(LEASE_MS, DRIFT_PPM, 0).unwrap();
     let voter_config = |quorum_rule| VoterConfig::new([1], quorum_rule).unwrap();
     let member = |id| {
         Member::<u32>::new(
@@ -361,10 +361,10 @@
         )
     };
     let (mut voter, mut other) = (member(1), member(2));
-    let answers = [0, 1].map(|now| voter.handle_request(&other.sync_request(1, now), now).unwrap());
-    assert!(other.handle_response(&answers[0]) && other.has_valid_lease(2));
+    let responses = [0, 1].map(|now| voter.handle_request(&other.sync_request(1, now), now).unwrap());
+    assert!(other.handle_response(&responses[0]) && other.has_valid_lease(2));
     other
         .set_voter_config(voter_config(QuorumRule::Every).joint_with(&voter_config(QuorumRule::Majority)), 2)
         .unwrap();
-    assert!(other.handle_response(&answers[1]) && !other.has_valid_lease(2));
+    assert!(other.handle_response(&responses[1]) && !other.has_valid_lease(2));
 }
--- a/crates/grants/tests/support/fleet.rs
+++ b/crates/grants/tests/support/fleet.rs
@@ -10,150 +10,151 @@
     SyncRequest, SyncResponse, VoterConfig,
 };
 
-pub const LEASE: u64 = 1_000;
+pub const LEASE_MS: u64 = 1_000;
 /// A tenth, far more than any clock drifts, so that a bound that forgets the drift is found.
-pub const DRIFT: u64 = 100_000;
+pub const DRIFT_PPM: u64 = 100_000;
 
 pub struct Node {
     pub member: Member<u32>,
     pub incarnation: u64,
     /// What it keeps on disk and enforces.
-    pub kept: BTreeSet<u32>,
-    copy: BTreeSet<u32>,
-    offset: u64,
+    pub stored: BTreeSet<u32>,
+    backup: BTreeSet<u32>,
+    clock_offset: u64,
     /// Thousandths of true time.
-    rate: u64,
+    clock_rate: u64,
     paused: bool,
     /// Which of the rosters it has taken.
-    pub stage: usize,
+    pub config_index: usize,
     /// Number by change, of those taken or followed in this life.
-    followed: BTreeMap<u32, u64>,
+    tracked: BTreeMap<u32, u64>,
 }
 
 #[derive(Clone)]
 enum Message {
-    Ask { to: usize, request: SyncRequest },
-    Answer { to: usize, response: SyncResponse<u32>, cells: BTreeSet<u32> },
+    Request { to: usize, request: SyncRequest },
+    Response { to: usize, response: SyncResponse<u32>, contents: BTreeSet<u32> },
 }
 
 pub struct Fleet {
     pub nodes: Vec<Node>,
     pub now: u64,
     /// The first voters, both, and the next: the same number, shifted by one.
-    rosters: [VoterConfig; 3],
-    wire: Vec<(usize, Message)>,
-    cut: BTreeSet<(usize, usize)>,
+    voter_configs: [VoterConfig; 3],
+    in_transit: Vec<(usize, Message)>,
+    blocked: BTreeSet<(usize, usize)>,
     changes: u32,
     /// Processes that a next one took over from, and that still take requests: which, what they knew, what they had.
-    before: Vec<(usize, Lease, BTreeSet<u32>)>,
+    replaced_processes: Vec<(usize, Lease, BTreeSet<u32>)>,
     /// Changes that some member showed as fleet-wide.
     pub fleet_wide: BTreeSet<u32>,
     /// A voter whose store went back, until it has caught up.
-    lost: Option<usize>,
+    store_lost: Option<usize>,
 }
 
 impl Fleet {
-    pub fn new(members: usize, voters: usize, quorum_rule: QuorumRule, rates: &[u64]) -> Fleet {
+    pub fn new(members: usize, voters: usize, quorum_rule: QuorumRule, clock_rates: &[u64]) -> Fleet {
         let first = VoterConfig::new((0..voters).map(id), quorum_rule).unwrap();
         let last = VoterConfig::new((members - voters..members).map(id), quorum_rule).unwrap();
         let mut fleet = Fleet {
             nodes: Vec::new(),
             now: 10_000,
-            rosters: [first.clone(), last.clone().joint_with(&first), last],
-            wire: Vec::new(),
-            cut: BTreeSet::new(),
+            voter_configs: [first.clone(), last.clone().joint_with(&first), last],
+            in_transit: Vec::new(),
+            blocked: BTreeSet::new(),
             changes: 0,
-            before: Vec::new(),
+            replaced_processes: Vec::new(),
             fleet_wide: BTreeSet::new(),
-            lost: None,
+            store_lost: None,
         };
         for at in 0..members {
-            let (offset, rate) = (at as u64 * 777, rates[at % rates.len()]);
-            let kept = BTreeSet::new();
-            let clock = offset + fleet.now * rate / 1_000;
-            let member = member(at, 1, &fleet.rosters[0], StoreState::Intact, &kept, clock);
-            let (copy, followed) = (BTreeSet::new(), BTreeMap::new());
+            let (clock_offset, clock_rate) = (at as u64 * 777, clock_rates[at % clock_rates.len()]);
+            let stored = BTreeSet::new();
+            let clock = clock_offset + fleet.now * clock_rate / 1_000;
+            let member = member(at, 1, &fleet.voter_configs[0], StoreState::Intact, &stored, clock);
+            let (backup, tracked) = (BTreeSet::new(), BTreeMap::new());
             fleet.nodes.push(Node {
                 member,
                 incarnation: 1,
-                kept,
-                copy,
-                offset,
-                rate,
+                stored,
+                backup,
+                clock_offset,
+                clock_rate,
                 paused: false,
-                stage: 0,
-                followed,
+                config_index: 0,
+                tracked,
             });
         }
         fleet
     }
 
     pub fn clock(&self, at: usize) -> u64 {
-        self.nodes[at].offset + self.now * self.nodes[at].rate / 1_000
+        self.nodes[at].clock_offset + self.now * self.nodes[at].clock_rate / 1_000
     }
 
     pub fn others(&self, at: usize) -> BTreeSet<MemberId> {
         (0..self.nodes.len()).filter(|&other| other != at).map(id).collect()
     }
 
-    pub fn ask(&mut self, from: usize, to: usize) {
+    pub fn send_request(&mut self, from: usize, to: usize) {
         let clock = self.clock(from);
         if from != to && !self.nodes[from].paused {
             let request = self.nodes[from].member.sync_request(id(to), clock);
-            self.wire.push((from, Message::Ask { to, request }));
+            self.in_transit.push((from, Message::Request { to, request }));
         }
     }
 
     /// Delivers one message of those on the way, or loses it. It may come again.
-    pub fn deliver(&mut self, which: usize, again: bool) {
-        if self.wire.is_empty() {
+    pub fn deliver(&mut self, which: usize, duplicate: bool) {
+        if self.in_transit.is_empty() {
             return;
         }
-        let which = which % self.wire.len();
-        let (from, message) = match again {
-            true => self.wire[which].clone(),
-            false => self.wire.swap_remove(which),
+        let which = which % self.in_transit.len();
+        let (from, message) = match duplicate {
+            true => self.in_transit[which].clone(),
+            false => self.in_transit.swap_remove(which),
         };
-        let (Message::Ask { to, .. } | Message::Answer { to, .. }) = message;
-        if self.cut.contains(&(from, to)) || self.nodes[to].paused {
+        let (Message::Request { to, .. } | Message::Response { to, .. }) = message;
+        if self.blocked.contains(&(from, to)) || self.nodes[to].paused {
             return;
         }
         let clock = self.clock(to);
         let node = &mut self.nodes[to];
         match message {
-            Message::Ask { request, .. } => {
+            Message::Request { request, .. } => {
                 if let Some(response) = node.member.handle_request(&request, clock) {
-                    let cells = response.keys.iter().copied().filter(|key| node.kept.contains(key)).collect();
-                    self.wire.push((to, Message::Answer { to: from, response, cells }));
+                    let contents =
+                        response.keys.iter().copied().filter(|key| node.stored.contains(key)).collect();
+                    self.in_transit.push((to, Message::Response { to: from, response, contents }));
                 }
             }
-            Message::Answer { response, cells, .. } => {
-                for change in cells {
-                    if node.kept.insert(change) {
+            Message::Response { response, contents, .. } => {
+                for change in contents {
+                    if node.stored.insert(change) {
                         node.member.record_change(change);
                     }
                 }
                 node.member.handle_response(&response);
             }
         }
-        if self.wire.len() > 200 {
-            self.wire.remove(0);
+        if self.in_transit.len() > 200 {
+            self.in_transit.remove(0);
         }
     }
 
-    pub fn lose(&mut self, which: usize) {
-        if !self.wire.is_empty() {
-            self.wire.swap_remove(which % self.wire.len());
+    pub fn lose_message(&mut self, which: usize) {
+        if !self.in_transit.is_empty() {
+            self.in_transit.swap_remove(which % self.in_transit.len());
         }
     }
 
     /// A question and its answer at once, where nothing is in between.
     pub fn exchange(&mut self, from: usize, to: usize) {
-        let waiting = std::mem::take(&mut self.wire);
-        self.ask(from, to);
+        let others_in_transit = std::mem::take(&mut self.in_transit);
+        self.send_request(from, to);
         self.deliver(0, false);
         self.deliver(0, false);
-        self.wire = waiting;
+        self.in_transit = others_in_transit;
     }
 
     pub fn round(&mut self) {
@@ -171,111 +172,122 @@
         self.changes += 1;
         let (change, clock) = (self.changes, self.clock(at));
         let node = &mut self.nodes[at];
-        node.kept.insert(change);
-        let number = node.member.record_change(change);
-        node.member.track(number, clock);
-        node.followed.insert(change, number);
+        node.stored.insert(change);
+        let sequence = node.member.record_change(change);
+        node.member.track(sequence, clock);
+        node.tracked.insert(change, sequence);
         Some(change)
     }
 
     /// The member takes the next roster, if it may.
-    pub fn next_roster(&mut self, at: usize) {
+    pub fn next_voter_config(&mut self, at: usize) {
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
-        let next = self.rosters.get(node.stage + 1).cloned();
+        let next = self.voter_configs.get(node.config_index + 1).cloned();
         if next.is_some_and(|next| !node.paused && node.member.set_voter_config(next, clock).is_ok()) {
-            node.stage += 1;
+            node.config_index += 1;
         }
     }
 
     /// Back to both from the next, which is always allowed.
-    pub fn last_roster(&mut self, at: usize) {
+    pub fn back_to_joint_config(&mut self, at: usize) {
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
-        if node.stage == 2 {
-            node.member.set_voter_config(self.rosters[1].clone(), clock).unwrap();
-            node.stage = 1;
+        if node.config_index == 2 {
+            node.member.set_voter_config(self.voter_configs[1].clone(), clock).unwrap();
+            node.config_index = 1;
         }
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+    pub fn block(&mut self, from: usize, to: usize) {
+        self.blocked.insert((from, to));
     }
 
-    pub fn heal(&mut self) {
-        self.cut.clear();
+    pub fn unblock_all(&mut self) {
+        self.blocked.clear();
     }
 
     pub fn pause(&mut self, at: usize, paused: bool) {
         self.nodes[at].paused = paused;
     }
 
-    pub fn copy(&mut self, at: usize) {
-        self.nodes[at].copy = self.nodes[at].kept.clone();
+    pub fn back_up(&mut self, at: usize) {
+        self.nodes[at].backup = self.nodes[at].stored.clone();
     }
 
     /// At most one at a time loses what it kept: of voters, more is outside of what is promised.
     pub fn restart(&mut self, at: usize, store_state: StoreState) {
-        let goes_back = store_state != StoreState::Intact;
-        if goes_back && self.lost.is_some_and(|other| other != at) {
+        let loses_store = store_state != StoreState::Intact;
+        if loses_store && self.store_lost.is_some_and(|other| other != at) {
             return;
         }
         // One that went back and has not caught up is not to be trusted by its next start either.
-        if !goes_back && self.lost == Some(at) {
+        if !loses_store && self.store_lost == Some(at) {
             return;
         }
-        self.restart_unbounded(at, store_state);
-        if goes_back {
-            self.lost = Some(at);
+        self.restart_unchecked(at, store_state);
+        if loses_store {
+            self.store_lost = Some(at);
         }
     }
 
-    pub fn restart_unbounded(&mut self, at: usize, store_state: StoreState) {
+    pub fn restart_unchecked(&mut self, at: usize, store_state: StoreState) {
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
         match store_state {
-            StoreState::Intact => self.before.push((at, node.member.lease(), node.kept.clone())),
-            StoreState::Empty => node.kept.clear(),
-            StoreState::Restored => node.kept = node.copy.clone(),
+            StoreState::Intact => {
+                self.replaced_processes.push((at, node.member.lease(), node.stored.clone()))
+            }
+            StoreState::Empty => node.stored.clear(),
+            StoreState::Restored => node.stored = node.backup.clone(),
         }
         node.incarnation += 1;
         node.paused = false;
-        node.member = member(at, node.incarnation, &self.rosters[node.stage], store_state, &node.kept, clock);
-        node.followed.clear();
+        node.member = member(
+            at,
+            node.incarnation,
+            &self.voter_configs[node.config_index],
+            store_state,
+            &node.stored,
+            clock,
+        );
+        node.tracked.clear();
     }
 
     pub fn progress(&mut self, at: usize, change: u32) -> Option<Progress> {
         let (others, clock) = (self.others(at), self.clock(at));
-        let number = *self.nodes[at].followed.get(&change)?;
-        self.nodes[at].member.progress(number, &others, clock)
+        let sequence = *self.nodes[at].tracked.get(&change)?;
+        self.nodes[at].member.progress(sequence, &others, clock)
     }
 
     /// Whether the member would let in a request for a restricted model.
     pub fn admits(&self, at: usize) -> bool {
-        !self.nodes[at].paused && lets_in(self.nodes[at].member.lease(), self.clock(at))
+        !self.nodes[at].paused && admits_restricted(self.nodes[at].member.lease(), self.clock(at))
     }
 
     /// Looks what is fleet-wide by now, then for a member that lets in against it.
     pub fn check(&mut self) -> Result<(), String> {
-        if let Some(at) = self.lost {
+        if let Some(at) = self.store_lost {
             // It has caught up once it lends again: then its answers are full, and trusted.
             if self.nodes[at].member.caught_up() {
-                self.lost = None;
+                self.store_lost = None;
             }
         }
         for at in 0..self.nodes.len() {
             if self.nodes[at].paused {
                 continue;
             }
-            for change in self.nodes[at].followed.keys().copied().collect::<Vec<_>>() {
+            for change in self.nodes[at].tracked.keys().copied().collect::<Vec<_>>() {
                 let progress = self.progress(at, change);
-                if progress.is_some_and(|it| it.stage == Stage::FleetWide && it.bound == Bound::Reached) {
+                if progress.is_some_and(|reported| {
+                    reported.stage == Stage::FleetWide && reported.bound == Bound::Reached
+                }) {
                     self.fleet_wide.insert(change);
                 }
             }
         }
         for at in 0..self.nodes.len() {
-            if let Some(change) = self.fleet_wide.difference(&self.nodes[at].kept).next() {
+            if let Some(change) = self.fleet_wide.difference(&self.nodes[at].stored).next() {
                 if self.admits(at) {
                     return Err(format!(
                         "at {} member {at} admits against {change}, which is fleet-wide",
@@ -284,8 +296,8 @@
                 }
             }
         }
-        for (at, lease, had) in &self.before {
-            if lets_in(*lease, self.clock(*at)) && !self.fleet_wide.is_subset(had) {
+        for (at, lease, stored) in &self.replaced_processes {
+            if admits_restricted(*lease, self.clock(*at)) && !self.fleet_wide.is_subset(stored) {
                 return Err(format!(
                     "at {} an earlier process of {at} admits against what is fleet-wide",
                     self.now
@@ -296,7 +308,7 @@
     }
 }
 
-fn lets_in(lease: Lease, clock: u64) -> bool {
+fn admits_restricted(lease: Lease, clock: u64) -> bool {
     let allowed =
         Decision { allowed: true, reason: DecisionReason::Rule(0), stream_policy: StreamPolicy::Finish };
     lease.apply(allowed, true, clock).allowed
@@ -307,11 +319,11 @@
 }
 
 fn member(
-    at: usize, incarnation: u64, voter_config: &VoterConfig, store_state: StoreState, kept: &BTreeSet<u32>,
+    at: usize, incarnation: u64, voter_config: &VoterConfig, store_state: StoreState, stored: &BTreeSet<u32>,
     clock: u64,
 ) -> Member<u32> {
-    let lease_config = LeaseConfig::new(LEASE, DRIFT, 3_000).unwrap();
-    let stored_keys = kept.iter().copied();
+    let lease_config = LeaseConfig::new(LEASE_MS, DRIFT_PPM, 3_000).unwrap();
+    let stored_keys = stored.iter().copied();
     Member::new(
         (id(at), incarnation),
         lease_config,
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -12,7 +12,7 @@
 pub const TEAMS: [&str; 5] = ["a", "ab", "b", "ba", "c"];
 pub const MODELS: [&str; 4] = ["m", "mn", "n", "no"];
 /// All that a request may name for a model, one that is never there included.
-pub const ASKED: [&str; 8] = ["m", "mn", "n", "no", "x", "y", "g", "none"];
+pub const REQUESTED_MODELS: [&str; 8] = ["m", "mn", "n", "no", "x", "y", "g", "none"];
 
 fn names(of: &'static [&'static str], max: usize) -> impl Strategy<Value = Vec<String>> {
     vec(select(of).prop_map(str::to_owned), 0..=max)
@@ -35,17 +35,17 @@
     )
 }
 
-pub fn team_part(name: &'static str) -> impl Strategy<Value = TeamSection> {
+pub fn team_section(name: &'static str) -> impl Strategy<Value = TeamSection> {
     let rules = vec(rule(Just(vec![name.to_owned()])), 0..4);
-    (names(&TEAMS, 1), rules).prop_map(|(parents, rules)| TeamSection { parents, rules: once(rules) })
+    (names(&TEAMS, 1), rules).prop_map(|(parents, rules)| TeamSection { parents, rules: unique_names(rules) })
 }
 
 pub fn shared() -> impl Strategy<Value = Vec<Rule>> {
-    vec(rule(names(&["a", "b", "c", "a*", "*b", "*"], 2)), 0..4).prop_map(once)
+    vec(rule(names(&["a", "b", "c", "a*", "*b", "*"], 2)), 0..4).prop_map(unique_names)
 }
 
 /// One rule a name, as in every document.
-fn once(mut rules: Vec<Rule>) -> Vec<Rule> {
+fn unique_names(mut rules: Vec<Rule>) -> Vec<Rule> {
     rules.sort_by(|one, other| one.name.cmp(&other.name));
     rules.dedup_by(|one, other| one.name == other.name);
     rules
@@ -55,10 +55,11 @@
     let model = (names(&["x", "y"], 1), names(&["g", "h"], 2), any::<bool>(), any::<bool>());
     let groups = names(&["g", "h"], 1);
     (vec(model, MODELS.len()), groups).prop_map(|(models, parents)| {
-        let models = MODELS.iter().zip(models).filter(|(_, (.., there))| *there).map(|(name, it)| {
-            let (aliases, groups, restricted, _) = it;
-            Model { name: (*name).to_owned(), aliases, groups, restricted }
-        });
+        let models =
+            MODELS.iter().zip(models).filter(|(_, (.., included))| *included).map(|(name, fields)| {
+                let (aliases, groups, restricted, _) = fields;
+                Model { name: (*name).to_owned(), aliases, groups, restricted }
+            });
         let group = |name: &str, groups| Group { name: name.to_owned(), groups };
         Catalogue { models: models.collect(), groups: vec![group("g", parents), group("h", Vec::new())] }
     })
@@ -66,13 +67,15 @@
 
 /// Parts with up to two siblings each, and all that merging may bring about: circles, parents not there.
 pub fn sections(siblings: usize) -> impl Strategy<Value = Sections> {
-    let team = |name| vec(option::weighted(0.9, team_part(name)), 1..=siblings);
+    let team = |name| vec(option::weighted(0.9, team_section(name)), 1..=siblings);
     let teams = (team("a"), team("ab"), team("b"), team("ba"), option::of(team("c")));
     (vec(catalogue(), 1..=siblings), vec(shared(), 1..=siblings), teams).prop_map(
         |(catalogue, shared, (a, ab, b, ba, c))| {
             let listed = [Some(a), Some(ab), Some(b), Some(ba), c];
             let teams = TEAMS.iter().zip(listed);
-            let teams = teams.filter_map(|(name, it)| Some(((*name).to_owned(), it?))).collect();
+            let teams = teams
+                .filter_map(|(name, team_siblings)| Some(((*name).to_owned(), team_siblings?)))
+                .collect();
             Sections { catalogue, shared, teams }
         },
     )
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -29,7 +29,7 @@
 models = ["m", "n"]
 "#;
 
-fn ledger(member: u64, incarnation: u64) -> Replica {
+fn replica(member: u64, incarnation: u64) -> Replica {
     Replica::new(Origin { member, incarnation })
 }
 
@@ -38,24 +38,24 @@
 }
 
 /// The first takes the document, and tells all.
-fn fleet(members: u64) -> Vec<Replica> {
-    let mut all: Vec<Replica> = (0..members).map(|member| ledger(member, 1)).collect();
+fn replicas(members: u64) -> Vec<Replica> {
+    let mut all: Vec<Replica> = (0..members).map(|member| replica(member, 1)).collect();
     let document = Document::from_toml(DOCUMENT).unwrap();
     let version = all[0].version_of_all();
     let proposal = all[0].propose_document(version, &document).unwrap();
     all[0].apply(&proposal);
     for other in 1..all.len() {
-        tell(&mut all, 0, other, None);
+        send(&mut all, 0, other, None);
     }
     all
 }
 
 /// By way of bytes, one key or all. What it replaced.
-fn tell(all: &mut [Replica], from: usize, to: usize, only: Option<&SectionKey>) -> Vec<Dot> {
+fn send(all: &mut [Replica], from: usize, to: usize, only: Option<&SectionKey>) -> Vec<Dot> {
     let mut replaced = Vec::new();
-    let cells: Vec<_> =
+    let entries: Vec<_> =
         all[from].sections().map(|(key, section)| Entry::encode(key, section).unwrap()).collect();
-    for entry in cells {
+    for entry in entries {
         let (key, section) = entry.decode().unwrap();
         if only.is_none_or(|only| *only == key) {
             replaced.extend(all[to].merge(&key, &section).replaced);
@@ -64,14 +64,14 @@
     replaced
 }
 
-fn change(ledger: &mut Replica, name: &str, section: Option<TeamSection>) -> Result<Dot, ReplicaError> {
-    let version = ledger.version(&team(name));
-    let proposal = ledger.propose(name, version, section)?;
-    ledger.apply(&proposal);
+fn change(replica: &mut Replica, name: &str, section: Option<TeamSection>) -> Result<Dot, ReplicaError> {
+    let version = replica.version(&team(name));
+    let proposal = replica.propose(name, version, section)?;
+    replica.apply(&proposal);
     Ok(proposal.dots()[0])
 }
 
-fn only(model: &str) -> TeamSection {
+fn allow_only(model: &str) -> TeamSection {
     let text = format!(r#"{{"rules": [{{"name": "own", "effect": "allow", "models": ["{model}"]}}]}}"#);
     TeamSection::from_json("a", &text).unwrap()
 }
@@ -83,20 +83,20 @@
         team: &'static str,
         section: Option<TeamSection>,
     },
-    Tell {
+    Send {
         from: usize,
         to: usize,
         team: Option<&'static str>,
     },
-    Keep {
+    Backup {
         at: usize,
     },
     /// The store of an earlier time is put back, under a new life.
-    PutBack {
+    RestoreBackup {
         at: usize,
     },
     /// The store is lost.
-    Lose {
+    LoseStore {
         at: usize,
     },
 }
@@ -104,64 +104,66 @@
 fn step() -> impl Strategy<Value = Step> {
     let at = || 0..3usize;
     let name = || select(&["a", "b"][..]);
-    let section = || select(&["m", "n", "*"][..]).prop_map(|model| Some(only(model)));
+    let section = || select(&["m", "n", "*"][..]).prop_map(|model| Some(allow_only(model)));
     prop_oneof![
         5 => (at(), prop_oneof![4 => section(), 1 => Just(None)])
             .prop_map(|(at, section)| Step::Change { at, team: "a", section }),
         2 => at().prop_map(|at| Step::Change { at, team: "b", section: Some(TeamSection::default()) }),
-        8 => (at(), at(), proptest::option::of(name())).prop_map(|(from, to, team)| Step::Tell { from, to, team }),
-        1 => at().prop_map(|at| Step::Keep { at }),
-        1 => at().prop_map(|at| Step::PutBack { at }),
-        1 => at().prop_map(|at| Step::Lose { at }),
+        8 => (at(), at(), proptest::option::of(name())).prop_map(|(from, to, team)| Step::Send { from, to, team }),
+        1 => at().prop_map(|at| Step::Backup { at }),
+        1 => at().prop_map(|at| Step::RestoreBackup { at }),
+        1 => at().prop_map(|at| Step::LoseStore { at }),
     ]
 }
 
 /// Of each change, by its part, the dots that it replaced.
-type Made = BTreeMap<(SectionKey, Dot), Vec<Dot>>;
+type Changes = BTreeMap<(SectionKey, Dot), Vec<Dot>>;
 
-fn play(steps: Vec<Step>) -> (Vec<Replica>, Made) {
-    let mut all = fleet(3);
-    let mut kept = all.clone();
-    let mut lives = 1;
-    let mut made = BTreeMap::new();
+fn run_steps(steps: Vec<Step>) -> (Vec<Replica>, Changes) {
+    let mut all = replicas(3);
+    let mut backups = all.clone();
+    let mut incarnations = 1;
+    let mut changes = BTreeMap::new();
     for step in steps {
         match step {
             Step::Change { at, team: name, section } => {
                 let key = team(name);
-                let knew: Vec<Dot> = all[at]
+                let replaced: Vec<Dot> = all[at]
                     .section(&key)
-                    .map(|versioned| versioned.siblings().map(|it| it.dot).collect())
+                    .map(|versioned| versioned.siblings().map(|sibling| sibling.dot).collect())
                     .unwrap_or_default();
                 if let Ok(dot) = change(&mut all[at], name, section) {
-                    made.insert((key, dot), knew);
+                    changes.insert((key, dot), replaced);
                 }
             }
-            Step::Tell { from, to, team: name } => drop(tell(&mut all, from, to, name.map(team).as_ref())),
-            Step::Keep { at } => kept[at] = all[at].clone(),
-            Step::PutBack { at } | Step::Lose { at } => {
-                lives += 1;
-                let origin = Origin { member: at as u64, incarnation: lives };
+            Step::Send { from, to, team: name } => drop(send(&mut all, from, to, name.map(team).as_ref())),
+            Step::Backup { at } => backups[at] = all[at].clone(),
+            Step::RestoreBackup { at } | Step::LoseStore { at } => {
+                incarnations += 1;
+                let origin = Origin { member: at as u64, incarnation: incarnations };
                 let sections: Vec<_> = match step {
-                    Step::Lose { .. } => Vec::new(),
-                    _ => kept[at].sections().map(|(key, section)| (key.clone(), section.clone())).collect(),
+                    Step::LoseStore { .. } => Vec::new(),
+                    _ => {
+                        backups[at].sections().map(|(key, section)| (key.clone(), section.clone())).collect()
+                    }
                 };
                 // What only it knew is lost with its store; so it tells one other first.
-                tell(&mut all, at, (at + 1) % 3, None);
+                send(&mut all, at, (at + 1) % 3, None);
                 all[at] = Replica::restore(origin, sections).unwrap();
             }
         }
     }
-    (all, made)
+    (all, changes)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn merging_is_a_join(steps in vec(step(), 0..30)) {
-        let (all, _) = play(steps);
+    fn merge_is_commutative_associative_and_idempotent(steps in vec(step(), 0..30)) {
+        let (all, _) = run_steps(steps);
         for name in ["a", "b"] {
-            let sections: Vec<_> = all.iter().map(|it| it.section(&team(name)).cloned().unwrap_or_default()).collect();
+            let sections: Vec<_> = all.iter().map(|copy| copy.section(&team(name)).cloned().unwrap_or_default()).collect();
             let [a, b, c] = &sections[..] else { unreachable!() };
             prop_assert_eq!(a.merge(b), b.merge(a));
             prop_assert_eq!(a.merge(b).merge(c), a.merge(&b.merge(c)));
@@ -171,11 +173,11 @@
     }
 
     #[test]
-    fn no_change_is_lost_and_all_show_the_same(steps in vec(step(), 0..40)) {
-        let (mut all, made) = play(steps);
+    fn no_change_is_lost_and_replicas_converge(steps in vec(step(), 0..40)) {
+        let (mut all, changes) = run_steps(steps);
         for round in 0..2 {
             for (from, to) in [(0, 1), (1, 2), (2, 0), (1, 0), (0, 2), (2, 1)] {
-                let replaced = tell(&mut all, from, to, None);
+                let replaced = send(&mut all, from, to, None);
                 prop_assert!(round == 0 || replaced.is_empty());
             }
         }
@@ -185,23 +187,23 @@
         // A change stands, unless one was made by an admin who saw it. And nothing else stands.
         for name in ["a", "b"] {
             let key = team(name);
-            let seen: BTreeSet<Dot> =
-                made.iter().filter(|((of, _), _)| *of == key).flat_map(|(_, knew)| knew).copied().collect();
+            let replaced_dots: BTreeSet<Dot> =
+                changes.iter().filter(|((of, _), _)| *of == key).flat_map(|(_, dots)| dots).copied().collect();
             let versioned = all[0].section(&key).unwrap();
-            let stand: BTreeSet<Dot> = versioned.siblings().map(|it| it.dot).collect();
-            for (of, dot) in made.keys() {
-                prop_assert!(*of != key || stand.contains(dot) != seen.contains(dot), "{} {}", name, dot);
+            let siblings: BTreeSet<Dot> = versioned.siblings().map(|sibling| sibling.dot).collect();
+            for (of, dot) in changes.keys() {
+                prop_assert!(*of != key || siblings.contains(dot) != replaced_dots.contains(dot), "{} {}", name, dot);
             }
-            prop_assert!(stand.is_disjoint(&seen));
+            prop_assert!(siblings.is_disjoint(&replaced_dots));
             prop_assert!(versioned.forked_dots().is_empty());
         }
     }
 
     #[test]
-    fn no_bytes_bring_it_down(bytes in vec(any::<u8>(), 0..60), key in "[cst][a-c]{0,2}") {
+    fn no_bytes_cause_a_panic(bytes in vec(any::<u8>(), 0..60), key in "[cst][a-c]{0,2}") {
         for value in [bytes.clone(), [vec![ENTRY_FORMAT], bytes.clone()].concat()] {
             if let Ok((key, section)) = (Entry { key: key.clone().into_bytes(), value }).decode() {
-                let mut all = fleet(1);
+                let mut all = replicas(1);
                 all[0].merge(&key, &section);
                 Table::compile(&all[0].contents());
             }
@@ -210,67 +212,68 @@
 }
 
 #[test]
-fn two_admins_at_two_sides_allow_what_both_allow_until_one_settles_it() {
-    let mut all = fleet(3);
-    let (one, other) = (change(&mut all[0], "a", Some(only("m"))), change(&mut all[1], "a", Some(only("*"))));
+fn concurrent_changes_allow_what_both_allow_until_a_third_resolves_the_conflict() {
+    let mut all = replicas(3);
+    let (one, other) =
+        (change(&mut all[0], "a", Some(allow_only("m"))), change(&mut all[1], "a", Some(allow_only("*"))));
     for (from, to) in [(0, 1), (1, 0), (1, 2)] {
-        tell(&mut all, from, to, None);
+        send(&mut all, from, to, None);
     }
-    for ledger in &all {
-        let table = Table::compile(&ledger.contents());
+    for replica in &all {
+        let table = Table::compile(&replica.contents());
         assert!(table.check_names("b", "m", 0).allowed);
         assert!(!table.check_names("b", "n", 0).allowed);
-        let (key, standing) = ledger.conflicts().next().unwrap();
+        let (key, siblings) = replica.conflicts().next().unwrap();
         assert_eq!(*key, team("a"));
-        let dots: Vec<Dot> = standing.iter().map(|it| it.dot).collect();
+        let dots: Vec<Dot> = siblings.iter().map(|sibling| sibling.dot).collect();
         assert_eq!(dots, [one.clone().unwrap(), other.clone().unwrap()]);
     }
     // An admin who saw only one side is told, with the present version.
-    let (seen, current) = (fleet(1)[0].version(&team("a")), all[2].version(&team("a")));
-    let refused = all[2].propose("a", seen, Some(only("n"))).unwrap_err();
-    assert_eq!(refused, ReplicaError::VersionMismatch { key: Some(team("a")), expected: seen, current });
+    let (outdated, current) = (replicas(1)[0].version(&team("a")), all[2].version(&team("a")));
+    let rejected = all[2].propose("a", outdated, Some(allow_only("n"))).unwrap_err();
+    assert_eq!(rejected, ReplicaError::VersionMismatch { key: Some(team("a")), expected: outdated, current });
     // One who saw both settles it, everywhere.
-    change(&mut all[2], "a", Some(only("n"))).unwrap();
-    assert_eq!(tell(&mut all, 2, 0, None), dots_of(&[one, other]));
+    change(&mut all[2], "a", Some(allow_only("n"))).unwrap();
+    assert_eq!(send(&mut all, 2, 0, None), dots_of(&[one, other]));
     assert_eq!(all[0].conflicts().count(), 0);
     assert!(Table::compile(&all[0].contents()).check_names("b", "n", 0).allowed);
 }
 
-fn dots_of(made: &[Result<Dot, ReplicaError>]) -> Vec<Dot> {
-    made.iter().map(|dot| dot.clone().unwrap()).collect()
+fn dots_of(results: &[Result<Dot, ReplicaError>]) -> Vec<Dot> {
+    results.iter().map(|dot| dot.clone().unwrap()).collect()
 }
 
 #[test]
-fn yesterdays_copy_does_not_win() {
-    let mut all = fleet(2);
-    let yesterday: Vec<_> = all[0].sections().map(|(key, section)| (key.clone(), section.clone())).collect();
-    change(&mut all[0], "a", Some(only("m"))).unwrap();
-    tell(&mut all, 0, 1, None);
-    let used = Replica::restore(Origin { member: 0, incarnation: 1 }, yesterday.clone()).unwrap_err();
-    assert_eq!(used, ReplicaError::IncarnationUsed { origin: Origin { member: 0, incarnation: 1 } });
-    all[0] = Replica::restore(Origin { member: 0, incarnation: 2 }, yesterday).unwrap();
+fn a_restored_store_does_not_override_newer_changes() {
+    let mut all = replicas(2);
+    let backup: Vec<_> = all[0].sections().map(|(key, section)| (key.clone(), section.clone())).collect();
+    change(&mut all[0], "a", Some(allow_only("m"))).unwrap();
+    send(&mut all, 0, 1, None);
+    let error = Replica::restore(Origin { member: 0, incarnation: 1 }, backup.clone()).unwrap_err();
+    assert_eq!(error, ReplicaError::IncarnationUsed { origin: Origin { member: 0, incarnation: 1 } });
+    all[0] = Replica::restore(Origin { member: 0, incarnation: 2 }, backup).unwrap();
     let current = all[1].contents();
-    assert!(tell(&mut all, 0, 1, None).is_empty());
+    assert!(send(&mut all, 0, 1, None).is_empty());
     assert_eq!(all[1].contents(), current);
-    assert_eq!(tell(&mut all, 1, 0, None).len(), 1);
+    assert_eq!(send(&mut all, 1, 0, None).len(), 1);
     assert_eq!(all[0].contents(), current);
 }
 
 #[test]
-fn a_life_used_twice_is_found_and_both_changes_stand() {
-    let mut all = fleet(2);
-    let mut double = all[0].clone();
-    change(&mut all[0], "a", Some(only("m"))).unwrap();
-    let dot = change(&mut double, "a", Some(only("n"))).unwrap();
-    let outcome = all[0].merge(&team("a"), double.section(&team("a")).unwrap());
+fn an_incarnation_used_twice_is_detected_and_both_changes_are_kept() {
+    let mut all = replicas(2);
+    let mut duplicate = all[0].clone();
+    change(&mut all[0], "a", Some(allow_only("m"))).unwrap();
+    let dot = change(&mut duplicate, "a", Some(allow_only("n"))).unwrap();
+    let outcome = all[0].merge(&team("a"), duplicate.section(&team("a")).unwrap());
     assert_eq!((outcome.forked, outcome.in_conflict, outcome.foreign_change), (vec![dot], true, false));
-    change(&mut double, "a", Some(only("n"))).unwrap();
-    assert!(all[0].merge(&team("a"), double.section(&team("a")).unwrap()).foreign_change);
+    change(&mut duplicate, "a", Some(allow_only("n"))).unwrap();
+    assert!(all[0].merge(&team("a"), duplicate.section(&team("a")).unwrap()).foreign_change);
 }
 
 #[test]
-fn a_change_that_names_what_is_not_there_changes_nothing() {
-    let mut all = fleet(1);
+fn a_rejected_change_with_an_unknown_name_or_a_cycle_changes_nothing() {
+    let mut all = replicas(1);
     let before = all[0].version_of_all();
     let text = "{\"rules\": [\n {\"name\": \"own\", \"effect\": \"deny\",\n  \"models\": [\"m\", \"zz\"]}]}";
     let section = TeamSection::from_json("b", text).unwrap();
@@ -282,15 +285,15 @@
     // Its parent cannot go either, nor be under it.
     let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", None) else { panic!("taken") };
     assert!(matches!(error.fault, Fault::UnknownName { .. }), "{error}");
-    let circle = TeamSection { parents: vec!["b".to_owned()], rules: Vec::new() };
-    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", Some(circle)) else { panic!("taken") };
+    let cycle = TeamSection { parents: vec!["b".to_owned()], rules: Vec::new() };
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", Some(cycle)) else { panic!("taken") };
     assert!(matches!(error.fault, Fault::Cycle { .. }), "{error}");
     assert_eq!(all[0].version_of_all(), before);
 }
 
 #[test]
-fn another_format_is_refused_by_name() {
-    let all = fleet(1);
+fn an_unsupported_entry_format_is_rejected() {
+    let all = replicas(1);
     let (key, section) = all[0].sections().next().unwrap();
     let mut entry = Entry::encode(key, section).unwrap();
     entry.value[0] = ENTRY_FORMAT + 1;
