--- a/crates/grants/src/document/check.rs
+++ b/crates/grants/src/document/check.rs
@@ -1,4 +1,5 @@
-//! What a document has to hold beyond its form: names that exist, once; no circles; bounds.
+//! Validation of documents beyond their syntax: names exist and are unique, there are no cycles, limits are
+//! kept.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,16 +8,16 @@
 use super::position::KeyPath;
 use super::{Document, Rule};
 
-/// The longest name, bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// The most generations above a team.
+/// Maximum number of generations above a team.
 pub const MAX_ANCESTOR_GENERATIONS: usize = 64;
-/// The most teams, models with their aliases, groups, or rules.
+/// Maximum number of teams, of groups, of rules, and of models together with their aliases.
 pub const MAX_ENTRIES: usize = 100_000;
-/// The most names that one list of a document has.
+/// Maximum number of names in one list of a document.
 pub const MAX_LIST_NAMES: usize = 10_000;
 
-/// Everything that is wrong with the document, in the order in which it is looked for; empty for a good one.
+/// Returns all faults of the document, in the order of the checks; an empty list if it is valid.
 pub fn find_faults(document: &Document) -> Vec<(KeyPath, Fault)> {
     let mut found = Vec::new();
     check_counts(document, &mut found);
@@ -68,6 +69,7 @@
     }
 }
 
+/// Returns the names of all teams.
 fn check_teams<'a>(document: &'a Document, found: &mut Found) -> HashSet<&'a str> {
     let mut seen = HashSet::new();
     for (at, team) in document.teams.iter().enumerate() {
@@ -80,7 +82,7 @@
     seen
 }
 
-/// All names that a rule may use for models, and the groups among them.
+/// Returns all names that a rule may use for models, and the group names among them.
 fn check_models<'a>(document: &'a Document, found: &mut Found) -> (HashSet<&'a str>, HashSet<&'a str>) {
     let mut seen = HashSet::new();
     let mut groups = HashSet::new();
@@ -103,6 +105,8 @@
     (seen, groups)
 }
 
+/// Checks the lists that must hold names, not patterns: parents of teams, groups of groups and groups of
+/// models.
 fn check_references(document: &Document, teams: &HashSet<&str>, groups: &HashSet<&str>, found: &mut Found) {
     let mut check_list = |names: &[String], kind: NameKind, valid_names: &HashSet<&str>, key: KeyPath| {
         if names.len() > MAX_LIST_NAMES {
@@ -126,6 +130,7 @@
     }
 }
 
+/// Checks a list of a rule, which may hold patterns and must not be empty.
 fn check_rule_list(
     names: &[String], kind: NameKind, valid_names: &HashSet<&str>, key: &KeyPath, found: &mut Found,
 ) {
@@ -166,8 +171,11 @@
     }
 }
 
-/// A circle among the edges, first name repeated at its end, with the index of its first. What has no parents
-/// left is taken away until nothing changes; what stays has a circle above it, and walking up finds it.
+/// Finds a cycle among the edges (each an item's name and its parents). Returns the index of the cycle's
+/// first item and the names along the cycle, with the first name repeated at the end.
+///
+/// Every item in a cycle or below one has such an item among its parents, so walking up through these parents
+/// always comes back to an item that was visited before.
 fn find_cycle(edges: &[(&str, &[String])]) -> Option<(usize, Vec<String>)> {
     let index: HashMap<&str, usize> = edges.iter().enumerate().map(|(at, edge)| (edge.0, at)).collect();
     let parents: Vec<Vec<usize>> = edges
@@ -188,6 +196,7 @@
     }
 }
 
+/// Reports the first team with too many generations above it.
 fn check_generations(document: &Document, found: &mut Found) {
     let index: HashMap<&str, usize> =
         document.teams.iter().enumerate().map(|(at, team)| (team.name.as_str(), at)).collect();
--- a/crates/grants/src/document/error.rs
+++ b/crates/grants/src/document/error.rs
@@ -1,14 +1,15 @@
-//! What can be wrong with a document.
+//! Errors in documents, with their position in the text and advice for operators.
 
 use std::fmt;
 
 use super::position::{locate_in_json, KeyPath, Position};
 
-/// A document that was not taken: where, under which key, and why. Nothing changed.
+/// The reason why a document was rejected, with its position and key. A rejected document changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct DocumentError {
-    /// Where in the text; none where there is no text (a change of one team, entries from another member).
+    /// Position in the text; `None` if there is no text (a change of one team, entries from another member).
     pub position: Option<Position>,
+    /// Empty if the error is not about one key.
     pub key: KeyPath,
     pub fault: Fault,
 }
@@ -26,19 +27,19 @@
 }
 
 impl DocumentError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         self.fault.advice()
     }
 
-    /// The same with its place in the JSON text that it is about, for one that came without.
+    /// Adds the position in the JSON text that the error is about, if the error has no position yet.
     pub fn with_position(self, text: &str) -> DocumentError {
         let position = self.position.or_else(|| locate_in_json(text, &self.key));
         DocumentError { position, ..self }
     }
 }
 
-/// What a name is a name of.
+/// The kind of object that a name refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameKind {
     Team,
@@ -61,7 +62,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// Not the form, or a key or value that the form does not have.
+    /// The text is not valid TOML or JSON, has an unknown key or a value of the wrong type, or cannot be
+    /// written.
     #[error("{message}")]
     Malformed { message: String },
     #[error("there is no {kind} `{name}`")]
@@ -78,23 +80,27 @@
     EmptyList,
     #[error("the rule ends at {until} ms, not after it begins at {from} ms")]
     EmptyWindow { from: u64, until: u64 },
-    #[error("{count} of {what} are more than {limit}")]
+    #[error("{what}: {count} exceeds the limit of {limit}")]
     LimitExceeded { what: &'static str, count: usize, limit: usize },
     #[error("rule `{rule}` of team `{team}`'s entry is not for that team alone")]
     RuleForOtherTeams { rule: String, team: String },
 }
 
 impl Fault {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            Fault::Malformed { .. } => "correct the text at this place; docs/one-fleet.md shows the form",
-            Fault::UnknownName { .. } => "correct the spelling, or add what is named to the document first",
+            Fault::Malformed { .. } => {
+                "correct the text at this position; docs/one-fleet.md describes the format"
+            }
+            Fault::UnknownName { .. } => {
+                "correct the spelling, or add the missing name to the document first"
+            }
             Fault::DuplicateName { .. } => {
-                "rename or remove one; models, aliases and groups share one space of names"
+                "rename or remove one; models, aliases and groups share one namespace"
             }
-            Fault::Cycle { .. } => "take one of the named parents away",
-            Fault::TooManyGenerations { .. } => "give the team a parent nearer to the top",
+            Fault::Cycle { .. } => "remove one of the named parents",
+            Fault::TooManyGenerations { .. } => "choose a parent with fewer generations above it",
             Fault::InvalidName { .. } => "choose another name",
             Fault::EmptyList => "name at least one, or `*` for all",
             Fault::EmptyWindow { .. } => "set `until` after `from`; both are Unix time in ms",
--- a/crates/grants/src/document/mod.rs
+++ b/crates/grants/src/document/mod.rs
@@ -1,4 +1,5 @@
-//! What an admin writes: teams, models, groups and rules. TOML in files, JSON on the wire.
+//! Documents: the teams, models, groups and rules that administrators write. The format is TOML in files and
+//! JSON on the network.
 //!
 //! ```
 //! use glenrail_grants::document::Document;
@@ -34,8 +35,8 @@
 pub use pattern::{is_pattern, matches};
 pub use position::{KeyPath, KeySegment, Position};
 
-/// The whole of what admins say. What no rule allows is refused; a rule that denies goes before one that
-/// allows. Names of models, aliases and groups share one space.
+/// The complete set of grants. A call is refused unless a rule allows it, and a rule that denies it takes
+/// precedence over one that allows it. Models, aliases and groups share one namespace.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -49,7 +50,7 @@
     pub rules: Vec<Rule>,
 }
 
-/// A name for several models. Its models belong to the groups that it belongs to, too.
+/// A named set of models. The models of a group also belong to the groups listed in its `groups`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
@@ -62,17 +63,18 @@
 #[serde(deny_unknown_fields)]
 pub struct Model {
     pub name: String,
-    /// Other names that requests may use for it.
+    /// Alternative names that requests may use for the model.
     #[serde(default)]
     pub aliases: Vec<String>,
     #[serde(default)]
     pub groups: Vec<String>,
-    /// A member that may not know the newest rules refuses it, unless the operators' file says otherwise.
+    /// A member that may be missing the newest rules refuses the model, unless its configuration says
+    /// otherwise ([`crate::revocation::StalePolicy`]).
     #[serde(default)]
     pub restricted: bool,
 }
 
-/// A team has what its parents have, allowed and denied.
+/// A team. It inherits the rules of its parents, both those that allow and those that deny.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
@@ -88,43 +90,44 @@
     Deny,
 }
 
-/// What becomes of a stream under way when its grant ends.
+/// What happens to an open stream when its grant ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StreamPolicy {
-    /// It runs to its end.
+    /// The stream runs to completion.
     #[default]
     Finish,
-    /// It is cut at the next whole event.
+    /// The stream is closed at the next event boundary.
     Cut,
 }
 
-/// One rule. Each name in `teams` is a team or a pattern over teams; each in `models` a model, an alias, a
-/// group, or a pattern over models. A pattern (`*` is any run of characters) matches models and teams by
-/// their own names, never by an alias or a group, and may match nothing.
+/// A rule that allows or denies calls. Each entry of `teams` is a team or a pattern for teams; each entry of
+/// `models` is a model, an alias, a group or a pattern for models. In a pattern, `*` stands for any run of
+/// characters. Patterns match models and teams by their own names, never by an alias or a group, and may
+/// match nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     pub name: String,
     pub effect: Effect,
-    /// May be left out in a team's own entry.
+    /// May be omitted in a single team's entry; the rule is then for that team.
     #[serde(default)]
     pub teams: Vec<String>,
     pub models: Vec<String>,
-    /// It holds from this time on (Unix ms).
+    /// Start of the rule's validity (Unix ms, inclusive). `None`: no start.
     #[serde(default)]
     pub from: Option<u64>,
-    /// It holds until just before this time (Unix ms).
+    /// End of the rule's validity (Unix ms, exclusive). `None`: no end.
     #[serde(default)]
     pub until: Option<u64>,
-    /// Of a rule that denies: for the streams that it stops. Of one that allows: for the streams that it let in,
-    /// when nothing allows them any more.
+    /// In a rule that denies: applies to the streams that the rule stops. In a rule that allows: applies to
+    /// the streams that the rule admitted, once no rule allows them.
     #[serde(default)]
     pub streams: StreamPolicy,
 }
 
 impl Rule {
-    /// Whether it holds at `now` (Unix ms).
+    /// Returns whether the rule is valid at `now` (Unix ms).
     pub fn is_active(&self, now: u64) -> bool {
         self.from.is_none_or(|from| from <= now) && self.until.is_none_or(|until| now < until)
     }
--- a/crates/grants/src/document/pattern.rs
+++ b/crates/grants/src/document/pattern.rs
@@ -1,11 +1,12 @@
-//! Patterns over names: `*` stands for any run of characters, none included.
+//! Patterns for names: `*` matches any run of characters, including an empty one.
 
-/// Whether the text is a pattern rather than a name.
+/// Returns whether the text is a pattern rather than a name.
 pub fn is_pattern(text: &str) -> bool {
     text.contains('*')
 }
 
-/// Whether the name is one that the pattern stands for. Takes time of at most the product of both lengths.
+/// Returns whether the pattern matches the name. The running time is at most proportional to the product of
+/// both lengths.
 pub fn matches(pattern: &str, name: &str) -> bool {
     let (pattern, name) = (pattern.as_bytes(), name.as_bytes());
     let (mut pattern_pos, mut name_pos) = (0, 0);
@@ -17,7 +18,7 @@
         } else if pattern.get(pattern_pos) == Some(&name[name_pos]) {
             (pattern_pos, name_pos) = (pattern_pos + 1, name_pos + 1);
         } else if let Some((star_pos, match_end)) = last_star {
-            // The last star takes one more character.
+            // Backtrack: the last star matches one more character.
             last_star = Some((star_pos, match_end + 1));
             (pattern_pos, name_pos) = (star_pos + 1, match_end + 1);
         } else {
--- a/crates/grants/src/document/position.rs
+++ b/crates/grants/src/document/position.rs
@@ -1,5 +1,5 @@
-//! Where in a text a key stands. Looked up only once something is wrong, so that the document's types carry no
-//! places and are the same in both forms.
+//! Positions of keys in a document's text. They are looked up only when an error is reported, so the document
+//! types hold no positions and are the same for TOML and JSON.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -8,7 +8,7 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// A line and a column, both from 1; the column counts characters.
+/// A line and a column, both counted from 1. The column counts characters, not bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
     pub line: usize,
@@ -22,7 +22,7 @@
 }
 
 impl Position {
-    /// The place of a byte of the text; the last place for one beyond it.
+    /// Returns the position of a byte offset in the text; the end of the text for an offset beyond it.
     pub fn at_byte(text: &str, byte: usize) -> Position {
         let before = text.get(..byte.min(text.len())).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
@@ -34,16 +34,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeySegment {
     Field(String),
-    /// Counted from 0.
+    /// The index in a list, counted from 0.
     Index(usize),
 }
 
-/// The way to a value, such as `rule[2].teams[0]`.
+/// The path of keys that leads to a value, such as `rule[2].teams[0]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyPath(pub Vec<KeySegment>);
 
 impl KeyPath {
-    /// `list[index].field`, or `list[index]` alone where the field is empty.
+    /// Returns `list[index].field`, or `list[index]` alone if `field` is empty.
     pub fn list_item(list: &str, index: usize, field: &str) -> KeyPath {
         let mut path = vec![KeySegment::Field(list.to_owned()), KeySegment::Index(index)];
         if !field.is_empty() {
@@ -71,7 +71,8 @@
     }
 }
 
-/// Where the value stands in a TOML text, or the nearest one above it that is there.
+/// Returns the position of the value in a TOML text, or of its nearest ancestor that exists. `None` if the
+/// text is not TOML.
 pub fn locate_in_toml(text: &str, path: &KeyPath) -> Option<Position> {
     let table = DeTable::parse(text).ok()?;
     let mut start = table.span().start;
@@ -90,7 +91,7 @@
     Some(Position::at_byte(text, start))
 }
 
-/// Where the value stands in a JSON text, or the nearest one above it that is there.
+/// Returns the position of the value in a JSON text, or of its nearest ancestor that exists.
 pub fn locate_in_json(text: &str, path: &KeyPath) -> Option<Position> {
     let mut current = text.trim_start();
     for segment in &path.0 {
@@ -105,7 +106,7 @@
         let Some(next) = next else { break };
         current = next;
     }
-    // A raw value is a part of the text itself, so its address says where it stands.
+    // A raw value borrows from the text, so the difference of the addresses is its offset.
     let byte = (current.as_ptr() as usize).checked_sub(text.as_ptr() as usize)?;
     Some(Position::at_byte(text, byte))
 }
--- a/crates/grants/src/document/read.rs
+++ b/crates/grants/src/document/read.rs
@@ -1,4 +1,4 @@
-//! Documents from and to text. A text is taken whole or not at all.
+//! Conversion of documents from and to text. A text with any error is rejected as a whole.
 
 use serde::de::DeserializeOwned;
 use serde_path_to_error::{Path, Segment};
@@ -10,11 +10,11 @@
 use super::position::{locate_in_json, locate_in_toml, KeyPath, KeySegment, Position};
 use super::Document;
 
-/// The longest text that is read, bytes.
+/// Maximum length of a text that is parsed, in bytes.
 pub const MAX_TEXT_BYTES: usize = 16 << 20;
 
 impl Document {
-    /// Reads an operators' file.
+    /// Parses and validates a TOML document, the format of operators' files.
     pub fn from_toml(text: &str) -> Result<Document, DocumentError> {
         check_length(text)?;
         let malformed = |key: KeyPath, error: toml::de::Error| DocumentError {
@@ -29,13 +29,13 @@
         validated(document, |path| locate_in_toml(text, path))
     }
 
-    /// Reads what came over the wire.
+    /// Parses and validates a JSON document, the format on the network.
     pub fn from_json(text: &str) -> Result<Document, DocumentError> {
         let document = parse_json(text)?;
         validated(document, |path| locate_in_json(text, path))
     }
 
-    /// The text of an operators' file that reads as this document.
+    /// Returns a TOML text that parses to this document.
     pub fn to_toml(&self) -> Result<String, DocumentError> {
         toml::to_string(self).map_err(unwritable)
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Any form of JSON, by its form alone.
+/// Parses JSON into a type. Checks the syntax and the types of values only.
 fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, DocumentError> {
     check_length(text)?;
     let malformed = |key: KeyPath, error: serde_json::Error| DocumentError {
@@ -61,8 +61,9 @@
 }
 
 impl TeamSection {
-    /// Reads one team's entry as it came over the wire. A rule without `teams` is for this team. What it names
-    /// is checked when it is proposed ([`crate::versions::Replica::propose`]), for it needs the rest.
+    /// Parses the JSON entry of one team. A rule without `teams` is for this team. The names in it are
+    /// checked when it is proposed ([`crate::versions::Replica::propose`]), because that needs the other
+    /// sections.
     pub fn from_json(team: &str, text: &str) -> Result<TeamSection, DocumentError> {
         let mut section: TeamSection = parse_json(text)?;
         for rule in section.rules.iter_mut().filter(|rule| rule.teams.is_empty()) {
@@ -72,7 +73,8 @@
     }
 }
 
-/// A time beyond what TOML's integers hold is all that cannot be written.
+/// Returns the error for a document that cannot be written. The only cause is a time outside the range of
+/// TOML integers.
 fn unwritable(error: impl std::fmt::Display) -> DocumentError {
     DocumentError {
         position: None,
--- a/crates/grants/src/hierarchy.rs
+++ b/crates/grants/src/hierarchy.rs
@@ -1,8 +1,13 @@
-//! Order among what has parents: those without come first. Circles are left over, never walked.
+//! Topological order of items with parents. Each item is an index, and `parents[i]` holds the parents of item
+//! `i`.
+//!
+//! Items in a cycle, or below one, are left out of the order and never walked, so every function terminates.
+//! Used for teams and groups, by document validation and by the compiler.
 
 use std::collections::BTreeSet;
 
-/// The indices, each after all of its parents; those in a circle or below one are missing.
+/// Returns the indices so that each one comes after all of its parents. Items in a cycle or below one are
+/// missing.
 pub fn topological_order(parents: &[Vec<usize>]) -> Vec<usize> {
     let mut children = vec![Vec::new(); parents.len()];
     let mut unplaced_parents: Vec<usize> = parents.iter().map(Vec::len).collect();
@@ -25,7 +30,7 @@
     order
 }
 
-/// Those in a circle or below one.
+/// Returns the items in a cycle or below one.
 pub fn in_or_below_cycle(parents: &[Vec<usize>]) -> BTreeSet<usize> {
     let mut remaining: BTreeSet<usize> = (0..parents.len()).collect();
     for item in topological_order(parents) {
@@ -34,7 +39,7 @@
     remaining
 }
 
-/// How many generations stand above each; none for those in a circle or below one.
+/// Returns the number of generations above each item; `None` for items in a cycle or below one.
 pub fn depths(parents: &[Vec<usize>]) -> Vec<Option<usize>> {
     let mut depths = vec![None; parents.len()];
     for item in topological_order(parents) {
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -1,16 +1,19 @@
-//! Which models a team may call: documents, a compiled table, versions that merge, leases of knowledge.
+//! Grants: which teams may call which models, and how a change of the rules reaches every member of the
+//! fleet.
 //!
-//! Decisions and state only: no socket, no clock, no thread, no file. A driver goes through them like this:
+//! The crate holds decisions and state only. It opens no socket and no file, starts no thread and reads no
+//! clock: the caller does the I/O and passes the time. The caller uses it at these points:
 //!
-//! | when | what |
+//! | event | calls |
 //! | --- | --- |
-//! | at the start | [`versions::Replica::restore`] from the store, [`compiled::Table::compile`], [`revocation::Member::new`] |
-//! | at a request, and before each attempt | the lease, then [`compiled::Table::check`], then the clock: [`revocation::Lease::apply`] |
-//! | at [`compiled::Table::next_change`] | look again at streams under way: [`compiled::Decision::open_stream_policy`] |
-//! | an admin's change | [`versions::Replica::propose`], [`dry_run::DryRun`], keep, [`versions::Replica::apply`], compile, swap, [`revocation::Member::record_change`], [`track`](revocation::Member::track) |
-//! | what a member tells | [`versions::Replica::preview_merge`], keep, [`merge`](versions::Replica::merge), compile, swap, [`record_change`](revocation::Member::record_change), [`handle_response`](revocation::Member::handle_response) |
+//! | startup | [`versions::Replica::restore`] from the store, [`compiled::Table::compile`], [`revocation::Member::new`] |
+//! | a request, and before each attempt | read the lease, call [`compiled::Table::check`], read the clock, call [`revocation::Lease::apply`] |
+//! | the time of [`compiled::Table::next_change`] | check open streams again: [`compiled::Decision::open_stream_policy`] |
+//! | an administrator's change | [`versions::Replica::propose`], [`dry_run::DryRun`], write to disk, [`versions::Replica::apply`], compile, swap the table, [`revocation::Member::record_change`], [`track`](revocation::Member::track) |
+//! | a sync response from another member | [`versions::Replica::preview_merge`], write to disk, [`merge`](versions::Replica::merge), compile, swap the table, [`record_change`](revocation::Member::record_change), [`handle_response`](revocation::Member::handle_response) |
 //!
-//! The order within a line is what the promises of `docs/one-fleet.md` rest on: kept, then enforced, then told.
+//! The calls of a row must be made in this order: a change is stored first, then enforced, and only then sent
+//! or confirmed to other members. The guarantees in `docs/one-fleet.md` depend on it.
 
 pub mod compiled;
 pub mod document;
--- a/crates/grants/src/sections.rs
+++ b/crates/grants/src/sections.rs
@@ -1,8 +1,8 @@
-//! A document in the parts that change and travel by themselves: one for each team, one for the rules that
-//! are not for one team alone, one for models and groups.
+//! Sections: a document split into the units that are changed and replicated independently. Each team has a
+//! section, all rules that are not for a single team share one, and models and groups share one.
 //!
-//! A part that was changed at two places at once has several *siblings*; what they mean together is what all
-//! of them allow (see [`crate::compiled`]).
+//! A section that was changed concurrently at two members has several *siblings*. Together they allow only
+//! what all of them allow (see [`crate::compiled`]).
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,14 +11,14 @@
 
 use crate::document::{is_pattern, Document, Group, Model, Rule, Team};
 
-/// The name of a part, and its key in the replicated table.
+/// The name of a section, and its key in the replicated table.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SectionKey {
     /// Models and groups.
     Catalogue,
-    /// Rules for several teams, or by a pattern.
+    /// Rules that name several teams or a pattern.
     Shared,
-    /// A team's parents, and the rules for it alone.
+    /// The parents of one team, and the rules for that team alone.
     Team(String),
 }
 
@@ -30,7 +30,7 @@
     pub groups: Vec<Group>,
 }
 
-/// A team's entry: its parents, and the rules whose `teams` is this team's name alone.
+/// The entry of one team: its parents, and the rules whose `teams` is exactly this team's name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSection {
@@ -58,7 +58,8 @@
 }
 
 impl Section {
-    /// Whether it is such as the key names. A team's rules are for that team alone.
+    /// Returns whether the section is of the kind that the key names. The rules in a team's section must be
+    /// for that team alone.
     pub fn matches_key(&self, key: &SectionKey) -> bool {
         match (self, key) {
             (Section::Catalogue(_), SectionKey::Catalogue) | (Section::Shared(_), SectionKey::Shared) => true,
@@ -70,17 +71,17 @@
     }
 }
 
-/// All parts with their siblings. A list without siblings is as one that says nothing.
+/// All sections with their siblings. A list without siblings means the same as one empty sibling.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sections {
     pub catalogue: Vec<Catalogue>,
     pub shared: Vec<Vec<Rule>>,
-    /// None among the siblings: one of the concurrent changes took the team away.
+    /// `None` is the sibling of a concurrent change that removed the team.
     pub teams: BTreeMap<String, Vec<Option<TeamSection>>>,
 }
 
 impl Sections {
-    /// The parts of a document, one sibling each.
+    /// Splits a document into its sections, with one sibling each.
     pub fn from_document(document: &Document) -> Sections {
         let mut teams: BTreeMap<String, Vec<Option<TeamSection>>> = BTreeMap::new();
         for team in &document.teams {
@@ -102,7 +103,7 @@
         Sections { catalogue: vec![catalogue], shared: vec![shared], teams }
     }
 
-    /// The parts by key.
+    /// Splits a document into its sections, by key.
     pub fn by_key(document: &Document) -> BTreeMap<SectionKey, Section> {
         let sections = Sections::from_document(document);
         let catalogue = sections
@@ -120,8 +121,8 @@
         catalogue.chain(shared).chain(teams).collect()
     }
 
-    /// The document that the first sibling of each part makes, as an admin reads it; where no part is in
-    /// conflict, the whole truth.
+    /// Joins the first sibling of each section into a document for an administrator to read. The document is
+    /// complete where no section is in conflict.
     pub fn to_document(&self) -> Document {
         let mut document = Document::default();
         if let Some(catalogue) = self.catalogue.first() {
@@ -138,7 +139,7 @@
         document
     }
 
-    /// The parts that are in conflict.
+    /// Returns the keys of the sections that are in conflict.
     pub fn conflicts(&self) -> Vec<SectionKey> {
         let catalogue = (self.catalogue.len() > 1).then_some(SectionKey::Catalogue);
         let shared = (self.shared.len() > 1).then_some(SectionKey::Shared);
