--- a/crates/grants/src/compiled/build.rs
+++ b/crates/grants/src/compiled/build.rs
@@ -1,4 +1,4 @@
-//! From parts to the table.
+//! The compiler: builds a table from sections.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -13,33 +13,35 @@
 use super::timelines::Timelines;
 use super::{DecisionReason, RuleName, Table};
 
-/// Something in merged parts that cannot be made out, and refuses for that.
+/// A problem in merged sections that makes the table refuse calls.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CompileWarning {
-    #[error("team `{team}` has a parent `{parent}` that nobody knows; the team is refused everything")]
+    #[error("team `{team}` has an unknown parent `{parent}`; all calls of the team are refused")]
     UnknownParent { team: String, parent: String },
-    #[error("team `{team}` stands in or under a circle of parents, or too deep; it is refused everything")]
+    #[error(
+        "team `{team}` is in or below a cycle of parents, or too deep; all calls of the team are refused"
+    )]
     ParentCycle { team: String },
     #[error(
-        "the differing rules for team `{team}` are too many to weigh; some of what all allow is refused"
+        "the conflicting rules of team `{team}` have too many combinations; some calls that all allow are refused"
     )]
     TooManyCombinations { team: String },
 }
 
 impl CompileWarning {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the problem.
     pub fn advice(&self) -> &'static str {
         match self {
-            CompileWarning::UnknownParent { .. } => "put the parent back, or change the team's parents",
-            CompileWarning::ParentCycle { .. } => "change the parents of one team in the circle",
+            CompileWarning::UnknownParent { .. } => "restore the parent, or change the team's parents",
+            CompileWarning::ParentCycle { .. } => "change the parents of one team in the cycle",
             CompileWarning::TooManyCombinations { .. } => {
-                "settle the conflict: put the team's entry against its present version"
+                "resolve the conflict: submit the team's entry against its current version"
             }
         }
     }
 }
 
-/// Both effects' clauses of one list of rules.
+/// The clauses of one list of rules, by effect.
 #[derive(Clone, Default)]
 struct RuleClauses {
     denies: BTreeSet<ClauseId>,
@@ -47,15 +49,19 @@
 }
 
 struct Builder<'a> {
+    /// One resolver for each sibling of the catalogue.
     resolvers: Vec<ModelResolver<'a>>,
+    /// Number of models in the table.
     models: usize,
     clauses: Clauses,
     rules: HashMap<(SectionKey, &'a str), u32>,
 }
 
 impl Builder<'_> {
-    /// The rule as a clause, if it can ever hold: another member's bytes may say that it ends before it begins.
-    /// Of several catalogues, allowing needs all of them and denying any.
+    /// Converts a rule to a clause. Returns `None` if the rule is never valid: data from another member is
+    /// not validated and may have an end before its start. With several catalogues, a rule that allows covers
+    /// the models that it names in all of them; a rule that denies covers the models that it names in any of
+    /// them.
     fn clause(&mut self, section: &SectionKey, rule: &Rule) -> Option<ClauseId> {
         let (from, until) = (rule.from.unwrap_or(0), rule.until.unwrap_or(u64::MAX));
         let sets = self.resolvers.iter().map(|resolver| resolver.models(&rule.models));
@@ -107,7 +113,7 @@
     let (parents, unresolved, mut warnings) = resolve_parents(sections, &names, &index);
     let siblings: Vec<&[Option<TeamSection>]> = sections.teams.values().map(Vec::as_slice).collect();
 
-    // By sibling of the shared rules, then by team: the clauses that allow. By team: those that deny.
+    // `allows[shared sibling][team]` holds the clauses that allow, `denies[team]` those that deny.
     let mut allows = vec![vec![BTreeSet::new(); names.len()]; shared.len()];
     let mut denies = vec![BTreeSet::new(); names.len()];
     let mut plans = vec![None; names.len()];
@@ -196,7 +202,7 @@
     }
 }
 
-/// Every rule's name, in the order in which they decide.
+/// Returns the names of all rules in their order of precedence.
 fn rule_names(sections: &Sections) -> Vec<RuleName> {
     let mut names = BTreeSet::new();
     let mut add = |section: SectionKey, rules: &[Rule]| {
@@ -209,7 +215,8 @@
     names.into_iter().collect()
 }
 
-/// By sibling of the shared rules, by team: what they say of the team by its own name.
+/// Returns, for each sibling of the shared rules and each team, the clauses of the rules that name the team
+/// itself.
 fn shared_clauses(
     sections: &Sections, names: &[&str], index: &HashMap<&str, usize>, builder: &mut Builder,
 ) -> Vec<Vec<RuleClauses>> {
@@ -244,7 +251,9 @@
     by_list
 }
 
-/// Each team's parents, of all siblings together; which teams' parents cannot be made out; and why.
+/// Returns the parents of each team, over all siblings; whether each team's lineage is unresolved (a parent
+/// of it or of a team above it is unknown, in a cycle, or too many generations up); and a warning for each
+/// cause.
 fn resolve_parents(
     sections: &Sections, names: &[&str], index: &HashMap<&str, usize>,
 ) -> (Vec<Vec<usize>>, Vec<bool>, Vec<CompileWarning>) {
--- a/crates/grants/src/compiled/clauses.rs
+++ b/crates/grants/src/compiled/clauses.rs
@@ -1,4 +1,5 @@
-//! Clauses: rules as sets of models with a time, and what several siblings' lists of them mean together.
+//! Clauses: rules as sets of models with a validity period, and the intersection of the siblings' lists of
+//! clauses.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,25 +7,25 @@
 
 use super::models::ModelSet;
 
-/// The most clauses that siblings' differing lists are multiplied out to for one team. Beyond it the rest is
-/// left out, which allows less and never more.
+/// Maximum number of clauses in the product of the siblings' differing lists, for one team. Pairs beyond it
+/// are left out, so the table then allows less than the rules do, never more.
 pub const MAX_PRODUCT_CLAUSES: usize = 4_096;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Clause {
     pub models: ModelSet,
-    /// Holds from here on, Unix ms.
+    /// Start of validity (Unix ms, inclusive).
     pub from: u64,
-    /// Until just before here, Unix ms; the greatest time is never.
+    /// End of validity (Unix ms, exclusive); `u64::MAX` if there is none.
     pub until: u64,
-    /// Index of the rule that is named.
+    /// Index of the rule that is reported as the reason.
     pub rule: u32,
     pub stream_policy: StreamPolicy,
 }
 
 pub type ClauseId = u32;
 
-/// Clauses, each once.
+/// Interned clauses: equal clauses share one id.
 #[derive(Default)]
 pub struct Clauses {
     all: Vec<Clause>,
@@ -46,13 +47,14 @@
         &self.all[id as usize]
     }
 
-    /// In the order in which they decide.
+    /// Sorts the ids by the precedence of their rules.
     pub fn sort(&self, ids: &mut [ClauseId]) {
         ids.sort_unstable_by_key(|&id| (self.get(id).rule, id));
     }
 
-    /// What all the lists allow. What all have in common stays as it is, and only the rest is multiplied out:
-    /// (C or A) and (C or B) is C or (A and B). The second is whether something was left out for its number.
+    /// Returns clauses for what all lists allow. Clauses common to all lists are kept as they are; only the
+    /// remaining ones are multiplied out, by the rule (C or A) and (C or B) = C or (A and B). The second
+    /// value is whether pairs were left out because of [`MAX_PRODUCT_CLAUSES`].
     pub fn intersect_lists(&mut self, lists: Vec<BTreeSet<ClauseId>>) -> (BTreeSet<ClauseId>, bool) {
         let Some(common) = lists.iter().cloned().reduce(|left, right| &left & &right) else {
             return (BTreeSet::new(), false);
@@ -76,6 +78,7 @@
         (&common | &product, limit_reached)
     }
 
+    /// Returns the clause that covers what both clauses cover; `None` if that is nothing.
     fn intersect(&mut self, one: ClauseId, other: ClauseId) -> Option<ClauseId> {
         let (a, b) = (self.get(one), self.get(other));
         let mut models = a.models.clone();
--- a/crates/grants/src/compiled/mod.rs
+++ b/crates/grants/src/compiled/mod.rs
@@ -1,24 +1,31 @@
-//! What documents mean, made for the look-up.
+//! The compiled table: grants in a form for fast lookup.
 //!
-//! A request's team and model are interned ids. Each team has a *row*: pointers to blocks of 64 cells, one cell a
-//! model, each cell the number of a verdict. Teams, rows, blocks and verdicts that are alike are kept once, so
-//! a check is four dependent reads, and a binary search where the verdict changes with time. Building decides
-//! everything that does not depend on time: patterns, groups, aliases, parents, conflicts.
+//! The team and model of a request are interned ids. Each team has a *row*: references to blocks of 64 cells,
+//! with one cell for each model. A cell is the id of a *timeline*, the decision as a function of time. Equal
+//! rows, blocks and timelines are stored once. A check is four dependent reads, plus a binary search where
+//! the decision changes with time. The compiler resolves everything that does not depend on time: patterns,
+//! groups, aliases, parents, conflicts.
 //!
-//! What decides, in this order:
+//! Order of precedence:
 //!
-//! 1. a team or model that nobody knows is refused ([`DecisionReason::UnknownTeam`], [`DecisionReason::UnknownModel`]);
-//! 2. a team whose parents are missing, in a circle or too many is refused ([`DecisionReason::UnresolvedParents`]): what it would have
-//!    been denied by them cannot be known. Only merged changes can bring this about, no document can;
-//! 3. a rule that denies it, of the team or of any generation above, or for several teams: refused;
-//! 4. a rule that allows it, found likewise: allowed;
-//! 5. refused: [`DecisionReason::Default`], or [`DecisionReason::Conflict`] if a part that has a say here is in conflict.
+//! 1. An unknown team or model is refused ([`DecisionReason::UnknownTeam`],
+//!    [`DecisionReason::UnknownModel`]).
+//! 2. A team is refused everything if a parent is missing, in a cycle, or too many generations up
+//!    ([`DecisionReason::UnresolvedParents`]), because the rules that it would inherit to deny calls are not
+//!    known. Only merged changes can cause this; a validated document cannot.
+//! 3. A rule that denies the call refuses it. The rule may belong to the team, to any generation above it, or
+//!    to the rules for several teams.
+//! 4. A rule that allows the call, found in the same places, allows it.
+//! 5. Any other call is refused: [`DecisionReason::Conflict`] if a section that applies to it is in conflict,
+//!    otherwise [`DecisionReason::Default`].
 //!
-//! Of several that hold, the one first by (shared before teams, team, rule name) is named.
+//! If several rules decide, the first one by (shared before teams, team, rule name) is reported as the
+//! reason.
 //!
-//! Where a part has siblings, what each of them denies is denied, and only what all allow is allowed: a
-//! model or alias must be the same in all, a group holds for allowing what it holds in all and for denying what
-//! it holds in any, and a model restricted in any is restricted.
+//! If a section has siblings, a call that any of them denies is denied, and only a call that all of them
+//! allow is allowed. A model or alias must resolve to the same model in all siblings. In a rule that allows,
+//! a group stands for the models that it has in all siblings; in a rule that denies, for those that it has in
+//! any. A model that is restricted in any sibling is restricted.
 
 mod build;
 mod clauses;
@@ -38,47 +45,46 @@
 use rows::Rows;
 use timelines::Timeline;
 
-/// A team of one table. Of no use with another one.
+/// The id of a team, valid for one table only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TeamId {
     table: u64,
     pub(crate) index: u32,
 }
 
-/// A model of one table. Of no use with another one.
+/// The id of a model, valid for one table only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ModelId {
     table: u64,
     pub(crate) index: u32,
 }
 
-/// What decided.
+/// The reason for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DecisionReason {
-    /// A rule of the table; [`Table::rule_name`] has its name.
+    /// A rule of the table; [`Table::rule_name`] returns its name.
     Rule(u32),
-    /// No rule allows it.
+    /// No rule allows the call.
     Default,
-    /// No rule allows it, and an unsettled conflict has a say here.
+    /// No rule allows the call, and a section that applies to it has an unresolved conflict.
     Conflict,
-    /// The team's parents cannot be made out.
+    /// The team's parents cannot be resolved.
     UnresolvedParents,
     UnknownTeam,
     UnknownModel,
-    /// The ids are another table's: resolve the names anew.
+    /// The ids belong to another table; the caller must resolve the names again.
     OtherTable,
-    /// The model is restricted, or all are, and this member's lease of knowledge has ended
-    /// ([`crate::revocation`]).
+    /// This member's lease has expired, and its [`crate::revocation::StalePolicy`] refuses the model.
     LeaseExpired,
 }
 
-/// Whether, and by what.
+/// The outcome of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Decision {
     pub allowed: bool,
     pub reason: DecisionReason,
-    /// What becomes of a stream under way: of one that it refuses, if a rule denies; of one that it let in,
-    /// once nothing allows it any more.
+    /// What happens to open streams: if a rule denies the call, to the streams that the rule stops; if the
+    /// call is allowed, to a stream admitted by this decision once nothing allows it.
     pub stream_policy: StreamPolicy,
 }
 
@@ -87,9 +93,10 @@
         Decision { allowed: false, reason, stream_policy: StreamPolicy::Finish }
     }
 
-    /// What becomes of a stream that this decision let in, now that the same check says `now`. None while it
-    /// is still allowed. A rule that denies says so itself; where a grant has merely ended, or knowledge has,
-    /// what let the stream in said it.
+    /// Returns what happens to an open stream that this decision admitted, given the `current` decision of
+    /// the same check; `None` while the call is still allowed. If a rule denies the call, that rule's policy
+    /// applies. If the grant or the lease has merely expired, the policy of the rule that admitted the stream
+    /// applies.
     pub fn open_stream_policy(&self, current: &Decision) -> Option<StreamPolicy> {
         match current {
             Decision { allowed: true, .. } => None,
@@ -99,7 +106,7 @@
     }
 }
 
-/// A rule's name and where it stands.
+/// The name of a rule, with the section that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RuleName {
     /// [`SectionKey::Shared`] or a team.
@@ -107,7 +114,7 @@
     pub rule: String,
 }
 
-/// All that parts mean. Immutable; a driver keeps it in an `Arc` and swaps the whole.
+/// The compiled form of all sections. Immutable: the caller keeps it in an `Arc` and replaces it as a whole.
 #[derive(Debug)]
 pub struct Table {
     table_id: u64,
@@ -117,7 +124,7 @@
     rules: Vec<RuleName>,
     rows: Rows,
     timelines: Vec<Timeline>,
-    /// When any verdict changes, sorted, each once.
+    /// The times at which any decision changes, sorted and without duplicates.
     change_times: Vec<u64>,
     warnings: Vec<CompileWarning>,
 }
@@ -127,23 +134,24 @@
         Table::compile(&Sections::from_document(document))
     }
 
-    /// Never fails: what cannot be made out refuses, and is listed by [`warnings`](Table::warnings).
+    /// Compiles sections. Never fails: calls that depend on a part that cannot be resolved are refused, and
+    /// [`warnings`](Table::warnings) lists the causes.
     pub fn compile(sections: &Sections) -> Table {
         static NEXT_TABLE_ID: AtomicU64 = AtomicU64::new(0);
         build::build(sections, NEXT_TABLE_ID.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// The team's id in this table.
+    /// Returns the id of the team in this table.
     pub fn team(&self, name: &str) -> Option<TeamId> {
         self.teams.get(name).map(|&index| TeamId { table: self.table_id, index })
     }
 
-    /// The id of a model by its name or an alias.
+    /// Returns the id of a model by its name or an alias.
     pub fn model(&self, name: &str) -> Option<ModelId> {
         self.models.get(name).map(|index| ModelId { table: self.table_id, index })
     }
 
-    /// Whether the team may call the model at `now` (Unix ms). Allocates nothing.
+    /// Decides whether the team may call the model at `now` (Unix ms). Allocates nothing.
     pub fn check(&self, team: TeamId, model: ModelId, now: u64) -> Decision {
         if team.table != self.table_id || model.table != self.table_id {
             return Decision::refused(DecisionReason::OtherTable);
@@ -152,24 +160,24 @@
         self.timelines[timeline as usize].at(now)
     }
 
-    /// The same by names; a model goes by its aliases, too. Allocates nothing.
+    /// Like [`check`](Table::check), by names; the model may be given by an alias. Allocates nothing.
     pub fn check_names(&self, team: &str, model: &str, now: u64) -> Decision {
         let Some(team) = self.team(team) else { return Decision::refused(DecisionReason::UnknownTeam) };
         let Some(model) = self.model(model) else { return Decision::refused(DecisionReason::UnknownModel) };
         self.check(team, model, now)
     }
 
-    /// Whether the model may be refused by a member that is stale. True for ids of another table.
+    /// Returns whether the model is marked as restricted; true for ids of another table.
     pub fn restricted(&self, model: ModelId) -> bool {
         model.table != self.table_id || self.models.restricted(model.index)
     }
 
-    /// The next time after `now` (Unix ms) at which any check may change by itself.
+    /// Returns the next time after `now` (Unix ms) at which any decision changes.
     pub fn next_change(&self, now: u64) -> Option<u64> {
         self.change_times.get(self.change_times.partition_point(|&at| at <= now)).copied()
     }
 
-    /// The rule's name, for those that have one.
+    /// Returns the name of the rule behind a reason; `None` for reasons other than a rule.
     pub fn rule_name(&self, reason: DecisionReason) -> Option<&RuleName> {
         match reason {
             DecisionReason::Rule(index) => self.rules.get(index as usize),
@@ -177,39 +185,40 @@
         }
     }
 
+    /// Returns the name of the team; `None` for an id of another table.
     pub fn team_name(&self, team: TeamId) -> Option<&str> {
         let name = self.team_names.get(team.index as usize)?;
         (team.table == self.table_id).then_some(name)
     }
 
-    /// The model's own name, whatever alias it was resolved from.
+    /// Returns the model's own name, even if it was looked up by an alias; `None` for an id of another table.
     pub fn model_name(&self, model: ModelId) -> Option<&str> {
         (model.table == self.table_id).then(|| self.models.name(model.index)).flatten()
     }
 
-    /// All teams, by name.
+    /// Returns all teams, sorted by name.
     pub fn teams(&self) -> impl Iterator<Item = (&str, TeamId)> {
         let id = |index: usize| TeamId { table: self.table_id, index: index as u32 };
         self.team_names.iter().enumerate().map(move |(index, name)| (&**name, id(index)))
     }
 
-    /// All models, by name.
+    /// Returns all models, sorted by name.
     pub fn models(&self) -> impl Iterator<Item = (&str, ModelId)> {
         let id = |index: usize| ModelId { table: self.table_id, index: index as u32 };
         self.models.names().iter().enumerate().map(move |(index, name)| (&**name, id(index)))
     }
 
-    /// Every model with what decides for the team, by the model's name.
+    /// Returns every model with its decision for the team, sorted by the model's name.
     pub fn decisions(&self, team: TeamId, now: u64) -> impl Iterator<Item = (&str, Decision)> {
         self.models().map(move |(name, model)| (name, self.check(team, model, now)))
     }
 
-    /// What could not be made out of merged parts; empty for a document's.
+    /// Returns the problems in merged sections; empty for a validated document.
     pub fn warnings(&self) -> &[CompileWarning] {
         &self.warnings
     }
 
-    /// Rows, blocks of cells and verdicts that are kept, each once.
+    /// Returns the numbers of distinct rows, blocks of cells and timelines.
     pub fn sizes(&self) -> (usize, usize, usize) {
         let (rows, blocks) = self.rows.sizes();
         (rows, blocks, self.timelines.len())
--- a/crates/grants/src/compiled/models.rs
+++ b/crates/grants/src/compiled/models.rs
@@ -5,11 +5,12 @@
 use crate::document::{is_pattern, matches};
 use crate::sections::Catalogue;
 
-/// A bit a model.
+/// A set of models, as a bit set by model index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ModelSet(Box<[u64]>);
 
 impl ModelSet {
+    /// Creates an empty set for a table of `models` models.
     pub fn empty(models: usize) -> ModelSet {
         ModelSet(vec![0; models.div_ceil(64)].into())
     }
@@ -22,6 +23,7 @@
         self.0.iter().all(|&word| word == 0)
     }
 
+    /// Returns the bits in words of 64 models, the lowest index in the lowest bit.
     pub fn words(&self) -> &[u64] {
         &self.0
     }
@@ -35,7 +37,8 @@
     }
 }
 
-/// The models that all siblings of the catalogue know, with the names that mean the same in all of them.
+/// The models that exist in all siblings of the catalogue, and the names that refer to the same model in all
+/// of them.
 #[derive(Debug)]
 pub struct ModelNames {
     by_name: HashMap<Box<str>, u32>,
@@ -70,6 +73,7 @@
         ModelNames { by_name, names, restricted }
     }
 
+    /// Returns the index of a model by its name or an alias.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.by_name.get(name).copied()
     }
@@ -78,16 +82,19 @@
         self.names.get(index as usize).map(|name| &**name)
     }
 
+    /// Returns the models' own names, by index.
     pub fn names(&self) -> &[Box<str>] {
         &self.names
     }
 
+    /// Returns whether the model is restricted in any sibling of the catalogue; true for an unknown index.
     pub fn restricted(&self, index: u32) -> bool {
         self.restricted.get(index as usize).copied().unwrap_or(true)
     }
 }
 
-/// What each name means in one catalogue: a model's own name goes before another's alias.
+/// Returns the model that each name refers to in one catalogue. A model's own name takes precedence over an
+/// alias of another model.
 fn resolve_names(catalogue: &Catalogue) -> HashMap<&str, &str> {
     let mut model_by_name = HashMap::new();
     for model in &catalogue.models {
@@ -101,9 +108,10 @@
     model_by_name
 }
 
-/// What names and patterns of rules stand for, in one catalogue.
+/// Resolves the names and patterns in rules to sets of models, for one sibling of the catalogue.
 pub struct ModelResolver<'a> {
     names: &'a ModelNames,
+    /// The models of each group, model name and alias.
     sets: HashMap<&'a str, ModelSet>,
 }
 
@@ -120,7 +128,7 @@
             let mut seen: BTreeSet<&str> = BTreeSet::new();
             let mut next: Vec<&str> = model.groups.iter().map(String::as_str).collect();
             while let Some(group) = next.pop() {
-                // A group that is not there holds nothing; one seen is not walked again, so circles end.
+                // Each group is visited once, so cycles terminate. A group that does not exist is skipped.
                 if !seen.insert(group) {
                     continue;
                 }
@@ -142,7 +150,7 @@
         ModelResolver { names, sets }
     }
 
-    /// The models that any of the names and patterns stands for.
+    /// Returns the models that any of the names and patterns refers to.
     pub fn models(&self, wanted: &[String]) -> ModelSet {
         let mut found = ModelSet::empty(self.names.names.len());
         for name in wanted {
--- a/crates/grants/src/compiled/reason_text.rs
+++ b/crates/grants/src/compiled/reason_text.rs
@@ -1,4 +1,4 @@
-//! What decided, in words for logs, errors and operators.
+//! Texts for decision reasons, for logs, errors and operators.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use super::{DecisionReason, Table};
 
-/// [`DecisionReason`] with the names of its table.
+/// Displays a [`DecisionReason`] with the rule names of its table.
 #[derive(Clone, Copy, Debug)]
 pub struct ReasonText<'a> {
     table: &'a Table,
@@ -30,12 +30,12 @@
                 }
             }
             DecisionReason::Default => "no rule allows it",
-            DecisionReason::Conflict => "no rule allows it on all sides of an unsettled conflict",
-            DecisionReason::UnresolvedParents => "the team's parents cannot be made out",
-            DecisionReason::UnknownTeam => "no such team",
-            DecisionReason::UnknownModel => "no such model",
-            DecisionReason::OtherTable => "the grants have changed: resolve the names anew",
-            DecisionReason::LeaseExpired => "this member's knowledge of grants has ended",
+            DecisionReason::Conflict => "no rule allows it in all siblings of an unresolved conflict",
+            DecisionReason::UnresolvedParents => "the team's parents cannot be resolved",
+            DecisionReason::UnknownTeam => "unknown team",
+            DecisionReason::UnknownModel => "unknown model",
+            DecisionReason::OtherTable => "the grants have changed; resolve the names again",
+            DecisionReason::LeaseExpired => "this member's lease on the grants has expired",
         };
         out.write_str(text)
     }
--- a/crates/grants/src/compiled/rows.rs
+++ b/crates/grants/src/compiled/rows.rs
@@ -1,4 +1,5 @@
-//! Rows of cells: a team's verdict on every model, in blocks that like rows share.
+//! Rows of cells: for each team, the decision timeline of every model. Rows with equal plans and blocks with
+//! equal cells are stored once.
 
 use std::collections::HashMap;
 
@@ -6,53 +7,58 @@
 use super::timelines::{TimelineKey, Timelines};
 use super::DecisionReason;
 
-/// Cells a block. One word of a set of models.
+/// Number of cells in a block. Equal to the number of models in one word of a [`super::models::ModelSet`].
 const BLOCK_CELLS: usize = 64;
 
-/// Clauses in the order in which they decide, with whether they deny.
+/// Clauses in order of precedence, each with whether it denies.
 type OrderedClauses = Vec<(ClauseId, bool)>;
 
-/// What a team's row is made of.
+/// The clauses that determine a team's row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RowPlan {
-    /// Those that deny, in the order in which they decide.
+    /// Clauses that deny, in order of precedence.
     pub denies: Vec<ClauseId>,
+    /// Clauses that allow, in order of precedence.
     pub allows: Vec<ClauseId>,
+    /// The reason for refusing where no clause is valid.
     pub default_reason: DecisionReason,
 }
 
-/// Each team's row, each row's blocks, each block's cells; like ones once.
+/// The row of each team, the blocks of each row and the cells of each block. Rows with equal plans and blocks
+/// with equal cells are stored once.
 #[derive(Debug)]
 pub struct Rows {
     row_by_team: Vec<u32>,
-    /// `width` blocks a row.
+    /// Block ids, `width` for each row.
     rows: Vec<u32>,
     width: usize,
+    /// Each cell is the id of a timeline.
     blocks: Vec<[u32; BLOCK_CELLS]>,
 }
 
 impl Rows {
+    /// Returns the id of the timeline for a team and a model.
     pub fn timeline(&self, team: u32, model: u32) -> u32 {
         let row = self.row_by_team[team as usize] as usize;
         let block = self.rows[row * self.width + model as usize / BLOCK_CELLS];
         self.blocks[block as usize][model as usize % BLOCK_CELLS]
     }
 
-    /// Rows and blocks kept.
+    /// Returns the number of distinct rows and of distinct blocks.
     pub fn sizes(&self) -> (usize, usize) {
         (self.rows.len() / self.width.max(1), self.blocks.len())
     }
 }
 
-/// Makes the rows of all teams.
+/// Builds the rows of all teams.
 pub fn build_rows(models: usize, plans: Vec<RowPlan>, clauses: &Clauses, timelines: &mut Timelines) -> Rows {
     let width = models.div_ceil(BLOCK_CELLS);
     let mut built =
         Rows { row_by_team: Vec::with_capacity(plans.len()), rows: Vec::new(), width, blocks: Vec::new() };
     let mut row_ids: HashMap<RowPlan, u32> = HashMap::new();
     let mut block_ids: HashMap<[u32; BLOCK_CELLS], u32> = HashMap::new();
-    // By word, default, and the clauses that say something of its cells: teams that differ by their own rules
-    // alone share most blocks, which are then not made again.
+    // Avoids building a block again. The key is the block's word, the default reason and the clauses that
+    // cover any of its cells: teams that differ only in their own rules share most blocks.
     let mut block_by_clauses: HashMap<(usize, DecisionReason, OrderedClauses), u32> = HashMap::new();
     for plan in plans {
         if let Some(&row) = row_ids.get(&plan) {
@@ -79,22 +85,24 @@
     built
 }
 
-/// The clauses that say something of a block's cells.
+/// Returns the clauses that cover any model of the word.
 fn clauses_of_word(plan: &RowPlan, word: usize, clauses: &Clauses) -> OrderedClauses {
     let denies = plan.denies.iter().map(|&id| (id, true));
     let all = denies.chain(plan.allows.iter().map(|&id| (id, false)));
     all.filter(|&(id, _)| clauses.get(id).models.words()[word] != 0).collect()
 }
 
-/// One block: the clauses in order, each over the cells that nothing before has settled for all time.
+/// Builds one block by applying the clauses in order. Each clause applies to the cells for which no earlier
+/// clause is valid at all times.
 fn build_block(
     ordered: &[(ClauseId, bool)], default_reason: DecisionReason, word: usize, clauses: &Clauses,
     timelines: &mut Timelines,
 ) -> [u32; BLOCK_CELLS] {
     let default = TimelineKey { clauses: Vec::new(), default_reason };
     let mut cells = [timelines.intern(default, clauses); BLOCK_CELLS];
-    // Clauses that hold for a time only, of the cells that are not settled yet.
+    // For cells that a clause with a limited validity covers: the clauses that can decide them, by bit.
     let mut timed: HashMap<u32, Vec<(ClauseId, bool)>> = HashMap::new();
+    // The cells that no clause valid at all times has covered yet.
     let mut undecided = u64::MAX;
     for &(id, denies) in ordered {
         let clause = clauses.get(id);
--- a/crates/grants/src/compiled/timelines.rs
+++ b/crates/grants/src/compiled/timelines.rs
@@ -1,15 +1,15 @@
-//! Verdicts: what is decided for a cell, by time.
+//! Timelines: the decision for a cell as a function of time.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::clauses::{ClauseId, Clauses};
 use super::{Decision, DecisionReason};
 
-/// Constant, or in pieces by time.
+/// A decision that is constant, or changes at known times.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub struct Timeline {
     initial: Decision,
-    /// From each time (Unix ms, rising) on, another decision.
+    /// The decision from each time (Unix ms, ascending) until the next one.
     changes: Box<[(u64, Decision)]>,
 }
 
@@ -26,15 +26,16 @@
     }
 }
 
-/// What decides in one cell: the first clause that holds, else the decision by default.
+/// The input of one timeline: the first valid clause decides; without one the call is refused for the default
+/// reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TimelineKey {
-    /// With whether it denies.
+    /// In order of precedence, each with whether it denies.
     pub clauses: Vec<(ClauseId, bool)>,
     pub default_reason: DecisionReason,
 }
 
-/// Verdicts, each once.
+/// Interned timelines: equal keys share one id.
 #[derive(Default)]
 pub struct Timelines {
     pub all: Vec<Timeline>,
@@ -53,7 +54,8 @@
     }
 }
 
-/// Goes through the times at which clauses begin and end, with the places of those that hold in order.
+/// Sweeps over the times at which clauses start and end, and keeps the positions of the valid clauses in
+/// order.
 fn build_timeline(key: &TimelineKey, clauses: &Clauses) -> Timeline {
     let mut events: Vec<(u64, usize, bool)> = Vec::new();
     for (position, &(id, _)) in key.clauses.iter().enumerate() {
--- a/crates/grants/src/dry_run.rs
+++ b/crates/grants/src/dry_run.rs
@@ -1,43 +1,45 @@
-//! What a change would do, before it is taken: who gains, who loses, and whom it would silence.
+//! Dry run: the effect of a change before it is accepted. Lists the models that each team gains and loses,
+//! and the active teams that would lose all of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::compiled::{Decision, Table};
 
-/// Gains and losses of one team, by model, sorted.
+/// The models that one team gains and loses, sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TeamDifference {
     pub gained: Vec<String>,
-    /// With what refuses in the table after.
+    /// Each model with the decision of the new table that refuses it.
     pub lost: Vec<(String, Decision)>,
 }
 
-/// What differs between two tables at one time.
+/// The differences between two tables at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DryRun {
-    /// Teams for which something differs.
+    /// Only the teams with a difference.
     pub teams: BTreeMap<String, TeamDifference>,
-    /// Teams that are calling right now and would have no model left.
+    /// Active teams that have access to at least one model now and would have access to none.
     pub losing_all_models: Vec<String>,
 }
 
-/// A change that takes every model from teams that are calling right now, without a plain `confirm`.
+/// The error for a change that removes every model from active teams and was not confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("this takes every model from {} that call right now: {}", .teams.len(), .teams.join(", "))]
+#[error("the change removes every model from {} teams that are sending requests: {}", .teams.len(), .teams.join(", "))]
 pub struct ConfirmationRequired {
     pub teams: Vec<String>,
 }
 
 impl ConfirmationRequired {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
-        "try the change without keeping it to see who loses what; say `confirm` if it is meant"
+        "run the change as a dry run to see which models each team loses; send it with `confirm` if that is intended"
     }
 }
 
 impl DryRun {
-    /// Both at `now` (Unix ms). Models and teams go by their names, so that one taken away loses and one added
-    /// gains. `calling`: the teams with requests under way or of late, as the caller counts them.
+    /// Compares two tables at `now` (Unix ms). Models and teams are matched by name, so a removed one counts
+    /// as lost and an added one as gained. `active_teams` are the teams with requests in flight or recent
+    /// requests, as counted by the caller.
     pub fn compare(before: &Table, after: &Table, now: u64, active_teams: &BTreeSet<String>) -> DryRun {
         let mut run = DryRun::default();
         let teams: BTreeSet<&str> = before.teams().chain(after.teams()).map(|(name, _)| name).collect();
@@ -60,7 +62,7 @@
         run
     }
 
-    /// Whether the change may be taken.
+    /// Returns an error if the change needs confirmation and `confirmed` is false.
     pub fn require_confirmation(&self, confirmed: bool) -> Result<(), ConfirmationRequired> {
         match confirmed || self.losing_all_models.is_empty() {
             true => Ok(()),
--- a/crates/grants/src/reference.rs
+++ b/crates/grants/src/reference.rs
@@ -1,5 +1,6 @@
-//! The plain twin of [`crate::compiled`]: hash maps, and a scan over all rules at each check. It says the same
-//! by other means, is the oracle of the property tests, and is what the bench compares with. Nothing runs it.
+//! Reference implementation of [`crate::compiled`], written for clarity instead of speed: hash maps, and a
+//! scan of all rules at each check. The property tests use it as their oracle and the benchmark as its
+//! baseline; nothing else calls it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,17 +11,20 @@
 
 pub struct ReferenceTable {
     sections: Sections,
+    /// For each sibling of the catalogue, the models that each name stands for.
     expanded_names: Vec<HashMap<String, BTreeSet<String>>>,
+    /// The model of each name or alias that resolves to the same model in all siblings of the catalogue.
     model_by_name: HashMap<String, String>,
     rule_indices: HashMap<RuleName, u32>,
 }
 
-/// Whether, and what decided. Where siblings had to agree to allow, the rule named is any that holds.
+/// The outcome of a check and its reason. Where several siblings must all allow the call, `reason` is any
+/// rule that allows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReferenceDecision {
     pub allowed: bool,
     pub reason: DecisionReason,
-    /// A part that has a say is in conflict.
+    /// Whether a section that applies to the check is in conflict.
     pub in_conflict: bool,
 }
 
@@ -105,7 +109,8 @@
         }
     }
 
-    /// The team and all generations above, of any sibling; none if they cannot be made out.
+    /// Collects the team and all generations above it, over all siblings. Returns `None` if a parent is
+    /// missing or the depth exceeds the maximum, as it does in a cycle.
     fn collect_lineage<'a>(
         &'a self, team: &'a str, depth: usize, lineage: &mut BTreeMap<&'a str, &'a [Option<TeamSection>]>,
     ) -> Option<()> {
@@ -130,7 +135,8 @@
         }
     }
 
-    /// Whether the rule speaks of the model: to allow, in all catalogues; to deny, in any.
+    /// Returns whether the rule covers the model: in all catalogues for a rule that allows, in any for one
+    /// that denies.
     fn covers_model(&self, rule: &Rule, model: &str) -> bool {
         let mut by_catalogue = self.expanded_names.iter().map(|expanded| {
             rule.models.iter().any(|wanted| match is_pattern(wanted) {
@@ -144,7 +150,7 @@
         }
     }
 
-    /// Whether, with these shared rules, every choice of siblings allows it.
+    /// Returns whether every choice of siblings allows the call, given one sibling of the shared rules.
     fn allows(&self, team: &str, shared: &[Rule], model: &str, now: u64) -> bool {
         let rule_allows = |rule: &Rule| {
             rule.effect == Effect::Allow && rule.is_active(now) && self.covers_model(rule, model)
@@ -169,7 +175,7 @@
     own.or_else(by_alias).map(|model| model.name.clone())
 }
 
-/// What each name, alias and group of a catalogue stands for.
+/// Returns the models that each name, alias and group of a catalogue stands for.
 fn expand_names(catalogue: &Catalogue) -> HashMap<String, BTreeSet<String>> {
     let mut expanded: HashMap<String, BTreeSet<String>> = HashMap::new();
     for group in &catalogue.groups {
