--- a/crates/grants/src/versions/entry.rs
+++ b/crates/grants/src/versions/entry.rs
@@ -1,17 +1,20 @@
-//! Entries as bytes, for the store and the replicated table: a format version, then postcard.
+//! Entries: versioned sections in bytes, for the store and the replicated table. The value is a format number
+//! followed by postcard.
 
 use crate::sections::SectionKey;
 
 use super::error::EntryError;
 use super::versioned_section::VersionedSection;
 
-/// The format that is written, and the only one read.
+/// The entry format that is written, and the only one that is read.
 pub const ENTRY_FORMAT: u8 = 1;
-/// The longest entry, bytes. One beyond it is refused where it would be made.
+/// Maximum length of an entry's value, in bytes. A longer one is rejected when it is created and when it is
+/// read.
 pub const MAX_ENTRY_BYTES: usize = 4 << 20;
 
-/// A part as the replicated table carries it. The table's own version of an entry is the driver's: it grows each
-/// time an origin tells a key anew; what goes before what is decided by the content alone.
+/// A section as the replicated table carries it. The caller numbers the table's own versions of an entry,
+/// which increase each time an origin sends a key again. They do not decide which content replaces which; the
+/// content alone does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub key: Vec<u8>,
@@ -19,7 +22,7 @@
 }
 
 impl Entry {
-    /// None where it would be longer than [`MAX_ENTRY_BYTES`].
+    /// Encodes a section. Fails if the value would exceed [`MAX_ENTRY_BYTES`].
     pub fn encode(key: &SectionKey, content: &VersionedSection) -> Result<Entry, EntryError> {
         let corrupt = |_| EntryError::Corrupt { key: key.clone() };
         let value = postcard::to_extend(content, vec![ENTRY_FORMAT]).map_err(corrupt)?;
@@ -50,7 +53,7 @@
     }
 }
 
-/// `c`, `s`, or `t` and the team's name.
+/// Encodes a key as `c` (catalogue), `s` (shared rules), or `t` followed by the team's name.
 pub(super) fn key_bytes(key: &SectionKey) -> Vec<u8> {
     match key {
         SectionKey::Catalogue => b"c".to_vec(),
--- a/crates/grants/src/versions/error.rs
+++ b/crates/grants/src/versions/error.rs
@@ -1,25 +1,26 @@
-//! What can go wrong with versions.
+//! Errors of replicas and their entries, with advice for operators.
 
 use crate::document::DocumentError;
 use crate::sections::SectionKey;
 
 use super::version_vector::{Origin, Version};
 
-/// A change that was not taken, or a store that was not. Nothing changed.
+/// The reason why a change was rejected or a store was not restored. The replica is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaError {
-    /// No key: the document as a whole.
+    /// The change is based on an outdated version. `key` is `None` if the change was to the document as a
+    /// whole.
     #[error("{} is at version {current}, not at {expected}", subject(.key))]
     VersionMismatch { key: Option<SectionKey>, expected: Version, current: Version },
     #[error(transparent)]
     Document(#[from] DocumentError),
-    #[error("the content is not of the form of {key}")]
+    #[error("the content does not have the form of {key}")]
     WrongSection { key: SectionKey },
     #[error("{key} would take {bytes} bytes, more than {max}")]
     TooLarge { key: SectionKey, bytes: usize, max: usize },
     #[error("there is no {key}")]
     Missing { key: SectionKey },
-    #[error("life {} of member {:016x} has made changes before this start", .origin.incarnation, .origin.member)]
+    #[error("incarnation {} of member {:016x} was already used for changes before this start", .origin.incarnation, .origin.member)]
     IncarnationUsed { origin: Origin },
     #[error(transparent)]
     Entry(#[from] EntryError),
@@ -30,47 +31,51 @@
 }
 
 impl ReplicaError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             ReplicaError::VersionMismatch { .. } => {
-                "read the present version, apply the change to it, and put that"
+                "read the current version, apply the change to it, and submit that"
             }
             ReplicaError::Document(error) => error.advice(),
             ReplicaError::WrongSection { .. } => {
-                "put a team's entry to a team, and a document to the document"
+                "submit a team's entry for a team, and a document for the document"
             }
             ReplicaError::TooLarge { .. } => "use groups and patterns in place of lists",
             ReplicaError::Missing { .. } => "correct the spelling; the document lists the teams",
             ReplicaError::IncarnationUsed { .. } => {
-                "look for a second process under this name and for a clock set back, then start again"
+                "check for a second process with this name and for a clock that was set back, then start again"
             }
             ReplicaError::Entry(error) => error.advice(),
         }
     }
 }
 
-/// Bytes, of a store or from another member, that are no entry.
+/// The error for bytes from the store or from another member that are not a valid entry.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    #[error("an entry of format {format}, and this build reads {supported}")]
+    #[error("the entry has format {format}; this build reads format {supported}")]
     UnsupportedFormat { format: u8, supported: u8 },
-    #[error("{bytes} bytes of an entry are more than {max}")]
+    #[error("the entry has {bytes} bytes, more than {max}")]
     TooLarge { bytes: usize, max: usize },
-    #[error("the bytes of {key} are no entry")]
+    #[error("the bytes of {key} are not a valid entry")]
     Corrupt { key: SectionKey },
-    #[error("bytes that are no key of an entry")]
+    #[error("the bytes are not a valid entry key")]
     InvalidKey,
 }
 
 impl EntryError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            EntryError::UnsupportedFormat { .. } => "bring this member to the build of the others; until then it lacks the entry",
-            EntryError::TooLarge { .. } => "look which member sends it; use groups and patterns in place of lists",
+            EntryError::UnsupportedFormat { .. } => {
+                "upgrade this member to the build of the others; until then it lacks the entry"
+            }
+            EntryError::TooLarge { .. } => {
+                "find the member that sends it; use groups and patterns in place of lists"
+            }
             EntryError::Corrupt { .. } | EntryError::InvalidKey => {
-                "from a store: move it away and start empty, the others give it back; from a member: look at its build"
+                "from the store: move it away and start empty, the other members send the data again; from a member: check its build"
             }
         }
     }
--- a/crates/grants/src/versions/mod.rs
+++ b/crates/grants/src/versions/mod.rs
@@ -1,14 +1,17 @@
-//! Versions of parts: who changed what, knowing what; and merging without losing a change.
+//! Versions of sections: which changes each change replaces, and a merge that loses no change.
 //!
-//! Every change has a *dot*: the member that took it, that member's life, and a number. A part's cell holds what
-//! its changes say now (its siblings), and a clock of all dots that they knew of. A change made knowing another
-//! replaces it; two that did not know of each other stay side by side, in conflict, until a third knows both.
-//! Merging two cells keeps what neither has seen replaced, so order, repetition and detours of messages make
-//! no difference. Nothing is decided by time: a store copied back from yesterday holds dots that the others'
-//! clocks cover, and a change made on it, in its new life, stands beside those that it did not know.
+//! Every change has a *dot*: the member that accepted it, that member's incarnation, and a number. The
+//! versioned section holds the content of its current changes (the siblings) and a version vector of all dots
+//! that it includes. A change made with knowledge of another change replaces it. Two changes made without
+//! knowledge of each other remain as siblings, in conflict, until a third change includes both. A merge keeps
+//! every sibling that neither side has replaced, so the order, repetition and routing of messages make no
+//! difference. Timestamps play no role: a store restored from an old copy holds dots that the other members'
+//! version vectors include, and a change made on it, in its new incarnation, is in conflict with the changes
+//! that it did not include.
 //!
-//! The one condition: **a member never uses a life twice**. A change under a life that was used is found
-//! ([`MergeOutcome::forked`], [`ReplicaError::IncarnationUsed`]) where the two versions meet, and both are kept.
+//! The one requirement is that **a member never uses an incarnation twice**. A violation is detected
+//! ([`MergeOutcome::forked`], [`ReplicaError::IncarnationUsed`]) where the two versions meet, and both are
+//! kept.
 
 mod entry;
 mod error;
--- a/crates/grants/src/versions/propose.rs
+++ b/crates/grants/src/versions/propose.rs
@@ -1,4 +1,4 @@
-//! Changes by admins, against the version that they saw.
+//! Proposals: changes by administrators, checked against the version that they are based on.
 
 use std::collections::BTreeSet;
 
@@ -12,19 +12,20 @@
 use super::version_vector::{Dot, Version};
 use super::versioned_section::VersionedSection;
 
-/// Changes that are checked and not taken yet.
+/// Changes that passed the checks and are not applied yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
     changes: Vec<(SectionKey, VersionedSection, Dot)>,
 }
 
 impl Proposal {
-    /// Nothing would change.
+    /// Returns whether the proposal changes nothing.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// What to keep on disk before it is applied, and to tell the others after.
+    /// Returns the entries to write to disk before the proposal is applied, and to send to other members
+    /// afterwards.
     pub fn entries(&self) -> Result<Vec<Entry>, ReplicaError> {
         self.changes.iter().map(|(key, section, _)| Ok(Entry::encode(key, section)?)).collect()
     }
@@ -39,9 +40,9 @@
 }
 
 impl Replica {
-    /// A change of one team against the version that the admin saw. Made against a conflict, it settles it.
-    /// No part: the team is taken away. What it names has to be there; faults that stood before, as
-    /// merging may leave them, do not hinder it.
+    /// Proposes a change of one team, based on the version that the administrator saw. It resolves a conflict
+    /// if it is based on one. `None` removes the team. All names in it must exist. Faults that the document
+    /// already has, as merges can leave them, do not prevent the change.
     pub fn propose(
         &mut self, team: &str, expected: Version, section: Option<TeamSection>,
     ) -> Result<Proposal, ReplicaError> {
@@ -67,8 +68,8 @@
         Ok(Proposal { changes: vec![change] })
     }
 
-    /// A whole document against the version of all that the admin saw. Only parts that it changes are changed, and
-    /// those in conflict, which it settles.
+    /// Proposes a whole document, based on the version of all sections that the administrator saw. Changes
+    /// only the sections whose content differs, and those in conflict, which it resolves.
     pub fn propose_document(
         &mut self, expected: Version, document: &Document,
     ) -> Result<Proposal, ReplicaError> {
@@ -92,14 +93,15 @@
         Ok(Proposal { changes })
     }
 
-    /// What all parts would be with the proposal taken, to try it.
+    /// Returns the contents of all sections as they would be with the proposal applied, for a dry run.
     pub fn preview(&self, proposal: &Proposal) -> Sections {
         let mut copy = self.clone();
         copy.apply(proposal);
         copy.contents()
     }
 
-    /// Takes a proposal, once it is kept. Should another change have come between, both stand, in conflict.
+    /// Applies a proposal after it is written to disk. If another change was applied in between, both remain,
+    /// in conflict.
     pub fn apply(&mut self, proposal: &Proposal) -> Vec<(SectionKey, MergeOutcome)> {
         let changes = proposal.changes.iter();
         changes.map(|(key, section, _)| (key.clone(), self.merge(key, section))).collect()
@@ -123,13 +125,14 @@
         let dot = Dot { origin: self.origin, count: self.count.saturating_add(1) };
         let versioned = self.sections.get(&key).cloned().unwrap_or_default().with_change(dot, section);
         Entry::encode(&key, &versioned)?;
-        // Used up even if the proposal is never applied: a store may hold it all the same.
+        // The number is used up even if the proposal is never applied, because the store may already contain
+        // it.
         self.count = dot.count;
         Ok((key, versioned, dot))
     }
 }
 
-/// The first fault that the change would bring, under its key in the team's entry.
+/// Returns the first fault that the change would add, with its key relative to the team's entry.
 fn check_for_new_faults(before: &Sections, after: &Sections, team: &str) -> Result<(), DocumentError> {
     let (old, new) = (before.to_document(), after.to_document());
     let existing: Vec<Fault> = find_faults(&old).into_iter().map(|(_, fault)| fault).collect();
@@ -141,7 +144,8 @@
     }
 }
 
-/// The key as a reader of the one entry knows it: `team[7].parents` is `parents`, `rule[30]` is `rules[0]`.
+/// Converts a key of the document to the key in the team's entry: `team[7].parents` becomes `parents`, and
+/// `rule[30]` becomes `rules[0]` if it is the team's first rule. Other keys stay unchanged.
 fn relative_key(key: KeyPath, document: &Document, team: &str) -> KeyPath {
     let is_own_rule = |at: &usize| document.rules.get(*at).is_some_and(|rule| rule.teams == [team]);
     match key.0.as_slice() {
--- a/crates/grants/src/versions/replica.rs
+++ b/crates/grants/src/versions/replica.rs
@@ -1,4 +1,4 @@
-//! All parts with their versions, as one member knows them.
+//! The replica: all sections with their versions, as one member has them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,40 +9,42 @@
 use super::version_vector::{Dot, Origin, Version};
 use super::versioned_section::{Sibling, VersionedSection};
 
-/// Changes go in three steps: [`propose`](Replica::propose), then the driver keeps the proposal's entries on disk,
-/// then [`apply`](Replica::apply). A store that fails leaves all as it was. What other members tell is merged
-/// likewise: [`preview_merge`](Replica::preview_merge) to keep, [`merge`](Replica::merge) to take.
+/// All sections as one member has them. A change takes three steps: [`propose`](Replica::propose), then the
+/// caller writes the proposal's entries to disk, then [`apply`](Replica::apply). A failed write leaves the
+/// replica unchanged. Changes from other members take the same steps:
+/// [`preview_merge`](Replica::preview_merge) returns what to write, [`merge`](Replica::merge) applies it.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(super) origin: Origin,
-    /// Changes taken in this life, and those that another used it for.
+    /// Number of changes under this incarnation, including those that another process made under it.
     pub(super) count: u64,
     pub(super) sections: BTreeMap<SectionKey, VersionedSection>,
 }
 
-/// What became of a merge.
+/// The result of merging a section.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Something is known that was not before.
+    /// Whether the merge brought any change that was not known here.
     pub changed: bool,
-    /// The part is in conflict now.
+    /// Whether the section is in conflict now.
     pub in_conflict: bool,
-    /// Changes that stood here and were replaced by ones that knew them. Together with the siblings that stay,
-    /// every change is named once where it ends.
+    /// The siblings that were here and were replaced by changes that include them. Each change is either
+    /// reported here once or is still a sibling.
     pub replaced: Vec<Dot>,
-    /// Dots with two contents: a life was used twice. Both contents are kept, in conflict.
+    /// Dots with two contents, because an incarnation was used twice. Both contents are kept, in conflict.
     pub forked: Vec<Dot>,
-    /// A change under this very life that was not made here: a second process has this name, or had this life.
+    /// Whether a change under this member's incarnation was made elsewhere: another process has the same name
+    /// or used the same incarnation.
     pub foreign_change: bool,
 }
 
 impl Replica {
-    /// A ledger that knows nothing.
+    /// Creates an empty replica.
     pub fn new(origin: Origin) -> Replica {
         Replica { origin, count: 0, sections: BTreeMap::new() }
     }
 
-    /// A ledger of what a store kept, under a new life.
+    /// Restores a replica from the content of a store. `origin` must have a new incarnation.
     pub fn restore(
         origin: Origin, sections: impl IntoIterator<Item = (SectionKey, VersionedSection)>,
     ) -> Result<Replica, ReplicaError> {
@@ -63,12 +65,12 @@
         self.sections.get(key)
     }
 
-    /// All cells, those of parts taken away included: they say that it was done.
+    /// Returns all sections, including removed ones: their entries record the removal.
     pub fn sections(&self) -> impl Iterator<Item = (&SectionKey, &VersionedSection)> {
         self.sections.iter()
     }
 
-    /// The version of one part; of one that never was, too.
+    /// Returns the version of one section. A section that never existed has a version too.
     pub fn version(&self, key: &SectionKey) -> Version {
         let mut hash = blake3::Hasher::new();
         if let Some(section) = self.sections.get(key) {
@@ -77,14 +79,14 @@
         Version::from_hasher(&hash)
     }
 
-    /// The version of all together.
+    /// Returns the version of all sections together.
     pub fn version_of_all(&self) -> Version {
         let mut hash = blake3::Hasher::new();
         self.sections.iter().for_each(|(key, section)| hash_section(&mut hash, key, section));
         Version::from_hasher(&hash)
     }
 
-    /// All parts with their siblings, to be compiled.
+    /// Returns the contents of all sections with their siblings, as input for the compiler.
     pub fn contents(&self) -> Sections {
         let mut sections = Sections::default();
         for (key, versioned) in &self.sections {
@@ -115,20 +117,20 @@
         sections
     }
 
-    /// The parts in conflict, each with what stands against what.
+    /// Returns the sections that are in conflict, each with its siblings.
     pub fn conflicts(&self) -> impl Iterator<Item = (&SectionKey, Vec<&Sibling>)> {
         let sections = self.sections.iter().filter(|(_, section)| section.in_conflict());
         sections.map(|(key, section)| (key, section.siblings().collect()))
     }
 
-    /// What the cell would be with this one merged; none if it says nothing new.
+    /// Returns what the section would be after merging `received`; `None` if the merge would change nothing.
     pub fn preview_merge(&self, key: &SectionKey, received: &VersionedSection) -> Option<VersionedSection> {
         let Some(own) = self.sections.get(key) else { return Some(received.clone()) };
         let merged = own.merge(received);
         (merged != *own).then_some(merged)
     }
 
-    /// Takes what another member, or a proposal, says of a part.
+    /// Merges a section from another member or from a proposal.
     pub fn merge(&mut self, key: &SectionKey, received: &VersionedSection) -> MergeOutcome {
         let mut outcome = MergeOutcome::default();
         if let Some(dot) =
--- a/crates/grants/src/versions/version_vector.rs
+++ b/crates/grants/src/versions/version_vector.rs
@@ -1,4 +1,4 @@
-//! Dots, clocks, and versions made of them.
+//! Dots, version vectors, and the version digests computed from them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,14 +6,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One life of a member. The member is a hash of its name; lives grow and are never used twice.
+/// An incarnation of a member. The member is identified by a hash of its name. Incarnations increase and are
+/// never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
     pub member: u64,
     pub incarnation: u64,
 }
 
-/// One change: the nth that this life of a member took, from 1.
+/// The identifier of a change: the origin that accepted it, and the change's number there, counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Dot {
     pub origin: Origin,
@@ -26,8 +27,9 @@
     }
 }
 
-/// All changes of one part that are known: of each life all up to its highest count. Lives of one member stand
-/// beside each other: a later one may have begun without its earlier ones' changes, and must not cover them.
+/// All known changes of one section: for each origin, all changes up to its highest count. The incarnations
+/// of a member are independent of each other: a later one may have started without the changes of earlier
+/// ones and must not cover them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionVector(BTreeMap<Origin, u64>);
 
@@ -45,19 +47,19 @@
         other.dots().for_each(|dot| self.add(&dot));
     }
 
-    /// Whether it covers all of the other.
+    /// Returns whether this vector covers every change that `other` covers.
     pub fn covers_all(&self, other: &VersionVector) -> bool {
         other.dots().all(|dot| self.covers(&dot))
     }
 
-    /// The highest dot of each life.
+    /// Returns the highest dot of each origin.
     pub fn dots(&self) -> impl Iterator<Item = Dot> + '_ {
         self.0.iter().map(|(&origin, &count)| Dot { origin, count })
     }
 }
 
-/// What a change is made against: a digest of the clock, of one part or of all. Two members that show the same
-/// version show the same content. On the wire and in texts 32 hex digits.
+/// The version that a change is based on: a digest of the version vector of one section, or of all. Members
+/// with the same version have the same content. Written as 32 hex digits, also in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Version([u8; 16]);
@@ -82,15 +84,15 @@
     }
 }
 
-/// A text that is no version.
+/// The error for a text that is not a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a version is 32 hex digits")]
 pub struct ParseVersionError;
 
 impl ParseVersionError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
-        "give the version as the last answer showed it"
+        "send the version as it was in the last response"
     }
 }
 
--- a/crates/grants/src/versions/versioned_section.rs
+++ b/crates/grants/src/versions/versioned_section.rs
@@ -1,4 +1,4 @@
-//! One part with all that is known of its changes.
+//! A section with the history of its changes.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,14 @@
 
 use super::version_vector::{Dot, VersionVector};
 
-/// What one change says. No part: that it is taken away.
+/// The content of one change. `None` removes the section.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Sibling {
     pub dot: Dot,
     pub section: Option<Section>,
 }
 
-/// The changes of a part that none known replaces, and a clock of all that are known.
+/// The changes of a section that no other known change replaces, and a version vector of all known changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedSection {
     vector: VersionVector,
@@ -23,14 +23,14 @@
 }
 
 impl VersionedSection {
-    /// The cell after a change that knew all of this one.
+    /// Returns the result of a change that replaces all siblings.
     pub(super) fn with_change(&self, dot: Dot, section: Option<Section>) -> VersionedSection {
         let mut vector = self.vector.clone();
         vector.add(&dot);
         VersionedSection { vector, siblings: BTreeSet::from([Sibling { dot, section }]) }
     }
 
-    /// What both know together. Commutative, associative, idempotent.
+    /// Merges the changes of both. Commutative, associative and idempotent.
     pub fn merge(&self, other: &VersionedSection) -> VersionedSection {
         let mut vector = self.vector.clone();
         vector.merge(&other.vector);
@@ -38,8 +38,9 @@
         VersionedSection { vector, siblings }
     }
 
-    /// Those that the other has as well, or never saw. One that the other has under the same dot with another
-    /// content (a life used twice) stays, too: neither is known to replace the other.
+    /// Returns the siblings that `other` has too, or has never seen. A sibling also remains if `other` has
+    /// the same dot with different content (an incarnation was used twice): neither is known to replace the
+    /// other.
     fn not_replaced_by<'a>(&'a self, other: &'a VersionedSection) -> impl Iterator<Item = &'a Sibling> {
         self.siblings.iter().filter(|own| {
             !other.vector.covers(&own.dot) || other.siblings.iter().any(|theirs| theirs.dot == own.dot)
@@ -54,23 +55,24 @@
         self.siblings.iter()
     }
 
-    /// The differing contents of the siblings, sorted. Two changes that say the same are one.
+    /// Returns the distinct contents of the siblings, sorted. Changes with equal content count once.
     pub fn contents(&self) -> BTreeSet<&Option<Section>> {
         self.siblings.iter().map(|sibling| &sibling.section).collect()
     }
 
-    /// Whether concurrent changes differ, which an admin has to settle by a change that knows both.
+    /// Returns whether concurrent changes differ. An administrator resolves the conflict with a change that
+    /// includes both.
     pub fn in_conflict(&self) -> bool {
         self.contents().len() > 1
     }
 
-    /// Dots that stand for more than one content.
+    /// Returns the dots that occur with more than one content.
     pub fn forked_dots(&self) -> BTreeSet<Dot> {
         let mut seen = BTreeSet::new();
         self.siblings.iter().map(|sibling| sibling.dot).filter(|dot| !seen.insert(*dot)).collect()
     }
 
-    /// Whether every sibling is such as the key names, and its dot is in the clock.
+    /// Returns whether every sibling is of the kind that the key names and its dot is in the version vector.
     pub(super) fn is_valid(&self, key: &SectionKey) -> bool {
         self.siblings.iter().all(|sibling| {
             let matches_key = sibling.section.as_ref().is_none_or(|section| section.matches_key(key));
