--- a/crates/grants/src/revocation/journal.rs
+++ b/crates/grants/src/revocation/journal.rs
@@ -1,10 +1,12 @@
-//! What this life of a member has taken, in order; each key once, at its latest.
+//! The journal: the keys that changed during this incarnation of a member, in order. Each key is listed once,
+//! at its latest change.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
 
 #[derive(Clone, Debug)]
 pub struct Journal<K> {
+    /// Sequence number of the latest change; 0 before the first one.
     last: u64,
     by_sequence: BTreeMap<u64, K>,
     by_key: HashMap<K, u64>,
@@ -15,6 +17,7 @@
         Journal { last: 0, by_sequence: BTreeMap::new(), by_key: HashMap::new() }
     }
 
+    /// Records a change of the key and returns its sequence number.
     pub fn push(&mut self, key: K) -> u64 {
         self.last += 1;
         self.by_sequence.insert(self.last, key.clone());
@@ -28,7 +31,8 @@
         self.last
     }
 
-    /// Up to so many keys after the sequence, how far they reach, and whether there are more.
+    /// Returns at most `limit` keys that changed after `sequence`, the sequence number up to which they are
+    /// complete, and whether there are more.
     pub fn after(&self, sequence: u64, limit: usize) -> (Vec<K>, u64, bool) {
         let mut rest = self.by_sequence.range(sequence.saturating_add(1)..);
         let taken: Vec<(u64, K)> = rest.by_ref().take(limit).map(|(&at, key)| (at, key.clone())).collect();
--- a/crates/grants/src/revocation/lease_config.rs
+++ b/crates/grants/src/revocation/lease_config.rs
@@ -1,31 +1,33 @@
-//! What the operators' file says of leases.
+//! Settings of leases, and the state of the store that a member starts with.
 
 use serde::{Deserialize, Serialize};
 
-/// What a member does whose knowledge has ended.
+/// What a stale member does, that is a member whose lease has expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StalePolicy {
-    /// Models marked restricted are refused, others go on by what was known last.
+    /// Refuses calls to restricted models and serves others by the last known grants.
     #[default]
     RefuseRestricted,
     RefuseAll,
-    /// By what was known last. A revocation then ends only where it is heard of.
+    /// Serves all calls by the last known grants. A revocation then takes effect only on the members that
+    /// receive it.
     GoOn,
 }
 
-/// What a member starts from.
+/// The state of the store that a member starts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreState {
-    /// Its own store, with all that it ever confirmed.
+    /// The member's own store, with everything that it ever confirmed.
     Intact,
-    /// Nothing.
+    /// No store.
     Empty,
-    /// A copy of its store, which may be older than what it confirmed. Enforced, and not trusted as a voter's.
+    /// A copy of the store, which may be older than what the member confirmed. Its rules are enforced, but as
+    /// a voter the member is not trusted to have all that it confirmed.
     Restored,
 }
 
-/// The same at all members; checked by [`new`](LeaseConfig::new).
+/// Settings of leases, which must be the same on all members. [`new`](LeaseConfig::new) checks their range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
     lease_ms: u64,
@@ -35,26 +37,26 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseConfigError {
-    #[error("a lease of {lease_ms} ms is not from {min} to {max} ms")]
+    #[error("the lease of {lease_ms} ms is not in the range from {min} to {max} ms")]
     LeaseOutOfRange { lease_ms: u64, min: u64, max: u64 },
-    #[error("a drift of {drift_ppm} millionths is more than {max}")]
+    #[error("the clock drift of {drift_ppm} millionths exceeds the maximum of {max}")]
     DriftTooLarge { drift_ppm: u64, max: u64 },
-    #[error("a wait of {wait_ms} ms before a start without grants is more than {max} ms")]
+    #[error("the wait of {wait_ms} ms before a start without grants exceeds the maximum of {max} ms")]
     WaitTooLong { wait_ms: u64, max: u64 },
 }
 
 impl LeaseConfigError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             LeaseConfigError::LeaseOutOfRange { .. } => {
-                "choose how long a cut-off member may go on: 5000 ms suits most"
+                "choose how long a disconnected member may go on serving; 5000 ms suits most fleets"
             }
             LeaseConfigError::DriftTooLarge { .. } => {
-                "clocks that drift so much need mending; 1000 millionths are plenty"
+                "correct the clocks if they drift that much; 1000 millionths are ample otherwise"
             }
             LeaseConfigError::WaitTooLong { .. } => {
-                "let it start sooner; `stale` says what it may do without grants"
+                "set a shorter wait; `stale` determines what the member may do without grants"
             }
         }
     }
@@ -66,8 +68,9 @@
 const MAX_WAIT_MS: u64 = 600_000;
 
 impl LeaseConfig {
-    /// `lease`: how long an answer counts, ms. `drift`: by how many millionths any clock may run fast or
-    /// slow. `wait`: how long an empty member asks before it is ready all the same, ms.
+    /// Creates the settings. `lease_ms` is the validity of a response, in ms. `drift_ppm` is the maximum
+    /// deviation of any clock's rate, in millionths. `wait_ms` is how long a member without a store waits for
+    /// a lease before it is ready without one, in ms.
     pub fn new(lease_ms: u64, drift_ppm: u64, wait_ms: u64) -> Result<LeaseConfig, LeaseConfigError> {
         if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&lease_ms) {
             return Err(LeaseConfigError::LeaseOutOfRange { lease_ms, min: MIN_LEASE_MS, max: MAX_LEASE_MS });
@@ -89,8 +92,9 @@
         self.wait_ms
     }
 
-    /// How long this clock has to run until a lease on any other has surely ended, ms: this one may run
-    /// fast, the other slow; and one more, for the parts of a millisecond that neither clock shows.
+    /// Returns the time on this clock after which a lease that starts now on any other clock has certainly
+    /// expired, in ms. This clock may run fast and the other one slow. One ms is added to each interval for
+    /// the fractions that neither clock shows.
     pub fn lease_bound_ms(&self) -> u64 {
         (self.lease_ms + 1).saturating_mul(1_000_000 + self.drift_ppm).div_ceil(1_000_000 - self.drift_ppm)
             + 1
--- a/crates/grants/src/revocation/member.rs
+++ b/crates/grants/src/revocation/member.rs
@@ -1,4 +1,4 @@
-//! One member: what it knows and until when, and what it lends.
+//! One member: its journal, its lease, and the leases that it grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hash;
@@ -12,11 +12,14 @@
 use super::voter_config::{VoterConfig, VoterConfigError};
 use super::MemberId;
 
-/// Keys in one answer.
+/// Maximum number of keys in a response.
 const MAX_RESPONSE_KEYS: usize = 256;
 
-/// Generic over the key of what changes ([`crate::sections::SectionKey`] in the gateway). The order that it relies on:
-/// what is told is **kept on disk, then enforced, then** said to [`record_change`](Member::record_change) and
+/// The propagation state of this member. Generic over the key of a change ([`crate::sections::SectionKey`] in
+/// the gateway).
+///
+/// It relies on the caller's order of steps: a received change is **stored on disk, then enforced, and only
+/// then** passed to [`record_change`](Member::record_change) and
 /// [`handle_response`](Member::handle_response).
 #[derive(Clone, Debug)]
 pub struct Member<K> {
@@ -25,14 +28,15 @@
     pub(super) lease_config: LeaseConfig,
     stale_policy: StalePolicy,
     pub(super) voter_config: VoterConfig,
-    /// When it was taken.
+    /// The time at which this member adopted the voter configuration.
     pub(super) voter_config_since: u64,
     store_state: StoreState,
     started_at: u64,
-    /// A voter's word counts once it surely has all that it ever confirmed.
+    /// Whether this member certainly has everything that it ever confirmed. A voter grants leases only then.
     caught_up: bool,
     retired: bool,
-    /// Until then: the other voters heard of in full since the start, and whether they began with nothing.
+    /// The other voters from which this member has received everything since its start, and whether each of
+    /// them was empty ([`SyncResponse::empty`]). Used until this member has caught up.
     synced_voters: BTreeMap<MemberId, bool>,
     pub(super) journal: Journal<K>,
     pub(super) peers: BTreeMap<MemberId, Peer>,
@@ -40,7 +44,8 @@
 }
 
 impl<K: Clone + Eq + Hash> Member<K> {
-    /// `life` is later than all before. `kept`: the keys that the store had; none for an empty start.
+    /// Creates the state of a new process. The incarnation must be higher than all earlier ones.
+    /// `stored_keys` are the keys in the store; none if it is empty.
     pub fn new(
         (id, incarnation): (MemberId, u64), lease_config: LeaseConfig, stale_policy: StalePolicy,
         voter_config: VoterConfig, store_state: StoreState, stored_keys: impl IntoIterator<Item = K>,
@@ -73,13 +78,14 @@
         member
     }
 
-    /// Something here is new, by an admin or by what another member told: it is kept and enforced. The number
-    /// is for [`track`](Member::track).
+    /// Records a change by an administrator or from another member, after it is stored and enforced here.
+    /// Returns the sequence number for [`track`](Member::track).
     pub fn record_change(&mut self, key: K) -> u64 {
         self.journal.push(key)
     }
 
-    /// The next question to another member. To be asked of every member that is not known to have left.
+    /// Creates the next request to another member. The caller must send requests to every member that is not
+    /// known to have left.
     pub fn sync_request(&mut self, to: MemberId, now: u64) -> SyncRequest {
         let wants_lessees = self.peers.get(&to).is_some_and(|peer| peer.wants_lessees);
         let lessees = if wants_lessees { self.lessees(now) } else { Lessees::Unknown };
@@ -94,7 +100,8 @@
         }
     }
 
-    /// The answer to a question; none to an earlier life's.
+    /// Handles a request and returns the response. Returns `None` if the request is from an earlier
+    /// incarnation or from this member, or if this member is retired.
     pub fn handle_request(&mut self, request: &SyncRequest, now: u64) -> Option<SyncResponse<K>> {
         let same_voter_config = request.voter_config == self.voter_config.fingerprint();
         let is_voter = self.voter_config.is_voter(self.id);
@@ -109,7 +116,7 @@
             0
         };
         peer.confirmed_up_to = received.max(peer.confirmed_up_to);
-        // An earlier question that comes late says less than what is known already.
+        // A request that arrives after a later one is outdated and must not overwrite its data.
         if request.number > peer.last_request {
             peer.last_request = request.number;
             peer.same_voter_config = same_voter_config;
@@ -137,16 +144,18 @@
         })
     }
 
-    /// This process answers nobody any more. To be called **before** the next process under this name starts: two
-    /// that answer could tell a change and lend knowledge without it. What it knows ends as all leases do; to
-    /// go on knowing while it drains, it asks as a member of its own that is no voter.
+    /// Stops this process from answering requests. The caller must call it **before** the next process with
+    /// this name starts: if both answered, one could accept a change while the other grants leases without
+    /// it. This process's own lease expires as usual. To keep a lease while it drains, it can send requests
+    /// as a separate member that is not a voter.
     pub fn retire(&mut self) {
         self.retired = true;
     }
 
-    /// An answer, **after** the cells of its keys are merged, kept and enforced here. One of which a cell could not
-    /// be read or kept must not come here: this member then goes stale, and nobody counts on it. False for
-    /// one that is of no use: too late, told twice, of an earlier life.
+    /// Handles a response, **after** the contents of its keys are merged, stored and enforced here. If the
+    /// content of any key could not be read or stored, the caller must not pass the response: the member then
+    /// becomes stale, and no other member relies on it. Returns false if the response has no effect: it is
+    /// late, a duplicate, or involves an earlier incarnation.
     pub fn handle_response(&mut self, response: &SyncResponse<K>) -> bool {
         let same_voter_config = response.voter_config == self.voter_config.fingerprint();
         let is_voter = self.voter_config.is_voter(response.from);
@@ -170,11 +179,11 @@
         true
     }
 
-    /// Takes a new roster, by the steps that [`VoterConfigError`] tells.
+    /// Adopts a new voter configuration. [`VoterConfigError`] lists the transitions that are refused.
     pub fn set_voter_config(&mut self, next: VoterConfig, now: u64) -> Result<(), VoterConfigError> {
         self.voter_config.check_transition(&next, self.has_valid_lease(now))?;
         if next != self.voter_config {
-            // What was answered under the last roster counts for nothing under this one.
+            // Leases and confirmations under the previous configuration do not count under this one.
             self.peers.values_mut().for_each(|peer| peer.lease_start = None);
             self.peers.values_mut().for_each(|peer| peer.same_voter_config = false);
             self.synced_voters.clear();
@@ -184,15 +193,15 @@
         Ok(())
     }
 
-    /// A member told that it leaves, or was taken out by an operator: it needs not be asked, and is not counted.
-    /// What it may have been lent ends as all leases do.
+    /// Handles that a member announced its departure or was removed by an operator. It needs no more
+    /// requests, and its confirmations do not count. Leases that it may have been granted expire as usual.
     pub fn peer_left(&mut self, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
             peer.reset(peer.incarnation);
         }
     }
 
-    /// Until when this member knows, and what it may do after.
+    /// Returns this member's lease.
     pub fn lease(&self) -> Lease {
         Lease { expires_at: self.lease_expiry(), stale_policy: self.stale_policy }
     }
@@ -201,18 +210,20 @@
         self.lease().is_valid(now)
     }
 
-    /// Whether it may take requests: at once with a store; without, once it knows, or has waited long enough.
+    /// Returns whether the member may accept client requests. With a store, it may at once; without one, when
+    /// it has a valid lease or the configured wait is over.
     pub fn is_ready(&self, now: u64) -> bool {
         let waited = now >= self.started_at.saturating_add(self.lease_config.wait_ms());
         self.store_state != StoreState::Empty || waited || self.has_valid_lease(now)
     }
 
-    /// Whether this member, if it is a voter, surely has all that it ever confirmed, and lends.
+    /// Returns whether this member certainly has everything that it ever confirmed. Only then does it grant
+    /// leases as a voter.
     pub fn caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// The latest time at which those whose answers still count are enough.
+    /// Returns the latest time until which enough leases from voters are valid; 0 if there are not enough.
     fn lease_expiry(&self) -> u64 {
         let expiry =
             |peer: &Peer| peer.lease_start.map(|start| start.saturating_add(self.lease_config.lease_ms()));
@@ -232,8 +243,9 @@
         0
     }
 
-    /// A voter without its own store has caught up when the others would be enough without it, not counting those
-    /// that began with nothing; or when all of them have spoken, so that there is nobody left to ask.
+    /// Updates `caught_up`. A voter without its own store has caught up when the synced voters that are not
+    /// empty form a lease quorum without it. It has also caught up when it has synced with all other voters,
+    /// since no other source is left.
     fn update_caught_up(&mut self) {
         let mut others = self.voter_config.voters();
         others.remove(&self.id);
@@ -243,6 +255,8 @@
         self.caught_up = self.caught_up || all_synced || self.voter_config.is_lease_quorum(&not_empty);
     }
 
+    /// Returns the members, with their incarnations, that may have a valid lease from this member; `None`
+    /// until leases granted by its previous incarnation have expired.
     pub(super) fn own_lessees(&self, now: u64) -> Option<Vec<(MemberId, u64)>> {
         let known_from = self.started_at.saturating_add(self.lease_config.lease_bound_ms());
         let granted = self.peers.iter().flat_map(|(&id, peer)| {
--- a/crates/grants/src/revocation/messages.rs
+++ b/crates/grants/src/revocation/messages.rs
@@ -1,58 +1,65 @@
-//! What members say to each other. Drivers put it into bytes, with the cells of an answer's keys beside it.
+//! Messages between members. The caller encodes them and sends the contents of a response's keys along with
+//! it.
 
 use serde::{Deserialize, Serialize};
 
 use super::MemberId;
 
-/// How far one life's journal is known.
+/// A position in the journal of one incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalPosition {
     pub incarnation: u64,
     pub sequence: u64,
 }
 
-/// To whom knowledge is lent that may not have ended.
+/// The members that may have a valid lease from the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lessees {
-    /// With the life that it was lent to.
+    /// Each lessee with the incarnation that received the lease.
     Known(Vec<(MemberId, u64)>),
-    /// Not asked for ([`SyncResponse::wants_lessees`]); or, so short after its start, a member cannot say what its last life lent.
+    /// The receiver did not ask for them ([`SyncResponse::wants_lessees`]), or the sender started so recently
+    /// that it cannot know the leases that its previous incarnation granted.
     Unknown,
 }
 
-/// A question, and what the asker has. Sent to every member at a cadence well under the lease.
+/// A request for the changes that the sender does not have. Sent to every member at an interval well below
+/// the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
     pub from: MemberId,
     pub incarnation: u64,
+    /// Fingerprint of the sender's voter configuration.
     pub voter_config: u64,
-    /// Each question of a life to one member has its own.
+    /// Unique among the requests of this incarnation to one member.
     pub number: u64,
-    /// How much of the asked one's journal the asker has kept and enforces.
+    /// The position in the receiver's journal up to which the sender has stored and enforces all changes.
     pub received: JournalPosition,
     pub lessees: Lessees,
 }
 
-/// What the asker does not have. To be sent with the cells of the keys as they are now.
+/// The changes that the requester does not have. Sent together with the current contents of the keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncResponse<K> {
     pub from: MemberId,
     pub incarnation: u64,
+    /// Fingerprint of the sender's voter configuration.
     pub voter_config: u64,
-    /// The question's life and number.
+    /// The requester's incarnation, from the request.
     pub request_incarnation: u64,
+    /// The number of the request.
     pub request_number: u64,
-    /// The journal after this ...
+    /// The keys are those that changed after this sequence number of the sender's journal.
     pub after: u64,
-    /// ... up to this,
+    /// The keys are complete up to this sequence number.
     pub up_to: u64,
     pub keys: Vec<K>,
-    /// and there is more to ask for.
+    /// Whether the journal has further keys to request.
     pub has_more: bool,
-    /// Whether it counts as a voter's word that lends knowledge.
+    /// Whether the response counts as a voter's lease.
     pub grants_lease: bool,
-    /// The answerer follows a change that is not fleet-wide yet, and needs the asker's lessees.
+    /// Whether the sender tracks a change that is not fleet-wide yet and needs the requester's lessees.
     pub wants_lessees: bool,
-    /// The answerer began with nothing and has not caught up: its word says nothing about what was held.
+    /// Whether the sender started without a store and has not caught up. Its response then proves nothing
+    /// about committed changes.
     pub empty: bool,
 }
--- a/crates/grants/src/revocation/peer.rs
+++ b/crates/grants/src/revocation/peer.rs
@@ -1,37 +1,42 @@
-//! What a member remembers of another one.
+//! The state that a member keeps about another member.
 
 use std::collections::BTreeMap;
 
 use super::messages::{JournalPosition, Lessees};
 
-/// Questions to one member that wait for an answer; the oldest are given up.
+/// Maximum number of requests to one member that await a response. The oldest ones are dropped.
 const MAX_PENDING_REQUESTS: usize = 16;
 
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// The latest life heard of.
+    /// The latest known incarnation of the peer.
     pub incarnation: u64,
-    /// How far its journal in that life is taken.
+    /// The sequence number in the journal of that incarnation up to which this member has all changes.
     pub received_up_to: u64,
-    /// Its latest question in that life.
+    /// Number of the latest request received from that incarnation.
     pub last_request: u64,
+    /// Number of requests sent to the peer.
     sent_requests: u64,
+    /// The time at which each pending request was sent, by number.
     pending_requests: BTreeMap<u64, u64>,
-    /// When the question was sent whose answer counts longest.
+    /// The time at which this member sent the request behind its latest lease from the peer.
     pub lease_start: Option<u64>,
-    /// Until when on this member's clock each of its lives may know by this member's word.
+    /// The time, on this member's clock, until which each incarnation of the peer may use a lease from this
+    /// member.
     pub granted_leases: BTreeMap<u64, u64>,
-    /// How much of this member's journal it enforces.
+    /// The sequence number in this member's journal up to which the peer enforces all changes.
     pub confirmed_up_to: u64,
-    /// Whether it said so with the same roster.
+    /// Whether the peer's latest request had the same voter configuration.
     pub same_voter_config: bool,
+    /// The lessees in the peer's latest request; `None` before the first one.
     pub lessees: Option<Lessees>,
-    /// Whether it needs this member's.
+    /// Whether the peer needs this member's lessees.
     pub wants_lessees: bool,
 }
 
 impl Peer {
-    /// Whether the life is its present one. A later one is taken up: what the earlier one had may be lost.
+    /// Returns whether this is the peer's current incarnation. A later one becomes the current one and resets
+    /// the state, because the data of the earlier one may be lost.
     pub fn accept_incarnation(&mut self, incarnation: u64) -> bool {
         if incarnation > self.incarnation {
             self.reset(incarnation);
@@ -39,8 +44,9 @@
         incarnation == self.incarnation
     }
 
-    /// Forgets what it had. What was lent on either side ends by itself: an earlier life may still run, as during
-    /// a hand-over, and a question to it may be answered by the next.
+    /// Resets the state for a new incarnation. Leases in both directions are kept until they expire: an
+    /// earlier incarnation may still run, as during a handover, and its successor may answer requests that
+    /// were sent to it.
     pub fn reset(&mut self, incarnation: u64) {
         *self = Peer {
             incarnation,
@@ -52,13 +58,14 @@
         };
     }
 
-    /// Its present life may know by this member's word until then.
+    /// Records a lease of the peer's current incarnation that may be valid until `until`.
     pub fn grant_lease(&mut self, now: u64, until: u64) {
         self.granted_leases.retain(|_, end| *end > now);
         let end = self.granted_leases.entry(self.incarnation).or_default();
         *end = until.max(*end);
     }
 
+    /// Records a new request. Returns its number and the position in the peer's journal that it reports.
     pub fn start_request(&mut self, now: u64) -> (u64, JournalPosition) {
         self.sent_requests += 1;
         self.pending_requests.insert(self.sent_requests, now);
@@ -68,7 +75,7 @@
         (self.sent_requests, JournalPosition { incarnation: self.incarnation, sequence: self.received_up_to })
     }
 
-    /// When the question was sent, once.
+    /// Removes a pending request and returns the time at which it was sent; `None` if it is not pending.
     pub fn finish_request(&mut self, number: u64) -> Option<u64> {
         self.pending_requests.remove(&number)
     }
--- a/crates/grants/src/revocation/progress.rs
+++ b/crates/grants/src/revocation/progress.rs
@@ -1,4 +1,4 @@
-//! How far a change has come: kept, told, fleet-wide.
+//! Progress of a change from the member that accepted it to the whole fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hash;
@@ -10,28 +10,31 @@
 use super::voter_config::VoterConfig;
 use super::MemberId;
 
-/// Changes that are followed; beyond it the oldest is forgotten.
+/// Maximum number of changes that are tracked. Beyond it the oldest one is dropped.
 const MAX_TRACKED_CHANGES: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// On this member's disk, and enforced here.
+    /// Stored on this member's disk and enforced here.
     Local,
-    /// Others enforce it, too.
+    /// Enforced by at least one other member as well.
     Propagating,
-    /// Every member enforces it, or its lease of knowledge has ended.
+    /// Enforced by every member that has a valid lease.
     FleetWide,
 }
 
-/// When it will be fleet-wide.
+/// The time until a change is fleet-wide.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Bound {
+    /// The change is fleet-wide.
     Reached,
-    /// At most so many ms from now, whatever fails.
+    /// At most this many ms from now, regardless of failures.
     WithinMs(u64),
-    /// At most so many ms after enough of the missing voters have confirmed it. Until then nothing bounds it.
+    /// The change is not committed. Without a commit quorum there is no bound.
     AfterCommit {
+        /// Maximum time from the commit until the change is fleet-wide, in ms.
         after_ms: u64,
+        /// The voters that have not confirmed the change. Enough of them must do so to commit it.
         missing: Vec<MemberId>,
     },
 }
@@ -39,32 +42,36 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
     pub stage: Stage,
-    /// So many of the other members enforce it ...
+    /// Number of other members that enforce the change.
     pub confirmed: usize,
-    /// ... of so many.
+    /// Number of other members.
     pub total: usize,
-    /// Those that have not confirmed it.
+    /// The other members that have not confirmed the change.
     pub missing: Vec<MemberId>,
     pub bound: Bound,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TrackedChange {
+    /// The time at which this member observed the commit quorum.
     committed_at: Option<u64>,
     fleet_wide: bool,
 }
 
+/// The tracked changes by their sequence number in this member's journal.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TrackedChanges(BTreeMap<u64, TrackedChange>);
 
-/// What is known of the voters at one time.
+/// The confirmations that this member has received, at one point in time.
 pub(super) struct Confirmations<'a> {
     peers: &'a BTreeMap<MemberId, Peer>,
     voter_config: &'a VoterConfig,
+    /// This member and its incarnation.
     own: (MemberId, u64),
     own_lessees: Option<Vec<(MemberId, u64)>>,
-    /// Whether lessees alone may settle it: a member that did not follow to this roster may know by the last one,
-    /// from voters that are none any more, until that has ended.
+    /// Whether confirmations by all lessees make a change fleet-wide. False until the lease bound has passed
+    /// since this member adopted its voter configuration: a member that still uses the previous one may have
+    /// a lease from voters that are no longer voters.
     lessees_suffice: bool,
 }
 
@@ -73,7 +80,7 @@
         member == self.own.0 || self.peers.get(&member).is_some_and(|peer| peer.confirmed_up_to >= sequence)
     }
 
-    /// The voters that hold it, this member included where it is one.
+    /// Returns the voters that have confirmed the change, including this member if it is a voter.
     fn confirming_voters(&self, sequence: u64) -> BTreeSet<MemberId> {
         let same_config = |id: &MemberId| self.peers.get(id).is_some_and(|peer| peer.same_voter_config);
         let voters = self.voter_config.voters().into_iter();
@@ -82,14 +89,16 @@
             .collect()
     }
 
-    /// Whether all to whom this holder may have lent knowledge from before the change confirm it.
+    /// Returns whether all members that may have a lease from this voter from before the change have
+    /// confirmed the change.
     fn lessees_confirmed(&self, voter: MemberId, sequence: u64) -> bool {
         let lessees = match self.peers.get(&voter).map(|peer| &peer.lessees) {
             _ if voter == self.own.0 => self.own_lessees.as_ref(),
             Some(Some(Lessees::Known(lessees))) => Some(lessees),
             _ => None,
         };
-        // An earlier life of one that confirms may still run, as during a hand-over, and knows what it knew.
+        // Confirmations are per incarnation: an earlier incarnation of a member that confirms may still run,
+        // as during a handover, without the change.
         let is_current = |id: MemberId, incarnation: u64| {
             self.peers.get(&id).is_some_and(|peer| peer.incarnation == incarnation)
         };
@@ -102,11 +111,12 @@
 }
 
 impl TrackedChanges {
+    /// Returns whether any tracked change is not fleet-wide yet.
     pub fn any_pending(&self) -> bool {
         self.0.values().any(|change| !change.fleet_wide)
     }
 
-    /// Brings all that are followed up to date.
+    /// Updates all tracked changes from the confirmations.
     pub fn update(&mut self, confirmations: &Confirmations<'_>, lease_config: &LeaseConfig, now: u64) {
         for (&sequence, change) in self.0.iter_mut().filter(|(_, change)| !change.fleet_wide) {
             let voters = confirmations.confirming_voters(sequence);
@@ -125,8 +135,9 @@
 }
 
 impl<K: Clone + Eq + Hash> Member<K> {
-    /// Follows the change that [`record_change`](Member::record_change) gave this number to. After a restart a change is
-    /// followed anew by the number of its key in what was kept.
+    /// Starts tracking the change with this sequence number from [`record_change`](Member::record_change). To
+    /// track a change again after a restart, pass the sequence number of its key among the stored keys given
+    /// to [`new`](Member::new).
     pub fn track(&mut self, sequence: u64, now: u64) {
         self.tracked_changes.0.entry(sequence).or_default();
         while self.tracked_changes.0.len() > MAX_TRACKED_CHANGES {
@@ -135,7 +146,8 @@
         self.update_progress(now);
     }
 
-    /// How far it has come. `members`: the others that are not known to have left. None for one not followed.
+    /// Returns the progress of a change; `None` if it is not tracked. `members` are the other members that
+    /// are not known to have left.
     pub fn progress(&mut self, sequence: u64, members: &BTreeSet<MemberId>, now: u64) -> Option<Progress> {
         self.update_progress(now);
         let change = *self.tracked_changes.0.get(&sequence)?;
--- a/crates/grants/src/revocation/voter_config.rs
+++ b/crates/grants/src/revocation/voter_config.rs
@@ -1,4 +1,4 @@
-//! Voters, and how many of them it takes.
+//! The voters, and the quorums that they form.
 
 use std::collections::BTreeSet;
 
@@ -6,21 +6,25 @@
 
 use super::MemberId;
 
-/// How many voters it takes to know, and to hold. Whatever is chosen, both together are more than there are.
+/// The sizes of the lease quorum and the commit quorum. With either rule, the two sizes add up to more than
+/// the number of voters, so every lease quorum shares a voter with every commit quorum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QuorumRule {
-    /// More than half, for both. Fewer than half may fail without anyone going stale; a change taken on the
-    /// smaller side of a cut is held only once the cut heals.
+    /// More than half of the voters, for both quorums. Fewer than half may fail without any member becoming
+    /// stale. A change accepted on the smaller side of a network partition is committed only after the
+    /// partition heals.
     #[default]
     Majority,
-    /// To know, all; to hold, two, so that one lost store loses nothing (one, where there is one). A change on any
-    /// side of a cut that has two voters is fleet-wide by its bound; while any voter is away, everyone is stale.
+    /// All voters for a lease, two for a commit (one if there is only one voter), so that the loss of one
+    /// store loses no change. A change on any side of a network partition that has two voters becomes
+    /// fleet-wide within its bound. While any voter is unreachable, all members become stale.
     Every,
 }
 
-/// The same at all members, but for the time of a change: `former` then keeps the last voters, and both have to
-/// be enough. Members with differing rosters hand over what they know, and count for nothing with each other.
+/// The voters and their quorum rule. Must be the same on all members, except during a change of voters:
+/// `previous` then holds the previous configuration, and a quorum of both is required. Members with different
+/// configurations exchange changes, but their leases and confirmations do not count for each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterConfig {
     voters: BTreeSet<MemberId>,
@@ -32,22 +36,24 @@
 pub enum VoterConfigError {
     #[error("there are no voters")]
     NoVoters,
-    #[error("the voters cannot change in one step")]
+    #[error("the voters cannot be changed in one step")]
     InvalidTransition,
-    #[error("the former voters cannot be let go before this member knows by the new ones, too")]
+    #[error("the previous voters cannot be removed before this member has a lease from the previous and the new ones")]
     NoLease,
 }
 
 impl VoterConfigError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            VoterConfigError::NoVoters => "name one voter at least; three or five that rarely stop suit most",
+            VoterConfigError::NoVoters => {
+                "configure at least one voter; three or five members that rarely stop suit most fleets"
+            }
             VoterConfigError::InvalidTransition => {
-                "first give all members the new voters with the former beside them, then without"
+                "first configure the new voters together with the previous ones on all members, then the new ones alone"
             }
             VoterConfigError::NoLease => {
-                "wait until every member has taken the file with both and none is stale; go back to it if one is"
+                "wait until every member runs the configuration with both and none is stale; return to it if one is"
             }
         }
     }
@@ -64,13 +70,14 @@
         }
     }
 
-    /// This one with the last one's voters beside them, for the time of the change.
+    /// Returns this configuration joined with the previous one, for the time of the change.
     pub fn joint_with(self, previous: &VoterConfig) -> VoterConfig {
         VoterConfig { previous: Some((previous.voters.clone(), previous.quorum_rule)), ..self }
     }
 
-    /// Whether the next roster may follow this one; `knows` is whether this member does now. Taking former voters in
-    /// beside these is safe at any time, for it asks for more; letting them go is not.
+    /// Checks whether `next` may follow this configuration. `has_lease` is whether this member has a valid
+    /// lease now. Adding the previous voters is safe at any time, because it requires more; removing them is
+    /// not.
     pub(super) fn check_transition(
         &self, next: &VoterConfig, has_lease: bool,
     ) -> Result<(), VoterConfigError> {
@@ -92,12 +99,12 @@
             || self.previous.as_ref().is_some_and(|previous| previous.0.contains(&member))
     }
 
-    /// All voters, former ones included.
+    /// Returns all voters, including previous ones.
     pub fn voters(&self) -> BTreeSet<MemberId> {
         self.configs().flat_map(|(voters, _)| voters).copied().collect()
     }
 
-    /// Whether these are enough to know what is held.
+    /// Returns whether leases from these members suffice for a valid lease.
     pub fn is_lease_quorum(&self, members: &BTreeSet<MemberId>) -> bool {
         self.configs().all(|(voters, quorum_rule)| {
             let count = voters.intersection(members).count();
@@ -108,7 +115,7 @@
         })
     }
 
-    /// Whether these are enough to hold a change.
+    /// Returns whether confirmations from these members suffice to commit a change.
     pub fn is_commit_quorum(&self, members: &BTreeSet<MemberId>) -> bool {
         self.configs().all(|(voters, quorum_rule)| {
             let count = voters.intersection(members).count();
@@ -119,7 +126,7 @@
         })
     }
 
-    /// What tells it from other rosters.
+    /// Returns a hash that distinguishes this configuration from others.
     pub(super) fn fingerprint(&self) -> u64 {
         let mut hash = blake3::Hasher::new();
         for (voters, quorum_rule) in self.configs() {
@@ -133,6 +140,7 @@
         u64::from_le_bytes(fingerprint)
     }
 
+    /// Iterates over the current configuration and, during a change of voters, the previous one.
     fn configs(&self) -> impl Iterator<Item = (&BTreeSet<MemberId>, &QuorumRule)> {
         let previous = self.previous.iter().map(|(voters, quorum_rule)| (voters, quorum_rule));
         std::iter::once((&self.voters, &self.quorum_rule)).chain(previous)
