--- a/crates/grants/benches/check.rs
+++ b/crates/grants/benches/check.rs
@@ -1,4 +1,5 @@
-//! A check at 10,000 teams and 1,000 models beside the plain twin, and what building the table takes.
+//! Time of a check with 10,000 teams and 1,000 models, compared with the reference implementation, and time
+//! to compile the table.
 //!
 //!     cargo bench -p glenrail-grants --bench check
 
@@ -14,11 +15,12 @@
 fn main() {
     let table = Table::from_document(&document());
     let (rows, blocks, timelines) = table.sizes();
-    println!("{rows} rows, {blocks} blocks of 64 cells, {timelines} verdicts");
+    println!("{rows} rows, {blocks} blocks of 64 cells, {timelines} timelines");
     divan::main();
 }
 
-/// Spread, so that no check finds the last one's cells at hand.
+/// Returns pairs of a team and a model that are spread out, so that no check finds its cells in the cache
+/// because of the one before.
 fn pairs() -> Vec<(usize, usize)> {
     (0..1 << 16).map(|n: usize| (n * 7_919 % (TEAMS - 110), n * 104_729 / 3 % MODELS)).collect()
 }
--- a/crates/grants/tests/agree.rs
+++ b/crates/grants/tests/agree.rs
@@ -1,4 +1,4 @@
-//! The compiled table and its plain twin say the same of everything.
+//! Property tests: the compiled table and the reference implementation make the same decisions.
 
 mod support;
 
@@ -20,7 +20,7 @@
                 if !(compiled.allowed && expected.in_conflict) {
                     prop_assert_eq!(compiled.reason, expected.reason, "{}", context());
                 }
-                // By ids it is the same as by names.
+                // A check by ids has the same result as a check by names.
                 if let (Some(team), Some(model)) = (table.team(team), table.model(model)) {
                     prop_assert_eq!(table.check(team, model, now), compiled);
                 }
@@ -59,13 +59,13 @@
                     }
                 }
             }
-            prop_assert!(!unchanged || table.next_change(now).is_none(), "nothing changes at {}", next);
+            prop_assert!(!unchanged || table.next_change(now).is_none(), "no decision changes at {}", next);
         }
     }
 
     #[test]
     fn a_call_that_any_sibling_refuses_is_refused(sections in sections(2)) {
-        // Each part alone at its sibling: all choices of siblings, the others as they are.
+        // Reduces one section at a time to each of its siblings and leaves the other sections unchanged.
         let table = Table::compile(&sections);
         for (team, siblings) in &sections.teams {
             for sibling in siblings {
@@ -75,10 +75,16 @@
             }
         }
         for sibling in &sections.shared {
-            check_allows_no_more(&table, &Table::compile(&Sections { shared: vec![sibling.clone()], ..sections.clone() }))?;
+            check_allows_no_more(
+                &table,
+                &Table::compile(&Sections { shared: vec![sibling.clone()], ..sections.clone() }),
+            )?;
         }
         for sibling in &sections.catalogue {
-            check_allows_no_more(&table, &Table::compile(&Sections { catalogue: vec![sibling.clone()], ..sections.clone() }))?;
+            check_allows_no_more(
+                &table,
+                &Table::compile(&Sections { catalogue: vec![sibling.clone()], ..sections.clone() }),
+            )?;
         }
     }
 }
--- a/crates/grants/tests/documents.rs
+++ b/crates/grants/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents from text: each error names line and key, and both forms say the same.
+//! Parsing of documents: each error names the line and the key, and TOML and JSON yield the same document.
 
 use glenrail_grants::document::{Document, DocumentError, Fault, NameKind};
 
@@ -39,6 +39,7 @@
     assert_eq!(Document::from_toml(&document.to_toml().unwrap()).unwrap(), document);
 }
 
+/// Returns the error for the valid document with one text replaced.
 fn error_after_replacing(from: &str, to: &str) -> DocumentError {
     assert!(VALID.contains(from), "{from}");
     Document::from_toml(&VALID.replacen(from, to, 1)).unwrap_err()
--- a/crates/grants/tests/dry_run.rs
+++ b/crates/grants/tests/dry_run.rs
@@ -1,4 +1,4 @@
-//! A change tried before it is taken.
+//! Dry runs of changes, and the policy for open streams.
 
 use std::collections::BTreeSet;
 
@@ -27,10 +27,10 @@
     assert_eq!((model.as_str(), after.rule_name(decision.reason).unwrap().rule.as_str()), ("m", "no"));
     assert_eq!(run.teams["a"].lost[0].1.reason, DecisionReason::Default);
     assert_eq!(after.describe(decision.reason).to_string(), "rule `no` of team `b`");
-    // The team `a` loses all, and does not call.
+    // Team `a` loses all models too, but is not active.
     assert_eq!(run.require_confirmation(false), Err(ConfirmationRequired { teams: vec!["b".to_owned()] }));
     assert_eq!(run.require_confirmation(true), Ok(()));
-    // By its end the rule gives nothing more.
+    // At its end the rule no longer allows anything.
     assert!(!DryRun::compare(&before, &after, 10, &active_teams).teams.contains_key("c"));
     assert_eq!(DryRun::compare(&after, &after, 5, &active_teams), DryRun::default());
 }
--- a/crates/grants/tests/no_alloc.rs
+++ b/crates/grants/tests/no_alloc.rs
@@ -1,4 +1,4 @@
-//! A check allocates nothing, and answers at full size.
+//! Checks allocate no memory. Measured with a table of the largest supported size.
 
 #[path = "support/large.rs"]
 mod large;
@@ -30,6 +30,6 @@
     assert_eq!(table.check_names("nobody", "model-0000", 0).reason, DecisionReason::UnknownTeam);
     assert!(table.next_change(0).is_some());
     let after = ALLOCATOR.total_allocated();
-    assert_eq!(after, before, "allocated");
-    assert!(allowed > 100 && refused > 100, "{allowed} {refused}");
+    assert_eq!(after, before, "the checks allocated memory");
+    assert!(allowed > 100 && refused > 100, "{allowed} allowed, {refused} refused");
 }
--- a/crates/grants/tests/revocation.rs
+++ b/crates/grants/tests/revocation.rs
@@ -1,4 +1,5 @@
-//! Nobody admits against a change after it was fleet-wide, whatever fails; and it becomes so within its bound.
+//! Once a change is fleet-wide, no member admits a request without it, under any failure that the design
+//! covers; and a committed change becomes fleet-wide within its bound.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -84,6 +85,7 @@
     Ok(())
 }
 
+/// Ends all failures and lets the members exchange everything and complete the change of voters.
 fn recover(fleet: &mut Fleet) {
     fleet.unblock_all();
     for at in 0..fleet.nodes.len() {
@@ -103,7 +105,7 @@
     }
 }
 
-/// More with PROPTEST_CASES.
+/// Returns the number of cases. `PROPTEST_CASES` overrides the default.
 fn cases(default: u32) -> u32 {
     std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
@@ -115,18 +117,21 @@
 
     #[test]
     fn no_member_admits_requests_without_a_fleet_wide_change(
-        steps in vec(step(4), 0..120), quorum_rule in select(&[QuorumRule::Majority, QuorumRule::Every][..]), turn in 0..4usize,
+        steps in vec(step(4), 0..120),
+        quorum_rule in select(&[QuorumRule::Majority, QuorumRule::Every][..]),
+        turn in 0..4usize,
     ) {
         let mut clock_rates = CLOCK_RATES;
         clock_rates.rotate_left(turn);
         let mut fleet = Fleet::new(4, 3, quorum_rule, &clock_rates);
         fleet.round();
         run_steps(&mut fleet, steps).map_err(TestCaseError::fail)?;
-        // Once it is quiet, all know, all are the same, and a change comes through at once or by its bound.
+        // After recovery all members have valid leases and the same changes, and a new change is fleet-wide
+        // at once or within its bound.
         recover(&mut fleet);
         fleet.check().map_err(TestCaseError::fail)?;
         for at in 0..4 {
-            prop_assert!(fleet.admits(at), "{} does not know", at);
+            prop_assert!(fleet.admits(at), "node {} has no valid lease", at);
             prop_assert_eq!(&fleet.nodes[at].stored, &fleet.nodes[0].stored);
         }
         let change = fleet.change(3).unwrap();
@@ -142,7 +147,7 @@
                 fleet.now += lease_bound * 1_000 / 910 + 2;
                 prop_assert_eq!(fleet.progress(3, change).unwrap().stage, Stage::FleetWide);
             }
-            Bound::AfterCommit { .. } => prop_assert!(false, "not held"),
+            Bound::AfterCommit { .. } => prop_assert!(false, "the change is not committed"),
         }
     }
 }
@@ -168,7 +173,7 @@
     fleet.now += lease_bound;
     assert_eq!(fleet.progress(0, change).unwrap().stage, Stage::FleetWide);
     assert!(!fleet.admits(4));
-    // The others went on asking, and know.
+    // The other members renew their leases.
     fleet.round();
     assert!((0..4).all(|at| fleet.admits(at)));
 }
@@ -195,7 +200,7 @@
             }
             true => assert_eq!(progress.stage, Stage::FleetWide),
         }
-        // A majority goes on; with every voter needed nobody does.
+        // A majority keeps its leases. If every voter is required, all members become stale.
         fleet.round();
         assert_eq!(
             (0..5).map(|at| fleet.admits(at)).collect::<Vec<_>>(),
@@ -248,10 +253,10 @@
     let is_ready = |fleet: &Fleet| fleet.nodes[2].member.is_ready(fleet.clock(2));
     assert!(!is_ready(&fleet) && !fleet.admits(2));
     fleet.exchange(2, 1);
-    assert!(!is_ready(&fleet), "one answer of two that are needed without its own");
+    assert!(!is_ready(&fleet), "an empty member needs the leases of two other voters and has one");
     fleet.exchange(2, 0);
     assert!(is_ready(&fleet) && fleet.admits(2) && fleet.nodes[2].stored.contains(&change));
-    // Cut off from all, it is ready after the wait, and stale.
+    // Isolated from all others, the member is ready after the wait, and stale.
     for other in 0..2 {
         fleet.block(2, other);
         fleet.block(other, 2);
@@ -261,7 +266,7 @@
     assert!(!is_ready(&fleet));
     fleet.now += 3_000;
     assert!(is_ready(&fleet) && !fleet.admits(2));
-    // A fleet in which all begin with nothing has nothing to wait for.
+    // If all members start empty, no change can be missing, and they do not wait.
     let mut fleet = Fleet::new(3, 3, QuorumRule::Majority, &[1_000]);
     (0..3).for_each(|at| fleet.restart_unchecked(at, StoreState::Empty));
     fleet.round();
@@ -291,11 +296,11 @@
         assert_eq!((response.has_more, response.grants_lease), (!last, last));
         keys.extend(response.keys.iter().copied());
         assert!(other.handle_response(&response));
-        assert!(!other.handle_response(&response), "told twice");
+        assert!(!other.handle_response(&response), "a duplicate response has an effect");
         assert_eq!(other.has_valid_lease(turn), last);
     }
     assert_eq!(keys.len(), 600);
-    // A question without news is answered in a few bytes.
+    // Without new changes, a request and its response take few bytes.
     let request = other.sync_request(1, 3);
     let response = voter.handle_request(&request, 3).unwrap();
     assert!(postcard::to_stdvec(&request).unwrap().len() <= 64);
--- a/crates/grants/tests/support/fleet.rs
+++ b/crates/grants/tests/support/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet under a simulated time: clocks that drift, messages that are lost, doubled and overtaken, cuts, pauses,
-//! restarts with a store, without one, and with yesterday's. The changes are numbers; a store is a set of them.
+//! A fleet in simulated time. Clocks drift; messages are lost, duplicated and reordered; links are blocked;
+//! members pause and restart with their store, without it, or with an old copy. A change is a number, and a
+//! store is a set of changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,22 +12,22 @@
 };
 
 pub const LEASE_MS: u64 = 1_000;
-/// A tenth, far more than any clock drifts, so that a bound that forgets the drift is found.
+/// One tenth, far above the drift of real clocks, so that the tests detect a bound that ignores the drift.
 pub const DRIFT_PPM: u64 = 100_000;
 
 pub struct Node {
     pub member: Member<u32>,
     pub incarnation: u64,
-    /// What it keeps on disk and enforces.
+    /// The changes that the node has on disk and enforces.
     pub stored: BTreeSet<u32>,
     backup: BTreeSet<u32>,
     clock_offset: u64,
-    /// Thousandths of true time.
+    /// Rate of the clock in thousandths of the true rate.
     clock_rate: u64,
     paused: bool,
-    /// Which of the rosters it has taken.
+    /// Index of the voter configuration that the node uses.
     pub config_index: usize,
-    /// Number by change, of those taken or followed in this life.
+    /// The sequence numbers of the changes that this incarnation accepted and tracks.
     tracked: BTreeMap<u32, u64>,
 }
 
@@ -39,16 +40,18 @@
 pub struct Fleet {
     pub nodes: Vec<Node>,
     pub now: u64,
-    /// The first voters, both, and the next: the same number, shifted by one.
+    /// The first nodes as voters, the joint configuration, and the last nodes as voters. Both have the same
+    /// number of voters.
     voter_configs: [VoterConfig; 3],
+    /// Messages in transit, with their senders.
     in_transit: Vec<(usize, Message)>,
     blocked: BTreeSet<(usize, usize)>,
     changes: u32,
-    /// Processes that a next one took over from, and that still take requests: which, what they knew, what they had.
+    /// Processes that were replaced and still accept requests: the node, its lease, and its stored changes.
     replaced_processes: Vec<(usize, Lease, BTreeSet<u32>)>,
-    /// Changes that some member showed as fleet-wide.
+    /// Changes that any member reported as fleet-wide.
     pub fleet_wide: BTreeSet<u32>,
-    /// A voter whose store went back, until it has caught up.
+    /// A node whose store was lost or rolled back, until it has caught up.
     store_lost: Option<usize>,
 }
 
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Delivers one message of those on the way, or loses it. It may come again.
+    /// Delivers one of the messages in transit, or drops it if its link is blocked or its receiver paused.
+    /// With `duplicate`, the message also stays in transit.
     pub fn deliver(&mut self, which: usize, duplicate: bool) {
         if self.in_transit.is_empty() {
             return;
@@ -148,7 +152,7 @@
         }
     }
 
-    /// A question and its answer at once, where nothing is in between.
+    /// Sends a request and delivers it and its response at once, if the links are open.
     pub fn exchange(&mut self, from: usize, to: usize) {
         let others_in_transit = std::mem::take(&mut self.in_transit);
         self.send_request(from, to);
@@ -157,6 +161,7 @@
         self.in_transit = others_in_transit;
     }
 
+    /// Runs one exchange between each pair of nodes.
     pub fn round(&mut self) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
@@ -165,6 +170,7 @@
         }
     }
 
+    /// Accepts a new change on a node and tracks it there.
     pub fn change(&mut self, at: usize) -> Option<u32> {
         if self.nodes[at].paused {
             return None;
@@ -179,7 +185,7 @@
         Some(change)
     }
 
-    /// The member takes the next roster, if it may.
+    /// Moves the node to the next voter configuration, if that is allowed.
     pub fn next_voter_config(&mut self, at: usize) {
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Back to both from the next, which is always allowed.
+    /// Moves the node back from the last configuration to the joint one, which is always allowed.
     pub fn back_to_joint_config(&mut self, at: usize) {
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
@@ -215,13 +221,14 @@
         self.nodes[at].backup = self.nodes[at].stored.clone();
     }
 
-    /// At most one at a time loses what it kept: of voters, more is outside of what is promised.
+    /// Restarts a node, unless that would make a second node lose its store: the guarantee covers the loss of
+    /// one voter's store at a time.
     pub fn restart(&mut self, at: usize, store_state: StoreState) {
         let loses_store = store_state != StoreState::Intact;
         if loses_store && self.store_lost.is_some_and(|other| other != at) {
             return;
         }
-        // One that went back and has not caught up is not to be trusted by its next start either.
+        // A store that was lost and has not caught up must not count as intact at the next start either.
         if !loses_store && self.store_lost == Some(at) {
             return;
         }
@@ -260,15 +267,16 @@
         self.nodes[at].member.progress(sequence, &others, clock)
     }
 
-    /// Whether the member would let in a request for a restricted model.
+    /// Returns whether the node would admit a request for a restricted model.
     pub fn admits(&self, at: usize) -> bool {
         !self.nodes[at].paused && admits_restricted(self.nodes[at].member.lease(), self.clock(at))
     }
 
-    /// Looks what is fleet-wide by now, then for a member that lets in against it.
+    /// Records the changes that are fleet-wide now, then returns an error if any process admits requests
+    /// without one of them.
     pub fn check(&mut self) -> Result<(), String> {
         if let Some(at) = self.store_lost {
-            // It has caught up once it lends again: then its answers are full, and trusted.
+            // A node that has caught up grants leases again, and its responses are complete.
             if self.nodes[at].member.caught_up() {
                 self.store_lost = None;
             }
@@ -290,7 +298,7 @@
             if let Some(change) = self.fleet_wide.difference(&self.nodes[at].stored).next() {
                 if self.admits(at) {
                     return Err(format!(
-                        "at {} member {at} admits against {change}, which is fleet-wide",
+                        "at {} ms node {at} admits requests without change {change}, which is fleet-wide",
                         self.now
                     ));
                 }
@@ -299,7 +307,7 @@
         for (at, lease, stored) in &self.replaced_processes {
             if admits_restricted(*lease, self.clock(*at)) && !self.fleet_wide.is_subset(stored) {
                 return Err(format!(
-                    "at {} an earlier process of {at} admits against what is fleet-wide",
+                    "at {} ms a replaced process of node {at} admits requests without a fleet-wide change",
                     self.now
                 ));
             }
--- a/crates/grants/tests/support/large.rs
+++ b/crates/grants/tests/support/large.rs
@@ -1,4 +1,4 @@
-//! The size that is promised for: 10,000 teams, 1,000 models.
+//! A document of the largest supported size: 10,000 teams and 1,000 models.
 
 use glenrail_grants::document::{Document, Effect, Group, Model, Rule, StreamPolicy, Team};
 
@@ -13,8 +13,9 @@
     format!("model-{n:04}")
 }
 
-/// Teams in 100 divisions under ten houses; models in 50 groups under five families; 300 rules for several
-/// teams, a third of them timed, and three for each team alone, so that no two rows are alike.
+/// Teams are in 100 divisions under ten houses, models in 50 groups under five families. There are 300 rules
+/// for several teams, a third of them with a time window, and three rules for each team alone, so that no two
+/// rows are equal.
 pub fn document() -> Document {
     let mut document = Document::default();
     for n in 0..5 {
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small worlds for property tests: few names, so that rules meet.
+//! Strategies for property tests. They use few names, so that several rules apply to the same call.
 
 #![allow(dead_code)]
 
@@ -11,14 +11,14 @@
 
 pub const TEAMS: [&str; 5] = ["a", "ab", "b", "ba", "c"];
 pub const MODELS: [&str; 4] = ["m", "mn", "n", "no"];
-/// All that a request may name for a model, one that is never there included.
+/// All names that a request may use for a model, including one that never exists.
 pub const REQUESTED_MODELS: [&str; 8] = ["m", "mn", "n", "no", "x", "y", "g", "none"];
 
 fn names(of: &'static [&'static str], max: usize) -> impl Strategy<Value = Vec<String>> {
     vec(select(of).prop_map(str::to_owned), 0..=max)
 }
 
-/// The name is of the effect, so that none stands for both.
+/// The first letter of a rule's name shows its effect, so that no name is used for both effects.
 pub fn rule(teams: impl Strategy<Value = Vec<String>>) -> impl Strategy<Value = Rule> {
     let models = names(&["m", "mn", "n", "no", "x", "y", "g", "h", "m*", "*n", "*"], 2);
     let time = || option::weighted(0.3, 0..10u64);
@@ -44,7 +44,7 @@
     vec(rule(names(&["a", "b", "c", "a*", "*b", "*"], 2)), 0..4).prop_map(unique_names)
 }
 
-/// One rule a name, as in every document.
+/// Keeps one rule for each name, as validation requires of every document.
 fn unique_names(mut rules: Vec<Rule>) -> Vec<Rule> {
     rules.sort_by(|one, other| one.name.cmp(&other.name));
     rules.dedup_by(|one, other| one.name == other.name);
@@ -65,7 +65,8 @@
     })
 }
 
-/// Parts with up to two siblings each, and all that merging may bring about: circles, parents not there.
+/// Sections with up to `siblings` siblings each, and with the problems that merging can cause: cycles and
+/// missing parents.
 pub fn sections(siblings: usize) -> impl Strategy<Value = Sections> {
     let team = |name| vec(option::weighted(0.9, team_section(name)), 1..=siblings);
     let teams = (team("a"), team("ab"), team("b"), team("ba"), option::of(team("c")));
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -1,4 +1,5 @@
-//! Merging loses nothing, whatever the order; what is restored does not win; conflicts allow less.
+//! Replicas of the document: a merge loses no change in any order, a restored store does not override newer
+//! changes, and conflicts allow only what all siblings allow.
 
 mod support;
 
@@ -37,7 +38,7 @@
     SectionKey::Team(name.to_owned())
 }
 
-/// The first takes the document, and tells all.
+/// Creates replicas that all have the document; the first one proposed it.
 fn replicas(members: u64) -> Vec<Replica> {
     let mut all: Vec<Replica> = (0..members).map(|member| replica(member, 1)).collect();
     let document = Document::from_toml(DOCUMENT).unwrap();
@@ -50,7 +51,7 @@
     all
 }
 
-/// By way of bytes, one key or all. What it replaced.
+/// Sends one section or all of them as encoded entries. Returns the dots that the receiver replaced.
 fn send(all: &mut [Replica], from: usize, to: usize, only: Option<&SectionKey>) -> Vec<Dot> {
     let mut replaced = Vec::new();
     let entries: Vec<_> =
@@ -71,6 +72,7 @@
     Ok(proposal.dots()[0])
 }
 
+/// Returns a section for team `a` that allows one model or pattern.
 fn allow_only(model: &str) -> TeamSection {
     let text = format!(r#"{{"rules": [{{"name": "own", "effect": "allow", "models": ["{model}"]}}]}}"#);
     TeamSection::from_json("a", &text).unwrap()
@@ -91,7 +93,7 @@
     Backup {
         at: usize,
     },
-    /// The store of an earlier time is put back, under a new life.
+    /// The store is restored from the last backup, under a new incarnation.
     RestoreBackup {
         at: usize,
     },
@@ -116,7 +118,7 @@
     ]
 }
 
-/// Of each change, by its part, the dots that it replaced.
+/// The dots that each change replaced, by the change's section and dot.
 type Changes = BTreeMap<(SectionKey, Dot), Vec<Dot>>;
 
 fn run_steps(steps: Vec<Step>) -> (Vec<Replica>, Changes) {
@@ -147,7 +149,8 @@
                         backups[at].sections().map(|(key, section)| (key.clone(), section.clone())).collect()
                     }
                 };
-                // What only it knew is lost with its store; so it tells one other first.
+                // Changes that only this replica has would be lost with its store, so it sends them to
+                // another one first.
                 send(&mut all, at, (at + 1) % 3, None);
                 all[at] = Replica::restore(origin, sections).unwrap();
             }
@@ -163,7 +166,8 @@
     fn merge_is_commutative_associative_and_idempotent(steps in vec(step(), 0..30)) {
         let (all, _) = run_steps(steps);
         for name in ["a", "b"] {
-            let sections: Vec<_> = all.iter().map(|copy| copy.section(&team(name)).cloned().unwrap_or_default()).collect();
+            let sections: Vec<_> =
+                all.iter().map(|copy| copy.section(&team(name)).cloned().unwrap_or_default()).collect();
             let [a, b, c] = &sections[..] else { unreachable!() };
             prop_assert_eq!(a.merge(b), b.merge(a));
             prop_assert_eq!(a.merge(b).merge(c), a.merge(&b.merge(c)));
@@ -184,7 +188,7 @@
         prop_assert_eq!(all[0].version_of_all(), all[1].version_of_all());
         prop_assert_eq!(all[0].contents(), all[1].contents());
         prop_assert_eq!(all[0].contents(), all[2].contents());
-        // A change stands, unless one was made by an admin who saw it. And nothing else stands.
+        // A change is a sibling unless another change replaced it, and there are no other siblings.
         for name in ["a", "b"] {
             let key = team(name);
             let replaced_dots: BTreeSet<Dot> =
@@ -228,11 +232,11 @@
         let dots: Vec<Dot> = siblings.iter().map(|sibling| sibling.dot).collect();
         assert_eq!(dots, [one.clone().unwrap(), other.clone().unwrap()]);
     }
-    // An admin who saw only one side is told, with the present version.
+    // A change based on a version from before the conflict is rejected; the error has the current version.
     let (outdated, current) = (replicas(1)[0].version(&team("a")), all[2].version(&team("a")));
     let rejected = all[2].propose("a", outdated, Some(allow_only("n"))).unwrap_err();
     assert_eq!(rejected, ReplicaError::VersionMismatch { key: Some(team("a")), expected: outdated, current });
-    // One who saw both settles it, everywhere.
+    // A change based on both siblings resolves the conflict on every replica that receives it.
     change(&mut all[2], "a", Some(allow_only("n"))).unwrap();
     assert_eq!(send(&mut all, 2, 0, None), dots_of(&[one, other]));
     assert_eq!(all[0].conflicts().count(), 0);
@@ -277,16 +281,22 @@
     let before = all[0].version_of_all();
     let text = "{\"rules\": [\n {\"name\": \"own\", \"effect\": \"deny\",\n  \"models\": [\"m\", \"zz\"]}]}";
     let section = TeamSection::from_json("b", text).unwrap();
-    let Err(ReplicaError::Document(error)) = change(&mut all[0], "b", Some(section)) else { panic!("taken") };
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "b", Some(section)) else {
+        panic!("the change was accepted")
+    };
     assert_eq!(
         error.with_position(text).to_string(),
         "line 3, column 19: rules[0].models[1]: there is no model, alias or group `zz`"
     );
-    // Its parent cannot go either, nor be under it.
-    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", None) else { panic!("taken") };
+    // A team that is a parent cannot be removed, and cannot become a child of its own child.
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", None) else {
+        panic!("the change was accepted")
+    };
     assert!(matches!(error.fault, Fault::UnknownName { .. }), "{error}");
     let cycle = TeamSection { parents: vec!["b".to_owned()], rules: Vec::new() };
-    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", Some(cycle)) else { panic!("taken") };
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", Some(cycle)) else {
+        panic!("the change was accepted")
+    };
     assert!(matches!(error.fault, Fault::Cycle { .. }), "{error}");
     assert_eq!(all[0].version_of_all(), before);
 }
