--- a/crates/grants/src/compiled/mod.rs
+++ b/crates/grants/src/compiled/mod.rs
@@ -11,8 +11,8 @@
 //! 1. An unknown team or model is refused ([`DecisionReason::UnknownTeam`],
 //!    [`DecisionReason::UnknownModel`]).
 //! 2. A team is refused everything if a parent is missing, in a cycle, or too many generations up
-//!    ([`DecisionReason::UnresolvedParents`]), because the rules that it would inherit to deny calls are not
-//!    known. Only merged changes can cause this; a validated document cannot.
+//!    ([`DecisionReason::UnresolvedParents`]), because the denials that it would inherit are not known. Only
+//!    merged changes can cause this; a validated document cannot.
 //! 3. A rule that denies the call refuses it. The rule may belong to the team, to any generation above it, or
 //!    to the rules for several teams.
 //! 4. A rule that allows the call, found in the same places, allows it.
