--- a/crates/grants/benches/check.rs
+++ b/crates/grants/benches/check.rs
@@ -1,4 +1,5 @@
-//! A check at 10,000 teams and 1,000 models beside the plain twin, and what building the table takes.
+//! Time of a check with 10,000 teams and 1,000 models, compared with the reference implementation, and time
+//! to compile the table.
 //!
 //!     cargo bench -p glenrail-grants --bench check
 
@@ -7,25 +8,26 @@
 
 use divan::{black_box, Bencher};
 use glenrail_grants::compiled::Table;
-use glenrail_grants::parts::Parts;
-use glenrail_grants::twin::Twin;
+use glenrail_grants::reference::ReferenceTable;
+use glenrail_grants::sections::Sections;
 use large::{document, model, team, MODELS, TEAMS};
 
 fn main() {
-    let table = Table::of(&document());
-    let (rows, blocks, verdicts) = table.sizes();
-    println!("{rows} rows, {blocks} blocks of 64 cells, {verdicts} verdicts");
+    let table = Table::from_document(&document());
+    let (rows, blocks, timelines) = table.sizes();
+    println!("{rows} rows, {blocks} blocks of 64 cells, {timelines} timelines");
     divan::main();
 }
 
-/// Spread, so that no check finds the last one's cells at hand.
+/// Returns pairs of a team and a model that are spread out, so that no check finds its cells in the cache
+/// because of the one before.
 fn pairs() -> Vec<(usize, usize)> {
     (0..1 << 16).map(|n: usize| (n * 7_919 % (TEAMS - 110), n * 104_729 / 3 % MODELS)).collect()
 }
 
 #[divan::bench(sample_count = 100, sample_size = 1000)]
 fn by_ids(bencher: Bencher) {
-    let table = Table::of(&document());
+    let table = Table::from_document(&document());
     let ids: Vec<_> = pairs()
         .into_iter()
         .filter_map(|(t, m)| Some((table.team(&team(t))?, table.model(&model(m))?)))
@@ -39,7 +41,7 @@
 
 #[divan::bench(sample_count = 100, sample_size = 1000)]
 fn by_names(bencher: Bencher) {
-    let table = Table::of(&document());
+    let table = Table::from_document(&document());
     let names: Vec<_> = pairs().into_iter().map(|(t, m)| (team(t), model(m))).collect();
     let mut n = 0;
     bencher.bench_local(|| {
@@ -49,18 +51,18 @@
 }
 
 #[divan::bench(sample_count = 50, sample_size = 4)]
-fn plain_twin_by_names(bencher: Bencher) {
-    let twin = Twin::of(&Parts::of(&document()));
+fn reference_by_names(bencher: Bencher) {
+    let reference = ReferenceTable::new(&Sections::from_document(&document()));
     let names: Vec<_> = pairs().into_iter().map(|(t, m)| (team(t), model(m))).collect();
     let mut n = 0;
     bencher.bench_local(|| {
         n = (n + 1) % names.len();
-        black_box(twin.check(&names[n].0, &names[n].1, n as u64))
+        black_box(reference.check(&names[n].0, &names[n].1, n as u64))
     });
 }
 
 #[divan::bench(sample_count = 10, sample_size = 1)]
-fn building(bencher: Bencher) {
+fn compile(bencher: Bencher) {
     let document = document();
-    bencher.bench_local(|| Table::of(&document));
+    bencher.bench_local(|| Table::from_document(&document));
 }
--- a/crates/grants/src/document/error.rs
+++ b/crates/grants/src/document/error.rs
@@ -1,22 +1,23 @@
-//! What can be wrong with a document.
+//! Errors in documents, with their position in the text and advice for operators.
 
 use std::fmt;
 
-use super::place::{in_json, KeyPath, Place};
+use super::position::{locate_in_json, KeyPath, Position};
 
-/// A document that was not taken: where, under which key, and why. Nothing changed.
+/// The reason why a document was rejected, with its position and key. A rejected document changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct DocumentError {
-    /// Where in the text; none where there is no text (a change of one team, entries from another member).
-    pub place: Option<Place>,
+    /// Position in the text; `None` if there is no text (a change of one team, entries from another member).
+    pub position: Option<Position>,
+    /// Empty if the error is not about one key.
     pub key: KeyPath,
     pub fault: Fault,
 }
 
 impl fmt::Display for DocumentError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Some(place) = self.place {
-            write!(out, "{place}: ")?;
+        if let Some(position) = self.position {
+            write!(out, "{position}: ")?;
         }
         if !self.key.0.is_empty() {
             write!(out, "{}: ", self.key)?;
@@ -26,21 +27,21 @@
 }
 
 impl DocumentError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         self.fault.advice()
     }
 
-    /// The same with its place in the JSON text that it is about, for one that came without.
-    pub fn placed(self, text: &str) -> DocumentError {
-        let place = self.place.or_else(|| in_json(text, &self.key));
-        DocumentError { place, ..self }
+    /// Adds the position in the JSON text that the error is about, if the error has no position yet.
+    pub fn with_position(self, text: &str) -> DocumentError {
+        let position = self.position.or_else(|| locate_in_json(text, &self.key));
+        DocumentError { position, ..self }
     }
 }
 
-/// What a name is a name of.
+/// The kind of object that a name refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum NameKind {
     Team,
     /// A model, an alias or a group.
     Model,
@@ -48,58 +49,63 @@
     Rule,
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for NameKind {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Kind::Team => "team",
-            Kind::Model => "model, alias or group",
-            Kind::Group => "group",
-            Kind::Rule => "rule",
+            NameKind::Team => "team",
+            NameKind::Model => "model, alias or group",
+            NameKind::Group => "group",
+            NameKind::Rule => "rule",
         })
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// Not the form, or a key or value that the form does not have.
+    /// The text is not valid TOML or JSON, has an unknown key or a value of the wrong type, or cannot be
+    /// written.
     #[error("{message}")]
-    Form { message: String },
+    Malformed { message: String },
     #[error("there is no {kind} `{name}`")]
-    Unknown { kind: Kind, name: String },
+    UnknownName { kind: NameKind, name: String },
     #[error("there are two of {kind} `{name}`")]
-    Twice { kind: Kind, name: String },
+    DuplicateName { kind: NameKind, name: String },
     #[error("{kind} `{}` is its own parent by way of {}", .names[0], .names[1..].join(", "))]
-    Circle { kind: Kind, names: Vec<String> },
+    Cycle { kind: NameKind, names: Vec<String> },
     #[error("team `{name}` has more than {limit} generations above it")]
-    Deep { name: String, limit: usize },
+    TooManyGenerations { name: String, limit: usize },
     #[error("`{name}` cannot be a name: 1 to {limit} bytes, no `*`, no control characters")]
-    Name { name: String, limit: usize },
+    InvalidName { name: String, limit: usize },
     #[error("the rule names nothing here, so it could never hold")]
-    Nothing,
+    EmptyList,
     #[error("the rule ends at {until} ms, not after it begins at {from} ms")]
-    Window { from: u64, until: u64 },
-    #[error("{count} of {what} are more than {limit}")]
-    Many { what: &'static str, count: usize, limit: usize },
+    EmptyWindow { from: u64, until: u64 },
+    #[error("{what}: {count} exceeds the limit of {limit}")]
+    LimitExceeded { what: &'static str, count: usize, limit: usize },
     #[error("rule `{rule}` of team `{team}`'s entry is not for that team alone")]
-    Elsewhere { rule: String, team: String },
+    RuleForOtherTeams { rule: String, team: String },
 }
 
 impl Fault {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            Fault::Form { .. } => "correct the text at this place; docs/one-fleet.md shows the form",
-            Fault::Unknown { .. } => "correct the spelling, or add what is named to the document first",
-            Fault::Twice { .. } => {
-                "rename or remove one; models, aliases and groups share one space of names"
+            Fault::Malformed { .. } => {
+                "correct the text at this position; docs/one-fleet.md describes the format"
             }
-            Fault::Circle { .. } => "take one of the named parents away",
-            Fault::Deep { .. } => "give the team a parent nearer to the top",
-            Fault::Name { .. } => "choose another name",
-            Fault::Nothing => "name at least one, or `*` for all",
-            Fault::Window { .. } => "set `until` after `from`; both are Unix time in ms",
-            Fault::Many { .. } => "split the document, or use groups and patterns in place of lists",
-            Fault::Elsewhere { .. } => {
+            Fault::UnknownName { .. } => {
+                "correct the spelling, or add the missing name to the document first"
+            }
+            Fault::DuplicateName { .. } => {
+                "rename or remove one; models, aliases and groups share one namespace"
+            }
+            Fault::Cycle { .. } => "remove one of the named parents",
+            Fault::TooManyGenerations { .. } => "choose a parent with fewer generations above it",
+            Fault::InvalidName { .. } => "choose another name",
+            Fault::EmptyList => "name at least one, or `*` for all",
+            Fault::EmptyWindow { .. } => "set `until` after `from`; both are Unix time in ms",
+            Fault::LimitExceeded { .. } => "split the document, or use groups and patterns in place of lists",
+            Fault::RuleForOtherTeams { .. } => {
                 "put rules for several teams into the document, not into one team's entry"
             }
         }
--- a/crates/grants/src/revocation/peer.rs
+++ b/crates/grants/src/revocation/peer.rs
@@ -1,75 +1,82 @@
-//! What a member remembers of another one.
+//! The state that a member keeps about another member.
 
 use std::collections::BTreeMap;
 
-use super::talk::{Lessees, Mark};
+use super::messages::{JournalPosition, Lessees};
 
-/// Questions to one member that wait for an answer; the oldest are given up.
-const MOST_ASKS: usize = 16;
+/// Maximum number of requests to one member that await a response. The oldest ones are dropped.
+const MAX_PENDING_REQUESTS: usize = 16;
 
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// The latest life heard of.
-    pub life: u64,
-    /// How far its journal in that life is taken.
-    pub knows: u64,
-    /// Its latest question in that life.
-    pub heard: u64,
-    number: u64,
-    asks: BTreeMap<u64, u64>,
-    /// When the question was sent whose answer counts longest.
-    pub known_since: Option<u64>,
-    /// Until when on this member's clock each of its lives may know by this member's word.
-    pub lent: BTreeMap<u64, u64>,
-    /// How much of this member's journal it enforces.
-    pub confirmed: u64,
-    /// Whether it said so with the same roster.
-    pub same_roster: bool,
+    /// The latest known incarnation of the peer.
+    pub incarnation: u64,
+    /// The sequence number in the journal of that incarnation up to which this member has all changes.
+    pub received_up_to: u64,
+    /// Number of the latest request received from that incarnation.
+    pub last_request: u64,
+    /// Number of requests sent to the peer.
+    sent_requests: u64,
+    /// The time at which each pending request was sent, by number.
+    pending_requests: BTreeMap<u64, u64>,
+    /// The time at which this member sent the request behind its latest lease from the peer.
+    pub lease_start: Option<u64>,
+    /// The time, on this member's clock, until which each incarnation of the peer may use a lease from this
+    /// member.
+    pub granted_leases: BTreeMap<u64, u64>,
+    /// The sequence number in this member's journal up to which the peer enforces all changes.
+    pub confirmed_up_to: u64,
+    /// Whether the peer's latest request had the same voter configuration.
+    pub same_voter_config: bool,
+    /// The lessees in the peer's latest request; `None` before the first one.
     pub lessees: Option<Lessees>,
-    /// Whether it needs this member's.
-    pub follows: bool,
+    /// Whether the peer needs this member's lessees.
+    pub wants_lessees: bool,
 }
 
 impl Peer {
-    /// Whether the life is its present one. A later one is taken up: what the earlier one had may be lost.
-    pub fn lives(&mut self, life: u64) -> bool {
-        if life > self.life {
-            self.begin(life);
+    /// Returns whether this is the peer's current incarnation. A later one becomes the current one and resets
+    /// the state, because the data of the earlier one may be lost.
+    pub fn accept_incarnation(&mut self, incarnation: u64) -> bool {
+        if incarnation > self.incarnation {
+            self.reset(incarnation);
         }
-        life == self.life
+        incarnation == self.incarnation
     }
 
-    /// Forgets what it had. What was lent on either side ends by itself: an earlier life may still run, as during
-    /// a hand-over, and a question to it may be answered by the next.
-    pub fn begin(&mut self, life: u64) {
+    /// Resets the state for a new incarnation. Leases in both directions are kept until they expire: an
+    /// earlier incarnation may still run, as during a handover, and its successor may answer requests that
+    /// were sent to it.
+    pub fn reset(&mut self, incarnation: u64) {
         *self = Peer {
-            life,
-            lent: std::mem::take(&mut self.lent),
-            known_since: self.known_since,
-            number: self.number,
-            asks: std::mem::take(&mut self.asks),
+            incarnation,
+            granted_leases: std::mem::take(&mut self.granted_leases),
+            lease_start: self.lease_start,
+            sent_requests: self.sent_requests,
+            pending_requests: std::mem::take(&mut self.pending_requests),
             ..Peer::default()
         };
     }
 
-    /// Its present life may know by this member's word until then.
-    pub fn lend(&mut self, now: u64, until: u64) {
-        self.lent.retain(|_, end| *end > now);
-        let end = self.lent.entry(self.life).or_default();
+    /// Records a lease of the peer's current incarnation that may be valid until `until`.
+    pub fn grant_lease(&mut self, now: u64, until: u64) {
+        self.granted_leases.retain(|_, end| *end > now);
+        let end = self.granted_leases.entry(self.incarnation).or_default();
         *end = until.max(*end);
     }
 
-    pub fn ask(&mut self, now: u64) -> (u64, Mark) {
-        self.number += 1;
-        self.asks.insert(self.number, now);
-        while self.asks.len() > MOST_ASKS {
-            self.asks.pop_first();
+    /// Records a new request. Returns its number and the position in the peer's journal that it reports.
+    pub fn start_request(&mut self, now: u64) -> (u64, JournalPosition) {
+        self.sent_requests += 1;
+        self.pending_requests.insert(self.sent_requests, now);
+        while self.pending_requests.len() > MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_first();
         }
-        (self.number, Mark { life: self.life, sequence: self.knows })
+        (self.sent_requests, JournalPosition { incarnation: self.incarnation, sequence: self.received_up_to })
     }
 
-    /// When the question was sent, once.
-    pub fn sent(&mut self, number: u64) -> Option<u64> {
-        self.asks.remove(&number)
+    /// Removes a pending request and returns the time at which it was sent; `None` if it is not pending.
+    pub fn finish_request(&mut self, number: u64) -> Option<u64> {
+        self.pending_requests.remove(&number)
     }
 }
--- a/crates/grants/src/versions/error.rs
+++ b/crates/grants/src/versions/error.rs
@@ -1,72 +1,81 @@
-//! What can go wrong with versions.
+//! Errors of replicas and their entries, with advice for operators.
 
 use crate::document::DocumentError;
-use crate::parts::PartKey;
+use crate::sections::SectionKey;
 
-use super::clock::{Origin, Version};
+use super::version_vector::{Origin, Version};
 
-/// A change that was not taken, or a store that was not. Nothing changed.
+/// The reason why a change was rejected or a store was not restored. The replica is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum LedgerError {
-    /// No key: the document as a whole.
-    #[error("{} is at version {present}, not at {expected}", whole(.key))]
-    Conflict { key: Option<PartKey>, expected: Version, present: Version },
+pub enum ReplicaError {
+    /// The change is based on an outdated version. `key` is `None` if the change was to the document as a
+    /// whole.
+    #[error("{} is at version {current}, not at {expected}", subject(.key))]
+    VersionMismatch { key: Option<SectionKey>, expected: Version, current: Version },
     #[error(transparent)]
     Document(#[from] DocumentError),
-    #[error("the content is not of the form of {key}")]
-    Form { key: PartKey },
-    #[error("{key} would take {bytes} bytes, more than {most}")]
-    Large { key: PartKey, bytes: usize, most: usize },
+    #[error("the content does not have the form of {key}")]
+    WrongSection { key: SectionKey },
+    #[error("{key} would take {bytes} bytes, more than {max}")]
+    TooLarge { key: SectionKey, bytes: usize, max: usize },
     #[error("there is no {key}")]
-    Missing { key: PartKey },
-    #[error("life {} of member {:016x} has made changes before this start", .origin.life, .origin.member)]
-    LifeUsed { origin: Origin },
+    Missing { key: SectionKey },
+    #[error("incarnation {} of member {:016x} was already used for changes before this start", .origin.incarnation, .origin.member)]
+    IncarnationUsed { origin: Origin },
     #[error(transparent)]
-    Bytes(#[from] ByteError),
+    Entry(#[from] EntryError),
 }
 
-fn whole(key: &Option<PartKey>) -> String {
-    key.as_ref().map_or_else(|| "the document".to_owned(), PartKey::to_string)
+fn subject(key: &Option<SectionKey>) -> String {
+    key.as_ref().map_or_else(|| "the document".to_owned(), SectionKey::to_string)
 }
 
-impl LedgerError {
-    /// What an operator can do about it.
+impl ReplicaError {
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            LedgerError::Conflict { .. } => "read the present version, apply the change to it, and put that",
-            LedgerError::Document(error) => error.advice(),
-            LedgerError::Form { .. } => "put a team's entry to a team, and a document to the document",
-            LedgerError::Large { .. } => "use groups and patterns in place of lists",
-            LedgerError::Missing { .. } => "correct the spelling; the document lists the teams",
-            LedgerError::LifeUsed { .. } => {
-                "look for a second process under this name and for a clock set back, then start again"
+            ReplicaError::VersionMismatch { .. } => {
+                "read the current version, apply the change to it, and submit that"
             }
-            LedgerError::Bytes(error) => error.advice(),
+            ReplicaError::Document(error) => error.advice(),
+            ReplicaError::WrongSection { .. } => {
+                "submit a team's entry for a team, and a document for the document"
+            }
+            ReplicaError::TooLarge { .. } => "use groups and patterns in place of lists",
+            ReplicaError::Missing { .. } => "correct the spelling; the document lists the teams",
+            ReplicaError::IncarnationUsed { .. } => {
+                "check for a second process with this name and for a clock that was set back, then start again"
+            }
+            ReplicaError::Entry(error) => error.advice(),
         }
     }
 }
 
-/// Bytes, of a store or from another member, that are no entry.
+/// The error for bytes from the store or from another member that are not a valid entry.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ByteError {
-    #[error("an entry of format {format}, and this build reads {ours}")]
-    Format { format: u8, ours: u8 },
-    #[error("{bytes} bytes of an entry are more than {most}")]
-    Large { bytes: usize, most: usize },
-    #[error("the bytes of {key} are no entry")]
-    Damaged { key: PartKey },
-    #[error("bytes that are no key of an entry")]
-    Key,
+pub enum EntryError {
+    #[error("the entry has format {format}; this build reads format {supported}")]
+    UnsupportedFormat { format: u8, supported: u8 },
+    #[error("the entry has {bytes} bytes, more than {max}")]
+    TooLarge { bytes: usize, max: usize },
+    #[error("the bytes of {key} are not a valid entry")]
+    Corrupt { key: SectionKey },
+    #[error("the bytes are not a valid entry key")]
+    InvalidKey,
 }
 
-impl ByteError {
-    /// What an operator can do about it.
+impl EntryError {
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            ByteError::Format { .. } => "bring this member to the build of the others; until then it lacks the entry",
-            ByteError::Large { .. } => "look which member sends it; use groups and patterns in place of lists",
-            ByteError::Damaged { .. } | ByteError::Key => {
-                "from a store: move it away and start empty, the others give it back; from a member: look at its build"
+            EntryError::UnsupportedFormat { .. } => {
+                "upgrade this member to the build of the others; until then it lacks the entry"
+            }
+            EntryError::TooLarge { .. } => {
+                "find the member that sends it; use groups and patterns in place of lists"
+            }
+            EntryError::Corrupt { .. } | EntryError::InvalidKey => {
+                "from the store: move it away and start empty, the other members send the data again; from a member: check its build"
             }
         }
     }
--- a/crates/grants/src/versions/propose.rs
+++ b/crates/grants/src/versions/propose.rs
@@ -1,35 +1,36 @@
-//! Changes by admins, against the version that they saw.
+//! Proposals: changes by administrators, checked against the version that they are based on.
 
 use std::collections::BTreeSet;
 
-use crate::document::check::faults;
-use crate::document::{Document, DocumentError, Fault, Key, KeyPath, Team};
-use crate::parts::{Part, PartKey, Parts, TeamPart};
+use crate::document::check::find_faults;
+use crate::document::{Document, DocumentError, Fault, KeyPath, KeySegment, Team};
+use crate::sections::{Section, SectionKey, Sections, TeamSection};
 
-use super::bytes::Entry;
-use super::cell::Cell;
-use super::clock::{Dot, Version};
-use super::error::LedgerError;
-use super::ledger::{Ledger, Merged};
+use super::entry::Entry;
+use super::error::ReplicaError;
+use super::replica::{MergeOutcome, Replica};
+use super::version_vector::{Dot, Version};
+use super::versioned_section::VersionedSection;
 
-/// Changes that are checked and not taken yet.
+/// Changes that passed the checks and are not applied yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    changes: Vec<(PartKey, Cell, Dot)>,
+    changes: Vec<(SectionKey, VersionedSection, Dot)>,
 }
 
 impl Proposal {
-    /// Nothing would change.
+    /// Returns whether the proposal changes nothing.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// What to keep on disk before it is applied, and to tell the others after.
-    pub fn entries(&self) -> Result<Vec<Entry>, LedgerError> {
-        self.changes.iter().map(|(key, cell, _)| Ok(Entry::of(key, cell)?)).collect()
+    /// Returns the entries to write to disk before the proposal is applied, and to send to other members
+    /// afterwards.
+    pub fn entries(&self) -> Result<Vec<Entry>, ReplicaError> {
+        self.changes.iter().map(|(key, section, _)| Ok(Entry::encode(key, section)?)).collect()
     }
 
-    pub fn keys(&self) -> impl Iterator<Item = &PartKey> {
+    pub fn keys(&self) -> impl Iterator<Item = &SectionKey> {
         self.changes.iter().map(|change| &change.0)
     }
 
@@ -38,112 +39,125 @@
     }
 }
 
-impl Ledger {
-    /// A change of one team against the version that the admin saw. Made against a conflict, it settles it.
-    /// No part: the team is taken away. What it names has to be there; faults that stood before, as
-    /// merging may leave them, do not hinder it.
+impl Replica {
+    /// Proposes a change of one team, based on the version that the administrator saw. It resolves a conflict
+    /// if it is based on one. `None` removes the team. All names in it must exist. Faults that the document
+    /// already has, as merges can leave them, do not prevent the change.
     pub fn propose(
-        &mut self, team: &str, expected: Version, part: Option<TeamPart>,
-    ) -> Result<Proposal, LedgerError> {
-        let key = PartKey::Team(team.to_owned());
-        self.expect(Some(&key), expected, self.version(&key))?;
-        let before = self.parts();
-        if part.is_none() && !before.teams.contains_key(team) {
-            return Err(LedgerError::Missing { key });
+        &mut self, team: &str, expected: Version, section: Option<TeamSection>,
+    ) -> Result<Proposal, ReplicaError> {
+        let key = SectionKey::Team(team.to_owned());
+        self.check_version(Some(&key), expected, self.version(&key))?;
+        let before = self.contents();
+        if section.is_none() && !before.teams.contains_key(team) {
+            return Err(ReplicaError::Missing { key });
         }
-        if let Some(rule) = part.iter().flat_map(|part| &part.rules).find(|rule| rule.teams != [team]) {
-            let fault = Fault::Elsewhere { rule: rule.name.clone(), team: team.to_owned() };
-            return Err(DocumentError { place: None, key: KeyPath::default(), fault }.into());
+        if let Some(rule) =
+            section.iter().flat_map(|section| &section.rules).find(|rule| rule.teams != [team])
+        {
+            let fault = Fault::RuleForOtherTeams { rule: rule.name.clone(), team: team.to_owned() };
+            return Err(DocumentError { position: None, key: KeyPath::default(), fault }.into());
         }
         let mut after = before.clone();
-        match &part {
-            Some(part) => after.teams.insert(team.to_owned(), vec![Some(part.clone())]),
+        match &section {
+            Some(section) => after.teams.insert(team.to_owned(), vec![Some(section.clone())]),
             None => after.teams.remove(team),
         };
-        no_new_fault(&before, &after, team)?;
-        let change = self.change(key, part.map(Part::Team))?;
+        check_for_new_faults(&before, &after, team)?;
+        let change = self.prepare_change(key, section.map(Section::Team))?;
         Ok(Proposal { changes: vec![change] })
     }
 
-    /// A whole document against the version of all that the admin saw. Only parts that it changes are changed, and
-    /// those in conflict, which it settles.
+    /// Proposes a whole document, based on the version of all sections that the administrator saw. Changes
+    /// only the sections whose content differs, and those in conflict, which it resolves.
     pub fn propose_document(
         &mut self, expected: Version, document: &Document,
-    ) -> Result<Proposal, LedgerError> {
-        self.expect(None, expected, self.version_of_all())?;
-        if let Some((key, fault)) = faults(document).into_iter().next() {
-            return Err(DocumentError { place: None, key, fault }.into());
+    ) -> Result<Proposal, ReplicaError> {
+        self.check_version(None, expected, self.version_of_all())?;
+        if let Some((key, fault)) = find_faults(document).into_iter().next() {
+            return Err(DocumentError { position: None, key, fault }.into());
         }
-        let mut wanted = Parts::split(document);
-        let keys: BTreeSet<PartKey> = self.cells.keys().chain(wanted.keys()).cloned().collect();
+        let mut wanted = Sections::by_key(document);
+        let keys: BTreeSet<SectionKey> = self.sections.keys().chain(wanted.keys()).cloned().collect();
         let mut changes = Vec::new();
         for key in keys {
-            let part = wanted.remove(&key);
-            let same = match self.cells.get(&key) {
-                Some(cell) => cell.contents() == BTreeSet::from([&part]),
+            let section = wanted.remove(&key);
+            let unchanged = match self.sections.get(&key) {
+                Some(versioned) => versioned.contents() == BTreeSet::from([&section]),
                 None => false,
             };
-            if !same {
-                changes.push(self.change(key, part)?);
+            if !unchanged {
+                changes.push(self.prepare_change(key, section)?);
             }
         }
         Ok(Proposal { changes })
     }
 
-    /// What all parts would be with the proposal taken, to try it.
-    pub fn with(&self, proposal: &Proposal) -> Parts {
-        let mut tried = self.clone();
-        tried.apply(proposal);
-        tried.parts()
+    /// Returns the contents of all sections as they would be with the proposal applied, for a dry run.
+    pub fn preview(&self, proposal: &Proposal) -> Sections {
+        let mut copy = self.clone();
+        copy.apply(proposal);
+        copy.contents()
     }
 
-    /// Takes a proposal, once it is kept. Should another change have come between, both stand, in conflict.
-    pub fn apply(&mut self, proposal: &Proposal) -> Vec<(PartKey, Merged)> {
+    /// Applies a proposal after it is written to disk. If another change was applied in between, both remain,
+    /// in conflict.
+    pub fn apply(&mut self, proposal: &Proposal) -> Vec<(SectionKey, MergeOutcome)> {
         let changes = proposal.changes.iter();
-        changes.map(|(key, cell, _)| (key.clone(), self.merge(key, cell))).collect()
+        changes.map(|(key, section, _)| (key.clone(), self.merge(key, section))).collect()
     }
 
-    fn expect(&self, key: Option<&PartKey>, expected: Version, present: Version) -> Result<(), LedgerError> {
-        match expected == present {
+    fn check_version(
+        &self, key: Option<&SectionKey>, expected: Version, current: Version,
+    ) -> Result<(), ReplicaError> {
+        match expected == current {
             true => Ok(()),
-            false => Err(LedgerError::Conflict { key: key.cloned(), expected, present }),
+            false => Err(ReplicaError::VersionMismatch { key: key.cloned(), expected, current }),
         }
     }
 
-    fn change(&mut self, key: PartKey, part: Option<Part>) -> Result<(PartKey, Cell, Dot), LedgerError> {
-        if part.as_ref().is_some_and(|part| !part.fits(&key)) {
-            return Err(LedgerError::Form { key });
+    fn prepare_change(
+        &mut self, key: SectionKey, section: Option<Section>,
+    ) -> Result<(SectionKey, VersionedSection, Dot), ReplicaError> {
+        if section.as_ref().is_some_and(|section| !section.matches_key(&key)) {
+            return Err(ReplicaError::WrongSection { key });
         }
         let dot = Dot { origin: self.origin, count: self.count.saturating_add(1) };
-        let cell = self.cells.get(&key).cloned().unwrap_or_default().changed(dot, part);
-        Entry::of(&key, &cell)?;
-        // Used up even if the proposal is never applied: a store may hold it all the same.
+        let versioned = self.sections.get(&key).cloned().unwrap_or_default().with_change(dot, section);
+        Entry::encode(&key, &versioned)?;
+        // The number is used up even if the proposal is never applied, because the store may already contain
+        // it.
         self.count = dot.count;
-        Ok((key, cell, dot))
+        Ok((key, versioned, dot))
     }
 }
 
-/// The first fault that the change would bring, under its key in the team's entry.
-fn no_new_fault(before: &Parts, after: &Parts, team: &str) -> Result<(), DocumentError> {
-    let (old, new) = (before.document(), after.document());
-    let known: Vec<Fault> = faults(&old).into_iter().map(|(_, fault)| fault).collect();
-    match faults(&new).into_iter().find(|(_, fault)| !known.contains(fault)) {
+/// Returns the first fault that the change would add, with its key relative to the team's entry.
+fn check_for_new_faults(before: &Sections, after: &Sections, team: &str) -> Result<(), DocumentError> {
+    let (old, new) = (before.to_document(), after.to_document());
+    let existing: Vec<Fault> = find_faults(&old).into_iter().map(|(_, fault)| fault).collect();
+    match find_faults(&new).into_iter().find(|(_, fault)| !existing.contains(fault)) {
         None => Ok(()),
-        Some((key, fault)) => Err(DocumentError { place: None, key: within(key, &new, team), fault }),
+        Some((key, fault)) => {
+            Err(DocumentError { position: None, key: relative_key(key, &new, team), fault })
+        }
     }
 }
 
-/// The key as a reader of the one entry knows it: `team[7].parents` is `parents`, `rule[30]` is `rules[0]`.
-fn within(key: KeyPath, document: &Document, team: &str) -> KeyPath {
-    let own = |at: &usize| document.rules.get(*at).is_some_and(|rule| rule.teams == [team]);
+/// Converts a key of the document to the key in the team's entry: `team[7].parents` becomes `parents`, and
+/// `rule[30]` becomes `rules[0]` if it is the team's first rule. Other keys stay unchanged.
+fn relative_key(key: KeyPath, document: &Document, team: &str) -> KeyPath {
+    let is_own_rule = |at: &usize| document.rules.get(*at).is_some_and(|rule| rule.teams == [team]);
     match key.0.as_slice() {
-        [Key::Named(list), Key::Index(at), rest @ ..] if list == "team" => match document.teams.get(*at) {
-            Some(Team { name, .. }) if name == team => KeyPath(rest.to_vec()),
-            _ => key,
-        },
-        [Key::Named(list), Key::Index(at), rest @ ..] if list == "rule" && own(at) => {
+        [KeySegment::Field(list), KeySegment::Index(at), rest @ ..] if list == "team" => {
+            match document.teams.get(*at) {
+                Some(Team { name, .. }) if name == team => KeyPath(rest.to_vec()),
+                _ => key,
+            }
+        }
+        [KeySegment::Field(list), KeySegment::Index(at), rest @ ..] if list == "rule" && is_own_rule(at) => {
             let first = document.rules.iter().position(|rule| rule.teams == [team]).unwrap_or(*at);
-            let mut path = vec![Key::Named("rules".to_owned()), Key::Index(at - first)];
+            let mut path = vec![KeySegment::Field("rules".to_owned()), KeySegment::Index(at - first)];
             path.extend_from_slice(rest);
             KeyPath(path)
         }
--- a/crates/grants/tests/agree.rs
+++ b/crates/grants/tests/agree.rs
@@ -1,27 +1,28 @@
-//! The compiled table and its plain twin say the same of everything.
+//! Property tests: the compiled table and the reference implementation make the same decisions.
 
 mod support;
 
-use glenrail_grants::compiled::{RuleId, Table};
-use glenrail_grants::parts::Parts;
-use glenrail_grants::twin::Twin;
+use glenrail_grants::compiled::{DecisionReason, Table};
+use glenrail_grants::reference::ReferenceTable;
+use glenrail_grants::sections::Sections;
 use proptest::prelude::*;
-use support::{parts, ASKED, TEAMS};
+use support::{sections, REQUESTED_MODELS, TEAMS};
 
-fn agree(parts: &Parts) -> Result<(), TestCaseError> {
-    let (table, twin) = (Table::compile(parts), Twin::of(parts));
+fn check_agreement(sections: &Sections) -> Result<(), TestCaseError> {
+    let (table, reference) = (Table::compile(sections), ReferenceTable::new(sections));
     for now in 0..12 {
         for team in TEAMS {
-            for model in ASKED {
-                let (fast, plain) = (table.check_names(team, model, now), twin.check(team, model, now));
-                let what = || format!("{team} {model} at {now}: {fast:?} {plain:?}");
-                prop_assert_eq!(fast.allowed, plain.allowed, "{}", what());
-                if !(fast.allowed && plain.unsettled) {
-                    prop_assert_eq!(fast.rule, plain.rule, "{}", what());
+            for model in REQUESTED_MODELS {
+                let (compiled, expected) =
+                    (table.check_names(team, model, now), reference.check(team, model, now));
+                let context = || format!("{team} {model} at {now}: {compiled:?} {expected:?}");
+                prop_assert_eq!(compiled.allowed, expected.allowed, "{}", context());
+                if !(compiled.allowed && expected.in_conflict) {
+                    prop_assert_eq!(compiled.reason, expected.reason, "{}", context());
                 }
-                // By ids it is the same as by names.
+                // A check by ids has the same result as a check by names.
                 if let (Some(team), Some(model)) = (table.team(team), table.model(model)) {
-                    prop_assert_eq!(table.check(team, model, now), fast);
+                    prop_assert_eq!(table.check(team, model, now), compiled);
                 }
             }
         }
@@ -33,69 +34,75 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn both_say_the_same_without_conflicts(parts in parts(1)) {
-        agree(&parts)?;
+    fn compiled_table_matches_reference_without_conflicts(sections in sections(1)) {
+        check_agreement(&sections)?;
     }
 
     #[test]
-    fn both_say_the_same_with_conflicts(parts in parts(3)) {
-        agree(&parts)?;
+    fn compiled_table_matches_reference_with_conflicts(sections in sections(3)) {
+        check_agreement(&sections)?;
     }
 
     #[test]
-    fn nothing_changes_before_the_next_change(parts in parts(2)) {
-        let table = Table::compile(&parts);
+    fn decisions_are_constant_until_the_next_change(sections in sections(2)) {
+        let table = Table::compile(&sections);
         for now in 0..12 {
             let next = table.next_change(now).unwrap_or(12);
             prop_assert!(next > now);
-            let mut same = true;
+            let mut unchanged = true;
             for (_, team) in table.teams() {
                 for (_, model) in table.models() {
                     let first = table.check(team, model, now);
-                    same &= table.check(team, model, next) == first;
+                    unchanged &= table.check(team, model, next) == first;
                     for time in now..next {
                         prop_assert_eq!(table.check(team, model, time), first);
                     }
                 }
             }
-            prop_assert!(!same || table.next_change(now).is_none(), "nothing changes at {}", next);
+            prop_assert!(!unchanged || table.next_change(now).is_none(), "no decision changes at {}", next);
         }
     }
 
     #[test]
-    fn what_any_sibling_refuses_is_refused(parts in parts(2)) {
-        // Each part alone at its sibling: all choices of siblings, the others as they are.
-        let table = Table::compile(&parts);
-        for (team, siblings) in &parts.teams {
-            for one in siblings {
-                let mut alone = parts.clone();
-                alone.teams.insert(team.clone(), vec![one.clone()]);
-                no_more(&table, &Table::compile(&alone))?;
+    fn a_call_that_any_sibling_refuses_is_refused(sections in sections(2)) {
+        // Reduces one section at a time to each of its siblings and leaves the other sections unchanged.
+        let table = Table::compile(&sections);
+        for (team, siblings) in &sections.teams {
+            for sibling in siblings {
+                let mut reduced = sections.clone();
+                reduced.teams.insert(team.clone(), vec![sibling.clone()]);
+                check_allows_no_more(&table, &Table::compile(&reduced))?;
             }
         }
-        for one in &parts.shared {
-            no_more(&table, &Table::compile(&Parts { shared: vec![one.clone()], ..parts.clone() }))?;
+        for sibling in &sections.shared {
+            check_allows_no_more(
+                &table,
+                &Table::compile(&Sections { shared: vec![sibling.clone()], ..sections.clone() }),
+            )?;
         }
-        for one in &parts.catalogue {
-            no_more(&table, &Table::compile(&Parts { catalogue: vec![one.clone()], ..parts.clone() }))?;
+        for sibling in &sections.catalogue {
+            check_allows_no_more(
+                &table,
+                &Table::compile(&Sections { catalogue: vec![sibling.clone()], ..sections.clone() }),
+            )?;
         }
     }
 }
 
-fn no_more(merged: &Table, alone: &Table) -> Result<(), TestCaseError> {
+fn check_allows_no_more(merged: &Table, reduced: &Table) -> Result<(), TestCaseError> {
     for now in [0, 3, 6, 9] {
         for team in TEAMS {
-            for model in ASKED {
-                let both = merged.check_names(team, model, now);
-                let one = alone.check_names(team, model, now);
+            for model in REQUESTED_MODELS {
+                let with_siblings = merged.check_names(team, model, now);
+                let with_one = reduced.check_names(team, model, now);
                 prop_assert!(
-                    !both.allowed || one.allowed,
+                    !with_siblings.allowed || with_one.allowed,
                     "{} {} {}: {:?} {:?}",
                     team,
                     model,
                     now,
-                    both,
-                    one
+                    with_siblings,
+                    with_one
                 );
             }
         }
@@ -109,9 +116,9 @@
         "[[team]]\nname='t'\n[[model]]\nname='m'\n[[rule]]\nname='r'\neffect='allow'\nteams=['*']\nmodels=['*']",
     )
     .unwrap();
-    let (old, new) = (Table::of(&document), Table::of(&document));
+    let (old, new) = (Table::from_document(&document), Table::from_document(&document));
     let (team, model) = (old.team("t").unwrap(), old.model("m").unwrap());
     assert!(old.check(team, model, 0).allowed);
-    assert_eq!(new.check(team, model, 0).rule, RuleId::OtherTable);
+    assert_eq!(new.check(team, model, 0).reason, DecisionReason::OtherTable);
     assert!(new.restricted(model));
 }
--- a/crates/grants/tests/no_alloc.rs
+++ b/crates/grants/tests/no_alloc.rs
@@ -1,4 +1,4 @@
-//! A check allocates nothing, and answers at full size.
+//! Checks allocate no memory. Measured with a table of the largest supported size.
 
 #[path = "support/large.rs"]
 mod large;
@@ -6,13 +6,13 @@
 use std::alloc::System;
 
 use cap::Cap;
-use glenrail_grants::compiled::{RuleId, Table};
+use glenrail_grants::compiled::{DecisionReason, Table};
 
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 fn main() {
-    let table = Table::of(&large::document());
+    let table = Table::from_document(&large::document());
     assert_eq!(table.teams().count(), large::TEAMS);
     assert_eq!(table.models().count(), large::MODELS);
     let names: Vec<_> = (0..2_000).map(|n| (large::team(n), large::model(n % 1_000))).collect();
@@ -27,9 +27,9 @@
             *(if decision.allowed { &mut allowed } else { &mut refused }) += 1;
         }
     }
-    assert_eq!(table.check_names("nobody", "model-0000", 0).rule, RuleId::UnknownTeam);
+    assert_eq!(table.check_names("nobody", "model-0000", 0).reason, DecisionReason::UnknownTeam);
     assert!(table.next_change(0).is_some());
     let after = ALLOCATOR.total_allocated();
-    assert_eq!(after, before, "allocated");
-    assert!(allowed > 100 && refused > 100, "{allowed} {refused}");
+    assert_eq!(after, before, "the checks allocated memory");
+    assert!(allowed > 100 && refused > 100, "{allowed} allowed, {refused} refused");
 }
--- a/crates/grants/tests/versions.rs
+++ b/crates/grants/tests/versions.rs
@@ -1,4 +1,5 @@
-//! Merging loses nothing, whatever the order; what is restored does not win; conflicts allow less.
+//! Replicas of the document: a merge loses no change in any order, a restored store does not override newer
+//! changes, and conflicts allow only what all siblings allow.
 
 mod support;
 
@@ -6,8 +7,8 @@
 
 use glenrail_grants::compiled::Table;
 use glenrail_grants::document::{Document, Fault};
-use glenrail_grants::parts::{PartKey, TeamPart};
-use glenrail_grants::versions::{ByteError, Dot, Entry, Ledger, LedgerError, Origin, FORMAT};
+use glenrail_grants::sections::{SectionKey, TeamSection};
+use glenrail_grants::versions::{Dot, Entry, EntryError, Origin, Replica, ReplicaError, ENTRY_FORMAT};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::select;
@@ -29,50 +30,52 @@
 models = ["m", "n"]
 "#;
 
-fn ledger(member: u64, life: u64) -> Ledger {
-    Ledger::new(Origin { member, life })
+fn replica(member: u64, incarnation: u64) -> Replica {
+    Replica::new(Origin { member, incarnation })
 }
 
-fn team(name: &str) -> PartKey {
-    PartKey::Team(name.to_owned())
+fn team(name: &str) -> SectionKey {
+    SectionKey::Team(name.to_owned())
 }
 
-/// The first takes the document, and tells all.
-fn fleet(members: u64) -> Vec<Ledger> {
-    let mut all: Vec<Ledger> = (0..members).map(|member| ledger(member, 1)).collect();
+/// Creates replicas that all have the document; the first one proposed it.
+fn replicas(members: u64) -> Vec<Replica> {
+    let mut all: Vec<Replica> = (0..members).map(|member| replica(member, 1)).collect();
     let document = Document::from_toml(DOCUMENT).unwrap();
     let version = all[0].version_of_all();
     let proposal = all[0].propose_document(version, &document).unwrap();
     all[0].apply(&proposal);
     for other in 1..all.len() {
-        tell(&mut all, 0, other, None);
+        send(&mut all, 0, other, None);
     }
     all
 }
 
-/// By way of bytes, one key or all. What it replaced.
-fn tell(all: &mut [Ledger], from: usize, to: usize, only: Option<&PartKey>) -> Vec<Dot> {
+/// Sends one section or all of them as encoded entries. Returns the dots that the receiver replaced.
+fn send(all: &mut [Replica], from: usize, to: usize, only: Option<&SectionKey>) -> Vec<Dot> {
     let mut replaced = Vec::new();
-    let cells: Vec<_> = all[from].cells().map(|(key, cell)| Entry::of(key, cell).unwrap()).collect();
-    for entry in cells {
-        let (key, cell) = entry.read().unwrap();
+    let entries: Vec<_> =
+        all[from].sections().map(|(key, section)| Entry::encode(key, section).unwrap()).collect();
+    for entry in entries {
+        let (key, section) = entry.decode().unwrap();
         if only.is_none_or(|only| *only == key) {
-            replaced.extend(all[to].merge(&key, &cell).replaced);
+            replaced.extend(all[to].merge(&key, &section).replaced);
         }
     }
     replaced
 }
 
-fn change(ledger: &mut Ledger, name: &str, part: Option<TeamPart>) -> Result<Dot, LedgerError> {
-    let version = ledger.version(&team(name));
-    let proposal = ledger.propose(name, version, part)?;
-    ledger.apply(&proposal);
+fn change(replica: &mut Replica, name: &str, section: Option<TeamSection>) -> Result<Dot, ReplicaError> {
+    let version = replica.version(&team(name));
+    let proposal = replica.propose(name, version, section)?;
+    replica.apply(&proposal);
     Ok(proposal.dots()[0])
 }
 
-fn only(model: &str) -> TeamPart {
+/// Returns a section for team `a` that allows one model or pattern.
+fn allow_only(model: &str) -> TeamSection {
     let text = format!(r#"{{"rules": [{{"name": "own", "effect": "allow", "models": ["{model}"]}}]}}"#);
-    TeamPart::from_json("a", &text).unwrap()
+    TeamSection::from_json("a", &text).unwrap()
 }
 
 #[derive(Clone, Debug)]
@@ -80,22 +83,22 @@
     Change {
         at: usize,
         team: &'static str,
-        part: Option<TeamPart>,
+        section: Option<TeamSection>,
     },
-    Tell {
+    Send {
         from: usize,
         to: usize,
         team: Option<&'static str>,
     },
-    Keep {
+    Backup {
         at: usize,
     },
-    /// The store of an earlier time is put back, under a new life.
-    PutBack {
+    /// The store is restored from the last backup, under a new incarnation.
+    RestoreBackup {
         at: usize,
     },
     /// The store is lost.
-    Lose {
+    LoseStore {
         at: usize,
     },
 }
@@ -103,65 +106,69 @@
 fn step() -> impl Strategy<Value = Step> {
     let at = || 0..3usize;
     let name = || select(&["a", "b"][..]);
-    let part = || select(&["m", "n", "*"][..]).prop_map(|model| Some(only(model)));
+    let section = || select(&["m", "n", "*"][..]).prop_map(|model| Some(allow_only(model)));
     prop_oneof![
-        5 => (at(), prop_oneof![4 => part(), 1 => Just(None)])
-            .prop_map(|(at, part)| Step::Change { at, team: "a", part }),
-        2 => at().prop_map(|at| Step::Change { at, team: "b", part: Some(TeamPart::default()) }),
-        8 => (at(), at(), proptest::option::of(name())).prop_map(|(from, to, team)| Step::Tell { from, to, team }),
-        1 => at().prop_map(|at| Step::Keep { at }),
-        1 => at().prop_map(|at| Step::PutBack { at }),
-        1 => at().prop_map(|at| Step::Lose { at }),
+        5 => (at(), prop_oneof![4 => section(), 1 => Just(None)])
+            .prop_map(|(at, section)| Step::Change { at, team: "a", section }),
+        2 => at().prop_map(|at| Step::Change { at, team: "b", section: Some(TeamSection::default()) }),
+        8 => (at(), at(), proptest::option::of(name())).prop_map(|(from, to, team)| Step::Send { from, to, team }),
+        1 => at().prop_map(|at| Step::Backup { at }),
+        1 => at().prop_map(|at| Step::RestoreBackup { at }),
+        1 => at().prop_map(|at| Step::LoseStore { at }),
     ]
 }
 
-/// Of each change, by its part, the dots that it replaced.
-type Made = BTreeMap<(PartKey, Dot), Vec<Dot>>;
+/// The dots that each change replaced, by the change's section and dot.
+type Changes = BTreeMap<(SectionKey, Dot), Vec<Dot>>;
 
-fn play(steps: Vec<Step>) -> (Vec<Ledger>, Made) {
-    let mut all = fleet(3);
-    let mut kept = all.clone();
-    let mut lives = 1;
-    let mut made = BTreeMap::new();
+fn run_steps(steps: Vec<Step>) -> (Vec<Replica>, Changes) {
+    let mut all = replicas(3);
+    let mut backups = all.clone();
+    let mut incarnations = 1;
+    let mut changes = BTreeMap::new();
     for step in steps {
         match step {
-            Step::Change { at, team: name, part } => {
+            Step::Change { at, team: name, section } => {
                 let key = team(name);
-                let knew: Vec<Dot> = all[at]
-                    .cell(&key)
-                    .map(|cell| cell.siblings().map(|it| it.dot).collect())
+                let replaced: Vec<Dot> = all[at]
+                    .section(&key)
+                    .map(|versioned| versioned.siblings().map(|sibling| sibling.dot).collect())
                     .unwrap_or_default();
-                if let Ok(dot) = change(&mut all[at], name, part) {
-                    made.insert((key, dot), knew);
+                if let Ok(dot) = change(&mut all[at], name, section) {
+                    changes.insert((key, dot), replaced);
                 }
             }
-            Step::Tell { from, to, team: name } => drop(tell(&mut all, from, to, name.map(team).as_ref())),
-            Step::Keep { at } => kept[at] = all[at].clone(),
-            Step::PutBack { at } | Step::Lose { at } => {
-                lives += 1;
-                let origin = Origin { member: at as u64, life: lives };
-                let cells: Vec<_> = match step {
-                    Step::Lose { .. } => Vec::new(),
-                    _ => kept[at].cells().map(|(key, cell)| (key.clone(), cell.clone())).collect(),
+            Step::Send { from, to, team: name } => drop(send(&mut all, from, to, name.map(team).as_ref())),
+            Step::Backup { at } => backups[at] = all[at].clone(),
+            Step::RestoreBackup { at } | Step::LoseStore { at } => {
+                incarnations += 1;
+                let origin = Origin { member: at as u64, incarnation: incarnations };
+                let sections: Vec<_> = match step {
+                    Step::LoseStore { .. } => Vec::new(),
+                    _ => {
+                        backups[at].sections().map(|(key, section)| (key.clone(), section.clone())).collect()
+                    }
                 };
-                // What only it knew is lost with its store; so it tells one other first.
-                tell(&mut all, at, (at + 1) % 3, None);
-                all[at] = Ledger::restore(origin, cells).unwrap();
+                // Changes that only this replica has would be lost with its store, so it sends them to
+                // another one first.
+                send(&mut all, at, (at + 1) % 3, None);
+                all[at] = Replica::restore(origin, sections).unwrap();
             }
         }
     }
-    (all, made)
+    (all, changes)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn merging_is_a_join(steps in vec(step(), 0..30)) {
-        let (all, _) = play(steps);
+    fn merge_is_commutative_associative_and_idempotent(steps in vec(step(), 0..30)) {
+        let (all, _) = run_steps(steps);
         for name in ["a", "b"] {
-            let cells: Vec<_> = all.iter().map(|it| it.cell(&team(name)).cloned().unwrap_or_default()).collect();
-            let [a, b, c] = &cells[..] else { unreachable!() };
+            let sections: Vec<_> =
+                all.iter().map(|copy| copy.section(&team(name)).cloned().unwrap_or_default()).collect();
+            let [a, b, c] = &sections[..] else { unreachable!() };
             prop_assert_eq!(a.merge(b), b.merge(a));
             prop_assert_eq!(a.merge(b).merge(c), a.merge(&b.merge(c)));
             prop_assert_eq!(&a.merge(a), a);
@@ -170,128 +177,138 @@
     }
 
     #[test]
-    fn no_change_is_lost_and_all_show_the_same(steps in vec(step(), 0..40)) {
-        let (mut all, made) = play(steps);
+    fn no_change_is_lost_and_replicas_converge(steps in vec(step(), 0..40)) {
+        let (mut all, changes) = run_steps(steps);
         for round in 0..2 {
             for (from, to) in [(0, 1), (1, 2), (2, 0), (1, 0), (0, 2), (2, 1)] {
-                let replaced = tell(&mut all, from, to, None);
+                let replaced = send(&mut all, from, to, None);
                 prop_assert!(round == 0 || replaced.is_empty());
             }
         }
         prop_assert_eq!(all[0].version_of_all(), all[1].version_of_all());
-        prop_assert_eq!(all[0].parts(), all[1].parts());
-        prop_assert_eq!(all[0].parts(), all[2].parts());
-        // A change stands, unless one was made by an admin who saw it. And nothing else stands.
+        prop_assert_eq!(all[0].contents(), all[1].contents());
+        prop_assert_eq!(all[0].contents(), all[2].contents());
+        // A change is a sibling unless another change replaced it, and there are no other siblings.
         for name in ["a", "b"] {
             let key = team(name);
-            let seen: BTreeSet<Dot> =
-                made.iter().filter(|((of, _), _)| *of == key).flat_map(|(_, knew)| knew).copied().collect();
-            let cell = all[0].cell(&key).unwrap();
-            let stand: BTreeSet<Dot> = cell.siblings().map(|it| it.dot).collect();
-            for (of, dot) in made.keys() {
-                prop_assert!(*of != key || stand.contains(dot) != seen.contains(dot), "{} {}", name, dot);
+            let replaced_dots: BTreeSet<Dot> =
+                changes.iter().filter(|((of, _), _)| *of == key).flat_map(|(_, dots)| dots).copied().collect();
+            let versioned = all[0].section(&key).unwrap();
+            let siblings: BTreeSet<Dot> = versioned.siblings().map(|sibling| sibling.dot).collect();
+            for (of, dot) in changes.keys() {
+                prop_assert!(*of != key || siblings.contains(dot) != replaced_dots.contains(dot), "{} {}", name, dot);
             }
-            prop_assert!(stand.is_disjoint(&seen));
-            prop_assert!(cell.forks().is_empty());
+            prop_assert!(siblings.is_disjoint(&replaced_dots));
+            prop_assert!(versioned.forked_dots().is_empty());
         }
     }
 
     #[test]
-    fn no_bytes_bring_it_down(bytes in vec(any::<u8>(), 0..60), key in "[cst][a-c]{0,2}") {
-        for value in [bytes.clone(), [vec![FORMAT], bytes.clone()].concat()] {
-            if let Ok((key, cell)) = (Entry { key: key.clone().into_bytes(), value }).read() {
-                let mut all = fleet(1);
-                all[0].merge(&key, &cell);
-                Table::compile(&all[0].parts());
+    fn no_bytes_cause_a_panic(bytes in vec(any::<u8>(), 0..60), key in "[cst][a-c]{0,2}") {
+        for value in [bytes.clone(), [vec![ENTRY_FORMAT], bytes.clone()].concat()] {
+            if let Ok((key, section)) = (Entry { key: key.clone().into_bytes(), value }).decode() {
+                let mut all = replicas(1);
+                all[0].merge(&key, &section);
+                Table::compile(&all[0].contents());
             }
         }
     }
 }
 
 #[test]
-fn two_admins_at_two_sides_allow_what_both_allow_until_one_settles_it() {
-    let mut all = fleet(3);
-    let (one, other) = (change(&mut all[0], "a", Some(only("m"))), change(&mut all[1], "a", Some(only("*"))));
+fn concurrent_changes_allow_what_both_allow_until_a_third_resolves_the_conflict() {
+    let mut all = replicas(3);
+    let (one, other) =
+        (change(&mut all[0], "a", Some(allow_only("m"))), change(&mut all[1], "a", Some(allow_only("*"))));
     for (from, to) in [(0, 1), (1, 0), (1, 2)] {
-        tell(&mut all, from, to, None);
+        send(&mut all, from, to, None);
     }
-    for ledger in &all {
-        let table = Table::compile(&ledger.parts());
+    for replica in &all {
+        let table = Table::compile(&replica.contents());
         assert!(table.check_names("b", "m", 0).allowed);
         assert!(!table.check_names("b", "n", 0).allowed);
-        let (key, standing) = ledger.conflicts().next().unwrap();
+        let (key, siblings) = replica.conflicts().next().unwrap();
         assert_eq!(*key, team("a"));
-        let dots: Vec<Dot> = standing.iter().map(|it| it.dot).collect();
+        let dots: Vec<Dot> = siblings.iter().map(|sibling| sibling.dot).collect();
         assert_eq!(dots, [one.clone().unwrap(), other.clone().unwrap()]);
     }
-    // An admin who saw only one side is told, with the present version.
-    let (seen, present) = (fleet(1)[0].version(&team("a")), all[2].version(&team("a")));
-    let refused = all[2].propose("a", seen, Some(only("n"))).unwrap_err();
-    assert_eq!(refused, LedgerError::Conflict { key: Some(team("a")), expected: seen, present });
-    // One who saw both settles it, everywhere.
-    change(&mut all[2], "a", Some(only("n"))).unwrap();
-    assert_eq!(tell(&mut all, 2, 0, None), dots_of(&[one, other]));
+    // A change based on a version from before the conflict is rejected; the error has the current version.
+    let (outdated, current) = (replicas(1)[0].version(&team("a")), all[2].version(&team("a")));
+    let rejected = all[2].propose("a", outdated, Some(allow_only("n"))).unwrap_err();
+    assert_eq!(rejected, ReplicaError::VersionMismatch { key: Some(team("a")), expected: outdated, current });
+    // A change based on both siblings resolves the conflict on every replica that receives it.
+    change(&mut all[2], "a", Some(allow_only("n"))).unwrap();
+    assert_eq!(send(&mut all, 2, 0, None), dots_of(&[one, other]));
     assert_eq!(all[0].conflicts().count(), 0);
-    assert!(Table::compile(&all[0].parts()).check_names("b", "n", 0).allowed);
+    assert!(Table::compile(&all[0].contents()).check_names("b", "n", 0).allowed);
 }
 
-fn dots_of(made: &[Result<Dot, LedgerError>]) -> Vec<Dot> {
-    made.iter().map(|dot| dot.clone().unwrap()).collect()
+fn dots_of(results: &[Result<Dot, ReplicaError>]) -> Vec<Dot> {
+    results.iter().map(|dot| dot.clone().unwrap()).collect()
 }
 
 #[test]
-fn yesterdays_copy_does_not_win() {
-    let mut all = fleet(2);
-    let yesterday: Vec<_> = all[0].cells().map(|(key, cell)| (key.clone(), cell.clone())).collect();
-    change(&mut all[0], "a", Some(only("m"))).unwrap();
-    tell(&mut all, 0, 1, None);
-    let used = Ledger::restore(Origin { member: 0, life: 1 }, yesterday.clone()).unwrap_err();
-    assert_eq!(used, LedgerError::LifeUsed { origin: Origin { member: 0, life: 1 } });
-    all[0] = Ledger::restore(Origin { member: 0, life: 2 }, yesterday).unwrap();
-    let now = all[1].parts();
-    assert!(tell(&mut all, 0, 1, None).is_empty());
-    assert_eq!(all[1].parts(), now);
-    assert_eq!(tell(&mut all, 1, 0, None).len(), 1);
-    assert_eq!(all[0].parts(), now);
+fn a_restored_store_does_not_override_newer_changes() {
+    let mut all = replicas(2);
+    let backup: Vec<_> = all[0].sections().map(|(key, section)| (key.clone(), section.clone())).collect();
+    change(&mut all[0], "a", Some(allow_only("m"))).unwrap();
+    send(&mut all, 0, 1, None);
+    let error = Replica::restore(Origin { member: 0, incarnation: 1 }, backup.clone()).unwrap_err();
+    assert_eq!(error, ReplicaError::IncarnationUsed { origin: Origin { member: 0, incarnation: 1 } });
+    all[0] = Replica::restore(Origin { member: 0, incarnation: 2 }, backup).unwrap();
+    let current = all[1].contents();
+    assert!(send(&mut all, 0, 1, None).is_empty());
+    assert_eq!(all[1].contents(), current);
+    assert_eq!(send(&mut all, 1, 0, None).len(), 1);
+    assert_eq!(all[0].contents(), current);
 }
 
 #[test]
-fn a_life_used_twice_is_found_and_both_changes_stand() {
-    let mut all = fleet(2);
-    let mut double = all[0].clone();
-    change(&mut all[0], "a", Some(only("m"))).unwrap();
-    let dot = change(&mut double, "a", Some(only("n"))).unwrap();
-    let became = all[0].merge(&team("a"), double.cell(&team("a")).unwrap());
-    assert_eq!((became.forked, became.conflict, became.usurped), (vec![dot], true, false));
-    change(&mut double, "a", Some(only("n"))).unwrap();
-    assert!(all[0].merge(&team("a"), double.cell(&team("a")).unwrap()).usurped);
+fn an_incarnation_used_twice_is_detected_and_both_changes_are_kept() {
+    let mut all = replicas(2);
+    let mut duplicate = all[0].clone();
+    change(&mut all[0], "a", Some(allow_only("m"))).unwrap();
+    let dot = change(&mut duplicate, "a", Some(allow_only("n"))).unwrap();
+    let outcome = all[0].merge(&team("a"), duplicate.section(&team("a")).unwrap());
+    assert_eq!((outcome.forked, outcome.in_conflict, outcome.foreign_change), (vec![dot], true, false));
+    change(&mut duplicate, "a", Some(allow_only("n"))).unwrap();
+    assert!(all[0].merge(&team("a"), duplicate.section(&team("a")).unwrap()).foreign_change);
 }
 
 #[test]
-fn a_change_that_names_what_is_not_there_changes_nothing() {
-    let mut all = fleet(1);
+fn a_rejected_change_with_an_unknown_name_or_a_cycle_changes_nothing() {
+    let mut all = replicas(1);
     let before = all[0].version_of_all();
     let text = "{\"rules\": [\n {\"name\": \"own\", \"effect\": \"deny\",\n  \"models\": [\"m\", \"zz\"]}]}";
-    let part = TeamPart::from_json("b", text).unwrap();
-    let Err(LedgerError::Document(error)) = change(&mut all[0], "b", Some(part)) else { panic!("taken") };
+    let section = TeamSection::from_json("b", text).unwrap();
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "b", Some(section)) else {
+        panic!("the change was accepted")
+    };
     assert_eq!(
-        error.placed(text).to_string(),
+        error.with_position(text).to_string(),
         "line 3, column 19: rules[0].models[1]: there is no model, alias or group `zz`"
     );
-    // Its parent cannot go either, nor be under it.
-    let Err(LedgerError::Document(error)) = change(&mut all[0], "a", None) else { panic!("taken") };
-    assert!(matches!(error.fault, Fault::Unknown { .. }), "{error}");
-    let circle = TeamPart { parents: vec!["b".to_owned()], rules: Vec::new() };
-    let Err(LedgerError::Document(error)) = change(&mut all[0], "a", Some(circle)) else { panic!("taken") };
-    assert!(matches!(error.fault, Fault::Circle { .. }), "{error}");
+    // A team that is a parent cannot be removed, and cannot become a child of its own child.
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", None) else {
+        panic!("the change was accepted")
+    };
+    assert!(matches!(error.fault, Fault::UnknownName { .. }), "{error}");
+    let cycle = TeamSection { parents: vec!["b".to_owned()], rules: Vec::new() };
+    let Err(ReplicaError::Document(error)) = change(&mut all[0], "a", Some(cycle)) else {
+        panic!("the change was accepted")
+    };
+    assert!(matches!(error.fault, Fault::Cycle { .. }), "{error}");
     assert_eq!(all[0].version_of_all(), before);
 }
 
 #[test]
-fn another_format_is_refused_by_name() {
-    let all = fleet(1);
-    let (key, cell) = all[0].cells().next().unwrap();
-    let mut entry = Entry::of(key, cell).unwrap();
-    entry.value[0] = FORMAT + 1;
-    assert_eq!(entry.read().unwrap_err(), ByteError::Format { format: FORMAT + 1, ours: FORMAT });
+fn an_unsupported_entry_format_is_rejected() {
+    let all = replicas(1);
+    let (key, section) = all[0].sections().next().unwrap();
+    let mut entry = Entry::encode(key, section).unwrap();
+    entry.value[0] = ENTRY_FORMAT + 1;
+    assert_eq!(
+        entry.decode().unwrap_err(),
+        EntryError::UnsupportedFormat { format: ENTRY_FORMAT + 1, supported: ENTRY_FORMAT }
+    );
 }
