--- a/gateway/src/admin.rs
+++ b/gateway/src/admin.rs
@@ -1,7 +1,7 @@
-//! The operators' front: readiness, counters, maintenance orders and service state, at an address of its own.
+//! HTTP front for operators: readiness, counters, maintenance orders and service state, on an address of its own.
 //!
-//! One call a connection. [`AdminContext`] is what the calls read and change; the front has no state of its own. The paths,
-//! the texts and the JSON keys are an interface that operators' tools read.
+//! Each connection serves one request. [`AdminContext`] holds the parts of the gateway that requests read and
+//! change; the front has no state of its own. Operators' tools depend on the paths, the texts and the JSON keys.
 #![deny(missing_docs)]
 
 use std::rc::Rc;
@@ -21,30 +21,30 @@
 use crate::pools::Pool;
 use crate::shutdown::Shutdown;
 
-/// Connections of operators where there are descriptors enough. Where more come, the one that has been idle longest is
-/// evicted.
+/// Maximum number of operators' connections; fewer are allowed if the process has few file descriptors. At the
+/// limit, a new connection evicts the one that has been idle longest.
 pub const MAX_CONNECTIONS: usize = 8;
 
-/// What all calls begin with.
+/// Common prefix of all paths.
 const PATH_PREFIX: &str = "/control/";
 
-/// What operators may read and change.
+/// Parts of the gateway that operators can read and change.
 pub struct AdminContext<U> {
-    /// Whether this process can serve.
+    /// Returns whether this process can serve requests.
     pub ready: Rc<dyn Fn() -> bool>,
-    /// Counts of the requests by class.
+    /// Request counts by class.
     pub metrics: RequestMetrics,
-    /// All pools of this gateway.
+    /// All pools of this gateway; the counters are sums over them.
     pub pools: Vec<Pool>,
-    /// Servers out of rotation.
+    /// Executes maintenance orders, and counts the servers that discovery lists.
     pub maintenance: Rc<Maintenance<U>>,
-    /// Whether the gateway is in service.
+    /// Takes the gateway out of service and returns it to service.
     pub shutdown: Shutdown,
-    /// The fleet that this gateway is a member of, if it is in one.
+    /// Fleet that this gateway is a member of; `None` if it is in no fleet.
     pub fleet: Option<fleet::Handle>,
 }
 
-/// The operators' front.
+/// Front that serves the requests of operators.
 pub struct AdminFront<U>(Rc<AdminContext<U>>);
 
 impl<U> Clone for AdminFront<U> {
@@ -53,14 +53,14 @@
     }
 }
 
-/// A call, by its path.
+/// Request of an operator, identified by its path.
 enum Call<'a> {
     Ready,
     Counters,
     FleetMembers(&'a fleet::Handle),
     OutOfService,
     InService,
-    /// The server's name is percent-encoded.
+    /// Maintenance order for a server, whose name is percent-encoded.
     Order {
         server: &'a str,
         order: Order,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The one method that the call is made with.
+    /// Returns the only HTTP method that the path accepts.
     fn method(&self) -> &'static str {
         match self {
             Call::Ready | Call::Counters | Call::FleetMembers(_) => "GET",
@@ -92,7 +92,7 @@
     }
 }
 
-/// One line of text.
+/// Returns a response with one line of text.
 fn text_line(status: StatusCode, text: &str) -> Response<Body> {
     response(status, format!("{text}\n"))
 }
@@ -117,7 +117,7 @@
 }
 
 impl<U: Upstream> AdminFront<U> {
-    /// A front for these parts of the gateway.
+    /// Creates a front that reads and changes the given parts of the gateway.
     pub fn new(context: AdminContext<U>) -> Self {
         AdminFront(Rc::new(context))
     }
@@ -192,7 +192,7 @@
         response
     }
 
-    /// Operators' calls do not count as requests.
+    /// Requests of operators are not counted.
     fn request_counter(&self, _: &Request<Incoming>) -> Option<RequestCounter> {
         None
     }
--- a/gateway/src/front/accept_queue.rs
+++ b/gateway/src/front/accept_queue.rs
@@ -1,4 +1,5 @@
-//! The connections that the machine has accepted for this process by the time that it ends accepting: they are still taken.
+//! Drains the kernel's accept queue when this process stops accepting: the connections that are queued by then
+//! are served.
 
 use std::io;
 use std::time::Duration;
@@ -7,13 +8,13 @@
 
 use crate::log;
 
-/// The machine's queue is taken to be empty once no connection has come out of it for this time.
+/// The accept queue counts as empty when it has yielded no connection for this time.
 const EMPTY_AFTER: Duration = Duration::from_millis(5);
-/// Where connections still come without a pause, accepting ends after this time all the same.
+/// Accepting ends after this time even if new connections keep arriving.
 const TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Takes what is queued, until the queue is empty, each once there is room for it. An accept that fails concerns one
-/// connection: others may be behind it.
+/// Takes connections until the queue is empty, each as soon as `room` completes. A failed accept concerns only one
+/// connection, so the next one is accepted all the same.
 pub(super) async fn empty<T>(
     mut room: impl AsyncFnMut(), mut accept: impl AsyncFnMut() -> io::Result<T>, mut take: impl FnMut(T),
 ) {
@@ -24,14 +25,14 @@
             match accepted {
                 Ok(connection) => take(connection),
                 Err(error) => {
-                    log!("cannot accept what was queued: {error}");
-                    // Where descriptors are short, some may become free.
+                    log!("cannot accept a queued connection: {error}");
+                    // If no file descriptor is left, one may become free.
                     sleep(EMPTY_AFTER).await;
                 }
             }
         }
     };
-    // Connections may come without a pause.
+    // A timeout is no error: new connections keep arriving.
     let _ = timeout(TIMEOUT, take_all).await;
 }
 
--- a/gateway/src/front/accept_queue/tests.rs
+++ b/gateway/src/front/accept_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Emptying the machine's queue of connections on paused time, with scripted accepts.
+//! Tests of draining the accept queue, on paused time with scripted accepts.
 
 use std::cell::RefCell;
 use std::future::pending;
@@ -6,7 +6,7 @@
 
 use super::*;
 
-/// Empties a queue that yields these results, and then nothing more; returns what was taken.
+/// Drains a queue that yields the given results and then nothing more, and returns the connections that were taken.
 fn taken(script: Vec<io::Result<u32>>) -> Vec<u32> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     let script = RefCell::new(script.into_iter());
@@ -22,14 +22,14 @@
     taken
 }
 
-/// Guards connections that are queued behind one whose accept fails.
+/// Guards against losing connections that are queued behind one whose accept fails.
 #[test]
 fn a_failed_accept_strands_nobody_behind_it() {
     let aborted = || Err(ErrorKind::ConnectionAborted.into());
     assert_eq!(taken(vec![Ok(1), aborted(), Ok(2), aborted(), aborted(), Ok(3)]), [1, 2, 3]);
 }
 
-/// Guards the end of the process: accepts that fail without an end do not keep it.
+/// Guards against accepts that keep failing and so delay the exit of the process.
 #[test]
 fn accepts_that_go_on_failing_end_in_time() {
     let failures = (0..10_000).map(|_| Err(ErrorKind::OutOfMemory.into())).collect();
--- a/gateway/src/front/accept_watch.rs
+++ b/gateway/src/front/accept_watch.rs
@@ -1,39 +1,41 @@
-//! Since when a connection that is accepted now may have waited in the machine's queue.
+//! Estimates since when an accepted connection may have waited in the kernel's accept queue.
 //!
-//! The accept loop does not look at the queue while its table is full and while its process stands still. A request that came with
-//! such a connection counts from the earliest moment at which it can have come. The caller owns the clock.
+//! The accept loop does not poll the queue while the connection table is full or the process is paused. The
+//! time of a request that waited meanwhile counts from the earliest moment at which it can have arrived. The
+//! accept loop owns the state and passes the current time.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The accept loop wakes up at least this often, so that it notices that its process stood still.
+/// Maximum time between two turns of the accept loop, so that it notices a pause of the process.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(100);
-/// A heartbeat that is later than this says that the process stood still, or was too busy to look.
+/// A heartbeat that is late by more than this means that the process was paused, or too busy to poll the queue.
 const HEARTBEAT_SLACK: Duration = Duration::from_millis(20);
-/// Most that is counted of a wait: where the queue never becomes empty, nobody knows how long one of it has waited.
+/// Maximum wait that is counted. If the queue never becomes empty, the real wait of a connection is unknown.
 const MAX_COUNTED_WAIT: Duration = Duration::from_secs(1);
 
-/// What an accept loop knows of its looks at the queue.
+/// Records when an accept loop polled its queue.
 pub(super) struct AcceptWatch {
     last_turn: Cell<Instant>,
-    /// Since when the queue may have filled with nobody looking; `None` once it was seen to be empty.
+    /// Start of the time in which connections may have queued up without being accepted; `None` once the queue
+    /// was empty.
     unattended_since: Cell<Option<Instant>>,
 }
 
 impl AcceptWatch {
-    /// Of a loop that begins now.
+    /// Creates the record of a loop that begins at `now`.
     pub fn new(now: Instant) -> Self {
         AcceptWatch { last_turn: Cell::new(now), unattended_since: Cell::default() }
     }
 
-    /// When the loop has to wake up at the latest.
+    /// Returns the latest time at which the loop has to wake up.
     pub fn next_heartbeat(&self) -> Instant {
         self.last_turn.get() + HEARTBEAT
     }
 
-    /// The loop runs.
+    /// Records a turn of the loop, and detects a pause of the process since the last one.
     pub fn note_turn(&self, now: Instant) {
         if now > self.next_heartbeat() + HEARTBEAT_SLACK {
             self.note_unattended(self.last_turn.get());
@@ -41,17 +43,17 @@
         self.last_turn.set(now);
     }
 
-    /// The loop does not look at the queue from `since` on.
+    /// Records that the loop has not polled the queue since `since`.
     pub fn note_unattended(&self, since: Instant) {
         self.unattended_since.set(self.unattended_since.get().or(Some(since)));
     }
 
-    /// The queue is empty.
+    /// Records that the queue is empty.
     pub fn note_empty(&self) {
         self.unattended_since.set(None);
     }
 
-    /// The earliest moment at which a connection that is accepted now can have come.
+    /// Returns the earliest time at which a connection that is accepted at `now` can have arrived.
     pub fn earliest_arrival(&self, now: Instant) -> Instant {
         self.note_turn(now);
         let earliest = self.unattended_since.get().unwrap_or(now);
--- a/gateway/src/front/accept_watch/tests.rs
+++ b/gateway/src/front/accept_watch/tests.rs
@@ -1,4 +1,4 @@
-//! The earliest arrival of a connection, by a scripted clock.
+//! Tests of the earliest arrival of a connection, with a scripted clock.
 
 use super::*;
 
@@ -6,8 +6,8 @@
     Duration::from_millis(millis)
 }
 
-/// Guards requests from being told time that passed while the process stood still: all that lay in the queue count from the loop's
-/// last turn, and what comes after it was empty does not.
+/// Guards against granting requests extra time after a pause of the process: connections that were queued
+/// during the pause count from the last turn of the loop, later ones do not.
 #[test]
 fn what_lay_in_the_queue_while_the_process_stood_still_counts_from_the_last_turn() {
     let start = Instant::now();
@@ -20,7 +20,8 @@
     assert_eq!(watch.earliest_arrival(start + ms(702)), start + ms(702));
 }
 
-/// Guards requests to an idle gateway from losing time: a heartbeat in time says that the loop would have looked.
+/// Guards against shortening the time of requests to an idle gateway: while heartbeats are on time, a
+/// connection has just arrived when it is accepted.
 #[test]
 fn a_connection_to_an_idle_gateway_has_just_come() {
     let start = Instant::now();
@@ -33,7 +34,8 @@
     assert_eq!(watch.earliest_arrival(now), now);
 }
 
-/// Guards requests that wait while the table is full, each behind others, and those of a queue that is never empty.
+/// Guards the arrival time of connections that queue while the table is full, and the maximum of a counted wait
+/// for a queue that never becomes empty.
 #[test]
 fn a_wait_for_a_vacancy_counts_from_its_beginning_up_to_a_bound() {
     let start = Instant::now();
--- a/gateway/src/front/body.rs
+++ b/gateway/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: a response's, as hyper writes it, and a request's, collected within the memory budget.
+//! Bodies of responses, which hyper writes, and of requests, which are collected within the memory budget.
 
 use std::io;
 use std::pin::{pin, Pin};
@@ -16,28 +16,29 @@
 use crate::budget::Budget;
 use crate::exchange::{ClientSide, ResponsePart, StreamRemainder};
 
-/// A request's body must have arrived within this time ...
+/// Time limit for receiving a complete request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// ... and no pause in it may last longer than this.
+/// Maximum pause between two parts of a request body.
 const BODY_PAUSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The body of a front's response.
+/// Body of a response of a front.
 pub enum Body {
-    /// All of it is there.
+    /// A body that is complete from the start.
     Full(Full<Bytes>),
-    /// A stream: its first bytes, then what follows in the exchange.
+    /// A stream from the core.
     Stream {
-        /// Not yet written.
+        /// First bytes of the body; `None` once they were passed on.
         first: Option<Bytes>,
-        /// The rest of the response.
+        /// The parts of the response that follow.
         remaining: ClientSide,
     },
-    /// Another process goes on with the stream: nothing more is written here.
+    /// A stream that another process continues; this process writes no more of it. `None` once the remainder
+    /// was taken.
     HandedOver(Option<StreamRemainder>),
 }
 
 impl Body {
-    /// A short body.
+    /// Creates a full body from a short text.
     pub fn text(text: impl Into<Bytes>) -> Self {
         Body::Full(Full::new(text.into()))
     }
@@ -66,12 +67,12 @@
                 *body = Body::HandedOver(Some(remainder));
                 Poll::Pending
             }
-            // Broken off: an error ends the connection without the last chunk.
-            _ => Poll::Ready(Some(Err(io::Error::other("the answer broke off")))),
+            // The response was aborted: the error makes hyper close the connection without the last chunk.
+            _ => Poll::Ready(Some(Err(io::Error::other("the response was aborted before its end")))),
         }
     }
 
-    /// The length of a full body, so that it is written with one.
+    /// Returns the length of a full body, so that hyper writes a `Content-Length`.
     fn size_hint(&self) -> SizeHint {
         match self {
             Body::Full(full) => full.size_hint(),
@@ -80,20 +81,21 @@
     }
 }
 
-/// Why a request's body was not accepted.
+/// Why a request body was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is larger than the front takes.
+    /// It is larger than the maximum of the front.
     TooLarge,
-    /// It did not arrive in time, or paused for too long.
+    /// It did not arrive within the time limit, or paused for too long.
     TooSlow,
-    /// Its connection broke, or its framing did.
+    /// The connection ended within the body, or the framing of the body is invalid.
     Broken,
-    /// No memory for it at present: trying again is harmless.
+    /// It does not fit into the memory budget at present; a retry is safe.
     OutOfMemory,
 }
 
-/// Collects a request's body of at most `max_bytes`, counted against the budget before any of it is read.
+/// Collects a request body of at most `max_bytes`. Its announced length, or `max_bytes` if none is announced,
+/// is claimed from the memory budget before any of it is read.
 pub async fn collect(
     headers: &HeaderMap, body: Incoming, max_bytes: usize, budget: &Budget,
 ) -> Result<Bytes, BodyError> {
--- a/gateway/src/front/closed_connections.rs
+++ b/gateway/src/front/closed_connections.rs
@@ -1,7 +1,7 @@
-//! Clients' connections that the gateway closed because its connection table was full, counted by stage and by the time that
-//! they had spent in it.
+//! Counters of client connections that the gateway closed because its connection table was full, by stage and
+//! by the time spent in that stage.
 //!
-//! A gateway runs on one thread, and its counters are that thread's.
+//! A gateway runs on one thread, so the counters are thread-local.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -12,26 +12,27 @@
 use super::unanswered;
 use crate::log;
 
-/// Upper bounds of the ages that are counted apart, and their names in the operators' figures; what is older is counted last.
+/// Upper bounds of the age ranges, and their names in the operators' counters. Higher ages are counted in a
+/// last range.
 const AGE_BOUNDS: [(Duration, &str); 3] = [
     (Duration::from_millis(10), "under_10_ms"),
     (Duration::from_millis(100), "under_100_ms"),
     (Duration::from_millis(1_000), "under_1000_ms"),
 ];
-/// The name of all higher ages.
+/// Name of the range of all higher ages.
 const OLDER: &str = "older";
 
-/// The stages that are counted apart, by their names in the operators' figures.
+/// Names of the stages in the operators' counters.
 const STAGES: [&str; 4] = ["never_read", "head_begun", "between_requests", "closing"];
 
-/// What was counted.
+/// Numbers of closed connections since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClosedConnections {
-    /// Evicted connections by stage and age.
+    /// Evicted connections by stage and age range.
     pub evicted: [[u64; AGE_BOUNDS.len() + 1]; STAGES.len()],
-    /// Evicted connections on which bytes lay unread as they were dropped.
+    /// Evicted connections that had unread bytes.
     pub evicted_unread: u64,
-    /// Connections beyond the cap that were closed without being read.
+    /// Connections over the cap that were closed without being read.
     pub over_cap: u64,
 }
 
@@ -39,14 +40,14 @@
     static COUNTS: RefCell<ClosedConnections> = RefCell::default();
 }
 
-/// An evicted connection as it is dropped.
+/// State of a connection at its eviction.
 #[derive(Clone, Copy, Debug)]
 pub struct EvictedConnection {
-    /// Where it stood.
+    /// Stage of its state machine.
     pub stage: Stage,
-    /// For how long it had stood there.
+    /// Time spent in that stage.
     pub age: Duration,
-    /// Whether bytes of its client lay unread.
+    /// Whether bytes of its client were unread.
     pub has_unread: bool,
 }
 
@@ -73,24 +74,24 @@
         counts.evicted_unread += u64::from(connection.has_unread);
     });
     log!(
-        "connection evicted for another client's: {}, after {} ms in that stage, {} bytes unread",
+        "connection evicted for another client's connection: {}, after {} ms in that stage, {} bytes unread",
         STAGES[stage],
         connection.age.as_millis(),
         if connection.has_unread { "some" } else { "no" }
     );
 }
 
-/// Counts a connection that was closed because no further one could be rejected.
+/// Counts a connection that was closed because the maximum number of connections was already being rejected.
 pub fn count_over_cap() {
     COUNTS.with_borrow_mut(|counts| counts.over_cap += 1);
 }
 
-/// What has been counted since the process began.
+/// Returns the counts since the process began.
 pub fn counts() -> ClosedConnections {
     COUNTS.with_borrow(|counts| *counts)
 }
 
-/// The counts as the operators' figures show them.
+/// Returns the counts as JSON for the operators.
 pub fn figures() -> Value {
     let counts = counts();
     let by_age = |ages: &[u64]| -> Value {
--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! Serves one client's connection until it ends, is evicted, or goes to a successor.
+//! Serves one client connection until it ends, is evicted, or is handed over to a successor.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
@@ -28,47 +28,48 @@
 use crate::shutdown::Shutdown;
 use crate::upgrade::transferred::{ConnectionGuard, TransferredConnection, TransferredStream};
 
-/// Finds what counts a request, where it is one of a known class.
+/// Returns the counter for a request; `None` if the request belongs to no known class.
 pub(super) type CounterOfRequest = Rc<dyn Fn(&Request<Incoming>) -> Option<RequestCounter>>;
 
-/// What a front says of a request that does not reach it.
+/// Functions of a front that its connections call apart from its HTTP service.
 #[derive(Clone)]
 pub(super) struct FrontHooks {
     pub request_counter: CounterOfRequest,
-    /// The response to a request that is rejected before the front sees it.
+    /// Returns the response to a request that is rejected before it reaches the front.
     pub reject: Rc<dyn Fn(&'static str) -> Response<Body>>,
 }
 
-/// Where connections go once a successor has taken over.
+/// Hands connections over to the successor process.
 #[derive(Clone)]
 pub(super) struct Handover {
     pub shutdown: Shutdown,
-    /// The front's number, by which the successor knows it.
+    /// Number that identifies the front to the successor.
     pub front: u8,
 }
 
 impl Handover {
-    /// Sends a connection to the successor, if there is one; else it is dropped. Says whether it was sent.
+    /// Sends a connection to the successor, or drops it if there is none. Returns whether it was sent.
     pub fn send(
         &self, socket: Option<std::net::TcpStream>, stream: Option<TransferredStream>, guard: ConnectionGuard,
     ) -> bool {
         let Some(socket) = socket else { return false };
         let successor = self.shutdown.successor_updates();
         let successor = successor.borrow();
-        // A successor that has died leaves the connection to be closed here.
+        // Sending fails if the successor has terminated; the connection is closed here then.
         successor.as_ref().is_some_and(|successor| {
             successor.send(TransferredConnection { front: self.front, socket, stream, guard }).is_ok()
         })
     }
 }
 
-/// Marks a response as the last on its connection.
+/// Adds `Connection: close`, which marks a response as the last one on its connection.
 pub(super) fn closing(mut response: Response<Body>) -> Response<Body> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// The front's service on one connection: rejects what must not reach it, and counts requests where their responses pass.
+/// Wraps the front's service on one connection: rejects requests that must not reach the front, and counts
+/// requests by their responses.
 #[derive(Clone)]
 struct ConnectionService<S> {
     service: S,
@@ -110,14 +111,15 @@
             }
             None => self.service.oneshot(request).await?,
         };
-        // While the gateway drains, each response says that its connection ends; but not where a further request lies
-        // behind this one, which would be dropped.
+        // While the gateway drains, each response announces the end of its connection, unless a further request has
+        // arrived behind this one: that request would be dropped.
         if self.watch.closes_after_response()
             || self.shutdown.is_draining() && !self.watch.has_pipelined_request()
         {
             response = closing(response);
         }
-        // The one place where requests are counted: here both fronts' responses pass, and every rejection.
+        // The responses of both fronts and all rejections pass through here, so requests are counted in this
+        // place: a full body at once, a stream by `TrackedBody` at its end.
         let counter = match (counter, response.body()) {
             (Some(counter), Body::Full(_)) => {
                 counter.count(RequestOutcome::from_status(response.status()));
@@ -130,25 +132,25 @@
     }
 }
 
-/// How the serving of a connection ended.
+/// How the service of a connection ended.
 enum ServingEnd {
-    /// Nothing more is served on it; it is closed in order.
+    /// No further request is served; the connection is closed gracefully.
     Close,
-    /// Its client has disconnected: it is dropped at once.
+    /// The client has disconnected; the connection is dropped at once.
     Drop,
-    /// It was evicted: its end is sent in order, where that does not hold up others, so that a request that crosses it is known
-    /// to its client as unread.
+    /// The connection was evicted. Unless that would delay others, it is closed gracefully, so that a client
+    /// that sends a request at this moment can tell that the request was not read.
     Evicted,
-    /// The successor goes on with it.
+    /// The connection is handed over to the successor.
     HandOver,
 }
 
-/// Serves a connection until it ends here.
+/// Serves a connection until it is closed, dropped or handed over.
 pub(super) async fn serve_connection<S: HttpService>(
     socket: TcpStream, service: S, hooks: FrontHooks, handover: Handover, guard: ConnectionGuard,
     entry: TableEntry,
 ) {
-    // A socket without the option is slower, and served all the same.
+    // Without this option responses may be delayed, but the connection works, so a failure is ignored.
     let _ = socket.set_nodelay(true);
     let socket = CountedSocket::new(socket);
     entry.watch.watch_socket(&socket);
@@ -172,8 +174,8 @@
         }
         ServingEnd::Close => entry.watch.close(&socket.socket).await,
         ServingEnd::HandOver => {
-            // hyper has let go of it. Nothing of a request has been read, or all of its response so far is written: either
-            // way the successor can go on.
+            // hyper has released the socket. Either no part of a request has been read, or all of the response
+            // so far is written; in both cases the successor can continue.
             drop(unread);
             let socket = Rc::try_unwrap(socket.socket).ok().and_then(|socket| socket.into_std().ok());
             if !handover.send(socket, entry.watch.take_detached_stream(), guard) {
@@ -183,7 +185,7 @@
     }
 }
 
-/// Notes, as a connection is dropped on whatever path, what of its client's bytes nobody has read.
+/// Records the number of unread bytes of the client when the connection is dropped, on whichever path.
 struct UnreadAtEnd {
     watch: Rc<ConnectionWatch>,
     socket: Weak<TcpStream>,
@@ -199,7 +201,7 @@
 
 type HttpConnection<S> = http1::Connection<TokioIo<RequestReader>, TowerToHyperService<ConnectionService<S>>>;
 
-/// Drives hyper's connection, and watches for whatever ends it.
+/// Drives hyper's connection until it ends or one of the events occurs that end its service.
 async fn drive<S: HttpService>(
     mut connection: Pin<&mut HttpConnection<S>>, socket: &CountedSocket, shutdown: &Shutdown,
     entry: &TableEntry,
@@ -212,9 +214,10 @@
     loop {
         let can_hand_over = || shutdown.has_successor() && entry.watch.try_hand_over();
         tokio::select! {
-            // In this order: what the connection has just done decides whether it is idle.
+            // The connection is polled first, because its progress decides whether it is idle.
             biased;
-            // Errors are the client's disconnect, or a response that broke off on purpose.
+            // An error is a disconnect of the client, a response that was aborted with an error, or a violation
+            // of the protocol.
             result = connection.as_mut() => {
                 let reason = match result {
                     Ok(()) if shut_down => EndReason::Shutdown,
@@ -224,7 +227,8 @@
                 entry.watch.decide_end(entry.watch.end.reason_or(reason));
                 return ServingEnd::Close;
             }
-            // hyper does not see the disconnect where nothing is read. With the client goes its request.
+            // hyper does not notice a disconnect while nothing is read. Dropping the connection cancels its
+            // request.
             () = poll_fn(|context| match entry.watch.is_blind_to_disconnect() {
                 true => client_disconnected.as_mut().poll(context),
                 false => Poll::Pending,
@@ -246,7 +250,7 @@
             () = ready_when(can_hand_over) => return ServingEnd::HandOver,
             _ = successor_updates.changed() => {}
             () = &mut must_end, if !ending && !shutdown.has_successor() => ending = true,
-            // A request that has come is served before, read or not, behind another or alone.
+            // A request that has arrived is served first, even if it is unread or pipelined behind another one.
             () = ready_when(|| entry.watch.is_idle()), if ending && !shut_down => {
                 shut_down = true;
                 connection.as_mut().graceful_shutdown();
@@ -255,7 +259,8 @@
     }
 }
 
-/// Ready if the condition holds when it is polled. It wakes nobody: whatever changes the condition has to.
+/// Returns a future that is ready if the condition holds when it is polled. It registers no waker: the code
+/// that changes the condition must wake the task.
 fn ready_when(condition: impl Fn() -> bool) -> impl Future<Output = ()> {
     poll_fn(move |_| if condition() { Poll::Ready(()) } else { Poll::Pending })
 }
--- a/gateway/src/front/connection_end.rs
+++ b/gateway/src/front/connection_end.rs
@@ -1,4 +1,5 @@
-//! What is kept of one client's connection for the report of its end: bytes of requests without an answer, and who ended it.
+//! Data about one client connection for the report of its end: bytes of requests without a response, and why the
+//! connection ended.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,26 +9,27 @@
 
 use super::unanswered::{self, EndReason, RequestProgress, UnansweredEnd};
 
-/// The decision to end a connection.
+/// Decision to end a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndDecision {
     pub reason: EndReason,
-    /// The stage of the connection at the decision, and for how long it had been in it.
+    /// Stage of the connection at the time of the decision.
     pub stage: Stage,
+    /// Time that the connection had spent in the stage by then.
     pub age: Duration,
 }
 
-/// What of a connection's input has no answer yet.
+/// Input of one connection that has no response yet, and the decision to end the connection.
 #[derive(Default)]
 pub(super) struct ConnectionEnd {
     client: Cell<Option<SocketAddr>>,
-    /// Bytes read since the last answer was complete.
+    /// Bytes read since the last response was complete.
     bytes_read: Cell<u64>,
-    /// Those of them that belong to no request that was passed on.
+    /// The part of `bytes_read` that belongs to no request that was passed on.
     bytes_buffered: Cell<usize>,
-    /// Bytes that lay unread as it was dropped.
+    /// Bytes that were unread when the connection was dropped.
     bytes_unread: Cell<usize>,
-    /// Bytes that were read only to be dropped; counted by whoever drops them.
+    /// Bytes that were read and discarded; counted by the code that discards them.
     pub bytes_dropped: Cell<usize>,
     response_aborted: Cell<bool>,
     client_ended: Cell<bool>,
@@ -35,12 +37,12 @@
 }
 
 impl ConnectionEnd {
-    /// Of a connection of this client.
+    /// Creates the data of a new connection from the given address.
     pub fn new(client: Option<SocketAddr>) -> Self {
         ConnectionEnd { client: Cell::new(client), ..ConnectionEnd::default() }
     }
 
-    /// Bytes of a request were read; none means that the client has ended its sending.
+    /// Records that bytes of a request were read; 0 means that the client has ended its sending side.
     pub fn note_read(&self, bytes: usize) {
         self.bytes_read.set(self.bytes_read.get() + bytes as u64);
         if bytes == 0 {
@@ -48,32 +50,32 @@
         }
     }
 
-    /// So many bytes lie unread as it is dropped.
+    /// Records the number of bytes that are unread when the connection is dropped.
     pub fn note_unread(&self, bytes: usize) {
         self.bytes_unread.set(bytes);
     }
 
-    /// So many of the bytes that were read belong to no request that was passed on.
+    /// Records how many of the bytes that were read belong to no request that was passed on.
     pub fn note_buffered(&self, bytes: usize) {
         self.bytes_buffered.set(bytes);
     }
 
-    /// The client has ended its connection, or its sending.
+    /// Records that the client has ended the connection or its sending side.
     pub fn note_client_ended(&self) {
         self.client_ended.set(true);
     }
 
-    /// What was passed on has a complete answer.
+    /// Records that the request that was passed on has a complete response.
     pub fn note_answered(&self) {
         self.bytes_read.set(self.bytes_buffered.get() as u64);
     }
 
-    /// The response will never be complete.
+    /// Records that the response will not be completed.
     pub fn note_response_aborted(&self) {
         self.response_aborted.set(true);
     }
 
-    /// Why the connection ended, if neither the client nor an aborted response ended it before.
+    /// Returns why the connection ended: the client or an aborted response if one was recorded, otherwise `other`.
     pub fn reason_or(&self, other: EndReason) -> EndReason {
         match (self.client_ended.get(), self.response_aborted.get()) {
             (true, _) => EndReason::ClientEnded,
@@ -82,16 +84,17 @@
         }
     }
 
-    /// The first decision counts.
+    /// Records a decision to end the connection; only the first one is kept.
     pub fn decide(&self, decision: EndDecision) {
         self.decision.set(self.decision.get().or(Some(decision)));
     }
 
-    /// Reports the end, if a request is left without a complete answer. `undecided` stands where nobody decided it.
+    /// Reports the end of the connection, if a request is left without a complete response. `undecided` is used
+    /// if no decision was recorded.
     pub fn report(&self, undecided: EndDecision) {
         let EndDecision { reason, stage, age } = self.decision.get().unwrap_or(undecided);
         let bytes_read = self.bytes_read.get();
-        // Behind a last request that was answered early comes its rest.
+        // In this stage unread bytes are the rest of the last request, which had its response early.
         let bytes_unread = match stage {
             Stage::Closing => 0,
             _ => self.bytes_unread.get() + self.bytes_dropped.get(),
--- a/gateway/src/front/connection_table.rs
+++ b/gateway/src/front/connection_table.rs
@@ -1,4 +1,4 @@
-//! All connections of one front, and which of them is closed when there are too many.
+//! Table of the connections of one front, and the choice of the connection that is evicted when the table is full.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,55 +12,55 @@
 
 use super::connection_watch::ConnectionWatch;
 
-/// Connections whose sockets are looked into for one to evict. A socket with an unread request is read in the next turn
-/// of the loop, so more of them than this at a time are hardly met.
+/// Maximum number of connections whose sockets are checked for unread requests per eviction. Unread requests
+/// are read in the next turn of the event loop, so there are rarely more than this at the same time.
 const MAX_EVICTION_CANDIDATES: usize = 32;
 
-/// New connections wait for evictions only where at least this part of the table can be evicted soon: the few others would
-/// hold up the rejection of whoever comes.
+/// New connections wait for an eviction only if at least one in this many connections of the cap can be evicted
+/// soon. With fewer, waiting would delay the rejection of new connections.
 const MIN_EVICTABLE_PART: usize = 8;
 
-/// Whether a full table makes room.
+/// Whether a new connection has to wait for an entry in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vacancy {
-    /// A connection can be evicted, or none ever will be.
+    /// No wait: the table is not full, a connection can be evicted now, or too few can be evicted soon.
     Decided,
-    /// Some can be evicted from then on.
+    /// Wait: the first connection can be evicted at this time.
     From(Instant),
 }
 
-/// All connections of one front.
+/// Table of the connections of one front.
 #[derive(Default)]
 pub struct ConnectionTable {
-    /// By number, in order of arrival; without those that have been chosen for eviction.
+    /// Connections by number, in order of arrival, without those that have been chosen for eviction.
     connections: RefCell<BTreeMap<u64, Rc<ConnectionWatch>>>,
     next_number: Cell<u64>,
-    /// Evicted connections whose clients have not ended them yet, and most of them.
+    /// Number of evicted connections that are being closed gracefully.
     lingering: Cell<usize>,
     max_lingering: usize,
-    /// A connection has left the table.
+    /// Notified when a connection has left the table.
     left: Notify,
 }
 
-/// A connection's entry; it is free once this is dropped.
+/// Entry of a connection in the table. Dropping it frees the entry and reports the end of the connection.
 pub struct TableEntry {
     table: Rc<ConnectionTable>,
     number: u64,
-    /// The connection.
+    /// State of the connection, shared with its reader and its service.
     pub watch: Rc<ConnectionWatch>,
 }
 
-/// Why a connection is closed.
+/// Why the gateway closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It has been in a stage for too long.
+    /// The time limit of its stage has expired.
     TimedOut,
-    /// Another client needs its entry at once.
+    /// Its entry is needed for another client.
     Evicted,
 }
 
 impl TableEntry {
-    /// Until the connection has been in a stage for too long, or is evicted.
+    /// Waits until the connection has to close, because the time limit of its stage has expired or it is evicted.
     pub async fn must_close(&self) -> CloseReason {
         loop {
             let input = self.watch.overdue().await;
@@ -70,14 +70,15 @@
                 Input::TimedOut if closes => return CloseReason::TimedOut,
                 _ => {}
             }
-            // A request has come between the choice and here, or some of it: it is served, and has its entry again.
+            // Bytes of a request have arrived since the connection was chosen. The request is served, and the
+            // connection is in the table again.
             self.table.connections.borrow_mut().insert(self.number, self.watch.clone());
             yield_now().await;
         }
     }
 }
 
-/// An evicted connection that is ended in order; its place beyond the cap is free once this is dropped.
+/// Permit to close an evicted connection gracefully; returned when it is dropped.
 pub struct Lingering(Rc<ConnectionTable>);
 
 impl Drop for Lingering {
@@ -87,7 +88,8 @@
 }
 
 impl TableEntry {
-    /// Has the evicted connection ended in order, where so many more may be; else it is dropped at once.
+    /// Returns a permit to close the evicted connection gracefully; `None` if the limit is reached, and the
+    /// connection is to be dropped at once.
     pub fn linger(&self) -> Option<Lingering> {
         let lingering = self.table.lingering.get();
         (lingering < self.table.max_lingering).then(|| {
@@ -106,22 +108,22 @@
 }
 
 impl ConnectionTable {
-    /// An empty table; so many evicted connections may be ended in order at the same time.
+    /// Creates an empty table. At most `max_lingering` evicted connections are closed gracefully at the same time.
     pub fn new(max_lingering: usize) -> Self {
         ConnectionTable { max_lingering, ..ConnectionTable::default() }
     }
 
-    /// Connections that count against the cap.
+    /// Returns the number of connections that count against the cap.
     pub fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Evicted connections that are still open.
+    /// Returns the number of evicted connections that are being closed gracefully.
     pub fn lingering(&self) -> usize {
         self.lingering.get()
     }
 
-    /// Enters a new connection of this client.
+    /// Adds a new connection from the given address.
     pub fn enter(self: &Rc<Self>, client: Option<SocketAddr>) -> TableEntry {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -130,7 +132,7 @@
         TableEntry { table: self.clone(), number, watch }
     }
 
-    /// Waits while the table holds `cap` connections of which many can be evicted soon, but none yet.
+    /// Waits while the table holds at least `cap` connections, of which many can be evicted soon but none now.
     pub async fn vacancy(&self, cap: usize) {
         while let Vacancy::From(at) = self.next_vacancy(cap) {
             tokio::select! {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Whether [`ConnectionTable::vacancy`] would wait.
+    /// Returns whether [`ConnectionTable::vacancy`] would wait.
     pub fn must_wait(&self, cap: usize) -> bool {
         self.next_vacancy(cap) != Vacancy::Decided
     }
@@ -160,8 +162,8 @@
         }
     }
 
-    /// Evicts the connection that has been idle longest, or before it one that only waits for its client's end. Says
-    /// whether there was one.
+    /// Evicts the connection that has been idle longest, but first one that is already being closed. Returns
+    /// whether a connection was evicted.
     pub fn evict(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
         let mut candidates: Vec<_> =
--- a/gateway/src/front/connection_table/tests.rs
+++ b/gateway/src/front/connection_table/tests.rs
@@ -1,4 +1,4 @@
-//! Which connection of a full table is closed, on paused time.
+//! Tests of the eviction from a full table, on paused time.
 
 use std::future::Future;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::front::connection_watch::{EVICTION_GRACE, HEAD_EVICTION_GRACE};
 use crate::front::unanswered::{self, EndReason, RequestProgress};
 
-/// A client's end of a connection, and the table's entry of it.
+/// Returns both ends of a connection, the client's first, and its entry in the table.
 async fn entered(table: &Rc<ConnectionTable>) -> (TcpStream, CountedSocket, TableEntry) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connection");
@@ -28,8 +28,8 @@
     runtime.expect("a runtime").block_on(test);
 }
 
-/// Guards a client whose request begins between the choice of its idle connection and the eviction: the first bytes are read by
-/// then, and the rest of the head has its time.
+/// Guards against evicting a connection whose request begins after it was chosen as idle: the first bytes have been
+/// read by then, and the grace period for the rest of the head applies.
 #[test]
 fn a_head_that_begins_after_the_choice_has_its_grace() {
     run(async {
@@ -39,20 +39,21 @@
         entry.watch.feed(Input::HeadComplete(Framing::Complete));
         entry.watch.response_finished();
         advance(EVICTION_GRACE).await;
-        assert!(table.evict() && table.len() == 0, "it is idle, and chosen");
+        assert!(table.evict() && table.len() == 0, "the idle connection was not chosen");
         entry.watch.feed(Input::HeadStarted);
         for _ in 0..3 {
-            assert_eq!(entry.must_close().now_or_never(), None, "evicted with the first bytes read");
+            assert_eq!(entry.must_close().now_or_never(), None, "evicted after its first bytes were read");
         }
-        assert_eq!(table.len(), 1, "it has its entry again");
-        assert!(!table.evict(), "it is within its grace");
+        assert_eq!(table.len(), 1, "the connection is not in the table again");
+        assert!(!table.evict(), "chosen again within the grace period of a head");
         advance(HEAD_EVICTION_GRACE + Duration::from_millis(1)).await;
         assert!(table.evict());
         assert_eq!(entry.must_close().await, CloseReason::Evicted);
     });
 }
 
-/// Guards the report of a request that was read in part as its connection is dropped with the process, with nobody's decision.
+/// Guards the report of a partly read request whose connection is dropped without a decision to end it, as at
+/// the end of the process.
 #[test]
 fn a_connection_that_nobody_ended_is_reported_as_it_is_dropped() {
     run(async {
--- a/gateway/src/front/connection_watch.rs
+++ b/gateway/src/front/connection_watch.rs
@@ -1,7 +1,8 @@
-//! One client's connection as its reader, its service and its timers share it.
+//! State of one client connection, shared by its reader, its service and its timers.
 //!
-//! The state machine (`glenrail_request_lifecycle::client`) says what may happen; this module feeds it, keeps the time since
-//! its last change of stage, and looks into the socket for bytes that nobody has read yet.
+//! The state machine (`glenrail_request_lifecycle::client`) decides what may happen on the connection. This
+//! module passes events to it, records the time of its last change of stage, and checks the socket for unread
+//! bytes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -23,49 +24,51 @@
 
 pub use glenrail_request_lifecycle::client::Stage;
 
-/// A new connection must begin its first head within this time ...
+/// Time limit for the first byte on a new connection.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// ... and any head that has begun must be complete within this time.
+/// Time limit for the rest of a request head after its first byte.
 const PARTIAL_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A kept connection without an open request is closed after this time.
+/// Time limit for a kept-alive connection without an open request.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A client that reads nothing of its response for this time has lost it.
+/// Time limit for a client that does not read its response; the connection is closed then, and the rest is lost.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A connection is not evicted for this long after it came, after the first bytes of a request, or after a response: its
+/// A connection is not evicted for this time after it was accepted or a response was written, because its
 /// client may be about to send.
 pub(super) const EVICTION_GRACE: Duration = Duration::from_millis(60);
 
-/// A connection on which a request has begun has more time for the rest of its head: bytes that were read are owed an answer.
+/// A connection is not evicted for this time after the first bytes of a request. It is longer than
+/// [`EVICTION_GRACE`], because a request that was read in part should get a response.
 pub(super) const HEAD_EVICTION_GRACE: Duration = Duration::from_millis(120);
 
-/// What the reader, the service and the timers know of one connection.
+/// State of one client connection.
 pub struct ConnectionWatch {
     machine: RefCell<Connection>,
-    /// Looked into for unread bytes; none once the connection is being closed.
+    /// Checked for unread bytes; empty before the connection is read, and once it is being closed.
     socket: RefCell<Weak<TcpStream>>,
-    /// Since when it has been in its stage.
+    /// Time of the last change of stage.
     pub(super) since: Cell<Instant>,
-    /// Its end has been sent.
+    /// Whether the gateway has ended its sending side, so that no further request is served.
     closing: Cell<bool>,
-    /// Bytes of the client stay unread until its response is written, so that its disconnect does not show in reading.
+    /// Whether the client's bytes stay unread until its response is written, so that reading does not show a
+    /// disconnect.
     stopped_reading: Cell<bool>,
-    /// The rest of the open response, if another process is to go on with it.
+    /// Remainder of the open response, if another process is to continue it.
     detached_stream: RefCell<Option<TransferredStream>>,
-    /// Why the open request must be rejected: its framing could hide another one.
+    /// Why the open request must be rejected: its framing could hide a second request.
     pub(super) framing_fault: Cell<Option<&'static str>>,
-    /// For the report of its end.
+    /// Data for the report when the connection ends.
     pub(super) end: ConnectionEnd,
-    /// Since when bytes may have waited that lay unread as it was accepted.
+    /// Earliest time at which bytes may have arrived that were unread when the connection was accepted.
     waiting_since: Cell<Option<Instant>>,
-    /// When the request came whose first bytes were read last.
+    /// Arrival time of the request whose first bytes were read last; `None` once it has been taken.
     arrival: Cell<Option<Instant>>,
     stage_changed: Notify,
     pub(super) evicted: Notify,
 }
 
 impl ConnectionWatch {
-    /// Of a connection of this client.
+    /// Creates the state of a new connection from the given address.
     pub fn new(client: Option<SocketAddr>) -> Self {
         ConnectionWatch {
             end: ConnectionEnd::new(client),
@@ -83,12 +86,13 @@
         }
     }
 
-    /// The stage of the connection.
+    /// Returns the stage of the state machine.
     pub fn stage(&self) -> Stage {
         self.machine.borrow().stage()
     }
 
-    /// Feeds the state machine; a change of stage starts its time anew.
+    /// Passes an input to the state machine. A change of stage restarts the time limit; an invalid input is
+    /// logged and has no effect.
     pub(super) fn feed(&self, input: Input) -> Effect {
         let mut machine = self.machine.borrow_mut();
         let before = machine.stage();
@@ -103,39 +107,41 @@
         effect
     }
 
-    /// Why the open request must be rejected, if its framing could hide another one.
+    /// Returns why the open request must be rejected, if its framing could hide a second request.
     pub fn framing_fault(&self) -> Option<&'static str> {
         self.framing_fault.get()
     }
 
-    /// Whether the connection must end after the open request.
+    /// Returns whether the connection must close after the open request.
     pub fn closes_after_response(&self) -> bool {
         self.machine.borrow().closes_after_response()
     }
 
-    /// What lies unread on it as it is accepted may have come at this time.
+    /// Sets the earliest time at which bytes may have arrived that are unread when the connection is accepted.
     pub(super) fn set_waiting_since(&self, since: Instant) {
         self.waiting_since.set(Some(since));
     }
 
-    /// The first bytes of a request were read.
+    /// Records the arrival of a request whose first bytes were read.
     pub(super) fn note_first_bytes(&self) {
         self.arrival.set(self.waiting_since.take().or_else(|| Some(Instant::now())));
     }
 
-    /// When the request came that is passed on now, if its first bytes were read alone.
+    /// Returns the arrival time of the request that is passed on now; `None` if its first bytes were read
+    /// together with, or behind, bytes of an earlier request.
     pub(super) fn take_arrival(&self) -> Option<Instant> {
         self.arrival.take()
     }
 
-    /// Bytes of a body were read; behind an early response they are dropped.
+    /// Records that bytes of a body were read, 0 at the end of the client's sending side. Bytes that arrive
+    /// after an early response are dropped and not recorded.
     pub(super) fn note_body_read(&self, bytes: usize) {
         if self.stage() == Stage::Body || bytes == 0 {
             self.end.note_read(bytes);
         }
     }
 
-    /// The response has been written.
+    /// Records that the response has been written completely.
     pub fn response_finished(&self) {
         if self.stage() != Stage::HandedOver {
             self.end.note_answered();
@@ -143,22 +149,22 @@
         self.response_dropped();
     }
 
-    /// The response has been dropped before its end.
+    /// Records that the response was dropped before its end.
     pub fn response_aborted(&self) {
         self.end.note_response_aborted();
         self.response_dropped();
     }
 
     fn response_dropped(&self) {
-        // Handed over, the response goes on elsewhere.
+        // After a handover the response continues in another process.
         if self.stage() != Stage::HandedOver {
             self.stopped_reading.set(false);
             self.feed(Input::ResponseFinished);
         }
     }
 
-    /// From when on it may be closed for another client's connection; `None` while something may be lost by that: a request
-    /// is open, or its socket is not read yet.
+    /// Returns the time from which the connection may be evicted; `None` while an eviction could lose
+    /// something, because a request is open or the socket is not read yet.
     pub(super) fn evictable_from(&self) -> Option<Instant> {
         if self.is_closing() {
             return Some(self.since.get());
@@ -168,37 +174,40 @@
         (is_read && self.machine.borrow().is_evictable()).then(|| self.since.get() + grace)
     }
 
-    /// Whether it may be closed for another client's connection at this moment.
+    /// Returns whether the connection may be evicted now.
     pub(super) fn is_evictable_now(&self) -> bool {
         self.evictable_from().is_some_and(|from| from <= Instant::now())
     }
 
-    /// Hands the connection over if another process can go on with it now; then nothing more is done with it here.
+    /// Marks the connection as handed over, if another process can continue it now. Returns whether it did; if
+    /// so, this process must neither read nor write it any more.
     pub fn try_hand_over(&self) -> bool {
         matches!(self.feed(Input::HandOverRequested), Effect::HandOver { .. })
     }
 
-    /// The open response goes no further here: another process can go on with its stream.
+    /// Stores the stream of the open response, which another process can continue; this process writes no more
+    /// of it.
     pub fn detach_stream(&self, stream: TransferredStream) {
         if self.stage() == Stage::Body {
-            // The body's length was not announced; the front has read it to its end before it asked for a response.
+            // The body's length was not announced. The front read the body to its end before it requested a
+            // response.
             self.feed(Input::BodyComplete);
         }
         self.feed(Input::StreamDetached);
         self.detached_stream.replace(Some(stream));
     }
 
-    /// Takes the detached stream, if there is one.
+    /// Takes the detached stream; `None` if no response was detached.
     pub fn take_detached_stream(&self) -> Option<TransferredStream> {
         self.detached_stream.take()
     }
 
-    /// A response that another process began is under way.
+    /// Records that a response that another process began is in progress.
     pub fn stream_resumed(&self) {
         self.feed(Input::StreamResumed);
     }
 
-    /// Notes why the connection ends; the first reason counts.
+    /// Records why the connection ends; only the first reason is kept.
     pub(super) fn decide_end(&self, reason: EndReason) {
         self.end.decide(self.end_decision(reason));
     }
@@ -207,12 +216,12 @@
         EndDecision { reason, stage: self.stage(), age: self.since.get().elapsed() }
     }
 
-    /// Reports its end, if a request is left without an answer.
+    /// Reports the end of the connection, if a request is left without a response.
     pub(super) fn report_end(&self) {
         self.end.report(self.end_decision(EndReason::ProcessEnded));
     }
 
-    /// Counts its eviction, which follows at once.
+    /// Counts the eviction of the connection, which follows immediately.
     pub(super) fn count_evicted(&self) {
         closed_connections::count_evicted(&EvictedConnection {
             stage: self.stage(),
@@ -221,7 +230,8 @@
         });
     }
 
-    /// When it has been in its stage for too long. Bodies and responses have timers where they are awaited.
+    /// Returns when the time limit of the current stage expires. Bodies and responses have no limit here but
+    /// timers where they are awaited.
     fn stage_deadline(&self) -> Option<Instant> {
         let limit = match self.machine.borrow().timeout_kind() {
             TimeoutKind::Request => return None,
@@ -234,27 +244,27 @@
         Some(self.since.get() + limit)
     }
 
-    /// Requests are read from this socket from now on.
+    /// Sets the socket that requests are read from.
     pub fn watch_socket(&self, socket: &CountedSocket) {
         self.socket.replace(Rc::downgrade(&socket.socket));
     }
 
-    /// Whether its end has been sent, so that nothing more is served on it.
+    /// Returns whether the gateway has ended its sending side, so that no further request is served.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Whether bytes of a request have come that nobody has read.
+    /// Returns whether unread bytes of a request have arrived.
     pub fn has_unread_request(&self) -> bool {
         self.machine.borrow().awaits_request() && self.has_unread()
     }
 
-    /// Whether it can be closed with nothing owed on it.
+    /// Returns whether the connection can be closed without losing a request or a response.
     pub fn is_idle(&self) -> bool {
         self.machine.borrow().is_idle() && !self.has_unread()
     }
 
-    /// Whether a further request, or some of it, has come behind the open one.
+    /// Returns whether a further request, or a part of it, has arrived behind the open one.
     pub fn has_pipelined_request(&self) -> bool {
         self.machine.borrow().has_pipelined_bytes() || self.has_unread()
     }
@@ -263,17 +273,18 @@
         self.socket.borrow().upgrade().is_some_and(|socket| has_unread(&socket))
     }
 
-    /// What the client sends is not read any more before its response is written.
+    /// Stops reading from the client until its response is written.
     pub fn stop_reading(&self) {
         self.stopped_reading.set(true);
     }
 
-    /// Whether a client that disconnects now would not be seen in reading, while its request is open.
+    /// Returns whether a request is open and a disconnect of its client would not show in reading.
     pub fn is_blind_to_disconnect(&self) -> bool {
         self.stopped_reading.get() && matches!(self.stage(), Stage::Body | Stage::Response)
     }
 
-    /// Until the connection has been in a stage for too long, or is to be evicted.
+    /// Waits until the time limit of the current stage has expired or an eviction is requested, and returns the
+    /// input for the state machine.
     pub(super) async fn overdue(&self) -> Input {
         loop {
             let deadline = self.stage_deadline();
@@ -294,7 +305,7 @@
         }
     }
 
-    /// Ends a connection on which nothing more is served. An eviction meanwhile ends it at once.
+    /// Closes the connection gracefully; no further request is served. An eviction meanwhile closes it at once.
     pub async fn close(&self, socket: &TcpStream) {
         let expected =
             if self.stage() == Stage::Closing { Expected::RestOfRequest } else { Expected::Nothing };
--- a/gateway/src/front/inference/body_fields.rs
+++ b/gateway/src/front/inference/body_fields.rs
@@ -1,4 +1,4 @@
-//! What decisions need of the JSON bodies of these APIs.
+//! Reads the fields that routing needs from the JSON bodies of the public APIs, and validates the bodies.
 
 use glenrail_settings::server_id;
 use serde::Deserialize;
@@ -7,29 +7,29 @@
 use super::error::ApiError;
 use super::CHARS_PER_TOKEN;
 
-/// Most inputs or documents of one request.
+/// Maximum number of inputs or documents in a request.
 const MAX_BATCH: usize = 2_048;
-/// Tokens that a chat is taken to ask for where it sets no limit.
+/// Number of output tokens that is assumed for a chat without a limit.
 const DEFAULT_MAX_TOKENS: f64 = 512.0;
 
-/// Reads a body of one endpoint.
+/// Function that reads the body of an endpoint.
 pub(super) type BodyReader = fn(&[u8]) -> Result<BodyFields, ApiError>;
 
-/// What decisions need of a body.
+/// Fields of a body that routing needs.
 #[derive(Debug)]
 pub(super) struct BodyFields {
-    /// The conversation; `None` where the request belongs to none.
+    /// Hash that identifies the conversation; `None` if the request belongs to none.
     pub session: Option<u64>,
-    /// The prefix that conversations share.
+    /// Hash of the prompt prefix that conversations share; `None` if there is none.
     pub prefix: Option<u64>,
     pub prefix_tokens: f64,
     pub max_tokens: f64,
-    /// The answer is a stream of events; else one document.
+    /// Whether the response is a stream of events; otherwise it is one document.
     pub stream: bool,
 }
 
 impl BodyFields {
-    /// Of a batch, which has neither session nor stream.
+    /// Returns the fields of a batch, which has neither a session nor a stream.
     fn batch() -> Self {
         BodyFields { session: None, prefix: None, prefix_tokens: 0.0, max_tokens: 0.0, stream: false }
     }
@@ -48,7 +48,7 @@
     serde_json::from_str::<Vec<u32>>(value.get()).is_ok_and(|tokens| !tokens.is_empty())
 }
 
-/// Checks the entries of a batch, each of which must pass the test.
+/// Checks that a batch has a valid number of entries and that `is_valid` accepts each of them.
 fn check_batch(key: &str, value: &RawValue, is_valid: impl Fn(&RawValue) -> bool) -> Result<(), ApiError> {
     let entries: Vec<&RawValue> =
         serde_json::from_str(value.get()).map_err(|_| ApiError::invalid(format!("{key}: a list wanted")))?;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads a request for embeddings: one text, a list of texts, tokens, or a list of lists of tokens.
+/// Reads a request for embeddings. Its input is a text, a list of tokens, or a list with entries of these kinds.
 pub(super) fn read_embeddings(body: &[u8]) -> Result<BodyFields, ApiError> {
     #[derive(Deserialize)]
     struct Shape<'a> {
@@ -131,7 +131,7 @@
 }
 
 impl ChatShape<'_> {
-    /// What conversations are told apart by: the user, and the first message of the user.
+    /// Returns a hash that identifies the conversation, from the user and the user's first message.
     fn session(&self) -> u64 {
         let opening = self.messages.iter().find(|message| message.role == "user");
         let opening = opening.map_or("", ChatMessage::text);
@@ -139,14 +139,15 @@
         server_id(&format!("{user}\n{opening}")).0
     }
 
-    /// What conversations share: a system message that others follow.
+    /// Returns the prompt prefix that conversations share: a system message at the start, if other messages
+    /// follow it.
     fn shared_prefix(&self) -> Option<&str> {
         let first = self.messages.first()?;
         (first.role == "system" && self.messages.len() > 1).then(|| first.text())
     }
 }
 
-/// Reads a chat.
+/// Reads a chat request.
 pub(super) fn read_chat(body: &[u8]) -> Result<BodyFields, ApiError> {
     let shape: ChatShape = parse(body)?;
     if shape.messages.is_empty() {
--- a/gateway/src/front/inference/error.rs
+++ b/gateway/src/front/inference/error.rs
@@ -1,4 +1,4 @@
-//! Errors in the shape that clients of these public APIs expect.
+//! Error responses in the format of the public APIs.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 
 use crate::front::{response, whole_seconds, Body};
 
-/// Errors of the client's own making.
+/// Error type for faults of the request.
 const INVALID_REQUEST: &str = "invalid_request_error";
 
 /// An error response.
 #[derive(Debug)]
 pub(super) struct ApiError {
     pub status: StatusCode,
-    /// The `type` of the public shape.
+    /// Value of `type` in the response.
     kind: &'static str,
     pub message: String,
-    /// When trying again may help.
+    /// Value of `Retry-After`; `None` if a retry is not known to be safe.
     retry_after: Option<Duration>,
 }
 
@@ -27,50 +27,50 @@
         ApiError { status, kind, message: message.into(), retry_after: None }
     }
 
-    /// The body or a header is not as wanted.
+    /// The body or a header is invalid.
     pub fn invalid(message: impl Into<String>) -> Self {
         ApiError::new(StatusCode::BAD_REQUEST, INVALID_REQUEST, message)
     }
 
-    /// There is no such path, or its target is left out.
+    /// The path does not exist, or its endpoint has no target.
     pub fn no_path() -> Self {
         ApiError::new(StatusCode::NOT_FOUND, INVALID_REQUEST, "no such path here")
     }
 
-    /// Only POST is served.
+    /// The method is not POST.
     pub fn method_not_allowed() -> Self {
         ApiError::new(StatusCode::METHOD_NOT_ALLOWED, INVALID_REQUEST, "POST wanted")
     }
 
-    /// The body is larger than the front takes.
+    /// The body is larger than the maximum of the front.
     pub fn body_too_large(max_bytes: usize) -> Self {
         let message = format!("the body is larger than {max_bytes} bytes");
         ApiError::new(StatusCode::PAYLOAD_TOO_LARGE, INVALID_REQUEST, message)
     }
 
-    /// The body did not arrive in time.
+    /// The body did not arrive within the time limit.
     pub fn body_too_slow() -> Self {
         ApiError::new(StatusCode::REQUEST_TIMEOUT, INVALID_REQUEST, "body too slow")
     }
 
-    /// Rejected; trying again after this time is harmless.
+    /// The request was rejected; a retry after the given time is safe.
     pub fn overloaded(retry_after: Duration) -> Self {
         let message = "overloaded, try again later";
         let error = ApiError::new(StatusCode::SERVICE_UNAVAILABLE, "overloaded_error", message);
         ApiError { retry_after: Some(retry_after), ..error }
     }
 
-    /// The client's time ran out.
+    /// The client's timeout has expired.
     pub fn deadline_exceeded() -> Self {
         ApiError::new(StatusCode::GATEWAY_TIMEOUT, "timeout_error", "no answer in time")
     }
 
-    /// No server answered.
+    /// No server returned a response.
     pub fn upstream_failed() -> Self {
         ApiError::new(StatusCode::BAD_GATEWAY, "upstream_error", "the servers did not answer")
     }
 
-    /// The response in the public shape.
+    /// Returns the response in the format of the public APIs.
     pub fn into_response(self) -> Response<Body> {
         let error = json!({"message": self.message, "type": self.kind, "param": null, "code": null});
         let mut response = response(self.status, json!({ "error": error }).to_string());
--- a/gateway/src/front/inference/mod.rs
+++ b/gateway/src/front/inference/mod.rs
@@ -1,5 +1,6 @@
-//! The second front: embeddings and rerank beside chat, by the shapes of their public APIs. It reads what decisions need
-//! from the JSON body, and the body passes on as it came.
+//! Inference front: embeddings, rerank and chat in the formats of their public APIs.
+//!
+//! It reads the fields that routing needs from the JSON body, and forwards the body unchanged.
 
 mod body_fields;
 mod error;
@@ -27,41 +28,41 @@
 use crate::exchange::{self, ClientSide, Failure, Payload, ResponsePart};
 use crate::metrics::{RequestCounter, RequestMetrics};
 
-/// Class by which embeddings and reranks at this front's own servers are counted.
+/// Class under which requests for embeddings and rerank to this front's own servers are counted.
 pub const EMBEDDINGS: &str = "embeddings";
-/// Class by which chats at this front's own servers are counted.
+/// Class under which chat requests to this front's own servers are counted.
 pub const CHAT: &str = "chat";
 
 const READY_PATH: &str = "/ready";
 const EMBEDDINGS_PATH: &str = "/v1/embeddings";
 const RERANK_PATH: &str = "/v1/rerank";
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Header with the time that the client waits, in seconds.
+/// Request header with the client's timeout in seconds.
 const TIMEOUT_HEADER: &str = "x-request-timeout";
-/// Characters of a body that are taken for one token.
+/// Bytes of a body that are estimated as one token.
 const CHARS_PER_TOKEN: f64 = 4.0;
-/// A rejected client is told to come back after this time at the least.
+/// Minimum `Retry-After` of a rejection.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// A rejection this shortly before the deadline is due to the deadline.
+/// A rejection within this time before the deadline is reported as an exceeded deadline.
 const DEADLINE_SLACK: Duration = Duration::from_millis(20);
 
-/// Where requests of one kind go.
+/// Pool that serves the requests of an endpoint.
 pub struct Target {
-    /// The pool's core, behind the plug-in.
+    /// Returns the pool's core behind the plug-in.
     pub entry: Rc<dyn Fn() -> RequestService>,
-    /// Whether the pool can serve.
+    /// Returns whether the pool can serve requests.
     pub ready: Rc<dyn Fn() -> bool>,
-    /// Their class there: its index in the settings and, on the platform's servers, its name.
+    /// Class of the requests in that pool: its index in the settings and, for the platform's servers, its name.
     pub class: (u32, Option<String>),
 }
 
-/// The second front.
+/// Front for the public APIs. Clones share their state.
 #[derive(Clone)]
 pub struct Inference(Rc<Inner>);
 
 struct Inner {
     max_body: usize,
-    /// How long a client waits that does not say.
+    /// Timeout of clients that send none.
     deadline: Duration,
     max_deadline: Duration,
     embeddings: Option<Target>,
@@ -71,7 +72,7 @@
     ids: RequestIds,
 }
 
-/// Ids of requests: a start that differs between processes, and a count.
+/// Generates request ids from a random start, which differs between processes, and a counter.
 struct RequestIds {
     seed: u64,
     count: Cell<u64>,
@@ -88,7 +89,7 @@
     }
 }
 
-/// The kinds of requests.
+/// Endpoint of the public APIs.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Endpoint {
     Embeddings,
@@ -116,7 +117,7 @@
 }
 
 impl Inference {
-    /// A front by this file. A path whose target is left out does not exist.
+    /// Creates a front from its configuration file. Paths of an endpoint without a target are answered with 404.
     pub fn new(
         file: &config::InferenceFrontConfig, embeddings: Option<Target>, chat: Option<Target>,
         budget: Budget, metrics: RequestMetrics,
@@ -208,7 +209,7 @@
         }
     }
 
-    /// How long the client says it waits, up to the longest time; the default where it does not say.
+    /// Returns the client's timeout, up to the maximum; the default if the client sends none.
     fn client_timeout(&self, headers: &HeaderMap) -> Result<Duration, ApiError> {
         let Some(value) = headers.get(TIMEOUT_HEADER) else { return Ok(self.0.deadline) };
         let seconds = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
@@ -219,7 +220,7 @@
     }
 }
 
-/// Gives the platform's servers the headers that they expect, in the place of what the client may have sent under these names.
+/// Sets the headers that the platform's servers expect, and replaces any that the client sent under these names.
 fn set_platform_headers(headers: &mut HeaderMap, class: &str, routing: &glenrail_router::Request) {
     let prefix = routing.prefix.map_or(String::new(), |prefix| format!("prefix={prefix:016x},"));
     let (prompt_tokens, max_tokens) = (routing.prompt_tokens, routing.max_tokens);
@@ -248,7 +249,7 @@
     }
 }
 
-/// The answer's first part decides the status.
+/// Waits for the first part of the response, which decides the status.
 async fn respond(mut answer: ClientSide, deadline: Instant) -> Result<Response<Body>, ApiError> {
     match answer.next_part().await {
         Some(ResponsePart::Head(head, first)) => {
@@ -259,7 +260,7 @@
             response.headers_mut().insert(CONTENT_TYPE, content_type);
             Ok(response)
         }
-        // A rejection at the very end of the client's time says nothing of the load.
+        // A rejection shortly before the deadline is no sign of overload.
         Some(ResponsePart::Rejected(_)) if Instant::now() + DEADLINE_SLACK >= deadline => {
             Err(ApiError::deadline_exceeded())
         }
--- a/gateway/src/front/inference/tests.rs
+++ b/gateway/src/front/inference/tests.rs
@@ -1,4 +1,4 @@
-//! Bodies of the public shapes, sound and faulty.
+//! Tests of valid and invalid bodies of the public APIs.
 
 use http::StatusCode;
 
--- a/gateway/src/front/lingering_close.rs
+++ b/gateway/src/front/lingering_close.rs
@@ -1,5 +1,5 @@
-//! The end of a client's connection without a reset: a close over unread bytes would be one, and eat what the client has
-//! not read yet.
+//! Lingering close of a client connection. Closing a socket with unread bytes would send a reset, and the
+//! client could lose the part of its response that it has not read yet.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -13,24 +13,26 @@
 
 use crate::counted_socket::read_closed;
 
-/// After its end has been sent on a connection, its client has this time to end it too.
+/// Time limit for the client to close the connection after the gateway has ended its sending side.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Most bytes that are read and dropped meanwhile.
+/// Maximum number of bytes that are read and dropped in that time.
 const LINGER_MAX_BYTES: usize = 4 << 20;
-/// Bytes that are dropped at once.
+/// Maximum number of bytes that are dropped by one read.
 const LINGER_READ_BYTES: usize = 16 << 10;
 
-/// What the client may still send as its connection ends.
+/// What the client may still send while its connection is being closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Expected {
-    /// The rest of a request that was answered early: the client reads the answer only once it has sent all.
+    /// The rest of a request that had its response early. Some clients read the response only after they have
+    /// sent the whole request.
     RestOfRequest,
-    /// Nothing that will be served. A request that comes now stays unread: the client sends it again, elsewhere.
+    /// Nothing that is served. A request that arrives now stays unread, and the client can send it again on another
+    /// connection.
     Nothing,
 }
 
-/// Sends the connection's end, then waits within bounds until the client has ended it too, or until `evicted`. Adds the bytes that
-/// it drops to `dropped`.
+/// Ends the sending side, then waits until the client has closed the connection, a limit is reached, or `evicted`
+/// completes. Adds the number of bytes that it drops to `dropped`.
 pub(super) async fn close(
     socket: &TcpStream, expected: Expected, dropped: &Cell<usize>, evicted: impl Future<Output = ()>,
 ) {
@@ -52,7 +54,7 @@
     drop_unread(socket, dropped);
 }
 
-/// Drops what has come and is unread, without waiting for more.
+/// Drops the unread bytes that have arrived, up to a limit, without waiting for more.
 fn drop_unread(socket: &TcpStream, dropped: &Cell<usize>) {
     let bound = dropped.get() + LINGER_MAX_BYTES;
     loop {
@@ -64,8 +66,8 @@
     }
 }
 
-/// Drops some unread bytes; says whether there may be more. Not a part of the future above: a buffer there would take memory
-/// for as long as the connection lives.
+/// Drops some unread bytes, and returns whether there may be more. It is a function of its own, because a
+/// buffer in the future of [`close`] would occupy memory as long as the connection is open.
 fn drop_some(socket: &TcpStream, dropped: &Cell<usize>) -> bool {
     match socket.try_read(&mut [0; LINGER_READ_BYTES]) {
         Ok(read) => {
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -1,8 +1,8 @@
-//! The client side: what both fronts share.
+//! Client side of the gateway: accepts connections, reads requests and writes responses.
 //!
-//! A front turns its protocol into an exchange request and the parts of the response back into its protocol; it takes no
-//! decision. The accept loop ([`server`]) owns the connections, a state machine a connection
-//! (`glenrail_request_lifecycle::client`) what may happen on each.
+//! A front translates the requests of its protocol into exchange requests, and the parts of the responses back
+//! into its protocol; it makes no routing decisions. The accept loop ([`server`]) owns the connections. A state
+//! machine for each connection (`glenrail_request_lifecycle::client`) decides what may happen on it.
 
 #![deny(missing_docs)]
 
@@ -39,10 +39,10 @@
 use crate::exchange::{self, ClientSide};
 use crate::metrics::RequestCounter;
 
-/// The core behind whatever layers wrap it, as a front calls it.
+/// The core and the layers around it, such as the plug-in, as a front calls them.
 pub type RequestService = UnsyncBoxService<exchange::Request, ClientSide, Infallible>;
 
-/// A front as the accept loop serves it.
+/// HTTP service of a front, which the accept loop runs on each connection.
 pub trait HttpService:
     Service<Request<Incoming>, Response = Response<Body>, Error = Infallible, Future: 'static> + Clone + 'static
 {
@@ -55,31 +55,32 @@
 {
 }
 
-/// When a request came, as its connection knows it.
+/// Arrival time of a request, attached to the request as an extension by its connection.
 #[derive(Clone, Copy, Debug)]
 struct ArrivedAt(Instant);
 
-/// When a request came: no later than its first byte was read.
+/// Returns when a request arrived, which is no later than the read of its first byte. Without a recorded
+/// arrival it is the current time.
 fn arrival_of(request: &Request<Incoming>) -> Instant {
     request.extensions().get::<ArrivedAt>().map_or_else(Instant::now, |arrived| arrived.0)
 }
 
-/// One protocol in front of the core. It always has a response.
+/// A client protocol in front of the core.
 pub trait Front: Clone + 'static {
-    /// The response to a request.
+    /// Handles a request. Every request gets a response; failures are error responses.
     fn answer(self, request: Request<Incoming>) -> impl Future<Output = Response<Body>>;
 
-    /// What counts this request, where it is one of a known class.
+    /// Returns the counter for a request; `None` if the request belongs to no known class.
     fn request_counter(&self, request: &Request<Incoming>) -> Option<RequestCounter>;
 
-    /// The response to a request that is rejected before the front sees it, with the time to come back.
+    /// Returns the response to a request that is rejected before it reaches the front, with a `Retry-After` header.
     fn reject(&self, why: &'static str) -> Response<Body> {
         let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, why);
         rejection.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
         rejection
     }
 
-    /// The front as a tower service.
+    /// Returns the front as a tower service.
     fn service(self) -> impl HttpService {
         service_fn(move |request| {
             let front = self.clone();
--- a/gateway/src/front/platform/fields.rs
+++ b/gateway/src/front/platform/fields.rs
@@ -1,4 +1,4 @@
-//! What decisions need of a request's headers.
+//! Reads the fields that routing needs from the headers of a request.
 
 use std::str::Utf8Error;
 
@@ -9,63 +9,63 @@
 
 use super::{PlatformNames, MAX_BODY_BYTES};
 
-/// Characters of a body's text that make a token (the protocol's figure).
+/// Number of body bytes that count as one token, as the protocol defines it.
 const BYTES_PER_TOKEN: usize = 4;
-/// Tokens that a body holds. What a client says beyond that is no guide: it would move the router's mean of all prompts for
-/// hundreds of requests.
+/// Maximum number of tokens in a body. Larger counts from a client are reduced to it, because they would
+/// distort the router's mean prompt length for hundreds of requests.
 const MAX_TOKENS: f64 = (MAX_BODY_BYTES / BYTES_PER_TOKEN) as f64;
-/// No request waits longer for its first token (ms), whatever its client says.
+/// Maximum time in ms that a request waits for its first token; longer deadlines from clients are reduced to it.
 const MAX_CLIENT_TIMEOUT: Millis = 60_000.0;
-/// Most characters of a request's id.
+/// Maximum number of characters of a request id.
 const MAX_ID_LENGTH: usize = 64;
 
-/// A header that is at fault. Its text is the body of the 400, for whoever wrote the client.
+/// Error in a header. Its text is the body of the 400 response, for the developer of the client.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum FieldError {
-    /// A header that has to be there is not.
+    /// A required header is missing.
     #[error("{0}: missing")]
     Missing(&'static str),
     /// A header is not UTF-8.
     #[error("{0}: not text")]
     NotText(&'static str),
-    /// A header is there twice. Guards against a server that would take the other one.
+    /// A header is given more than once. It is rejected because a server could read another value than the gateway.
     #[error("{0}: given more than once")]
     Repeated(&'static str),
-    /// The request's id is not of its form.
+    /// The request id has an invalid length or character.
     #[error("Req-Id: 1 to 64 letters, digits, '-' or '_' wanted")]
     BadId,
-    /// The settings have no class of this name.
+    /// The settings define no class of this name.
     #[error("Req-Kind: no such class")]
     UnknownClass,
-    /// The settings have no tenant of this name.
+    /// The settings define no tenant of this name.
     #[error("Req-Owner: no such tenant")]
     UnknownTenant,
-    /// A time is not a number of seconds above 0.
+    /// A time is not a finite number of seconds above 0.
     #[error("{0}: seconds above 0 wanted")]
     BadSeconds(&'static str),
     /// An entry of the extra fields has no value.
     #[error("Req-Extra: name=value wanted")]
     ExtraWithoutValue,
-    /// A count of tokens is not one.
+    /// A token count is not a finite number of at least 0.
     #[error("Req-Extra: {0} is no count of tokens")]
     BadTokenCount(String),
 }
 
-/// What the headers of a request say.
+/// Fields that the headers of a request contain.
 #[derive(Debug)]
 pub(super) struct Fields {
-    /// The client's id of the request.
+    /// Id that the client has given the request.
     pub request_id: String,
-    /// What the router decides by; its `id` is given by the core.
+    /// Input for the router; the core sets its `id`.
     pub routing: Request,
 }
 
-/// A header's value as text: an operator may name classes and tenants in any language.
+/// Returns the value of a header as UTF-8 text, because operators may name classes and tenants in any language.
 pub(super) fn header_text(value: &HeaderValue) -> Result<&str, Utf8Error> {
     std::str::from_utf8(value.as_bytes())
 }
 
-/// Reads what decisions need from the headers, or says which one is at fault.
+/// Reads the fields from the headers; an error names the invalid header.
 pub(super) fn read_fields(headers: &HeaderMap, names: &PlatformNames) -> Result<Fields, FieldError> {
     let request_id = request_id(headers)?;
     let class = class(headers, names)?;
@@ -94,7 +94,7 @@
     Ok(Fields { request_id: request_id.to_string(), routing })
 }
 
-/// A header's one value, trimmed; `None` where it is left out.
+/// Returns the only value of a header, trimmed; `None` if the header is absent.
 fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, FieldError> {
     let mut values = headers.get_all(name).iter().map(header_text);
     match (values.next(), values.next()) {
@@ -114,13 +114,13 @@
     Ok(id)
 }
 
-/// The index of the request's class.
+/// Returns the index of the request's class.
 fn class(headers: &HeaderMap, names: &PlatformNames) -> Result<usize, FieldError> {
     let name = single(headers, "Req-Kind")?.ok_or(FieldError::Missing("Req-Kind"))?;
     names.classes.iter().position(|class| class.0 == name).ok_or(FieldError::UnknownClass)
 }
 
-/// The index of the request's tenant; the first where none is named.
+/// Returns the index of the request's tenant; 0 if the request names none.
 fn tenant(headers: &HeaderMap, names: &PlatformNames) -> Result<usize, FieldError> {
     match single(headers, "Req-Owner")? {
         Some(owner) => {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Reads the extra fields, `name=value` separated by commas; unknown names are skipped.
+/// Reads the extra fields, which have the form `name=value` and are separated by commas. Unknown names are skipped.
 fn read_extra(extra: &str, routing: &mut Request) -> Result<(), FieldError> {
     for entry in extra.split(',').filter(|entry| !entry.trim().is_empty()) {
         let (name, value) = entry.split_once('=').ok_or(FieldError::ExtraWithoutValue)?;
@@ -152,13 +152,14 @@
     Ok(tokens.min(MAX_TOKENS))
 }
 
-/// A time in seconds, as milliseconds.
+/// Parses a time in seconds, and returns it in milliseconds.
 fn seconds(name: &'static str, text: &str) -> Result<Millis, FieldError> {
     let seconds = text.parse().ok().filter(|seconds: &f64| seconds.is_finite() && *seconds > 0.0);
     Ok(seconds.ok_or(FieldError::BadSeconds(name))? * 1000.0)
 }
 
-/// The number of a session or a prefix: 16 hexadecimal digits are their number, any other text is hashed.
+/// Returns the number of a session or a prefix: hexadecimal digits (up to 16) are its value, any other text is
+/// hashed.
 pub fn key(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| server_id(text).0)
 }
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: a request's fields are in `Req-*` headers, its body passes on as it came.
+//! Platform front: the fields of a request are in `Req-*` headers, and its body is forwarded unchanged.
 
 mod fields;
 
@@ -20,29 +20,30 @@
 use crate::metrics::{RequestCounter, RequestMetrics};
 use crate::shutdown::Shutdown;
 
-/// Path of requests.
+/// Path of chat requests.
 const CHAT: &str = "/v1/chat/completions";
 /// Path of the readiness check.
 const READY: &str = "/ready";
-/// Most bytes of a body in this protocol.
+/// Maximum size of a request body in bytes, as the protocol defines it.
 const MAX_BODY_BYTES: usize = 256 << 10;
-/// When nothing better is known, a rejected client is told to come back after this time, if the settings allow it.
+/// `Retry-After` of a rejection by the front, if the settings allow one; for others the router gives the time.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// The same for a client that was rejected at the cap of connections.
+/// `Retry-After` of a request that is rejected before it reaches the front (connection cap, out of service), if the
+/// settings allow one.
 const OVER_CAP_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// What the front needs to know of the deployment to read a request.
+/// Settings of the deployment that the front needs to read and reject requests.
 pub struct PlatformNames {
-    /// Each class and its deadline.
+    /// Names and default deadlines of the classes, by index.
     pub classes: Vec<(String, Millis)>,
-    /// The tenants, by index.
+    /// Names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// The longest time that a rejected client is told to wait; zero where none is told.
+    /// Maximum `Retry-After` of a rejection; zero if rejections have none.
     pub max_retry_after: Duration,
 }
 
 impl PlatformNames {
-    /// The longest time that these settings let a rejected client be told to wait.
+    /// Returns the maximum `Retry-After` that the settings allow; zero if they allow none.
     pub fn max_retry_after(limits: &Limits) -> Duration {
         if limits.retry_after {
             duration(limits.max_retry_after)
@@ -52,7 +53,7 @@
     }
 }
 
-/// The platform's front.
+/// Front for the platform's protocol.
 #[derive(Clone)]
 pub struct Platform {
     names: Rc<PlatformNames>,
@@ -64,7 +65,7 @@
 }
 
 impl Platform {
-    /// A front before a core; `ready` is what the readiness check answers.
+    /// Creates a front that sends requests to `core`; `ready` decides the result of the readiness check.
     pub fn new(
         names: PlatformNames, budget: Budget, core: Rc<dyn Fn() -> RequestService>,
         ready: Rc<dyn Fn() -> bool>, shutdown: Shutdown, metrics: RequestMetrics,
@@ -83,7 +84,7 @@
             Ok(body) => body,
             Err(error) => return self.body_fault(error),
         };
-        // Its head came in time, its last byte did not.
+        // The head arrived before requests are rejected, the last byte did not.
         if self.shutdown.rejects_new_requests() {
             return self.rejection(DEFAULT_RETRY_AFTER);
         }
@@ -113,7 +114,8 @@
         rejection("refused, try again\n", after.min(self.names.max_retry_after))
     }
 
-    /// The answer's first part decides the status: 200 only once a server's first event is there.
+    /// Waits for the first part of the response, which decides the status: it is 200 only if a server has sent
+    /// its first event.
     async fn respond(&self, mut answer: ClientSide) -> Response<Body> {
         match answer.next_part().await {
             Some(ResponsePart::Head(head, first)) => {
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request are read as.
+//! Tests of reading the headers of a request, and of `Retry-After`.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::fields::{read_fields, FieldError, Fields};
 use super::{rejection, PlatformNames, DEFAULT_RETRY_AFTER, OVER_CAP_RETRY_AFTER};
 
-/// The longest time that any client waits (ms).
+/// Maximum deadline of a request in ms.
 const MAX_CLIENT_TIMEOUT: f64 = 60_000.0;
 
 fn names() -> PlatformNames {
@@ -43,7 +43,8 @@
     assert_eq!((routing.prompt_tokens, routing.prefix_tokens, routing.max_tokens), (5120.0, 2048.0, 800.0));
 }
 
-/// Guards against a guess where a header is wrong: each fault is named.
+/// Guards against accepting an invalid header with a guessed value: the error names the header. Values above
+/// the maximum are reduced to it.
 #[test]
 fn a_faulty_header_is_named() {
     let id = ("Req-Id", "a1");
@@ -74,7 +75,7 @@
     assert_eq!(patient.client_timeout, MAX_CLIENT_TIMEOUT);
 }
 
-/// Guards classes and tenants whose names are not plain ASCII: a header carries their bytes.
+/// Guards classes and tenants with names that are not ASCII, which a header contains as UTF-8 bytes.
 #[test]
 fn a_name_in_any_language_is_found() {
     let names = PlatformNames {
@@ -94,7 +95,7 @@
     assert!(error.starts_with("Req-Kind"), "{error}");
 }
 
-/// Guards what the settings say of Retry-After: whether there is one, and its longest time.
+/// Guards the settings for `Retry-After`: whether a rejection has one, and its maximum.
 #[test]
 fn retry_after_keeps_to_what_the_settings_allow() {
     let retry_after = |limits: &str, after: Duration| {
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -1,7 +1,9 @@
-//! What hyper reads of a client's connection: one request at a time, and none whose framing could hide another.
+//! Reader between a client's socket and hyper: passes on one request at a time, and detects framing that could
+//! hide a second request.
 //!
-//! A head is passed on once it is complete, and nothing of the next request before the response to this one is written, so
-//! that whoever closes the connection, or hands it over, knows whether a request is crossing.
+//! A head is passed on once it is complete, and no byte of the next request before the response to the current
+//! one is written. It is therefore always known whether a request is in progress when the connection is closed
+//! or handed over.
 
 use std::io;
 use std::pin::Pin;
@@ -14,44 +16,45 @@
 use super::connection_watch::{ConnectionWatch, Stage};
 use crate::counted_socket::CountedSocket;
 
-/// Most bytes of a head, and of what a client sends ahead of its response.
+/// Maximum size in bytes of a request head, and of data that a client sends before it has its response.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most header lines of a head.
+/// Maximum number of header fields in a request head.
 const MAX_HEADERS: usize = 100;
 
-/// What of a body is still to come.
+/// Part of a request body that has not been read yet.
 #[derive(Clone, Copy, Debug)]
 enum RemainingBody {
-    /// Bytes.
+    /// Its length in bytes.
     Length(u64),
-    /// Its end is found only by reading it.
+    /// The end of the body is found only by reading it.
     Unknown,
 }
 
-/// The socket as hyper reads it.
+/// Socket of a client as hyper reads it.
 pub struct RequestReader {
     socket: CountedSocket,
     watch: Rc<ConnectionWatch>,
-    /// Read and not passed on.
+    /// Bytes that were read from the socket and not passed on.
     buffer: Vec<u8>,
-    /// Bytes at the front of the buffer that may be passed on.
+    /// Number of bytes at the start of `buffer` that may be passed on.
     passable: usize,
     remaining_body: RemainingBody,
 }
 
-/// How a request frames its body.
+/// Framing of a request body according to the headers.
 struct BodyFraming {
-    /// The announced length; `None` where it cannot be read.
+    /// Length in bytes, 0 without a `Content-Length`; `None` if the header cannot be parsed.
     length: Option<u64>,
-    /// Its end is marked in the body itself.
+    /// Whether there is a `Transfer-Encoding`, so that the end is marked in the body itself.
     has_transfer_encoding: bool,
-    /// Why the request must be rejected.
+    /// Why the request must be rejected; `None` if the framing is unambiguous.
     fault: Option<&'static str>,
 }
 
 impl BodyFraming {
-    /// Guards against a request hidden in a body that the next reader frames otherwise. hyper would drop the length before
-    /// its service could see it.
+    /// Determines the framing. Ambiguous framing is a fault, because the next server could frame the body
+    /// differently and read a second request from it (request smuggling). hyper's service cannot check this:
+    /// hyper drops the length first.
     fn of(headers: &[httparse::Header]) -> BodyFraming {
         let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
         let (lengths, encodings) = (named("content-length").count(), named("transfer-encoding").count());
@@ -68,31 +71,31 @@
         BodyFraming { length, has_transfer_encoding: encodings > 0, fault }
     }
 
-    /// The body's length, where the framing is sound and announces one.
+    /// Returns the length of the body, if the framing is valid and the body has no transfer encoding.
     fn known_length(&self) -> Option<u64> {
         self.length.filter(|_| self.fault.is_none() && !self.has_transfer_encoding)
     }
 }
 
 impl RequestReader {
-    /// A reader of this socket.
+    /// Creates a reader that reports what it reads to `watch`.
     pub fn new(socket: CountedSocket, watch: Rc<ConnectionWatch>) -> Self {
         let remaining_body = RemainingBody::Length(0);
         RequestReader { socket, watch, buffer: Vec::new(), passable: 0, remaining_body }
     }
 
-    /// Looks for a complete head in the buffer, and says whether something may be passed on.
+    /// Looks for a complete head in the buffer, and returns whether bytes may be passed on.
     fn examine(&mut self) -> bool {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let head_size = match request.parse(&self.buffer) {
             Ok(httparse::Status::Complete(size)) => size,
             Ok(httparse::Status::Partial) if self.buffer.len() < MAX_HEAD_BYTES => return false,
-            // hyper has the words for it.
+            // A malformed head is passed on unchanged, because hyper writes the error response.
             _ => {
                 self.passable = self.buffer.len();
                 self.watch.feed(Input::MalformedHead);
-                // hyper answers it.
+                // hyper responds to all that was read.
                 self.note_buffer();
                 self.watch.end.note_answered();
                 return true;
@@ -107,7 +110,7 @@
         true
     }
 
-    /// Passes a head on, and what is here of its body.
+    /// Passes on a head and the part of its body that is in the buffer.
     fn pass_head(&mut self, head_size: usize, body_length: u64) {
         let buffered = body_length.min((self.buffer.len() - head_size) as u64);
         self.passable = head_size + buffered as usize;
@@ -116,16 +119,17 @@
         self.watch.feed(Input::HeadComplete(framing));
     }
 
-    /// Where a chunked body ends is hyper's to find, so nothing may follow it here.
+    /// Passes on a head with a body of unknown length. Only hyper finds the end of a chunked body, so no
+    /// request can follow it on this connection.
     fn pass_head_of_unknown_length(&mut self) {
         self.passable = self.buffer.len();
         self.remaining_body = RemainingBody::Unknown;
-        // hyper reads no further than bytes that lie behind the body.
+        // hyper stops reading when bytes follow the body, so a later disconnect does not show in reading.
         self.watch.stop_reading();
         self.watch.feed(Input::HeadComplete(Framing::UnknownLength));
     }
 
-    /// Reads more into the buffer; 0 at the end of what the client sends.
+    /// Reads more bytes into the buffer and returns their number, 0 when the client has ended its sending side.
     fn fill(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let read = ready!(self.socket.poll_read_into(context, &mut self.buffer))
             .inspect_err(|_| self.watch.end.note_client_ended())?;
@@ -137,7 +141,7 @@
         Poll::Ready(Ok(read))
     }
 
-    /// Passes on what may be, as far as there is space.
+    /// Moves bytes that may be passed on from the buffer to `space`, as many as fit.
     fn pass_on(&mut self, space: &mut ReadBuf<'_>) {
         let length = self.passable.min(space.remaining());
         space.put_slice(&self.buffer[..length]);
@@ -146,13 +150,13 @@
         self.note_buffer();
     }
 
-    /// Notes what was read and not passed on.
+    /// Records which bytes were read and not passed on.
     fn note_buffer(&self) {
         self.watch.feed(Input::PipelinedBytes(!self.buffer.is_empty()));
         self.watch.end.note_buffered(self.buffer.len() - self.passable);
     }
 
-    /// Reads a body straight into hyper's space, up to its end.
+    /// Reads a body directly into hyper's buffer, up to the end of the body.
     fn poll_body(&mut self, context: &mut Context<'_>, space: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let RemainingBody::Length(remaining) = &mut self.remaining_body else {
             let before = space.filled().len();
@@ -202,7 +206,8 @@
                     reader.watch.feed(Input::HeadStarted);
                 }
                 Stage::Response => {
-                    // Read only to see the client disconnect; what it sends ahead is buffered, up to a bound.
+                    // Reads only to notice a disconnect of the client. What the client sends ahead is buffered,
+                    // up to a limit.
                     if reader.buffer.len() >= MAX_HEAD_BYTES {
                         reader.watch.stop_reading();
                         return Poll::Pending;
@@ -211,7 +216,7 @@
                         return Poll::Ready(Ok(()));
                     }
                 }
-                // Nobody reads here any more once it is handed over.
+                // After a handover this process does not read the connection any more.
                 Stage::HandedOver => return Poll::Pending,
                 Stage::Body | Stage::Closing => return reader.poll_body(context, space),
             }
--- a/gateway/src/front/resumed_stream/mod.rs
+++ b/gateway/src/front/resumed_stream/mod.rs
@@ -1,4 +1,4 @@
-//! The client side of a response that another process began: chunks, written on to its socket.
+//! Client side of a response that another process began: its remaining chunks are written to the socket directly.
 
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -6,28 +6,28 @@
 use crate::counted_socket::read_closed;
 use crate::exchange::{ClientSide, ResponsePart, StreamRemainder};
 
-/// The last chunk of a chunked body.
+/// Last chunk of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// How the remainder of a response ended.
 pub enum StreamResult {
-    /// With its last chunk.
+    /// The last chunk was written.
     Complete,
-    /// Its server broke it off.
+    /// The server aborted it.
     Broken,
-    /// The client took no more of it.
+    /// The client disconnected.
     ClientDisconnected,
-    /// A further process goes on with it.
+    /// A further process continues it.
     HandedOver(StreamRemainder),
 }
 
-/// Writes the remainder of a response.
+/// Writes the remaining parts of a response as chunks, until the response ends or the client disconnects.
 pub async fn write_remainder(socket: &mut TcpStream, mut response: ClientSide) -> StreamResult {
     loop {
         let part = tokio::select! {
             biased;
             part = response.next_part() => part,
-            // What the client sends ahead of its response stays unread.
+            // What the client sends before it has its response stays unread.
             () = read_closed(socket) => return StreamResult::ClientDisconnected,
         };
         match part {
@@ -43,7 +43,7 @@
                 }
             }
             Some(ResponsePart::HandedOver(remainder)) => return StreamResult::HandedOver(remainder),
-            // Broken off: the connection ends without the last chunk.
+            // The response was aborted: the connection is closed without the last chunk.
             _ => return StreamResult::Broken,
         }
     }
--- a/gateway/src/front/resumed_stream/tests.rs
+++ b/gateway/src/front/resumed_stream/tests.rs
@@ -1,4 +1,4 @@
-//! A client that goes while another process's answer is written on.
+//! Test of a client that disconnects while a response that another process began is being written.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use super::{write_remainder, StreamResult};
 use crate::exchange;
 
-/// Guards the server's stream from a client that has gone: also behind bytes that it sent ahead, which stay unread.
+/// Guards against a server that keeps streaming to a client that has disconnected, also if the client sent further
+/// bytes before, which stay unread.
 #[tokio::test(flavor = "current_thread")]
 async fn a_disconnect_behind_pipelined_bytes_is_noticed() {
     for ahead in ["", "POST /v1"] {
@@ -24,7 +25,7 @@
                 client.set_zero_linger().expect("set");
             }
             drop(client);
-            // Nothing is written meanwhile, so nothing else shows it.
+            // Nothing is written meanwhile, so a failed write cannot reveal the disconnect.
             let result = timeout(Duration::from_secs(5), write_remainder(&mut socket, response)).await;
             assert!(matches!(result, Ok(StreamResult::ClientDisconnected)), "{ahead:?}, resets: {resets}");
         }
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -1,4 +1,5 @@
-//! The accept loop of a front: accepts connections, admits them within the cap, and serves them until the process ends.
+//! Accept loop of a front: accepts connections, limits how many are open, and starts a task that serves each of
+//! them.
 
 use std::future::{poll_fn, Future};
 use std::io;
@@ -32,28 +33,30 @@
 use crate::upgrade::transferred::{ConnectionGuard, TransferredStream};
 use crate::upgrade::{self, TransferInbox};
 
-/// Connections beyond the cap that may at the same time be told to come back later; further ones are closed.
+/// Maximum number of connections over the cap that are open at the same time to reject their requests; further
+/// connections are closed without a response.
 pub const MAX_REJECTING_CONNECTIONS: usize = 24;
-/// This part of the connections beyond the cap may be evicted ones that are ended in order.
+/// One of this many connections over the cap may be an evicted connection that is being closed gracefully.
 const LINGERING_PART: usize = 2;
-/// Pause after a failed accept (no descriptor left, say).
+/// Pause after a failed accept, for example when no file descriptor is left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// What a connection is good for after a stream that another process began.
+/// What happens to a connection after a stream that another process began.
 pub enum ConnectionFate {
-    /// It is served on.
+    /// It serves further requests.
     KeepAlive,
-    /// It is closed in order, for this reason.
+    /// It is closed gracefully, for this reason.
     Close(EndReason),
-    /// A further process goes on with the stream.
+    /// It is handed over to a further process, which continues the stream.
     HandedOver(TransferredStream),
 }
 
-/// Goes on with a stream that another process began.
+/// Continues a stream that another process began, on the socket of its client.
 pub type Resume =
     Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, ConnectionFate>>;
 
-/// Goes on with streams over this pool, and counts them here at their end.
+/// Returns a function that continues streams through the given pool and counts their requests in `metrics` when
+/// they end.
 pub fn resume(pool: &Pool, metrics: &RequestMetrics) -> Resume {
     let (pool, metrics) = (pool.clone(), metrics.clone());
     Rc::new(move |socket, TransferredStream { remainder, class }| {
@@ -81,17 +84,17 @@
     })
 }
 
-/// How connections come to a front.
+/// Sources of the connections of a front.
 pub struct FrontListener {
-    /// The front's number, by which another process knows it.
+    /// Number that identifies the front to another process.
     pub number: u8,
-    /// The listening socket.
+    /// Listening socket for clients.
     pub listener: TcpListener,
-    /// Connections that another process hands over.
+    /// Receives connections from another process; `None` if the front takes over no connections.
     pub inbox: Option<TransferInbox>,
-    /// Goes on with streams that another process began.
+    /// Continues streams that another process began; `None` if the front takes over no streams.
     pub resume: Option<Resume>,
-    /// Accepting begins once this is true.
+    /// Accepting begins when this becomes true.
     pub open: watch::Receiver<bool>,
 }
 
@@ -107,20 +110,20 @@
     }
 }
 
-/// Whether a connection may serve any request.
+/// Whether the requests on a connection reach the front.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Admission {
     Admitted,
-    /// All connections within the cap have open requests.
+    /// All connections within the cap have open requests, so requests on this one are rejected.
     OverCap,
 }
 
-/// What every connection of one front is served with.
+/// Starts the connections of one front, and holds what they share.
 struct Acceptor<S> {
     service: S,
     hooks: FrontHooks,
     table: Rc<ConnectionTable>,
-    /// Connections that may be open at a time.
+    /// Maximum number of connections that are served at the same time.
     cap: usize,
     handover: Handover,
     resume: Option<Resume>,
@@ -132,8 +135,8 @@
         self.table.len() >= self.cap
     }
 
-    /// The next connection, once the table has an entry for it, or will have none. Meanwhile connections wait in the machine's
-    /// queue, where nothing that their clients send is lost.
+    /// Waits until the table has a free entry or is not going to get one soon, then waits for `next`. Until then
+    /// connections stay in the kernel's accept queue, where nothing that their clients send is lost.
     async fn when_vacant<T>(&self, next: impl Future<Output = T>) -> T {
         if self.table.must_wait(self.cap) {
             self.accept_watch.note_unattended(Instant::now());
@@ -142,11 +145,11 @@
         next.await
     }
 
-    /// Accepts a connection; notes where there is none.
+    /// Accepts a connection, and records when the accept queue is empty.
     async fn accept(&self, listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
         poll_fn(|context| {
             let accepted = listener.poll_accept(context);
-            // Without budget it is pending whatever there is.
+            // With its coop budget used up, tokio returns `Pending` even if a connection is queued.
             if accepted.is_pending() && coop::has_budget_remaining() {
                 self.accept_watch.note_empty();
             }
@@ -155,7 +158,7 @@
         .await
     }
 
-    /// Takes a connection from the machine's queue.
+    /// Starts serving a connection from the kernel's accept queue.
     fn take_accepted(&self, socket: TcpStream, client: SocketAddr) {
         let now = Instant::now();
         let came = self.accept_watch.earliest_arrival(now);
@@ -163,8 +166,9 @@
         self.take(socket, Some(client), None, waiting_since);
     }
 
-    /// Takes a connection. Guards the descriptors of servers and discovery, and the way in: at the cap, the connection that
-    /// has been idle longest is evicted; only where all have an open request is the new one rejected.
+    /// Starts serving a connection. The cap reserves file descriptors for servers and discovery. At the cap,
+    /// the connection that has been idle longest is evicted, so that idle clients do not lock out new ones;
+    /// only if all have an open request are the requests on the new connection rejected.
     fn take(
         &self, socket: TcpStream, client: Option<SocketAddr>, stream: Option<TransferredStream>,
         waiting_since: Option<Instant>,
@@ -176,14 +180,14 @@
         if open >= self.cap + MAX_REJECTING_CONNECTIONS.min(self.cap) {
             closed_connections::count_over_cap();
             log!(
-                "connection closed: all {} connections have open requests, and no more can be rejected",
+                "connection closed: all {} connections have open requests, and no further connection can be rejected",
                 self.cap
             );
             report_over_cap(&socket, client);
             return;
         }
         let admission = if self.is_full() { Admission::OverCap } else { Admission::Admitted };
-        // Before the task is polled: none is uncounted in between.
+        // Taken before the task is first polled, so that the connection is counted without a gap.
         let guard = self.handover.shutdown.guard();
         let entry = self.table.enter(client);
         if let Some(since) = waiting_since {
@@ -202,7 +206,7 @@
     }
 }
 
-/// One connection from its arrival on.
+/// Task that serves one connection from its arrival to its end.
 struct ConnectionTask<S> {
     service: S,
     hooks: FrontHooks,
@@ -244,8 +248,8 @@
     }
 }
 
-/// A service for connections over the cap. A GET is answered all the same: whoever asks whether the gateway is ready is no
-/// client, and keeps the connection open for a moment only.
+/// Returns the service for connections over the cap, which rejects all requests except GET. A GET is a
+/// readiness check: it is not sent by a client, and it keeps the connection open only briefly.
 fn rejecting<S: HttpService>(service: S, hooks: FrontHooks) -> impl HttpService {
     service_fn(move |request: Request<Incoming>| {
         let (service, reject) = (service.clone(), hooks.reject.clone());
@@ -258,7 +262,8 @@
     })
 }
 
-/// Serves until shutdown has passed its accepting phase, then lets connections end by themselves.
+/// Accepts and serves connections until shutdown reaches [`Phase::Closing`]. Connections that are still open
+/// then are served to their end by their own tasks.
 pub async fn serve(listener: impl Into<FrontListener>, front: impl Front, cap: usize, shutdown: Shutdown) {
     let FrontListener { number, listener, mut inbox, resume, mut open } = listener.into();
     let acceptor = Acceptor {
@@ -270,18 +275,18 @@
         resume,
         accept_watch: AcceptWatch::new(Instant::now()),
     };
-    // The end waits for the machine's queue as for a connection: what it holds when accepting ends is still taken.
+    // Keeps the process from exiting until the connections are accepted that are queued when accepting ends.
     let _accepting = shutdown.guard();
     let stop = shutdown.reached(Phase::Closing);
     tokio::pin!(stop);
     tokio::select! {
         () = &mut stop => return,
-        // An error means that nobody will open it: then it stays shut.
+        // An error means that the sender was dropped; accepting begins in that case too.
         _ = open.wait_for(|open| *open) => {}
     }
     let mut successor_updates = shutdown.successor_updates();
     loop {
-        // A successor accepts in place of this process for as long as it is there.
+        // While a successor runs, it accepts connections in place of this process.
         let accepting = successor_updates.borrow_and_update().is_none();
         tokio::select! {
             biased;
@@ -292,25 +297,25 @@
                     let client = socket.peer_addr().ok();
                     acceptor.take(socket, client, stream, None);
                 }
-                Err(error) => log!("a transferred connection could not be registered: {error}"),
+                Err(error) => log!("cannot register a connection received from another process: {error}"),
             },
             accepted = acceptor.when_vacant(acceptor.accept(&listener)), if accepting => match accepted {
                 Ok((socket, client)) => {
                     acceptor.take_accepted(socket, client);
-                    // The evicted one closes, and the new one is read, before the next one comes.
+                    // The evicted connection is closed, and the new one is read, before the next one is accepted.
                     if acceptor.is_full() {
                         yield_now().await;
                     }
                 }
                 Err(error) => {
-                    log!("cannot accept: {error}");
+                    log!("cannot accept a connection: {error}");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             },
             () = sleep_until(acceptor.accept_watch.next_heartbeat()) => {
                 acceptor.accept_watch.note_turn(Instant::now());
-                // After a pause the runtime may have run timers alone: whether the queue is empty is known once it has looked at its
-                // sockets too.
+                // After a pause of the process the runtime may have polled only its timers. It polls its
+                // sockets too before it is known whether the accept queue is empty.
                 yield_now().await;
             }
         }
@@ -325,7 +330,7 @@
     }
 }
 
-/// Reports a connection beyond the cap that is closed without being read, if something has come on it.
+/// Reports a connection over the cap that is closed without being read, if bytes have arrived on it.
 fn report_over_cap(socket: &TcpStream, client: Option<SocketAddr>) {
     let end = ConnectionEnd::new(client);
     end.note_unread(unread_bytes(socket));
@@ -340,7 +345,7 @@
     }
 }
 
-/// The next connection handed over; `None` at once where none can be.
+/// Waits for the next connection from another process; returns `None` if there is no inbox or it is closed.
 async fn next_transferred(
     inbox: &mut Option<TransferInbox>,
 ) -> Option<(std::net::TcpStream, Option<TransferredStream>)> {
--- a/gateway/src/front/tracked_body.rs
+++ b/gateway/src/front/tracked_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to a client, which tells its connection when it is written and counts the request.
+//! Body of a response that notifies its connection when it has been written, and counts the request.
 
 use std::io;
 use std::pin::Pin;
@@ -14,35 +14,36 @@
 use crate::metrics::{RequestCounter, RequestOutcome};
 use crate::upgrade::transferred::TransferredStream;
 
-/// The framing of a response.
+/// Framing of a response body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// In chunks, as to every client but those of HTTP/1.0; another process can go on between two of them.
+    /// Chunked, for all clients except those of HTTP/1.0. Another process can continue between two chunks.
     Chunked,
-    /// Up to the connection's end.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// The body of a response.
+/// Body of a response, with what has to be notified of its end.
 pub struct TrackedBody {
-    /// What is written.
+    /// The body that is written.
     pub body: Body,
-    /// The connection that it is written on.
+    /// State of the connection that the body is written on.
     pub watch: Rc<ConnectionWatch>,
-    /// How it is framed.
+    /// Decides whether another process can continue the body.
     pub framing: Framing,
-    /// Counts the request when its stream has ended.
+    /// Counts the request when its stream ends; `None` if the request is not counted here.
     pub counter: Option<RequestCounter>,
-    /// Its end was passed on.
+    /// Whether the end of the stream was passed to hyper.
     pub is_complete: bool,
 }
 
 impl TrackedBody {
-    /// Has the connection keep a stream that another process goes on with. The request is counted there.
+    /// Passes the remainder of the stream to the connection, for another process to continue. That process
+    /// counts the request.
     fn detach(&mut self, remainder: StreamRemainder) -> io::Result<()> {
         let class = self.counter.take().map(|counter| counter.class());
         if self.framing == Framing::UntilClose {
-            return Err(io::Error::other("no chunks, so nobody can go on with it"));
+            return Err(io::Error::other("a response that is not chunked cannot be handed over"));
         }
         self.watch.detach_stream(TransferredStream { remainder, class });
         Ok(())
@@ -57,7 +58,7 @@
 
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        // A full body is handed to hyper at once.
+        // hyper takes a full body as a whole.
         if self.is_complete || matches!(self.body, Body::Full(_)) {
             self.watch.response_finished();
         } else {
--- a/gateway/src/front/unanswered.rs
+++ b/gateway/src/front/unanswered.rs
@@ -1,7 +1,7 @@
-//! Ends of clients' connections that left bytes of a request without a complete answer: each is counted and logged here, with its
-//! reason, whoever decided it.
+//! Counts and logs each client connection that ended with bytes of a request but without a complete response,
+//! by the reason of the end.
 //!
-//! A gateway runs on one thread, and its counters are that thread's.
+//! A gateway runs on one thread, so the counters are thread-local.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,33 +13,33 @@
 use crate::log;
 use crate::log::Limit;
 
-/// Why a client's connection ended.
+/// Why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// It had been in a stage for too long.
+    /// The time limit of its stage had expired.
     TimedOut,
-    /// Another client needed its entry in the connection table.
+    /// Its entry in the connection table was needed for another client.
     Evicted,
-    /// It was beyond the cap, and no more connections could be rejected.
+    /// It was over the cap, and the maximum number of connections was already being rejected.
     OverCap,
-    /// The gateway is shutting down, or out of service, and the connection was idle.
+    /// The connection was idle while the gateway was shutting down or out of service.
     Shutdown,
-    /// Its client ended or reset it, or takes no more of its response.
+    /// The client closed or reset it, or stopped reading its response.
     ClientEnded,
-    /// The response before was the last on it.
+    /// The previous response was announced as the last one.
     LastResponse,
-    /// Its response was aborted.
+    /// Its response was aborted before the end.
     ResponseAborted,
-    /// What was received on it breaks the protocol.
+    /// The client violated the protocol.
     ProtocolError,
-    /// It could not be handed over to the successor.
+    /// Its handover to the successor failed.
     HandoverFailed,
-    /// The process ended first.
+    /// The process ended before a decision to close the connection.
     ProcessEnded,
 }
 
 impl EndReason {
-    /// All reasons, in the order of the operators' figures.
+    /// All reasons, in the order of the operators' counters.
     pub const ALL: [EndReason; 10] = [
         EndReason::TimedOut,
         EndReason::Evicted,
@@ -53,7 +53,7 @@
         EndReason::ProcessEnded,
     ];
 
-    /// Its name in the log and in the operators' figures.
+    /// Returns the name of the reason in the log and in the operators' counters.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::TimedOut => "timed_out",
@@ -70,36 +70,36 @@
     }
 }
 
-/// How much of the request was read.
+/// How much of a request was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestProgress {
-    /// None of it: its client may send it again.
+    /// No byte, so the client can safely send it again.
     Unread,
-    /// A part of it.
+    /// Some of its bytes.
     PartlyRead,
-    /// All of it.
+    /// The complete request.
     Read,
 }
 
-/// The progresses by their names in the operators' figures, in the order of their variants.
+/// Names of the variants of [`RequestProgress`] in the operators' counters, in the same order.
 const PROGRESS_NAMES: [&str; 3] = ["unread", "partly_read", "read"];
 
-/// The end of a connection that left bytes of a request without a complete answer.
+/// End of a connection that had received bytes of a request but sent no complete response.
 #[derive(Clone, Copy, Debug)]
 pub struct UnansweredEnd {
-    /// Why it ended.
+    /// Why the connection ended.
     pub reason: EndReason,
-    /// How much of the request was read.
+    /// How much of the request had been read.
     pub progress: RequestProgress,
-    /// The client's address, where it is known.
+    /// Address of the client; `None` if unknown.
     pub client: Option<SocketAddr>,
-    /// Bytes that were read since the last answer.
+    /// Number of bytes read since the last complete response.
     pub bytes_read: u64,
-    /// Bytes that were not read while the connection was served.
+    /// Number of bytes that were not read while the connection was served.
     pub bytes_unread: usize,
-    /// The stage in which the end was decided ...
+    /// Stage of the connection when its end was decided.
     pub stage: Stage,
-    /// ... and for how long the connection had been in it by then.
+    /// Time that the connection had spent in the stage by then.
     pub age: Duration,
 }
 
@@ -107,11 +107,11 @@
 
 thread_local! {
     static COUNTS: RefCell<Counts> = RefCell::default();
-    /// One a reason: a crowd of one reason does not silence the others.
+    /// One limit for each reason, so that many lines of one reason do not suppress those of others.
     static LIMITS: [Limit; EndReason::ALL.len()] = const { [const { Limit::new() }; EndReason::ALL.len()] };
 }
 
-/// Counts and logs an end.
+/// Counts and logs the end of a connection.
 pub fn report(end: &UnansweredEnd) {
     let reason = end.reason as usize;
     COUNTS.with_borrow_mut(|counts| counts[reason][end.progress as usize] += 1);
@@ -133,12 +133,12 @@
     });
 }
 
-/// Ends of this reason and progress since the process began.
+/// Returns the number of ends with this reason and progress since the process began.
 pub fn count(reason: EndReason, progress: RequestProgress) -> u64 {
     COUNTS.with_borrow(|counts| counts[reason as usize][progress as usize])
 }
 
-/// The counts as the operators' figures show them: by reason, then by how much was read.
+/// Returns the counts as JSON for the operators, by reason and then by how much of the request was read.
 pub fn figures() -> Value {
     let counts = COUNTS.with_borrow(|counts| *counts);
     let by_progress =
