--- a/gateway/src/admin.rs
+++ b/gateway/src/admin.rs
@@ -103,7 +103,7 @@
     response
 }
 
-fn wrong_method(allowed: &'static str) -> Response<Body> {
+fn method_not_allowed(allowed: &'static str) -> Response<Body> {
     let mut response = text_line(StatusCode::METHOD_NOT_ALLOWED, &format!("{allowed} wanted"));
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
@@ -137,7 +137,7 @@
         });
         counters["invariants_broken"] =
             invariants::counts().map(|(name, count)| (name.to_string(), Value::from(count))).collect();
-        counters["connections_closed"] = closed_connections::figures();
+        counters["connections_closed"] = closed_connections::to_json();
         if let Some(fleet) = &context.fleet {
             counters["fleet"] = fleet.counters();
         }
@@ -149,7 +149,7 @@
         classes.map(|(class, counts)| (class, count(&counts).into())).collect()
     }
 
-    fn order(&self, encoded_server: &str, order: Order) -> Response<Body> {
+    fn execute_order(&self, encoded_server: &str, order: Order) -> Response<Body> {
         let Ok(server) = percent_decode_str(encoded_server).decode_utf8() else {
             return text_line(StatusCode::BAD_REQUEST, "the engine's id is not UTF-8");
         };
@@ -159,13 +159,13 @@
         }
     }
 
-    fn call(&self, method: &Method, path: &str) -> Response<Body> {
+    fn respond(&self, method: &Method, path: &str) -> Response<Body> {
         let context = &self.0;
         let Some(call) = Call::parse(path, context.fleet.as_ref()) else {
             return text_line(StatusCode::NOT_FOUND, "no such call");
         };
         if method.as_str() != call.method() {
-            return wrong_method(call.method());
+            return method_not_allowed(call.method());
         }
         match call {
             Call::Ready if (context.ready)() => text_line(StatusCode::OK, "ready"),
@@ -180,14 +180,14 @@
                 context.shutdown.return_to_service();
                 text_line(StatusCode::OK, "in service")
             }
-            Call::Order { server, order } => self.order(server, order),
+            Call::Order { server, order } => self.execute_order(server, order),
         }
     }
 }
 
 impl<U: Upstream> Front for AdminFront<U> {
-    async fn answer(self, request: Request<Incoming>) -> Response<Body> {
-        let mut response = self.call(request.method(), request.uri().path());
+    async fn handle(self, request: Request<Incoming>) -> Response<Body> {
+        let mut response = self.respond(request.method(), request.uri().path());
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         response
     }
--- a/gateway/src/front/accept_queue.rs
+++ b/gateway/src/front/accept_queue.rs
@@ -9,31 +9,31 @@
 use crate::log;
 
 /// The accept queue counts as empty when it has yielded no connection for this time.
-const EMPTY_AFTER: Duration = Duration::from_millis(5);
+const QUEUE_EMPTY_TIMEOUT: Duration = Duration::from_millis(5);
 /// Accepting ends after this time even if new connections keep arriving.
-const TIMEOUT: Duration = Duration::from_millis(100);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Takes connections until the queue is empty, each as soon as `room` completes. A failed accept concerns only one
+/// Takes connections until the queue is empty, each as soon as `vacancy` completes. A failed accept concerns only one
 /// connection, so the next one is accepted all the same.
-pub(super) async fn empty<T>(
-    mut room: impl AsyncFnMut(), mut accept: impl AsyncFnMut() -> io::Result<T>, mut take: impl FnMut(T),
+pub(super) async fn drain<T>(
+    mut vacancy: impl AsyncFnMut(), mut accept: impl AsyncFnMut() -> io::Result<T>, mut start: impl FnMut(T),
 ) {
-    let take_all = async {
+    let accept_all = async {
         loop {
-            room().await;
-            let Ok(accepted) = timeout(EMPTY_AFTER, accept()).await else { return };
+            vacancy().await;
+            let Ok(accepted) = timeout(QUEUE_EMPTY_TIMEOUT, accept()).await else { return };
             match accepted {
-                Ok(connection) => take(connection),
+                Ok(connection) => start(connection),
                 Err(error) => {
                     log!("cannot accept a queued connection: {error}");
                     // If no file descriptor is left, one may become free.
-                    sleep(EMPTY_AFTER).await;
+                    sleep(QUEUE_EMPTY_TIMEOUT).await;
                 }
             }
         }
     };
     // A timeout is no error: new connections keep arriving.
-    let _ = timeout(TIMEOUT, take_all).await;
+    let _ = timeout(DRAIN_TIMEOUT, accept_all).await;
 }
 
 #[cfg(test)]
--- a/gateway/src/front/accept_watch.rs
+++ b/gateway/src/front/accept_watch.rs
@@ -17,17 +17,17 @@
 const MAX_COUNTED_WAIT: Duration = Duration::from_secs(1);
 
 /// Records when an accept loop polled its queue.
-pub(super) struct AcceptWatch {
+pub(super) struct AcceptQueueMonitor {
     last_turn: Cell<Instant>,
     /// Start of the time in which connections may have queued up without being accepted; `None` once the queue
     /// was empty.
-    unattended_since: Cell<Option<Instant>>,
+    unpolled_since: Cell<Option<Instant>>,
 }
 
-impl AcceptWatch {
+impl AcceptQueueMonitor {
     /// Creates the record of a loop that begins at `now`.
     pub fn new(now: Instant) -> Self {
-        AcceptWatch { last_turn: Cell::new(now), unattended_since: Cell::default() }
+        AcceptQueueMonitor { last_turn: Cell::new(now), unpolled_since: Cell::default() }
     }
 
     /// Returns the latest time at which the loop has to wake up.
@@ -38,25 +38,25 @@
     /// Records a turn of the loop, and detects a pause of the process since the last one.
     pub fn note_turn(&self, now: Instant) {
         if now > self.next_heartbeat() + HEARTBEAT_SLACK {
-            self.note_unattended(self.last_turn.get());
+            self.note_unpolled(self.last_turn.get());
         }
         self.last_turn.set(now);
     }
 
     /// Records that the loop has not polled the queue since `since`.
-    pub fn note_unattended(&self, since: Instant) {
-        self.unattended_since.set(self.unattended_since.get().or(Some(since)));
+    pub fn note_unpolled(&self, since: Instant) {
+        self.unpolled_since.set(self.unpolled_since.get().or(Some(since)));
     }
 
     /// Records that the queue is empty.
     pub fn note_empty(&self) {
-        self.unattended_since.set(None);
+        self.unpolled_since.set(None);
     }
 
     /// Returns the earliest time at which a connection that is accepted at `now` can have arrived.
     pub fn earliest_arrival(&self, now: Instant) -> Instant {
         self.note_turn(now);
-        let earliest = self.unattended_since.get().unwrap_or(now);
+        let earliest = self.unpolled_since.get().unwrap_or(now);
         now.checked_sub(MAX_COUNTED_WAIT).map_or(earliest, |bound| earliest.max(bound))
     }
 }
--- a/gateway/src/front/closed_connections.rs
+++ b/gateway/src/front/closed_connections.rs
@@ -92,7 +92,7 @@
 }
 
 /// Returns the counts as JSON for the operators.
-pub fn figures() -> Value {
+pub fn to_json() -> Value {
     let counts = counts();
     let by_age = |ages: &[u64]| -> Value {
         let names = AGE_BOUNDS.iter().map(|(_, name)| *name).chain([OLDER]);
@@ -104,6 +104,6 @@
         "evicted": evicted,
         "evicted_unread": counts.evicted_unread,
         "over_cap": counts.over_cap,
-        "unanswered": unanswered::figures(),
+        "unanswered": unanswered::to_json(),
     })
 }
--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -18,7 +18,7 @@
 use tower::{Service, ServiceExt};
 
 use super::connection_table::{CloseReason, TableEntry};
-use super::connection_watch::ConnectionWatch;
+use super::connection_watch::ConnectionState;
 use super::request_reader::{RequestReader, MAX_HEAD_BYTES};
 use super::tracked_body::{Framing, TrackedBody};
 use super::unanswered::EndReason;
@@ -29,12 +29,12 @@
 use crate::upgrade::transferred::{ConnectionGuard, TransferredConnection, TransferredStream};
 
 /// Returns the counter for a request; `None` if the request belongs to no known class.
-pub(super) type CounterOfRequest = Rc<dyn Fn(&Request<Incoming>) -> Option<RequestCounter>>;
+pub(super) type RequestCounterLookup = Rc<dyn Fn(&Request<Incoming>) -> Option<RequestCounter>>;
 
 /// Functions of a front that its connections call apart from its HTTP service.
 #[derive(Clone)]
 pub(super) struct FrontHooks {
-    pub request_counter: CounterOfRequest,
+    pub request_counter: RequestCounterLookup,
     /// Returns the response to a request that is rejected before it reaches the front.
     pub reject: Rc<dyn Fn(&'static str) -> Response<Body>>,
 }
@@ -63,7 +63,7 @@
 }
 
 /// Adds `Connection: close`, which marks a response as the last one on its connection.
-pub(super) fn closing(mut response: Response<Body>) -> Response<Body> {
+pub(super) fn with_connection_close(mut response: Response<Body>) -> Response<Body> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
@@ -75,22 +75,22 @@
     service: S,
     hooks: FrontHooks,
     shutdown: Shutdown,
-    watch: Rc<ConnectionWatch>,
+    state: Rc<ConnectionState>,
 }
 
-type Answer = Result<Response<TrackedBody>, Infallible>;
+type ServiceResult = Result<Response<TrackedBody>, Infallible>;
 
 impl<S: HttpService> Service<Request<Incoming>> for ConnectionService<S> {
     type Response = Response<TrackedBody>;
     type Error = Infallible;
-    type Future = LocalBoxFuture<'static, Answer>;
+    type Future = LocalBoxFuture<'static, ServiceResult>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
     fn call(&mut self, mut request: Request<Incoming>) -> Self::Future {
-        if let Some(arrived) = self.watch.take_arrival() {
+        if let Some(arrived) = self.state.take_arrival() {
             request.extensions_mut().insert(ArrivedAt(arrived));
         }
         let counter = (self.hooks.request_counter)(&request);
@@ -99,12 +99,12 @@
 }
 
 impl<S: HttpService> ConnectionService<S> {
-    async fn respond(self, request: Request<Incoming>, counter: Option<RequestCounter>) -> Answer {
+    async fn respond(self, request: Request<Incoming>, counter: Option<RequestCounter>) -> ServiceResult {
         let framing = match request.version() {
             Version::HTTP_11 => Framing::Chunked,
             _ => Framing::UntilClose,
         };
-        let mut response = match self.watch.framing_fault() {
+        let mut response = match self.state.framing_fault() {
             Some(fault) => response(StatusCode::BAD_REQUEST, format!("{fault}\n")),
             None if counter.is_some() && self.shutdown.rejects_new_requests() => {
                 (self.hooks.reject)("out of service\n")
@@ -113,10 +113,10 @@
         };
         // While the gateway drains, each response announces the end of its connection, unless a further request has
         // arrived behind this one: that request would be dropped.
-        if self.watch.closes_after_response()
-            || self.shutdown.is_draining() && !self.watch.has_pipelined_request()
+        if self.state.closes_after_response()
+            || self.shutdown.is_draining() && !self.state.has_pipelined_request()
         {
-            response = closing(response);
+            response = with_connection_close(response);
         }
         // The responses of both fronts and all rejections pass through here, so requests are counted in this
         // place: a full body at once, a stream by `TrackedBody` at its end.
@@ -127,8 +127,8 @@
             }
             (counter, _) => counter,
         };
-        let watch = self.watch;
-        Ok(response.map(|body| TrackedBody { body, watch, framing, counter, is_complete: false }))
+        let state = self.state;
+        Ok(response.map(|body| TrackedBody { body, state, framing, counter, is_complete: false }))
     }
 }
 
@@ -153,12 +153,13 @@
     // Without this option responses may be delayed, but the connection works, so a failure is ignored.
     let _ = socket.set_nodelay(true);
     let socket = CountedSocket::new(socket);
-    entry.watch.watch_socket(&socket);
-    let unread = UnreadAtEnd { watch: entry.watch.clone(), socket: Rc::downgrade(&socket.socket) };
+    entry.state.set_socket(&socket);
+    let unread_recorder =
+        UnreadRecorder { state: entry.state.clone(), socket: Rc::downgrade(&socket.socket) };
     let end = {
         let shutdown = handover.shutdown.clone();
-        let service = ConnectionService { service, hooks, shutdown, watch: entry.watch.clone() };
-        let reader = RequestReader::new(socket.clone(), entry.watch.clone());
+        let service = ConnectionService { service, hooks, shutdown, state: entry.state.clone() };
+        let reader = RequestReader::new(socket.clone(), entry.state.clone());
         let connection = http1::Builder::new()
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_BYTES)
@@ -168,33 +169,33 @@
     match end {
         ServingEnd::Drop => {}
         ServingEnd::Evicted => {
-            if let Some(_lingering) = entry.linger() {
-                entry.watch.close(&socket.socket).await;
+            if let Some(_permit) = entry.try_linger() {
+                entry.state.close(&socket.socket).await;
             }
         }
-        ServingEnd::Close => entry.watch.close(&socket.socket).await,
+        ServingEnd::Close => entry.state.close(&socket.socket).await,
         ServingEnd::HandOver => {
             // hyper has released the socket. Either no part of a request has been read, or all of the response
             // so far is written; in both cases the successor can continue.
-            drop(unread);
+            drop(unread_recorder);
             let socket = Rc::try_unwrap(socket.socket).ok().and_then(|socket| socket.into_std().ok());
-            if !handover.send(socket, entry.watch.take_detached_stream(), guard) {
-                entry.watch.decide_end(EndReason::HandoverFailed);
+            if !handover.send(socket, entry.state.take_detached_stream(), guard) {
+                entry.state.decide_end(EndReason::HandoverFailed);
             }
         }
     }
 }
 
 /// Records the number of unread bytes of the client when the connection is dropped, on whichever path.
-struct UnreadAtEnd {
-    watch: Rc<ConnectionWatch>,
+struct UnreadRecorder {
+    state: Rc<ConnectionState>,
     socket: Weak<TcpStream>,
 }
 
-impl Drop for UnreadAtEnd {
+impl Drop for UnreadRecorder {
     fn drop(&mut self) {
         if let Some(socket) = self.socket.upgrade() {
-            self.watch.end.note_unread(unread_bytes(&socket));
+            self.state.end.note_unread(unread_bytes(&socket));
         }
     }
 }
@@ -209,10 +210,10 @@
     let mut must_end = pin!(shutdown.connection_must_end(Instant::now()));
     let mut client_disconnected = pin!(read_closed(&socket.socket));
     let mut successor_updates = shutdown.successor_updates();
-    let mut ending = false;
-    let mut shut_down = false;
+    let mut close_when_idle = false;
+    let mut shutdown_started = false;
     loop {
-        let can_hand_over = || shutdown.has_successor() && entry.watch.try_hand_over();
+        let can_hand_over = || shutdown.has_successor() && entry.state.try_hand_over();
         tokio::select! {
             // The connection is polled first, because its progress decides whether it is idle.
             biased;
@@ -220,39 +221,39 @@
             // of the protocol.
             result = connection.as_mut() => {
                 let reason = match result {
-                    Ok(()) if shut_down => EndReason::Shutdown,
+                    Ok(()) if shutdown_started => EndReason::Shutdown,
                     Ok(()) => EndReason::LastResponse,
                     Err(_) => EndReason::ProtocolError,
                 };
-                entry.watch.decide_end(entry.watch.end.reason_or(reason));
+                entry.state.decide_end(entry.state.end.reason_or(reason));
                 return ServingEnd::Close;
             }
             // hyper does not notice a disconnect while nothing is read. Dropping the connection cancels its
             // request.
-            () = poll_fn(|context| match entry.watch.is_blind_to_disconnect() {
+            () = poll_fn(|context| match entry.state.cannot_detect_disconnect() {
                 true => client_disconnected.as_mut().poll(context),
                 false => Poll::Pending,
             }) => {
-                entry.watch.decide_end(EndReason::ClientEnded);
+                entry.state.decide_end(EndReason::ClientEnded);
                 return ServingEnd::Drop;
             }
-            reason = entry.must_close() => return match reason {
+            reason = entry.close_required() => return match reason {
                 CloseReason::TimedOut => {
-                    entry.watch.decide_end(EndReason::TimedOut);
+                    entry.state.decide_end(EndReason::TimedOut);
                     ServingEnd::Close
                 }
                 CloseReason::Evicted => {
-                    entry.watch.decide_end(EndReason::Evicted);
-                    entry.watch.count_evicted();
+                    entry.state.decide_end(EndReason::Evicted);
+                    entry.state.count_evicted();
                     ServingEnd::Evicted
                 }
             },
             () = ready_when(can_hand_over) => return ServingEnd::HandOver,
             _ = successor_updates.changed() => {}
-            () = &mut must_end, if !ending && !shutdown.has_successor() => ending = true,
+            () = &mut must_end, if !close_when_idle && !shutdown.has_successor() => close_when_idle = true,
             // A request that has arrived is served first, even if it is unread or pipelined behind another one.
-            () = ready_when(|| entry.watch.is_idle()), if ending && !shut_down => {
-                shut_down = true;
+            () = ready_when(|| entry.state.is_idle()), if close_when_idle && !shutdown_started => {
+                shutdown_started = true;
                 connection.as_mut().graceful_shutdown();
             }
         }
--- a/gateway/src/front/connection_end.rs
+++ b/gateway/src/front/connection_end.rs
@@ -89,10 +89,10 @@
         self.decision.set(self.decision.get().or(Some(decision)));
     }
 
-    /// Reports the end of the connection, if a request is left without a complete response. `undecided` is used
+    /// Reports the end of the connection, if a request is left without a complete response. `fallback` is used
     /// if no decision was recorded.
-    pub fn report(&self, undecided: EndDecision) {
-        let EndDecision { reason, stage, age } = self.decision.get().unwrap_or(undecided);
+    pub fn report(&self, fallback: EndDecision) {
+        let EndDecision { reason, stage, age } = self.decision.get().unwrap_or(fallback);
         let bytes_read = self.bytes_read.get();
         // In this stage unread bytes are the rest of the last request, which had its response early.
         let bytes_unread = match stage {
--- a/gateway/src/front/connection_watch.rs
+++ b/gateway/src/front/connection_watch.rs
@@ -42,12 +42,12 @@
 pub(super) const HEAD_EVICTION_GRACE: Duration = Duration::from_millis(120);
 
 /// State of one client connection.
-pub struct ConnectionWatch {
+pub struct ConnectionState {
     machine: RefCell<Connection>,
     /// Checked for unread bytes; empty before the connection is read, and once it is being closed.
     socket: RefCell<Weak<TcpStream>>,
     /// Time of the last change of stage.
-    pub(super) since: Cell<Instant>,
+    pub(super) stage_since: Cell<Instant>,
     /// Whether the gateway has ended its sending side, so that no further request is served.
     closing: Cell<bool>,
     /// Whether the client's bytes stay unread until its response is written, so that reading does not show a
@@ -64,13 +64,13 @@
     /// Arrival time of the request whose first bytes were read last; `None` once it has been taken.
     arrival: Cell<Option<Instant>>,
     stage_changed: Notify,
-    pub(super) evicted: Notify,
+    pub(super) eviction_requested: Notify,
 }
 
-impl ConnectionWatch {
+impl ConnectionState {
     /// Creates the state of a new connection from the given address.
     pub fn new(client: Option<SocketAddr>) -> Self {
-        ConnectionWatch {
+        ConnectionState {
             end: ConnectionEnd::new(client),
             waiting_since: Cell::default(),
             arrival: Cell::default(),
@@ -78,11 +78,11 @@
             socket: RefCell::default(),
             closing: Cell::default(),
             stopped_reading: Cell::default(),
-            since: Cell::new(Instant::now()),
+            stage_since: Cell::new(Instant::now()),
             detached_stream: RefCell::default(),
             framing_fault: Cell::default(),
             stage_changed: Notify::new(),
-            evicted: Notify::new(),
+            eviction_requested: Notify::new(),
         }
     }
 
@@ -101,7 +101,7 @@
             Effect::None
         });
         if machine.stage() != before {
-            self.since.set(Instant::now());
+            self.stage_since.set(Instant::now());
             self.stage_changed.notify_one();
         }
         effect
@@ -167,11 +167,11 @@
     /// something, because a request is open or the socket is not read yet.
     pub(super) fn evictable_from(&self) -> Option<Instant> {
         if self.is_closing() {
-            return Some(self.since.get());
+            return Some(self.stage_since.get());
         }
         let is_read = self.socket.borrow().strong_count() > 0;
         let grace = if self.stage() == Stage::Head { HEAD_EVICTION_GRACE } else { EVICTION_GRACE };
-        (is_read && self.machine.borrow().is_evictable()).then(|| self.since.get() + grace)
+        (is_read && self.machine.borrow().is_evictable()).then(|| self.stage_since.get() + grace)
     }
 
     /// Returns whether the connection may be evicted now.
@@ -213,7 +213,7 @@
     }
 
     fn end_decision(&self, reason: EndReason) -> EndDecision {
-        EndDecision { reason, stage: self.stage(), age: self.since.get().elapsed() }
+        EndDecision { reason, stage: self.stage(), age: self.stage_since.get().elapsed() }
     }
 
     /// Reports the end of the connection, if a request is left without a response.
@@ -225,7 +225,7 @@
     pub(super) fn count_evicted(&self) {
         closed_connections::count_evicted(&EvictedConnection {
             stage: self.stage(),
-            age: self.since.get().elapsed(),
+            age: self.stage_since.get().elapsed(),
             has_unread: self.has_unread(),
         });
     }
@@ -241,11 +241,11 @@
             TimeoutKind::Idle => IDLE_TIMEOUT,
             TimeoutKind::Linger => LINGER_TIMEOUT,
         };
-        Some(self.since.get() + limit)
+        Some(self.stage_since.get() + limit)
     }
 
     /// Sets the socket that requests are read from.
-    pub fn watch_socket(&self, socket: &CountedSocket) {
+    pub fn set_socket(&self, socket: &CountedSocket) {
         self.socket.replace(Rc::downgrade(&socket.socket));
     }
 
@@ -279,13 +279,13 @@
     }
 
     /// Returns whether a request is open and a disconnect of its client would not show in reading.
-    pub fn is_blind_to_disconnect(&self) -> bool {
+    pub fn cannot_detect_disconnect(&self) -> bool {
         self.stopped_reading.get() && matches!(self.stage(), Stage::Body | Stage::Response)
     }
 
     /// Waits until the time limit of the current stage has expired or an eviction is requested, and returns the
     /// input for the state machine.
-    pub(super) async fn overdue(&self) -> Input {
+    pub(super) async fn timed_out_or_evicted(&self) -> Input {
         loop {
             let deadline = self.stage_deadline();
             let deadline_passed = async {
@@ -295,7 +295,7 @@
                 }
             };
             tokio::select! {
-                () = self.evicted.notified() => return Input::Evicted,
+                () = self.eviction_requested.notified() => return Input::Evicted,
                 () = deadline_passed => match self.stage_deadline() {
                     Some(deadline) if deadline <= Instant::now() => return Input::TimedOut,
                     _ => {}
@@ -311,6 +311,7 @@
             if self.stage() == Stage::Closing { Expected::RestOfRequest } else { Expected::Nothing };
         self.socket.take();
         self.closing.set(true);
-        lingering_close::close(socket, expected, &self.end.bytes_dropped, self.evicted.notified()).await;
+        lingering_close::close(socket, expected, &self.end.bytes_dropped, self.eviction_requested.notified())
+            .await;
     }
 }
--- a/gateway/src/front/inference/body_fields.rs
+++ b/gateway/src/front/inference/body_fields.rs
@@ -40,11 +40,11 @@
         .map_err(|error| ApiError::invalid(format!("the body is not as wanted: {error}")))
 }
 
-fn is_text(value: &RawValue) -> bool {
+fn is_string(value: &RawValue) -> bool {
     value.get().starts_with('"')
 }
 
-fn is_tokens(value: &RawValue) -> bool {
+fn is_token_list(value: &RawValue) -> bool {
     serde_json::from_str::<Vec<u32>>(value.get()).is_ok_and(|tokens| !tokens.is_empty())
 }
 
@@ -72,12 +72,12 @@
         input: &'a RawValue,
     }
     let shape: Shape = parse(body)?;
-    if is_text(shape.input) {
+    if is_string(shape.input) {
         if shape.input.get() == "\"\"" {
             return Err(ApiError::invalid("input: must not be empty"));
         }
-    } else if !is_tokens(shape.input) {
-        check_batch("input", shape.input, |value| is_text(value) || is_tokens(value))?;
+    } else if !is_token_list(shape.input) {
+        check_batch("input", shape.input, |value| is_string(value) || is_token_list(value))?;
     }
     Ok(BodyFields::batch())
 }
@@ -100,7 +100,7 @@
     if shape.top_n == Some(0) {
         return Err(ApiError::invalid("top_n: must be above 0"));
     }
-    check_batch("documents", shape.documents, |value| is_text(value) || value.get().starts_with('{'))?;
+    check_batch("documents", shape.documents, |value| is_string(value) || value.get().starts_with('{'))?;
     Ok(BodyFields::batch())
 }
 
@@ -133,10 +133,10 @@
 impl ChatShape<'_> {
     /// Returns a hash that identifies the conversation, from the user and the user's first message.
     fn session(&self) -> u64 {
-        let opening = self.messages.iter().find(|message| message.role == "user");
-        let opening = opening.map_or("", ChatMessage::text);
+        let first_message = self.messages.iter().find(|message| message.role == "user");
+        let first_message = first_message.map_or("", ChatMessage::text);
         let user = self.user.as_deref().unwrap_or_default();
-        server_id(&format!("{user}\n{opening}")).0
+        server_id(&format!("{user}\n{first_message}")).0
     }
 
     /// Returns the prompt prefix that conversations share: a system message at the start, if other messages
--- a/gateway/src/front/inference/error.rs
+++ b/gateway/src/front/inference/error.rs
@@ -16,15 +16,15 @@
 pub(super) struct ApiError {
     pub status: StatusCode,
     /// Value of `type` in the response.
-    kind: &'static str,
+    error_type: &'static str,
     pub message: String,
     /// Value of `Retry-After`; `None` if a retry is not known to be safe.
     retry_after: Option<Duration>,
 }
 
 impl ApiError {
-    fn new(status: StatusCode, kind: &'static str, message: impl Into<String>) -> Self {
-        ApiError { status, kind, message: message.into(), retry_after: None }
+    fn new(status: StatusCode, error_type: &'static str, message: impl Into<String>) -> Self {
+        ApiError { status, error_type, message: message.into(), retry_after: None }
     }
 
     /// The body or a header is invalid.
@@ -33,7 +33,7 @@
     }
 
     /// The path does not exist, or its endpoint has no target.
-    pub fn no_path() -> Self {
+    pub fn path_not_found() -> Self {
         ApiError::new(StatusCode::NOT_FOUND, INVALID_REQUEST, "no such path here")
     }
 
@@ -72,7 +72,7 @@
 
     /// Returns the response in the format of the public APIs.
     pub fn into_response(self) -> Response<Body> {
-        let error = json!({"message": self.message, "type": self.kind, "param": null, "code": null});
+        let error = json!({"message": self.message, "type": self.error_type, "param": null, "code": null});
         let mut response = response(self.status, json!({ "error": error }).to_string());
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         let retry_after =
--- a/gateway/src/front/inference/mod.rs
+++ b/gateway/src/front/inference/mod.rs
@@ -80,7 +80,7 @@
 
 impl RequestIds {
     fn new() -> RequestIds {
-        RequestIds { seed: RandomState::new().hash_one("names of requests"), count: Cell::new(0) }
+        RequestIds { seed: RandomState::new().hash_one("request ids"), count: Cell::new(0) }
     }
 
     fn next(&self) -> String {
@@ -147,8 +147,8 @@
         if parts.uri.path() == READY_PATH && parts.method == Method::GET {
             return Ok(self.ready());
         }
-        let endpoint = Endpoint::of_path(parts.uri.path()).ok_or_else(ApiError::no_path)?;
-        let target = self.target(endpoint).ok_or_else(ApiError::no_path)?;
+        let endpoint = Endpoint::of_path(parts.uri.path()).ok_or_else(ApiError::path_not_found)?;
+        let target = self.target(endpoint).ok_or_else(ApiError::path_not_found)?;
         if parts.method != Method::POST {
             return Err(ApiError::method_not_allowed());
         }
@@ -157,8 +157,8 @@
         let body = body.map_err(|error| self.body_error(error))?;
         let fields = endpoint.body_reader()(&body)?;
         let request = self.exchange_request(target, parts, body, &fields, client_timeout, arrived);
-        let Ok(answer) = (target.entry)().oneshot(request).await;
-        respond(answer, arrived + client_timeout).await
+        let Ok(response_parts) = (target.entry)().oneshot(request).await;
+        respond(response_parts, arrived + client_timeout).await
     }
 
     fn exchange_request(
@@ -244,16 +244,16 @@
         self.0.metrics.counter(class.unwrap_or(own_class))
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         self.exchange(request).await.unwrap_or_else(ApiError::into_response)
     }
 }
 
 /// Waits for the first part of the response, which decides the status.
-async fn respond(mut answer: ClientSide, deadline: Instant) -> Result<Response<Body>, ApiError> {
-    match answer.next_part().await {
+async fn respond(mut response_parts: ClientSide, deadline: Instant) -> Result<Response<Body>, ApiError> {
+    match response_parts.next_part().await {
         Some(ResponsePart::Head(head, first)) => {
-            let mut response = Response::new(Body::Stream { first: Some(first), remaining: answer });
+            let mut response = Response::new(Body::Stream { first: Some(first), remaining: response_parts });
             *response.status_mut() = head.status;
             let content_type = head.headers.get(CONTENT_TYPE).cloned();
             let content_type = content_type.unwrap_or(HeaderValue::from_static("application/json"));
--- a/gateway/src/front/inference/tests.rs
+++ b/gateway/src/front/inference/tests.rs
@@ -5,7 +5,7 @@
 use super::body_fields::{read_chat, read_embeddings, read_rerank, BodyReader};
 
 #[test]
-fn bodies_of_the_public_shapes_are_taken() {
+fn valid_bodies_are_accepted() {
     for body in [
         r#"{"model":"e","input":"sword"}"#,
         r#"{"model":"e","input":["sword","shield"],"encoding_format":"float"}"#,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_faulty_body_gets_a_400_that_names_the_field() {
+fn invalid_body_gets_a_400_that_names_the_field() {
     for (read, body, names) in [
         (read_embeddings as BodyReader, "{", "body"),
         (read_embeddings, r#"{"input":"a"}"#, "model"),
@@ -38,7 +38,7 @@
         (read_chat, r#"{"model":"c","messages":[]}"#, "messages"),
         (read_chat, r#"{"model":"c","messages":[{"role":"user"}],"max_tokens":-1}"#, "max_tokens"),
     ] {
-        let Err(error) = read(body.as_bytes()) else { panic!("{body} was taken") };
+        let Err(error) = read(body.as_bytes()) else { panic!("{body} was accepted") };
         assert_eq!(error.status, StatusCode::BAD_REQUEST);
         assert!(error.message.contains(names) || names == "max_tokens", "{body}: {}", error.message);
     }
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -68,7 +68,7 @@
 /// A client protocol in front of the core.
 pub trait Front: Clone + 'static {
     /// Handles a request. Every request gets a response; failures are error responses.
-    fn answer(self, request: Request<Incoming>) -> impl Future<Output = Response<Body>>;
+    fn handle(self, request: Request<Incoming>) -> impl Future<Output = Response<Body>>;
 
     /// Returns the counter for a request; `None` if the request belongs to no known class.
     fn request_counter(&self, request: &Request<Incoming>) -> Option<RequestCounter>;
@@ -84,7 +84,7 @@
     fn service(self) -> impl HttpService {
         service_fn(move |request| {
             let front = self.clone();
-            async move { Ok(front.answer(request).await) }
+            async move { Ok(front.handle(request).await) }
         })
     }
 }
--- a/gateway/src/front/platform/fields.rs
+++ b/gateway/src/front/platform/fields.rs
@@ -70,16 +70,16 @@
     let request_id = request_id(headers)?;
     let class = class(headers, names)?;
     let tenant = tenant(headers, names)?;
-    let client_timeout = match single(headers, "Req-Deadline")? {
-        Some(text) => seconds("Req-Deadline", text)?.min(MAX_CLIENT_TIMEOUT),
+    let client_timeout = match single_value(headers, "Req-Deadline")? {
+        Some(text) => parse_seconds("Req-Deadline", text)?.min(MAX_CLIENT_TIMEOUT),
         None => names.classes[class].1,
     };
-    let expected_duration = match single(headers, "Req-Cost")? {
-        Some(text) => Some(seconds("Req-Cost", text)?),
+    let expected_duration = match single_value(headers, "Req-Cost")? {
+        Some(text) => Some(parse_seconds("Req-Cost", text)?),
         None => None,
     };
-    let session = single(headers, "Req-Key")?.map_or(0, key);
-    let retry = single(headers, "Req-Retry")?;
+    let session = single_value(headers, "Req-Key")?.map_or(0, key_number);
+    let retry = single_value(headers, "Req-Retry")?;
     let mut routing = Request {
         class: class as u32,
         tenant: tenant as u32,
@@ -90,12 +90,12 @@
         resumed: retry == Some("again"),
         ..Request::default()
     };
-    read_extra(single(headers, "Req-Extra")?.unwrap_or(""), &mut routing)?;
+    read_extra(single_value(headers, "Req-Extra")?.unwrap_or(""), &mut routing)?;
     Ok(Fields { request_id: request_id.to_string(), routing })
 }
 
 /// Returns the only value of a header, trimmed; `None` if the header is absent.
-fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, FieldError> {
+fn single_value<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, FieldError> {
     let mut values = headers.get_all(name).iter().map(header_text);
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
@@ -106,7 +106,7 @@
 }
 
 fn request_id(headers: &HeaderMap) -> Result<&str, FieldError> {
-    let id = single(headers, "Req-Id")?.ok_or(FieldError::Missing("Req-Id"))?;
+    let id = single_value(headers, "Req-Id")?.ok_or(FieldError::Missing("Req-Id"))?;
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     if id.is_empty() || id.len() > MAX_ID_LENGTH || !id.chars().all(is_plain) {
         return Err(FieldError::BadId);
@@ -116,13 +116,13 @@
 
 /// Returns the index of the request's class.
 fn class(headers: &HeaderMap, names: &PlatformNames) -> Result<usize, FieldError> {
-    let name = single(headers, "Req-Kind")?.ok_or(FieldError::Missing("Req-Kind"))?;
+    let name = single_value(headers, "Req-Kind")?.ok_or(FieldError::Missing("Req-Kind"))?;
     names.classes.iter().position(|class| class.0 == name).ok_or(FieldError::UnknownClass)
 }
 
 /// Returns the index of the request's tenant; 0 if the request names none.
 fn tenant(headers: &HeaderMap, names: &PlatformNames) -> Result<usize, FieldError> {
-    match single(headers, "Req-Owner")? {
+    match single_value(headers, "Req-Owner")? {
         Some(owner) => {
             names.tenants.iter().position(|tenant| tenant == owner).ok_or(FieldError::UnknownTenant)
         }
@@ -136,30 +136,30 @@
         let (name, value) = entry.split_once('=').ok_or(FieldError::ExtraWithoutValue)?;
         let (name, value) = (name.trim(), value.trim());
         match name {
-            "prefix" => routing.prefix = Some(key(value)).filter(|prefix| *prefix != 0),
-            "prompt_len" => routing.prompt_tokens = tokens(name, value)?,
-            "prefix_len" => routing.prefix_tokens = tokens(name, value)?,
-            "max_out" => routing.max_tokens = tokens(name, value)?,
+            "prefix" => routing.prefix = Some(key_number(value)).filter(|prefix| *prefix != 0),
+            "prompt_len" => routing.prompt_tokens = parse_tokens(name, value)?,
+            "prefix_len" => routing.prefix_tokens = parse_tokens(name, value)?,
+            "max_out" => routing.max_tokens = parse_tokens(name, value)?,
             _ => {}
         }
     }
     Ok(())
 }
 
-fn tokens(name: &str, value: &str) -> Result<f64, FieldError> {
+fn parse_tokens(name: &str, value: &str) -> Result<f64, FieldError> {
     let tokens = value.parse().ok().filter(|tokens: &f64| tokens.is_finite() && *tokens >= 0.0);
     let tokens = tokens.ok_or_else(|| FieldError::BadTokenCount(name.to_string()))?;
     Ok(tokens.min(MAX_TOKENS))
 }
 
 /// Parses a time in seconds, and returns it in milliseconds.
-fn seconds(name: &'static str, text: &str) -> Result<Millis, FieldError> {
+fn parse_seconds(name: &'static str, text: &str) -> Result<Millis, FieldError> {
     let seconds = text.parse().ok().filter(|seconds: &f64| seconds.is_finite() && *seconds > 0.0);
     Ok(seconds.ok_or(FieldError::BadSeconds(name))? * 1000.0)
 }
 
 /// Returns the number of a session or a prefix: hexadecimal digits (up to 16) are its value, any other text is
 /// hashed.
-pub fn key(text: &str) -> u64 {
+pub fn key_number(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| server_id(text).0)
 }
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use tower::ServiceExt;
 
-pub use self::fields::key;
+pub use self::fields::key_number;
 use self::fields::{header_text, read_fields};
 use super::{arrival_of, collect, decimal_seconds, response, Body, BodyError, Front, RequestService};
 use crate::budget::Budget;
@@ -21,9 +21,9 @@
 use crate::shutdown::Shutdown;
 
 /// Path of chat requests.
-const CHAT: &str = "/v1/chat/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 /// Path of the readiness check.
-const READY: &str = "/ready";
+const READY_PATH: &str = "/ready";
 /// Maximum size of a request body in bytes, as the protocol defines it.
 const MAX_BODY_BYTES: usize = 256 << 10;
 /// `Retry-After` of a rejection by the front, if the settings allow one; for others the router gives the time.
@@ -78,11 +78,11 @@
         let (parts, body) = request.into_parts();
         let fields = match read_fields(&parts.headers, &self.names) {
             Ok(fields) => fields,
-            Err(fault) => return response(StatusCode::BAD_REQUEST, format!("{fault}\n")),
+            Err(error) => return response(StatusCode::BAD_REQUEST, format!("{error}\n")),
         };
         let body = match collect(&parts.headers, body, MAX_BODY_BYTES, &self.budget).await {
             Ok(body) => body,
-            Err(error) => return self.body_fault(error),
+            Err(error) => return self.body_error_response(error),
         };
         // The head arrived before requests are rejected, the last byte did not.
         if self.shutdown.rejects_new_requests() {
@@ -97,11 +97,11 @@
             buffer_response: false,
         };
         let request = exchange::Request { routing: fields.routing, arrived, payload: Rc::new(payload) };
-        let Ok(answer) = (self.core)().oneshot(request).await;
-        self.respond(answer).await
+        let Ok(response_parts) = (self.core)().oneshot(request).await;
+        self.respond(response_parts).await
     }
 
-    fn body_fault(&self, error: BodyError) -> Response<Body> {
+    fn body_error_response(&self, error: BodyError) -> Response<Body> {
         match error {
             BodyError::OutOfMemory => self.rejection(DEFAULT_RETRY_AFTER),
             BodyError::TooLarge => response(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"),
@@ -116,10 +116,10 @@
 
     /// Waits for the first part of the response, which decides the status: it is 200 only if a server has sent
     /// its first event.
-    async fn respond(&self, mut answer: ClientSide) -> Response<Body> {
-        match answer.next_part().await {
+    async fn respond(&self, mut response_parts: ClientSide) -> Response<Body> {
+        match response_parts.next_part().await {
             Some(ResponsePart::Head(head, first)) => {
-                let stream = Body::Stream { first: Some(first), remaining: answer };
+                let stream = Body::Stream { first: Some(first), remaining: response_parts };
                 let mut response = Response::new(stream);
                 let content_type = head.headers.get(CONTENT_TYPE).cloned();
                 let content_type = content_type.unwrap_or(HeaderValue::from_static("text/event-stream"));
@@ -127,13 +127,13 @@
                 response
             }
             Some(ResponsePart::Rejected(after)) => self.rejection(after),
-            Some(ResponsePart::Failed(failure)) => failed(failure),
-            _ => failed(Failure::Upstream),
+            Some(ResponsePart::Failed(failure)) => failure_response(failure),
+            _ => failure_response(Failure::Upstream),
         }
     }
 }
 
-fn failed(failure: Failure) -> Response<Body> {
+fn failure_response(failure: Failure) -> Response<Body> {
     match failure {
         Failure::DeadlineExceeded => response(StatusCode::GATEWAY_TIMEOUT, "out of time\n"),
         Failure::DuplicateRequestId => {
@@ -146,7 +146,7 @@
 
 impl Front for Platform {
     fn request_counter(&self, request: &Request<Incoming>) -> Option<RequestCounter> {
-        if request.uri().path() != CHAT || request.method() != Method::POST {
+        if request.uri().path() != CHAT_PATH || request.method() != Method::POST {
             return None;
         }
         let class = header_text(request.headers().get("Req-Kind")?).ok()?;
@@ -157,12 +157,12 @@
         rejection(why, OVER_CAP_RETRY_AFTER.min(self.names.max_retry_after))
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, READY) if (self.ready)() => response(StatusCode::OK, "ready\n"),
-            (&Method::GET, READY) => response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            (&Method::POST, CHAT) => self.chat(request).await,
-            (_, READY | CHAT) => response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
+            (&Method::GET, READY_PATH) if (self.ready)() => response(StatusCode::OK, "ready\n"),
+            (&Method::GET, READY_PATH) => response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            (&Method::POST, CHAT_PATH) => self.chat(request).await,
+            (_, READY_PATH | CHAT_PATH) => response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
             _ => response(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_fields_of_a_request_are_read() {
+fn fields_of_a_request_are_read() {
     let Fields { request_id, routing } = read(&[
         ("Req-Id", "9b1f03aa5c7e2d41"),
         ("Req-Kind", "order-chat"),
@@ -46,7 +46,7 @@
 /// Guards against accepting an invalid header with a guessed value: the error names the header. Values above
 /// the maximum are reduced to it.
 #[test]
-fn a_faulty_header_is_named() {
+fn invalid_header_is_named_in_the_error() {
     let id = ("Req-Id", "a1");
     let kind = ("Req-Kind", "item-query");
     for (pairs, fault) in [
@@ -77,7 +77,7 @@
 
 /// Guards classes and tenants with names that are not ASCII, which a header contains as UTF-8 bytes.
 #[test]
-fn a_name_in_any_language_is_found() {
+fn names_that_are_not_ascii_are_found() {
     let names = PlatformNames {
         classes: vec![("ostoskysely-äö".into(), 10_000.0)],
         tenants: vec!["ગુજરાત".into()],
@@ -97,7 +97,7 @@
 
 /// Guards the settings for `Retry-After`: whether a rejection has one, and its maximum.
 #[test]
-fn retry_after_keeps_to_what_the_settings_allow() {
+fn retry_after_follows_the_settings() {
     let retry_after = |limits: &str, after: Duration| {
         let settings = format!("{{\"policy-limits\": {limits}}}");
         let limits =
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -13,7 +13,7 @@
 use glenrail_request_lifecycle::client::{Framing, Input};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use super::connection_watch::{ConnectionWatch, Stage};
+use super::connection_watch::{ConnectionState, Stage};
 use crate::counted_socket::CountedSocket;
 
 /// Maximum size in bytes of a request head, and of data that a client sends before it has its response.
@@ -33,7 +33,7 @@
 /// Socket of a client as hyper reads it.
 pub struct RequestReader {
     socket: CountedSocket,
-    watch: Rc<ConnectionWatch>,
+    state: Rc<ConnectionState>,
     /// Bytes that were read from the socket and not passed on.
     buffer: Vec<u8>,
     /// Number of bytes at the start of `buffer` that may be passed on.
@@ -78,14 +78,14 @@
 }
 
 impl RequestReader {
-    /// Creates a reader that reports what it reads to `watch`.
-    pub fn new(socket: CountedSocket, watch: Rc<ConnectionWatch>) -> Self {
+    /// Creates a reader that reports what it reads to `state`.
+    pub fn new(socket: CountedSocket, state: Rc<ConnectionState>) -> Self {
         let remaining_body = RemainingBody::Length(0);
-        RequestReader { socket, watch, buffer: Vec::new(), passable: 0, remaining_body }
+        RequestReader { socket, state, buffer: Vec::new(), passable: 0, remaining_body }
     }
 
     /// Looks for a complete head in the buffer, and returns whether bytes may be passed on.
-    fn examine(&mut self) -> bool {
+    fn parse_head(&mut self) -> bool {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let head_size = match request.parse(&self.buffer) {
@@ -94,15 +94,15 @@
             // A malformed head is passed on unchanged, because hyper writes the error response.
             _ => {
                 self.passable = self.buffer.len();
-                self.watch.feed(Input::MalformedHead);
+                self.state.feed(Input::MalformedHead);
                 // hyper responds to all that was read.
                 self.note_buffer();
-                self.watch.end.note_answered();
+                self.state.end.note_answered();
                 return true;
             }
         };
         let framing = BodyFraming::of(request.headers);
-        self.watch.framing_fault.set(framing.fault);
+        self.state.framing_fault.set(framing.fault);
         match framing.known_length() {
             Some(length) => self.pass_head(head_size, length),
             None => self.pass_head_of_unknown_length(),
@@ -116,7 +116,7 @@
         self.passable = head_size + buffered as usize;
         self.remaining_body = RemainingBody::Length(body_length - buffered);
         let framing = if body_length == buffered { Framing::Complete } else { Framing::KnownLength };
-        self.watch.feed(Input::HeadComplete(framing));
+        self.state.feed(Input::HeadComplete(framing));
     }
 
     /// Passes on a head with a body of unknown length. Only hyper finds the end of a chunked body, so no
@@ -125,26 +125,26 @@
         self.passable = self.buffer.len();
         self.remaining_body = RemainingBody::Unknown;
         // hyper stops reading when bytes follow the body, so a later disconnect does not show in reading.
-        self.watch.stop_reading();
-        self.watch.feed(Input::HeadComplete(Framing::UnknownLength));
+        self.state.stop_reading();
+        self.state.feed(Input::HeadComplete(Framing::UnknownLength));
     }
 
     /// Reads more bytes into the buffer and returns their number, 0 when the client has ended its sending side.
     fn fill(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let read = ready!(self.socket.poll_read_into(context, &mut self.buffer))
-            .inspect_err(|_| self.watch.end.note_client_ended())?;
-        self.watch.end.note_read(read);
+            .inspect_err(|_| self.state.end.note_client_ended())?;
+        self.state.end.note_read(read);
         if read > 0 && self.buffer.len() == read {
-            self.watch.note_first_bytes();
+            self.state.note_first_bytes();
         }
         self.note_buffer();
         Poll::Ready(Ok(read))
     }
 
-    /// Moves bytes that may be passed on from the buffer to `space`, as many as fit.
-    fn pass_on(&mut self, space: &mut ReadBuf<'_>) {
-        let length = self.passable.min(space.remaining());
-        space.put_slice(&self.buffer[..length]);
+    /// Moves bytes that may be passed on from the buffer to `output`, as many as fit.
+    fn pass_on(&mut self, output: &mut ReadBuf<'_>) {
+        let length = self.passable.min(output.remaining());
+        output.put_slice(&self.buffer[..length]);
         self.buffer.drain(..length);
         self.passable -= length;
         self.note_buffer();
@@ -152,64 +152,64 @@
 
     /// Records which bytes were read and not passed on.
     fn note_buffer(&self) {
-        self.watch.feed(Input::PipelinedBytes(!self.buffer.is_empty()));
-        self.watch.end.note_buffered(self.buffer.len() - self.passable);
+        self.state.feed(Input::PipelinedBytes(!self.buffer.is_empty()));
+        self.state.end.note_buffered(self.buffer.len() - self.passable);
     }
 
     /// Reads a body directly into hyper's buffer, up to the end of the body.
-    fn poll_body(&mut self, context: &mut Context<'_>, space: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_body(&mut self, context: &mut Context<'_>, output: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let RemainingBody::Length(remaining) = &mut self.remaining_body else {
-            let before = space.filled().len();
-            ready!(Pin::new(&mut self.socket).poll_read(context, space))
-                .inspect_err(|_| self.watch.end.note_client_ended())?;
-            self.watch.note_body_read(space.filled().len() - before);
+            let before = output.filled().len();
+            ready!(Pin::new(&mut self.socket).poll_read(context, output))
+                .inspect_err(|_| self.state.end.note_client_ended())?;
+            self.state.note_body_read(output.filled().len() - before);
             return Poll::Ready(Ok(()));
         };
-        let most = space.remaining().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
-        let mut part = ReadBuf::new(space.initialize_unfilled_to(most));
+        let max_length = output.remaining().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+        let mut part = ReadBuf::new(output.initialize_unfilled_to(max_length));
         ready!(Pin::new(&mut self.socket).poll_read(context, &mut part))
-            .inspect_err(|_| self.watch.end.note_client_ended())?;
+            .inspect_err(|_| self.state.end.note_client_ended())?;
         let read = part.filled().len();
-        self.watch.note_body_read(read);
+        self.state.note_body_read(read);
         *remaining -= read as u64;
-        if *remaining == 0 && self.watch.stage() == Stage::Body {
-            self.watch.feed(Input::BodyComplete);
+        if *remaining == 0 && self.state.stage() == Stage::Body {
+            self.state.feed(Input::BodyComplete);
         }
-        space.advance(read);
+        output.advance(read);
         Poll::Ready(Ok(()))
     }
 
     fn note_write<T>(&self, written: Poll<T>) -> Poll<T> {
-        self.watch.feed(Input::WriteBlocked(written.is_pending()));
+        self.state.feed(Input::WriteBlocked(written.is_pending()));
         written
     }
 }
 
 impl AsyncRead for RequestReader {
     fn poll_read(
-        self: Pin<&mut Self>, context: &mut Context<'_>, space: &mut ReadBuf<'_>,
+        self: Pin<&mut Self>, context: &mut Context<'_>, output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let reader = self.get_mut();
         loop {
             if reader.passable > 0 {
-                reader.pass_on(space);
+                reader.pass_on(output);
                 return Poll::Ready(Ok(()));
             }
-            match reader.watch.stage() {
+            match reader.state.stage() {
                 Stage::New | Stage::Head | Stage::Idle => {
-                    if !reader.buffer.is_empty() && reader.examine() {
+                    if !reader.buffer.is_empty() && reader.parse_head() {
                         continue;
                     }
                     if ready!(reader.fill(context))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    reader.watch.feed(Input::HeadStarted);
+                    reader.state.feed(Input::HeadStarted);
                 }
                 Stage::Response => {
                     // Reads only to notice a disconnect of the client. What the client sends ahead is buffered,
                     // up to a limit.
                     if reader.buffer.len() >= MAX_HEAD_BYTES {
-                        reader.watch.stop_reading();
+                        reader.state.stop_reading();
                         return Poll::Pending;
                     }
                     if ready!(reader.fill(context))? == 0 {
@@ -218,7 +218,7 @@
                 }
                 // After a handover this process does not read the connection any more.
                 Stage::HandedOver => return Poll::Pending,
-                Stage::Body | Stage::Closing => return reader.poll_body(context, space),
+                Stage::Body | Stage::Closing => return reader.poll_body(context, output),
             }
         }
     }
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -17,8 +17,8 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tower::{service_fn, ServiceExt};
 
-use super::accept_watch::AcceptWatch;
-use super::connection::{closing, serve_connection, FrontHooks, Handover};
+use super::accept_watch::AcceptQueueMonitor;
+use super::connection::{serve_connection, with_connection_close, FrontHooks, Handover};
 use super::connection_end::{ConnectionEnd, EndDecision};
 use super::connection_table::{ConnectionTable, TableEntry};
 use super::resumed_stream::{write_remainder, StreamResult};
@@ -37,12 +37,12 @@
 /// connections are closed without a response.
 pub const MAX_REJECTING_CONNECTIONS: usize = 24;
 /// One of this many connections over the cap may be an evicted connection that is being closed gracefully.
-const LINGERING_PART: usize = 2;
+const LINGERING_DIVISOR: usize = 2;
 /// Pause after a failed accept, for example when no file descriptor is left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
 /// What happens to a connection after a stream that another process began.
-pub enum ConnectionFate {
+pub enum AfterStream {
     /// It serves further requests.
     KeepAlive,
     /// It is closed gracefully, for this reason.
@@ -52,8 +52,7 @@
 }
 
 /// Continues a stream that another process began, on the socket of its client.
-pub type Resume =
-    Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, ConnectionFate>>;
+pub type Resume = Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, AfterStream>>;
 
 /// Returns a function that continues streams through the given pool and counts their requests in `metrics` when
 /// they end.
@@ -66,20 +65,20 @@
         Box::pin(async move {
             let result = write_remainder(socket, core::resume(frames)).await;
             drop(open_stream);
-            let (outcome, fate) = match result {
-                StreamResult::Complete => (Some(RequestOutcome::Fulfilled), ConnectionFate::KeepAlive),
+            let (outcome, after_stream) = match result {
+                StreamResult::Complete => (Some(RequestOutcome::Fulfilled), AfterStream::KeepAlive),
                 StreamResult::Broken => {
-                    (Some(RequestOutcome::Faulted), ConnectionFate::Close(EndReason::ResponseAborted))
+                    (Some(RequestOutcome::Faulted), AfterStream::Close(EndReason::ResponseAborted))
                 }
-                StreamResult::ClientDisconnected => (None, ConnectionFate::Close(EndReason::ClientEnded)),
+                StreamResult::ClientDisconnected => (None, AfterStream::Close(EndReason::ClientEnded)),
                 StreamResult::HandedOver(remainder) => {
-                    (None, ConnectionFate::HandedOver(TransferredStream { remainder, class }))
+                    (None, AfterStream::HandedOver(TransferredStream { remainder, class }))
                 }
             };
             if let Some((counter, outcome)) = counter.zip(outcome) {
                 counter.count(outcome);
             }
-            fate
+            after_stream
         })
     })
 }
@@ -127,7 +126,7 @@
     cap: usize,
     handover: Handover,
     resume: Option<Resume>,
-    accept_watch: AcceptWatch,
+    queue_monitor: AcceptQueueMonitor,
 }
 
 impl<S: HttpService> Acceptor<S> {
@@ -139,9 +138,9 @@
     /// connections stay in the kernel's accept queue, where nothing that their clients send is lost.
     async fn when_vacant<T>(&self, next: impl Future<Output = T>) -> T {
         if self.table.must_wait(self.cap) {
-            self.accept_watch.note_unattended(Instant::now());
+            self.queue_monitor.note_unpolled(Instant::now());
         }
-        self.table.vacancy(self.cap).await;
+        self.table.wait_for_vacancy(self.cap).await;
         next.await
     }
 
@@ -151,7 +150,7 @@
             let accepted = listener.poll_accept(context);
             // With its coop budget used up, tokio returns `Pending` even if a connection is queued.
             if accepted.is_pending() && coop::has_budget_remaining() {
-                self.accept_watch.note_empty();
+                self.queue_monitor.note_empty();
             }
             accepted
         })
@@ -159,17 +158,17 @@
     }
 
     /// Starts serving a connection from the kernel's accept queue.
-    fn take_accepted(&self, socket: TcpStream, client: SocketAddr) {
+    fn start_accepted(&self, socket: TcpStream, client: SocketAddr) {
         let now = Instant::now();
-        let came = self.accept_watch.earliest_arrival(now);
-        let waiting_since = (came < now && has_unread(&socket)).then_some(came);
-        self.take(socket, Some(client), None, waiting_since);
+        let arrived = self.queue_monitor.earliest_arrival(now);
+        let waiting_since = (arrived < now && has_unread(&socket)).then_some(arrived);
+        self.start(socket, Some(client), None, waiting_since);
     }
 
     /// Starts serving a connection. The cap reserves file descriptors for servers and discovery. At the cap,
     /// the connection that has been idle longest is evicted, so that idle clients do not lock out new ones;
     /// only if all have an open request are the requests on the new connection rejected.
-    fn take(
+    fn start(
         &self, socket: TcpStream, client: Option<SocketAddr>, stream: Option<TransferredStream>,
         waiting_since: Option<Instant>,
     ) {
@@ -189,9 +188,9 @@
         let admission = if self.is_full() { Admission::OverCap } else { Admission::Admitted };
         // Taken before the task is first polled, so that the connection is counted without a gap.
         let guard = self.handover.shutdown.guard();
-        let entry = self.table.enter(client);
+        let entry = self.table.insert(client);
         if let Some(since) = waiting_since {
-            entry.watch.set_waiting_since(since);
+            entry.state.set_waiting_since(since);
         }
         let task = ConnectionTask {
             service: self.service.clone(),
@@ -221,18 +220,18 @@
     async fn run(self, mut socket: TcpStream, stream: Option<TransferredStream>) {
         let ConnectionTask { service, hooks, handover, resume, admission, guard, entry } = self;
         if let Some((stream, resume)) = stream.zip(resume) {
-            entry.watch.stream_resumed();
+            entry.state.stream_resumed();
             match resume(&mut socket, stream).await {
-                ConnectionFate::KeepAlive => entry.watch.response_finished(),
-                ConnectionFate::Close(reason) => {
-                    entry.watch.decide_end(reason);
-                    entry.watch.end.note_response_aborted();
-                    return entry.watch.close(&socket).await;
+                AfterStream::KeepAlive => entry.state.response_finished(),
+                AfterStream::Close(reason) => {
+                    entry.state.decide_end(reason);
+                    entry.state.end.note_response_aborted();
+                    return entry.state.close(&socket).await;
                 }
-                ConnectionFate::HandedOver(stream) => {
+                AfterStream::HandedOver(stream) => {
                     if !handover.send(socket.into_std().ok(), Some(stream), guard) {
-                        entry.watch.decide_end(EndReason::HandoverFailed);
-                        entry.watch.end.note_response_aborted();
+                        entry.state.decide_end(EndReason::HandoverFailed);
+                        entry.state.end.note_response_aborted();
                     }
                     return;
                 }
@@ -241,7 +240,7 @@
         match admission {
             Admission::Admitted => serve_connection(socket, service, hooks, handover, guard, entry).await,
             Admission::OverCap => {
-                let service = rejecting(service, hooks.clone());
+                let service = rejecting_service(service, hooks.clone());
                 serve_connection(socket, service, hooks, handover, guard, entry).await;
             }
         }
@@ -250,14 +249,14 @@
 
 /// Returns the service for connections over the cap, which rejects all requests except GET. A GET is a
 /// readiness check: it is not sent by a client, and it keeps the connection open only briefly.
-fn rejecting<S: HttpService>(service: S, hooks: FrontHooks) -> impl HttpService {
+fn rejecting_service<S: HttpService>(service: S, hooks: FrontHooks) -> impl HttpService {
     service_fn(move |request: Request<Incoming>| {
         let (service, reject) = (service.clone(), hooks.reject.clone());
         async move {
             if request.method() != Method::GET {
-                return Ok(closing(reject("too many connections\n")));
+                return Ok(with_connection_close(reject("too many connections\n")));
             }
-            Ok(closing(service.oneshot(request).await?))
+            Ok(with_connection_close(service.oneshot(request).await?))
         }
     })
 }
@@ -268,12 +267,12 @@
     let FrontListener { number, listener, mut inbox, resume, mut open } = listener.into();
     let acceptor = Acceptor {
         service: front.clone().service(),
-        hooks: hooks_of(front),
-        table: Rc::new(ConnectionTable::new(MAX_REJECTING_CONNECTIONS.min(cap) / LINGERING_PART)),
+        hooks: front_hooks(front),
+        table: Rc::new(ConnectionTable::new(MAX_REJECTING_CONNECTIONS.min(cap) / LINGERING_DIVISOR)),
         cap,
         handover: Handover { shutdown: shutdown.clone(), front: number },
         resume,
-        accept_watch: AcceptWatch::new(Instant::now()),
+        queue_monitor: AcceptQueueMonitor::new(Instant::now()),
     };
     // Keeps the process from exiting until the connections are accepted that are queued when accepting ends.
     let _accepting = shutdown.guard();
@@ -295,13 +294,13 @@
             Some((socket, stream)) = acceptor.when_vacant(next_transferred(&mut inbox)) => match TcpStream::from_std(socket) {
                 Ok(socket) => {
                     let client = socket.peer_addr().ok();
-                    acceptor.take(socket, client, stream, None);
+                    acceptor.start(socket, client, stream, None);
                 }
                 Err(error) => log!("cannot register a connection received from another process: {error}"),
             },
             accepted = acceptor.when_vacant(acceptor.accept(&listener)), if accepting => match accepted {
                 Ok((socket, client)) => {
-                    acceptor.take_accepted(socket, client);
+                    acceptor.start_accepted(socket, client);
                     // The evicted connection is closed, and the new one is read, before the next one is accepted.
                     if acceptor.is_full() {
                         yield_now().await;
@@ -312,8 +311,8 @@
                     sleep(ACCEPT_BACKOFF).await;
                 }
             },
-            () = sleep_until(acceptor.accept_watch.next_heartbeat()) => {
-                acceptor.accept_watch.note_turn(Instant::now());
+            () = sleep_until(acceptor.queue_monitor.next_heartbeat()) => {
+                acceptor.queue_monitor.note_turn(Instant::now());
                 // After a pause of the process the runtime may have polled only its timers. It polls its
                 // sockets too before it is known whether the accept queue is empty.
                 yield_now().await;
@@ -321,10 +320,10 @@
         }
     }
     if !shutdown.has_successor() {
-        let room = async || acceptor.table.vacancy(cap).await;
+        let vacancy = async || acceptor.table.wait_for_vacancy(cap).await;
         let accept = async || acceptor.accept(&listener).await;
-        accept_queue::empty(room, accept, |(socket, client)| {
-            acceptor.take_accepted(socket, client);
+        accept_queue::drain(vacancy, accept, |(socket, client)| {
+            acceptor.start_accepted(socket, client);
         })
         .await;
     }
@@ -337,7 +336,7 @@
     end.report(EndDecision { reason: EndReason::OverCap, stage: Stage::New, age: Duration::ZERO });
 }
 
-fn hooks_of(front: impl Front) -> FrontHooks {
+fn front_hooks(front: impl Front) -> FrontHooks {
     let rejecting_front = front.clone();
     FrontHooks {
         request_counter: Rc::new(move |request| front.request_counter(request)),
--- a/gateway/src/front/tracked_body.rs
+++ b/gateway/src/front/tracked_body.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http_body::{Frame, SizeHint};
 
-use super::connection_watch::ConnectionWatch;
+use super::connection_watch::ConnectionState;
 use super::Body;
 use crate::exchange::StreamRemainder;
 use crate::metrics::{RequestCounter, RequestOutcome};
@@ -28,7 +28,7 @@
     /// The body that is written.
     pub body: Body,
     /// State of the connection that the body is written on.
-    pub watch: Rc<ConnectionWatch>,
+    pub state: Rc<ConnectionState>,
     /// Decides whether another process can continue the body.
     pub framing: Framing,
     /// Counts the request when its stream ends; `None` if the request is not counted here.
@@ -45,7 +45,7 @@
         if self.framing == Framing::UntilClose {
             return Err(io::Error::other("a response that is not chunked cannot be handed over"));
         }
-        self.watch.detach_stream(TransferredStream { remainder, class });
+        self.state.detach_stream(TransferredStream { remainder, class });
         Ok(())
     }
 
@@ -60,9 +60,9 @@
     fn drop(&mut self) {
         // hyper takes a full body as a whole.
         if self.is_complete || matches!(self.body, Body::Full(_)) {
-            self.watch.response_finished();
+            self.state.response_finished();
         } else {
-            self.watch.response_aborted();
+            self.state.response_aborted();
         }
     }
 }
--- a/gateway/src/front/unanswered.rs
+++ b/gateway/src/front/unanswered.rs
@@ -139,7 +139,7 @@
 }
 
 /// Returns the counts as JSON for the operators, by reason and then by how much of the request was read.
-pub fn figures() -> Value {
+pub fn to_json() -> Value {
     let counts = COUNTS.with_borrow(|counts| *counts);
     let by_progress =
         |counts: &[u64; 3]| json!({"unread": counts[0], "partly_read": counts[1], "read": counts[2]});
--- a/gateway/tests/unanswered_requests.rs
+++ b/gateway/tests/unanswered_requests.rs
@@ -64,7 +64,7 @@
 /// Guards the operators' figures: each reason is a key, beside those that were there.
 #[test]
 fn the_figures_name_every_reason() {
-    let figures = closed_connections::figures();
+    let figures = closed_connections::to_json();
     for key in ["evicted", "evicted_unread", "over_cap"] {
         assert!(figures.get(key).is_some(), "{key}: {figures}");
     }
