--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -17,8 +17,8 @@
 use tokio::time::Instant;
 use tower::{Service, ServiceExt};
 
+use super::connection_state::ConnectionState;
 use super::connection_table::{CloseReason, TableEntry};
-use super::connection_watch::ConnectionState;
 use super::request_reader::{RequestReader, MAX_HEAD_BYTES};
 use super::tracked_body::{Framing, TrackedBody};
 use super::unanswered::EndReason;
--- a/gateway/src/front/connection_table.rs
+++ b/gateway/src/front/connection_table.rs
@@ -10,7 +10,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 
-use super::connection_watch::ConnectionState;
+use super::connection_state::ConnectionState;
 
 /// Maximum number of connections whose sockets are checked for unread requests per eviction. Unread requests
 /// are read in the next turn of the event loop, so there are rarely more than this at the same time.
--- a/gateway/src/front/connection_table/tests.rs
+++ b/gateway/src/front/connection_table/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::counted_socket::CountedSocket;
-use crate::front::connection_watch::{EVICTION_GRACE, HEAD_EVICTION_GRACE};
+use crate::front::connection_state::{EVICTION_GRACE, HEAD_EVICTION_GRACE};
 use crate::front::unanswered::{self, EndReason, RequestProgress};
 
 /// Returns both ends of a connection, the client's first, and its entry in the table.
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -7,13 +7,13 @@
 #![deny(missing_docs)]
 
 mod accept_queue;
-mod accept_watch;
+mod accept_queue_monitor;
 mod body;
 pub mod closed_connections;
 mod connection;
 mod connection_end;
+mod connection_state;
 mod connection_table;
-mod connection_watch;
 pub mod inference;
 mod lingering_close;
 pub mod platform;
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -13,7 +13,7 @@
 use glenrail_request_lifecycle::client::{Framing, Input};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use super::connection_watch::{ConnectionState, Stage};
+use super::connection_state::{ConnectionState, Stage};
 use crate::counted_socket::CountedSocket;
 
 /// Maximum size in bytes of a request head, and of data that a client sends before it has its response.
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tower::{service_fn, ServiceExt};
 
-use super::accept_watch::AcceptQueueMonitor;
+use super::accept_queue_monitor::AcceptQueueMonitor;
 use super::connection::{serve_connection, with_connection_close, FrontHooks, Handover};
 use super::connection_end::{ConnectionEnd, EndDecision};
 use super::connection_table::{ConnectionTable, TableEntry};
--- a/gateway/src/front/tracked_body.rs
+++ b/gateway/src/front/tracked_body.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http_body::{Frame, SizeHint};
 
-use super::connection_watch::ConnectionState;
+use super::connection_state::ConnectionState;
 use super::Body;
 use crate::exchange::StreamRemainder;
 use crate::metrics::{RequestCounter, RequestOutcome};
