--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Admission {
     Admitted,
-    /// All connections within the cap have open requests, so requests on this one are rejected.
+    /// No connection within the cap could be evicted, so requests on this one are rejected.
     OverCap,
 }
 
@@ -166,8 +166,8 @@
     }
 
     /// Starts serving a connection. The cap reserves file descriptors for servers and discovery. At the cap,
-    /// the connection that has been idle longest is evicted, so that idle clients do not lock out new ones;
-    /// only if all have an open request are the requests on the new connection rejected.
+    /// the connection that has been idle longest is evicted, so that idle clients do not lock out new ones. If
+    /// none can be evicted, as when all have an open request, the requests on the new connection are rejected.
     fn start(
         &self, socket: TcpStream, client: Option<SocketAddr>, stream: Option<TransferredStream>,
         waiting_since: Option<Instant>,
