--- a/gateway/src/front/accept_queue.rs
+++ b/gateway/src/front/accept_queue.rs
@@ -25,7 +25,7 @@
             match accepted {
                 Ok(connection) => start(connection),
                 Err(error) => {
-                    log!("cannot accept a queued connection: {error}");
+                    log!("cannot accept what was queued: {error}");
                     // If no file descriptor is left, one may become free.
                     sleep(QUEUE_EMPTY_TIMEOUT).await;
                 }
--- a/gateway/src/front/closed_connections.rs
+++ b/gateway/src/front/closed_connections.rs
@@ -74,7 +74,7 @@
         counts.evicted_unread += u64::from(connection.has_unread);
     });
     log!(
-        "connection evicted for another client's connection: {}, after {} ms in that stage, {} bytes unread",
+        "connection evicted for another client's: {}, after {} ms in that stage, {} bytes unread",
         STAGES[stage],
         connection.age.as_millis(),
         if connection.has_unread { "some" } else { "no" }
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -179,7 +179,7 @@
         if open >= self.cap + MAX_REJECTING_CONNECTIONS.min(self.cap) {
             closed_connections::count_over_cap();
             log!(
-                "connection closed: all {} connections have open requests, and no further connection can be rejected",
+                "connection closed: all {} connections have open requests, and no more can be rejected",
                 self.cap
             );
             report_over_cap(&socket, client);
@@ -296,7 +296,7 @@
                     let client = socket.peer_addr().ok();
                     acceptor.start(socket, client, stream, None);
                 }
-                Err(error) => log!("cannot register a connection received from another process: {error}"),
+                Err(error) => log!("a transferred connection could not be registered: {error}"),
             },
             accepted = acceptor.when_vacant(acceptor.accept(&listener)), if accepting => match accepted {
                 Ok((socket, client)) => {
@@ -307,7 +307,7 @@
                     }
                 }
                 Err(error) => {
-                    log!("cannot accept a connection: {error}");
+                    log!("cannot accept: {error}");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             },
