--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: a request's fields are in `Req-*` headers, its body passes on as it came.
+//! Platform front: the fields of a request are in `Req-*` headers, and its body is forwarded unchanged.
 
 mod fields;
 
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use tower::ServiceExt;
 
-pub use self::fields::key;
+pub use self::fields::key_number;
 use self::fields::{header_text, read_fields};
 use super::{arrival_of, collect, decimal_seconds, response, Body, BodyError, Front, RequestService};
 use crate::budget::Budget;
@@ -20,29 +20,30 @@
 use crate::metrics::{RequestCounter, RequestMetrics};
 use crate::shutdown::Shutdown;
 
-/// Path of requests.
-const CHAT: &str = "/v1/chat/completions";
+/// Path of chat requests.
+const CHAT_PATH: &str = "/v1/chat/completions";
 /// Path of the readiness check.
-const READY: &str = "/ready";
-/// Most bytes of a body in this protocol.
+const READY_PATH: &str = "/ready";
+/// Maximum size of a request body in bytes, as the protocol defines it.
 const MAX_BODY_BYTES: usize = 256 << 10;
-/// When nothing better is known, a rejected client is told to come back after this time, if the settings allow it.
+/// `Retry-After` of a rejection by the front, if the settings allow one; for others the router gives the time.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// The same for a client that was rejected at the cap of connections.
+/// `Retry-After` of a request that is rejected before it reaches the front (connection cap, out of service), if the
+/// settings allow one.
 const OVER_CAP_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// What the front needs to know of the deployment to read a request.
+/// Settings of the deployment that the front needs to read and reject requests.
 pub struct PlatformNames {
-    /// Each class and its deadline.
+    /// Names and default deadlines of the classes, by index.
     pub classes: Vec<(String, Millis)>,
-    /// The tenants, by index.
+    /// Names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// The longest time that a rejected client is told to wait; zero where none is told.
+    /// Maximum `Retry-After` of a rejection; zero if rejections have none.
     pub max_retry_after: Duration,
 }
 
 impl PlatformNames {
-    /// The longest time that these settings let a rejected client be told to wait.
+    /// Returns the maximum `Retry-After` that the settings allow; zero if they allow none.
     pub fn max_retry_after(limits: &Limits) -> Duration {
         if limits.retry_after {
             duration(limits.max_retry_after)
@@ -52,7 +53,7 @@
     }
 }
 
-/// The platform's front.
+/// Front for the platform's protocol.
 #[derive(Clone)]
 pub struct Platform {
     names: Rc<PlatformNames>,
@@ -64,7 +65,7 @@
 }
 
 impl Platform {
-    /// A front before a core; `ready` is what the readiness check answers.
+    /// Creates a front that sends requests to `core`; `ready` decides the result of the readiness check.
     pub fn new(
         names: PlatformNames, budget: Budget, core: Rc<dyn Fn() -> RequestService>,
         ready: Rc<dyn Fn() -> bool>, shutdown: Shutdown, metrics: RequestMetrics,
@@ -77,13 +78,13 @@
         let (parts, body) = request.into_parts();
         let fields = match read_fields(&parts.headers, &self.names) {
             Ok(fields) => fields,
-            Err(fault) => return response(StatusCode::BAD_REQUEST, format!("{fault}\n")),
+            Err(error) => return response(StatusCode::BAD_REQUEST, format!("{error}\n")),
         };
         let body = match collect(&parts.headers, body, MAX_BODY_BYTES, &self.budget).await {
             Ok(body) => body,
-            Err(error) => return self.body_fault(error),
+            Err(error) => return self.body_error_response(error),
         };
-        // Its head came in time, its last byte did not.
+        // The head arrived before requests are rejected, the last byte did not.
         if self.shutdown.rejects_new_requests() {
             return self.rejection(DEFAULT_RETRY_AFTER);
         }
@@ -96,11 +97,11 @@
             buffer_response: false,
         };
         let request = exchange::Request { routing: fields.routing, arrived, payload: Rc::new(payload) };
-        let Ok(answer) = (self.core)().oneshot(request).await;
-        self.respond(answer).await
+        let Ok(response_parts) = (self.core)().oneshot(request).await;
+        self.respond(response_parts).await
     }
 
-    fn body_fault(&self, error: BodyError) -> Response<Body> {
+    fn body_error_response(&self, error: BodyError) -> Response<Body> {
         match error {
             BodyError::OutOfMemory => self.rejection(DEFAULT_RETRY_AFTER),
             BodyError::TooLarge => response(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"),
@@ -113,11 +114,12 @@
         rejection("refused, try again\n", after.min(self.names.max_retry_after))
     }
 
-    /// The answer's first part decides the status: 200 only once a server's first event is there.
-    async fn respond(&self, mut answer: ClientSide) -> Response<Body> {
-        match answer.next_part().await {
+    /// Waits for the first part of the response, which decides the status: it is 200 only if a server has sent
+    /// its first event.
+    async fn respond(&self, mut response_parts: ClientSide) -> Response<Body> {
+        match response_parts.next_part().await {
             Some(ResponsePart::Head(head, first)) => {
-                let stream = Body::Stream { first: Some(first), remaining: answer };
+                let stream = Body::Stream { first: Some(first), remaining: response_parts };
                 let mut response = Response::new(stream);
                 let content_type = head.headers.get(CONTENT_TYPE).cloned();
                 let content_type = content_type.unwrap_or(HeaderValue::from_static("text/event-stream"));
@@ -125,13 +127,13 @@
                 response
             }
             Some(ResponsePart::Rejected(after)) => self.rejection(after),
-            Some(ResponsePart::Failed(failure)) => failed(failure),
-            _ => failed(Failure::Upstream),
+            Some(ResponsePart::Failed(failure)) => failure_response(failure),
+            _ => failure_response(Failure::Upstream),
         }
     }
 }
 
-fn failed(failure: Failure) -> Response<Body> {
+fn failure_response(failure: Failure) -> Response<Body> {
     match failure {
         Failure::DeadlineExceeded => response(StatusCode::GATEWAY_TIMEOUT, "out of time\n"),
         Failure::DuplicateRequestId => {
@@ -144,7 +146,7 @@
 
 impl Front for Platform {
     fn request_counter(&self, request: &Request<Incoming>) -> Option<RequestCounter> {
-        if request.uri().path() != CHAT || request.method() != Method::POST {
+        if request.uri().path() != CHAT_PATH || request.method() != Method::POST {
             return None;
         }
         let class = header_text(request.headers().get("Req-Kind")?).ok()?;
@@ -155,12 +157,12 @@
         rejection(why, OVER_CAP_RETRY_AFTER.min(self.names.max_retry_after))
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, READY) if (self.ready)() => response(StatusCode::OK, "ready\n"),
-            (&Method::GET, READY) => response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            (&Method::POST, CHAT) => self.chat(request).await,
-            (_, READY | CHAT) => response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
+            (&Method::GET, READY_PATH) if (self.ready)() => response(StatusCode::OK, "ready\n"),
+            (&Method::GET, READY_PATH) => response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            (&Method::POST, CHAT_PATH) => self.chat(request).await,
+            (_, READY_PATH | CHAT_PATH) => response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
             _ => response(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -1,4 +1,5 @@
-//! The accept loop of a front: accepts connections, admits them within the cap, and serves them until the process ends.
+//! Accept loop of a front: accepts connections, limits how many are open, and starts a task that serves each of
+//! them.
 
 use std::future::{poll_fn, Future};
 use std::io;
@@ -16,8 +17,8 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tower::{service_fn, ServiceExt};
 
-use super::accept_watch::AcceptWatch;
-use super::connection::{closing, serve_connection, FrontHooks, Handover};
+use super::accept_queue_monitor::AcceptQueueMonitor;
+use super::connection::{serve_connection, with_connection_close, FrontHooks, Handover};
 use super::connection_end::{ConnectionEnd, EndDecision};
 use super::connection_table::{ConnectionTable, TableEntry};
 use super::resumed_stream::{write_remainder, StreamResult};
@@ -32,28 +33,29 @@
 use crate::upgrade::transferred::{ConnectionGuard, TransferredStream};
 use crate::upgrade::{self, TransferInbox};
 
-/// Connections beyond the cap that may at the same time be told to come back later; further ones are closed.
+/// Maximum number of connections over the cap that are open at the same time to reject their requests; further
+/// connections are closed without a response.
 pub const MAX_REJECTING_CONNECTIONS: usize = 24;
-/// This part of the connections beyond the cap may be evicted ones that are ended in order.
-const LINGERING_PART: usize = 2;
-/// Pause after a failed accept (no descriptor left, say).
+/// One of this many connections over the cap may be an evicted connection that is being closed gracefully.
+const LINGERING_DIVISOR: usize = 2;
+/// Pause after a failed accept, for example when no file descriptor is left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// What a connection is good for after a stream that another process began.
-pub enum ConnectionFate {
-    /// It is served on.
+/// What happens to a connection after a stream that another process began.
+pub enum AfterStream {
+    /// It serves further requests.
     KeepAlive,
-    /// It is closed in order, for this reason.
+    /// It is closed gracefully, for this reason.
     Close(EndReason),
-    /// A further process goes on with the stream.
+    /// It is handed over to a further process, which continues the stream.
     HandedOver(TransferredStream),
 }
 
-/// Goes on with a stream that another process began.
-pub type Resume =
-    Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, ConnectionFate>>;
+/// Continues a stream that another process began, on the socket of its client.
+pub type Resume = Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, AfterStream>>;
 
-/// Goes on with streams over this pool, and counts them here at their end.
+/// Returns a function that continues streams through the given pool and counts their requests in `metrics` when
+/// they end.
 pub fn resume(pool: &Pool, metrics: &RequestMetrics) -> Resume {
     let (pool, metrics) = (pool.clone(), metrics.clone());
     Rc::new(move |socket, TransferredStream { remainder, class }| {
@@ -63,35 +65,35 @@
         Box::pin(async move {
             let result = write_remainder(socket, core::resume(frames)).await;
             drop(open_stream);
-            let (outcome, fate) = match result {
-                StreamResult::Complete => (Some(RequestOutcome::Fulfilled), ConnectionFate::KeepAlive),
+            let (outcome, after_stream) = match result {
+                StreamResult::Complete => (Some(RequestOutcome::Fulfilled), AfterStream::KeepAlive),
                 StreamResult::Broken => {
-                    (Some(RequestOutcome::Faulted), ConnectionFate::Close(EndReason::ResponseAborted))
+                    (Some(RequestOutcome::Faulted), AfterStream::Close(EndReason::ResponseAborted))
                 }
-                StreamResult::ClientDisconnected => (None, ConnectionFate::Close(EndReason::ClientEnded)),
+                StreamResult::ClientDisconnected => (None, AfterStream::Close(EndReason::ClientEnded)),
                 StreamResult::HandedOver(remainder) => {
-                    (None, ConnectionFate::HandedOver(TransferredStream { remainder, class }))
+                    (None, AfterStream::HandedOver(TransferredStream { remainder, class }))
                 }
             };
             if let Some((counter, outcome)) = counter.zip(outcome) {
                 counter.count(outcome);
             }
-            fate
+            after_stream
         })
     })
 }
 
-/// How connections come to a front.
+/// Sources of the connections of a front.
 pub struct FrontListener {
-    /// The front's number, by which another process knows it.
+    /// Number that identifies the front to another process.
     pub number: u8,
-    /// The listening socket.
+    /// Listening socket for clients.
     pub listener: TcpListener,
-    /// Connections that another process hands over.
+    /// Receives connections from another process; `None` if the front takes over no connections.
     pub inbox: Option<TransferInbox>,
-    /// Goes on with streams that another process began.
+    /// Continues streams that another process began; `None` if the front takes over no streams.
     pub resume: Option<Resume>,
-    /// Accepting begins once this is true.
+    /// Accepting begins when this becomes true.
     pub open: watch::Receiver<bool>,
 }
 
@@ -107,24 +109,24 @@
     }
 }
 
-/// Whether a connection may serve any request.
+/// Whether the requests on a connection reach the front.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Admission {
     Admitted,
-    /// All connections within the cap have open requests.
+    /// No connection within the cap could be evicted, so requests on this one are rejected.
     OverCap,
 }
 
-/// What every connection of one front is served with.
+/// Starts the connections of one front, and holds what they share.
 struct Acceptor<S> {
     service: S,
     hooks: FrontHooks,
     table: Rc<ConnectionTable>,
-    /// Connections that may be open at a time.
+    /// Maximum number of connections that are served at the same time.
     cap: usize,
     handover: Handover,
     resume: Option<Resume>,
-    accept_watch: AcceptWatch,
+    queue_monitor: AcceptQueueMonitor,
 }
 
 impl<S: HttpService> Acceptor<S> {
@@ -132,40 +134,41 @@
         self.table.len() >= self.cap
     }
 
-    /// The next connection, once the table has an entry for it, or will have none. Meanwhile connections wait in the machine's
-    /// queue, where nothing that their clients send is lost.
+    /// Waits until the table has a free entry or is not going to get one soon, then waits for `next`. Until then
+    /// connections stay in the kernel's accept queue, where nothing that their clients send is lost.
     async fn when_vacant<T>(&self, next: impl Future<Output = T>) -> T {
         if self.table.must_wait(self.cap) {
-            self.accept_watch.note_unattended(Instant::now());
+            self.queue_monitor.note_unpolled(Instant::now());
         }
-        self.table.vacancy(self.cap).await;
+        self.table.wait_for_vacancy(self.cap).await;
         next.await
     }
 
-    /// Accepts a connection; notes where there is none.
+    /// Accepts a connection, and records when the accept queue is empty.
     async fn accept(&self, listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
         poll_fn(|context| {
             let accepted = listener.poll_accept(context);
-            // Without budget it is pending whatever there is.
+            // With its coop budget used up, tokio returns `Pending` even if a connection is queued.
             if accepted.is_pending() && coop::has_budget_remaining() {
-                self.accept_watch.note_empty();
+                self.queue_monitor.note_empty();
             }
             accepted
         })
         .await
     }
 
-    /// Takes a connection from the machine's queue.
-    fn take_accepted(&self, socket: TcpStream, client: SocketAddr) {
+    /// Starts serving a connection from the kernel's accept queue.
+    fn start_accepted(&self, socket: TcpStream, client: SocketAddr) {
         let now = Instant::now();
-        let came = self.accept_watch.earliest_arrival(now);
-        let waiting_since = (came < now && has_unread(&socket)).then_some(came);
-        self.take(socket, Some(client), None, waiting_since);
+        let arrived = self.queue_monitor.earliest_arrival(now);
+        let waiting_since = (arrived < now && has_unread(&socket)).then_some(arrived);
+        self.start(socket, Some(client), None, waiting_since);
     }
 
-    /// Takes a connection. Guards the descriptors of servers and discovery, and the way in: at the cap, the connection that
-    /// has been idle longest is evicted; only where all have an open request is the new one rejected.
-    fn take(
+    /// Starts serving a connection. The cap reserves file descriptors for servers and discovery. At the cap,
+    /// the connection that has been idle longest is evicted, so that idle clients do not lock out new ones. If
+    /// none can be evicted, as when all have an open request, the requests on the new connection are rejected.
+    fn start(
         &self, socket: TcpStream, client: Option<SocketAddr>, stream: Option<TransferredStream>,
         waiting_since: Option<Instant>,
     ) {
@@ -183,11 +186,11 @@
             return;
         }
         let admission = if self.is_full() { Admission::OverCap } else { Admission::Admitted };
-        // Before the task is polled: none is uncounted in between.
+        // Taken before the task is first polled, so that the connection is counted without a gap.
         let guard = self.handover.shutdown.guard();
-        let entry = self.table.enter(client);
+        let entry = self.table.insert(client);
         if let Some(since) = waiting_since {
-            entry.watch.set_waiting_since(since);
+            entry.state.set_waiting_since(since);
         }
         let task = ConnectionTask {
             service: self.service.clone(),
@@ -202,7 +205,7 @@
     }
 }
 
-/// One connection from its arrival on.
+/// Task that serves one connection from its arrival to its end.
 struct ConnectionTask<S> {
     service: S,
     hooks: FrontHooks,
@@ -217,18 +220,18 @@
     async fn run(self, mut socket: TcpStream, stream: Option<TransferredStream>) {
         let ConnectionTask { service, hooks, handover, resume, admission, guard, entry } = self;
         if let Some((stream, resume)) = stream.zip(resume) {
-            entry.watch.stream_resumed();
+            entry.state.stream_resumed();
             match resume(&mut socket, stream).await {
-                ConnectionFate::KeepAlive => entry.watch.response_finished(),
-                ConnectionFate::Close(reason) => {
-                    entry.watch.decide_end(reason);
-                    entry.watch.end.note_response_aborted();
-                    return entry.watch.close(&socket).await;
+                AfterStream::KeepAlive => entry.state.response_finished(),
+                AfterStream::Close(reason) => {
+                    entry.state.decide_end(reason);
+                    entry.state.end.note_response_aborted();
+                    return entry.state.close(&socket).await;
                 }
-                ConnectionFate::HandedOver(stream) => {
+                AfterStream::HandedOver(stream) => {
                     if !handover.send(socket.into_std().ok(), Some(stream), guard) {
-                        entry.watch.decide_end(EndReason::HandoverFailed);
-                        entry.watch.end.note_response_aborted();
+                        entry.state.decide_end(EndReason::HandoverFailed);
+                        entry.state.end.note_response_aborted();
                     }
                     return;
                 }
@@ -237,51 +240,52 @@
         match admission {
             Admission::Admitted => serve_connection(socket, service, hooks, handover, guard, entry).await,
             Admission::OverCap => {
-                let service = rejecting(service, hooks.clone());
+                let service = rejecting_service(service, hooks.clone());
                 serve_connection(socket, service, hooks, handover, guard, entry).await;
             }
         }
     }
 }
 
-/// A service for connections over the cap. A GET is answered all the same: whoever asks whether the gateway is ready is no
-/// client, and keeps the connection open for a moment only.
-fn rejecting<S: HttpService>(service: S, hooks: FrontHooks) -> impl HttpService {
+/// Returns the service for connections over the cap, which rejects all requests except GET. A GET is a
+/// readiness check: it is not sent by a client, and it keeps the connection open only briefly.
+fn rejecting_service<S: HttpService>(service: S, hooks: FrontHooks) -> impl HttpService {
     service_fn(move |request: Request<Incoming>| {
         let (service, reject) = (service.clone(), hooks.reject.clone());
         async move {
             if request.method() != Method::GET {
-                return Ok(closing(reject("too many connections\n")));
+                return Ok(with_connection_close(reject("too many connections\n")));
             }
-            Ok(closing(service.oneshot(request).await?))
+            Ok(with_connection_close(service.oneshot(request).await?))
         }
     })
 }
 
-/// Serves until shutdown has passed its accepting phase, then lets connections end by themselves.
+/// Accepts and serves connections until shutdown reaches [`Phase::Closing`]. Connections that are still open
+/// then are served to their end by their own tasks.
 pub async fn serve(listener: impl Into<FrontListener>, front: impl Front, cap: usize, shutdown: Shutdown) {
     let FrontListener { number, listener, mut inbox, resume, mut open } = listener.into();
     let acceptor = Acceptor {
         service: front.clone().service(),
-        hooks: hooks_of(front),
-        table: Rc::new(ConnectionTable::new(MAX_REJECTING_CONNECTIONS.min(cap) / LINGERING_PART)),
+        hooks: front_hooks(front),
+        table: Rc::new(ConnectionTable::new(MAX_REJECTING_CONNECTIONS.min(cap) / LINGERING_DIVISOR)),
         cap,
         handover: Handover { shutdown: shutdown.clone(), front: number },
         resume,
-        accept_watch: AcceptWatch::new(Instant::now()),
+        queue_monitor: AcceptQueueMonitor::new(Instant::now()),
     };
-    // The end waits for the machine's queue as for a connection: what it holds when accepting ends is still taken.
+    // Keeps the process from exiting until the connections are accepted that are queued when accepting ends.
     let _accepting = shutdown.guard();
     let stop = shutdown.reached(Phase::Closing);
     tokio::pin!(stop);
     tokio::select! {
         () = &mut stop => return,
-        // An error means that nobody will open it: then it stays shut.
+        // An error means that the sender was dropped; accepting begins in that case too.
         _ = open.wait_for(|open| *open) => {}
     }
     let mut successor_updates = shutdown.successor_updates();
     loop {
-        // A successor accepts in place of this process for as long as it is there.
+        // While a successor runs, it accepts connections in place of this process.
         let accepting = successor_updates.borrow_and_update().is_none();
         tokio::select! {
             biased;
@@ -290,14 +294,14 @@
             Some((socket, stream)) = acceptor.when_vacant(next_transferred(&mut inbox)) => match TcpStream::from_std(socket) {
                 Ok(socket) => {
                     let client = socket.peer_addr().ok();
-                    acceptor.take(socket, client, stream, None);
+                    acceptor.start(socket, client, stream, None);
                 }
                 Err(error) => log!("a transferred connection could not be registered: {error}"),
             },
             accepted = acceptor.when_vacant(acceptor.accept(&listener)), if accepting => match accepted {
                 Ok((socket, client)) => {
-                    acceptor.take_accepted(socket, client);
-                    // The evicted one closes, and the new one is read, before the next one comes.
+                    acceptor.start_accepted(socket, client);
+                    // The evicted connection is closed, and the new one is read, before the next one is accepted.
                     if acceptor.is_full() {
                         yield_now().await;
                     }
@@ -307,32 +311,32 @@
                     sleep(ACCEPT_BACKOFF).await;
                 }
             },
-            () = sleep_until(acceptor.accept_watch.next_heartbeat()) => {
-                acceptor.accept_watch.note_turn(Instant::now());
-                // After a pause the runtime may have run timers alone: whether the queue is empty is known once it has looked at its
-                // sockets too.
+            () = sleep_until(acceptor.queue_monitor.next_heartbeat()) => {
+                acceptor.queue_monitor.note_turn(Instant::now());
+                // After a pause of the process the runtime may have polled only its timers. It polls its
+                // sockets too before it is known whether the accept queue is empty.
                 yield_now().await;
             }
         }
     }
     if !shutdown.has_successor() {
-        let room = async || acceptor.table.vacancy(cap).await;
+        let vacancy = async || acceptor.table.wait_for_vacancy(cap).await;
         let accept = async || acceptor.accept(&listener).await;
-        accept_queue::empty(room, accept, |(socket, client)| {
-            acceptor.take_accepted(socket, client);
+        accept_queue::drain(vacancy, accept, |(socket, client)| {
+            acceptor.start_accepted(socket, client);
         })
         .await;
     }
 }
 
-/// Reports a connection beyond the cap that is closed without being read, if something has come on it.
+/// Reports a connection over the cap that is closed without being read, if bytes have arrived on it.
 fn report_over_cap(socket: &TcpStream, client: Option<SocketAddr>) {
     let end = ConnectionEnd::new(client);
     end.note_unread(unread_bytes(socket));
     end.report(EndDecision { reason: EndReason::OverCap, stage: Stage::New, age: Duration::ZERO });
 }
 
-fn hooks_of(front: impl Front) -> FrontHooks {
+fn front_hooks(front: impl Front) -> FrontHooks {
     let rejecting_front = front.clone();
     FrontHooks {
         request_counter: Rc::new(move |request| front.request_counter(request)),
@@ -340,7 +344,7 @@
     }
 }
 
-/// The next connection handed over; `None` at once where none can be.
+/// Waits for the next connection from another process; returns `None` if there is no inbox or it is closed.
 async fn next_transferred(
     inbox: &mut Option<TransferInbox>,
 ) -> Option<(std::net::TcpStream, Option<TransferredStream>)> {
