--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -74,8 +74,8 @@
     pub body_state: Rc<BodyReadState>,
     task: AbortHandle,
     slot: Option<OwnedSemaphorePermit>,
-    /// The attempt in progress until its stream begins. Its token records what the connection shows about the server's
-    /// work.
+    /// Token of the attempt in progress; `None` once its stream has begun. Observations of this connection
+    /// are recorded in it as evidence about the server's work.
     attempt: Option<CancelToken>,
     /// Receives the connection if it is dropped during an attempt.
     closing: ClosingSender,
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -1,4 +1,4 @@
-//! Short calls to servers other than attempts: probes and slot reservations.
+//! Short calls to servers (requests that are not attempts): probes and slot reservations.
 
 use std::time::Duration;
 
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -189,7 +189,8 @@
         {
             let mut servers = self.0.servers.borrow_mut();
             let Some(record) = servers.get_mut(server) else { return };
-            // The list may have changed since: the server may have moved, restarted or started to drain.
+            // The server list may have changed since the connection was opened: the server may have moved,
+            // restarted or started to drain.
             if !record.is_serving || record.peer != connection.peer {
                 return;
             }
--- a/gateway/src/engine/reset_inquiry.rs
+++ b/gateway/src/engine/reset_inquiry.rs
@@ -31,7 +31,8 @@
 /// Last inquiry at one address; `None` before the first has been completed. Locked while an inquiry is in progress.
 type LastInquiry = Rc<Mutex<Option<Inquiry>>>;
 
-/// Inquiries in progress, keyed by server address.
+/// Last inquiries, in progress or completed, keyed by server address. An entry that no task uses remains
+/// until the next lookup of any address.
 #[derive(Default)]
 pub(super) struct ResetInquiries(RefCell<BTreeMap<String, LastInquiry>>);
 
--- a/gateway/src/engine/server_request.rs
+++ b/gateway/src/engine/server_request.rs
@@ -36,7 +36,8 @@
 pub(super) struct ServerRequest {
     pub kind: RequestKind,
     pub request: Request<Bytes>,
-    /// Time by which the request must be written to a new or idle connection; `None`: no lease waits for it.
+    /// Time by which the request must be written to a new or idle connection; `None` if neither a lease nor
+    /// an idempotency window limits it.
     pub connect_deadline: Option<Instant>,
     /// Check that the connection must pass immediately before the request is written.
     pub connection_check: ConnectionCheck,
