--- a/crates/fleet/examples/figures.rs
+++ b/crates/fleet/examples/figures.rs
@@ -17,7 +17,8 @@
 use net::{id, Net};
 
 const SECONDS: u64 = 60;
-/// As long on the wire as milliseconds since 1970, which gateways use.
+/// Gateways use the Unix time in milliseconds as their incarnation. This value has the same serialized
+/// length, so messages are as long as those of gateways.
 const INCARNATION: u64 = 1_796_000_000_000;
 
 /// Measurements of a fleet of one size.
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Sets the value of this member's cell (`kind`, `key`), and returns its version. The member renews the cell until
-    /// it is deleted; a value that expires earlier must contain its expiry time.
+    /// Sets the value of this member's cell (`kind`, `key`), and returns the cell's new version. The member
+    /// renews the cell until it is deleted, so a value with a limited lifetime must contain its own expiry time.
     pub fn put(&mut self, now: u64, kind: u16, key: &[u8], value: Vec<u8>) -> Result<u64, TableError> {
         check_kind(kind)?;
         self.write_cell(now, kind, key, Some(value))
--- a/crates/fleet/src/seal/window.rs
+++ b/crates/fleet/src/seal/window.rs
@@ -11,7 +11,8 @@
     New,
     /// Accepted before.
     Duplicate,
-    /// Below the window: whether it was accepted before is unknown, so it is rejected.
+    /// Below the window, or 0. Rejected: whether a counter below the window was accepted before is unknown,
+    /// and 0 is never sent.
     TooOld,
 }
 
--- a/crates/fleet/src/table/mod.rs
+++ b/crates/fleet/src/table/mod.rs
@@ -183,7 +183,7 @@
         self.origins.get(&origin).map_or(Vec::new(), |cells| cells.cells_above(now, origin, version))
     }
 
-    /// Whether the cell exists, be it as a tombstone.
+    /// Whether the cell is stored, as a value or as a tombstone.
     pub fn contains(&self, id: &CellId) -> bool {
         self.origins.get(&id.origin).is_some_and(|origin| origin.contains(id))
     }
--- a/crates/fleet/src/table/origin.rs
+++ b/crates/fleet/src/table/origin.rs
@@ -1,5 +1,5 @@
-//! The cells of one origin in one incarnation, with their versions, ages and bounds. Owned by [`super::Table`]; times
-//! are milliseconds on the caller's clock.
+//! The cells of one origin in one incarnation, with their versions and creation times. A merge enforces the
+//! bounds for one origin. Owned by [`super::Table`]; times are milliseconds on the caller's clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Whether the cell exists, be it as a tombstone.
+    /// Whether the cell is stored, as a value or as a tombstone.
     pub(super) fn contains(&self, id: &CellId) -> bool {
         self.cells.contains_key(&(id.kind, id.key.clone()))
     }
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -47,7 +47,8 @@
     output.sends.pop().unwrap().1
 }
 
-/// The sender's response to the receiver's announcement, when the third member is the only other one that it knows.
+/// The sender's response to the receiver's announcement, when the third member is the only other one in its
+/// list of members.
 fn feed_packet() -> Vec<u8> {
     let mut sender = membership(sender());
     sender
