--- a/crates/access-log/src/counts.rs
+++ b/crates/access-log/src/counts.rs
@@ -30,7 +30,8 @@
     pub waste: f64,
 }
 
-/// Calls of one gateway process since its start.
+/// Numbers of calls of one gateway process since its start, or their sum over many processes, with the prices
+/// in the deployment's settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
     /// Unix time of the start in milliseconds, which identifies the process among those of its gateway.
--- a/crates/access-log/src/loss_report/mod.rs
+++ b/crates/access-log/src/loss_report/mod.rs
@@ -2,8 +2,8 @@
 //! [`TurnResult`], so the shares add up to the whole.
 //!
 //! A client's requests for one turn of a conversation have different ids and may arrive at different gateways. They are
-//! recognized as one turn by class, session and prompt length. The loss of a turn without a response in time is
-//! attributed to the wait that took most of its time.
+//! recognized as one turn by class, session and prompt length. The loss of a late turn is attributed to the
+//! longest of its waits.
 
 mod served_shares;
 mod state_transfers;
@@ -51,7 +51,7 @@
     pub weight: f64,
 }
 
-/// Kind under which attempts are counted.
+/// Stage and outcome by which attempts are grouped for counting.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKind {
     /// Whether the stage was prefill; otherwise it was execution.
--- a/crates/access-log/src/loss_report/state_transfers.rs
+++ b/crates/access-log/src/loss_report/state_transfers.rs
@@ -17,7 +17,7 @@
     pub out_of_cell: f64,
     /// Part of `fetched` with a decode server outside the prefill server's zone.
     pub out_of_zone: f64,
-    /// Tokens that prefill servers processed, excluding cached ones.
+    /// Tokens that successful prefills processed, excluding cached ones.
     pub prefilled: f64,
     /// Part of `prefilled` for states that no decode server fetched.
     pub unclaimed: f64,
--- a/crates/access-log/src/loss_report/turn.rs
+++ b/crates/access-log/src/loss_report/turn.rs
@@ -20,15 +20,15 @@
 pub enum TurnResult {
     /// The first token was sent within the latency objective.
     InTime,
-    /// Late or without a response; most of the time was spent waiting at prefill servers.
+    /// Late or without a response; the longest wait was at prefill servers.
     LatePrefill,
-    /// Late or without a response; most of the time was spent waiting at decode servers.
+    /// Late or without a response; the longest wait was at decode servers.
     LateDecode,
-    /// Late or without a response; most of the time was spent in attempts without a result: timeouts, cancellations,
-    /// resets, errors and failed connections.
+    /// Late or without a response; the longest wait was in attempts without a result: timeouts,
+    /// cancellations, resets, errors and failed connections.
     LateAttemptsLost,
-    /// Late or without a response; most of the time was spent between attempts, while servers rejected the request, no
-    /// server was available, or the client paused between its requests.
+    /// Late or without a response; the longest wait was between attempts, while servers rejected the request,
+    /// no server was available, or the client paused between its requests.
     LateBetweenAttempts,
     /// All requests were rejected, and no attempt was made.
     RejectedUnsent,
@@ -79,7 +79,8 @@
     pub requests: Vec<&'a RequestRecord>,
 }
 
-/// Time of a turn in excess of the expected work, in milliseconds, by where it was spent.
+/// Wait times of a turn, in milliseconds, by where they were spent. At prefill and decode servers, only the
+/// time in excess of the expected work counts; attempts without a result count with their entire duration.
 #[derive(Default)]
 struct WaitTimes {
     at_prefill: f64,
