--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -201,7 +201,8 @@
     }
 
     /// Sets the value of this member's cell (`kind`, `key`), and returns the cell's new version. The member
-    /// renews the cell until it is deleted, so a value with a limited lifetime must contain its own expiry time.
+    /// renews the cell until it is deleted, so a value with a limited lifetime must contain its own expiry
+    /// time.
     pub fn put(&mut self, now: u64, kind: u16, key: &[u8], value: Vec<u8>) -> Result<u64, TableError> {
         check_kind(kind)?;
         self.write_cell(now, kind, key, Some(value))
