--- a/gateway/src/front/accept_queue_monitor.rs
+++ b/gateway/src/front/accept_queue_monitor.rs
@@ -48,7 +48,8 @@
         self.unpolled_since.set(self.unpolled_since.get().or(Some(since)));
     }
 
-    /// Records that the queue is empty.
+    /// Records that the queue is empty, so that a connection accepted later cannot have waited since before
+    /// now.
     pub fn note_empty(&self) {
         self.unpolled_since.set(None);
     }
--- a/gateway/src/front/connection_end.rs
+++ b/gateway/src/front/connection_end.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub(super) struct ConnectionEnd {
     client: Cell<Option<SocketAddr>>,
-    /// Bytes read since the last response was complete.
+    /// Number of bytes read that belong to no request with a complete response.
     bytes_read: Cell<u64>,
     /// The part of `bytes_read` that belongs to no request that was passed on.
     bytes_buffered: Cell<usize>,
--- a/gateway/src/front/connection_state.rs
+++ b/gateway/src/front/connection_state.rs
@@ -30,7 +30,8 @@
 const PARTIAL_HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time limit for a kept-alive connection without an open request.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time limit for a client that does not read its response; the connection is closed then, and the rest is lost.
+/// Time limit for a client that does not read the rest of its response after the gateway has passed all of it
+/// to hyper. The connection is then closed, and the rest is lost.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A connection is not evicted for this time after it was accepted or a response was written, because its
@@ -59,7 +60,8 @@
     pub(super) framing_fault: Cell<Option<&'static str>>,
     /// Data for the report when the connection ends.
     pub(super) end: ConnectionEnd,
-    /// Earliest time at which bytes may have arrived that were unread when the connection was accepted.
+    /// Earliest possible arrival time of the bytes that were unread when the connection was accepted; `None`
+    /// if there were none or they have been read.
     waiting_since: Cell<Option<Instant>>,
     /// Arrival time of the request whose first bytes were read last; `None` once it has been taken.
     arrival: Cell<Option<Instant>>,
@@ -117,7 +119,8 @@
         self.machine.borrow().closes_after_response()
     }
 
-    /// Sets the earliest time at which bytes may have arrived that are unread when the connection is accepted.
+    /// Sets the earliest possible arrival time of the bytes that were unread when the connection was
+    /// accepted. The first request on the connection gets this time as its arrival time.
     pub(super) fn set_waiting_since(&self, since: Instant) {
         self.waiting_since.set(Some(since));
     }
@@ -230,8 +233,8 @@
         });
     }
 
-    /// Returns when the time limit of the current stage expires. Bodies and responses have no limit here but
-    /// timers where they are awaited.
+    /// Returns when the time limit of the current stage expires; `None` while a body is read or a response is
+    /// in progress, because the code that awaits them has its own timeouts, and after a handover.
     fn stage_deadline(&self) -> Option<Instant> {
         let limit = match self.machine.borrow().timeout_kind() {
             TimeoutKind::Request => return None,
--- a/gateway/src/front/connection_table.rs
+++ b/gateway/src/front/connection_table.rs
@@ -25,7 +25,7 @@
 pub enum Vacancy {
     /// No wait: the table is not full, a connection can be evicted now, or too few can be evicted soon.
     NoWait,
-    /// Wait: the first connection can be evicted at this time.
+    /// Wait until this time, which is the earliest at which any connection can be evicted.
     WaitUntil(Instant),
 }
 
@@ -38,7 +38,7 @@
     /// Number of evicted connections that are being closed gracefully.
     lingering: Cell<usize>,
     max_lingering: usize,
-    /// Notified when a connection has left the table.
+    /// Notified when a connection has ended and its entry is free.
     entry_freed: Notify,
 }
 
@@ -88,8 +88,8 @@
 }
 
 impl TableEntry {
-    /// Returns a permit to close the evicted connection gracefully; `None` if the limit is reached, and the
-    /// connection is to be dropped at once.
+    /// Returns a permit to close the evicted connection gracefully. If the limit is reached, returns
+    /// `None`, and the connection is dropped at once.
     pub fn try_linger(&self) -> Option<LingerPermit> {
         let lingering = self.table.lingering.get();
         (lingering < self.table.max_lingering).then(|| {
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -65,7 +65,7 @@
     request.extensions().get::<ArrivedAt>().map_or_else(Instant::now, |arrived| arrived.0)
 }
 
-/// A client protocol in front of the core.
+/// Client-facing protocol handler: translates requests and responses between its protocol and the core.
 pub trait Front: Clone + 'static {
     /// Handles a request. Every request gets a response; failures are error responses.
     fn handle(self, request: Request<Incoming>) -> impl Future<Output = Response<Body>>;
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -75,7 +75,7 @@
     assert_eq!(patient.client_timeout, MAX_CLIENT_TIMEOUT);
 }
 
-/// Guards classes and tenants with names that are not ASCII, which a header contains as UTF-8 bytes.
+/// Names of classes and tenants may contain non-ASCII characters, which a header transmits as UTF-8 bytes.
 #[test]
 fn names_that_are_not_ascii_are_found() {
     let names = PlatformNames {
@@ -95,7 +95,7 @@
     assert!(error.starts_with("Req-Kind"), "{error}");
 }
 
-/// Guards the settings for `Retry-After`: whether a rejection has one, and its maximum.
+/// The settings determine whether a rejection has a `Retry-After`, and its maximum.
 #[test]
 fn retry_after_follows_the_settings() {
     let retry_after = |limits: &str, after: Duration| {
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -34,9 +34,9 @@
 pub struct RequestReader {
     socket: CountedSocket,
     state: Rc<ConnectionState>,
-    /// Bytes that were read from the socket and not passed on.
+    /// Bytes that were read from the socket and not passed on to hyper.
     buffer: Vec<u8>,
-    /// Number of bytes at the start of `buffer` that may be passed on.
+    /// Number of bytes at the start of `buffer` that may be passed on to hyper.
     passable: usize,
     remaining_body: RemainingBody,
 }
@@ -150,7 +150,7 @@
         self.note_buffer();
     }
 
-    /// Records which bytes were read and not passed on.
+    /// Records whether the buffer contains any bytes, and how many of them may not be passed on to hyper yet.
     fn note_buffer(&self) {
         self.state.feed(Input::PipelinedBytes(!self.buffer.is_empty()));
         self.state.end.note_buffered(self.buffer.len() - self.passable);
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -134,8 +134,8 @@
         self.table.len() >= self.cap
     }
 
-    /// Waits until the table has a free entry or is not going to get one soon, then waits for `next`. Until then
-    /// connections stay in the kernel's accept queue, where nothing that their clients send is lost.
+    /// Waits as [`ConnectionTable::wait_for_vacancy`] does, and then for `next`. Meanwhile new connections
+    /// stay in the kernel's accept queue, where nothing that their clients send is lost.
     async fn when_vacant<T>(&self, next: impl Future<Output = T>) -> T {
         if self.table.must_wait(self.cap) {
             self.queue_monitor.note_unpolled(Instant::now());
--- a/gateway/src/front/tracked_body.rs
+++ b/gateway/src/front/tracked_body.rs
@@ -38,8 +38,8 @@
 }
 
 impl TrackedBody {
-    /// Passes the remainder of the stream to the connection, for another process to continue. That process
-    /// counts the request.
+    /// Stores the remainder of the stream in the connection state, so that another process can continue the
+    /// stream and count the request. Fails if the body is not chunked.
     fn detach(&mut self, remainder: StreamRemainder) -> io::Result<()> {
         let class = self.counter.take().map(|counter| counter.class());
         if self.framing == Framing::UntilClose {
--- a/gateway/src/front/unanswered.rs
+++ b/gateway/src/front/unanswered.rs
@@ -26,7 +26,8 @@
     Shutdown,
     /// The client closed or reset it, or stopped reading its response.
     ClientEnded,
-    /// The previous response was announced as the last one.
+    /// The previous response was the last one on the connection, for example because of `Connection: close`,
+    /// so no further request was served.
     LastResponse,
     /// Its response was aborted before the end.
     ResponseAborted,
@@ -93,7 +94,7 @@
     pub progress: RequestProgress,
     /// Address of the client; `None` if unknown.
     pub client: Option<SocketAddr>,
-    /// Number of bytes read since the last complete response.
+    /// Number of bytes read that belong to no request with a complete response.
     pub bytes_read: u64,
     /// Number of bytes that were not read while the connection was served.
     pub bytes_unread: usize,
