--- a/crates/grants/benches/check.rs
+++ b/crates/grants/benches/check.rs
@@ -19,8 +19,8 @@
     divan::main();
 }
 
-/// Returns pairs of a team and a model that are spread out, so that no check finds its cells in the cache
-/// because of the one before.
+/// Returns pairs of a team and a model that are spread over the table, so that a check rarely finds its cells
+/// in the CPU cache because the previous check loaded them.
 fn pairs() -> Vec<(usize, usize)> {
     (0..1 << 16).map(|n: usize| (n * 7_919 % (TEAMS - 110), n * 104_729 / 3 % MODELS)).collect()
 }
--- a/crates/grants/src/compiled/rows.rs
+++ b/crates/grants/src/compiled/rows.rs
@@ -85,7 +85,8 @@
     built
 }
 
-/// Returns the clauses that cover any model of the word.
+/// Returns the clauses of the plan that cover at least one of the models in this word of the model set.
+/// Clauses that deny come first.
 fn clauses_of_word(plan: &RowPlan, word: usize, clauses: &Clauses) -> OrderedClauses {
     let denies = plan.denies.iter().map(|&id| (id, true));
     let all = denies.chain(plan.allows.iter().map(|&id| (id, false)));
--- a/crates/grants/src/reference.rs
+++ b/crates/grants/src/reference.rs
@@ -18,8 +18,8 @@
     rule_indices: HashMap<RuleName, u32>,
 }
 
-/// The outcome of a check and its reason. Where several siblings must all allow the call, `reason` is any
-/// rule that allows it.
+/// The outcome of a check and its reason. If the siblings allow a call by different rules, `reason` is only
+/// one of these rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReferenceDecision {
     pub allowed: bool,
--- a/crates/grants/src/revocation/messages.rs
+++ b/crates/grants/src/revocation/messages.rs
@@ -30,7 +30,8 @@
     pub incarnation: u64,
     /// Fingerprint of the sender's voter configuration.
     pub voter_config: u64,
-    /// Unique among the requests of this incarnation to one member.
+    /// Number of the request, higher than those of the sender's earlier requests to the same member in this
+    /// incarnation. The receiver uses it to detect outdated requests.
     pub number: u64,
     /// The position in the receiver's journal up to which the sender has stored and enforces all changes.
     pub received: JournalPosition,
--- a/crates/grants/src/revocation/peer.rs
+++ b/crates/grants/src/revocation/peer.rs
@@ -26,7 +26,7 @@
     pub granted_leases: BTreeMap<u64, u64>,
     /// The sequence number in this member's journal up to which the peer enforces all changes.
     pub confirmed_up_to: u64,
-    /// Whether the peer's latest request had the same voter configuration.
+    /// Whether the peer's latest request had the same voter configuration as this member.
     pub same_voter_config: bool,
     /// The lessees in the peer's latest request; `None` before the first one.
     pub lessees: Option<Lessees>,
--- a/crates/grants/src/revocation/progress.rs
+++ b/crates/grants/src/revocation/progress.rs
@@ -30,11 +30,13 @@
     Reached,
     /// At most this many ms from now, regardless of failures.
     WithinMs(u64),
-    /// The change is not committed. Without a commit quorum there is no bound.
+    /// The change is not committed, so only the time after its commit is bounded. The commit itself may take
+    /// any time, because it requires confirmations from a commit quorum.
     AfterCommit {
         /// Maximum time from the commit until the change is fleet-wide, in ms.
         after_ms: u64,
-        /// The voters that have not confirmed the change. Enough of them must do so to commit it.
+        /// The voters that have not confirmed the change. It is committed once enough of them confirm it to
+        /// complete a commit quorum.
         missing: Vec<MemberId>,
     },
 }
--- a/crates/grants/src/versions/replica.rs
+++ b/crates/grants/src/versions/replica.rs
@@ -26,15 +26,15 @@
 pub struct MergeOutcome {
     /// Whether the merge brought any change that was not known here.
     pub changed: bool,
-    /// Whether the section is in conflict now.
+    /// Whether the section is in conflict after the merge.
     pub in_conflict: bool,
     /// The siblings that were here and were replaced by changes that include them. Each change is either
     /// reported here once or is still a sibling.
     pub replaced: Vec<Dot>,
     /// Dots with two contents, because an incarnation was used twice. Both contents are kept, in conflict.
     pub forked: Vec<Dot>,
-    /// Whether a change under this member's incarnation was made elsewhere: another process has the same name
-    /// or used the same incarnation.
+    /// Whether the merge found a change by another process with the same member id and the same incarnation
+    /// as this member.
     pub foreign_change: bool,
 }
 
--- a/crates/grants/src/versions/versioned_section.rs
+++ b/crates/grants/src/versions/versioned_section.rs
@@ -1,4 +1,4 @@
-//! A section with the history of its changes.
+//! A section of the document with its current siblings and a version vector of all known changes.
 
 use std::collections::BTreeSet;
 
@@ -38,9 +38,9 @@
         VersionedSection { vector, siblings }
     }
 
-    /// Returns the siblings that `other` has too, or has never seen. A sibling also remains if `other` has
-    /// the same dot with different content (an incarnation was used twice): neither is known to replace the
-    /// other.
+    /// Returns the siblings that no change in `other` replaces: those whose dot is not covered by the version
+    /// vector of `other`, or is the dot of one of its siblings. Siblings with the same dot and different
+    /// content (an incarnation was used twice) are both kept, because neither is known to replace the other.
     fn not_replaced_by<'a>(&'a self, other: &'a VersionedSection) -> impl Iterator<Item = &'a Sibling> {
         self.siblings.iter().filter(|own| {
             !other.vector.covers(&own.dot) || other.siblings.iter().any(|theirs| theirs.dot == own.dot)
--- a/crates/grants/tests/support/fleet.rs
+++ b/crates/grants/tests/support/fleet.rs
@@ -51,7 +51,7 @@
     replaced_processes: Vec<(usize, Lease, BTreeSet<u32>)>,
     /// Changes that any member reported as fleet-wide.
     pub fleet_wide: BTreeSet<u32>,
-    /// A node whose store was lost or rolled back, until it has caught up.
+    /// Index of the node whose store was lost or rolled back; `None` if there is none or it has caught up.
     store_lost: Option<usize>,
 }
 
