--- a/crates/router/src/policy/affinity.rs
+++ b/crates/router/src/policy/affinity.rs
@@ -1,5 +1,5 @@
-//! Prefix affinity: requests of a session or with a shared prefix are sent to the prefill server that has it
-//! cached.
+//! Prefix affinity: requests of the same session, or with the same shared prefix, are sent to the prefill or
+//! mixed server that probably has their prefix cached.
 //!
 //! This module has no state of its own. It looks up servers in the prefix table, and uses a consistent hash
 //! if there is no entry. Prefix caches are effective only if every router sends a prefix to the same few
@@ -10,8 +10,8 @@
 use crate::state::{AffinityKey, Placement, RequestState, ServerRecord, Stage};
 use crate::{fleet_load, rendezvous};
 
-/// Load of a preferred server of a popular prefix, as a multiple of an average server's share of all
-/// requests.
+/// Intended share of all requests that one preferred server receives for a popular prefix, as a multiple of
+/// an average server's share.
 const LOAD_PER_PREFERRED_SERVER: f64 = 1.0;
 
 /// Server that was found in the prefix table, and the key of its entry.
@@ -22,8 +22,8 @@
 }
 
 impl Router {
-    /// Selects a prefill server by session, else by shared prefix, else by consistent hash, and diverts the
-    /// request if that server is overloaded.
+    /// Selects a prefill or mixed server by session, else by shared prefix, else by consistent hash, and
+    /// diverts the request if that server is overloaded.
     pub(super) fn choose_prefill_server(
         &mut self, request: &mut RequestState, actions: &mut Vec<Action>,
     ) -> Option<Placement> {
@@ -49,7 +49,8 @@
     }
 
     /// Returns the eligible server in the prefix table for the session, or else for the prefix of a request.
-    /// A prefix with several preferred servers is hashed instead.
+    /// The entry of the prefix is not used if the prefix has several preferred servers, or if its server has
+    /// excess sends; the consistent hash then determines the server.
     fn match_affinity(
         &mut self, request: &RequestState, eligible: &[ServerId], preferred_count: usize,
     ) -> Option<AffinityMatch> {
--- a/crates/router/src/policy/decode_placement.rs
+++ b/crates/router/src/policy/decode_placement.rs
@@ -43,7 +43,8 @@
             let wait = self.expected_time(projection.server, 0.0);
             projection.memory_share += (1.0 - confidence) * wait * wait_weight;
         }
-        // Mixed servers decode states of other servers only while every decode server is nearly full.
+        // Mixed servers decode states of other servers only while every eligible decode server is nearly
+        // full, or none is eligible.
         if projections.iter().all(|projection| self.is_nearly_full(*projection, wait_weight)) {
             let mixed = self.eligible_servers(&[Role::Mixed], request, Stage::Decode, actions);
             projections.extend(self.projected_memory(&mixed));
@@ -57,7 +58,7 @@
 
     /// Returns the memory share that a millisecond of wait is equivalent to. Without probes, the memory use
     /// of a server is estimated from its waits: a wait as long as the objective is equivalent to a full
-    /// memory. With probes the weight is 0.
+    /// memory. With probes the weight is 0, because memory reports are then available.
     fn wait_weight(&self, request: &RequestState) -> f64 {
         if self.settings.limits.probes {
             0.0
@@ -66,8 +67,9 @@
         }
     }
 
-    /// Returns whether a server is full according to its memory reports, or to its waits if there are no
-    /// reports. Both are weighted by the confidence in the report.
+    /// Returns whether a server is full according to its memory reports or, without probes, according to its
+    /// waits. The projection is weighted by the confidence in the report for the first comparison, and by the
+    /// lack of confidence for the second.
     fn is_nearly_full(&self, projection: Projection, wait_weight: f64) -> bool {
         let Projection { server, memory_share } = projection;
         let confidence = self.memory_confidence(server);
@@ -98,8 +100,8 @@
     }
 
     /// Returns whether a nearby server may be selected instead of the one with the lowest projection. This is
-    /// the case if its projection is close enough, with a larger margin for unknown memory, or if it has
-    /// reported enough free memory.
+    /// the case if its projection is close enough, with a larger margin for unknown memory. With probes
+    /// before a send, it is also the case if a recent report shows enough free memory for the request.
     fn is_acceptable_nearby(&self, candidate: Projection, best: Projection, request: &RequestState) -> bool {
         let confidence = self.memory_confidence(candidate.server);
         let margin = NEARBY_MARGIN * confidence + NEARBY_MARGIN_UNKNOWN * (1.0 - confidence);
@@ -115,8 +117,9 @@
     /// Returns the projected memory use of these servers, which is the last report plus the streams sent
     /// since. As the confidence in the report decays, it is replaced by the average plus a random addition.
     ///
-    /// This router's own streams are extrapolated to all routers only if it has sent many of them. A few
-    /// streams are not representative in a large fleet, and would raise all projections equally.
+    /// The unreported streams of this router are extrapolated to all routers in proportion to their number,
+    /// and fully from one stream per router. A few streams are not representative in a large fleet, and would
+    /// raise all projections equally.
     fn projected_memory(&mut self, ids: &[ServerId]) -> Vec<Projection> {
         // Routers with the same information must not all choose the same server.
         let draws: Vec<f64> = ids.iter().map(|_| self.random.next_unit()).collect();
--- a/crates/router/src/policy/diversion.rs
+++ b/crates/router/src/policy/diversion.rs
@@ -14,18 +14,19 @@
 /// Minimum difference between the requests in flight at an overloaded server and the median, over all
 /// routers.
 const IN_FLIGHT_FLOOR: f64 = 8.0;
-/// A server has excess sends if its recent sends exceed this multiple of the mean. The factor is lower than
-/// that for requests in flight, because sends vary less.
+/// A server has excess sends if its recent sends exceed this multiple of the mean plus one send. The factor
+/// is lower than [`IN_FLIGHT_FACTOR`], because sends vary less.
 const SENDS_FACTOR: f64 = 1.6;
-/// Share of the objective after which the end of a prefill counts as late. A late prefill is sent to a server
-/// at which it would not be late.
+/// Share of the objective after which the end of a prefill counts as late. A prefill that would be late is
+/// sent to a server at which it would not be late, if [`FASTER_FACTOR`] permits it.
 const LATE_OBJECTIVE_SHARE: f64 = 0.35;
-/// Maximum expected time at that server, as a share of the time at the preferred server.
+/// Maximum expected time at a server to which a late prefill is diverted, as a share of the expected time at
+/// the server that would otherwise receive it.
 const FASTER_FACTOR: f64 = 0.6;
 
 impl Router {
-    /// Returns whether the recent sends of this router to a server are far above the mean. This also detects
-    /// an overloaded server if there are too few requests in flight.
+    /// Returns whether the recent sends of this router to a server are far above the mean. This detects an
+    /// overloaded server even if there are too few requests in flight to compare.
     pub(super) fn has_excess_sends(&self, id: ServerId, eligible: &[ServerId]) -> bool {
         let recent_sends = |id: &ServerId| {
             let server = self.servers.get(id);
@@ -35,8 +36,8 @@
         recent_sends(&id) > SENDS_FACTOR * mean + 1.0
     }
 
-    /// Returns the preferred server, or the least loaded one of its role if the preferred server is
-    /// overloaded according to this router's own counts.
+    /// Returns the preferred server or, if it is overloaded according to this router's own counts, the
+    /// eligible server of the same role with the fewest requests in flight.
     fn divert_by_in_flight(&self, preferred: ServerId, eligible: &[ServerId]) -> ServerId {
         let role = |id: &ServerId| self.servers.get(id).map(|server| server.role);
         let in_flight =
@@ -50,11 +51,13 @@
         peers().min_by(|a, b| in_flight(a).total_cmp(&in_flight(b))).unwrap_or(preferred)
     }
 
-    /// Returns the destination of a request. This is the preferred server unless it is overloaded, or the
-    /// prefill would end late there, as at a slow server, but not at another server. Without the second
-    /// condition, requests would be rejected only because of affinity.
+    /// Returns the destination of a request. This is the preferred server unless it is overloaded. If the
+    /// prefill would end late at this destination, for example because the server is slow, the fastest server
+    /// is returned instead, provided that the prefill would end in time and much earlier there. Without this
+    /// second diversion, requests would be rejected only because of affinity.
     ///
-    /// A diverted request requires a complete prefill, so the preferred server is used if all would be late.
+    /// A diverted request requires a complete prefill, so there is no second diversion if the prefill would
+    /// be late at every server.
     pub(super) fn divert(
         &self, preferred: ServerId, cached_tokens: f64, eligible: &[ServerId], request: &RequestState,
     ) -> ServerId {
--- a/crates/router/src/policy/load_shedding.rs
+++ b/crates/router/src/policy/load_shedding.rs
@@ -2,8 +2,8 @@
 //! exceed their quota.
 //!
 //! This module has no state of its own. It uses the wait estimates and slow-start allowances, and
-//! `shedding_trials` counts the rejections. Load shedding saves clients a useless wait, and prefill servers
-//! work whose result no decode server could use.
+//! `shedding_trials` counts the rejections. Load shedding avoids a useless wait for clients, and avoids
+//! prefills whose state no decode server could fetch in time.
 
 use super::slow_start::NO_PREFIX_DEMAND;
 use super::Router;
@@ -15,7 +15,8 @@
 const OBJECTIVE_SHARE: f64 = 0.7;
 /// The same share for a request that exceeds its tenant's quota.
 const OVER_QUOTA_OBJECTIVE_SHARE: f64 = 0.35;
-/// Increase of the rejection probability for each further such share of expected delay.
+/// Increase of the rejection probability per unit of lateness above 1. The lateness is the expected time to
+/// the first token divided by the time after which it counts as late.
 const REJECT_SLOPE: f64 = 3.0;
 /// Maximum rejection probability of a late request.
 const MAX_REJECT_PROBABILITY: f64 = 0.95;
@@ -51,9 +52,10 @@
         }
     }
 
-    /// Returns whether other requests need all sends that slow start permits to the reachable decode and
-    /// mixed servers until the lease of a new prefill ends. Returns `false` if routers do not probe, or if
-    /// one of these servers is outside slow start and therefore has no such limit.
+    /// Returns whether no decode capacity remains for a new prefill. This is the case if the other requests
+    /// need all sends that slow start permits to the reachable decode and mixed servers, now or at the end of
+    /// the lease of the new prefill. Returns `false` if routers do not probe, or if one of these servers is
+    /// outside slow start and therefore has no such limit.
     fn lacks_decode_capacity(&self, prefill_time: Millis) -> bool {
         if !self.probes_before_send() {
             return false;
--- a/crates/router/src/policy/mod.rs
+++ b/crates/router/src/policy/mod.rs
@@ -1,10 +1,10 @@
 //! Routing policy: selects the servers of a request and decides whether to retry or reject it.
 //!
-//! [`Router`] owns all state, and each module implements one concern of it. The caller owns the clock and
-//! executes the actions. In the normal case the prefix table, or else a consistent hash, determines the
+//! [`Router`] owns all state, and each module implements one part of the policy. The caller owns the clock
+//! and executes the actions. In the normal case the prefix table, or else a consistent hash, determines the
 //! prefill server (`affinity`). An overloaded prefill server is skipped (`diversion`, or `probes` in a large
-//! fleet). The resulting state is sent to the decode server with the lowest projected memory use
-//! (`decode_placement`).
+//! fleet). After the prefill, the decode server with the lowest projected memory use, or one nearly as low
+//! near the prefill server, fetches the state (`decode_placement`).
 
 mod affinity;
 mod decode_placement;
@@ -35,7 +35,7 @@
 
 /// Interval of housekeeping (ms).
 const HOUSEKEEPING_INTERVAL: Millis = 100.0;
-/// Delay after which a housekeeping timer is considered lost (ms).
+/// Time past its due time after which a housekeeping timer is considered lost (ms).
 const HOUSEKEEPING_LOST_AFTER: Millis = 10.0 * HOUSEKEEPING_INTERVAL;
 /// Maximum delay before the router subscribes again after a failure of discovery (ms).
 const MAX_RESUBSCRIBE_PAUSE: Millis = 5_000.0;
@@ -48,19 +48,19 @@
     /// Time of the last event; never decreases.
     pub(crate) now: Millis,
     random: Random,
-    /// Time of the first event, or the start time that follows from an imported age.
+    /// Time of the first event; after an import, the import time minus the age of the exporting router.
     pub(crate) started_at: Option<Millis>,
     servers: ServerMap,
     requests: BTreeMap<RequestId, RequestState>,
-    /// Prefix table: the server that has a session or a shared prefix in its cache.
+    /// Prefix table: maps each session and shared prefix to the server that probably has it cached.
     pub(crate) affinity_table: RecentEntries<AffinityKey, AffinityEntry>,
-    /// Recent requests for each hash key, and for all keys together (`None`), as multiples of a request with
-    /// a prompt of mean length.
+    /// Decaying number of recent requests for each hash key, and for all keys together (`None`). Each request
+    /// is weighted by its prompt length relative to the mean.
     request_rates: RecentEntries<Option<u64>, DecayingValue>,
     pub(crate) statistics: RoutingStatistics,
-    /// Retries that may be sent before the budget is exhausted.
+    /// Retry budget: each request adds to it, and each retry deducts its cost, which is from 0 to 1.
     retry_budget: f64,
-    /// Probes that may be sent before the budget is exhausted.
+    /// Number of probes that may still be sent; each request adds to it.
     probe_budget: f64,
     tenant_quotas: TenantQuotas,
     shedding_trials: SheddingTrials,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Returns whether this server is listed but receives no new requests at present, because it is ejected
-    /// or draining.
+    /// Returns whether this server is listed but ejected or draining. A draining server receives no new
+    /// requests; an ejected one receives them only while the panic threshold overrides ejections.
     pub fn is_out_of_rotation(&self, id: ServerId) -> bool {
         self.servers.get(&id).is_some_and(|server| !server.is_available(self.now))
     }
@@ -160,7 +160,7 @@
     /// Applies a server list, or schedules a new subscription if discovery failed.
     fn on_server_list(&mut self, update: ListUpdate, entries: Vec<ServerEntry>) {
         if update == ListUpdate::Failed {
-            // The previous list remains in use until then.
+            // The previous list remains in use until discovery delivers a new one.
             let pause = self.settings.rules.discovery_poll_limit / 4.0;
             self.resubscribe_at = Some(self.now + pause.clamp(HOUSEKEEPING_INTERVAL, MAX_RESUBSCRIBE_PAUSE));
             return;
--- a/crates/router/src/policy/outlier_detection.rs
+++ b/crates/router/src/policy/outlier_detection.rs
@@ -15,12 +15,12 @@
 pub(super) const BASE_EJECTION_TIME: Millis = 500.0;
 /// Maximum number of times that the duration of an ejection is doubled.
 const MAX_DOUBLINGS: u32 = 4;
-/// Score of a broken connection. A server is ejected at a total score of 1, and any failure without a
-/// constant here has a score of 1.
+/// Score of a broken connection. Other failures without a constant of their own have a score of 1, and a
+/// server is ejected once its total score reaches 1.
 const RESET_SCORE: f64 = 0.6;
 /// Score of a malformed response.
 const MALFORMED_RESPONSE_SCORE: f64 = 0.2;
-/// Factor by which a success reduces the score.
+/// Factor by which a success multiplies the score.
 const SCORE_AFTER_SUCCESS: f64 = 0.8;
 /// Panic threshold: minimum share of servers that are not ejected. Below it, ejections are ignored unless the
 /// server is unreachable.
@@ -33,7 +33,8 @@
 
 impl Router {
     /// Returns the servers of these roles that may receive an attempt of a request now. They are ready, not
-    /// ejected, within the slow-start allowance, and permitted by the idempotency of the request. Servers
+    /// ejected (unless the panic threshold overrides ejections), within the slow-start allowance (which is
+    /// checked later if the server is probed first), and permitted by the idempotency of the request. Servers
     /// that the request has tried for this stage are included only if all have been tried, and only after a
     /// delay.
     pub(super) fn eligible_servers(
@@ -77,7 +78,7 @@
     }
 
     /// Updates a server's health and measurements with the outcome of an attempt. `work_tokens` is the work
-    /// of its prefill.
+    /// of the request's prefill.
     pub(super) fn record_attempt_health(
         &mut self, outcome: &AttemptOutcome, attempt: &Attempt, work_tokens: f64, actions: &mut Vec<Action>,
     ) {
@@ -151,7 +152,8 @@
         server.last_progress_at = now;
         server.health.score *= SCORE_AFTER_SUCCESS;
         if server.health.on_trial && sent_at >= server.health.ejected_at {
-            // A server that could not be reached may have restarted without a new list entry.
+            // A server that could not be reached may have restarted without a new list entry, so it is
+            // treated as restarted.
             if server.health.cause == Some(FailureKind::ConnectFailed) {
                 server.enter_slow_start(Some(now), now, self.random.next_unit());
             }
--- a/crates/router/src/policy/prefix_table.rs
+++ b/crates/router/src/policy/prefix_table.rs
@@ -32,7 +32,8 @@
 }
 
 impl Router {
-    /// Returns the server that a key maps to. The look-up counts as a use of the entry.
+    /// Returns the server that a key maps to, or `None` if there is no entry or it has expired. The look-up
+    /// counts as a use of the entry.
     pub(super) fn affinity_server(&mut self, key: &AffinityKey) -> Option<ServerId> {
         let now = self.now;
         self.affinity_table.get(key).filter(|entry| entry.is_live(now)).map(|entry| entry.server)
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -20,7 +20,8 @@
 const MAX_PROBE_BUDGET: f64 = 2.0;
 /// Large fleet: number of probes in the budget that only requests may use.
 const PROBES_RESERVED_FOR_REQUESTS: f64 = 12.0;
-/// Rank advantage of servers with pending work (ms), so that they are probed before all others.
+/// Time subtracted from the rank of a server with pending work (ms), so that it is probed before all servers
+/// without pending work.
 const PENDING_WORK_URGENCY: Millis = 1e12;
 
 /// Information about the candidate prefill servers of a request.
@@ -84,9 +85,10 @@
         fleet_load::is_large_fleet(self.router_count()) && self.settings.limits.probes
     }
 
-    /// Performs overload diversion in a large fleet: returns the first server in order of preference that is
-    /// not overloaded according to its load report, and sends probes for missing reports. Returns `None`
-    /// while probes are in flight, or if no candidate remains.
+    /// Performs overload diversion in a large fleet: returns the candidate that [`fleet_load::next_step`]
+    /// selects, which is normally the first in order of preference that is not overloaded according to its
+    /// load report. Sends probes for missing reports. Returns `None` while probes are in flight, or if no
+    /// candidate remains.
     pub(super) fn choose_by_load_probe(
         &mut self, matched: Option<ServerId>, ranked: &[ServerId], request: &mut RequestState,
         actions: &mut Vec<Action>,
@@ -136,8 +138,9 @@
         actions.push(Action::Probe { server: id });
     }
 
-    /// Probes some decode servers in the cell of a prefill for their memory while it runs, so that its state
-    /// does not leave the cell only because more is known about a server elsewhere.
+    /// Probes the memory use of some decode servers in the cell of a prefill while the prefill runs.
+    /// Otherwise the state might be transferred to another cell only because the memory reports from there
+    /// are newer.
     pub(super) fn probe_nearby_decode_servers(&mut self, location: Location, actions: &mut Vec<Action>) {
         let now = self.now;
         let Prices { probe, cell_transfer } = self.settings.prices;
@@ -149,9 +152,9 @@
         self.probe_decode_servers(is_unknown_nearby, count, actions);
     }
 
-    /// Probes some decode servers for a state that no decode server may receive at present. A server in slow
-    /// start receives nothing without a fresh report, and a report from the start of a prefill is too old at
-    /// its end.
+    /// Probes some decode servers when a prefilled state is waiting and no decode server may receive it. A
+    /// server in slow start may receive it only with a whole send of credit or a fresh report, and a report
+    /// from the start of the prefill is too old at its end.
     pub(super) fn probe_stale_decode_servers(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_stale = |server: &ServerRecord| {
@@ -178,7 +181,8 @@
         }
     }
 
-    /// Handles the result of a probe, and advances the requests that wait for it.
+    /// Handles the result of a probe, and advances the requests that wait for it. A failed probe extends the
+    /// ejection of an unreachable server.
     pub(super) fn on_probe_result(
         &mut self, id: ServerId, status: AttemptStatus, report: Option<LoadReport>, actions: &mut Vec<Action>,
     ) {
@@ -205,8 +209,9 @@
         }
     }
 
-    /// Uses the probe budget for servers without a recent load report or probe. Servers with pending work
-    /// come first, then those with the oldest report or probe.
+    /// Uses the part of the probe budget that is not reserved for requests to probe servers without a recent
+    /// load report or probe. Servers with pending work come first, then those with the oldest report or
+    /// probe.
     pub(super) fn probe_stale_servers(&mut self, actions: &mut Vec<Action>) {
         let is_large_fleet = fleet_load::is_large_fleet(self.router_count());
         let reserved = if is_large_fleet { PROBES_RESERVED_FOR_REQUESTS } else { 0.0 };
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -20,7 +20,8 @@
 /// because otherwise its step would be lost.
 const TIMER_TOLERANCE: Millis = 0.5;
 
-/// Minimum time between the answer to a request and its deadline, in clock ticks.
+/// Margin before the deadline of a request, in clock ticks. At its beginning the attempts time out, and a
+/// request without a first token is rejected or failed.
 const ANSWER_MARGIN_TICKS: f64 = 2.0;
 /// Minimum time-out of an attempt (ms).
 const MIN_TIMEOUT: Millis = 1.0;
@@ -72,12 +73,13 @@
         self.advance(id, actions);
     }
 
-    /// Returns the minimum time between the answer to a request and its deadline.
+    /// Returns the margin of [`ANSWER_MARGIN_TICKS`] in milliseconds.
     fn answer_margin(&self) -> Millis {
         ANSWER_MARGIN_TICKS * self.settings.tick_interval
     }
 
-    /// Counts an arriving request, in total and for its prefix.
+    /// Adds an arriving request, weighted by its prompt length, to the total count and to the count of its
+    /// prefix or, if it has none, of its session. Returns both counts.
     fn count_request(&mut self, request: &Request) -> RecentRequests {
         let now = self.now;
         let relative_length = request.prompt_tokens / self.statistics.mean_prompt_tokens.max(1.0);
@@ -90,7 +92,7 @@
         RecentRequests { total, same_prefix }
     }
 
-    /// Advances a request that has no attempt in flight to its next step.
+    /// Performs the next step of a request, or nothing while an attempt is in flight.
     pub(super) fn advance(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         let step = self.next_step(&mut request, actions);
@@ -160,12 +162,12 @@
             return;
         };
         let tokens = request.prefill_work(cached_tokens);
-        // At a prefill server the load depends on the number of tokens that are not cached, not on the number
-        // of requests.
+        // At a prefill or mixed server the load depends on the number of tokens that are not cached, not on
+        // the number of requests.
         let relative_work = if server.role == Role::Decode { 1.0 } else { tokens / typical_work };
         server.record_send(id, SentWork { tokens, relative_work, remaining_credit: credit - 1.0 }, now);
         if server.health.on_trial {
-            // Ejects the server again, so that only one trial is in flight.
+            // Extends the ejection, so that no other request is sent to the server during the trial.
             server.health.ejected_until = now + BASE_EJECTION_TIME;
         }
         let location = server.entry.location();
@@ -174,8 +176,9 @@
             server.unreported_streams.insert(id, UnreportedStream { sent_at: now, memory_share });
             request.possible_execution.get_or_insert(PossibleExecution { location, sent_at: now });
         }
-        // The time-out is the deadline, because a retry of slow work that makes progress would restart it.
-        // Work without progress is handled by time-out detection.
+        // The attempt may run almost until the deadline of the request. With a shorter time-out, slow work
+        // that makes progress would be restarted by a retry. Time-out detection handles work without
+        // progress.
         let timeout = (request.deadline - now - answer_margin).max(MIN_TIMEOUT);
         request.record_send(target, stage, tokens, now);
         actions.push(Action::Send { id, server: target, timeout });
--- a/crates/router/src/policy/retries.rs
+++ b/crates/router/src/policy/retries.rs
@@ -13,15 +13,15 @@
 
 /// Number of retries that each request adds to the budget.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Maximum budget of all routers together, in retries.
+/// Maximum budget of all routers together, in retries. Each router has an equal part, but at least 1.
 pub(super) const MAX_RETRY_BUDGET: f64 = 30.0;
-/// Minimum cost of a retry; the maximum is 1.
+/// Minimum cost of a retry that is not free; the maximum is 1.
 const MIN_RETRY_COST: f64 = 0.1;
 /// Minimum time before the deadline at which a retry is sent, in clock ticks.
 const MIN_TICKS_LEFT: f64 = 3.0;
 
 impl RequestState {
-    /// Returns whether the request may be rejected, which promises its client that a retry is harmless.
+    /// Returns whether the request may be rejected. A rejection promises the client that a retry is harmless.
     pub(super) fn can_reject(&self) -> bool {
         let never_ran = self.possible_execution.is_none() && !self.has_attempt_in_flight();
         match self.class.idempotency {
@@ -97,7 +97,8 @@
     }
 
     /// Returns the cost of a retry. It is the duration of the failed attempt as a share of the objective, so
-    /// that quick errors do not exhaust a budget to which only a few requests contribute.
+    /// that quick errors do not exhaust a budget to which only a few requests contribute. A retry is free if
+    /// nothing was sent, or if the attempt was cancelled before the objective had passed.
     fn retry_cost(&self, request: &RequestState, status: AttemptStatus) -> f64 {
         let objective = request.first_token_objective();
         let is_late = self.now > request.arrived_at + objective;
--- a/crates/router/src/policy/slow_start.rs
+++ b/crates/router/src/policy/slow_start.rs
@@ -17,8 +17,8 @@
         slow_start_budget::capacity_share(&self.settings.rules, server.slow_start_since, self.now)
     }
 
-    /// Returns the number of sends that this router may make to a server in slow start at time `when`,
-    /// provided that it makes none before.
+    /// Returns the credit of this router, in sends, for a server in slow start at time `when`, provided that
+    /// the router sends nothing to the server before.
     pub(super) fn send_credit(&self, server: &ServerRecord, when: Millis) -> f64 {
         let units = slow_start_budget::capacity_units(server, self.capacity_share(server));
         let throughput = self.statistics.throughput(server.role);
--- a/crates/router/src/policy/state_leases.rs
+++ b/crates/router/src/policy/state_leases.rs
@@ -1,9 +1,9 @@
 //! State leases: the time for which a prefill server holds the state of a request, and the release of the
 //! state.
 //!
-//! The state is `prefilled_on` and `lease_since` in [`RequestState`]. The prefill server enforces the lease
-//! by its own clock. This module keeps leases within their limit, and releases a state exactly when no decode
-//! server can fetch it any more.
+//! The fields are `prefilled_on` and `lease_since` in [`RequestState`]. The prefill server enforces the lease
+//! by its own clock, so this module uses only a share of the lease limit. It releases a state that was lost,
+//! whose lease is about to expire after a failed fetch, or whose request is closed.
 
 use super::request_steps::PLACEMENT_RETRY_INTERVAL;
 use super::Router;
@@ -12,7 +12,7 @@
 
 /// Share of the lease limit that is used. The rest allows for differences between the clocks.
 const USED_LEASE_SHARE: f64 = 0.8;
-/// Divisor of the time until the deadline that gives the maximum retry time of a rejection.
+/// The suggested retry time of a rejection is at most the time until the deadline divided by this number.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
 /// Minimum [`AttemptOutcome::status_detail`] of a rejection by a decode server that found no state to fetch.
 pub(super) const DETAIL_STATE_MISSING: f64 = 1.0;
@@ -35,8 +35,8 @@
         self.finish(id, actions);
     }
 
-    /// Closes a request: cancels its attempts in flight. Once no attempt is in flight, releases its state and
-    /// removes the request.
+    /// Closes a request, and cancels its attempts in flight that have not produced a first token. Once no
+    /// attempt is in flight, releases its state and removes the request.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.closed = true;
@@ -69,9 +69,9 @@
         }
     }
 
-    /// Releases a state if no decode attempt reached its server and the lease is about to expire, so that the
-    /// prompt can be prefilled again. If there was no decode server for an attempt, the state is kept,
-    /// because there would be no decode server for a new state either.
+    /// Releases a state whose lease is about to expire if a decode attempt was sent for it but is not known
+    /// to have reached its server. The prompt can then be prefilled again. If no decode attempt could be
+    /// sent, the state is kept, because there would be no decode server for a new state either.
     pub(super) fn release_expiring_state(&self, request: &mut RequestState, actions: &mut Vec<Action>) {
         let was_tried = request.prefilled_on.is_some() && request.idle_since > request.lease_since;
         if was_tried && !self.lease_outlasts_retry(request) {
--- a/crates/router/src/policy/timeout_detection.rs
+++ b/crates/router/src/policy/timeout_detection.rs
@@ -15,19 +15,20 @@
 /// Upper bound of the objective of a class when the shortest objective is determined, as a share of the
 /// deadline of the class.
 const MAX_OBJECTIVE_DEADLINE_SHARE: f64 = 0.25;
-/// Upper bound of that shortest objective (ms).
+/// Upper bound of the shortest objective of all classes (ms).
 const MAX_OBJECTIVE: Millis = 1e6;
 /// Factor by which the maximum time without progress is longer at a server that still sends load reports.
 const REPORTING_TIMEOUT_FACTOR: f64 = 2.5;
 /// Maximum age of the last load report of a server that still sends load reports (ms).
 const MAX_REPORT_AGE: Millis = 2.0 * PROBE_INTERVAL;
-/// An attempt that later ones have overtaken at its server, or whose server has restarted, is lost after this
-/// share of its objective plus the time for its own work, multiplied by [`LOST_WORK_FACTOR`].
+/// Share of the objective in the time after which an attempt is lost if later attempts have overtaken it at
+/// its server or if the server has restarted. The whole time is this share plus [`LOST_WORK_FACTOR`] times
+/// the estimated time for the attempt's work.
 const LOST_OBJECTIVE_SHARE: f64 = 0.3;
-/// Multiple of the estimated time for the work of an attempt before the attempt is lost.
+/// Factor on the estimated time for an attempt's work in the time after which the attempt is lost.
 const LOST_WORK_FACTOR: f64 = 2.0;
-/// Factor by which the share of the objective is larger for a prefill that is the only attempt at its server,
-/// if other servers have progressed.
+/// Factor on [`LOST_OBJECTIVE_SHARE`] for a prefill that is the only attempt at its server while other
+/// servers have progressed.
 const SOLE_PREFILL_FACTOR: f64 = 2.0;
 
 /// Time of the last progress of a server.
@@ -74,7 +75,7 @@
 impl Router {
     /// Ejects servers that have been unresponsive for too long, and cancels attempts that are lost.
     ///
-    /// A server that pauses for that long without a fault is also ejected.
+    /// A server without a fault that pauses for longer than the time-out is also ejected.
     pub(super) fn detect_timeouts(&mut self, actions: &mut Vec<Action>) {
         for id in self.unresponsive_servers() {
             self.record_failure(id, FailureKind::Unresponsive, actions);
--- a/crates/router/src/policy/timer_key.rs
+++ b/crates/router/src/policy/timer_key.rs
@@ -2,7 +2,8 @@
 
 use crate::api::{Action, Millis, RequestId};
 
-/// Key of the housekeeping timer. Half of this value must not be used as a request identifier.
+/// Key of the housekeeping timer. The deadline timer of a request with half of this value as its identifier
+/// would have the same key, so that identifier must not be used.
 const HOUSEKEEPING_KEY: u64 = 1 << 52;
 
 /// Purpose of a timer.
@@ -10,7 +11,7 @@
 pub(super) enum TimerKey {
     /// Runs housekeeping every [`HOUSEKEEPING_INTERVAL`](super::HOUSEKEEPING_INTERVAL).
     Housekeeping,
-    /// Answers the request, because its deadline is near.
+    /// Rejects or fails the request if it has no first token, because its deadline is near.
     Deadline(RequestId),
     /// Advances the request to its next step.
     NextStep(RequestId),
