--- a/crates/router/src/api/requests.rs
+++ b/crates/router/src/api/requests.rs
@@ -7,13 +7,13 @@
 pub struct Request {
     /// Identifier that the caller assigned.
     pub id: RequestId,
-    /// Index of its class in [`Settings::classes`](super::Settings::classes).
+    /// Index of the request's class in [`Settings::classes`](super::Settings::classes).
     pub class: u32,
-    /// Index of its tenant in [`Settings::tenants`](super::Settings::tenants).
+    /// Index of the request's tenant in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: u32,
     /// Session (conversation) of the request; prefix affinity keeps a session at one server.
     pub session: u64,
-    /// Identifier of the prompt prefix that it shares with other sessions; `None` if it shares none.
+    /// Identifier of the prompt prefix that the request shares with other sessions; `None` if it shares none.
     pub prefix: Option<u64>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: f64,
--- a/crates/router/src/api/servers.rs
+++ b/crates/router/src/api/servers.rs
@@ -23,8 +23,8 @@
     pub zone: u32,
     /// Index of the cell within the zone.
     pub cell: u32,
-    /// Index of its kind in [`Settings::kinds`](super::Settings::kinds); an index that is out of range counts
-    /// as [`Role::Mixed`](super::Role::Mixed).
+    /// Index of the server's kind in [`Settings::kinds`](super::Settings::kinds); an index that is out of
+    /// range counts as [`Role::Mixed`](super::Role::Mixed).
     pub kind: u32,
     /// State according to discovery.
     pub state: ServerState,
--- a/crates/router/src/api/settings.rs
+++ b/crates/router/src/api/settings.rs
@@ -69,7 +69,7 @@
 pub struct RequestClass {
     /// Objective for the time to the first token of an empty prompt.
     pub latency_objective: Millis,
-    /// Addition to that objective for each 1,000 prompt tokens.
+    /// Addition to `latency_objective` for each 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Millis,
     /// Time after arrival by which a request must be answered.
     pub deadline: Millis,
@@ -83,7 +83,7 @@
     pub idempotency: Idempotency,
     /// Servers that recognise an idempotency key. Only used with [`Idempotency::IdempotencyKey`].
     pub deduplication_scope: DeduplicationScope,
-    /// Time after its first send for which an idempotency key is recognised. Only used with
+    /// Time after the first send of an idempotency key for which servers recognise the key. Only used with
     /// [`Idempotency::IdempotencyKey`].
     pub idempotency_window: Millis,
 }
@@ -126,7 +126,8 @@
     /// Time after the announcement of a drain during which requests that still reach the draining server are
     /// tolerated.
     pub drain_grace: Millis,
-    /// Maximum lease of a prefilled state, which is the time that a prefill server holds it until its fetch.
+    /// Maximum lease of a prefilled state, which is the time for which a prefill server holds the state until
+    /// a decode server fetches it.
     pub lease_limit: Millis,
     /// Time after the start of a server during which it is in slow start.
     pub slow_start_window: Millis,
@@ -134,7 +135,8 @@
     pub slow_start_initial_share: f64,
     /// Length of the window over which the requests sent to a server in slow start are counted.
     pub overload_window: Millis,
-    /// Multiple of its current capacity above which a server in slow start is overloaded in such a window.
+    /// Multiple of its current capacity above which a server in slow start is overloaded within an
+    /// `overload_window`.
     pub overload_multiple: f64,
     /// Maximum time after which a change of the server list must have been fetched from discovery.
     pub discovery_poll_limit: Millis,
--- a/crates/router/src/fleet_load.rs
+++ b/crates/router/src/fleet_load.rs
@@ -32,7 +32,7 @@
 pub const MAX_PROBED_CANDIDATES: usize = 3;
 /// Time-out of a probe (ms). A server that does not answer within this time is treated as overloaded.
 pub const PROBE_TIMEOUT: Millis = 120.0;
-/// Large fleet: minimum number of samples of a service time.
+/// Large fleet: minimum number of samples with which a service time is used in estimates.
 const MIN_SERVICE_TIME_SAMPLES: u32 = 5;
 /// Maximum number of probes that a request can use.
 const MAX_PROBES_PER_REQUEST: f64 = 4.0;
@@ -57,7 +57,7 @@
 }
 
 /// Returns the minimum number of samples with which a service time indicates the speed of a server regardless
-/// of its queue. One sample is enough in a small fleet, because the next samples follow soon.
+/// of its queue. One sample is enough in a small fleet, because further samples follow soon.
 pub fn min_service_time_samples(routers: f64) -> u32 {
     if is_large_fleet(routers) {
         MIN_SERVICE_TIME_SAMPLES
@@ -66,7 +66,8 @@
     }
 }
 
-/// Returns the number of probes that a request adds to the budget, for a probe cost as a share of its value.
+/// Returns the number of probes that a request adds to the budget. `probe_price` is the cost of a probe as a
+/// share of the value of the request.
 pub fn probes_per_request(probe_price: f64) -> f64 {
     (PROBE_COST_LIMIT / probe_price.max(1e-9)).min(MAX_PROBES_PER_REQUEST)
 }
@@ -79,11 +80,12 @@
     (0..MAX_PROBED_DECODE_SERVERS).take_while(|index| saving(*index) > probe_price).count()
 }
 
-/// Returns the number of preferred servers of a prefix among `servers` prefill servers. This is the share of
-/// the prefix in all requests, divided by `load_per_server` times the share of an average server.
+/// Returns the number of preferred servers of a prefix among `servers` prefill servers. It is the share of
+/// the prefix in all requests divided by the share that one preferred server receives, which is
+/// `load_per_server` times the share of an average server.
 ///
-/// In a large fleet a count of one or two is not significant, so the share is estimated with
-/// [`PRIOR_REQUESTS`], whose weight decreases as the router receives more requests.
+/// In a large fleet a count of one or two is not significant. Therefore [`PRIOR_REQUESTS`] are added to the
+/// total; their weight decreases as the router receives more requests.
 pub fn preferred_servers(
     recent: RecentRequests, servers: usize, routers: f64, load_per_server: f64,
 ) -> usize {
@@ -103,7 +105,8 @@
     same_prefix / (total + PRIOR_REQUESTS)
 }
 
-/// Capacity that the requests for a prefix from all routers keep busy.
+/// Capacity that the requests for a prefix from all routers keep busy, and the preferred server of the
+/// prefix.
 pub struct PrefixDemand {
     units: f64,
     preferred: Option<ServerId>,
@@ -123,8 +126,8 @@
 
     /// Returns the part of the demand that a server may receive, in units of capacity. The preferred server
     /// receives at most its own capacity, because a prefix with more demand has several preferred servers.
-    /// Any other server may receive all of it, because all routers divert to the first server that is not
-    /// overloaded.
+    /// Any other server may receive the whole demand, because all routers divert to the first server that is
+    /// not overloaded.
     pub fn at_server(&self, server: &ServerRecord) -> f64 {
         if self.preferred == Some(server.entry.server) {
             self.units.min(slow_start_budget::capacity_units(server, 1.0))
@@ -134,8 +137,9 @@
     }
 }
 
-/// Returns the typical load of a server, which is the median of the known loads. If only a few are known, the
-/// load of an overloaded server could be the median, so default loads are added up to the minimum number.
+/// Returns the typical load of a server, which is the median of the known loads. If only a few loads are
+/// known, the median could be the load of an overloaded server, so default loads are added up to
+/// [`MIN_LOAD_SAMPLES`].
 pub fn typical_load(mut loads: Vec<f64>) -> f64 {
     loads.resize(loads.len().max(MIN_LOAD_SAMPLES), DEFAULT_LOAD);
     median(loads)
@@ -212,7 +216,7 @@
 }
 
 impl LoadStatus {
-    /// Returns whether a load report is present or can still be obtained.
+    /// Returns whether a load report is present, or can be obtained within the probe budget.
     pub fn is_obtainable(self, budget: ProbeBudget) -> bool {
         match self {
             LoadStatus::Reported { .. } | LoadStatus::Probing => true,
@@ -262,9 +266,10 @@
 ///
 /// The first candidate that is not overloaded receives the request. Requests for an overloaded preferred
 /// server are thereby diverted to the same next server by every router, based on the reported load instead of
-/// a router's own few requests. The first candidate is probed alone, then all others at once. If all are
-/// overloaded, the least loaded one receives the request. If none answers, the last candidate receives it,
-/// which is normally the fallback server.
+/// a router's own few requests. The first candidate is probed alone, then all others without a report at
+/// once. If the probe budget is exhausted, a candidate without a report is treated as not overloaded. If all
+/// candidates are overloaded, the least loaded one receives the request. If none answers, the last candidate
+/// receives it, which is normally the fallback server.
 pub fn next_step(candidates: &[LoadStatus], budget: ProbeBudget) -> NextStep {
     for (index, status) in candidates.iter().enumerate() {
         match status {
--- a/crates/router/src/fleet_load/tests.rs
+++ b/crates/router/src/fleet_load/tests.rs
@@ -26,8 +26,8 @@
 }
 
 proptest! {
-    /// A request is sent to one of its candidates without skipping a suitable one, and a server is not probed
-    /// twice for a request.
+    /// A request is sent to one of its candidates, and never to a later one than the first that is not
+    /// overloaded or is being probed. A server is not probed twice for a request.
     #[test]
     fn the_first_candidate_that_is_not_overloaded_is_chosen(
         candidates in prop::collection::vec(any_load_status(), 1..6), can_probe: bool,
@@ -75,8 +75,8 @@
         prop_assert!(false, "probes after two rounds: {:?}", candidates);
     }
 
-    /// A higher price never results in more probes. At the two prices of the deployments there are four and
-    /// two probes, and one of each.
+    /// A higher price never results in more probes. At the two prices of the deployments, a request adds 4
+    /// probes to the budget or 1, and 2 decode servers are probed or 1.
     #[test]
     fn more_expensive_probes_are_fewer(a in 0.0..0.1f64, b in 0.0..0.1f64, transfer_price in 0.0..0.1f64) {
         let (low, high) = (a.min(b), a.max(b));
@@ -129,7 +129,8 @@
     }
 
     /// A load that exceeds the typical load by at most [`OVERLOAD_FLOOR`] is not an overload. A load of 10 or
-    /// more is one even if it is the only known load, because default loads then determine the typical load.
+    /// more is an overload even if no other load is known, because default loads then determine the typical
+    /// load.
     #[test]
     fn the_typical_load_is_not_an_overload(
         loads in prop::collection::vec(0.0..60.0, 0..40), high in 10.0..80.0,
--- a/crates/router/src/policy/probes.rs
+++ b/crates/router/src/policy/probes.rs
@@ -139,8 +139,8 @@
     }
 
     /// Probes the memory use of some decode servers in the cell of a prefill while the prefill runs.
-    /// Otherwise the state might be transferred to another cell only because the memory reports from there
-    /// are newer.
+    /// Otherwise the state might be transferred to another cell only because the memory reports of the
+    /// servers in that cell are newer.
     pub(super) fn probe_nearby_decode_servers(&mut self, location: Location, actions: &mut Vec<Action>) {
         let now = self.now;
         let Prices { probe, cell_transfer } = self.settings.prices;
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Uses the part of the probe budget that is not reserved for requests to probe servers without a recent
-    /// load report or probe. Servers with pending work come first, then those with the oldest report or
+    /// Probes servers without a recent load report or probe, using the part of the probe budget that is not
+    /// reserved for requests. Servers with pending work come first, then those with the oldest report or
     /// probe.
     pub(super) fn probe_stale_servers(&mut self, actions: &mut Vec<Action>) {
         let is_large_fleet = fleet_load::is_large_fleet(self.router_count());
--- a/crates/router/src/policy/request_steps.rs
+++ b/crates/router/src/policy/request_steps.rs
@@ -20,8 +20,8 @@
 /// because otherwise its step would be lost.
 const TIMER_TOLERANCE: Millis = 0.5;
 
-/// Margin before the deadline of a request, in clock ticks. At its beginning the attempts time out, and a
-/// request without a first token is rejected or failed.
+/// Margin before the deadline of a request, in clock ticks. At the beginning of the margin, the attempts time
+/// out, and a request without a first token is rejected or failed.
 const ANSWER_MARGIN_TICKS: f64 = 2.0;
 /// Minimum time-out of an attempt (ms).
 const MIN_TIMEOUT: Millis = 1.0;
--- a/crates/router/src/rendezvous/tests.rs
+++ b/crates/router/src/rendezvous/tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// The removal of a server moves only the keys of that server, and an additional preferred server
-    /// receives sessions without moving others.
+    /// The removal of a server does not change the order of the other servers. An additional preferred server
+    /// receives some sessions, and all other sessions keep their server.
     #[test]
     fn order_is_stable_when_a_server_leaves_or_a_preferred_server_is_added(
         count in 2u64..40, removed in 0u64..40, preferred in 1usize..6, hash_key: u64, session: u64,
--- a/crates/router/src/shedding_trials.rs
+++ b/crates/router/src/shedding_trials.rs
@@ -10,7 +10,7 @@
 /// Minimum time without any send before a trial (ms). The acceptance tests require an attempt within 4 s.
 const IDLE_BEFORE_TRIAL: Millis = 3_000.0;
 
-/// Count of the rejections since the last send.
+/// Number of rejections since the last send, and the time of that send.
 #[derive(Default)]
 pub struct SheddingTrials {
     consecutive_rejections: u32,
@@ -23,8 +23,8 @@
         *self = SheddingTrials { consecutive_rejections: 0, last_sent_at: now };
     }
 
-    /// Returns whether a request that is expected to be late is rejected. If it is not, it serves as the
-    /// trial.
+    /// Returns whether a request that load shedding selects for rejection is rejected. If it is not, it
+    /// serves as the trial.
     pub fn should_reject(&mut self, now: Millis) -> bool {
         let is_trial = self.consecutive_rejections >= REJECTIONS_BEFORE_TRIAL
             && now >= self.last_sent_at + IDLE_BEFORE_TRIAL;
--- a/crates/router/src/slow_start_budget.rs
+++ b/crates/router/src/slow_start_budget.rs
@@ -17,11 +17,12 @@
 const COMPLETIONS_DECAY: Millis = 10_000.0;
 /// Decay time of the highest completion rate (ms).
 const PEAK_RATE_DECAY: Millis = 60_000.0;
-/// Growth rate of the credit, as a share of the rate that overloads a server. The rest is available to
-/// routers that rely on the server's load report.
+/// Growth rate of the credit, as a share of the rate that overloads a server. The remaining share is
+/// available to routers that rely on the server's load report.
 const CREDIT_RATE_SHARE: f64 = 0.5;
 /// Number of groups of routers that rely on the same load report at the same time: those for which the server
-/// is the preferred server, and those that divert to it. Each group may use an equal part of that rest.
+/// is the preferred server, and those that divert to it. Each group may use an equal part of the sends that
+/// the credit leaves below the overload bound.
 const REPORT_USER_GROUPS: f64 = 2.0;
 /// Minimum growth rate of the credit for a server, in sends per second over all routers.
 const MIN_FLEET_RATE: f64 = 0.5;
@@ -36,7 +37,8 @@
 /// Whole sends of credit that all routers may accumulate for a server, as a multiple of (sqrt(n) + 1), where
 /// n is the overload bound. The slow-start rule tolerates 2 * sqrt(n) + 2 sends above n as random variation.
 const ACCUMULATED_CREDIT_FACTOR: f64 = 1.0;
-/// Maximum number of routers at which that margin covers one accumulated send of every router.
+/// Maximum number of routers at which the tolerance of 2 * sqrt(n) + 2 sends covers one accumulated send of
+/// every router.
 const SMALL_FLEET: f64 = 4.0;
 /// Minimum weight of a server in calculations.
 const MIN_WEIGHT: f64 = 0.01;
@@ -59,14 +61,13 @@
     server.entry.weight.max(MIN_WEIGHT) * capacity_share
 }
 
-/// Returns the number of sends that this router may make at `now` to a server in slow start with `units` of
-/// capacity.
+/// Returns the credit of this router at `now`, in sends, for a server in slow start with `units` of capacity.
 ///
 /// The credit grows at half of the rate that overloads the server. That rate is estimated from the requests
 /// that a unit of capacity has completed for this router. Each router counts only its own share and starts
-/// with a random credit below one send, so the sum over all routers stays within the overload bound although
-/// the total capacity is not known to any router. The growth since the last update is calculated with the
-/// mean capacity over that time.
+/// with a random credit below one send. The sum over all routers therefore stays within the overload bound,
+/// although no router knows the total capacity. The growth since the last update is calculated with the mean
+/// capacity over that time.
 pub fn send_credit(
     server: &ServerRecord, units: f64, throughput: &RoleThroughput, rules: &Rules, routers: f64, now: Millis,
 ) -> f64 {
@@ -116,10 +117,10 @@
 /// routers.
 ///
 /// The age of a report is unknown, and until the next report all routers have the same information about free
-/// capacity. Otherwise the first preferred server that is not overloaded would receive the requests for a
-/// popular prefix from all routers. The threshold limits the share of routers that rely on the report.
-/// Together they may send half of the overload bound that the credit does not use, and the other half is left
-/// to routers that divert to the server.
+/// capacity. Without the threshold, the first preferred server that is not overloaded would receive the
+/// requests for a popular prefix from all routers. The threshold limits the share of routers that rely on the
+/// report. Together they may send half of the overload bound that the credit does not use, and the other half
+/// is left to routers that divert to the server.
 pub fn report_threshold(rules: &Rules, units: f64, demand_units: f64) -> f64 {
     let bound = (1.0 - CREDIT_RATE_SHARE) / REPORT_USER_GROUPS * rules.overload_multiple * units;
     (1.0 - bound / demand_units.max(MIN_WEIGHT)).max(MIN_REPORT_THRESHOLD)
@@ -147,15 +148,15 @@
         self.may_use_report() && server.current_load(now, FLEET_REPORT_TTL).is_some()
     }
 
-    /// Returns the number of requests that this router may send to the server, or `None` outside slow start,
-    /// where there is no limit.
+    /// Returns the number of requests that this router may send to the server, which is at most 1, or `None`
+    /// outside slow start, where there is no limit.
     pub fn remaining_sends(&self) -> Option<usize> {
         self.is_slow_start().then(|| usize::from(self.may_use_report()))
     }
 
-    /// Returns whether the router may rely on the server's load report. In slow start the report allows the
-    /// router to exceed its credit by less than one send. Otherwise all routers would send their many
-    /// requests for a popular prefix before the report changes.
+    /// Returns whether the router may rely on the server's load report. In slow start this requires a credit
+    /// above the threshold, so a report allows the router to exceed its credit by less than one send. Without
+    /// this limit, all routers would send their many requests for a popular prefix before the report changes.
     pub fn may_use_report(&self) -> bool {
         !self.is_slow_start() || self.report_threshold.is_some_and(|threshold| self.send_credit > threshold)
     }
--- a/crates/router/src/slow_start_budget/tests.rs
+++ b/crates/router/src/slow_start_budget/tests.rs
@@ -61,10 +61,11 @@
         prop_assert_eq!(share_at(13_000.0), 1.0);
     }
 
-    /// All routers together send a server in slow start no more than the bound in any overload window. This
-    /// holds for any number of routers, whether each uses its credit at once or all accumulate it for one
-    /// burst. None, a third or all of them restart within a second, once or every 1.5 s. The routers estimate
-    /// the rate of the server from its completions at a utilization of 50 % to 100 %.
+    /// All routers together send a server in slow start no more than the slow-start rule permits in any
+    /// overload window. This holds for 3 to 300 routers, whether each uses its credit at once or all
+    /// accumulate it for one burst. None, a third or all of the routers restart within a second, once or
+    /// every 1.5 s. The routers estimate the rate of the server from its completions at a utilization of 50 %
+    /// to 100 %.
     #[test]
     fn the_sum_of_all_send_credits_keeps_a_starting_server_from_overload(
         routers in prop::sample::select(vec![3usize, 20, 30, 100, 300]), rate_per_s in 1.0..30.0f64,
@@ -97,10 +98,10 @@
         assert_no_overload(&sent, &rules, rate_per_s)?;
     }
 
-    /// All routers together send a server in slow start no more than the bound in any overload window,
-    /// although its load report does not change: every router receives requests for the same prefix, and
-    /// always has a fresh report of an idle server. The routers estimate the demand of the prefix up to 25 %
-    /// too high or 20 % too low.
+    /// All routers together send a server in slow start no more than the slow-start rule permits in any
+    /// overload window, although its load report does not change. Every router receives requests for the same
+    /// prefix, and always has a fresh report of an idle server. The routers estimate the demand of the prefix
+    /// up to 25 % too high or 20 % too low.
     #[test]
     fn an_unchanged_load_report_keeps_a_starting_server_from_overload(
         routers in prop::sample::select(vec![20usize, 30, 100, 300]),
@@ -155,8 +156,8 @@
         prop_assert_eq!(normalized_load(load, 1.0), load);
     }
 
-    /// A server in slow start receives nothing without a whole send of credit if its report is old, or if
-    /// routers do not probe.
+    /// Without a whole send of credit, a server in slow start receives a request only if its report is fresh
+    /// and the credit exceeds the threshold, and never if routers do not probe.
     #[test]
     fn a_starting_server_is_sent_requests_on_a_fresh_report_only(
         age in 0.0..5_000.0, credit in 0.0..0.99f64,
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,7 +1,8 @@
 //! Snapshot: the measurements and affinities of a router, encoded for the successor process of an upgrade.
 //!
-//! A snapshot contains the throughput of each role, the service times, and the newest entries of the prefix
-//! table. All other state follows from the server list. The format is fixed (`tests/stored_state.rs`): 64-bit
+//! A snapshot contains the age of the router, the mean prompt length, the throughput of each role, the
+//! service times, and the most recently used entries of the prefix table. The successor receives the servers
+//! from discovery and starts without the other state. The format is fixed (`tests/stored_state.rs`): 64-bit
 //! little-endian words, numbers as their IEEE 754 bits, and times as ages, because the two processes have
 //! different clocks.
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// Values before the entries of the prefix table.
+/// Values that precede the entries of the prefix table in a snapshot, without the format version.
 struct Header {
     age: Millis,
     mean_prompt_tokens: f64,
@@ -148,7 +149,8 @@
             let Some(entry) = read_entry(&mut reader, now) else { break };
             entries.push(entry);
         }
-        // The newest entry comes first, but the map treats the entry that is inserted last as the newest.
+        // The most recently used entry comes first in the snapshot, but the map treats the entry that is
+        // inserted last as the most recently used.
         for (key, entry) in entries.into_iter().rev() {
             self.affinity_table.put(key, entry);
         }
--- a/crates/router/src/state/health.rs
+++ b/crates/router/src/state/health.rs
@@ -38,7 +38,8 @@
     pub score: f64,
     /// Ejections, reduced by successes; each doubles the duration of the next one.
     pub ejections: u32,
-    /// End of the ejection; afterwards the server stays on trial until an attempt sent since has succeeded.
+    /// End of the ejection. The server stays on trial after it, until an attempt sent after `ejected_at` has
+    /// succeeded.
     pub ejected_until: Millis,
     /// Time of the last ejection.
     pub ejected_at: Millis,
--- a/crates/router/src/state/request_state.rs
+++ b/crates/router/src/state/request_state.rs
@@ -33,12 +33,12 @@
     pub same_prefix: f64,
 }
 
-/// First attempt that may have been executed by a decode server.
+/// First decode attempt that may have been executed by its server.
 #[derive(Clone, Copy, Debug)]
 pub struct PossibleExecution {
-    /// Location of its server, which determines the scope of idempotency keys.
+    /// Location of the server, which determines where an idempotency key is recognised.
     pub location: Location,
-    /// Time of its send, from which idempotency keys are recognised.
+    /// Time of the send, from which the idempotency window runs.
     pub sent_at: Millis,
 }
 
@@ -54,7 +54,7 @@
 /// State of a request from its arrival until its last attempt has ended.
 #[derive(Default)]
 pub struct RequestState {
-    /// Request as it arrived, with sanitized numbers.
+    /// Request as it arrived, with its token counts and its time-out clamped to the valid range.
     pub request: Request,
     /// Recent requests at the time of arrival.
     pub recent_requests: RecentRequests,
@@ -75,7 +75,7 @@
     pub lease_since: Millis,
     /// Whether the request exceeds its tenant's quota.
     pub over_quota: bool,
-    /// First attempt that may have been executed; `None` if there is none.
+    /// First decode attempt that may have been executed; `None` if there is none.
     pub possible_execution: Option<PossibleExecution>,
     /// Whether the request was answered, rejected or failed, or its client disconnected.
     pub closed: bool,
@@ -149,8 +149,8 @@
         if outcome.status == AttemptStatus::Prefilled {
             self.prefilled_on = Some(ended.server);
         }
-        // The send time identifies the attempt that may have been executed. The entry is removed if that
-        // attempt was provably not executed.
+        // The attempt that may have been executed is identified by its send time. The record is removed if
+        // the ended attempt is the same one and was provably not executed.
         let is_possible_execution = self.possible_execution.is_some_and(|e| e.sent_at == ended.sent_at);
         if outcome.status.proves_not_run() && is_possible_execution {
             self.possible_execution = None;
@@ -190,7 +190,7 @@
 }
 
 impl Request {
-    /// Clamps the numbers of the request to their valid range.
+    /// Clamps the token counts and the client time-out to the valid range. `expected_duration` is unchanged.
     pub(crate) fn sanitize(&mut self) {
         self.prompt_tokens = sanitize(self.prompt_tokens);
         self.prefix_tokens = sanitize(self.prefix_tokens);
--- a/crates/router/src/state/server_record.rs
+++ b/crates/router/src/state/server_record.rs
@@ -79,7 +79,7 @@
     pub memory_tokens: f64,
     /// Number of this router's attempts in flight at the server.
     pub in_flight: u32,
-    /// Attempts among them that have neither completed their prefill nor produced their first token.
+    /// This router's attempts in flight that have neither completed their prefill nor produced a first token.
     pub pending: BTreeMap<RequestId, PendingAttempt>,
     /// Share of memory in use or waited for, according to the last report; at least 1 after a rejection for
     /// lack of capacity; `None` before both.
@@ -88,13 +88,14 @@
     pub memory_reported_at: Millis,
     /// Streams of this router that are not included in the last memory report.
     pub unreported_streams: BTreeMap<RequestId, UnreportedStream>,
-    /// Time to the end of a prefill, or to the first token at a mixed server, without the wait in the queue.
+    /// Time for a token of prefill work, without the wait in the queue. At a mixed server it is measured up
+    /// to the first token.
     pub service_time: ServiceTime,
     /// Moving mean of the wait in the queue.
     pub queue_wait: Millis,
     /// Failure score and ejection state.
     pub health: Health,
-    /// Beginning of slow start; `None` if it was already over at the first listing.
+    /// Beginning of slow start; `None` if it was already over when the server was first listed.
     pub slow_start_since: Option<Millis>,
     /// Recent sends of this router, as multiples of a typical request.
     pub recent_sends: DecayingValue,
@@ -108,7 +109,7 @@
     pub last_probed_at: Millis,
     /// Load according to the last report; `None` before the first report.
     pub reported_load: Option<ReportedLoad>,
-    /// Number of attempts that this router has sent since that report.
+    /// Number of attempts that this router has sent since the report in `reported_load`.
     pub sent_since_report: f64,
     /// Time at which an attempt of this router last succeeded or produced its first token, or else of the
     /// first listing.
@@ -134,7 +135,7 @@
     }
 
     /// Returns the requests in flight according to the last report, plus the sends of this router since then.
-    /// Returns `None` if the report is older than `max_age`.
+    /// Returns `None` if there is no report, or it is older than `max_age`.
     pub fn current_load(&self, now: Millis, max_age: Millis) -> Option<f64> {
         let report = self.reported_load.filter(|report| now <= report.reported_at + max_age)?;
         Some(report.in_flight + self.sent_since_report)
@@ -205,8 +206,8 @@
         };
         let memory_share = sanitize(memory_in_use) + waiting_tokens / self.memory_tokens;
         if self.memory_share != Some(memory_share) {
-            // A changed value includes the streams that were sent before the last report of the previous
-            // value.
+            // A changed value is assumed to include the streams that were sent before the previous report or
+            // rejection for lack of capacity. Later streams remain unreported.
             let included_before = self.memory_reported_at;
             self.unreported_streams.retain(|_, stream| stream.sent_at >= included_before);
             self.memory_share = Some(memory_share);
@@ -220,8 +221,8 @@
         self.queue_wait = 0.0;
     }
 
-    /// Resets the record for a new server process, which is in slow start, has no load and does not inherit
-    /// the failures of the previous process.
+    /// Resets the record for a new server process. The process is in slow start, has not reported any load,
+    /// and does not inherit the failures and measurements of the previous process.
     pub fn restart(&mut self, started: Option<Millis>, now: Millis, send_credit: f64) {
         self.health = Health::default();
         self.memory_share = None;
--- a/crates/router/src/state/statistics.rs
+++ b/crates/router/src/state/statistics.rs
@@ -84,7 +84,8 @@
     pub completions: f64,
     /// Time at which the last completion was added.
     pub updated_at: Millis,
-    /// Capacity of the servers that completed them; a server outside slow start contributes its weight.
+    /// Capacity of the servers that completed the requests; a server outside slow start contributes its
+    /// weight.
     pub capacity_units: f64,
     /// Highest recent rate, in completions per second and unit of capacity.
     pub peak_rate: f64,
--- a/crates/router/src/tenant_quota.rs
+++ b/crates/router/src/tenant_quota.rs
@@ -17,8 +17,8 @@
 /// Minimum burst of a tenant at a router, in requests. In a fleet of hundreds of routers, the allowance at
 /// one router is less than one request per second.
 const MIN_BURST: f64 = 5.0;
-/// Number of recent requests that are ignored in the traffic share, because a few requests are not
-/// significant. In a fleet of hundreds of routers, a router receives no more than that from any tenant.
+/// Number of recent requests of each tenant that are ignored in the traffic share, because a few requests are
+/// not significant. In a fleet of hundreds of routers, a router receives no more than that from any tenant.
 const INSIGNIFICANT_REQUESTS: f64 = 2.0;
 /// Maximum estimated traffic of a router, as a multiple of an even share.
 const MAX_TRAFFIC_SHARE: f64 = 3.0;
--- a/crates/router/src/tenant_quota/tests.rs
+++ b/crates/router/src/tenant_quota/tests.rs
@@ -27,7 +27,8 @@
 }
 
 proptest! {
-    /// A tenant within its quota never exceeds it because of another tenant that does, which is detected.
+    /// If one tenant exceeds its quota, its excess requests are detected, and no request of the tenants
+    /// within their quotas counts as exceeding a quota.
     #[test]
     fn a_burst_of_one_tenant_does_not_affect_the_others(
         first in 0.3..0.95f64, last in 0.3..0.95f64, burst in 2.0..6.0f64,
@@ -38,8 +39,8 @@
         prop_assert!((over_quota - (1.0 - 1.0 / burst)).abs() < 0.1, "{}", over_quota);
     }
 
-    /// A router that also receives the clients of another router does not treat tenants as exceeding their
-    /// quota.
+    /// If a router receives up to 2.5 times the traffic of every tenant, for example the clients of another
+    /// router, less than 30 % of the requests of a tenant with a smaller increase exceed its quota.
     #[test]
     fn more_traffic_of_every_tenant_puts_none_beyond_its_quota(factor in 1.5..2.5f64, less in 0.6..0.9f64) {
         prop_assert!(share_over_quota([factor * less, factor, factor], 0) < 0.3);
--- a/crates/router/src/wait_estimate/tests.rs
+++ b/crates/router/src/wait_estimate/tests.rs
@@ -13,8 +13,8 @@
 }
 
 proptest! {
-    /// More work, pending or new, never ends sooner. A measured wait decays over time, and pending work does
-    /// not.
+    /// More work, pending or new, never shortens the estimate. A measured wait decays over time, and the wait
+    /// of a pending attempt does not.
     #[test]
     fn more_work_never_ends_sooner(
         own in prop::collection::vec(0.0..20_000.0f64, 0..6), work in 500.0..20_000.0f64,
@@ -35,8 +35,8 @@
         prop_assert!(pending_count == 0 || time(&busy, work, 60_000.0) >= 59_000.0);
     }
 
-    /// The maximum busy time of a server covers the prefills sent to it until then, grows with each of them,
-    /// and is finite for any measurement.
+    /// The maximum busy time of a server covers the prefills that were sent to it by the given time, never
+    /// decreases as that time advances, and is finite for any measurement. It is 0 for a decode server.
     #[test]
     fn a_server_may_be_busy_for_as_long_as_its_prefills_take(
         own in prop::collection::vec((0.0..9_000.0f64, 0.0..70_000.0f64), 0..6), until in 0.0..9_000.0f64,
