--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock::Micros;
-use crate::kept_connection::{Answer, KeptConnection};
+use crate::persistent_connection::{Answer, KeptConnection};
 use crate::record::{Event, Record, Records};
 
 /// A client waits so much longer than its deadline for an answer that only comes late.
--- a/fault-tests/src/judge.rs
+++ b/fault-tests/src/invariants.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::clock::{Micros, MILLISECOND};
-use crate::gateway_lives::{GatewayLives, LifeEnd};
+use crate::process_ends::{GatewayLives, LifeEnd};
 use crate::record::{Event, Record, Stage};
 
 /// The platform allows what is held so much more than the settings do.
--- a/fault-tests/src/lib.rs
+++ b/fault-tests/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`crowd`] fills a gateway's connection table with idle clients.
 //! - [`sessions`] are clients that keep their connections, spread by a [`front`]; [`restarts`] ends gateways and starts them.
 //! - [`lateness`] measures how late a run itself is; [`report`] holds what a run gave.
-//! - [`record`] holds what engines, links and clients saw; [`judge`] finds the invariants that did not hold.
+//! - [`record`] holds what engines, links and clients saw; [`invariants`] finds the invariants that did not hold.
 
 mod attempt_observer;
 pub mod client;
@@ -21,14 +21,14 @@
 pub mod engine;
 pub mod faults;
 pub mod front;
-pub mod gateway_lives;
 pub mod gateway_log;
-pub mod judge;
-pub mod kept_connection;
+pub mod invariants;
 pub mod lateness;
 mod link_writer;
 pub mod network;
+pub mod persistent_connection;
 pub mod process;
+pub mod process_ends;
 pub mod record;
 pub mod report;
 pub mod restarts;
--- a/fault-tests/src/report.rs
+++ b/fault-tests/src/report.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Micros;
 use crate::deployment::Deployment;
-use crate::judge::Violation;
+use crate::invariants::Violation;
 use crate::lateness::{LateTick, Lateness};
 use crate::record::{Event, Record};
 use crate::restarts::Restart;
--- a/fault-tests/src/sessions.rs
+++ b/fault-tests/src/sessions.rs
@@ -13,7 +13,7 @@
 use crate::client::{ClientRequest, GRACE};
 use crate::clock::{self, Micros};
 use crate::front::{Front, FrontedGateway};
-use crate::kept_connection::{Answer, End, KeptConnection};
+use crate::persistent_connection::{Answer, End, KeptConnection};
 use crate::record::{Event, Records};
 
 /// Clients that run side by side.
--- a/fault-tests/src/single_shot.rs
+++ b/fault-tests/src/single_shot.rs
@@ -21,7 +21,7 @@
 use crate::client::{self, ClientRequest};
 use crate::clock;
 use crate::deployment::{Deployment, DeploymentError, DeploymentSpec, GatewayProcess};
-use crate::judge::{judge, Invariant, Violation};
+use crate::invariants::{judge, Invariant, Violation};
 use crate::network::{Condition, Link};
 use crate::record::{Event, Record, Records};
 
--- a/fault-tests/src/soak.rs
+++ b/fault-tests/src/soak.rs
@@ -15,7 +15,7 @@
 use crate::deployment::{Deployment, DeploymentError, DeploymentSpec};
 use crate::faults::ScheduledFault;
 use crate::front::Front;
-use crate::judge::judge;
+use crate::invariants::judge;
 use crate::record::Records;
 use crate::report::evidence_of;
 pub use crate::report::Report;
--- a/fault-tests/tests/common/mod.rs
+++ b/fault-tests/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use glenrail_fault_tests::client::ClientRequest;
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::judge::judge;
+use glenrail_fault_tests::invariants::judge;
 
 pub const DECODE_SERVERS: [usize; 2] = [1, 2];
 /// Enough requests that each decode server has connections that stand.
--- a/fault-tests/tests/connection_ends.rs
+++ b/fault-tests/tests/connection_ends.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::kept_connection::{End, KeptConnection};
+use glenrail_fault_tests::persistent_connection::{End, KeptConnection};
 use glenrail_fault_tests::unread;
 
 /// Connections of others on the machine, each of which has two sockets.
--- a/fault-tests/tests/judge.rs
+++ b/fault-tests/tests/invariants.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use glenrail_fault_tests::clock::{Micros, MILLISECOND};
-use glenrail_fault_tests::judge::{judge, Invariant};
+use glenrail_fault_tests::invariants::{judge, Invariant};
 use glenrail_fault_tests::record::{Event, Record, Stage, WorkEnd};
 
 const LEASE_LIMIT: Duration = Duration::from_millis(500);
--- a/fault-tests/tests/paused_gateway.rs
+++ b/fault-tests/tests/paused_gateway.rs
@@ -6,7 +6,7 @@
 use glenrail_fault_tests::client::ClientRequest;
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::judge::judge;
+use glenrail_fault_tests::invariants::judge;
 use glenrail_fault_tests::network::{Condition, Link};
 use rustix::process::Signal;
 use tokio::time::sleep;
--- a/fault-tests/tests/recorded_times.rs
+++ b/fault-tests/tests/recorded_times.rs
@@ -8,7 +8,7 @@
 use glenrail_fault_tests::clock::{Micros, MILLISECOND};
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
 use glenrail_fault_tests::faults::{Fault, ScheduledFault};
-use glenrail_fault_tests::judge::{judge, Invariant, Violation};
+use glenrail_fault_tests::invariants::{judge, Invariant, Violation};
 use glenrail_fault_tests::lateness::{LateTick, Lateness, LatenessWatch, Ticker};
 use glenrail_fault_tests::record::{Event, Record};
 use glenrail_fault_tests::report::Report;
--- a/fault-tests/tests/resets.rs
+++ b/fault-tests/tests/resets.rs
@@ -9,7 +9,7 @@
 use glenrail_fault_tests::client::{send_request, ClientRequest};
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::judge::{attempts_delivered, judge};
+use glenrail_fault_tests::invariants::{attempts_delivered, judge};
 use glenrail_fault_tests::network::Link;
 use glenrail_fault_tests::record::{Event, Record, Stage};
 use rustix::process::Signal;
--- a/fault-tests/tests/unresponsive_decode_servers.rs
+++ b/fault-tests/tests/unresponsive_decode_servers.rs
@@ -9,7 +9,7 @@
 use glenrail_fault_tests::client::ClientRequest;
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::judge::{attempts_delivered, judge, Invariant};
+use glenrail_fault_tests::invariants::{attempts_delivered, judge, Invariant};
 use glenrail_fault_tests::network::{Condition, Link};
 use glenrail_fault_tests::record::Stage;
 use rustix::process::Signal;
