--- a/fault-tests/src/attempt_observer.rs
+++ b/fault-tests/src/attempt_observer.rs
@@ -28,7 +28,7 @@
     framing: Framing,
     head: Vec<u8>,
     /// When the first byte of the head under way passed.
-    began: Option<u64>,
+    head_began_at: Option<u64>,
     attempt: Option<Attempt>,
     /// Called when the last byte of an attempt has been seen, before it is passed on.
     on_attempt: Box<dyn Fn() + Send>,
@@ -44,25 +44,25 @@
             connection,
             framing: Framing::Head,
             head: Vec::new(),
-            began: None,
+            head_began_at: None,
             attempt: None,
             on_attempt: Box::new(on_attempt),
         }
     }
 
     /// These bytes pass from the gateway.
-    pub fn bytes_passed(&mut self, mut bytes: &[u8]) {
+    pub fn on_request(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match self.framing {
-                Framing::Head => self.head_bytes(bytes),
-                Framing::Body(left) => self.body_bytes(bytes, left),
+                Framing::Head => self.parse_head(bytes),
+                Framing::Body(remaining) => self.skip_body(bytes, remaining),
             };
         }
     }
 
-    fn head_bytes<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        self.began.get_or_insert_with(crate::clock::now);
-        let before = self.head.len();
+    fn parse_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        self.head_began_at.get_or_insert_with(crate::clock::now);
+        let buffered = self.head.len();
         self.head.extend_from_slice(bytes);
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -72,43 +72,43 @@
             std::str::from_utf8(found.value).ok().map(str::to_string)
         };
         let length = header("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
-        let told = header("req-deadline").and_then(|n| n.parse().ok());
+        let announced = header("req-deadline").and_then(|n| n.parse().ok());
         let attempt = header("req-id").map(|request| Attempt {
             request,
-            announced_deadline: told,
+            announced_deadline: announced,
             response_began: false,
         });
         self.head.clear();
-        let began = self.began.take().unwrap_or_else(crate::clock::now);
+        let head_began_at = self.head_began_at.take().unwrap_or_else(crate::clock::now);
         if let Some(Attempt { request, .. }) = &attempt {
             let event = Event::FirstByte { request: request.clone(), connection: self.connection };
-            self.records.push(crate::record::Record { at: began, source: self.link.clone(), event });
+            self.records.push(crate::record::Record { at: head_began_at, source: self.link.clone(), event });
         }
         self.attempt = attempt;
-        self.body(length);
-        &bytes[size - before..]
+        self.set_remaining_body(length);
+        &bytes[size - buffered..]
     }
 
-    fn body_bytes<'a>(&mut self, bytes: &'a [u8], left: usize) -> &'a [u8] {
-        let passed = left.min(bytes.len());
-        self.body(left - passed);
-        &bytes[passed..]
+    fn skip_body<'a>(&mut self, bytes: &'a [u8], remaining: usize) -> &'a [u8] {
+        let skipped = remaining.min(bytes.len());
+        self.set_remaining_body(remaining - skipped);
+        &bytes[skipped..]
     }
 
     /// So much of a body is left.
-    fn body(&mut self, left: usize) {
-        self.framing = if left > 0 { Framing::Body(left) } else { Framing::Head };
-        let Some(Attempt { request, announced_deadline: told, .. }) =
-            self.attempt.clone().filter(|_| left == 0)
+    fn set_remaining_body(&mut self, remaining: usize) {
+        self.framing = if remaining > 0 { Framing::Body(remaining) } else { Framing::Head };
+        let Some(Attempt { request, announced_deadline: announced, .. }) =
+            self.attempt.clone().filter(|_| remaining == 0)
         else {
             return;
         };
-        self.record(Event::Written { request, connection: self.connection, announced_deadline: told });
+        self.record(Event::Written { request, connection: self.connection, announced_deadline: announced });
         (self.on_attempt)();
     }
 
     /// Bytes of an answer are given to the gateway.
-    pub fn response_began(&mut self) {
+    pub fn on_response(&mut self) {
         let Some(attempt) = self.attempt.as_mut().filter(|attempt| !attempt.response_began) else { return };
         attempt.response_began = true;
         let request = attempt.request.clone();
--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -12,16 +12,16 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock::Micros;
-use crate::persistent_connection::{Answer, KeptConnection};
+use crate::persistent_connection::{ClientResponse, PersistentConnection};
 use crate::record::{Event, Record, Records};
 
 /// A client waits so much longer than its deadline for an answer that only comes late.
-pub const GRACE: Duration = Duration::from_secs(5);
+pub const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
 /// Whoever asks for readiness waits so long for an answer.
-const READY_TIMEOUT: Duration = Duration::from_secs(1);
-const PATH: &str = "/v1/chat/completions";
-const BODY: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
+const READY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+const REQUEST_PATH: &str = "/v1/chat/completions";
+const REQUEST_BODY: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
 
 /// One request of a client.
 #[derive(Clone, Debug)]
@@ -66,14 +66,17 @@
     }
 
     /// The request as its bytes.
-    pub fn text(&self) -> String {
+    pub fn to_http(&self) -> String {
         let headers: String =
             self.headers().iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
-        format!("POST {PATH} HTTP/1.1\r\n{headers}content-length: {}\r\n\r\n{BODY}", BODY.len())
+        format!(
+            "POST {REQUEST_PATH} HTTP/1.1\r\n{headers}content-length: {}\r\n\r\n{REQUEST_BODY}",
+            REQUEST_BODY.len()
+        )
     }
 
     /// The record of its first byte on this connection to a gateway.
-    pub fn begun(&self, gateway: &str, connection: &KeptConnection, at: Micros) -> Record {
+    pub fn begun_record(&self, gateway: &str, connection: &PersistentConnection, at: Micros) -> Record {
         let event = Event::RequestBegun {
             request: self.id.clone(),
             client: connection.client_address(),
@@ -83,7 +86,7 @@
     }
 
     /// The record of its last byte.
-    pub fn sent(&self, gateway: &str, at: Micros) -> Record {
+    pub fn sent_record(&self, gateway: &str, at: Micros) -> Record {
         let (request, deadline) = (self.id.clone(), self.deadline.as_secs_f64());
         let event = Event::Sent { request, deadline, repeatable: self.repeatable };
         Record { at, source: gateway.to_string(), event }
@@ -92,25 +95,25 @@
 
 /// Sends a request, and records what becomes of it; `gateway` names the one asked. Gives the answer's status.
 pub async fn send_request(
-    gateway: &str, address: SocketAddr, ask: ClientRequest, records: &Records,
+    gateway: &str, address: SocketAddr, client_request: ClientRequest, records: &Records,
 ) -> Option<u16> {
-    let request = ask.id.clone();
-    let mut connection = KeptConnection::open(address).await.ok()?;
-    sleep(ask.first_byte_after).await;
-    let text = ask.text();
-    let written = connection.write(text.as_bytes(), 1, Duration::ZERO).await;
-    let Some(sent_at) = written.when(text.len()) else {
+    let request = client_request.id.clone();
+    let mut connection = PersistentConnection::open(address).await.ok()?;
+    sleep(client_request.first_byte_after).await;
+    let text = client_request.to_http();
+    let progress = connection.write(text.as_bytes(), 1, Duration::ZERO).await;
+    let Some(sent_at) = progress.written_at(text.len()) else {
         // The gateway ended the connection before it was written on.
-        records.add(gateway, Event::NotTaken { request });
+        records.add(gateway, Event::ClosedUnread { request });
         return None;
     };
-    records.push(ask.begun(gateway, &connection, written.began));
-    records.push(ask.sent(gateway, sent_at));
-    let waits = ask.disconnects_after.unwrap_or(ask.deadline + GRACE);
-    let answer = timeout(waits, connection.answer(text.len())).await;
+    records.push(client_request.begun_record(gateway, &connection, progress.began_at));
+    records.push(client_request.sent_record(gateway, sent_at));
+    let wait = client_request.disconnects_after.unwrap_or(client_request.deadline + ANSWER_GRACE);
+    let response = timeout(wait, connection.read_response(text.len())).await;
     connection.close();
-    match answer {
-        Ok(Ok(Answer { status, complete, .. })) => {
+    match response {
+        Ok(Ok(ClientResponse { status, complete, .. })) => {
             records.add(gateway, Event::Answered { request, status, complete });
             Some(status)
         }
@@ -118,7 +121,7 @@
             records.add(gateway, Event::Unanswered { request });
             None
         }
-        Err(_) if ask.disconnects_after.is_some() => {
+        Err(_) if client_request.disconnects_after.is_some() => {
             records.add(gateway, Event::ClientDisconnected { request });
             None
         }
@@ -128,12 +131,12 @@
 
 /// What a gateway answers whoever asks whether it is ready, within a second; `None` where it answers nothing.
 pub async fn ready_status(address: SocketAddr) -> Option<u16> {
-    let asked = async {
+    let response = async {
         let mut sender = connect(address).await?;
         let request = Request::get("/ready").header("host", "api.internal").body(Full::default()).ok()?;
         Some(sender.send_request(request).await.ok()?.status().as_u16())
     };
-    timeout(READY_TIMEOUT, asked).await.ok().flatten()
+    timeout(READY_RESPONSE_TIMEOUT, response).await.ok().flatten()
 }
 
 async fn connect(address: SocketAddr) -> Option<http1::SendRequest<Full<Bytes>>> {
--- a/fault-tests/src/crowd.rs
+++ b/fault-tests/src/crowd.rs
@@ -20,7 +20,7 @@
 
 const DEADLINE: Duration = Duration::from_secs(9);
 /// The idle clients have filled the table by then.
-const FILLED_AFTER: Duration = Duration::from_millis(1_000);
+const FILL_TIME: Duration = Duration::from_millis(1_000);
 const PREFILL_SERVERS: usize = 2;
 const DECODE_SERVERS: usize = 2;
 
@@ -73,14 +73,14 @@
 /// Plays one crowd.
 pub async fn run(options: &Options, program: &Path) -> Result<Report, DeploymentError> {
     let mut spec = DeploymentSpec::new(1, PREFILL_SERVERS, DECODE_SERVERS);
-    spec.sockets = options.sockets;
+    spec.max_descriptors = options.sockets;
     let deployment = Deployment::start(spec, program, &options.gateway).await?;
     let address = deployment.gateways[0].address;
     let mut idle_clients = JoinSet::new();
     for _ in 0..options.idle_clients {
-        idle_clients.spawn(stay_idle(address, Duration::from_millis(options.back_after)));
+        idle_clients.spawn(run_idle_client(address, Duration::from_millis(options.back_after)));
     }
-    sleep(FILLED_AFTER).await;
+    sleep(FILL_TIME).await;
     let mut statuses = BTreeMap::new();
     for number in 0..options.requests {
         let mut request = ClientRequest::new(format!("{number:x}"), "item-query", DEADLINE, true);
@@ -94,12 +94,12 @@
 }
 
 /// Connects, sends nothing, and connects again once the connection has ended.
-pub async fn stay_idle(address: SocketAddr, back_after: Duration) {
+pub async fn run_idle_client(address: SocketAddr, reconnect_delay: Duration) {
     loop {
         if let Ok(mut socket) = TcpStream::connect(address).await {
             // It reads until the gateway ends the connection, in order or not.
             let _ = socket.read(&mut [0]).await;
         }
-        sleep(back_after).await;
+        sleep(reconnect_delay).await;
     }
 }
--- a/fault-tests/src/deployment.rs
+++ b/fault-tests/src/deployment.rs
@@ -23,19 +23,19 @@
 use crate::discovery::DiscoveryAgent;
 use crate::engine::Role;
 use crate::gateway_log::GatewayLog;
-use crate::lateness::LatenessWatch;
+use crate::lateness::LatenessMonitor;
 use crate::network::Link;
 use crate::process::{reserved_address, Process};
 use crate::record::{Event, Record, Records};
 
 /// A process that is not up by then is a fault of the trial's own.
-const UP_WITHIN: Duration = Duration::from_secs(20);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 /// A gateway that is not ready by then has broken the platform's rule.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+const GATEWAY_READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause before an engine that does not listen yet is tried again.
-const UP_CHECK_PAUSE: Duration = Duration::from_millis(2);
+const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// The name of a gateway's configuration file.
-const CONFIG: &str = "config.json";
+const CONFIG_FILE: &str = "config.json";
 
 /// A running engine.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     pub address: SocketAddr,
     pub process: Process,
     /// When it last started, in Unix milliseconds; 0 for long ago.
-    pub born_ms: u64,
+    pub started_unix_ms: u64,
     pub draining: bool,
 }
 
@@ -63,8 +63,8 @@
 /// What a gateway's configuration file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigFile {
-    Good,
-    Faulty,
+    Valid,
+    Malformed,
 }
 
 /// A deployment that runs; its processes end with it.
@@ -76,33 +76,33 @@
     pub links: BTreeMap<(usize, usize), Link>,
     pub records: Records,
     /// How late the run is by itself.
-    pub lateness: LatenessWatch,
+    pub lateness: LatenessMonitor,
     /// Keep the addresses of its processes for them.
     reservations: Vec<Socket>,
     folder: TempDir,
     program: PathBuf,
-    gateway: PathBuf,
+    gateway_program: PathBuf,
     list_version: u64,
 }
 
 impl Deployment {
-    /// Starts all processes and waits until they are up. `program` is this crate's own program, `gateway` the gateway's.
+    /// Starts all processes and waits until they are up. `program` is this crate's own program, `gateway_program` the gateway's.
     pub async fn start(
-        spec: DeploymentSpec, program: &Path, gateway: &Path,
+        spec: DeploymentSpec, program: &Path, gateway_program: &Path,
     ) -> Result<Deployment, DeploymentError> {
-        let folder =
-            tempfile::tempdir().map_err(|why| DeploymentError::Start { what: "a folder".into(), why })?;
+        let folder = tempfile::tempdir()
+            .map_err(|error| DeploymentError::Start { component: "a folder".into(), error })?;
         let mut deployment = Deployment {
             spec: spec.clone(),
             engines: Vec::new(),
             gateways: Vec::new(),
             links: BTreeMap::new(),
             records: Records::default(),
-            lateness: LatenessWatch::start(),
+            lateness: LatenessMonitor::start(),
             reservations: Vec::new(),
             folder,
             program: program.to_path_buf(),
-            gateway: gateway.to_path_buf(),
+            gateway_program: gateway_program.to_path_buf(),
             list_version: 1,
         };
         for engine in spec.engines {
@@ -112,11 +112,11 @@
                 spec: engine,
                 address,
                 process,
-                born_ms: 0,
+                started_unix_ms: 0,
                 draining: false,
             });
         }
-        deployment.engines_up().await?;
+        deployment.wait_for_engines().await?;
         for index in 0..spec.gateways {
             deployment.open_links(index)?;
             deployment.start_gateway(index).await?;
@@ -128,12 +128,12 @@
     fn reserve_address(&mut self) -> Result<SocketAddr, DeploymentError> {
         let reserved = reserved_address();
         let (socket, address) =
-            reserved.map_err(|why| DeploymentError::Start { what: "an address".into(), why })?;
+            reserved.map_err(|error| DeploymentError::Start { component: "an address".into(), error })?;
         self.reservations.push(socket);
         Ok(address)
     }
 
-    fn states(&self) -> PathBuf {
+    fn states_folder(&self) -> PathBuf {
         self.folder.path().join("states")
     }
 
@@ -150,12 +150,12 @@
         if spec.finishes_prefills {
             command.arg("--finishes-prefills");
         }
-        command.arg("--states").arg(self.states()).stdout(Stdio::piped());
-        let mut process = self.begin(&mut command, &spec.name)?;
+        command.arg("--states").arg(self.states_folder()).stdout(Stdio::piped());
+        let mut process = self.spawn(&mut command, &spec.name)?;
         let records = self.records.clone();
-        if let Some(said) = process.child.stdout.take() {
+        if let Some(stdout) = process.child.stdout.take() {
             tokio::spawn(async move {
-                let mut lines = BufReader::new(said).lines();
+                let mut lines = BufReader::new(stdout).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
                     // A killed engine may leave half a line.
                     if let Ok(record) = serde_json::from_str::<Record>(&line) {
@@ -167,9 +167,9 @@
         Ok(process)
     }
 
-    async fn engines_up(&self) -> Result<(), DeploymentError> {
+    async fn wait_for_engines(&self) -> Result<(), DeploymentError> {
         for engine in &self.engines {
-            until(&engine.spec.name, || std::net::TcpStream::connect(engine.address).is_ok()).await?;
+            wait_until(&engine.spec.name, || std::net::TcpStream::connect(engine.address).is_ok()).await?;
         }
         Ok(())
     }
@@ -178,19 +178,19 @@
         for (index, engine) in self.engines.iter().enumerate() {
             let name = format!("n{gateway}-{}", engine.spec.name);
             let link = Link::open(&name, engine.address, self.records.clone());
-            let link = link.map_err(|why| DeploymentError::Start { what: name, why })?;
+            let link = link.map_err(|error| DeploymentError::Start { component: name, error })?;
             self.links.insert((gateway, index), link);
         }
         Ok(())
     }
 
     /// Discovery's list for one gateway, which reaches each engine by a link of its own.
-    fn list(&self, gateway: usize) -> Value {
+    fn endpoint_list(&self, gateway: usize) -> Value {
         let host = |(index, engine): (usize, &EngineProcess)| {
             let kind = if engine.spec.role == Role::Prefill { "prompt-side" } else { "answer-side" };
             let health = if engine.draining { "DRAINING" } else { "SERVING" };
             json!({"host": engine.spec.name, "dial": self.links[&(gateway, index)].address, "site": "dc",
-                "class": kind, "block": 0, "health": health, "share": 1.0, "born_ms": engine.born_ms})
+                "class": kind, "block": 0, "health": health, "share": 1.0, "born_ms": engine.started_unix_ms})
         };
         let hosts: Vec<Value> = self.engines.iter().enumerate().map(host).collect();
         json!({"seq": self.list_version, "whole": true, "hosts": hosts})
@@ -200,24 +200,24 @@
     pub fn publish(&mut self) {
         self.list_version += 1;
         for (index, gateway) in self.gateways.iter().enumerate() {
-            gateway.agent.publish(self.list(index));
+            gateway.agent.publish(self.endpoint_list(index));
         }
     }
 
     async fn start_gateway(&mut self, index: usize) -> Result<(), DeploymentError> {
         let name = format!("n{index}");
-        let start = |why| DeploymentError::Start { what: format!("n{index}"), why };
-        let list = self.list(index);
-        let agent = DiscoveryAgent::start(list.clone()).await.map_err(start)?;
+        let start_error = |error| DeploymentError::Start { component: format!("n{index}"), error };
+        let list = self.endpoint_list(index);
+        let agent = DiscoveryAgent::start(list.clone()).await.map_err(start_error)?;
         let address = self.reserve_address()?;
         let folder = self.folder.path().join(&name);
-        fs::create_dir_all(&folder).map_err(start)?;
+        fs::create_dir_all(&folder).map_err(start_error)?;
         let config = json!({"name": name, "listen": address, "discovery": agent.address.to_string(),
             "seed": format!("{:x}", 0x8c1f_30d2_u64 + index as u64), "known": list,
-            "limits": {"memory_mb": 192, "sockets": self.spec.sockets}, "settings": self.spec.settings()});
+            "limits": {"memory_mb": 192, "sockets": self.spec.max_descriptors}, "settings": self.spec.settings()});
         let log = GatewayLog::default();
-        write_config(&folder, &config.to_string()).map_err(start)?;
-        let process = self.run_gateway(&name, &folder, &log)?;
+        write_config(&folder, &config.to_string()).map_err(start_error)?;
+        let process = self.spawn_gateway(&name, &folder, &log)?;
         self.gateways.push(GatewayProcess {
             name: name.clone(),
             address,
@@ -227,18 +227,18 @@
             config,
             log,
         });
-        until(&name, || std::net::TcpStream::connect(address).is_ok()).await
+        wait_until(&name, || std::net::TcpStream::connect(address).is_ok()).await
     }
 
     /// Starts a gateway's process, whose log goes on here.
-    fn run_gateway(&self, name: &str, folder: &Path, log: &GatewayLog) -> Result<Process, DeploymentError> {
-        let mut command = Command::new(&self.gateway);
+    fn spawn_gateway(&self, name: &str, folder: &Path, log: &GatewayLog) -> Result<Process, DeploymentError> {
+        let mut command = Command::new(&self.gateway_program);
         command
             .env_clear()
-            .env("EDGE_CONFIG", folder.join(CONFIG))
+            .env("EDGE_CONFIG", folder.join(CONFIG_FILE))
             .env("TMPDIR", folder)
             .stderr(Stdio::piped());
-        let mut process = self.begin(&mut command, name)?;
+        let mut process = self.spawn(&mut command, name)?;
         if let Some(id) = process.child.id() {
             self.lateness.watch_gateway(name, id);
         }
@@ -249,10 +249,10 @@
     }
 
     /// Starts a process, and notes how long that took.
-    fn begin(&self, command: &mut Command, name: &str) -> Result<Process, DeploymentError> {
-        let asked_at = clock::now();
+    fn spawn(&self, command: &mut Command, name: &str) -> Result<Process, DeploymentError> {
+        let requested_at = clock::now();
         let process = Process::start(command, name)?;
-        self.lateness.note_start(name, asked_at);
+        self.lateness.note_start(name, requested_at);
         Ok(process)
     }
 
@@ -260,11 +260,11 @@
     pub fn write_config(&self, gateway: usize, file: ConfigFile) -> Result<(), DeploymentError> {
         let gateway = &self.gateways[gateway];
         let text = match file {
-            ConfigFile::Good => gateway.config.to_string(),
-            ConfigFile::Faulty => "{ half".into(),
+            ConfigFile::Valid => gateway.config.to_string(),
+            ConfigFile::Malformed => "{ half".into(),
         };
         let written = write_config(&gateway.folder, &text);
-        written.map_err(|why| DeploymentError::Start { what: gateway.name.clone(), why })
+        written.map_err(|error| DeploymentError::Start { component: gateway.name.clone(), error })
     }
 
     /// Waits for a gateway's process to be gone, killed if it still runs, and records its end.
@@ -274,45 +274,45 @@
         if killed {
             self.records.add(&gateway.name, Event::GatewayKilled);
             let ended = gateway.process.kill().await;
-            ended.map_err(|why| DeploymentError::Start { what: gateway.name.clone(), why })?;
+            ended.map_err(|error| DeploymentError::Start { component: gateway.name.clone(), error })?;
         }
         self.records.add(&gateway.name, Event::GatewayEnded { killed });
         Ok(())
     }
 
     /// Starts the process of a gateway that has ended, at its address.
-    pub fn start_gateway_again(&mut self, gateway: usize) -> Result<(), DeploymentError> {
-        self.write_config(gateway, ConfigFile::Good)?;
+    pub fn respawn_gateway(&mut self, gateway: usize) -> Result<(), DeploymentError> {
+        self.write_config(gateway, ConfigFile::Valid)?;
         let GatewayProcess { name, folder, log, .. } = &self.gateways[gateway];
-        let process = self.run_gateway(name, folder, log)?;
+        let process = self.spawn_gateway(name, folder, log)?;
         self.gateways[gateway].process = process;
         Ok(())
     }
 
     /// Kills an engine: its connections are reset, and its machine refuses new ones.
     pub async fn kill_engine(&mut self, index: usize) -> Result<(), DeploymentError> {
-        let what = self.engines[index].spec.name.clone();
+        let component = self.engines[index].spec.name.clone();
         let engine = &mut self.engines[index];
         if engine.process.has_ended() {
             return Ok(());
         }
-        if let Err(why) = engine.process.child.start_kill() {
-            return Err(DeploymentError::Start { what, why });
+        if let Err(error) = engine.process.child.start_kill() {
+            return Err(DeploymentError::Start { component, error });
         }
-        self.links_to(index).for_each(Link::engine_gone);
+        self.links_to(index).for_each(Link::mark_engine_down);
         let killed = self.engines[index].process.kill().await;
-        killed.map_err(|why| DeploymentError::Start { what, why })
+        killed.map_err(|error| DeploymentError::Start { component, error })
     }
 
     /// Has the links to an engine accept connections again once its process does.
-    fn reconnect_once_up(&self, index: usize) {
+    fn reopen_links_when_up(&self, index: usize) {
         let address = self.engines[index].address;
         let links: Vec<Link> = self.links_to(index).cloned().collect();
         tokio::spawn(async move {
             while TcpStream::connect(address).await.is_err() {
-                sleep(UP_CHECK_PAUSE).await;
+                sleep(CONNECT_RETRY_PAUSE).await;
             }
-            links.iter().for_each(Link::engine_back);
+            links.iter().for_each(Link::mark_engine_up);
         });
     }
 
@@ -320,24 +320,24 @@
     pub async fn restart_engine(&mut self, index: usize) -> Result<(), DeploymentError> {
         self.kill_engine(index).await?;
         let engine = &self.engines[index];
-        self.lose_states(&engine.spec.name);
+        self.discard_states(&engine.spec.name);
         let process = self.start_engine(&engine.spec, engine.address)?;
-        self.reconnect_once_up(index);
+        self.reopen_links_when_up(index);
         let engine = &mut self.engines[index];
         engine.process = process;
         let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        engine.born_ms = since_epoch.map_or(0, |time| time.as_millis() as u64);
+        engine.started_unix_ms = since_epoch.map_or(0, |time| time.as_millis() as u64);
         Ok(())
     }
 
     /// What a reader held is gone with it.
-    fn lose_states(&self, reader: &str) {
-        let Ok(states) = fs::read_dir(self.states()) else { return };
+    fn discard_states(&self, engine_name: &str) {
+        let Ok(states) = fs::read_dir(self.states_folder()) else { return };
         for state in states.flatten() {
-            let held_by = fs::read_to_string(state.path()).unwrap_or_default();
-            if held_by == reader && fs::remove_file(state.path()).is_ok() {
+            let owner = fs::read_to_string(state.path()).unwrap_or_default();
+            if owner == engine_name && fs::remove_file(state.path()).is_ok() {
                 let request = state.file_name().to_string_lossy().into_owned();
-                self.records.add(reader, Event::StateLost { request });
+                self.records.add(engine_name, Event::StateLost { request });
             }
         }
     }
@@ -348,49 +348,49 @@
     }
 
     /// Sends one request to a gateway and waits for its end.
-    pub async fn send(&self, gateway: usize, ask: ClientRequest) -> Option<u16> {
+    pub async fn send(&self, gateway: usize, request: ClientRequest) -> Option<u16> {
         let gateway = &self.gateways[gateway];
-        client::send_request(&gateway.name, gateway.address, ask, &self.records).await
+        client::send_request(&gateway.name, gateway.address, request, &self.records).await
     }
 
     /// What the gateways' logs say between two moments.
     pub fn log_between(&self, from: Micros, until: Micros) -> Vec<String> {
-        let of = |gateway: &GatewayProcess| {
-            let lines = gateway.log.between(from, until).into_iter();
+        let gateway_lines = |gateway: &GatewayProcess| {
+            let lines = gateway.log.lines_between(from, until).into_iter();
             lines.map(|line| format!("{}: {line}", gateway.name)).collect::<Vec<_>>()
         };
-        self.gateways.iter().flat_map(of).collect()
+        self.gateways.iter().flat_map(gateway_lines).collect()
     }
 
     /// What the gateways' logs say of a request, or of anything with these words.
-    pub fn log_lines(&self, words: &str) -> Vec<String> {
-        let of = |gateway: &GatewayProcess| {
-            let lines = gateway.log.with(words).into_iter();
+    pub fn log_lines(&self, text: &str) -> Vec<String> {
+        let gateway_lines = |gateway: &GatewayProcess| {
+            let lines = gateway.log.lines_containing(text).into_iter();
             lines.map(|line| format!("{}: {line}", gateway.name)).collect::<Vec<_>>()
         };
-        self.gateways.iter().flat_map(of).collect()
+        self.gateways.iter().flat_map(gateway_lines).collect()
     }
 }
 
-async fn until(what: &str, mut up: impl FnMut() -> bool) -> Result<(), DeploymentError> {
-    let waits = async {
-        while !up() {
+async fn wait_until(component: &str, mut is_up: impl FnMut() -> bool) -> Result<(), DeploymentError> {
+    let poll = async {
+        while !is_up() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(UP_WITHIN, waits).await.map_err(|_| DeploymentError::NotReady(what.to_string()))
+    timeout(STARTUP_TIMEOUT, poll).await.map_err(|_| DeploymentError::NotReady(component.to_string()))
 }
 
 fn write_config(folder: &Path, text: &str) -> io::Result<()> {
-    fs::write(folder.join(CONFIG), text)
+    fs::write(folder.join(CONFIG_FILE), text)
 }
 
 /// Waits until a gateway says that it is ready.
-pub async fn ready(address: SocketAddr) -> Result<(), DeploymentError> {
+pub async fn wait_until_ready(address: SocketAddr) -> Result<(), DeploymentError> {
     let ready = async {
         while client::ready_status(address).await != Some(200) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(READY_WITHIN, ready).await.map_err(|_| DeploymentError::NotReady(address.to_string()))
+    timeout(GATEWAY_READY_TIMEOUT, ready).await.map_err(|_| DeploymentError::NotReady(address.to_string()))
 }
--- a/fault-tests/src/deployment_error.rs
+++ b/fault-tests/src/deployment_error.rs
@@ -5,8 +5,10 @@
 /// Why a deployment does not start.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
-    #[error("{what}: {why}; the gateway is built with `cargo build` first, the folder has to be writable")]
-    Start { what: String, why: io::Error },
+    #[error(
+        "{component}: {error}; the gateway is built with `cargo build` first, the folder has to be writable"
+    )]
+    Start { component: String, error: io::Error },
     #[error("{0} said nothing in time; its log has the reason")]
     NotReady(String),
 }
--- a/fault-tests/src/deployment_spec.rs
+++ b/fault-tests/src/deployment_spec.rs
@@ -7,9 +7,9 @@
 use crate::engine::Role;
 
 /// Usual objective of each class for a first token.
-const LATENCY_OBJECTIVE: Duration = Duration::from_millis(2_500);
+const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(2_500);
 /// A gateway's usual limit of descriptors.
-const SOCKETS: usize = 1_024;
+const DEFAULT_MAX_DESCRIPTORS: usize = 1_024;
 
 /// One engine of a deployment.
 #[derive(Clone, Debug)]
@@ -34,13 +34,13 @@
     /// Whether engines may be probed.
     pub probes: bool,
     /// Each gateway's limit of descriptors.
-    pub sockets: usize,
+    pub max_descriptors: usize,
 }
 
 impl DeploymentSpec {
     /// So many of each, with the incident's settings: 500 ms for what is held, deadlines of 9 s.
-    pub fn new(gateways: usize, readers: usize, writers: usize) -> DeploymentSpec {
-        let of = |prefix: &'static str, role, count| {
+    pub fn new(gateways: usize, prefill_servers: usize, decode_servers: usize) -> DeploymentSpec {
+        let engines_of = |prefix: &'static str, role, count| {
             (0..count).map(move |n| EngineSpec {
                 name: format!("{prefix}{n}"),
                 role,
@@ -48,23 +48,25 @@
                 finishes_prefills: false,
             })
         };
-        let engines = of("r", Role::Prefill, readers).chain(of("w", Role::Decode, writers)).collect();
-        let (pin_limit, deadline) = (Duration::from_millis(500), Duration::from_secs(9));
+        let engines = engines_of("r", Role::Prefill, prefill_servers)
+            .chain(engines_of("w", Role::Decode, decode_servers))
+            .collect();
+        let (limit, deadline) = (Duration::from_millis(500), Duration::from_secs(9));
         DeploymentSpec {
             gateways,
             engines,
-            lease_limit: pin_limit,
+            lease_limit: limit,
             deadline,
-            latency_objective: LATENCY_OBJECTIVE,
+            latency_objective: DEFAULT_LATENCY_OBJECTIVE,
             probes: true,
-            sockets: SOCKETS,
+            max_descriptors: DEFAULT_MAX_DESCRIPTORS,
         }
     }
 
     /// With writers whose first token takes this long (ms).
-    pub fn with_decode_time(mut self, least: u64, most: u64) -> DeploymentSpec {
-        let writers = self.engines.iter_mut().filter(|e| e.role == Role::Decode);
-        writers.for_each(|engine| engine.service_time_ms = (least, most));
+    pub fn with_decode_time(mut self, min_ms: u64, max_ms: u64) -> DeploymentSpec {
+        let decode_engines = self.engines.iter_mut().filter(|e| e.role == Role::Decode);
+        decode_engines.for_each(|engine| engine.service_time_ms = (min_ms, max_ms));
         self
     }
 
--- a/fault-tests/src/discovery.rs
+++ b/fault-tests/src/discovery.rs
@@ -56,26 +56,27 @@
         let _ = socket.set_nodelay(true);
         let service = service_fn(move |request| {
             let agent = self.clone();
-            async move { Ok::<_, Infallible>(agent.answer(request).await) }
+            async move { Ok::<_, Infallible>(agent.respond(request).await) }
         });
         let _ = http1::Builder::new().serve_connection(TokioIo::new(socket), service).await;
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let asked = |name: &str| -> Option<u64> {
+    async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        let query_number = |name: &str| -> Option<u64> {
             let query = request.uri().query().unwrap_or("");
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
         };
-        let (from, hold) = (asked("from"), Duration::from_millis(asked("hold_ms").unwrap_or(0)));
+        let (from, hold) =
+            (query_number("from"), Duration::from_millis(query_number("hold_ms").unwrap_or(0)));
         let mut list = self.list.subscribe();
         let newer = list.wait_for(|list| from.is_none_or(|from| list["seq"].as_u64() > Some(from)));
-        let told = match timeout(hold, newer).await {
+        let response_list = match timeout(hold, newer).await {
             Ok(Ok(list)) => list.clone(),
             _ if from.is_none() => self.list.borrow().clone(),
             _ => json!({"seq": from, "whole": false, "hosts": []}),
         };
         // An error would be the agent's end.
         let _ = self.down.subscribe().wait_for(|down| !down).await;
-        Response::new(Full::new(Bytes::from(told.to_string())))
+        Response::new(Full::new(Bytes::from(response_list.to_string())))
     }
 }
--- a/fault-tests/src/engine.rs
+++ b/fault-tests/src/engine.rs
@@ -29,10 +29,10 @@
 use crate::record::{Event, Record, Stage, WorkEnd};
 
 /// Events of one answer, and the pause between two.
-const EVENTS: usize = 6;
+const STREAM_EVENTS: usize = 6;
 const EVENT_PAUSE: Duration = Duration::from_millis(25);
-const SEES_CLOSE: Duration = Duration::from_millis(3);
-const LEASES: &str = "/kv/leases/";
+const CLOSE_DETECTION_TIME: Duration = Duration::from_millis(3);
+const LEASES_PATH: &str = "/kv/leases/";
 
 /// What an engine does with prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -63,7 +63,7 @@
     pub finishes_prefills: bool,
 }
 
-type Answer = Response<BoxBody<Bytes, Infallible>>;
+type EngineResponse = Response<BoxBody<Bytes, Infallible>>;
 
 struct Engine {
     options: Options,
@@ -78,75 +78,75 @@
         let _ = writeln!(out, "{line}").and_then(|()| out.flush());
     }
 
-    fn state(&self, request: &str) -> PathBuf {
+    fn state_path(&self, request: &str) -> PathBuf {
         self.options.states.join(request)
     }
 
-    async fn works(&self) {
+    async fn simulate_work(&self) {
         let range = self.options.least..=self.options.most.max(self.options.least);
         let time = rand::rng().random_range(range);
         sleep(Duration::from_millis(time)).await;
         // A connection that was closed meanwhile is seen first, also by a process that stood still.
-        sleep(SEES_CLOSE).await;
+        sleep(CLOSE_DETECTION_TIME).await;
     }
 
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> EngineResponse {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path();
         if body.collect().await.is_err() {
-            return brief(StatusCode::BAD_REQUEST, "");
+            return fixed_response(StatusCode::BAD_REQUEST, "");
         }
-        if let Some(id) = path.strip_prefix(LEASES) {
+        if let Some(id) = path.strip_prefix(LEASES_PATH) {
             return match parts.method {
                 Method::DELETE => self.release(id),
-                _ => brief(StatusCode::NOT_FOUND, ""),
+                _ => fixed_response(StatusCode::NOT_FOUND, ""),
             };
         }
         if matches!(path, "/status/load" | "/health") {
-            return brief(StatusCode::OK, "TEXT inflight=1, x0=0.1");
+            return fixed_response(StatusCode::OK, "TEXT inflight=1, x0=0.1");
         }
         let Some(id) = parts.headers.get("req-id").and_then(|id| id.to_str().ok()) else {
-            return brief(StatusCode::NOT_FOUND, "");
+            return fixed_response(StatusCode::NOT_FOUND, "");
         };
         match self.options.role {
-            Role::Prefill if self.options.finishes_prefills => self.read_to_the_end(id).await,
-            Role::Prefill => self.read(id).await,
-            Role::Decode => self.write(id).await,
+            Role::Prefill if self.options.finishes_prefills => self.prefill_to_completion(id).await,
+            Role::Prefill => self.prefill(id).await,
+            Role::Decode => self.decode(id).await,
         }
     }
 
-    fn release(&self, id: &str) -> Answer {
+    fn release(&self, id: &str) -> EngineResponse {
         // Nothing may be held any more; that is no fault.
-        let _ = fs::remove_file(self.state(id));
+        let _ = fs::remove_file(self.state_path(id));
         self.record(Event::Released { request: id.into() });
-        brief(StatusCode::NO_CONTENT, "")
+        fixed_response(StatusCode::NO_CONTENT, "")
     }
 
-    async fn read(self: Arc<Self>, id: &str) -> Answer {
+    async fn prefill(self: Arc<Self>, id: &str) -> EngineResponse {
         let mut work = Work::begin(self.clone(), id, Stage::Prefill);
-        self.works().await;
-        if fs::write(self.state(id), &self.options.name).is_ok() {
+        self.simulate_work().await;
+        if fs::write(self.state_path(id), &self.options.name).is_ok() {
             self.record(Event::StateLeased { request: id.into() });
         }
         work.set_end(WorkEnd::Answered);
-        brief(StatusCode::ACCEPTED, r#"{"cached_tokens":0}"#)
+        fixed_response(StatusCode::ACCEPTED, r#"{"cached_tokens":0}"#)
     }
 
-    async fn read_to_the_end(self: Arc<Self>, id: &str) -> Answer {
+    async fn prefill_to_completion(self: Arc<Self>, id: &str) -> EngineResponse {
         let id = id.to_string();
-        let read = tokio::spawn(async move { self.read(&id).await });
-        read.await.unwrap_or_else(|_| brief(StatusCode::INTERNAL_SERVER_ERROR, ""))
+        let prefill_task = tokio::spawn(async move { self.prefill(&id).await });
+        prefill_task.await.unwrap_or_else(|_| fixed_response(StatusCode::INTERNAL_SERVER_ERROR, ""))
     }
 
-    async fn write(self: Arc<Self>, id: &str) -> Answer {
+    async fn decode(self: Arc<Self>, id: &str) -> EngineResponse {
         let mut work = Work::begin(self.clone(), id, Stage::Decode);
-        self.works().await;
-        if fs::remove_file(self.state(id)).is_err() {
+        self.simulate_work().await;
+        if fs::remove_file(self.state_path(id)).is_err() {
             work.set_end(WorkEnd::Rejected);
-            return declined(StatusCode::GONE);
+            return declined_response(StatusCode::GONE);
         }
         self.record(Event::StateClaimed { request: id.into() });
-        stream(work)
+        stream_response(work)
     }
 }
 
@@ -165,37 +165,37 @@
     }
 
     /// What its end is to be recorded as.
-    fn set_end(&mut self, how: WorkEnd) {
-        self.end = how;
+    fn set_end(&mut self, end: WorkEnd) {
+        self.end = end;
     }
 }
 
 impl Drop for Work {
     fn drop(&mut self) {
-        let (request, stage, how) = (self.request.clone(), self.stage, self.end);
-        self.engine.record(Event::Ended { request, stage, end: how });
+        let (request, stage, outcome) = (self.request.clone(), self.stage, self.end);
+        self.engine.record(Event::Ended { request, stage, end: outcome });
     }
 }
 
-fn brief(status: StatusCode, body: &'static str) -> Answer {
-    let mut answer = Response::new(Full::new(Bytes::from_static(body.as_bytes())).boxed());
-    *answer.status_mut() = status;
+fn fixed_response(status: StatusCode, body: &'static str) -> EngineResponse {
+    let mut response = Response::new(Full::new(Bytes::from_static(body.as_bytes())).boxed());
+    *response.status_mut() = status;
     let load = http::HeaderValue::from_static("TEXT inflight=1, x0=0.1");
-    answer.headers_mut().insert("srv-load", load);
-    answer
+    response.headers_mut().insert("srv-load", load);
+    response
 }
 
-fn declined(status: StatusCode) -> Answer {
-    let mut answer = brief(status, "");
-    answer.headers_mut().insert("srv-declined", http::HeaderValue::from_static("1"));
-    answer
+fn declined_response(status: StatusCode) -> EngineResponse {
+    let mut response = fixed_response(status, "");
+    response.headers_mut().insert("srv-declined", http::HeaderValue::from_static("1"));
+    response
 }
 
 /// An answer's events, one after the other, for as long as somebody reads them.
-fn stream(mut work: Work) -> Answer {
+fn stream_response(mut work: Work) -> EngineResponse {
     let (sender, receiver) = mpsc::channel::<Bytes>(1);
     tokio::spawn(async move {
-        for _ in 0..EVENTS {
+        for _ in 0..STREAM_EVENTS {
             let event = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
             if sender.send(Bytes::from_static(event.as_bytes())).await.is_err() {
                 return;
@@ -206,14 +206,14 @@
             work.set_end(WorkEnd::Answered);
         }
     });
-    let frames = futures_of(receiver);
-    let mut answer = Response::new(BodyExt::boxed(StreamBody::new(frames)));
-    let kind = http::HeaderValue::from_static("text/event-stream");
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, kind);
-    answer
+    let frames = frame_stream(receiver);
+    let mut response = Response::new(BodyExt::boxed(StreamBody::new(frames)));
+    let content_type = http::HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
+    response
 }
 
-fn futures_of(
+fn frame_stream(
     receiver: mpsc::Receiver<Bytes>,
 ) -> impl futures_util::Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync {
     futures_util::stream::unfold(receiver, |mut receiver| async move {
@@ -235,7 +235,7 @@
         tokio::spawn(async move {
             let service = service_fn(move |request| {
                 let engine = engine.clone();
-                async move { Ok::<_, Infallible>(engine.answer(request).await) }
+                async move { Ok::<_, Infallible>(engine.respond(request).await) }
             });
             // A connection that breaks ends its work; nobody else has to know.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(socket), service).await;
--- a/fault-tests/src/faults.rs
+++ b/fault-tests/src/faults.rs
@@ -14,13 +14,13 @@
 use crate::record::{Event, Records};
 
 /// The platform allows a gateway to be held up for so long.
-const HELD_UP: Duration = Duration::from_millis(150);
+const GATEWAY_PAUSE: Duration = Duration::from_millis(150);
 /// The least and the most time that a fault lasts (ms).
-const LASTS: std::ops::RangeInclusive<u64> = 200..=3_000;
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 200..=3_000;
 /// Share of the engines of a role that fall silent together, at most.
-const TOGETHER: f64 = 0.8;
+const MAX_ROLE_SHARE: f64 = 0.8;
 /// The least and the most that a link delays (ms).
-const DELAYS: std::ops::RangeInclusive<u64> = 10..=120;
+const LINK_DELAY_MS: std::ops::RangeInclusive<u64> = 10..=120;
 
 /// One fault, with whom it hits.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,37 +57,38 @@
 impl ScheduledFault {
     /// Draws one for this deployment.
     pub fn random(deployment: &Deployment, random: &mut StdRng) -> ScheduledFault {
-        let lasts = Duration::from_millis(random.random_range(LASTS));
+        let random_duration = Duration::from_millis(random.random_range(FAULT_DURATION_MS));
         let engine = random.random_range(0..deployment.engines.len());
         let gateway = random.random_range(0..deployment.gateways.len());
         let fault = match random.random_range(0..11) {
-            0 | 1 => {
-                Fault::Blackholed { engines: some_of_a_role(deployment, random), resets: random.random() }
-            }
-            2 => Fault::Unconnectable { engines: some_of_a_role(deployment, random) },
+            0 | 1 => Fault::Blackholed {
+                engines: random_engines_of_one_role(deployment, random),
+                resets: random.random(),
+            },
+            2 => Fault::Unconnectable { engines: random_engines_of_one_role(deployment, random) },
             3 => Fault::BlackholedLink { gateway, engine },
             4 => Fault::StalledConnections { engine },
             5 => Fault::Reset { engine },
-            6 => Fault::Delayed { engine, delay: Duration::from_millis(random.random_range(DELAYS)) },
+            6 => Fault::Delayed { engine, delay: Duration::from_millis(random.random_range(LINK_DELAY_MS)) },
             7 => Fault::EnginePaused { engine },
             8 => Fault::Restarted { engine },
             9 => Fault::Drained { engine },
-            _ => return ScheduledFault { fault: Fault::GatewayPaused { gateway }, duration: HELD_UP },
+            _ => return ScheduledFault { fault: Fault::GatewayPaused { gateway }, duration: GATEWAY_PAUSE },
         };
-        ScheduledFault { fault, duration: lasts }
+        ScheduledFault { fault, duration: random_duration }
     }
 
     /// Has it begin.
     pub async fn begin(&self, deployment: &mut Deployment) -> Result<(), DeploymentError> {
         match &self.fault {
-            Fault::Blackholed { engines, .. } => set(deployment, engines, Condition::Blackholed),
-            Fault::Unconnectable { engines } => set(deployment, engines, Condition::Unconnectable),
+            Fault::Blackholed { engines, .. } => set_condition(deployment, engines, Condition::Blackholed),
+            Fault::Unconnectable { engines } => set_condition(deployment, engines, Condition::Unconnectable),
             Fault::BlackholedLink { gateway, engine } => {
                 deployment.links[&(*gateway, *engine)].set(Condition::Blackholed);
             }
             Fault::StalledConnections { engine } => each(deployment, *engine, Link::stall_open_connections),
             Fault::Reset { engine } => each(deployment, *engine, Link::reset),
-            Fault::Delayed { engine, delay } => each(deployment, *engine, |link| link.delay(*delay)),
+            Fault::Delayed { engine, delay } => each(deployment, *engine, |link| link.set_delay(*delay)),
             Fault::EnginePaused { engine } => deployment.engines[*engine].process.signal(Signal::STOP),
             Fault::Restarted { engine } => {
                 deployment.restart_engine(*engine).await?;
@@ -98,7 +99,7 @@
                 deployment.publish();
             }
             Fault::GatewayPaused { gateway } => {
-                pause(&deployment.gateways[*gateway], self.duration, &deployment.records);
+                pause_gateway(&deployment.gateways[*gateway], self.duration, &deployment.records);
             }
         }
         Ok(())
@@ -111,9 +112,9 @@
                 if *resets {
                     engines.iter().for_each(|engine| each(deployment, *engine, Link::reset));
                 }
-                set(deployment, engines, Condition::Open);
+                set_condition(deployment, engines, Condition::Open);
             }
-            Fault::Unconnectable { engines } => set(deployment, engines, Condition::Open),
+            Fault::Unconnectable { engines } => set_condition(deployment, engines, Condition::Open),
             Fault::BlackholedLink { gateway, engine } => {
                 deployment.links[&(*gateway, *engine)].set(Condition::Open);
             }
@@ -121,7 +122,7 @@
             | Fault::Reset { .. }
             | Fault::Restarted { .. }
             | Fault::GatewayPaused { .. } => {}
-            Fault::Delayed { engine, .. } => each(deployment, *engine, |link| link.delay(Duration::ZERO)),
+            Fault::Delayed { engine, .. } => each(deployment, *engine, |link| link.set_delay(Duration::ZERO)),
             Fault::EnginePaused { engine } => deployment.engines[*engine].process.signal(Signal::CONT),
             Fault::Drained { engine } => {
                 deployment.engines[*engine].draining = false;
@@ -133,7 +134,7 @@
 
 /// Has a gateway's process stand still for so long. The platform bounds how long a gateway is held up, so its end waits for
 /// nobody, and for no timer of a runtime that may itself be late.
-fn pause(gateway: &GatewayProcess, duration: Duration, records: &Records) {
+fn pause_gateway(gateway: &GatewayProcess, duration: Duration, records: &Records) {
     let (name, process, records) = (gateway.name.clone(), gateway.process.signal_target(), records.clone());
     thread::spawn(move || {
         records.add(&name, Event::GatewayPaused);
@@ -144,20 +145,20 @@
     });
 }
 
-fn each(deployment: &Deployment, engine: usize, what: impl Fn(&Link)) {
-    deployment.links_to(engine).for_each(what);
+fn each(deployment: &Deployment, engine: usize, action: impl Fn(&Link)) {
+    deployment.links_to(engine).for_each(action);
 }
 
-fn set(deployment: &Deployment, engines: &[usize], condition: Condition) {
+fn set_condition(deployment: &Deployment, engines: &[usize], condition: Condition) {
     engines.iter().for_each(|engine| each(deployment, *engine, |link| link.set(condition)));
 }
 
 /// Some engines of one role, of which the others stay well.
-fn some_of_a_role(deployment: &Deployment, random: &mut StdRng) -> Vec<usize> {
+fn random_engines_of_one_role(deployment: &Deployment, random: &mut StdRng) -> Vec<usize> {
     let role = if random.random_bool(0.5) { Role::Prefill } else { Role::Decode };
     let of_role = deployment.engines.iter().enumerate().filter(|(_, engine)| engine.spec.role == role);
     let all: Vec<usize> = of_role.map(|(index, _)| index).collect();
-    let most = ((all.len() as f64 * TOGETHER) as usize).max(1);
-    let count = random.random_range(1..=most);
+    let max_count = ((all.len() as f64 * MAX_ROLE_SHARE) as usize).max(1);
+    let count = random.random_range(1..=max_count);
     all.choose_multiple(random, count).copied().collect()
 }
--- a/fault-tests/src/front.rs
+++ b/fault-tests/src/front.rs
@@ -42,7 +42,7 @@
     }
 
     /// Sends new connections to this gateway, or none.
-    pub fn admit(&self, gateway: usize, admitted: bool) {
+    pub fn set_admitted(&self, gateway: usize, admitted: bool) {
         self.0[gateway].admitted.store(admitted, Ordering::Relaxed);
     }
 
@@ -54,7 +54,7 @@
 
 impl FrontedGateway {
     /// Waits until the gateway is told to end.
-    pub async fn terminated(&self) {
+    pub async fn wait_for_termination(&self) {
         let mut terminations = self.terminations.subscribe();
         // An error would be the front's end, and with it the client's.
         let _ = terminations.changed().await;
--- a/fault-tests/src/gateway_log.rs
+++ b/fault-tests/src/gateway_log.rs
@@ -8,7 +8,7 @@
 use crate::clock::{self, Micros};
 
 /// Lines of a gateway's log that are kept.
-const MAX_LINES: usize = 20_000;
+const MAX_STORED_LINES: usize = 20_000;
 
 /// One line.
 #[derive(Clone, Debug)]
@@ -28,9 +28,9 @@
         tokio::spawn(async move {
             let mut lines = BufReader::new(output).lines();
             while let Ok(Some(text)) = lines.next_line().await {
-                let mut kept = log.lines();
-                if kept.len() < MAX_LINES {
-                    kept.push(LogLine { at: clock::now(), text });
+                let mut stored = log.lines();
+                if stored.len() < MAX_STORED_LINES {
+                    stored.push(LogLine { at: clock::now(), text });
                 }
             }
         });
@@ -41,15 +41,15 @@
     }
 
     /// Lines that hold these words.
-    pub fn with(&self, words: &str) -> Vec<String> {
+    pub fn lines_containing(&self, text: &str) -> Vec<String> {
         let lines = self.lines();
-        lines.iter().filter(|line| line.text.contains(words)).map(|line| line.text.clone()).collect()
+        lines.iter().filter(|line| line.text.contains(text)).map(|line| line.text.clone()).collect()
     }
 
     /// Lines that came between two moments, each with its time.
-    pub fn between(&self, from: Micros, until: Micros) -> Vec<String> {
+    pub fn lines_between(&self, from: Micros, until: Micros) -> Vec<String> {
         let lines = self.lines();
-        let within = lines.iter().filter(|line| (from..=until).contains(&line.at));
-        within.map(|line| format!("{} us: {}", line.at, line.text)).collect()
+        let in_period = lines.iter().filter(|line| (from..=until).contains(&line.at));
+        in_period.map(|line| format!("{} us: {}", line.at, line.text)).collect()
     }
 }
--- a/fault-tests/src/invariants.rs
+++ b/fault-tests/src/invariants.rs
@@ -5,25 +5,25 @@
 use std::time::Duration;
 
 use crate::clock::{Micros, MILLISECOND};
-use crate::process_ends::{GatewayLives, LifeEnd};
+use crate::process_ends::{ProcessEnd, ProcessEnds};
 use crate::record::{Event, Record, Stage};
 
 /// The platform allows what is held so much more than the settings do.
-const HELD_SLACK: Micros = 350 * MILLISECOND;
+const LEASE_SLACK: Micros = 350 * MILLISECOND;
 /// A deadline told to an engine may be so much above what is left to the client (s).
-const DEADLINE_SLACK: f64 = 0.15;
+const DEADLINE_SLACK_S: f64 = 0.15;
 /// A client's leaving counts after so long.
-const LEFT_SLACK: Micros = 100 * MILLISECOND;
+const DISCONNECT_SLACK: Micros = 100 * MILLISECOND;
 /// A final answer may be so late.
 const ANSWER_SLACK: Micros = 500 * MILLISECOND;
 /// The end of a connection is seen on a link so much later than the first byte on the next may be.
 const CLOSE_SLACK: Micros = 100 * MILLISECOND;
 /// An engine's end of its work is recorded so much later than the end of its connection, at most.
-const END_SLACK: Micros = 10 * MILLISECOND;
+const WORK_END_SLACK: Micros = 10 * MILLISECOND;
 /// A connection on which a request has begun is not closed for another client's within this time.
-const BEGUN_REQUEST_TIME: Micros = 120 * MILLISECOND;
+const BEGUN_REQUEST_GRACE: Micros = 120 * MILLISECOND;
 /// Answers that say that trying again is harmless.
-const REFUSALS: [u16; 2] = [429, 503];
+const REJECTION_STATUSES: [u16; 2] = [429, 503];
 
 /// What has to hold for each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,36 +50,36 @@
     pub invariant: Invariant,
     pub request: String,
     pub at: Micros,
-    pub what: String,
+    pub detail: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: request {} at {} us: {}", self.invariant, self.request, self.at, self.what)
+        write!(f, "{:?}: request {} at {} us: {}", self.invariant, self.request, self.at, self.detail)
     }
 }
 
 /// Judges all requests of a trial that ended at `end`, with this limit for what is held.
-pub fn judge(records: &[Record], pin_limit: Duration, end: Micros) -> Vec<Violation> {
+pub fn check_invariants(records: &[Record], lease_limit: Duration, end: Micros) -> Vec<Violation> {
     let mut by_request: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
     for record in records {
         by_request.entry(record.event.request()).or_default().push(record);
     }
-    let limit = pin_limit.as_micros() as Micros + HELD_SLACK;
-    let lives = GatewayLives::of(records);
+    let limit = lease_limit.as_micros() as Micros + LEASE_SLACK;
+    let process_ends = ProcessEnds::of(records);
     // What concerns a gateway has no request.
     by_request.remove("");
     let mut violations = Vec::new();
     for (request, records) in by_request {
-        let case = RequestHistory { request, records, end, lives: &lives };
-        violations.extend(case.lease_ends_in_time(limit));
-        violations.extend(case.one_attempt());
-        violations.extend(case.not_after_client_left());
-        violations.extend(case.deadline_announced());
-        violations.extend(case.answered());
-        violations.extend(case.not_taken_is_true());
-        violations.extend(case.begun_request_has_its_time());
-        violations.extend(case.at_most_once());
+        let history = RequestHistory { request, records, end, process_ends: &process_ends };
+        violations.extend(history.lease_ends_in_time(limit));
+        violations.extend(history.one_attempt());
+        violations.extend(history.not_after_client_left());
+        violations.extend(history.deadline_announced());
+        violations.extend(history.answered_in_time());
+        violations.extend(history.closed_unread_is_accurate());
+        violations.extend(history.begun_request_is_not_cut_early());
+        violations.extend(history.at_most_once());
     }
     violations.sort_by_key(|violation| violation.at);
     violations
@@ -90,7 +90,7 @@
     request: &'a str,
     records: Vec<&'a Record>,
     end: Micros,
-    lives: &'a GatewayLives,
+    process_ends: &'a ProcessEnds,
 }
 
 /// An attempt as its link saw it.
@@ -114,8 +114,8 @@
 }
 
 impl<'a> RequestHistory<'a> {
-    fn violation(&self, invariant: Invariant, at: Micros, what: String) -> Violation {
-        Violation { invariant, request: self.request.to_string(), at, what }
+    fn violation(&self, invariant: Invariant, at: Micros, detail: String) -> Violation {
+        Violation { invariant, request: self.request.to_string(), at, detail }
     }
 
     fn sent(&self) -> Option<(Micros, f64, bool)> {
@@ -126,13 +126,13 @@
     }
 
     /// The end of the gateway process that got the request, if it has ended.
-    fn life_end(&self) -> Option<LifeEnd> {
-        self.lives.end_for(&self.records)
+    fn process_end(&self) -> Option<ProcessEnd> {
+        self.process_ends.end_for_request(&self.records)
     }
 
     /// Until when somebody can have let go of what is held: a gateway that was killed lets go of nothing.
-    fn released_until(&self) -> Micros {
-        let killed_at = self.life_end().and_then(|end| end.killed_at());
+    fn release_possible_until(&self) -> Micros {
+        let killed_at = self.process_end().and_then(|end| end.killed_at());
         killed_at.map_or(self.end, |killed_at| killed_at.min(self.end))
     }
 
@@ -163,18 +163,18 @@
     /// When each attempt arrived at a running engine, and when it ceased to be out.
     fn deliveries(&self) -> Vec<(Micros, Micros)> {
         let mut attempts = self.attempts();
-        let mut arrived = Vec::new();
+        let mut delivery_periods = Vec::new();
         for record in self.records.iter().filter(|r| matches!(r.event, Event::Delivered { .. })) {
-            let here = |a: &Attempt| a.engine() == record.source && a.began <= record.at;
-            let Some(at) = attempts.iter().position(here) else { continue };
+            let matches_delivery = |a: &Attempt| a.engine() == record.source && a.began <= record.at;
+            let Some(at) = attempts.iter().position(matches_delivery) else { continue };
             let attempt = attempts.remove(at);
-            arrived.push((record.at, attempt.ended.unwrap_or(Micros::MAX)));
+            delivery_periods.push((record.at, attempt.ended.unwrap_or(Micros::MAX)));
         }
-        arrived
+        delivery_periods
     }
 
     fn lease_ends_in_time(&self, limit: Micros) -> Option<Violation> {
-        let arrived = self.deliveries();
+        let delivery_periods = self.deliveries();
         let mut since: Option<Micros> = None;
         for record in &self.records {
             let end = match record.event {
@@ -186,30 +186,34 @@
                 _ => continue,
             };
             let Some(from) = since.take() else { continue };
-            if let Some(late) = self.too_long_unclaimed(&arrived, from, end.min(self.released_until()), limit)
-            {
+            if let Some(late) = self.too_long_unclaimed(
+                &delivery_periods,
+                from,
+                end.min(self.release_possible_until()),
+                limit,
+            ) {
                 return Some(late);
             }
         }
-        self.too_long_unclaimed(&arrived, since?, self.released_until(), limit)
+        self.too_long_unclaimed(&delivery_periods, since?, self.release_possible_until(), limit)
     }
 
     /// The longest time between these two moments in which nothing was out, where that is too long.
     fn too_long_unclaimed(
-        &self, arrived: &[(Micros, Micros)], from: Micros, until: Micros, limit: Micros,
+        &self, delivery_periods: &[(Micros, Micros)], from: Micros, until: Micros, limit: Micros,
     ) -> Option<Violation> {
-        let mut out: Vec<(Micros, Micros)> =
-            arrived.iter().copied().filter(|o| o.1 > from && o.0 < until).collect();
-        out.sort_unstable();
-        out.push((until, until));
-        let mut free = from;
-        for (begins, ends) in out {
-            let waited = begins.saturating_sub(free);
-            if waited > limit {
-                let what = format!("held for {} ms with no attempt out", waited / MILLISECOND);
-                return Some(self.violation(Invariant::LeaseEndsInTime, free + limit, what));
+        let mut in_flight: Vec<(Micros, Micros)> =
+            delivery_periods.iter().copied().filter(|o| o.1 > from && o.0 < until).collect();
+        in_flight.sort_unstable();
+        in_flight.push((until, until));
+        let mut idle_since = from;
+        for (begins, ends) in in_flight {
+            let unclaimed = begins.saturating_sub(idle_since);
+            if unclaimed > limit {
+                let detail = format!("held for {} ms with no attempt out", unclaimed / MILLISECOND);
+                return Some(self.violation(Invariant::LeaseEndsInTime, idle_since + limit, detail));
             }
-            free = free.max(ends);
+            idle_since = idle_since.max(ends);
         }
         None
     }
@@ -218,129 +222,138 @@
         let attempts = self.attempts();
         attempts.windows(2).find_map(|pair| {
             let ended = pair[0].ended.unwrap_or(self.end);
-            let what = || format!("begun on {} while one is open on {}", pair[1].link, pair[0].link);
+            let detail = || format!("begun on {} while one is open on {}", pair[1].link, pair[0].link);
             (ended > pair[1].began + CLOSE_SLACK)
-                .then(|| self.violation(Invariant::OneAttempt, pair[1].began, what()))
+                .then(|| self.violation(Invariant::OneAttempt, pair[1].began, detail()))
         })
     }
 
     fn not_after_client_left(&self) -> Option<Violation> {
-        let left = self.records.iter().find(|r| matches!(r.event, Event::ClientDisconnected { .. }))?.at;
-        let late = self.attempts().into_iter().find(|a| a.began > left + LEFT_SLACK)?;
-        let what = format!("begun on {} {} ms after", late.link, (late.began - left) / MILLISECOND);
-        Some(self.violation(Invariant::NotAfterClientLeft, late.began, what))
+        let disconnected_at =
+            self.records.iter().find(|r| matches!(r.event, Event::ClientDisconnected { .. }))?.at;
+        let late = self.attempts().into_iter().find(|a| a.began > disconnected_at + DISCONNECT_SLACK)?;
+        let detail =
+            format!("begun on {} {} ms after", late.link, (late.began - disconnected_at) / MILLISECOND);
+        Some(self.violation(Invariant::NotAfterClientLeft, late.began, detail))
     }
 
     fn deadline_announced(&self) -> Option<Violation> {
         let (sent, deadline, _) = self.sent()?;
         self.records.iter().find_map(|record| {
-            let Event::Written { announced_deadline: Some(told), .. } = record.event else { return None };
-            let left = deadline - (record.at.saturating_sub(sent)) as f64 / 1e6;
-            let what = || format!("told {told:.3} s on {}, left are {left:.3} s", record.source);
-            (told > left + DEADLINE_SLACK)
-                .then(|| self.violation(Invariant::DeadlineAnnounced, record.at, what()))
+            let Event::Written { announced_deadline: Some(announced), .. } = record.event else {
+                return None;
+            };
+            let remaining = deadline - (record.at.saturating_sub(sent)) as f64 / 1e6;
+            let detail = || format!("told {announced:.3} s on {}, left are {remaining:.3} s", record.source);
+            (announced > remaining + DEADLINE_SLACK_S)
+                .then(|| self.violation(Invariant::DeadlineAnnounced, record.at, detail()))
         })
     }
 
-    fn answered(&self) -> Option<Violation> {
+    fn answered_in_time(&self) -> Option<Violation> {
         let (sent, deadline, _) = self.sent()?;
         let due = sent + (deadline * 1e6) as Micros + ANSWER_SLACK;
         // What its process has left unanswered stays so.
-        let seen_by = self.life_end().map_or(due, |life| due.min(life.ended_at + ANSWER_SLACK));
+        let expected_by = self.process_end().map_or(due, |process| due.min(process.ended_at + ANSWER_SLACK));
         let end = self.records.iter().find(|r| {
             matches!(
                 r.event,
                 Event::Answered { .. }
                     | Event::ClientDisconnected { .. }
                     | Event::Unanswered { .. }
-                    | Event::NotTaken { .. }
+                    | Event::ClosedUnread { .. }
             )
         });
         // What was written behind another request came before it counts as sent.
         let is_pipelined = self.records.iter().any(|r| matches!(r.event, Event::Pipelined { .. }));
-        let excused = |seen| {
-            let life_end = self.life_end();
-            life_end.is_some_and(|life| life.excuses(sent, seen) || life.killed && is_pipelined)
+        let lost_to_kill = |seen_at| {
+            let process_end = self.process_end();
+            process_end.is_some_and(|process| {
+                process.is_lost_to_kill(sent, seen_at) || process.killed && is_pipelined
+            })
         };
         match end.map(|record| (&record.event, record.at)) {
-            Some((Event::Unanswered { .. }, at)) if !excused(at) => {
+            Some((Event::Unanswered { .. }, at)) if !lost_to_kill(at) => {
                 Some(self.violation(Invariant::Answered, at, "its connection was closed unanswered".into()))
             }
             Some((Event::Answered { status: 200, complete: false, .. }, at))
-                if self.is_cut_by_kill(at) && !excused(at) =>
+                if self.is_cut_by_kill(at) && !lost_to_kill(at) =>
             {
                 Some(self.violation(Invariant::Answered, at, "taken late, and cut off by the kill".into()))
             }
             Some((Event::Answered { status, .. }, at)) if *status != 200 && at > due => {
                 Some(self.violation(Invariant::Answered, at, format!("{status} too late")))
             }
-            None if self.end > seen_by && !excused(seen_by) => {
-                Some(self.violation(Invariant::Answered, seen_by, "no answer in time".into()))
+            None if self.end > expected_by && !lost_to_kill(expected_by) => {
+                Some(self.violation(Invariant::Answered, expected_by, "no answer in time".into()))
             }
             _ => None,
         }
     }
 
     /// What a gateway leaves unread it cannot have forwarded.
-    fn not_taken_is_true(&self) -> Option<Violation> {
-        let not_taken = self.records.iter().find(|r| matches!(r.event, Event::NotTaken { .. }))?;
+    fn closed_unread_is_accurate(&self) -> Option<Violation> {
+        let closed_unread = self.records.iter().find(|r| matches!(r.event, Event::ClosedUnread { .. }))?;
         let forwarded = self
             .attempts()
             .into_iter()
-            .find(|attempt| attempt.gateway() == not_taken.source && attempt.began < not_taken.at)?;
-        let what =
+            .find(|attempt| attempt.gateway() == closed_unread.source && attempt.began < closed_unread.at)?;
+        let detail =
             format!("its connection was closed as if it were unread, and it had begun on {}", forwarded.link);
-        Some(self.violation(Invariant::Answered, not_taken.at, what))
+        Some(self.violation(Invariant::Answered, closed_unread.at, detail))
     }
 
     /// Whether the gateway was killed about when its client saw this.
-    fn is_cut_by_kill(&self, seen: Micros) -> bool {
-        self.life_end().is_some_and(|end| end.is_by_kill(seen, CLOSE_SLACK))
+    fn is_cut_by_kill(&self, seen_at: Micros) -> bool {
+        self.process_end().is_some_and(|end| end.is_caused_by_kill(seen_at, CLOSE_SLACK))
     }
 
     /// A connection on which a request has begun is not ended over what was read of it before its time, unless its process ends.
-    fn begun_request_has_its_time(&self) -> Option<Violation> {
-        let at =
-            |fits: fn(&Event) -> bool| self.records.iter().find(|record| fits(&record.event)).map(|r| r.at);
-        let began = at(|event| matches!(event, Event::RequestBegun { .. }))?;
-        let ended = at(|event| matches!(event, Event::EndedInPart { .. }))?;
-        let process_ends = self.life_end().is_some_and(|life| life.ends_by(ended));
-        if ended >= began + BEGUN_REQUEST_TIME || process_ends {
+    fn begun_request_is_not_cut_early(&self) -> Option<Violation> {
+        let first_time_of = |predicate: fn(&Event) -> bool| {
+            self.records.iter().find(|record| predicate(&record.event)).map(|r| r.at)
+        };
+        let began = first_time_of(|event| matches!(event, Event::RequestBegun { .. }))?;
+        let ended = first_time_of(|event| matches!(event, Event::ClosedPartlyRead { .. }))?;
+        let process_was_ending = self.process_end().is_some_and(|process| process.is_ending_by(ended));
+        if ended >= began + BEGUN_REQUEST_GRACE || process_was_ending {
             return None;
         }
-        let what = format!("closed {} us after its first byte, with some of it read", ended - began);
-        Some(self.violation(Invariant::Answered, ended, what))
+        let detail = format!("closed {} us after its first byte, with some of it read", ended - began);
+        Some(self.violation(Invariant::Answered, ended, detail))
     }
 
     fn at_most_once(&self) -> Option<Violation> {
         let (_, _, repeatable) = self.sent()?;
-        let runs: Vec<&&Record> =
+        let claims: Vec<&&Record> =
             self.records.iter().filter(|r| matches!(r.event, Event::StateClaimed { .. })).collect();
         if repeatable {
             return None;
         }
-        if let Some(second) = runs.get(1) {
-            let what = format!("run again at {}", second.source);
-            return Some(self.violation(Invariant::AtMostOnce, second.at, what));
+        if let Some(second) = claims.get(1) {
+            let detail = format!("run again at {}", second.source);
+            return Some(self.violation(Invariant::AtMostOnce, second.at, detail));
         }
-        let refused = self.records.iter().find(|r| match r.event {
-            Event::Answered { status, .. } => REFUSALS.contains(&status),
+        let rejected = self.records.iter().find(|r| match r.event {
+            Event::Answered { status, .. } => REJECTION_STATUSES.contains(&status),
             _ => false,
         })?;
-        let what = match runs.first() {
-            Some(run) => format!("refused, and run at {}", run.source),
-            None => format!("refused, and still at {}", self.server_at_work_after(refused.at + END_SLACK)?),
+        let detail = match claims.first() {
+            Some(claim) => format!("refused, and run at {}", claim.source),
+            None => {
+                format!("refused, and still at {}", self.server_at_work_after(rejected.at + WORK_END_SLACK)?)
+            }
         };
-        Some(self.violation(Invariant::RejectionIsTrue, refused.at, what))
+        Some(self.violation(Invariant::RejectionIsTrue, rejected.at, detail))
     }
 
     /// An engine that worked on an attempt then, or began to later.
     fn server_at_work_after(&self, at: Micros) -> Option<&'a str> {
         let delivered = self.records.iter().filter(|record| matches!(record.event, Event::Delivered { .. }));
-        let still_runs = |begun: &&&'a Record| {
+        let still_runs = |delivery: &&&'a Record| {
             let is_end = |record: &&&'a Record| {
                 let ends = matches!(record.event, Event::Ended { .. });
-                ends && record.source == begun.source && record.at >= begun.at
+                ends && record.source == delivery.source && record.at >= delivery.at
             };
             self.records.iter().find(is_end).is_none_or(|end| end.at > at)
         };
@@ -350,9 +363,9 @@
 
 /// How many attempts of a stage engines took for a request.
 pub fn attempts_delivered(records: &[Record], request: &str, stage: Stage) -> usize {
-    let fits = |record: &&Record| {
+    let is_delivery = |record: &&Record| {
         record.event.request() == request
-            && matches!(record.event, Event::Delivered { stage: of, .. } if of == stage)
+            && matches!(record.event, Event::Delivered { stage: delivered_stage, .. } if delivered_stage == stage)
     };
-    records.iter().filter(fits).count()
+    records.iter().filter(is_delivery).count()
 }
--- a/fault-tests/src/lateness.rs
+++ b/fault-tests/src/lateness.rs
@@ -17,15 +17,15 @@
 use crate::clock::{self, Micros, MILLISECOND};
 
 /// How often either clock ticks.
-const TICK: Duration = Duration::from_millis(1);
+const TICK_INTERVAL: Duration = Duration::from_millis(1);
 /// Ticks of the thread between two looks at the gateways.
-const TICKS_PER_LOOK: u64 = 10;
+const TICKS_PER_SAMPLE: u64 = 10;
 /// Lateness from which on a tick is kept with its time.
-const NOTABLE: Micros = 10 * MILLISECOND;
+const NOTABLE_LATENESS: Micros = 10 * MILLISECOND;
 
 /// What was late.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ticker {
+pub enum LatenessSource {
     /// A thread that only sleeps.
     Thread,
     /// A timer of the runtime.
@@ -38,8 +38,8 @@
 
 /// Something that came late.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LateTick {
-    pub ticker: Ticker,
+pub struct LatenessSample {
+    pub source: LatenessSource,
     /// When it came, or was looked at.
     pub at: Micros,
     pub late_by: Micros,
@@ -57,41 +57,42 @@
     /// The longest that a process took to begin.
     pub process_start: Micros,
     /// All ticks that were notably late, in order.
-    pub late_ticks: Vec<LateTick>,
+    pub late_samples: Vec<LatenessSample>,
 }
 
 impl Lateness {
     /// Notes a tick that came then, so much later than it was due.
-    pub fn note(&mut self, tick: LateTick) {
-        let worst = match tick.ticker {
-            Ticker::Thread => &mut self.thread_stall,
-            Ticker::Timer => &mut self.timer_lateness,
-            Ticker::Gateway(_) => &mut self.gateway_wait,
-            Ticker::Start(_) => &mut self.process_start,
+    pub fn note(&mut self, sample: LatenessSample) {
+        let worst = match sample.source {
+            LatenessSource::Thread => &mut self.thread_stall,
+            LatenessSource::Timer => &mut self.timer_lateness,
+            LatenessSource::Gateway(_) => &mut self.gateway_wait,
+            LatenessSource::Start(_) => &mut self.process_start,
         };
-        *worst = tick.late_by.max(*worst);
-        if tick.late_by >= NOTABLE {
-            self.late_ticks.push(tick);
+        *worst = sample.late_by.max(*worst);
+        if sample.late_by >= NOTABLE_LATENESS {
+            self.late_samples.push(sample);
         }
     }
 
     /// Notably late ticks whose lateness falls between two moments.
-    pub fn between(&self, from: Micros, until: Micros) -> Vec<LateTick> {
-        let overlaps = |tick: &&LateTick| tick.at >= from && tick.at.saturating_sub(tick.late_by) <= until;
-        self.late_ticks.iter().filter(overlaps).cloned().collect()
+    pub fn between(&self, from: Micros, until: Micros) -> Vec<LatenessSample> {
+        let overlaps =
+            |sample: &&LatenessSample| sample.at >= from && sample.at.saturating_sub(sample.late_by) <= until;
+        self.late_samples.iter().filter(overlaps).cloned().collect()
     }
 }
 
-impl fmt::Display for LateTick {
+impl fmt::Display for LatenessSample {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (late_by, at) = (self.late_by / MILLISECOND, self.at);
-        match &self.ticker {
-            Ticker::Thread => write!(f, "a thread stood still for {late_by} ms up to {at} us"),
-            Ticker::Timer => write!(f, "a timer was late for {late_by} ms up to {at} us"),
-            Ticker::Gateway(name) => {
+        match &self.source {
+            LatenessSource::Thread => write!(f, "a thread stood still for {late_by} ms up to {at} us"),
+            LatenessSource::Timer => write!(f, "a timer was late for {late_by} ms up to {at} us"),
+            LatenessSource::Gateway(name) => {
                 write!(f, "{name} waited for a processor for {late_by} ms, seen at {at} us")
             }
-            Ticker::Start(name) => write!(f, "{name} took {late_by} ms to begin, up to {at} us"),
+            LatenessSource::Start(name) => write!(f, "{name} took {late_by} ms to begin, up to {at} us"),
         }
     }
 }
@@ -106,8 +107,8 @@
             self.timer_lateness / MILLISECOND,
             self.gateway_wait / MILLISECOND,
             self.process_start / MILLISECOND,
-            self.late_ticks.len(),
-            NOTABLE / MILLISECOND
+            self.late_samples.len(),
+            NOTABLE_LATENESS / MILLISECOND
         )
     }
 }
@@ -116,58 +117,58 @@
 #[derive(Debug)]
 struct WatchedGateway {
     name: String,
-    process: u32,
-    waited: Micros,
+    pid: u32,
+    total_wait: Micros,
 }
 
 /// Measures lateness until it is dropped.
 #[derive(Debug)]
-pub struct LatenessWatch {
+pub struct LatenessMonitor {
     lateness: Arc<Mutex<Lateness>>,
     gateways: Arc<Mutex<Vec<WatchedGateway>>>,
     is_stopped: Arc<AtomicBool>,
     timer: JoinHandle<()>,
 }
 
-impl LatenessWatch {
+impl LatenessMonitor {
     /// Starts both clocks; needs a tokio runtime.
-    pub fn start() -> LatenessWatch {
+    pub fn start() -> LatenessMonitor {
         let lateness = Arc::<Mutex<Lateness>>::default();
         let gateways = Arc::<Mutex<Vec<WatchedGateway>>>::default();
         let is_stopped = Arc::<AtomicBool>::default();
-        let (noted, watched, stopped) = (lateness.clone(), gateways.clone(), is_stopped.clone());
-        thread::spawn(move || tick_and_look(&noted, &watched, &stopped));
-        let noted = lateness.clone();
+        let (measured, watched, stopped) = (lateness.clone(), gateways.clone(), is_stopped.clone());
+        thread::spawn(move || tick_and_sample(&measured, &watched, &stopped));
+        let measured = lateness.clone();
         let timer = tokio::spawn(async move {
             loop {
                 let began = clock::now();
-                tokio::time::sleep(TICK).await;
-                note_tick(&noted, Ticker::Timer, began);
+                tokio::time::sleep(TICK_INTERVAL).await;
+                note_tick(&measured, LatenessSource::Timer, began);
             }
         });
-        LatenessWatch { lateness, gateways, is_stopped, timer }
+        LatenessMonitor { lateness, gateways, is_stopped, timer }
     }
 
     /// Looks at this process of a gateway, too, until it has ended.
-    pub fn watch_gateway(&self, name: &str, process: u32) {
-        let gateway = WatchedGateway { name: name.to_string(), process, waited: 0 };
+    pub fn watch_gateway(&self, name: &str, pid: u32) {
+        let gateway = WatchedGateway { name: name.to_string(), pid, total_wait: 0 };
         lock(&self.gateways).push(gateway);
     }
 
     /// Notes that a process has begun now whose start was asked for then.
-    pub fn note_start(&self, name: &str, asked_at: Micros) {
+    pub fn note_start(&self, name: &str, requested_at: Micros) {
         let at = clock::now();
-        let ticker = Ticker::Start(name.to_string());
-        lock(&self.lateness).note(LateTick { ticker, at, late_by: at.saturating_sub(asked_at) });
+        let source = LatenessSource::Start(name.to_string());
+        lock(&self.lateness).note(LatenessSample { source, at, late_by: at.saturating_sub(requested_at) });
     }
 
     /// How late it has been so far.
-    pub fn so_far(&self) -> Lateness {
+    pub fn snapshot(&self) -> Lateness {
         lock(&self.lateness).clone()
     }
 }
 
-impl Drop for LatenessWatch {
+impl Drop for LatenessMonitor {
     fn drop(&mut self) {
         self.is_stopped.store(true, Ordering::Relaxed);
         self.timer.abort();
@@ -179,40 +180,42 @@
 }
 
 /// What the thread does until it is stopped.
-fn tick_and_look(lateness: &Mutex<Lateness>, gateways: &Mutex<Vec<WatchedGateway>>, is_stopped: &AtomicBool) {
+fn tick_and_sample(
+    lateness: &Mutex<Lateness>, gateways: &Mutex<Vec<WatchedGateway>>, is_stopped: &AtomicBool,
+) {
     let mut ticks = 0;
     while !is_stopped.load(Ordering::Relaxed) {
         let began = clock::now();
-        thread::sleep(TICK);
-        note_tick(lateness, Ticker::Thread, began);
+        thread::sleep(TICK_INTERVAL);
+        note_tick(lateness, LatenessSource::Thread, began);
         ticks += 1;
-        if ticks % TICKS_PER_LOOK == 0 {
-            lock(gateways).retain_mut(|gateway| look_at(gateway, lateness));
+        if ticks % TICKS_PER_SAMPLE == 0 {
+            lock(gateways).retain_mut(|gateway| sample_gateway(gateway, lateness));
         }
     }
 }
 
 /// Notes a tick that comes now, of a sleep that began then.
-fn note_tick(lateness: &Mutex<Lateness>, ticker: Ticker, began: Micros) {
+fn note_tick(lateness: &Mutex<Lateness>, source: LatenessSource, began: Micros) {
     let at = clock::now();
-    let late_by = at.saturating_sub(began + TICK.as_micros() as Micros);
-    lock(lateness).note(LateTick { ticker, at, late_by });
+    let late_by = at.saturating_sub(began + TICK_INTERVAL.as_micros() as Micros);
+    lock(lateness).note(LatenessSample { source, at, late_by });
 }
 
 /// Notes how long a gateway has waited for a processor since the last look; says whether its process is still there.
-fn look_at(gateway: &mut WatchedGateway, lateness: &Mutex<Lateness>) -> bool {
-    let Some(waited) = processor_wait(gateway.process) else { return false };
-    let late_by = waited.saturating_sub(gateway.waited);
-    gateway.waited = waited;
-    let ticker = Ticker::Gateway(gateway.name.clone());
-    lock(lateness).note(LateTick { ticker, at: clock::now(), late_by });
+fn sample_gateway(gateway: &mut WatchedGateway, lateness: &Mutex<Lateness>) -> bool {
+    let Some(waited) = processor_wait(gateway.pid) else { return false };
+    let late_by = waited.saturating_sub(gateway.total_wait);
+    gateway.total_wait = waited;
+    let source = LatenessSource::Gateway(gateway.name.clone());
+    lock(lateness).note(LatenessSample { source, at: clock::now(), late_by });
     true
 }
 
 /// How long a process of one thread has waited for a processor while it could have run.
-fn processor_wait(process: u32) -> Option<Micros> {
+fn processor_wait(pid: u32) -> Option<Micros> {
     // The kernel writes the time on a processor, the time of waiting for one, both in nanoseconds, and how often it ran.
-    let figures = fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
-    let waited: u64 = figures.split_whitespace().nth(1)?.parse().ok()?;
-    Some(waited / 1_000)
+    let schedstat = fs::read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
+    let wait_ns: u64 = schedstat.split_whitespace().nth(1)?.parse().ok()?;
+    Some(wait_ns / 1_000)
 }
--- a/fault-tests/src/network.rs
+++ b/fault-tests/src/network.rs
@@ -21,10 +21,10 @@
 /// Connections that may wait to be accepted on a link that is well.
 const BACKLOG: i32 = 128;
 /// A dial that takes longer than this finds the queue full.
-const FULL_AFTER: Duration = Duration::from_millis(20);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 /// Most connections with which a link's queue is filled so that no further one comes up.
-const MOST_FILLING: usize = 8;
-const BUFFER: usize = 64 << 10;
+const MAX_FILLER_CONNECTIONS: usize = 8;
+const BUFFER_BYTES: usize = 64 << 10;
 
 /// How a link treats what passes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// What becomes of a connection that is begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reception {
+enum ConnectOutcome {
     Accepted,
     /// It never comes up.
     Unconnectable,
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct State {
+struct LinkState {
     condition: Condition,
     /// Connections older than this one are silent for good.
     stalled_below: u64,
@@ -55,23 +55,23 @@
     reset_below: u64,
     delay: Duration,
     /// The engine's process is gone.
-    engine_gone: bool,
+    engine_down: bool,
     /// How often the listener was shut down.
     shutdowns: u64,
 }
 
-impl State {
+impl LinkState {
     /// What becomes of a connection that is begun now.
-    fn reception(&self) -> Reception {
+    fn connect_outcome(&self) -> ConnectOutcome {
         match self.condition {
-            Condition::Unconnectable => Reception::Unconnectable,
+            Condition::Unconnectable => ConnectOutcome::Unconnectable,
             // Only a machine that can be reached refuses for a process that is gone.
-            Condition::Open if self.engine_gone => Reception::Refused,
-            Condition::Open | Condition::Blackholed => Reception::Accepted,
+            Condition::Open if self.engine_down => ConnectOutcome::Refused,
+            Condition::Open | Condition::Blackholed => ConnectOutcome::Accepted,
         }
     }
 
-    fn passes(&self, connection: u64) -> bool {
+    fn is_passable(&self, connection: u64) -> bool {
         self.condition == Condition::Open && connection >= self.stalled_below
     }
 }
@@ -81,19 +81,19 @@
 pub struct Link {
     pub name: String,
     pub address: SocketAddr,
-    state: watch::Sender<State>,
+    state: watch::Sender<LinkState>,
     listener: Arc<StdListener>,
     /// Keeps the address while nothing listens at it.
     _reservation: Arc<Socket>,
-    next: Arc<Mutex<u64>>,
-    filling: Arc<Mutex<Filling>>,
+    next_connection: Arc<Mutex<u64>>,
+    fillers: Arc<Mutex<FillerConnections>>,
     /// So long after the next attempt has come, what stands falls silent.
     stall_after_attempt: Arc<Mutex<Option<Duration>>>,
 }
 
 /// Connections of the link's own that fill its queue.
 #[derive(Default)]
-struct Filling {
+struct FillerConnections {
     open: Vec<StdStream>,
     addresses: BTreeSet<SocketAddr>,
 }
@@ -110,11 +110,11 @@
         let link = Link {
             name: name.to_string(),
             address,
-            state: watch::Sender::new(State::default()),
+            state: watch::Sender::new(LinkState::default()),
             listener: Arc::new(socket.into()),
             _reservation: Arc::new(reservation),
-            next: Arc::default(),
-            filling: Arc::default(),
+            next_connection: Arc::default(),
+            fillers: Arc::default(),
             stall_after_attempt: Arc::default(),
         };
         tokio::spawn(link.clone().accept(engine, records));
@@ -123,34 +123,34 @@
 
     /// Has the link treat everything like this from now on.
     pub fn set(&self, condition: Condition) {
-        self.change(|state| state.condition = condition);
+        self.update(|state| state.condition = condition);
     }
 
     /// The engine's process is gone: its connections are reset and new ones refused, unless the way to its machine is cut.
-    pub fn engine_gone(&self) {
+    pub fn mark_engine_down(&self) {
         let is_open = self.state.borrow().condition == Condition::Open;
-        self.change(|state| state.engine_gone = true);
+        self.update(|state| state.engine_down = true);
         if is_open {
             self.reset();
         }
     }
 
     /// The engine's process listens again.
-    pub fn engine_back(&self) {
-        self.change(|state| state.engine_gone = false);
+    pub fn mark_engine_up(&self) {
+        self.update(|state| state.engine_down = false);
     }
 
-    fn change(&self, how: impl FnOnce(&mut State)) {
+    fn update(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(|state| {
-            how(state);
-            state.shutdowns += u64::from(state.reception() == Reception::Refused);
+            change(state);
+            state.shutdowns += u64::from(state.connect_outcome() == ConnectOutcome::Refused);
         });
-        let reception = self.state.borrow().reception();
-        match reception {
-            Reception::Accepted => self.empty(),
-            Reception::Unconnectable => self.fill(),
-            Reception::Refused => {
-                self.filling().open.clear();
+        let connect_outcome = self.state.borrow().connect_outcome();
+        match connect_outcome {
+            ConnectOutcome::Accepted => self.restore_accept_queue(),
+            ConnectOutcome::Unconnectable => self.fill_accept_queue(),
+            ConnectOutcome::Refused => {
+                self.lock_fillers().open.clear();
                 // What waits to be accepted is reset.
                 let _ = SockRef::from(&*self.listener).shutdown(Shutdown::Both);
             }
@@ -159,7 +159,7 @@
 
     /// Has every connection that stands now silent for good, with no error.
     pub fn stall_open_connections(&self) {
-        let next = *self.next.lock().unwrap_or_else(PoisonError::into_inner);
+        let next = *self.next_connection.lock().unwrap_or_else(PoisonError::into_inner);
         self.state.send_modify(|state| state.stalled_below = next);
     }
 
@@ -168,7 +168,7 @@
         *self.stall_after_attempt.lock().unwrap_or_else(PoisonError::into_inner) = pause;
     }
 
-    fn attempt_came(&self) {
+    fn on_attempt(&self) {
         match self.stall_after_attempt.lock().unwrap_or_else(PoisonError::into_inner).take() {
             None => {}
             Some(Duration::ZERO) => self.stall_open_connections(),
@@ -184,88 +184,89 @@
 
     /// Resets every connection that stands now.
     pub fn reset(&self) {
-        let next = *self.next.lock().unwrap_or_else(PoisonError::into_inner);
+        let next = *self.next_connection.lock().unwrap_or_else(PoisonError::into_inner);
         self.state.send_modify(|state| state.reset_below = next);
     }
 
     /// Whatever passes is late by so much.
-    pub fn delay(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.state.send_modify(|state| state.delay = delay);
     }
 
-    fn fill(&self) {
+    fn fill_accept_queue(&self) {
         // The machine lets one more in than the queue is told to hold.
         if SockRef::from(&*self.listener).listen(0).is_err() {
             return;
         }
-        let mut filling = self.filling();
-        for _ in 0..MOST_FILLING {
-            let Ok(socket) = StdStream::connect_timeout(&self.address, FULL_AFTER) else { return };
-            filling.addresses.extend(socket.local_addr());
-            filling.open.push(socket);
+        let mut fillers = self.lock_fillers();
+        for _ in 0..MAX_FILLER_CONNECTIONS {
+            let Ok(socket) = StdStream::connect_timeout(&self.address, CONNECT_TIMEOUT) else { return };
+            fillers.addresses.extend(socket.local_addr());
+            fillers.open.push(socket);
         }
     }
 
-    fn empty(&self) {
+    fn restore_accept_queue(&self) {
         // A link that cannot be listened on again shows as one that stays down.
         let _ = SockRef::from(&*self.listener).listen(BACKLOG);
-        self.filling().open.clear();
+        self.lock_fillers().open.clear();
     }
 
-    fn filling(&self) -> MutexGuard<'_, Filling> {
-        self.filling.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_fillers(&self) -> MutexGuard<'_, FillerConnections> {
+        self.fillers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn is_filling(&self, address: SocketAddr) -> bool {
-        self.filling().addresses.remove(&address)
+    fn remove_filler(&self, address: SocketAddr) -> bool {
+        self.lock_fillers().addresses.remove(&address)
     }
 
     async fn accept(self, engine: SocketAddr, records: Records) {
         let mut state = self.state.subscribe();
-        while let Some(former) = accepting_again(&mut state).await {
-            if former == Reception::Unconnectable {
+        while let Some(previous) = wait_until_accepting(&mut state).await {
+            if previous == ConnectOutcome::Unconnectable {
                 reset_all(&self.listener);
             }
             // A listener that was shut down stays closed to the runtime, also once it listens again.
             let Ok(listener) = self.listener.try_clone().and_then(TcpListener::from_std) else { return };
             let shutdowns = state.borrow().shutdowns;
-            let is_accepting =
-                |state: &State| state.reception() == Reception::Accepted && state.shutdowns == shutdowns;
+            let is_accepting = |state: &LinkState| {
+                state.connect_outcome() == ConnectOutcome::Accepted && state.shutdowns == shutdowns
+            };
             while is_accepting(&state.borrow_and_update()) {
                 let accepted = tokio::select! {
                     accepted = listener.accept() => accepted,
                     _ = state.changed() => continue,
                 };
                 if let Ok((socket, from)) = accepted {
-                    self.carry(socket, from, engine, &records);
+                    self.proxy_connection(socket, from, engine, &records);
                 }
             }
         }
     }
 
-    fn carry(&self, socket: TcpStream, from: SocketAddr, engine: SocketAddr, records: &Records) {
-        if self.is_filling(from) {
+    fn proxy_connection(&self, socket: TcpStream, from: SocketAddr, engine: SocketAddr, records: &Records) {
+        if self.remove_filler(from) {
             return;
         }
         let connection = {
-            let mut next = self.next.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut next = self.next_connection.lock().unwrap_or_else(PoisonError::into_inner);
             *next += 1;
             *next - 1
         };
         let link = self.clone();
-        let attempt_came = move || link.attempt_came();
-        let sighting = AttemptObserver::new(records.clone(), &self.name, connection, attempt_came);
-        tokio::spawn(carry(socket, engine, self.state.subscribe(), connection, sighting));
+        let on_attempt = move || link.on_attempt();
+        let observer = AttemptObserver::new(records.clone(), &self.name, connection, on_attempt);
+        tokio::spawn(proxy(socket, engine, self.state.subscribe(), connection, observer));
     }
 }
 
 /// Waits until connections are accepted; gives what became of them last before that, or nothing once the link is gone.
-async fn accepting_again(state: &mut watch::Receiver<State>) -> Option<Reception> {
-    let mut former = Reception::Accepted;
+async fn wait_until_accepting(state: &mut watch::Receiver<LinkState>) -> Option<ConnectOutcome> {
+    let mut previous = ConnectOutcome::Accepted;
     loop {
-        match state.borrow_and_update().reception() {
-            Reception::Accepted => return Some(former),
-            other => former = other,
+        match state.borrow_and_update().connect_outcome() {
+            ConnectOutcome::Accepted => return Some(previous),
+            other => previous = other,
         }
         state.changed().await.ok()?;
     }
@@ -279,65 +280,66 @@
 }
 
 /// Carries one connection until either side ends it, or it is reset.
-async fn carry(
-    gateway: TcpStream, engine: SocketAddr, state: watch::Receiver<State>, connection: u64,
-    sighting: AttemptObserver,
+async fn proxy(
+    gateway: TcpStream, engine: SocketAddr, state: watch::Receiver<LinkState>, connection: u64,
+    attempt_observer: AttemptObserver,
 ) {
     // Small writes are not held back; where that cannot be set they come later.
     let _ = gateway.set_nodelay(true);
-    let Ok(to_reset) = SockRef::from(&gateway).try_clone() else { return };
+    let Ok(reset_handle) = SockRef::from(&gateway).try_clone() else { return };
     let (from_gateway, to_gateway) = gateway.into_split();
     let to_gateway = LinkWriter::new(to_gateway);
     let mut resets = state.clone();
-    let (sender, taken) = mpsc::unbounded_channel();
-    let way = ProxiedConnection { state, connection, observer: Mutex::new(Some(sighting)) };
-    let carried = async {
+    let (sender, received) = mpsc::unbounded_channel();
+    let proxied = ProxiedConnection { state, connection, observer: Mutex::new(Some(attempt_observer)) };
+    let proxying = async {
         // What a gateway sends is seen also while the way to the engine is silent.
-        let takes = async {
-            take(from_gateway, sender, |bytes| way.observe(|sighting| sighting.bytes_passed(bytes))).await;
-            way.stop_observing();
+        let receives = async {
+            receive(from_gateway, sender, |bytes| proxied.observe(|observer| observer.on_request(bytes)))
+                .await;
+            proxied.stop_observing();
         };
-        let passes = async {
-            let waits = !way.passes();
-            match way.connect(engine).await {
+        let forwards = async {
+            let was_blocked = !proxied.is_passable();
+            match proxied.connect(engine).await {
                 // What waited on a silent way arrives together with its connection's end: an engine drops it.
-                Some(_) if waits && taken.is_closed() => {}
-                Some(upstream) => pass(upstream, to_gateway, taken, &way).await,
+                Some(_) if was_blocked && received.is_closed() => {}
+                Some(upstream) => proxy_both_ways(upstream, to_gateway, received, &proxied).await,
                 // The engine refuses: so does the link.
-                None => _ = to_reset.set_linger(Some(Duration::ZERO)),
+                None => _ = reset_handle.set_linger(Some(Duration::ZERO)),
             }
         };
-        tokio::join!(takes, passes);
+        tokio::join!(receives, forwards);
     };
     tokio::select! {
-        () = carried => {}
+        () = proxying => {}
         _ = resets.wait_for(|state| connection < state.reset_below) => {
-            let _ = to_reset.set_linger(Some(Duration::ZERO));
+            let _ = reset_handle.set_linger(Some(Duration::ZERO));
         }
     }
 }
 
 /// Passes bytes both ways between an engine and what a gateway sends.
-async fn pass(
-    upstream: TcpStream, to_gateway: LinkWriter, taken: mpsc::UnboundedReceiver<Vec<u8>>,
-    way: &ProxiedConnection,
+async fn proxy_both_ways(
+    upstream: TcpStream, to_gateway: LinkWriter, received: mpsc::UnboundedReceiver<Vec<u8>>,
+    proxied: &ProxiedConnection,
 ) {
     let _ = upstream.set_nodelay(true);
     let (from_engine, to_engine) = upstream.into_split();
     let to_engine = LinkWriter::new(to_engine);
-    let (sender, answered) = mpsc::unbounded_channel();
+    let (sender, responses) = mpsc::unbounded_channel();
     tokio::join!(
-        give(taken, to_engine, way, || {}),
-        take(from_engine, sender, |_| {}),
-        give(answered, to_gateway, way, || way.observe(AttemptObserver::response_began)),
+        forward(received, to_engine, proxied, || {}),
+        receive(from_engine, sender, |_| {}),
+        forward(responses, to_gateway, proxied, || proxied.observe(AttemptObserver::on_response)),
     );
 }
 
 /// Takes what comes at once, until its end, and shows it.
-async fn take(mut from: OwnedReadHalf, sender: mpsc::UnboundedSender<Vec<u8>>, shows: impl Fn(&[u8])) {
-    let mut buffer = vec![0; BUFFER];
+async fn receive(mut from: OwnedReadHalf, sender: mpsc::UnboundedSender<Vec<u8>>, observe: impl Fn(&[u8])) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(size @ 1..) = from.read(&mut buffer).await {
-        shows(&buffer[..size]);
+        observe(&buffer[..size]);
         if sender.send(buffer[..size].to_vec()).is_err() {
             break;
         }
@@ -345,40 +347,40 @@
 }
 
 /// Gives on what was taken, and its end, once the link lets it pass; says so each time.
-async fn give(
-    mut taken: mpsc::UnboundedReceiver<Vec<u8>>, mut to: LinkWriter, way: &ProxiedConnection,
-    gives: impl Fn(),
+async fn forward(
+    mut received: mpsc::UnboundedReceiver<Vec<u8>>, mut to: LinkWriter, proxied: &ProxiedConnection,
+    on_forward: impl Fn(),
 ) {
-    while let Some(bytes) = taken.recv().await {
-        let waited = !way.passes();
-        let Some(delay) = way.wait_until_passable().await else { return };
+    while let Some(bytes) = received.recv().await {
+        let was_blocked = !proxied.is_passable();
+        let Some(delay) = proxied.wait_until_passable().await else { return };
         // What waited on a silent way arrives together with its connection's end: an engine drops it.
-        if waited && taken.is_closed() {
+        if was_blocked && received.is_closed() {
             break;
         }
         sleep(delay).await;
-        gives();
+        on_forward();
         if to.write(&bytes).await.is_err() {
             return;
         }
     }
-    if way.wait_until_passable().await.is_some() {
+    if proxied.wait_until_passable().await.is_some() {
         to.end().await;
     }
 }
 
 /// What a link does with one of its connections.
 struct ProxiedConnection {
-    state: watch::Receiver<State>,
+    state: watch::Receiver<LinkState>,
     connection: u64,
     /// What is seen on it; gone once the gateway has closed it.
     observer: Mutex<Option<AttemptObserver>>,
 }
 
 impl ProxiedConnection {
-    fn observe(&self, what: impl FnOnce(&mut AttemptObserver)) {
-        if let Some(sighting) = self.observer.lock().unwrap_or_else(PoisonError::into_inner).as_mut() {
-            what(sighting);
+    fn observe(&self, callback: impl FnOnce(&mut AttemptObserver)) {
+        if let Some(observer) = self.observer.lock().unwrap_or_else(PoisonError::into_inner).as_mut() {
+            callback(observer);
         }
     }
 
@@ -386,15 +388,15 @@
         self.observer.lock().unwrap_or_else(PoisonError::into_inner).take();
     }
 
-    fn passes(&self) -> bool {
-        self.state.borrow().passes(self.connection)
+    fn is_passable(&self) -> bool {
+        self.state.borrow().is_passable(self.connection)
     }
 
     /// Until something may pass; gives how late it comes, or nothing once the link is gone.
     async fn wait_until_passable(&self) -> Option<Duration> {
         let mut state = self.state.clone();
-        let passes = state.wait_for(|state| state.passes(self.connection)).await;
-        passes.ok().map(|state| state.delay)
+        let passable = state.wait_for(|state| state.is_passable(self.connection)).await;
+        passable.ok().map(|state| state.delay)
     }
 
     async fn connect(&self, engine: SocketAddr) -> Option<TcpStream> {
--- a/fault-tests/src/persistent_connection.rs
+++ b/fault-tests/src/persistent_connection.rs
@@ -14,26 +14,26 @@
 use crate::clock::{self, Micros};
 use crate::unread;
 
-const READ_SIZE: usize = 16 << 10;
+const READ_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 
 /// One answer as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ClientResponse {
     pub status: u16,
     /// Whether its body came to its end.
     pub complete: bool,
     /// Whether the gateway ends the connection after it.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// How a connection ended on which a request had no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     /// The gateway ended it in order, and has not read the request.
     Unread,
     /// The gateway ended it in order, and has read some of the request.
-    ReadInPart,
+    PartlyRead,
     /// The gateway ended it in order, and has read all of the request.
     Read,
     /// It was reset, so that nothing can be told.
@@ -44,27 +44,27 @@
 
 /// What was written at once, and when. It ends early where the connection ended before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Written {
+pub struct WriteProgress {
     /// Before the first byte was.
-    pub began: Micros,
+    pub began_at: Micros,
     /// Bytes up to the end of each piece, and when that had been written.
     pieces: Vec<(usize, Micros)>,
 }
 
-impl Written {
+impl WriteProgress {
     /// How many bytes have been written.
     pub fn bytes(&self) -> usize {
         self.pieces.last().map_or(0, |(bytes, _)| *bytes)
     }
 
     /// When so many bytes had been written, if they have been.
-    pub fn when(&self, bytes: usize) -> Option<Micros> {
+    pub fn written_at(&self, bytes: usize) -> Option<Micros> {
         self.pieces.iter().find(|(written, _)| *written >= bytes).map(|(_, at)| *at)
     }
 }
 
 /// A connection to a gateway that is used for one request after the other.
-pub struct KeptConnection {
+pub struct PersistentConnection {
     socket: TcpStream,
     address: SocketAddr,
     client_address: SocketAddr,
@@ -73,12 +73,12 @@
     buffer: Vec<u8>,
 }
 
-impl KeptConnection {
-    pub async fn open(address: SocketAddr) -> io::Result<KeptConnection> {
+impl PersistentConnection {
+    pub async fn open(address: SocketAddr) -> io::Result<PersistentConnection> {
         let socket = TcpStream::connect(address).await?;
         socket.set_nodelay(true)?;
         let (connected_at, client_address) = (clock::now(), socket.local_addr()?);
-        Ok(KeptConnection { socket, address, client_address, connected_at, buffer: Vec::new() })
+        Ok(PersistentConnection { socket, address, client_address, connected_at, buffer: Vec::new() })
     }
 
     /// The client's own address, by which the gateway's log names the connection.
@@ -92,7 +92,7 @@
     }
 
     /// A copy of its socket, such as a process has that is being started.
-    pub fn copy_of_socket(&self) -> io::Result<Socket> {
+    pub fn clone_socket(&self) -> io::Result<Socket> {
         SockRef::from(&self.socket).try_clone()
     }
 
@@ -114,9 +114,9 @@
 
     /// Writes these bytes in so many pieces, with pauses between them, until the gateway has ended the connection. An end that
     /// crosses the last piece shows in reading.
-    pub async fn write(&mut self, bytes: &[u8], pieces: usize, pause: Duration) -> Written {
+    pub async fn write(&mut self, bytes: &[u8], pieces: usize, pause: Duration) -> WriteProgress {
         let size = bytes.len().div_ceil(pieces.max(1)).max(1);
-        let mut written = Written { began: clock::now(), pieces: Vec::new() };
+        let mut progress = WriteProgress { began_at: clock::now(), pieces: Vec::new() };
         for (index, piece) in bytes.chunks(size).enumerate() {
             if index > 0 {
                 sleep(pause).await;
@@ -124,46 +124,50 @@
             if self.has_ended() || self.socket.write_all(piece).await.is_err() {
                 break;
             }
-            written.pieces.push((written.bytes() + piece.len(), clock::now()));
+            progress.pieces.push((progress.bytes() + piece.len(), clock::now()));
         }
-        written
+        progress
     }
 
     /// Whether the gateway, which has ended the connection, has read some of these bytes, or may have.
-    pub fn may_have_read_some(&self, written: usize) -> bool {
-        let unread = unread::bytes_at(self.address, self.client_address);
+    pub fn may_be_partly_read(&self, written: usize) -> bool {
+        let unread = unread::unread_bytes_at(self.address, self.client_address);
         written > 0 && !matches!(unread, Ok(Some(unread)) if unread >= written as u64)
     }
 
     /// Reads the next answer to its end; `written` is what has been written for requests without an answer, in bytes.
-    pub async fn answer(&mut self, written: usize) -> Result<Answer, End> {
-        let (status, closes, is_chunked, mut left) = loop {
+    pub async fn read_response(&mut self, written: usize) -> Result<ClientResponse, ConnectionEnd> {
+        let (status, closes_connection, is_chunked, mut remaining) = loop {
             if let Some(head) = self.take_head() {
                 break head;
             }
-            self.fill().await.map_err(|end| self.end(end, written))?;
+            self.read_more().await.map_err(|reset| self.classify_end(reset, written))?;
         };
-        let complete = if is_chunked { self.read_chunks().await } else { self.read_length(&mut left).await };
-        Ok(Answer { status, complete, closes: closes || !complete })
+        let complete = if is_chunked {
+            self.read_chunked_body().await
+        } else {
+            self.read_sized_body(&mut remaining).await
+        };
+        Ok(ClientResponse { status, complete, closes_connection: closes_connection || !complete })
     }
 
     /// What the end of the connection says of a request with no answer.
-    fn end(&self, reset: bool, written: usize) -> End {
+    fn classify_end(&self, reset: bool, written: usize) -> ConnectionEnd {
         if reset {
-            return End::Reset;
+            return ConnectionEnd::Reset;
         }
-        match unread::bytes_at(self.address, self.client_address) {
-            Ok(Some(0)) => End::Read,
-            Ok(Some(unread)) if unread < written as u64 => End::ReadInPart,
-            Ok(Some(_)) => End::Unread,
-            Ok(None) => End::Reset,
-            Err(_) => End::Unknown,
+        match unread::unread_bytes_at(self.address, self.client_address) {
+            Ok(Some(0)) => ConnectionEnd::Read,
+            Ok(Some(unread)) if unread < written as u64 => ConnectionEnd::PartlyRead,
+            Ok(Some(_)) => ConnectionEnd::Unread,
+            Ok(None) => ConnectionEnd::Reset,
+            Err(_) => ConnectionEnd::Unknown,
         }
     }
 
     /// Reads more; an error says whether the connection was reset.
-    async fn fill(&mut self) -> Result<(), bool> {
-        let mut bytes = [0; READ_SIZE];
+    async fn read_more(&mut self) -> Result<(), bool> {
+        let mut bytes = [0; READ_BYTES];
         match self.socket.read(&mut bytes).await {
             Ok(0) => Err(false),
             Err(_) => Err(true),
@@ -184,25 +188,25 @@
             let found = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
             std::str::from_utf8(found.value).ok()
         };
-        let closes = value("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        let closes_connection = value("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         let is_chunked = value("transfer-encoding").is_some();
         let length = value("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
         self.buffer.drain(..size);
-        Some((status, closes, is_chunked, length))
+        Some((status, closes_connection, is_chunked, length))
     }
 
-    async fn read_length(&mut self, left: &mut usize) -> bool {
-        while self.buffer.len() < *left {
-            if self.fill().await.is_err() {
+    async fn read_sized_body(&mut self, remaining: &mut usize) -> bool {
+        while self.buffer.len() < *remaining {
+            if self.read_more().await.is_err() {
                 return false;
             }
         }
-        self.buffer.drain(..*left);
+        self.buffer.drain(..*remaining);
         true
     }
 
     /// Reads chunks up to the last one; false where the body breaks off.
-    async fn read_chunks(&mut self) -> bool {
+    async fn read_chunked_body(&mut self) -> bool {
         loop {
             let chunk = match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete((head, size))) => Some((head, size as usize)),
@@ -218,7 +222,7 @@
                     }
                 }
                 _ => {
-                    if self.fill().await.is_err() {
+                    if self.read_more().await.is_err() {
                         return false;
                     }
                 }
--- a/fault-tests/src/process.rs
+++ b/fault-tests/src/process.rs
@@ -14,7 +14,7 @@
 pub struct Process {
     /// The process as its parent has it.
     pub child: Child,
-    signals: SignalTarget,
+    signal_target: SignalTarget,
 }
 
 /// Sends signals to one process, from any task.
@@ -30,22 +30,23 @@
 
 impl Process {
     /// Starts the process; `what` names it where that fails.
-    pub fn start(command: &mut Command, what: &str) -> Result<Process, DeploymentError> {
-        let started = command.kill_on_drop(true).spawn();
-        let child = started.map_err(|why| DeploymentError::Start { what: what.to_string(), why })?;
+    pub fn start(command: &mut Command, component: &str) -> Result<Process, DeploymentError> {
+        let spawned = command.kill_on_drop(true).spawn();
+        let child =
+            spawned.map_err(|error| DeploymentError::Start { component: component.to_string(), error })?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        let pid = pid.ok_or_else(|| DeploymentError::NotReady(what.to_string()))?;
-        Ok(Process { child, signals: SignalTarget(pid) })
+        let pid = pid.ok_or_else(|| DeploymentError::NotReady(component.to_string()))?;
+        Ok(Process { child, signal_target: SignalTarget(pid) })
     }
 
     /// Signals the process, if it still runs.
     pub fn signal(&self, signal: Signal) {
-        self.signals.signal(signal);
+        self.signal_target.signal(signal);
     }
 
     /// For signals that must not wait for whoever holds the process.
     pub fn signal_target(&self) -> SignalTarget {
-        self.signals
+        self.signal_target
     }
 
     /// Kills the process and waits until it is gone, and its listener with it.
--- a/fault-tests/src/record.rs
+++ b/fault-tests/src/record.rs
@@ -63,9 +63,11 @@
     /// The gateway closed a client's connection with no answer.
     Unanswered { request: String },
     /// The gateway closed a client's connection before the whole request was written on it, and has read some of it.
-    EndedInPart { request: String },
+    #[serde(rename = "ended_in_part")]
+    ClosedPartlyRead { request: String },
     /// The gateway closed a client's connection in order and has not read the request: its client sends it again elsewhere.
-    NotTaken { request: String },
+    #[serde(rename = "not_taken")]
+    ClosedUnread { request: String },
     /// The request was written behind another one, before that one was answered; it counts as sent once it has been.
     Pipelined { request: String },
     /// A gateway was told to end (SIGTERM or SIGINT).
@@ -99,8 +101,8 @@
             | Event::ClientDisconnected { request }
             | Event::Answered { request, .. }
             | Event::Unanswered { request }
-            | Event::EndedInPart { request }
-            | Event::NotTaken { request }
+            | Event::ClosedPartlyRead { request }
+            | Event::ClosedUnread { request }
             | Event::Pipelined { request } => request,
             Event::GatewayTerminated
             | Event::GatewayPaused
@@ -127,8 +129,8 @@
 
 impl Records {
     /// Adds what happens now.
-    pub fn add(&self, place: &str, event: Event) {
-        self.push(Record { at: clock::now(), source: place.to_string(), event });
+    pub fn add(&self, source: &str, event: Event) {
+        self.push(Record { at: clock::now(), source: source.to_string(), event });
     }
 
     /// Adds what was recorded elsewhere.
@@ -144,8 +146,8 @@
     }
 
     /// How many records of one request fit.
-    pub fn count(&self, request: &str, fits: impl Fn(&Event) -> bool) -> usize {
+    pub fn count(&self, request: &str, predicate: impl Fn(&Event) -> bool) -> usize {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        all.iter().filter(|r| r.event.request() == request && fits(&r.event)).count()
+        all.iter().filter(|r| r.event.request() == request && predicate(&r.event)).count()
     }
 }
--- a/fault-tests/src/report.rs
+++ b/fault-tests/src/report.rs
@@ -7,17 +7,17 @@
 use crate::clock::Micros;
 use crate::deployment::Deployment;
 use crate::invariants::Violation;
-use crate::lateness::{LateTick, Lateness};
+use crate::lateness::{Lateness, LatenessSample};
 use crate::record::{Event, Record};
 use crate::restarts::Restart;
 use crate::sessions::Outcomes;
 
 /// What the gateways' logs say in this time before the first violation is reported.
-const LOG_BEFORE: Duration = Duration::from_millis(500);
+const LOG_WINDOW: Duration = Duration::from_millis(500);
 
 /// Nine in ten restarted gateways are ready within this time.
-const READY_IN_TIME: Duration = Duration::from_secs(10);
-const READY_SHARE: usize = 10;
+const READY_TARGET: Duration = Duration::from_secs(10);
+const RESTARTS_PER_SLOW_RESTART: usize = 10;
 
 /// What a run of one seed gave.
 #[derive(Debug, Default)]
@@ -41,20 +41,20 @@
 
 impl Report {
     pub fn passed(&self) -> bool {
-        let slow = self.restarts.iter().filter(|restart| restart.ready_after > READY_IN_TIME).count();
-        let ready_in_time = slow * READY_SHARE <= self.restarts.len();
-        self.violations.is_empty() && self.reported_violations.is_empty() && ready_in_time
+        let slow_restarts = self.restarts.iter().filter(|restart| restart.ready_after > READY_TARGET).count();
+        let meets_ready_target = slow_restarts * RESTARTS_PER_SLOW_RESTART <= self.restarts.len();
+        self.violations.is_empty() && self.reported_violations.is_empty() && meets_ready_target
     }
 
     /// What was latest in the time before a violation of which the log is printed, too.
-    fn worst_before(&self, violation: &Violation) -> Option<LateTick> {
-        let from = violation.at.saturating_sub(LOG_BEFORE.as_micros() as Micros);
-        self.lateness.between(from, violation.at).into_iter().max_by_key(|tick| tick.late_by)
+    fn latest_before(&self, violation: &Violation) -> Option<LatenessSample> {
+        let from = violation.at.saturating_sub(LOG_WINDOW.as_micros() as Micros);
+        self.lateness.between(from, violation.at).into_iter().max_by_key(|sample| sample.late_by)
     }
 
     /// Whether a gateway has counted a break of its own about this violation's request.
     pub fn is_counted(&self, violation: &Violation) -> bool {
-        self.reported_violations.iter().any(|line| names(line, &violation.request))
+        self.reported_violations.iter().any(|line| contains_word(line, &violation.request))
     }
 }
 
@@ -87,13 +87,13 @@
             return Ok(());
         }
         self.restarts.iter().try_for_each(|restart| writeln!(f, "  restart: {restart:?}"))?;
-        self.faults.iter().try_for_each(|draw| writeln!(f, "  drawn: {draw}"))?;
+        self.faults.iter().try_for_each(|fault| writeln!(f, "  drawn: {fault}"))?;
         for violation in &self.violations {
             let counted =
                 if self.is_counted(violation) { "counted by a gateway" } else { "counted by no gateway" };
             write!(f, "  broken: {violation} ({counted})")?;
-            match self.worst_before(violation) {
-                Some(tick) => writeln!(f, "; shortly before, {tick}")?,
+            match self.latest_before(violation) {
+                Some(sample) => writeln!(f, "; shortly before, {sample}")?,
                 None => writeln!(f)?,
             }
         }
@@ -104,21 +104,23 @@
 
 /// What is known of a violation: the records of its request and of the gateways' ends, what the gateways' logs say of the
 /// request, of its client's connection and around that time, and how late the run was then.
-pub fn evidence_of(
+pub fn collect_evidence(
     violation: &Violation, records: &[Record], deployment: &Deployment, lateness: &Lateness,
 ) -> Vec<String> {
     // The ends of gateways are about no request.
     let concerns = |request: &str| request == violation.request || request.is_empty();
     let of_request = records.iter().filter(|record| concerns(record.event.request()));
-    let seen = of_request.map(|record| serde_json::to_string(record).unwrap_or_default());
+    let record_lines = of_request.map(|record| serde_json::to_string(record).unwrap_or_default());
     let begun_at = records.iter().find(|record| record.event.request() == violation.request);
-    let log_from = violation.at.saturating_sub(LOG_BEFORE.as_micros() as Micros);
+    let log_from = violation.at.saturating_sub(LOG_WINDOW.as_micros() as Micros);
     let from = begun_at.map_or(log_from, |record| record.at.min(log_from));
-    let late = lateness.between(from, violation.at).into_iter().map(|tick| format!("the run itself: {tick}"));
-    seen.chain(deployment.log_lines(&violation.request))
+    let lateness_lines =
+        lateness.between(from, violation.at).into_iter().map(|sample| format!("the run itself: {sample}"));
+    record_lines
+        .chain(deployment.log_lines(&violation.request))
         .chain(connection_log(&violation.request, records, deployment))
         .chain(deployment.log_between(log_from, violation.at))
-        .chain(late)
+        .chain(lateness_lines)
         .collect()
 }
 
@@ -129,15 +131,15 @@
         _ => None,
     });
     let Some(client) = client else { return Vec::new() };
-    deployment.log_lines(&client).into_iter().filter(|line| names(line, &client)).collect()
+    deployment.log_lines(&client).into_iter().filter(|line| contains_word(line, &client)).collect()
 }
 
 /// Whether a line has this name as a whole word; both `25f1-e` and `127.0.0.1:400` begin longer names.
-fn names(line: &str, name: &str) -> bool {
-    let is_part_of_name = |character: char| character.is_ascii_alphanumeric() || character == '-';
-    line.match_indices(name).any(|(at, _)| {
+fn contains_word(line: &str, word: &str) -> bool {
+    let is_word_character = |character: char| character.is_ascii_alphanumeric() || character == '-';
+    line.match_indices(word).any(|(at, _)| {
         let before = line[..at].chars().next_back();
-        let after = line[at + name.len()..].chars().next();
-        !before.is_some_and(is_part_of_name) && !after.is_some_and(is_part_of_name)
+        let after = line[at + word.len()..].chars().next();
+        !before.is_some_and(is_word_character) && !after.is_some_and(is_word_character)
     })
 }
--- a/fault-tests/src/restarts.rs
+++ b/fault-tests/src/restarts.rs
@@ -14,19 +14,19 @@
 use crate::record::Event;
 
 /// The platform's kill comes so long after SIGTERM: the longest deadline, counted as 3 s where it is longer, and 0.7 s.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
 /// New connections come for so long after SIGTERM (ms).
-const STILL_ADMITTED: std::ops::Range<u64> = 200..400;
+const ADMITTED_AFTER_SIGTERM_MS: std::ops::Range<u64> = 200..400;
 /// The least and the most pause between two restarts (ms).
-const BETWEEN: std::ops::Range<u64> = 300..1_500;
+const RESTART_PAUSE_MS: std::ops::Range<u64> = 300..1_500;
 /// Share of the ends that are planned; the others are kills.
-const PLANNED: f64 = 0.8;
+const PLANNED_SHARE: f64 = 0.8;
 /// Share of the planned ends beside which further signals come, most of them, and when they come (ms).
-const SERIES: f64 = 0.6;
+const SIGNAL_SERIES_SHARE: f64 = 0.6;
 const MAX_SIGNALS: usize = 4;
-const SERIES_WITHIN: std::ops::Range<u64> = 0..2_000;
+const SERIES_SIGNAL_DELAY_MS: std::ops::Range<u64> = 0..2_000;
 /// Share of the restarts through which discovery is down.
-const DISCOVERY_DOWN: f64 = 0.2;
+const DISCOVERY_DOWN_SHARE: f64 = 0.2;
 /// How often a process that is told to end is looked at.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -49,8 +49,8 @@
 enum SeriesSignal {
     Terminate,
     Interrupt,
-    ReloadGood,
-    ReloadFaulty,
+    ReloadValid,
+    ReloadMalformed,
 }
 
 impl SeriesSignal {
@@ -58,8 +58,8 @@
         match random.random_range(0..4) {
             0 => SeriesSignal::Terminate,
             1 => SeriesSignal::Interrupt,
-            2 => SeriesSignal::ReloadGood,
-            _ => SeriesSignal::ReloadFaulty,
+            2 => SeriesSignal::ReloadValid,
+            _ => SeriesSignal::ReloadMalformed,
         }
     }
 
@@ -67,17 +67,17 @@
         match self {
             SeriesSignal::Terminate => "SIGTERM",
             SeriesSignal::Interrupt => "SIGINT",
-            SeriesSignal::ReloadGood => "SIGHUP",
-            SeriesSignal::ReloadFaulty => "SIGHUP with a faulty file",
+            SeriesSignal::ReloadValid => "SIGHUP",
+            SeriesSignal::ReloadMalformed => "SIGHUP with a faulty file",
         }
     }
 
     fn send(self, deployment: &Deployment, gateway: usize) -> Result<(), DeploymentError> {
         let (file, signal) = match self {
-            SeriesSignal::Terminate => (ConfigFile::Good, Signal::TERM),
-            SeriesSignal::Interrupt => (ConfigFile::Good, Signal::INT),
-            SeriesSignal::ReloadGood => (ConfigFile::Good, Signal::HUP),
-            SeriesSignal::ReloadFaulty => (ConfigFile::Faulty, Signal::HUP),
+            SeriesSignal::Terminate => (ConfigFile::Valid, Signal::TERM),
+            SeriesSignal::Interrupt => (ConfigFile::Valid, Signal::INT),
+            SeriesSignal::ReloadValid => (ConfigFile::Valid, Signal::HUP),
+            SeriesSignal::ReloadMalformed => (ConfigFile::Malformed, Signal::HUP),
         };
         deployment.write_config(gateway, file)?;
         deployment.gateways[gateway].process.signal(signal);
@@ -92,7 +92,7 @@
     let mut random = StdRng::seed_from_u64(seed ^ 0x7e57);
     let (began, mut restarts) = (Instant::now(), Vec::new());
     loop {
-        sleep(Duration::from_millis(random.random_range(BETWEEN))).await;
+        sleep(Duration::from_millis(random.random_range(RESTART_PAUSE_MS))).await;
         if Instant::now() >= until {
             return Ok(restarts);
         }
@@ -100,16 +100,16 @@
         let restart = Restart {
             gateway,
             at: began.elapsed(),
-            planned: random.random_bool(PLANNED),
+            planned: random.random_bool(PLANNED_SHARE),
             series: Vec::new(),
-            discovery_down: random.random_bool(DISCOVERY_DOWN),
+            discovery_down: random.random_bool(DISCOVERY_DOWN_SHARE),
             ready_after: Duration::ZERO,
         };
-        restarts.push(play(restart, &deployment, &front, &mut random).await?);
+        restarts.push(perform_restart(restart, &deployment, &front, &mut random).await?);
     }
 }
 
-async fn play(
+async fn perform_restart(
     mut restart: Restart, deployment: &RwLock<Deployment>, front: &Front, random: &mut StdRng,
 ) -> Result<Restart, DeploymentError> {
     let gateway = restart.gateway;
@@ -117,56 +117,56 @@
         deployment.read().await.gateways[gateway].agent.set_down(true);
     }
     if restart.planned {
-        restart.series = end_as_planned(deployment, front, gateway, random).await?;
+        restart.series = shut_down_as_planned(deployment, front, gateway, random).await?;
     }
-    front.admit(gateway, false);
+    front.set_admitted(gateway, false);
     deployment.write().await.end_gateway(gateway).await?;
     let started = Instant::now();
-    deployment.write().await.start_gateway_again(gateway)?;
+    deployment.write().await.respawn_gateway(gateway)?;
     let address = deployment.read().await.gateways[gateway].address;
-    crate::deployment::ready(address).await?;
+    crate::deployment::wait_until_ready(address).await?;
     restart.ready_after = started.elapsed();
     deployment.read().await.gateways[gateway].agent.set_down(false);
-    front.admit(gateway, true);
+    front.set_admitted(gateway, true);
     Ok(restart)
 }
 
 /// Tells a gateway to end, with a series of signals perhaps, and waits until it has or the kill is due.
-async fn end_as_planned(
+async fn shut_down_as_planned(
     deployment: &RwLock<Deployment>, front: &Front, gateway: usize, random: &mut StdRng,
 ) -> Result<Vec<&'static str>, DeploymentError> {
     let mut series: Vec<(u64, SeriesSignal)> = Vec::new();
-    if random.random_bool(SERIES) {
+    if random.random_bool(SIGNAL_SERIES_SHARE) {
         for _ in 0..random.random_range(1..=MAX_SIGNALS) {
-            series.push((random.random_range(SERIES_WITHIN), SeriesSignal::random(random)));
+            series.push((random.random_range(SERIES_SIGNAL_DELAY_MS), SeriesSignal::random(random)));
         }
         series.sort_by_key(|(after, _)| *after);
     }
-    if random.random_bool(SERIES) {
-        SeriesSignal::ReloadGood.send(&*deployment.read().await, gateway)?;
+    if random.random_bool(SIGNAL_SERIES_SHARE) {
+        SeriesSignal::ReloadValid.send(&*deployment.read().await, gateway)?;
     }
     {
-        let held = deployment.read().await;
-        held.records.add(&held.gateways[gateway].name, Event::GatewayTerminated);
-        held.gateways[gateway].process.signal(Signal::TERM);
+        let locked = deployment.read().await;
+        locked.records.add(&locked.gateways[gateway].name, Event::GatewayTerminated);
+        locked.gateways[gateway].process.signal(Signal::TERM);
     }
     front.note_termination(gateway);
-    let told_at = Instant::now();
-    let withdrawn_at = told_at + Duration::from_millis(random.random_range(STILL_ADMITTED));
+    let terminated_at = Instant::now();
+    let withdrawn_at = terminated_at + Duration::from_millis(random.random_range(ADMITTED_AFTER_SIGTERM_MS));
     let names = series.iter().map(|(_, signal)| signal.name()).collect();
     let mut signals = series.into_iter().peekable();
     loop {
         let now = Instant::now();
         if now >= withdrawn_at {
-            front.admit(gateway, false);
+            front.set_admitted(gateway, false);
         }
         if let Some((_, signal)) =
-            signals.next_if(|(after, _)| now >= told_at + Duration::from_millis(*after))
+            signals.next_if(|(after, _)| now >= terminated_at + Duration::from_millis(*after))
         {
             signal.send(&*deployment.read().await, gateway)?;
         }
         let has_ended = deployment.write().await.gateways[gateway].process.has_ended();
-        if has_ended || now >= told_at + KILLED_AFTER {
+        if has_ended || now >= terminated_at + KILL_DELAY {
             // New connections are refused from the end on.
             sleep_until(withdrawn_at).await;
             return Ok(names);
--- a/fault-tests/src/sessions.rs
+++ b/fault-tests/src/sessions.rs
@@ -10,32 +10,32 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::client::{ClientRequest, GRACE};
+use crate::client::{ClientRequest, ANSWER_GRACE};
 use crate::clock::{self, Micros};
 use crate::front::{Front, FrontedGateway};
-use crate::persistent_connection::{Answer, End, KeptConnection};
+use crate::persistent_connection::{ClientResponse, ConnectionEnd, PersistentConnection};
 use crate::record::{Event, Records};
 
 /// Clients that run side by side.
 const CLIENTS: u64 = 24;
 /// Share of the rests that are none, and of those that come close to the gateway's idle time-out (2,500 ms).
-const NO_REST: f64 = 0.4;
-const LONG_REST: f64 = 0.2;
+const NO_PAUSE_SHARE: f64 = 0.4;
+const LONG_PAUSE_SHARE: f64 = 0.2;
 /// Rests, in milliseconds.
-const SHORT_RESTS: std::ops::Range<u64> = 0..600;
-const LONG_RESTS: std::ops::Range<u64> = 2_300..2_700;
+const SHORT_PAUSE_MS: std::ops::Range<u64> = 0..600;
+const LONG_PAUSE_MS: std::ops::Range<u64> = 2_300..2_700;
 /// Share of the clients that send beside the end of their gateway, and when after SIGTERM they do, in milliseconds: at once,
 /// about when resting connections are closed, and about when requests are rejected.
-const SENDS_BESIDE_END: f64 = 0.7;
-const BESIDE_END: [std::ops::Range<u64>; 3] = [0..10, 500..680, 640..800];
+const SEND_DURING_SHUTDOWN_SHARE: f64 = 0.7;
+const SHUTDOWN_SEND_DELAY_MS: [std::ops::Range<u64>; 3] = [0..10, 500..680, 640..800];
 /// Share of the requests that are written in several pieces, most pieces, and the pauses between them (ms).
-const IN_PIECES: f64 = 0.3;
+const SPLIT_REQUEST_SHARE: f64 = 0.3;
 const MAX_PIECES: usize = 4;
-const PIECE_PAUSES: std::ops::Range<u64> = 1..30;
+const PIECE_PAUSE_MS: std::ops::Range<u64> = 1..30;
 /// Share of the requests behind which a second one is written at once.
-const PIPELINED: f64 = 0.1;
+const PIPELINED_SHARE: f64 = 0.1;
 /// Pause of a client that could not connect.
-const CONNECT_PAUSE: Duration = Duration::from_millis(50);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
 /// How many requests ended in which way; by status, or by what their clients saw instead.
 pub type Outcomes = BTreeMap<String, usize>;
@@ -53,8 +53,8 @@
         clients.spawn(client.run(until));
     }
     let mut outcomes = Outcomes::new();
-    while let Some(ended) = clients.join_next().await {
-        for (outcome, count) in ended.unwrap_or_default() {
+    while let Some(client_outcomes) = clients.join_next().await {
+        for (outcome, count) in client_outcomes.unwrap_or_default() {
             *outcomes.entry(outcome).or_default() += count;
         }
     }
@@ -72,7 +72,7 @@
 
 /// What follows a request on its connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Next {
+enum NextStep {
     Continue,
     Reconnect,
 }
@@ -83,17 +83,17 @@
         let mut outcomes = Outcomes::new();
         while Instant::now() < until {
             let gateway = front.choose(&mut self.random);
-            let Ok(mut connection) = KeptConnection::open(gateway.address).await else {
+            let Ok(mut connection) = PersistentConnection::open(gateway.address).await else {
                 *outcomes.entry("no connection".into()).or_default() += 1;
-                sleep(CONNECT_PAUSE).await;
+                sleep(RECONNECT_PAUSE).await;
                 continue;
             };
             while Instant::now() < until {
-                self.rest(gateway).await;
+                self.pause_before_request(gateway).await;
                 if connection.has_ended() {
                     break;
                 }
-                if self.send(gateway, &mut connection, &mut outcomes).await == Next::Reconnect {
+                if self.send(gateway, &mut connection, &mut outcomes).await == NextStep::Reconnect {
                     break;
                 }
             }
@@ -102,18 +102,19 @@
     }
 
     /// Rests between two requests, or until some moment after the gateway is told to end.
-    async fn rest(&mut self, gateway: &FrontedGateway) {
-        let rest = match self.random.random::<f64>() {
-            draw if draw < NO_REST => return,
-            draw if draw < NO_REST + LONG_REST => self.random.random_range(LONG_RESTS),
-            _ => self.random.random_range(SHORT_RESTS),
+    async fn pause_before_request(&mut self, gateway: &FrontedGateway) {
+        let pause_ms = match self.random.random::<f64>() {
+            draw if draw < NO_PAUSE_SHARE => return,
+            draw if draw < NO_PAUSE_SHARE + LONG_PAUSE_SHARE => self.random.random_range(LONG_PAUSE_MS),
+            _ => self.random.random_range(SHORT_PAUSE_MS),
         };
-        let beside_end = self.random.random_bool(SENDS_BESIDE_END);
-        let moment = BESIDE_END[self.random.random_range(0..BESIDE_END.len())].clone();
-        let moment = Duration::from_millis(self.random.random_range(moment));
+        let sends_during_shutdown = self.random.random_bool(SEND_DURING_SHUTDOWN_SHARE);
+        let send_delay =
+            SHUTDOWN_SEND_DELAY_MS[self.random.random_range(0..SHUTDOWN_SEND_DELAY_MS.len())].clone();
+        let send_delay = Duration::from_millis(self.random.random_range(send_delay));
         tokio::select! {
-            () = sleep(Duration::from_millis(rest)) => {}
-            () = gateway.terminated(), if beside_end => sleep(moment).await,
+            () = sleep(Duration::from_millis(pause_ms)) => {}
+            () = gateway.wait_for_termination(), if sends_during_shutdown => sleep(send_delay).await,
         }
     }
 
@@ -130,76 +131,83 @@
 
     /// Sends a request, or two at once, and waits for the answers.
     async fn send(
-        &mut self, gateway: &FrontedGateway, connection: &mut KeptConnection, outcomes: &mut Outcomes,
-    ) -> Next {
+        &mut self, gateway: &FrontedGateway, connection: &mut PersistentConnection, outcomes: &mut Outcomes,
+    ) -> NextStep {
         let first = self.next_request();
-        let second = self.random.random_bool(PIPELINED).then(|| self.next_request());
-        let texts: Vec<String> =
-            [Some(&first), second.as_ref()].into_iter().flatten().map(ClientRequest::text).collect();
-        let pieces =
-            if self.random.random_bool(IN_PIECES) { self.random.random_range(2..=MAX_PIECES) } else { 1 };
-        let pause = Duration::from_millis(self.random.random_range(PIECE_PAUSES));
-        let written = connection.write(texts.concat().as_bytes(), pieces, pause).await;
-        if written.bytes() > 0 {
-            self.records.push(first.begun(&gateway.name, connection, written.began));
+        let second = self.random.random_bool(PIPELINED_SHARE).then(|| self.next_request());
+        let encoded: Vec<String> =
+            [Some(&first), second.as_ref()].into_iter().flatten().map(ClientRequest::to_http).collect();
+        let pieces = if self.random.random_bool(SPLIT_REQUEST_SHARE) {
+            self.random.random_range(2..=MAX_PIECES)
+        } else {
+            1
+        };
+        let pause = Duration::from_millis(self.random.random_range(PIECE_PAUSE_MS));
+        let progress = connection.write(encoded.concat().as_bytes(), pieces, pause).await;
+        if progress.bytes() > 0 {
+            self.records.push(first.begun_record(&gateway.name, connection, progress.began_at));
         }
-        if let (Some(second), Some(at)) = (&second, written.when(texts[0].len() + 1)) {
-            self.records.push(second.begun(&gateway.name, connection, at));
+        if let (Some(second), Some(at)) = (&second, progress.written_at(encoded[0].len() + 1)) {
+            self.records.push(second.begun_record(&gateway.name, connection, at));
             self.records.add(&gateway.name, Event::Pipelined { request: second.id.clone() });
         }
-        let Some(sent_at) = written.when(texts[0].len()) else {
-            if connection.may_have_read_some(written.bytes()) {
-                self.records.add(&gateway.name, Event::EndedInPart { request: first.id.clone() });
+        let Some(sent_at) = progress.written_at(encoded[0].len()) else {
+            if connection.may_be_partly_read(progress.bytes()) {
+                self.records.add(&gateway.name, Event::ClosedPartlyRead { request: first.id.clone() });
             }
             *outcomes.entry("ended while it was written".into()).or_default() += 1;
-            return Next::Reconnect;
+            return NextStep::Reconnect;
         };
-        let next = self.await_answer(gateway, connection, &first, sent_at, written.bytes(), outcomes).await;
+        let next =
+            self.await_response(gateway, connection, &first, sent_at, progress.bytes(), outcomes).await;
         let Some(second) = second else { return next };
-        if next == Next::Reconnect {
+        if next == NextStep::Reconnect {
             *outcomes.entry("pipelined, not answered".into()).or_default() += 1;
             return next;
         }
-        let unanswered = written.bytes() - texts[0].len();
-        if unanswered < texts[1].len() {
+        let pending_bytes = progress.bytes() - encoded[0].len();
+        if pending_bytes < encoded[1].len() {
             *outcomes.entry("ended while it was written".into()).or_default() += 1;
-            return Next::Reconnect;
+            return NextStep::Reconnect;
         }
-        self.await_answer(gateway, connection, &second, clock::now(), unanswered, outcomes).await
+        self.await_response(gateway, connection, &second, clock::now(), pending_bytes, outcomes).await
     }
 
     /// Waits for the answer of a request that has been written by then, and records what becomes of it.
-    async fn await_answer(
-        &mut self, gateway: &FrontedGateway, connection: &mut KeptConnection, request: &ClientRequest,
-        sent_at: Micros, unanswered: usize, outcomes: &mut Outcomes,
-    ) -> Next {
+    async fn await_response(
+        &mut self, gateway: &FrontedGateway, connection: &mut PersistentConnection, request: &ClientRequest,
+        sent_at: Micros, pending_bytes: usize, outcomes: &mut Outcomes,
+    ) -> NextStep {
         let id = request.id.clone();
-        self.records.push(request.sent(&gateway.name, sent_at));
-        let answer = timeout(request.deadline + GRACE, connection.answer(unanswered)).await;
-        let (event, outcome, next) = match answer {
-            Ok(Ok(Answer { status, complete, closes })) => {
-                let next = if closes { Next::Reconnect } else { Next::Continue };
+        self.records.push(request.sent_record(&gateway.name, sent_at));
+        let response =
+            timeout(request.deadline + ANSWER_GRACE, connection.read_response(pending_bytes)).await;
+        let (event, outcome, next) = match response {
+            Ok(Ok(ClientResponse { status, complete, closes_connection })) => {
+                let next = if closes_connection { NextStep::Reconnect } else { NextStep::Continue };
                 let outcome = if complete { status.to_string() } else { format!("{status}, broken off") };
                 (Event::Answered { request: id, status, complete }, outcome, next)
             }
-            Ok(Err(End::Unread)) => {
-                (Event::NotTaken { request: id }, "closed unread".into(), Next::Reconnect)
+            Ok(Err(ConnectionEnd::Unread)) => {
+                (Event::ClosedUnread { request: id }, "closed unread".into(), NextStep::Reconnect)
+            }
+            Ok(Err(ConnectionEnd::Read)) => {
+                (Event::Unanswered { request: id }, "closed after reading".into(), NextStep::Reconnect)
             }
-            Ok(Err(End::Read)) => {
-                (Event::Unanswered { request: id }, "closed after reading".into(), Next::Reconnect)
+            Ok(Err(ConnectionEnd::PartlyRead)) => {
+                (Event::Unanswered { request: id }, "closed after reading a part".into(), NextStep::Reconnect)
             }
-            Ok(Err(End::ReadInPart)) => {
-                (Event::Unanswered { request: id }, "closed after reading a part".into(), Next::Reconnect)
+            Ok(Err(ConnectionEnd::Reset)) => {
+                (Event::Unanswered { request: id }, "reset".into(), NextStep::Reconnect)
             }
-            Ok(Err(End::Reset)) => (Event::Unanswered { request: id }, "reset".into(), Next::Reconnect),
-            Ok(Err(End::Unknown)) => (
+            Ok(Err(ConnectionEnd::Unknown)) => (
                 Event::Unanswered { request: id },
                 "closed, its socket not found out".into(),
-                Next::Reconnect,
+                NextStep::Reconnect,
             ),
             Err(_) => {
                 *outcomes.entry("no answer".into()).or_default() += 1;
-                return Next::Reconnect;
+                return NextStep::Reconnect;
             }
         };
         self.records.add(&gateway.name, event);
--- a/fault-tests/src/single_shot.rs
+++ b/fault-tests/src/single_shot.rs
@@ -21,7 +21,7 @@
 use crate::client::{self, ClientRequest};
 use crate::clock;
 use crate::deployment::{Deployment, DeploymentError, DeploymentSpec, GatewayProcess};
-use crate::invariants::{judge, Invariant, Violation};
+use crate::invariants::{check_invariants, Invariant, Violation};
 use crate::network::{Condition, Link};
 use crate::record::{Event, Record, Records};
 
@@ -30,13 +30,13 @@
 /// So few that a request whose attempt is cancelled has tried all.
 const PREFILL_SERVERS: usize = 1;
 /// The least and the most time that a prefill takes (ms).
-const PREFILL_TIME: (u64, u64) = (2, 8);
+const PREFILL_TIME_MS: (u64, u64) = (2, 8);
 /// The least and the most time to a decode server's first token (ms).
-const DECODE_TIME: (u64, u64) = (2, 8);
+const DECODE_TIME_MS: (u64, u64) = (2, 8);
 /// An attempt that others overtake is cancelled at about this time, and its request is late by then.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(100);
 /// Requests before each burst, while nothing disturbs.
-const WARM_UP: u32 = 12;
+const WARM_UP_REQUESTS: u32 = 12;
 const WARM_UP_PAUSE: Duration = Duration::from_millis(15);
 const WARM_UP_DEADLINE: Duration = Duration::from_secs(1);
 /// Bursts of requests at each gateway, one after the other, and the requests of one.
@@ -45,24 +45,24 @@
 /// Requests of one session go to the same prefill server where they can.
 const SESSIONS: u64 = 200;
 /// The requests of one burst are sent within this time (ms).
-const SENT_WITHIN: std::ops::RangeInclusive<u64> = 0..=40;
+const SEND_DELAY_MS: std::ops::RangeInclusive<u64> = 0..=40;
 /// What clients wait for a first token (ms).
-const DEADLINES: std::ops::RangeInclusive<u64> = 150..=400;
+const DEADLINE_MS: std::ops::RangeInclusive<u64> = 150..=400;
 /// Links hold everything back from so long after the first request of a burst (ms), for so long, some of them.
-const HELD_AFTER: std::ops::RangeInclusive<u64> = 30..=250;
-const HELD_FOR: std::ops::RangeInclusive<u64> = 5..=300;
-const HELD_LINKS: f64 = 0.5;
+const BLACKHOLE_DELAY_MS: std::ops::RangeInclusive<u64> = 30..=250;
+const BLACKHOLE_DURATION_MS: std::ops::RangeInclusive<u64> = 5..=300;
+const BLACKHOLED_LINK_SHARE: f64 = 0.5;
 /// While the requests of a burst are sent and the first attempts are cancelled, each link delays what passes, or does not, in
 /// turns of this length (ms), so that some attempts overtake others.
-const DELAYED_FOR: std::ops::RangeInclusive<u64> = 5..=20;
-const DELAYS: std::ops::RangeInclusive<u64> = 150..=300;
-const DELAYED_TURNS: f64 = 0.5;
-const DELAYS_UNTIL: Duration = Duration::from_millis(250);
+const DELAY_TURN_MS: std::ops::RangeInclusive<u64> = 5..=20;
+const LINK_DELAY_MS: std::ops::RangeInclusive<u64> = 150..=300;
+const DELAYED_TURN_SHARE: f64 = 0.5;
+const DELAY_PHASE: Duration = Duration::from_millis(250);
 /// Share of the gateways that are told to end in one of their bursts, so long after its first request (ms).
-const TERMINATED: f64 = 0.5;
-const TERMINATED_AFTER: std::ops::RangeInclusive<u64> = 30..=350;
+const TERMINATED_SHARE: f64 = 0.5;
+const SIGTERM_DELAY_MS: std::ops::RangeInclusive<u64> = 30..=350;
 /// What was held back has arrived and ended by then.
-const QUIET: Duration = Duration::from_millis(700);
+const SETTLE_TIME: Duration = Duration::from_millis(700);
 
 /// How the seeds are played.
 #[derive(Clone, Debug, Args)]
@@ -119,19 +119,20 @@
 /// Plays one seed.
 pub async fn run(options: &Options, seed: u64, program: &Path) -> Result<Report, DeploymentError> {
     let mut spec = DeploymentSpec::new(GATEWAYS, PREFILL_SERVERS, DECODE_SERVERS)
-        .with_decode_time(DECODE_TIME.0, DECODE_TIME.1);
+        .with_decode_time(DECODE_TIME_MS.0, DECODE_TIME_MS.1);
     spec.latency_objective = LATENCY_OBJECTIVE;
-    spec.engines.iter_mut().take(PREFILL_SERVERS).for_each(|engine| engine.service_time_ms = PREFILL_TIME);
+    spec.engines.iter_mut().take(PREFILL_SERVERS).for_each(|engine| engine.service_time_ms = PREFILL_TIME_MS);
     let deployment = Deployment::start(spec, program, &options.gateway).await?;
-    let mut played = JoinSet::new();
+    let mut gateway_tasks = JoinSet::new();
     for (index, gateway) in deployment.gateways.iter().enumerate() {
         let links = (0..PREFILL_SERVERS).map(|engine| deployment.links[&(index, engine)].clone()).collect();
-        let plan = Plan::random(seed, index);
-        played.spawn(Bursts::new(gateway, links, &deployment.records, seed, index).play(plan));
+        let plan = TerminationPlan::random(seed, index);
+        gateway_tasks
+            .spawn(GatewayBursts::new(gateway, links, &deployment.records, seed, index).run_bursts(plan));
     }
     let mut statuses = BTreeMap::new();
     let mut terminated = 0;
-    while let Some(outcome) = played.join_next().await {
+    while let Some(outcome) = gateway_tasks.join_next().await {
         // A task of this run that panics is a fault of its own.
         let outcome = outcome.unwrap_or_default();
         outcome
@@ -140,19 +141,21 @@
             .for_each(|status| *statuses.entry(status.unwrap_or(0)).or_default() += 1);
         terminated += usize::from(outcome.terminated);
     }
-    sleep(QUIET).await;
+    sleep(SETTLE_TIME).await;
     Ok(report(seed, statuses, terminated, &deployment))
 }
 
 fn report(seed: u64, statuses: BTreeMap<u16, usize>, terminated: usize, deployment: &Deployment) -> Report {
     let records = deployment.records.all();
-    let found = judge(&records, deployment.spec.lease_limit, clock::now());
-    let concerned = |violation: &Violation| {
+    let all_violations = check_invariants(&records, deployment.spec.lease_limit, clock::now());
+    let is_checked = |violation: &Violation| {
         matches!(violation.invariant, Invariant::RejectionIsTrue | Invariant::AtMostOnce)
     };
-    let (violations, rest): (Vec<_>, Vec<_>) = found.into_iter().partition(concerned);
+    let (violations, other_violations): (Vec<_>, Vec<_>) = all_violations.into_iter().partition(is_checked);
     let mut others = BTreeMap::new();
-    rest.iter().for_each(|other| *others.entry(format!("{:?}", other.invariant)).or_default() += 1);
+    other_violations
+        .iter()
+        .for_each(|other| *others.entry(format!("{:?}", other.invariant)).or_default() += 1);
     let trace = violations.first().map_or_else(Vec::new, |first| trace(&records, &first.request, deployment));
     Report { seed, statuses, terminated, violations, others, trace }
 }
@@ -160,22 +163,22 @@
 /// What was seen of a request and of the gateways' ends, and the lines of the gateways' logs about it.
 fn trace(records: &[Record], request: &str, deployment: &Deployment) -> Vec<String> {
     let concerns = |of: &str| of == request || of.is_empty();
-    let seen = records.iter().filter(|record| concerns(record.event.request()));
-    let seen = seen.map(|record| serde_json::to_string(record).unwrap_or_default());
-    seen.chain(deployment.log_lines(request)).collect()
+    let record_lines = records.iter().filter(|record| concerns(record.event.request()));
+    let record_lines = record_lines.map(|record| serde_json::to_string(record).unwrap_or_default());
+    record_lines.chain(deployment.log_lines(request)).collect()
 }
 
 /// Where in a gateway's bursts SIGTERM comes.
 #[derive(Clone, Copy, Debug)]
-struct Plan {
+struct TerminationPlan {
     terminated_in: Option<usize>,
 }
 
-impl Plan {
-    fn random(seed: u64, gateway: usize) -> Plan {
+impl TerminationPlan {
+    fn random(seed: u64, gateway: usize) -> TerminationPlan {
         let mut random = StdRng::seed_from_u64(seed ^ (gateway as u64) << 32);
-        let is_terminated = random.random_bool(TERMINATED);
-        Plan { terminated_in: is_terminated.then(|| random.random_range(0..BURSTS)) }
+        let is_terminated = random.random_bool(TERMINATED_SHARE);
+        TerminationPlan { terminated_in: is_terminated.then(|| random.random_range(0..BURSTS)) }
     }
 }
 
@@ -187,7 +190,7 @@
 }
 
 /// The bursts at one gateway.
-struct Bursts {
+struct GatewayBursts {
     gateway: String,
     address: std::net::SocketAddr,
     process: crate::process::SignalTarget,
@@ -197,9 +200,11 @@
     prefix: String,
 }
 
-impl Bursts {
-    fn new(gateway: &GatewayProcess, links: Vec<Link>, records: &Records, seed: u64, index: usize) -> Bursts {
-        Bursts {
+impl GatewayBursts {
+    fn new(
+        gateway: &GatewayProcess, links: Vec<Link>, records: &Records, seed: u64, index: usize,
+    ) -> GatewayBursts {
+        GatewayBursts {
             gateway: gateway.name.clone(),
             address: gateway.address,
             process: gateway.process.signal_target(),
@@ -210,7 +215,7 @@
         }
     }
 
-    async fn play(mut self, plan: Plan) -> Outcome {
+    async fn run_bursts(mut self, plan: TerminationPlan) -> Outcome {
         let mut outcome = Outcome::default();
         for burst in 0..BURSTS {
             let terminates = plan.terminated_in == Some(burst);
@@ -225,34 +230,34 @@
 
     /// Lets the gateway learn how quick its servers are, from one request shortly after the other.
     async fn warm_up(&self, burst: usize) {
-        let mut asked = JoinSet::new();
-        for number in 0..WARM_UP {
+        let mut requests = JoinSet::new();
+        for number in 0..WARM_UP_REQUESTS {
             let id = format!("{}-{burst}-warm{number}", self.prefix);
-            let mut ask = ClientRequest::new(id, "item-query", WARM_UP_DEADLINE, true);
-            ask.session = u64::from(number);
-            ask.first_byte_after = WARM_UP_PAUSE * number;
+            let mut request = ClientRequest::new(id, "item-query", WARM_UP_DEADLINE, true);
+            request.session = u64::from(number);
+            request.first_byte_after = WARM_UP_PAUSE * number;
             let (gateway, address, records) = (self.gateway.clone(), self.address, self.records.clone());
-            asked.spawn(async move { client::send_request(&gateway, address, ask, &records).await });
+            requests.spawn(async move { client::send_request(&gateway, address, request, &records).await });
         }
-        asked.join_all().await;
+        requests.join_all().await;
     }
 
     /// Sends some requests at about the same time; meanwhile links hold back, and the gateway is told to end if `terminates`.
     async fn burst(&mut self, burst: usize, terminates: bool) -> Vec<Option<u16>> {
         self.warm_up(burst).await;
-        let disturbances = self.disturb();
-        let signal = self.signal(terminates);
-        let mut asked = JoinSet::new();
+        let disturbances = self.disturb_links();
+        let termination = self.terminate_during_burst(terminates);
+        let mut requests = JoinSet::new();
         for number in 0..self.random.random_range(BURST_REQUESTS) {
             let id = format!("{}-{burst}-{number}", self.prefix);
-            let mut ask = ClientRequest::new(id, "order-chat", self.random_time(DEADLINES), false);
-            ask.session = self.random.random_range(0..SESSIONS);
-            ask.first_byte_after = self.random_time(SENT_WITHIN);
+            let mut request = ClientRequest::new(id, "order-chat", self.random_time(DEADLINE_MS), false);
+            request.session = self.random.random_range(0..SESSIONS);
+            request.first_byte_after = self.random_time(SEND_DELAY_MS);
             let (gateway, address, records) = (self.gateway.clone(), self.address, self.records.clone());
-            asked.spawn(async move { client::send_request(&gateway, address, ask, &records).await });
+            requests.spawn(async move { client::send_request(&gateway, address, request, &records).await });
         }
-        let asked = asked.join_all();
-        tokio::join!(asked, disturbances, signal).0
+        let requests = requests.join_all();
+        tokio::join!(requests, disturbances, termination).0
     }
 
     fn random_time(&mut self, within_ms: std::ops::RangeInclusive<u64>) -> Duration {
@@ -260,26 +265,27 @@
     }
 
     /// Has links delay what passes, and hold everything back for a while.
-    fn disturb(&mut self) -> impl Future<Output = ()> + Send + use<> {
-        let mut disturbed = JoinSet::new();
+    fn disturb_links(&mut self) -> impl Future<Output = ()> + Send + use<> {
+        let mut link_tasks = JoinSet::new();
         for link in self.links.clone() {
-            disturbed.spawn(delay_in_turns(link.clone(), self.random.random()));
-            let (after, lasts) = (self.random_time(HELD_AFTER), self.random_time(HELD_FOR));
-            if self.random.random_bool(HELD_LINKS) {
-                disturbed.spawn(async move {
+            link_tasks.spawn(delay_in_turns(link.clone(), self.random.random()));
+            let (after, duration) =
+                (self.random_time(BLACKHOLE_DELAY_MS), self.random_time(BLACKHOLE_DURATION_MS));
+            if self.random.random_bool(BLACKHOLED_LINK_SHARE) {
+                link_tasks.spawn(async move {
                     sleep(after).await;
                     link.set(Condition::Blackholed);
-                    sleep(lasts).await;
+                    sleep(duration).await;
                     link.set(Condition::Open);
                 });
             }
         }
-        async move { while disturbed.join_next().await.is_some() {} }
+        async move { while link_tasks.join_next().await.is_some() {} }
     }
 
     /// Tells the gateway to end, some time into the burst.
-    fn signal(&mut self, terminates: bool) -> impl Future<Output = ()> + Send + use<> {
-        let after = self.random_time(TERMINATED_AFTER);
+    fn terminate_during_burst(&mut self, terminates: bool) -> impl Future<Output = ()> + Send + use<> {
+        let after = self.random_time(SIGTERM_DELAY_MS);
         let (name, process, records) = (self.gateway.clone(), self.process, self.records.clone());
         async move {
             if !terminates {
@@ -295,12 +301,12 @@
 /// Has a link delay what passes in some turns, and not in others.
 async fn delay_in_turns(link: Link, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
-    let until = Instant::now() + DELAYS_UNTIL;
+    let until = Instant::now() + DELAY_PHASE;
     while Instant::now() < until {
-        let is_delayed = random.random_bool(DELAYED_TURNS);
-        let delay = if is_delayed { random.random_range(DELAYS) } else { 0 };
-        link.delay(Duration::from_millis(delay));
-        sleep(Duration::from_millis(random.random_range(DELAYED_FOR))).await;
+        let is_delayed = random.random_bool(DELAYED_TURN_SHARE);
+        let delay = if is_delayed { random.random_range(LINK_DELAY_MS) } else { 0 };
+        link.set_delay(Duration::from_millis(delay));
+        sleep(Duration::from_millis(random.random_range(DELAY_TURN_MS))).await;
     }
-    link.delay(Duration::ZERO);
+    link.set_delay(Duration::ZERO);
 }
--- a/fault-tests/src/soak.rs
+++ b/fault-tests/src/soak.rs
@@ -15,30 +15,30 @@
 use crate::deployment::{Deployment, DeploymentError, DeploymentSpec};
 use crate::faults::ScheduledFault;
 use crate::front::Front;
-use crate::invariants::judge;
+use crate::invariants::check_invariants;
 use crate::record::Records;
-use crate::report::evidence_of;
+use crate::report::collect_evidence;
 pub use crate::report::Report;
 use crate::restarts::Restart;
 use crate::sessions::Outcomes;
 use crate::{clock, crowd, restarts, sessions};
 
 /// Clients wait so long for a first token, at most.
-const DEADLINE: Duration = Duration::from_secs(4);
+const MAX_DEADLINE: Duration = Duration::from_secs(4);
 /// After the last request everything has ended by then.
-const QUIET: Duration = Duration::from_millis(5_500);
+const SETTLE_TIME: Duration = Duration::from_millis(5_500);
 /// The least and the most pause between two faults (ms).
-const BETWEEN: std::ops::RangeInclusive<u64> = 100..=700;
+const FAULT_PAUSE_MS: std::ops::RangeInclusive<u64> = 100..=700;
 /// Share of the clients that leave before their answer.
-const LEAVE: f64 = 0.1;
+const DISCONNECT_SHARE: f64 = 0.1;
 /// A client that leaves does so within so many milliseconds.
-const LEAVES_WITHIN: u64 = 600;
+const MAX_DISCONNECT_DELAY_MS: u64 = 600;
 
 /// Descriptors of each gateway, and idle clients before each, where there is a crowd; they come back so long after they were
 /// evicted.
-const CROWD_SOCKETS: usize = 256;
-const CROWD_CLIENTS: usize = 150;
-const CROWD_BACK_AFTER: Duration = Duration::from_millis(200);
+const CROWD_MAX_DESCRIPTORS: usize = 256;
+const CROWD_CLIENTS_PER_GATEWAY: usize = 150;
+const CROWD_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// How a soak run is started.
 #[derive(Clone, Debug, Args)]
@@ -78,12 +78,12 @@
 /// Plays one seed.
 pub async fn run(options: &Options, seed: u64, program: &Path) -> Result<Report, DeploymentError> {
     let mut spec = DeploymentSpec::new(options.gateways, options.readers, options.writers);
-    spec.deadline = DEADLINE;
+    spec.deadline = MAX_DEADLINE;
     spec.probes = !options.no_probes;
     if options.crowd {
-        spec.sockets = CROWD_SOCKETS;
+        spec.max_descriptors = CROWD_MAX_DESCRIPTORS;
     }
-    let pin_limit = spec.lease_limit;
+    let lease_limit = spec.lease_limit;
     let deployment = Deployment::start(spec, program, &options.gateway).await?;
     let records = deployment.records.clone();
     let gateways: Vec<_> = deployment.gateways.iter().map(|g| (g.name.clone(), g.address)).collect();
@@ -92,35 +92,36 @@
     let front = Arc::new(Front::new(gateways.clone()));
     let mut crowd = JoinSet::new();
     if options.crowd {
-        for (_, address) in gateways.iter().cycle().take(CROWD_CLIENTS * gateways.len()) {
-            crowd.spawn(crowd::stay_idle(*address, CROWD_BACK_AFTER));
+        for (_, address) in gateways.iter().cycle().take(CROWD_CLIENTS_PER_GATEWAY * gateways.len()) {
+            crowd.spawn(crowd::run_idle_client(*address, CROWD_RECONNECT_DELAY));
         }
     }
-    let load = tokio::spawn(load(front.clone(), records.clone(), options.rate, seed, until));
-    let kept = sessions_and_restarts(options, &deployment, &front, &records, seed, until);
-    let (draws, kept) = tokio::join!(faults(deployment.clone(), seed, until), kept);
-    let (draws, (sessions, restarts)) = (draws?, kept?);
+    let load = tokio::spawn(generate_load(front.clone(), records.clone(), options.rate, seed, until));
+    let sessions_result = sessions_and_restarts(options, &deployment, &front, &records, seed, until);
+    let (drawn_faults, sessions_result) =
+        tokio::join!(inject_faults(deployment.clone(), seed, until), sessions_result);
+    let (drawn_faults, (sessions, restarts)) = (drawn_faults?, sessions_result?);
     let statuses = load.await.unwrap_or_default();
     drop(crowd);
-    sleep(QUIET).await;
-    let all = records.all();
-    let violations = judge(&all, pin_limit, clock::now());
+    sleep(SETTLE_TIME).await;
+    let all_records = records.all();
+    let violations = check_invariants(&all_records, lease_limit, clock::now());
     let deployment = deployment.read().await;
-    let lateness = deployment.lateness.so_far();
-    let told = deployment.log_lines("invariant broken");
+    let lateness = deployment.lateness.snapshot();
+    let reported = deployment.log_lines("invariant broken");
     let evidence = violations
         .first()
-        .map_or_else(Vec::new, |violation| evidence_of(violation, &all, &deployment, &lateness));
+        .map_or_else(Vec::new, |violation| collect_evidence(violation, &all_records, &deployment, &lateness));
     Ok(Report {
         seed,
-        faults: draws,
+        faults: drawn_faults,
         requests: statuses.values().sum(),
         statuses,
         sessions,
         restarts,
         violations,
         evidence,
-        reported_violations: told,
+        reported_violations: reported,
         lateness,
     })
 }
@@ -133,47 +134,47 @@
     if !options.restarts {
         return Ok(Default::default());
     }
-    let sessions = sessions::run(front.clone(), records.clone(), DEADLINE, seed, until);
+    let sessions = sessions::run(front.clone(), records.clone(), MAX_DEADLINE, seed, until);
     let restarts = restarts::run(deployment.clone(), front.clone(), seed, until);
     let (sessions, restarts) = tokio::join!(sessions, restarts);
     Ok((sessions, restarts?))
 }
 
 /// Draws faults until then, and ends each after its time.
-async fn faults(
+async fn inject_faults(
     deployment: Arc<RwLock<Deployment>>, seed: u64, until: Instant,
 ) -> Result<Vec<String>, DeploymentError> {
     let mut random = StdRng::seed_from_u64(seed);
     let began = Instant::now();
-    let (mut draws, mut ends) = (Vec::new(), JoinSet::new());
+    let (mut drawn_faults, mut fault_ends) = (Vec::new(), JoinSet::new());
     while Instant::now() < until {
-        sleep(Duration::from_millis(random.random_range(BETWEEN))).await;
-        let mut held = deployment.write().await;
-        let draw = ScheduledFault::random(&held, &mut random);
-        draw.begin(&mut held).await?;
-        drop(held);
-        draws.push(format!(
+        sleep(Duration::from_millis(random.random_range(FAULT_PAUSE_MS))).await;
+        let mut locked = deployment.write().await;
+        let scheduled = ScheduledFault::random(&locked, &mut random);
+        scheduled.begin(&mut locked).await?;
+        drop(locked);
+        drawn_faults.push(format!(
             "{:.3} s {:?} for {:?}",
             began.elapsed().as_secs_f64(),
-            draw.fault,
-            draw.duration
+            scheduled.fault,
+            scheduled.duration
         ));
         let deployment = deployment.clone();
-        ends.spawn(async move {
-            sleep(draw.duration).await;
-            draw.end(&mut *deployment.write().await);
+        fault_ends.spawn(async move {
+            sleep(scheduled.duration).await;
+            scheduled.end(&mut *deployment.write().await);
         });
     }
-    while ends.join_next().await.is_some() {}
-    Ok(draws)
+    while fault_ends.join_next().await.is_some() {}
+    Ok(drawn_faults)
 }
 
 /// Sends requests until then, and gives their answers by status.
-async fn load(
+async fn generate_load(
     front: Arc<Front>, records: Records, rate: f64, seed: u64, until: Instant,
 ) -> std::collections::BTreeMap<u16, usize> {
     let mut random = StdRng::seed_from_u64(seed ^ 0x5eed);
-    let mut asked = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let mut number = 0u64;
     while Instant::now() < until {
         // Exponential pauses, as independent clients make them.
@@ -182,19 +183,20 @@
         number += 1;
         let repeatable = random.random_bool(0.5);
         let class = if repeatable { "item-query" } else { "order-chat" };
-        let deadline = DEADLINE.mul_f64(random.random_range(0.5..=1.0));
-        let mut ask = ClientRequest::new(format!("{seed:x}-{number:x}"), class, deadline, repeatable);
-        ask.session = random.random_range(0..200);
-        if random.random_bool(LEAVE) {
-            ask.disconnects_after = Some(Duration::from_millis(random.random_range(1..=LEAVES_WITHIN)));
+        let deadline = MAX_DEADLINE.mul_f64(random.random_range(0.5..=1.0));
+        let mut request = ClientRequest::new(format!("{seed:x}-{number:x}"), class, deadline, repeatable);
+        request.session = random.random_range(0..200);
+        if random.random_bool(DISCONNECT_SHARE) {
+            request.disconnects_after =
+                Some(Duration::from_millis(random.random_range(1..=MAX_DISCONNECT_DELAY_MS)));
         }
         let gateway = front.choose(&mut random);
         let (name, address) = (gateway.name.clone(), gateway.address);
         let records = records.clone();
-        asked.spawn(async move { client::send_request(&name, address, ask, &records).await });
+        in_flight.spawn(async move { client::send_request(&name, address, request, &records).await });
     }
     let mut statuses = std::collections::BTreeMap::new();
-    while let Some(status) = asked.join_next().await {
+    while let Some(status) = in_flight.join_next().await {
         *statuses.entry(status.ok().flatten().unwrap_or(0)).or_default() += 1;
     }
     statuses
--- a/fault-tests/tests/common/mod.rs
+++ b/fault-tests/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use glenrail_fault_tests::client::ClientRequest;
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::invariants::judge;
+use glenrail_fault_tests::invariants::check_invariants;
 
 pub const DECODE_SERVERS: [usize; 2] = [1, 2];
 /// Enough requests that each decode server has connections that stand.
@@ -55,6 +55,6 @@
 }
 
 pub fn violations(deployment: &Deployment) -> Vec<String> {
-    let violations = judge(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
+    let violations = check_invariants(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
     violations.iter().map(ToString::to_string).collect()
 }
--- a/fault-tests/tests/connection_ends.rs
+++ b/fault-tests/tests/connection_ends.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::persistent_connection::{End, KeptConnection};
+use glenrail_fault_tests::persistent_connection::{ConnectionEnd, PersistentConnection};
 use glenrail_fault_tests::unread;
 
 /// Connections of others on the machine, each of which has two sockets.
@@ -53,7 +53,7 @@
     let mut took: Vec<Duration> = (0..LOOKUPS)
         .map(|_| {
             let began = Instant::now();
-            let unread = unread::bytes_at(address, from).expect("the kernel answers");
+            let unread = unread::unread_bytes_at(address, from).expect("the kernel answers");
             assert_eq!(unread, Some(REQUEST.len() as u64));
             began.elapsed()
         })
@@ -68,10 +68,10 @@
     let (listener, address) = listener();
     let (client, server) = pair(&listener, address);
     let from = client.local_addr().expect("it is connected");
-    assert_eq!(unread::bytes_at(address, from).expect("the kernel answers"), Some(0));
+    assert_eq!(unread::unread_bytes_at(address, from).expect("the kernel answers"), Some(0));
     socket2::SockRef::from(&server).set_linger(Some(Duration::ZERO)).expect("a socket can be reset");
     drop(server);
-    assert_eq!(unread::bytes_at(address, from).expect("the kernel answers"), None);
+    assert_eq!(unread::unread_bytes_at(address, from).expect("the kernel answers"), None);
 }
 
 /// Guards clients from writing to a process that has ended, only because their own runtime was late to note it.
@@ -79,7 +79,7 @@
 fn an_end_is_seen_while_the_runtime_has_noted_nothing() {
     let (listener, address) = listener();
     runtime().block_on(async {
-        let connection = KeptConnection::open(address).await.expect("it listens");
+        let connection = PersistentConnection::open(address).await.expect("it listens");
         let (server, _) = listener.accept().expect("a connection has come");
         assert!(!connection.has_ended());
         drop(server);
@@ -94,9 +94,9 @@
 fn a_client_that_leaves_is_seen_while_a_copy_of_its_socket_is_held() {
     let (listener, address) = listener();
     runtime().block_on(async {
-        let connection = KeptConnection::open(address).await.expect("it listens");
+        let connection = PersistentConnection::open(address).await.expect("it listens");
         let (mut server, _) = listener.accept().expect("a connection has come");
-        let copy = connection.copy_of_socket().expect("descriptors are left");
+        let copy = connection.clone_socket().expect("descriptors are left");
         connection.close();
         server.set_read_timeout(Some(SETTLED)).expect("it stands");
         assert_eq!(server.read(&mut [0]).expect("its end has come"), 0);
@@ -115,12 +115,12 @@
         server
     });
     runtime().block_on(async {
-        let mut connection = KeptConnection::open(address).await.expect("it listens");
-        let written = connection.write(REQUEST, PIECES, SETTLED).await;
-        assert_eq!(written.bytes(), FIRST_PIECE);
-        assert_eq!(written.when(REQUEST.len()), None);
-        let sent_in_part = written.when(FIRST_PIECE).expect("it was written");
-        assert!(sent_in_part >= written.began);
+        let mut connection = PersistentConnection::open(address).await.expect("it listens");
+        let progress = connection.write(REQUEST, PIECES, SETTLED).await;
+        assert_eq!(progress.bytes(), FIRST_PIECE);
+        assert_eq!(progress.written_at(REQUEST.len()), None);
+        let sent_in_part = progress.written_at(FIRST_PIECE).expect("it was written");
+        assert!(sent_in_part >= progress.began_at);
     });
     drop(server.join());
 }
@@ -128,7 +128,11 @@
 /// Guards the three orderly ends of a connection from being taken for each other.
 #[test]
 fn an_orderly_end_says_how_much_was_read() {
-    for (read, end) in [(0, End::Unread), (FIRST_PIECE, End::ReadInPart), (REQUEST.len(), End::Read)] {
+    for (read, end) in [
+        (0, ConnectionEnd::Unread),
+        (FIRST_PIECE, ConnectionEnd::PartlyRead),
+        (REQUEST.len(), ConnectionEnd::Read),
+    ] {
         let (listener, address) = listener();
         let server = thread::spawn(move || {
             let (mut server, _) = listener.accept().expect("a connection comes");
@@ -140,9 +144,9 @@
             server
         });
         runtime().block_on(async {
-            let mut connection = KeptConnection::open(address).await.expect("it listens");
-            let written = connection.write(REQUEST, 1, Duration::ZERO).await;
-            assert_eq!(connection.answer(written.bytes()).await, Err(end));
+            let mut connection = PersistentConnection::open(address).await.expect("it listens");
+            let progress = connection.write(REQUEST, 1, Duration::ZERO).await;
+            assert_eq!(connection.read_response(progress.bytes()).await, Err(end));
         });
         drop(server.join());
     }
@@ -164,10 +168,10 @@
         let from = client.local_addr().expect("it is connected");
         assert_eq!(client.read(&mut [0]).expect("it is ended in order"), 0);
         client.write_all(REQUEST).expect("the gateway's end still stands");
-        let unread = unread::bytes_at(address, from).expect("the kernel answers");
+        let unread = unread::unread_bytes_at(address, from).expect("the kernel answers");
         assert_eq!(unread, Some(REQUEST.len() as u64));
         tokio::time::sleep(DROPPED_AFTER).await;
-        let later = unread::bytes_at(address, from).expect("the kernel answers");
+        let later = unread::unread_bytes_at(address, from).expect("the kernel answers");
         assert!(later.is_none_or(|unread| unread == 0), "{later:?}");
     });
 }
--- a/fault-tests/tests/delivery_confirmation.rs
+++ b/fault-tests/tests/delivery_confirmation.rs
@@ -70,7 +70,7 @@
         let deployment = self.deployment().await;
         let decode_links = || (1..deployment.engines.len()).flat_map(|server| deployment.links_to(server));
         for link in decode_links() {
-            link.delay(self.delay);
+            link.set_delay(self.delay);
             link.stall_after_next_attempt(Some(self.stalls_after));
         }
         let began = Instant::now();
--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use glenrail_fault_tests::clock::{Micros, MILLISECOND};
-use glenrail_fault_tests::invariants::{judge, Invariant};
+use glenrail_fault_tests::invariants::{check_invariants, Invariant};
 use glenrail_fault_tests::record::{Event, Record, Stage, WorkEnd};
 
 const LEASE_LIMIT: Duration = Duration::from_millis(500);
@@ -35,7 +35,7 @@
 
 fn broken(mut records: Vec<Record>) -> Vec<Invariant> {
     records.sort_by_key(|record| record.at);
-    let violations = judge(&records, LEASE_LIMIT, END * MILLISECOND);
+    let violations = check_invariants(&records, LEASE_LIMIT, END * MILLISECOND);
     violations.into_iter().map(|violation| violation.invariant).collect()
 }
 
@@ -135,12 +135,12 @@
     assert_eq!(broken(while_it_is_at_a_server), [Invariant::Answered]);
     let before_it_is_sent = vec![sent(true), unanswered(20)];
     assert_eq!(broken(before_it_is_sent), [Invariant::Answered]);
-    let unread = vec![sent(true), record(20, "n0", Event::NotTaken { request: REQUEST.into() })];
+    let unread = vec![sent(true), record(20, "n0", Event::ClosedUnread { request: REQUEST.into() })];
     assert_eq!(broken(unread), [], "an end that crosses a request is no eviction of it");
     let forwarded_as_unread = vec![
         sent(true),
         first_byte(10, "n0-r0", 7),
-        record(20, "n0", Event::NotTaken { request: REQUEST.into() }),
+        record(20, "n0", Event::ClosedUnread { request: REQUEST.into() }),
         closed(21, "n0-r0", 7),
     ];
     assert_eq!(broken(forwarded_as_unread), [Invariant::Answered], "it was read: an attempt was begun");
@@ -219,7 +219,7 @@
     let client = "127.0.0.1:4000".parse().expect("an address");
     let begun =
         || record(100, "n0", Event::RequestBegun { request: REQUEST.into(), client, connected_at: 0 });
-    let cut = |at| record(at, "n0", Event::EndedInPart { request: REQUEST.into() });
+    let cut = |at| record(at, "n0", Event::ClosedPartlyRead { request: REQUEST.into() });
     assert_eq!(broken(vec![begun(), cut(100 + 119)]), [Invariant::Answered]);
     assert_eq!(broken(vec![begun(), cut(100 + 120)]), []);
     let terminated = record(90, "n0", Event::GatewayTerminated);
--- a/fault-tests/tests/paused_gateway.rs
+++ b/fault-tests/tests/paused_gateway.rs
@@ -6,7 +6,7 @@
 use glenrail_fault_tests::client::ClientRequest;
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::invariants::judge;
+use glenrail_fault_tests::invariants::check_invariants;
 use glenrail_fault_tests::network::{Condition, Link};
 use rustix::process::Signal;
 use tokio::time::sleep;
@@ -51,7 +51,8 @@
         };
         tokio::join!(futures_util::future::join_all(leaving), pause);
         sleep(Duration::from_millis(500)).await;
-        let violations = judge(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
+        let violations =
+            check_invariants(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
         let violations: Vec<String> = violations.iter().map(ToString::to_string).collect();
         assert_eq!(violations, [""; 0]);
     });
--- a/fault-tests/tests/recorded_times.rs
+++ b/fault-tests/tests/recorded_times.rs
@@ -8,8 +8,8 @@
 use glenrail_fault_tests::clock::{Micros, MILLISECOND};
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
 use glenrail_fault_tests::faults::{Fault, ScheduledFault};
-use glenrail_fault_tests::invariants::{judge, Invariant, Violation};
-use glenrail_fault_tests::lateness::{LateTick, Lateness, LatenessWatch, Ticker};
+use glenrail_fault_tests::invariants::{check_invariants, Invariant, Violation};
+use glenrail_fault_tests::lateness::{Lateness, LatenessMonitor, LatenessSample, LatenessSource};
 use glenrail_fault_tests::record::{Event, Record};
 use glenrail_fault_tests::report::Report;
 
@@ -51,7 +51,7 @@
 
 fn broken(mut records: Vec<Record>) -> Vec<Invariant> {
     records.sort_by_key(|record| record.at);
-    let violations = judge(&records, LEASE_LIMIT, END * MILLISECOND);
+    let violations = check_invariants(&records, LEASE_LIMIT, END * MILLISECOND);
     violations.into_iter().map(|violation| violation.invariant).collect()
 }
 
@@ -143,26 +143,27 @@
 fn a_runtime_that_stands_still_shows_as_late() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let lateness = runtime.expect("a runtime").block_on(async {
-        let watch = LatenessWatch::start();
+        let watch = LatenessMonitor::start();
         tokio::time::sleep(STALL).await;
         thread::sleep(STALL);
         tokio::time::sleep(STALL).await;
-        watch.so_far()
+        watch.snapshot()
     });
     assert!(lateness.timer_lateness >= (STALL / 2).as_micros() as Micros, "{lateness}");
-    assert!(lateness.late_ticks.iter().any(|tick| tick.ticker == Ticker::Timer), "{lateness}");
+    assert!(lateness.late_samples.iter().any(|sample| sample.source == LatenessSource::Timer), "{lateness}");
 }
 
 /// Guards the report of a break: it names the lateness of that time, and of no other.
 #[test]
 fn late_ticks_are_found_by_the_time_for_which_something_stood_still() {
-    let tick = LateTick { ticker: Ticker::Thread, at: 500 * MILLISECOND, late_by: 100 * MILLISECOND };
+    let sample =
+        LatenessSample { source: LatenessSource::Thread, at: 500 * MILLISECOND, late_by: 100 * MILLISECOND };
     let mut lateness = Lateness::default();
-    lateness.note(tick.clone());
-    assert_eq!(lateness.thread_stall, tick.late_by);
+    lateness.note(sample.clone());
+    assert_eq!(lateness.thread_stall, sample.late_by);
     assert_eq!(lateness.between(0, 399 * MILLISECOND), []);
-    assert_eq!(lateness.between(0, 450 * MILLISECOND), std::slice::from_ref(&tick));
-    assert_eq!(lateness.between(450 * MILLISECOND, 900 * MILLISECOND), [tick]);
+    assert_eq!(lateness.between(0, 450 * MILLISECOND), std::slice::from_ref(&sample));
+    assert_eq!(lateness.between(450 * MILLISECOND, 900 * MILLISECOND), [sample]);
     assert_eq!(lateness.between(501 * MILLISECOND, 900 * MILLISECOND), []);
 }
 
@@ -174,7 +175,7 @@
         invariant: Invariant::Answered,
         request: request.into(),
         at: 0,
-        what: "no answer in time".into(),
+        detail: "no answer in time".into(),
     };
     let told =
         "n0: glenrail: invariant broken: held_in_time: request 25f1-e6: released after 929 ms".to_string();
@@ -198,16 +199,17 @@
     let mut busy: Vec<_> = (0..BUSY_PROCESSES).map(|_| busy_process()).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let lateness = runtime.expect("a runtime").block_on(async {
-        let watch = LatenessWatch::start();
+        let watch = LatenessMonitor::start();
         busy.iter().for_each(|process| watch.watch_gateway(GATEWAY, process.id()));
         tokio::time::sleep(CROWDED_FOR).await;
-        watch.so_far()
+        watch.snapshot()
     });
     for process in &mut busy {
         process.kill().expect("it runs");
         process.wait().expect("it was started here");
     }
-    let waited = lateness.late_ticks.iter().any(|tick| tick.ticker == Ticker::Gateway(GATEWAY.into()));
+    let waited =
+        lateness.late_samples.iter().any(|sample| sample.source == LatenessSource::Gateway(GATEWAY.into()));
     assert!(waited && lateness.gateway_wait > 0, "{lateness}");
 }
 
--- a/fault-tests/tests/resets.rs
+++ b/fault-tests/tests/resets.rs
@@ -9,7 +9,7 @@
 use glenrail_fault_tests::client::{send_request, ClientRequest};
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::invariants::{attempts_delivered, judge};
+use glenrail_fault_tests::invariants::{attempts_delivered, check_invariants};
 use glenrail_fault_tests::network::Link;
 use glenrail_fault_tests::record::{Event, Record, Stage};
 use rustix::process::Signal;
@@ -54,7 +54,7 @@
 }
 
 fn violations(deployment: &Deployment) -> Vec<String> {
-    let violations = judge(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
+    let violations = check_invariants(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
     violations.iter().map(ToString::to_string).collect()
 }
 
--- a/fault-tests/tests/unresponsive_decode_servers.rs
+++ b/fault-tests/tests/unresponsive_decode_servers.rs
@@ -9,7 +9,7 @@
 use glenrail_fault_tests::client::ClientRequest;
 use glenrail_fault_tests::clock;
 use glenrail_fault_tests::deployment::{Deployment, DeploymentSpec};
-use glenrail_fault_tests::invariants::{attempts_delivered, judge, Invariant};
+use glenrail_fault_tests::invariants::{attempts_delivered, check_invariants, Invariant};
 use glenrail_fault_tests::network::{Condition, Link};
 use glenrail_fault_tests::record::Stage;
 use rustix::process::Signal;
@@ -235,7 +235,8 @@
         let leased = glenrail_fault_tests::record::Event::StateLeased { request: "left".into() };
         deployment.records.add(&deployment.engines[PREFILL_SERVER].spec.name, leased);
         sleep(JUDGED_AFTER).await;
-        let violations = judge(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
+        let violations =
+            check_invariants(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
         let found: Vec<_> = violations.iter().map(|v| (v.invariant, v.request.as_str())).collect();
         assert_eq!(found, [(Invariant::LeaseEndsInTime, "left")]);
     });
