--- a/fault-tests/tests/common/mod.rs
+++ b/fault-tests/tests/common/mod.rs
@@ -12,20 +12,20 @@
 
 pub const DECODE_SERVERS: [usize; 2] = [1, 2];
 /// Enough requests that each decode server has connections that stand.
-pub const WARM_UP: usize = 8;
+pub const WARM_UP_REQUESTS: usize = 8;
 /// What is leased has been released by then, or it is late: 500 ms, and 350 ms more.
-pub const JUDGED_AFTER: Duration = Duration::from_millis(1_500);
+pub const CHECK_DELAY: Duration = Duration::from_millis(1_500);
 pub const DEADLINE: Duration = Duration::from_secs(9);
 /// Classes, and whether their requests may be repeated.
 pub const CLASSES: [(&str, bool); 2] = [("item-query", true), ("order-chat", false)];
 
-pub fn program() -> &'static Path {
+pub fn fault_tests_program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"))
 }
 
 /// The gateway lies beside this crate's program; a test of the whole workspace builds both.
-pub fn gateway() -> PathBuf {
-    let path = program().with_file_name("glenrail");
+pub fn gateway_program() -> PathBuf {
+    let path = fault_tests_program().with_file_name("glenrail");
     assert!(
         path.exists(),
         "{} is not built: run the tests of the workspace, or cargo build -p glenrail",
@@ -41,16 +41,16 @@
 
 /// A deployment that has just started: no connection stands.
 pub async fn started(spec: DeploymentSpec) -> Deployment {
-    Deployment::start(spec, program(), &gateway()).await.expect("it starts")
+    Deployment::start(spec, fault_tests_program(), &gateway_program()).await.expect("it starts")
 }
 
 /// A deployment with connections that stand.
 pub async fn warmed_up(spec: DeploymentSpec) -> Deployment {
     let deployment = started(spec).await;
-    let warm_up = (0..WARM_UP)
+    let warm_up = (0..WARM_UP_REQUESTS)
         .map(|n| deployment.send(0, ClientRequest::new(format!("warm{n}"), "item-query", DEADLINE, true)));
     let answers = futures_util::future::join_all(warm_up).await;
-    assert_eq!(answers, vec![Some(200); WARM_UP], "{:?}", deployment.log_lines(""));
+    assert_eq!(answers, vec![Some(200); WARM_UP_REQUESTS], "{:?}", deployment.log_lines(""));
     deployment
 }
 
--- a/fault-tests/tests/connection_ends.rs
+++ b/fault-tests/tests/connection_ends.rs
@@ -13,24 +13,24 @@
 /// Connections of others on the machine, each of which has two sockets.
 const OTHER_CONNECTIONS: usize = 2_000;
 const LOOKUPS: usize = 101;
-const LOOKUP_WITHIN: Duration = Duration::from_millis(1);
+const MAX_MEDIAN_LOOKUP: Duration = Duration::from_millis(1);
 const REQUEST: &[u8] = b"POST / HTTP/1.1\r\ncontent-length: 4\r\n\r\nbody";
 const PIECES: usize = 2;
 /// Bytes of the first of so many pieces.
-const FIRST_PIECE: usize = REQUEST.len().div_ceil(PIECES);
+const FIRST_PIECE_BYTES: usize = REQUEST.len().div_ceil(PIECES);
 /// Longer than loopback takes for anything.
-const SETTLED: Duration = Duration::from_millis(100);
+const SETTLE_TIME: Duration = Duration::from_millis(100);
 /// A gateway ends a connection that says nothing after 2.5 s, and drops what crossed that end 1 s later.
-const ENDED_WITHIN: Duration = Duration::from_secs(10);
-const DROPPED_AFTER: Duration = Duration::from_millis(1_500);
+const IDLE_CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
+const DISCARD_WAIT: Duration = Duration::from_millis(1_500);
 
-fn listener() -> (TcpListener, SocketAddr) {
+fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has ports");
     let address = listener.local_addr().expect("it is bound");
     (listener, address)
 }
 
-fn pair(listener: &TcpListener, address: SocketAddr) -> (TcpStream, TcpStream) {
+fn connected_pair(listener: &TcpListener, address: SocketAddr) -> (TcpStream, TcpStream) {
     let client = TcpStream::connect(address).expect("it listens");
     let (server, _) = listener.accept().expect("a connection has come");
     (client, server)
@@ -45,45 +45,49 @@
 /// runtime stood still and the connection that was asked about went on.
 #[test]
 fn one_socket_is_found_within_a_millisecond_beside_thousands() {
-    let (listener, address) = listener();
-    let _others: Vec<_> = (0..OTHER_CONNECTIONS).map(|_| pair(&listener, address)).collect();
-    let (mut client, _server) = pair(&listener, address);
+    let (listener, address) = bind_listener();
+    let _others: Vec<_> = (0..OTHER_CONNECTIONS).map(|_| connected_pair(&listener, address)).collect();
+    let (mut client, _server) = connected_pair(&listener, address);
     client.write_all(REQUEST).expect("it stands");
-    let from = client.local_addr().expect("it is connected");
-    let mut took: Vec<Duration> = (0..LOOKUPS)
+    let client_address = client.local_addr().expect("it is connected");
+    let mut durations: Vec<Duration> = (0..LOOKUPS)
         .map(|_| {
             let began = Instant::now();
-            let unread = unread::unread_bytes_at(address, from).expect("the kernel answers");
+            let unread = unread::unread_bytes_at(address, client_address).expect("the kernel answers");
             assert_eq!(unread, Some(REQUEST.len() as u64));
             began.elapsed()
         })
         .collect();
-    took.sort_unstable();
-    assert!(took[LOOKUPS / 2] < LOOKUP_WITHIN, "half of the lookups took {:?} or more", took[LOOKUPS / 2]);
+    durations.sort_unstable();
+    assert!(
+        durations[LOOKUPS / 2] < MAX_MEDIAN_LOOKUP,
+        "half of the lookups took {:?} or more",
+        durations[LOOKUPS / 2]
+    );
 }
 
 /// Guards a client whose gateway has closed its connection from being shown the listener at the same address in its place.
 #[test]
 fn an_end_that_is_gone_is_not_taken_for_its_listener() {
-    let (listener, address) = listener();
-    let (client, server) = pair(&listener, address);
-    let from = client.local_addr().expect("it is connected");
-    assert_eq!(unread::unread_bytes_at(address, from).expect("the kernel answers"), Some(0));
+    let (listener, address) = bind_listener();
+    let (client, server) = connected_pair(&listener, address);
+    let client_address = client.local_addr().expect("it is connected");
+    assert_eq!(unread::unread_bytes_at(address, client_address).expect("the kernel answers"), Some(0));
     socket2::SockRef::from(&server).set_linger(Some(Duration::ZERO)).expect("a socket can be reset");
     drop(server);
-    assert_eq!(unread::unread_bytes_at(address, from).expect("the kernel answers"), None);
+    assert_eq!(unread::unread_bytes_at(address, client_address).expect("the kernel answers"), None);
 }
 
 /// Guards clients from writing to a process that has ended, only because their own runtime was late to note it.
 #[test]
 fn an_end_is_seen_while_the_runtime_has_noted_nothing() {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     runtime().block_on(async {
         let connection = PersistentConnection::open(address).await.expect("it listens");
         let (server, _) = listener.accept().expect("a connection has come");
         assert!(!connection.has_ended());
         drop(server);
-        thread::sleep(SETTLED);
+        thread::sleep(SETTLE_TIME);
         assert!(connection.has_ended());
     });
 }
@@ -92,13 +96,13 @@
 /// copies of all sockets until it has begun, which on a busy machine takes hundreds of milliseconds.
 #[test]
 fn a_client_that_leaves_is_seen_while_a_copy_of_its_socket_is_held() {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     runtime().block_on(async {
         let connection = PersistentConnection::open(address).await.expect("it listens");
         let (mut server, _) = listener.accept().expect("a connection has come");
         let copy = connection.clone_socket().expect("descriptors are left");
         connection.close();
-        server.set_read_timeout(Some(SETTLED)).expect("it stands");
+        server.set_read_timeout(Some(SETTLE_TIME)).expect("it stands");
         assert_eq!(server.read(&mut [0]).expect("its end has come"), 0);
         drop(copy);
     });
@@ -107,20 +111,20 @@
 /// Guards gateways from being charged with a request whose last piece was never sent.
 #[test]
 fn a_request_that_is_written_in_part_is_not_sent() {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     let server = thread::spawn(move || {
         let (mut server, _) = listener.accept().expect("a connection comes");
-        server.read_exact(&mut [0; FIRST_PIECE]).expect("the first piece comes");
+        server.read_exact(&mut [0; FIRST_PIECE_BYTES]).expect("the first piece comes");
         server.shutdown(Shutdown::Write).expect("it stands");
         server
     });
     runtime().block_on(async {
         let mut connection = PersistentConnection::open(address).await.expect("it listens");
-        let progress = connection.write(REQUEST, PIECES, SETTLED).await;
-        assert_eq!(progress.bytes(), FIRST_PIECE);
+        let progress = connection.write(REQUEST, PIECES, SETTLE_TIME).await;
+        assert_eq!(progress.bytes(), FIRST_PIECE_BYTES);
         assert_eq!(progress.written_at(REQUEST.len()), None);
-        let sent_in_part = progress.written_at(FIRST_PIECE).expect("it was written");
-        assert!(sent_in_part >= progress.began_at);
+        let partly_sent_at = progress.written_at(FIRST_PIECE_BYTES).expect("it was written");
+        assert!(partly_sent_at >= progress.began_at);
     });
     drop(server.join());
 }
@@ -130,15 +134,15 @@
 fn an_orderly_end_says_how_much_was_read() {
     for (read, end) in [
         (0, ConnectionEnd::Unread),
-        (FIRST_PIECE, ConnectionEnd::PartlyRead),
+        (FIRST_PIECE_BYTES, ConnectionEnd::PartlyRead),
         (REQUEST.len(), ConnectionEnd::Read),
     ] {
-        let (listener, address) = listener();
+        let (listener, address) = bind_listener();
         let server = thread::spawn(move || {
             let (mut server, _) = listener.accept().expect("a connection comes");
-            server.set_read_timeout(Some(SETTLED)).expect("it stands");
+            server.set_read_timeout(Some(SETTLE_TIME)).expect("it stands");
             // All of the request has come before some of it is read.
-            thread::sleep(SETTLED);
+            thread::sleep(SETTLE_TIME);
             server.read_exact(&mut vec![0; read]).expect("the request comes");
             server.shutdown(Shutdown::Write).expect("it stands");
             server
@@ -164,14 +168,14 @@
         let deployment = started.expect("it starts");
         let address = deployment.gateways[0].address;
         let mut client = TcpStream::connect(address).expect("it listens");
-        client.set_read_timeout(Some(ENDED_WITHIN)).expect("it stands");
-        let from = client.local_addr().expect("it is connected");
+        client.set_read_timeout(Some(IDLE_CLOSE_TIMEOUT)).expect("it stands");
+        let client_address = client.local_addr().expect("it is connected");
         assert_eq!(client.read(&mut [0]).expect("it is ended in order"), 0);
         client.write_all(REQUEST).expect("the gateway's end still stands");
-        let unread = unread::unread_bytes_at(address, from).expect("the kernel answers");
+        let unread = unread::unread_bytes_at(address, client_address).expect("the kernel answers");
         assert_eq!(unread, Some(REQUEST.len() as u64));
-        tokio::time::sleep(DROPPED_AFTER).await;
-        let later = unread::unread_bytes_at(address, from).expect("the kernel answers");
-        assert!(later.is_none_or(|unread| unread == 0), "{later:?}");
+        tokio::time::sleep(DISCARD_WAIT).await;
+        let unread_later = unread::unread_bytes_at(address, client_address).expect("the kernel answers");
+        assert!(unread_later.is_none_or(|unread| unread == 0), "{unread_later:?}");
     });
 }
--- a/fault-tests/tests/delivery_confirmation.rs
+++ b/fault-tests/tests/delivery_confirmation.rs
@@ -14,21 +14,21 @@
 use tokio::time::timeout;
 
 /// How long after the write of an attempt the connections that stand fall silent (ms); at 0 before the attempt is passed on.
-const STALLS_AFTER_MS: [u64; 5] = [0, 1, 5, 20, 60];
+const STALL_DELAYS_MS: [u64; 5] = [0, 1, 5, 20, 60];
 const LINK_DELAY: Duration = Duration::from_millis(20);
 /// A first token takes longer than the wait for a delivery to be confirmed.
 const DECODE_TIME_MS: u64 = 300;
 /// Times that requests are sent so that so many connections to a decode server stand as are sent together, and no more.
 const WARM_UP_ROUNDS: usize = 3;
 /// Deployments that run side by side.
-const SIDE_BY_SIDE: usize = 2;
+const CONCURRENT_DEPLOYMENTS: usize = 2;
 
 /// One group of deployments at a time.
 static RUNNING: Mutex<()> = Mutex::new(());
 
 /// Which connections stand when the attempt is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Pool {
+enum InitialConnections {
     /// As many as the warm-up has left, of two servers.
     Several,
     /// So many, of one server.
@@ -37,21 +37,21 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
-    pool: Pool,
+    initial_connections: InitialConnections,
     probes: bool,
     delay: Duration,
-    stalls_after: Duration,
+    stall_delay: Duration,
 }
 
 impl Scenario {
     async fn deployment(&self) -> Deployment {
-        let decode_servers = if self.pool == Pool::Several { 2 } else { 1 };
+        let decode_servers = if self.initial_connections == InitialConnections::Several { 2 } else { 1 };
         let mut spec =
             DeploymentSpec::new(1, 1, decode_servers).with_decode_time(DECODE_TIME_MS, DECODE_TIME_MS);
         spec.probes = self.probes;
-        match self.pool {
-            Pool::Several => warmed_up(spec).await,
-            Pool::Exactly(connections) => {
+        match self.initial_connections {
+            InitialConnections::Several => warmed_up(spec).await,
+            InitialConnections::Exactly(connections) => {
                 let deployment = started(spec).await;
                 for round in 0..WARM_UP_ROUNDS {
                     let requests = (0..connections).map(|n| {
@@ -66,22 +66,22 @@
     }
 
     /// Plays it for one class: the violations, and a line of the table of windows.
-    async fn play(self, class: &str, repeatable: bool) -> (Vec<String>, String) {
+    async fn run(self, class: &str, repeatable: bool) -> (Vec<String>, String) {
         let deployment = self.deployment().await;
         let decode_links = || (1..deployment.engines.len()).flat_map(|server| deployment.links_to(server));
         for link in decode_links() {
             link.set_delay(self.delay);
-            link.stall_after_next_attempt(Some(self.stalls_after));
+            link.stall_after_next_attempt(Some(self.stall_delay));
         }
         let began = Instant::now();
         let request = ClientRequest::new(class, class, DEADLINE, repeatable);
-        let answer = timeout(JUDGED_AFTER, deployment.send(0, request)).await;
-        let answered_after = began.elapsed();
-        tokio::time::sleep(JUDGED_AFTER.saturating_sub(answered_after)).await;
-        let held = longest_unclaimed_ms(&deployment.records.all(), class);
+        let status = timeout(CHECK_DELAY, deployment.send(0, request)).await;
+        let elapsed = began.elapsed();
+        tokio::time::sleep(CHECK_DELAY.saturating_sub(elapsed)).await;
+        let unclaimed_ms = longest_unclaimed_ms(&deployment.records.all(), class);
         let line = format!(
-            "{self:?} {class}: held {held} ms, client {answer:?} after {} ms",
-            answered_after.as_millis()
+            "{self:?} {class}: held {unclaimed_ms} ms, client {status:?} after {} ms",
+            elapsed.as_millis()
         );
         // The requests before are only there for their connections.
         let violations = violations(&deployment).into_iter().filter(|text| text.contains(class));
@@ -109,17 +109,19 @@
 }
 
 /// Plays all stalls for both classes.
-fn assert_no_state_is_left(pool: Pool, probes: bool, delay: Duration, stalls_after_ms: &[u64]) {
+fn assert_no_state_remains(
+    initial_connections: InitialConnections, probes: bool, delay: Duration, stall_delays_ms: &[u64],
+) {
     let _running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
     block_on(async {
         let mut all_violations = Vec::new();
         for (class, repeatable) in CLASSES {
-            for stalls_after_ms in stalls_after_ms.chunks(SIDE_BY_SIDE) {
-                let plays = stalls_after_ms.iter().map(|after| {
-                    let stalls_after = Duration::from_millis(*after);
-                    Scenario { pool, probes, delay, stalls_after }.play(class, repeatable)
+            for stall_delays_ms in stall_delays_ms.chunks(CONCURRENT_DEPLOYMENTS) {
+                let runs = stall_delays_ms.iter().map(|after| {
+                    let stall_delay = Duration::from_millis(*after);
+                    Scenario { initial_connections, probes, delay, stall_delay }.run(class, repeatable)
                 });
-                for (violations, line) in join_all(plays).await {
+                for (violations, line) in join_all(runs).await {
                     println!("{line}");
                     all_violations.extend(violations);
                 }
@@ -132,38 +134,38 @@
 /// Guards soak seeds 9664, 9684, 9565 and 9713: two connections stand, and both fall silent.
 #[test]
 fn an_answer_on_a_newer_connection_is_no_delivery() {
-    assert_no_state_is_left(Pool::Exactly(2), true, Duration::ZERO, &STALLS_AFTER_MS);
+    assert_no_state_remains(InitialConnections::Exactly(2), true, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
 /// Guards the same behind a slow link.
 #[test]
 fn an_answer_on_a_newer_connection_is_no_delivery_on_a_slow_link() {
-    assert_no_state_is_left(Pool::Exactly(2), true, LINK_DELAY, &STALLS_AFTER_MS);
+    assert_no_state_remains(InitialConnections::Exactly(2), true, LINK_DELAY, &STALL_DELAYS_MS);
 }
 
 /// Guards the same where servers may not be probed.
 #[test]
 fn an_answer_on_a_newer_connection_is_no_delivery_where_probes_are_off() {
-    assert_no_state_is_left(Pool::Exactly(2), false, Duration::ZERO, &STALLS_AFTER_MS);
+    assert_no_state_remains(InitialConnections::Exactly(2), false, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
 /// Guards the same where servers may not be probed and the link is slow.
 #[test]
 fn an_answer_on_a_newer_connection_is_no_delivery_where_probes_are_off_on_a_slow_link() {
-    assert_no_state_is_left(Pool::Exactly(2), false, LINK_DELAY, &STALLS_AFTER_MS);
+    assert_no_state_remains(InitialConnections::Exactly(2), false, LINK_DELAY, &STALL_DELAYS_MS);
 }
 
 /// Guards the same where several connections to each of two servers stand.
 #[test]
 fn an_answer_after_several_connections_fell_silent_is_no_delivery() {
-    assert_no_state_is_left(Pool::Several, true, Duration::ZERO, &STALLS_AFTER_MS);
+    assert_no_state_remains(InitialConnections::Several, true, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
 /// Guards an attempt that could use the only connection that stands: another one stands beside it when it is written.
 #[test]
 fn an_attempt_on_the_only_connection_has_another_beside_it() {
     for probes in [true, false] {
-        assert_no_state_is_left(Pool::Exactly(1), probes, Duration::ZERO, &[0]);
+        assert_no_state_remains(InitialConnections::Exactly(1), probes, Duration::ZERO, &[0]);
     }
 }
 
@@ -171,6 +173,6 @@
 #[test]
 fn the_first_attempt_at_a_server_has_another_connection_beside_it() {
     for probes in [true, false] {
-        assert_no_state_is_left(Pool::Exactly(0), probes, Duration::ZERO, &[0]);
+        assert_no_state_remains(InitialConnections::Exactly(0), probes, Duration::ZERO, &[0]);
     }
 }
--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -9,7 +9,7 @@
 const LEASE_LIMIT: Duration = Duration::from_millis(500);
 const REQUEST: &str = "order";
 /// When the request is refused, and the end of the trial (ms).
-const REFUSED_AT: Micros = 300;
+const REJECTED_AT: Micros = 300;
 const END: Micros = 5_000;
 
 fn record(at: Micros, source: &str, event: Event) -> Record {
@@ -20,8 +20,8 @@
     record(0, "n0", Event::Sent { request: REQUEST.into(), deadline: 2.0, repeatable })
 }
 
-fn refused() -> Record {
-    record(REFUSED_AT, "n0", Event::Answered { request: REQUEST.into(), status: 503, complete: true })
+fn rejection() -> Record {
+    record(REJECTED_AT, "n0", Event::Answered { request: REQUEST.into(), status: 503, complete: true })
 }
 
 fn delivered(at: Micros) -> Record {
@@ -33,7 +33,7 @@
     record(at, "r0", Event::Ended { request: REQUEST.into(), stage: Stage::Prefill, end })
 }
 
-fn broken(mut records: Vec<Record>) -> Vec<Invariant> {
+fn broken_invariants(mut records: Vec<Record>) -> Vec<Invariant> {
     records.sort_by_key(|record| record.at);
     let violations = check_invariants(&records, LEASE_LIMIT, END * MILLISECOND);
     violations.into_iter().map(|violation| violation.invariant).collect()
@@ -43,14 +43,14 @@
 /// refusal is not true; once the engine has dropped it, it is.
 #[test]
 fn a_refusal_beside_a_read_that_still_runs_is_found() {
-    let still_runs = vec![sent(false), delivered(100), refused(), ended(REFUSED_AT + 100)];
-    assert_eq!(broken(still_runs), [Invariant::RejectionIsTrue]);
-    let begins_later = vec![sent(false), refused(), delivered(REFUSED_AT + 50), ended(REFUSED_AT + 100)];
-    assert_eq!(broken(begins_later), [Invariant::RejectionIsTrue]);
-    let dropped_before = vec![sent(false), delivered(100), ended(REFUSED_AT - 1), refused()];
-    assert_eq!(broken(dropped_before), []);
-    let may_be_repeated = vec![sent(true), delivered(100), refused(), ended(REFUSED_AT + 100)];
-    assert_eq!(broken(may_be_repeated), []);
+    let still_runs = vec![sent(false), delivered(100), rejection(), ended(REJECTED_AT + 100)];
+    assert_eq!(broken_invariants(still_runs), [Invariant::RejectionIsTrue]);
+    let begins_later = vec![sent(false), rejection(), delivered(REJECTED_AT + 50), ended(REJECTED_AT + 100)];
+    assert_eq!(broken_invariants(begins_later), [Invariant::RejectionIsTrue]);
+    let dropped_before = vec![sent(false), delivered(100), ended(REJECTED_AT - 1), rejection()];
+    assert_eq!(broken_invariants(dropped_before), []);
+    let may_be_repeated = vec![sent(true), delivered(100), rejection(), ended(REJECTED_AT + 100)];
+    assert_eq!(broken_invariants(may_be_repeated), []);
 }
 
 fn first_byte(at: Micros, link: &str, connection: u64) -> Record {
@@ -89,19 +89,20 @@
 #[test]
 fn a_drain_that_closes_at_once_is_found() {
     let read_before = vec![sent(true), terminated(TERMINATED_AT), unanswered(TERMINATED_AT + 1)];
-    assert_eq!(broken(read_before), [Invariant::Answered]);
+    assert_eq!(broken_invariants(read_before), [Invariant::Answered]);
     let ended = process_ended(TERMINATED_AT + 2, false);
-    let with_its_end = vec![sent(true), terminated(TERMINATED_AT), unanswered(TERMINATED_AT + 1), ended];
-    assert_eq!(broken(with_its_end), [Invariant::Answered]);
-    let at_the_kill = process_ended(KILLED_AT, true);
+    let before_the_exit = vec![sent(true), terminated(TERMINATED_AT), unanswered(TERMINATED_AT + 1), ended];
+    assert_eq!(broken_invariants(before_the_exit), [Invariant::Answered]);
+    let process_killed = process_ended(KILLED_AT, true);
     let long_before_the_kill =
-        vec![sent(true), terminated(TERMINATED_AT), unanswered(TERMINATED_AT + 1), at_the_kill.clone()];
-    assert_eq!(broken(long_before_the_kill), [Invariant::Answered]);
+        vec![sent(true), terminated(TERMINATED_AT), unanswered(TERMINATED_AT + 1), process_killed.clone()];
+    assert_eq!(broken_invariants(long_before_the_kill), [Invariant::Answered]);
     // What came before SIGTERM and is unanswered at the kill is the kill's.
     let mut waits_longer = sent(true);
     waits_longer.event = Event::Sent { request: REQUEST.into(), deadline: 9.0, repeatable: true };
-    let by_the_kill = vec![waits_longer, terminated(TERMINATED_AT), unanswered(KILLED_AT), at_the_kill];
-    assert_eq!(broken(by_the_kill), []);
+    let lost_to_the_kill =
+        vec![waits_longer, terminated(TERMINATED_AT), unanswered(KILLED_AT), process_killed];
+    assert_eq!(broken_invariants(lost_to_the_kill), []);
 }
 
 /// Guards against a planted fault: a gateway that drains answers nothing that comes later than 0.7 s after SIGTERM.
@@ -111,14 +112,14 @@
         record(at, "n0", Event::Sent { request: REQUEST.into(), deadline: 9.0, repeatable: true })
     };
     let late = TERMINATED_AT + 701;
-    let at_the_kill = process_ended(KILLED_AT, true);
+    let process_killed = process_ended(KILLED_AT, true);
     let closed_by_the_kill =
-        vec![terminated(TERMINATED_AT), sent_at(late), unanswered(KILLED_AT), at_the_kill.clone()];
-    assert_eq!(broken(closed_by_the_kill), [Invariant::Answered]);
-    let with_no_end_at_all = vec![terminated(TERMINATED_AT), sent_at(late), at_the_kill.clone()];
-    assert_eq!(broken(with_no_end_at_all), [Invariant::Answered]);
-    let closed_before = vec![terminated(TERMINATED_AT), sent_at(late), unanswered(late + 50), at_the_kill];
-    assert_eq!(broken(closed_before), [Invariant::Answered]);
+        vec![terminated(TERMINATED_AT), sent_at(late), unanswered(KILLED_AT), process_killed.clone()];
+    assert_eq!(broken_invariants(closed_by_the_kill), [Invariant::Answered]);
+    let with_no_end_at_all = vec![terminated(TERMINATED_AT), sent_at(late), process_killed.clone()];
+    assert_eq!(broken_invariants(with_no_end_at_all), [Invariant::Answered]);
+    let closed_before = vec![terminated(TERMINATED_AT), sent_at(late), unanswered(late + 50), process_killed];
+    assert_eq!(broken_invariants(closed_before), [Invariant::Answered]);
 }
 
 /// Guards against a planted fault: a connection with an open request is evicted for another client's.
@@ -132,18 +133,22 @@
         closed(121, "n0-r0", 7),
         ended(122),
     ];
-    assert_eq!(broken(while_it_is_at_a_server), [Invariant::Answered]);
+    assert_eq!(broken_invariants(while_it_is_at_a_server), [Invariant::Answered]);
     let before_it_is_sent = vec![sent(true), unanswered(20)];
-    assert_eq!(broken(before_it_is_sent), [Invariant::Answered]);
+    assert_eq!(broken_invariants(before_it_is_sent), [Invariant::Answered]);
     let unread = vec![sent(true), record(20, "n0", Event::ClosedUnread { request: REQUEST.into() })];
-    assert_eq!(broken(unread), [], "an end that crosses a request is no eviction of it");
+    assert_eq!(broken_invariants(unread), [], "an end that crosses a request is no eviction of it");
     let forwarded_as_unread = vec![
         sent(true),
         first_byte(10, "n0-r0", 7),
         record(20, "n0", Event::ClosedUnread { request: REQUEST.into() }),
         closed(21, "n0-r0", 7),
     ];
-    assert_eq!(broken(forwarded_as_unread), [Invariant::Answered], "it was read: an attempt was begun");
+    assert_eq!(
+        broken_invariants(forwarded_as_unread),
+        [Invariant::Answered],
+        "it was read: an attempt was begun"
+    );
 }
 
 /// Guards against a planted fault: a reset of a server's connection is taken for the end of its work. The request goes on to a
@@ -156,29 +161,29 @@
         delivered(11),
         closed(50, "n0-r0", 7),
         record(60, "r0", Event::Released { request: REQUEST.into() }),
-        refused(),
+        rejection(),
         leased(400),
         record(401, "r0", ended(401).event),
     ];
-    assert_eq!(broken(rejected), [Invariant::RejectionIsTrue, Invariant::LeaseEndsInTime]);
+    assert_eq!(broken_invariants(rejected), [Invariant::RejectionIsTrue, Invariant::LeaseEndsInTime]);
     let released_again = vec![
         sent(true),
         first_byte(10, "n0-r0", 7),
         delivered(11),
         closed(50, "n0-r0", 7),
         record(60, "r0", Event::Released { request: REQUEST.into() }),
-        refused(),
+        rejection(),
         leased(400),
         ended(401),
         record(900, "r1", Event::Released { request: REQUEST.into() }),
     ];
-    assert_eq!(broken(released_again), []);
+    assert_eq!(broken_invariants(released_again), []);
 }
 
 /// Guards against a planted fault: a decode attempt that was written on a silent connection is believed to have arrived.
 #[test]
 fn a_delivery_that_is_believed_is_found() {
-    let believed = vec![
+    let unconfirmed = vec![
         sent(true),
         delivered(10),
         leased(40),
@@ -188,9 +193,9 @@
         record(1_510, "r0", Event::Released { request: REQUEST.into() }),
         record(1_600, "n0", Event::Answered { request: REQUEST.into(), status: 502, complete: true }),
     ];
-    assert_eq!(broken(believed), [Invariant::LeaseEndsInTime]);
+    assert_eq!(broken_invariants(unconfirmed), [Invariant::LeaseEndsInTime]);
     let arrived = record(62, "w0", Event::Delivered { request: REQUEST.into(), stage: Stage::Decode });
-    let has_arrived = vec![
+    let arrived_in_time = vec![
         sent(true),
         delivered(10),
         leased(40),
@@ -200,7 +205,7 @@
         claimed(1_500, "w0"),
         record(1_600, "n0", Event::Answered { request: REQUEST.into(), status: 200, complete: true }),
     ];
-    assert_eq!(broken(has_arrived), []);
+    assert_eq!(broken_invariants(arrived_in_time), []);
 }
 
 /// Guards against a planted fault: a believed delivery that arrives late after all, once its request has gone on elsewhere.
@@ -209,7 +214,7 @@
     let twice = vec![sent(false), leased(40), claimed(60, "w0"), leased(80), claimed(100, "w1")];
     let answered =
         record(200, "n0", Event::Answered { request: REQUEST.into(), status: 200, complete: true });
-    assert_eq!(broken([twice, vec![answered]].concat()), [Invariant::AtMostOnce]);
+    assert_eq!(broken_invariants([twice, vec![answered]].concat()), [Invariant::AtMostOnce]);
 }
 
 /// Guards slow writers: a gateway that ends a connection over the first bytes of a request before their time is found; one that
@@ -220,9 +225,9 @@
     let begun =
         || record(100, "n0", Event::RequestBegun { request: REQUEST.into(), client, connected_at: 0 });
     let cut = |at| record(at, "n0", Event::ClosedPartlyRead { request: REQUEST.into() });
-    assert_eq!(broken(vec![begun(), cut(100 + 119)]), [Invariant::Answered]);
-    assert_eq!(broken(vec![begun(), cut(100 + 120)]), []);
+    assert_eq!(broken_invariants(vec![begun(), cut(100 + 119)]), [Invariant::Answered]);
+    assert_eq!(broken_invariants(vec![begun(), cut(100 + 120)]), []);
     let terminated = record(90, "n0", Event::GatewayTerminated);
     let process_ended = record(400, "n0", Event::GatewayEnded { killed: false });
-    assert_eq!(broken(vec![begun(), cut(150), terminated, process_ended]), []);
+    assert_eq!(broken_invariants(vec![begun(), cut(150), terminated, process_ended]), []);
 }
--- a/fault-tests/tests/links.rs
+++ b/fault-tests/tests/links.rs
@@ -14,7 +14,7 @@
 
 const PREFILL_SERVER: usize = 0;
 /// A refused or reset connection shows as such within this time on loopback.
-const SHOWN_WITHIN: Duration = Duration::from_secs(2);
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Guards the rig against an orderly end in place of a reset, which would prove that the engine has ended the connection.
 #[test]
@@ -23,12 +23,12 @@
         let deployment = started(DeploymentSpec::new(1, 1, 1)).await;
         let link = &deployment.links[&(0, PREFILL_SERVER)];
         let mut connection = TcpStream::connect(link.address).await.expect("it accepts");
-        let check = b"GET /health HTTP/1.1\r\nhost: api.internal\r\n\r\n";
-        connection.write_all(check).await.expect("written");
-        let answered = connection.read(&mut [0; 256]).await.expect("an answer");
-        assert!(answered > 0, "it is carried");
+        let health_check = b"GET /health HTTP/1.1\r\nhost: api.internal\r\n\r\n";
+        connection.write_all(health_check).await.expect("written");
+        let received = connection.read(&mut [0; 256]).await.expect("an answer");
+        assert!(received > 0, "it is carried");
         link.reset();
-        let ended = timeout(SHOWN_WITHIN, connection.read(&mut [0; 256])).await.expect("in time");
+        let ended = timeout(DETECTION_TIMEOUT, connection.read(&mut [0; 256])).await.expect("in time");
         assert_eq!(ended.map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
     });
 }
@@ -41,7 +41,7 @@
         let spec = DeploymentSpec::new(1, 1, 1);
         let mut deployment = started(spec).await;
         let address = deployment.links[&(0, PREFILL_SERVER)].address;
-        let connect = || timeout(SHOWN_WITHIN, TcpStream::connect(address));
+        let connect = || timeout(DETECTION_TIMEOUT, TcpStream::connect(address));
         connect().await.expect("in time").expect("it accepts");
         for _ in 0..2 {
             deployment.kill_engine(PREFILL_SERVER).await.expect("it is killed");
@@ -53,12 +53,12 @@
             let refused = connect().await.expect("in time").expect_err("it refuses");
             assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
             deployment.restart_engine(PREFILL_SERVER).await.expect("it starts");
-            let back = async {
+            let reopened = async {
                 while connect().await.is_ok_and(|connected| connected.is_err()) {
                     sleep(Duration::from_millis(5)).await;
                 }
             };
-            timeout(SHOWN_WITHIN, back).await.expect("it accepts again");
+            timeout(DETECTION_TIMEOUT, reopened).await.expect("it accepts again");
         }
     });
 }
--- a/fault-tests/tests/paused_gateway.rs
+++ b/fault-tests/tests/paused_gateway.rs
@@ -15,9 +15,9 @@
 const DEADLINE: Duration = Duration::from_secs(9);
 const REQUESTS: u64 = 12;
 /// A connection is given up after 250 ms; clients leave before that, and the gateway stands still over both.
-const CLIENTS_LEAVE_AFTER: Duration = Duration::from_millis(200);
-const PAUSED_AFTER: Duration = Duration::from_millis(190);
-const PAUSED_FOR: Duration = Duration::from_millis(150);
+const CLIENT_DISCONNECT_DELAY: Duration = Duration::from_millis(200);
+const PAUSE_DELAY: Duration = Duration::from_millis(190);
+const PAUSE_DURATION: Duration = Duration::from_millis(150);
 
 /// Guards engines from retries for clients that have left: the connection's time-out and the clients' leaving are found in the same
 /// wake-up, and the retry could be written at once, on an idle connection.
@@ -38,18 +38,18 @@
             link.set(Condition::Unconnectable);
         }
         sleep(Duration::from_millis(50)).await;
-        let leaving = (0..REQUESTS).map(|n| {
+        let disconnecting = (0..REQUESTS).map(|n| {
             let mut request = request(&format!("leaves{n}"), n);
-            request.disconnects_after = Some(CLIENTS_LEAVE_AFTER);
+            request.disconnects_after = Some(CLIENT_DISCONNECT_DELAY);
             deployment.send(0, request)
         });
         let pause = async {
-            sleep(PAUSED_AFTER).await;
+            sleep(PAUSE_DELAY).await;
             deployment.gateways[0].process.signal(Signal::STOP);
-            sleep(PAUSED_FOR).await;
+            sleep(PAUSE_DURATION).await;
             deployment.gateways[0].process.signal(Signal::CONT);
         };
-        tokio::join!(futures_util::future::join_all(leaving), pause);
+        tokio::join!(futures_util::future::join_all(disconnecting), pause);
         sleep(Duration::from_millis(500)).await;
         let violations =
             check_invariants(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
--- a/fault-tests/tests/recorded_times.rs
+++ b/fault-tests/tests/recorded_times.rs
@@ -20,10 +20,10 @@
 const KILLED_AT: Micros = 1_000;
 const END: Micros = 9_000;
 /// How long the platform allows a gateway to be held up.
-const HELD_UP: Duration = Duration::from_millis(150);
+const GATEWAY_PAUSE: Duration = Duration::from_millis(150);
 /// Processes that share one processor, and for how long.
 const BUSY_PROCESSES: usize = 4;
-const CROWDED_FOR: Duration = Duration::from_millis(500);
+const BUSY_TIME: Duration = Duration::from_millis(500);
 /// Longer than a tick of any clock here.
 const STALL: Duration = Duration::from_millis(60);
 
@@ -49,7 +49,7 @@
     [record(KILLED_AT, Event::GatewayKilled), record(ended_at, Event::GatewayEnded { killed: true })]
 }
 
-fn broken(mut records: Vec<Record>) -> Vec<Invariant> {
+fn broken_invariants(mut records: Vec<Record>) -> Vec<Invariant> {
     records.sort_by_key(|record| record.at);
     let violations = check_invariants(&records, LEASE_LIMIT, END * MILLISECOND);
     violations.into_iter().map(|violation| violation.invariant).collect()
@@ -60,7 +60,7 @@
 fn what_ends_with_a_kill_is_excused_however_late_the_process_was_waited_for() {
     let mut records = vec![begun(900, 800), sent(900), unanswered(KILLED_AT + 1)];
     records.extend(killed(KILLED_AT + 500));
-    assert_eq!(broken(records), []);
+    assert_eq!(broken_invariants(records), []);
 }
 
 /// Guards the judge: a connection that is closed before the kill was not closed by it.
@@ -68,7 +68,7 @@
 fn what_ends_before_a_kill_is_not_excused_by_it() {
     let mut records = vec![begun(700, 600), sent(700), unanswered(KILLED_AT - 1)];
     records.extend(killed(KILLED_AT + 5));
-    assert_eq!(broken(records), [Invariant::Answered]);
+    assert_eq!(broken_invariants(records), [Invariant::Answered]);
 }
 
 /// Guards a gateway that ends a stream shortly before it is killed from being charged with the kill's cut (soak seed 9590), and
@@ -78,11 +78,11 @@
     let cut = |at| record(at, Event::Answered { request: REQUEST.into(), status: 200, complete: false });
     let mut ended_before = vec![begun(500, 400), sent(500), cut(KILLED_AT - 79)];
     ended_before.extend(killed(KILLED_AT + 2));
-    assert_eq!(broken(ended_before), []);
+    assert_eq!(broken_invariants(ended_before), []);
     let terminated = record(100, Event::GatewayTerminated);
-    let mut taken_late = vec![terminated, begun(900, 90), sent(900), cut(KILLED_AT + 1)];
-    taken_late.extend(killed(KILLED_AT + 2));
-    assert_eq!(broken(taken_late), [Invariant::Answered]);
+    let mut accepted_late = vec![terminated, begun(900, 90), sent(900), cut(KILLED_AT + 1)];
+    accepted_late.extend(killed(KILLED_AT + 2));
+    assert_eq!(broken_invariants(accepted_late), [Invariant::Answered]);
 }
 
 /// Guards a process from being charged with a request that was written on a connection to the process before it (soak seed
@@ -92,12 +92,12 @@
     let mut to_the_killed_process =
         vec![begun(KILLED_AT - 5, 800), sent(KILLED_AT + 20), unanswered(KILLED_AT + 21)];
     to_the_killed_process.extend(killed(KILLED_AT + 2));
-    assert_eq!(broken(to_the_killed_process), []);
+    assert_eq!(broken_invariants(to_the_killed_process), []);
     let connected_at = KILLED_AT + 30;
     let mut to_the_next =
         vec![begun(connected_at, connected_at), sent(connected_at), unanswered(connected_at + 9)];
     to_the_next.extend(killed(KILLED_AT + 2));
-    assert_eq!(broken(to_the_next), [Invariant::Answered]);
+    assert_eq!(broken_invariants(to_the_next), [Invariant::Answered]);
 }
 
 /// Guards the two times of a kill: before its signal, and after its wait.
@@ -125,16 +125,16 @@
         let spec = DeploymentSpec::new(1, 1, 1);
         let started = Deployment::start(spec, program, &program.with_file_name("glenrail")).await;
         let mut deployment = started.expect("it starts");
-        let pause = ScheduledFault { fault: Fault::GatewayPaused { gateway: 0 }, duration: HELD_UP };
+        let pause = ScheduledFault { fault: Fault::GatewayPaused { gateway: 0 }, duration: GATEWAY_PAUSE };
         pause.begin(&mut deployment).await.expect("it begins");
-        thread::sleep(HELD_UP * 4);
+        thread::sleep(GATEWAY_PAUSE * 4);
         let of_gateway = deployment.records.all().into_iter().filter(|record| record.source == GATEWAY);
         let times: Vec<(Event, Micros)> = of_gateway.map(|record| (record.event, record.at)).collect();
         let [(Event::GatewayPaused, paused_at), (Event::GatewayContinued, continued_at)] = times[..] else {
             panic!("{times:?}")
         };
-        let held_up = Duration::from_micros(continued_at - paused_at);
-        assert!((HELD_UP..HELD_UP * 2).contains(&held_up), "{held_up:?}");
+        let paused_for = Duration::from_micros(continued_at - paused_at);
+        assert!((GATEWAY_PAUSE..GATEWAY_PAUSE * 2).contains(&paused_for), "{paused_for:?}");
     });
 }
 
@@ -177,12 +177,12 @@
         at: 0,
         detail: "no answer in time".into(),
     };
-    let told =
+    let reported =
         "n0: glenrail: invariant broken: held_in_time: request 25f1-e6: released after 929 ms".to_string();
     let (counted, not_counted) = (violation("25f1-e6"), violation("25f1-e"));
     let report = Report {
         violations: vec![counted.clone(), not_counted.clone()],
-        reported_violations: vec![told],
+        reported_violations: vec![reported],
         ..Report::default()
     };
     assert!(report.is_counted(&counted));
@@ -196,15 +196,15 @@
 /// name, until it has ended.
 #[test]
 fn a_process_without_a_processor_shows_as_waiting() {
-    let mut busy: Vec<_> = (0..BUSY_PROCESSES).map(|_| busy_process()).collect();
+    let mut busy_processes: Vec<_> = (0..BUSY_PROCESSES).map(|_| busy_process()).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let lateness = runtime.expect("a runtime").block_on(async {
         let watch = LatenessMonitor::start();
-        busy.iter().for_each(|process| watch.watch_gateway(GATEWAY, process.id()));
-        tokio::time::sleep(CROWDED_FOR).await;
+        busy_processes.iter().for_each(|process| watch.watch_gateway(GATEWAY, process.id()));
+        tokio::time::sleep(BUSY_TIME).await;
         watch.snapshot()
     });
-    for process in &mut busy {
+    for process in &mut busy_processes {
         process.kill().expect("it runs");
         process.wait().expect("it was started here");
     }
--- a/fault-tests/tests/resets.rs
+++ b/fault-tests/tests/resets.rs
@@ -16,39 +16,41 @@
 use tokio::time::sleep;
 
 /// Enough requests that each server has connections that stand.
-const WARM_UP: usize = 4;
+const WARM_UP_REQUESTS: usize = 4;
 const DEADLINE: Duration = Duration::from_secs(9);
 /// The prefill that is cut takes so long (ms).
-const PREFILL_MS: u64 = 400;
+const PREFILL_TIME_MS: u64 = 400;
 /// What is held has been let go by then, or it is late: 500 ms, and 350 ms more.
-const JUDGED_AFTER: Duration = Duration::from_millis(1_500);
+const CHECK_DELAY: Duration = Duration::from_millis(1_500);
 /// A class whose requests may not be repeated.
 const AT_MOST_ONCE: (&str, bool) = ("order-chat", false);
 /// A change of the endpoint list has arrived by then.
-const LIST_ARRIVES: Duration = Duration::from_millis(150);
+const LIST_PROPAGATION_TIME: Duration = Duration::from_millis(150);
 /// The server stands still for so long after the reset: longer than the router waits for a server before it rejects.
-const STANDS_STILL: Duration = Duration::from_millis(4_000);
+const SERVER_PAUSE: Duration = Duration::from_millis(4_000);
 
 /// What becomes of a prefill whose connection has ended.
 #[derive(Clone, Copy, PartialEq)]
-enum Prefills {
+enum CancelledPrefills {
     Dropped,
     Finished,
 }
 
 /// One gateway, these prefill servers and two decode servers, with connections that stand.
-async fn warmed_up(prefill_servers: usize, probes: bool, prefills: Prefills) -> Deployment {
+async fn warmed_up(
+    prefill_servers: usize, probes: bool, cancelled_prefills: CancelledPrefills,
+) -> Deployment {
     let mut spec = DeploymentSpec::new(1, prefill_servers, 2);
     spec.probes = probes;
     for engine in &mut spec.engines[..prefill_servers] {
-        engine.service_time_ms = (PREFILL_MS, PREFILL_MS);
-        engine.finishes_prefills = prefills == Prefills::Finished;
+        engine.service_time_ms = (PREFILL_TIME_MS, PREFILL_TIME_MS);
+        engine.finishes_prefills = cancelled_prefills == CancelledPrefills::Finished;
     }
     let deployment = started(spec).await;
     // One after the other: beside each other they would be rejected as too slow.
-    for n in 0..WARM_UP {
-        let ask = ClientRequest::new(format!("warm{n}"), "item-query", DEADLINE, true);
-        assert_eq!(deployment.send(0, ask).await, Some(200), "{:?}", deployment.log_lines(""));
+    for n in 0..WARM_UP_REQUESTS {
+        let request = ClientRequest::new(format!("warm{n}"), "item-query", DEADLINE, true);
+        assert_eq!(deployment.send(0, request).await, Some(200), "{:?}", deployment.log_lines(""));
     }
     deployment
 }
@@ -62,15 +64,15 @@
 async fn prefill_server_of(deployment: &Deployment, request: &str) -> usize {
     loop {
         let records = deployment.records.all();
-        let arrived = records.iter().find(|record| {
+        let delivered = records.iter().find(|record| {
             let is_prefill = matches!(record.event, Event::Delivered { stage: Stage::Prefill, .. });
             is_prefill && record.event.request() == request
         });
-        if let Some(arrived) = arrived {
+        if let Some(delivered) = delivered {
             let engines = deployment.engines.iter();
             return engines
                 .map(|engine| &engine.spec.name)
-                .position(|name| *name == arrived.source)
+                .position(|name| *name == delivered.source)
                 .expect("it");
         }
         sleep(Duration::from_millis(1)).await;
@@ -79,32 +81,32 @@
 
 /// Plays the crossing: a prefill arrives, its server stands still and begins to drain, the connections to it are reset, and it goes
 /// on later. Gives the client's status.
-async fn play_crossing(deployment: &mut Deployment, ask: ClientRequest) -> Option<u16> {
-    let request = ask.id.clone();
+async fn reset_during_pause(deployment: &mut Deployment, request: ClientRequest) -> Option<u16> {
+    let request_id = request.id.clone();
     let (gateway, records) = (deployment.gateways[0].address, deployment.records.clone());
     let name = deployment.gateways[0].name.clone();
-    let sent = tokio::spawn(async move { send_request(&name, gateway, ask, &records).await });
-    let server = prefill_server_of(deployment, &request).await;
+    let sent = tokio::spawn(async move { send_request(&name, gateway, request, &records).await });
+    let server = prefill_server_of(deployment, &request_id).await;
     deployment.engines[server].process.signal(Signal::STOP);
     // No server is left for another attempt, so the router rejects.
     deployment.engines[server].draining = true;
     deployment.publish();
-    sleep(LIST_ARRIVES).await;
+    sleep(LIST_PROPAGATION_TIME).await;
     deployment.links_to(server).for_each(Link::reset);
-    sleep(STANDS_STILL).await;
+    sleep(SERVER_PAUSE).await;
     deployment.engines[server].process.signal(Signal::CONT);
     let status = sent.await.expect("its end");
-    sleep(JUDGED_AFTER).await;
+    sleep(CHECK_DELAY).await;
     status
 }
 
 /// Guards what a 503 says (soak seed 9724): a server that stands still through a reset goes on with its prefill, so a request that
 /// may not be repeated is not called harmless to send again, and no state stays.
-async fn guards_a_request_whose_server_stands_still(probes: bool) {
+async fn assert_not_rejected_while_the_server_is_paused(probes: bool) {
     let (class, repeatable) = AT_MOST_ONCE;
-    let mut deployment = warmed_up(1, probes, Prefills::Finished).await;
-    let ask = ClientRequest::new(class, class, DEADLINE, repeatable);
-    let status = play_crossing(&mut deployment, ask).await;
+    let mut deployment = warmed_up(1, probes, CancelledPrefills::Finished).await;
+    let client_request = ClientRequest::new(class, class, DEADLINE, repeatable);
+    let status = reset_during_pause(&mut deployment, client_request).await;
     let log = deployment.log_lines(class);
     let records = deployment.records.all();
     let leased =
@@ -116,12 +118,12 @@
 
 #[test]
 fn a_request_is_not_rejected_while_its_server_stands_still_through_a_reset() {
-    block_on(guards_a_request_whose_server_stands_still(true));
+    block_on(assert_not_rejected_while_the_server_is_paused(true));
 }
 
 #[test]
 fn a_request_is_not_rejected_while_its_server_stands_still_where_probes_are_off() {
-    block_on(guards_a_request_whose_server_stands_still(false));
+    block_on(assert_not_rejected_while_the_server_is_paused(false));
 }
 
 /// Guards requests against the cost of a reset: a server that is well is asked once, and the request is answered.
@@ -129,16 +131,16 @@
 fn a_reset_of_a_server_that_is_well_costs_one_question() {
     block_on(async {
         let (class, repeatable) = AT_MOST_ONCE;
-        let deployment = warmed_up(2, true, Prefills::Dropped).await;
-        let ask = ClientRequest::new(class, class, DEADLINE, repeatable);
-        let reset = async {
+        let deployment = warmed_up(2, true, CancelledPrefills::Dropped).await;
+        let request = ClientRequest::new(class, class, DEADLINE, repeatable);
+        let reset_links = async {
             let server = prefill_server_of(&deployment, class).await;
             deployment.links_to(server).for_each(Link::reset);
         };
-        let (status, ()) = tokio::join!(deployment.send(0, ask), reset);
+        let (status, ()) = tokio::join!(deployment.send(0, request), reset_links);
         assert_eq!(status, Some(200), "{:?}", deployment.log_lines(class));
         assert_eq!(attempts_delivered(&deployment.records.all(), class, Stage::Prefill), 2);
-        sleep(JUDGED_AFTER).await;
+        sleep(CHECK_DELAY).await;
         assert_eq!(violations(&deployment), [""; 0]);
     });
 }
@@ -148,15 +150,15 @@
 fn a_request_is_answered_elsewhere_when_its_prefill_server_dies() {
     block_on(async {
         let (class, repeatable) = AT_MOST_ONCE;
-        let mut deployment = warmed_up(2, true, Prefills::Dropped).await;
-        let ask = ClientRequest::new(class, class, DEADLINE, repeatable);
+        let mut deployment = warmed_up(2, true, CancelledPrefills::Dropped).await;
+        let request = ClientRequest::new(class, class, DEADLINE, repeatable);
         let (gateway, records) = (deployment.gateways[0].address, deployment.records.clone());
         let name = deployment.gateways[0].name.clone();
-        let sent = tokio::spawn(async move { send_request(&name, gateway, ask, &records).await });
+        let sent = tokio::spawn(async move { send_request(&name, gateway, request, &records).await });
         let server = prefill_server_of(&deployment, class).await;
         deployment.kill_engine(server).await.expect("it is killed");
         assert_eq!(sent.await.expect("its end"), Some(200), "{:?}", deployment.log_lines(class));
-        sleep(JUDGED_AFTER).await;
+        sleep(CHECK_DELAY).await;
         assert_eq!(violations(&deployment), [""; 0]);
     });
 }
--- a/fault-tests/tests/unresponsive_decode_servers.rs
+++ b/fault-tests/tests/unresponsive_decode_servers.rs
@@ -18,12 +18,12 @@
 const PREFILL_SERVER: usize = 0;
 
 /// Sends one request of each class at once, and gives what the invariants say some time later.
-async fn violations_of_one_request_a_class(deployment: &Deployment) -> Vec<String> {
-    let asks = CLASSES.map(|(class, repeatable)| ClientRequest::new(class, class, DEADLINE, repeatable));
-    let asked = futures_util::future::join_all(asks.map(|ask| deployment.send(0, ask)));
+async fn violations_after_one_request_per_class(deployment: &Deployment) -> Vec<String> {
+    let requests = CLASSES.map(|(class, repeatable)| ClientRequest::new(class, class, DEADLINE, repeatable));
+    let responses = futures_util::future::join_all(requests.map(|request| deployment.send(0, request)));
     tokio::select! {
-        _ = async { asked.await; sleep(JUDGED_AFTER).await } => {}
-        () = sleep(JUDGED_AFTER) => {}
+        _ = async { responses.await; sleep(CHECK_DELAY).await } => {}
+        () = sleep(CHECK_DELAY) => {}
     }
     violations(deployment)
 }
@@ -36,7 +36,7 @@
         for server in DECODE_SERVERS {
             deployment.links_to(server).for_each(|link| link.set(Condition::Blackholed));
         }
-        assert_eq!(violations_of_one_request_a_class(&deployment).await, [""; 0]);
+        assert_eq!(violations_after_one_request_per_class(&deployment).await, [""; 0]);
     });
 }
 
@@ -50,7 +50,7 @@
         for server in DECODE_SERVERS {
             deployment.links_to(server).for_each(|link| link.set(Condition::Blackholed));
         }
-        assert_eq!(violations_of_one_request_a_class(&deployment).await, [""; 0]);
+        assert_eq!(violations_after_one_request_per_class(&deployment).await, [""; 0]);
     });
 }
 
@@ -62,7 +62,7 @@
         for server in DECODE_SERVERS {
             deployment.engines[server].process.signal(Signal::STOP);
         }
-        assert_eq!(violations_of_one_request_a_class(&deployment).await, [""; 0]);
+        assert_eq!(violations_after_one_request_per_class(&deployment).await, [""; 0]);
     });
 }
 
@@ -74,10 +74,10 @@
         deployment.links_to(DECODE_SERVERS[0]).for_each(|link| link.set(Condition::Blackholed));
         for n in 0..6 {
             let (class, repeatable) = CLASSES[n % 2];
-            let answer = deployment
+            let status = deployment
                 .send(0, ClientRequest::new(format!("{class}{n}"), class, DEADLINE, repeatable))
                 .await;
-            assert_eq!(answer, Some(200), "{class}{n}: {:?}", deployment.log_lines(""));
+            assert_eq!(status, Some(200), "{class}{n}: {:?}", deployment.log_lines(""));
         }
         assert_eq!(violations(&deployment), [""; 0]);
     });
@@ -111,10 +111,15 @@
         for server in DECODE_SERVERS {
             deployment.links_to(server).for_each(Link::stall_open_connections);
         }
-        assert_eq!(violations_of_one_request_a_class(&deployment).await, [""; 0]);
+        assert_eq!(violations_after_one_request_per_class(&deployment).await, [""; 0]);
         for (class, repeatable) in CLASSES {
-            let ask = ClientRequest::new(format!("{class}-later"), class, DEADLINE, repeatable);
-            assert_eq!(deployment.send(0, ask).await, Some(200), "{class}: {:?}", deployment.log_lines(""));
+            let request = ClientRequest::new(format!("{class}-later"), class, DEADLINE, repeatable);
+            assert_eq!(
+                deployment.send(0, request).await,
+                Some(200),
+                "{class}: {:?}",
+                deployment.log_lines("")
+            );
         }
         assert_eq!(violations(&deployment), [""; 0]);
     });
@@ -130,7 +135,7 @@
         for server in DECODE_SERVERS {
             deployment.links_to(server).for_each(Link::stall_open_connections);
         }
-        assert_eq!(violations_of_one_request_a_class(&deployment).await, [""; 0]);
+        assert_eq!(violations_after_one_request_per_class(&deployment).await, [""; 0]);
     });
 }
 
@@ -140,11 +145,12 @@
     block_on(async {
         let mut spec = DeploymentSpec::new(1, 1, 2);
         spec.probes = false;
-        let deployment = Deployment::start(spec, program(), &gateway()).await.expect("it starts");
+        let deployment =
+            Deployment::start(spec, fault_tests_program(), &gateway_program()).await.expect("it starts");
         for server in DECODE_SERVERS {
             deployment.links_to(server).for_each(|link| link.set(Condition::Blackholed));
         }
-        assert_eq!(violations_of_one_request_a_class(&deployment).await, [""; 0]);
+        assert_eq!(violations_after_one_request_per_class(&deployment).await, [""; 0]);
     });
 }
 
@@ -157,8 +163,8 @@
         spec.probes = false;
         let deployment = warmed_up(spec).await;
         for (class, repeatable) in CLASSES {
-            let ask = ClientRequest::new(class, class, DEADLINE, repeatable);
-            assert_eq!(deployment.send(0, ask).await, Some(200));
+            let request = ClientRequest::new(class, class, DEADLINE, repeatable);
+            assert_eq!(deployment.send(0, request).await, Some(200));
             let records = deployment.records.all();
             assert_eq!(attempts_delivered(&records, class, Stage::Prefill), 1, "{class}");
             assert_eq!(attempts_delivered(&records, class, Stage::Decode), 1, "{class}");
@@ -176,14 +182,14 @@
         spec.engines[PREFILL_SERVER].service_time_ms = (400, 400);
         let deployment = warmed_up(spec).await;
         for (class, repeatable) in CLASSES {
-            let mut ask = ClientRequest::new(class, class, DEADLINE, repeatable);
-            ask.disconnects_after = Some(Duration::from_millis(200));
-            let silence = async {
+            let mut request = ClientRequest::new(class, class, DEADLINE, repeatable);
+            request.disconnects_after = Some(Duration::from_millis(200));
+            let blackhole = async {
                 sleep(Duration::from_millis(100)).await;
                 deployment.links_to(PREFILL_SERVER).for_each(|link| link.set(Condition::Blackholed));
             };
-            tokio::join!(deployment.send(0, ask), silence);
-            sleep(JUDGED_AFTER).await;
+            tokio::join!(deployment.send(0, request), blackhole);
+            sleep(CHECK_DELAY).await;
             deployment.links_to(PREFILL_SERVER).for_each(|link| link.set(Condition::Open));
             let records = deployment.records.all();
             assert_eq!(
@@ -205,17 +211,17 @@
             let mut spec = DeploymentSpec::new(1, 1, 2);
             spec.engines[PREFILL_SERVER].service_time_ms = (400, 400);
             let deployment = warmed_up(spec).await;
-            let mut ask = ClientRequest::new(class, class, DEADLINE, repeatable);
-            ask.disconnects_after = Some(Duration::from_millis(200));
+            let mut request = ClientRequest::new(class, class, DEADLINE, repeatable);
+            request.disconnects_after = Some(Duration::from_millis(200));
             deployment.engines[PREFILL_SERVER].process.signal(Signal::STOP);
             let stall = async {
                 sleep(Duration::from_millis(100)).await;
                 deployment.links_to(PREFILL_SERVER).for_each(Link::stall_open_connections);
             };
-            tokio::join!(deployment.send(0, ask), stall);
+            tokio::join!(deployment.send(0, request), stall);
             sleep(Duration::from_millis(200)).await;
             deployment.engines[PREFILL_SERVER].process.signal(Signal::CONT);
-            sleep(Duration::from_millis(400) + JUDGED_AFTER).await;
+            sleep(Duration::from_millis(400) + CHECK_DELAY).await;
             let records = deployment.records.all();
             assert_eq!(
                 attempts_delivered(&records, class, Stage::Prefill),
@@ -234,7 +240,7 @@
         let deployment = warmed_up(DeploymentSpec::new(1, 1, 2)).await;
         let leased = glenrail_fault_tests::record::Event::StateLeased { request: "left".into() };
         deployment.records.add(&deployment.engines[PREFILL_SERVER].spec.name, leased);
-        sleep(JUDGED_AFTER).await;
+        sleep(CHECK_DELAY).await;
         let violations =
             check_invariants(&deployment.records.all(), deployment.spec.lease_limit, clock::now());
         let found: Vec<_> = violations.iter().map(|v| (v.invariant, v.request.as_str())).collect();
