--- a/fault-tests/tests/connection_ends.rs
+++ b/fault-tests/tests/connection_ends.rs
@@ -68,7 +68,7 @@
 
 /// Guards a client whose gateway has closed its connection from being shown the listener at the same address in its place.
 #[test]
-fn an_end_that_is_gone_is_not_taken_for_its_listener() {
+fn a_closed_connection_is_not_mistaken_for_its_listener() {
     let (listener, address) = bind_listener();
     let (client, server) = connected_pair(&listener, address);
     let client_address = client.local_addr().expect("it is connected");
@@ -80,7 +80,7 @@
 
 /// Guards clients from writing to a process that has ended, only because their own runtime was late to note it.
 #[test]
-fn an_end_is_seen_while_the_runtime_has_noted_nothing() {
+fn a_connection_end_is_detected_before_the_runtime_processes_it() {
     let (listener, address) = bind_listener();
     runtime().block_on(async {
         let connection = PersistentConnection::open(address).await.expect("it listens");
@@ -131,7 +131,7 @@
 
 /// Guards the three orderly ends of a connection from being taken for each other.
 #[test]
-fn an_orderly_end_says_how_much_was_read() {
+fn an_orderly_close_shows_how_much_was_read() {
     for (read, end) in [
         (0, ConnectionEnd::Unread),
         (FIRST_PIECE_BYTES, ConnectionEnd::PartlyRead),
@@ -159,7 +159,7 @@
 /// Guards requests that cross their gateway's orderly end: asked for at once they are known as unread, and some time later the
 /// gateway has dropped them, as if they had been read.
 #[test]
-fn what_crosses_an_orderly_end_is_unread_at_once_and_not_later() {
+fn bytes_sent_after_an_orderly_close_are_unread_until_the_gateway_discards_them() {
     let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.expect("a runtime").block_on(async {
--- a/fault-tests/tests/delivery_confirmation.rs
+++ b/fault-tests/tests/delivery_confirmation.rs
@@ -133,37 +133,37 @@
 
 /// Guards soak seeds 9664, 9684, 9565 and 9713: two connections stand, and both fall silent.
 #[test]
-fn an_answer_on_a_newer_connection_is_no_delivery() {
+fn a_response_on_a_newer_connection_does_not_confirm_delivery() {
     assert_no_state_remains(InitialConnections::Exactly(2), true, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
 /// Guards the same behind a slow link.
 #[test]
-fn an_answer_on_a_newer_connection_is_no_delivery_on_a_slow_link() {
+fn a_response_on_a_newer_connection_does_not_confirm_delivery_on_a_slow_link() {
     assert_no_state_remains(InitialConnections::Exactly(2), true, LINK_DELAY, &STALL_DELAYS_MS);
 }
 
 /// Guards the same where servers may not be probed.
 #[test]
-fn an_answer_on_a_newer_connection_is_no_delivery_where_probes_are_off() {
+fn a_response_on_a_newer_connection_does_not_confirm_delivery_without_probes() {
     assert_no_state_remains(InitialConnections::Exactly(2), false, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
 /// Guards the same where servers may not be probed and the link is slow.
 #[test]
-fn an_answer_on_a_newer_connection_is_no_delivery_where_probes_are_off_on_a_slow_link() {
+fn a_response_on_a_newer_connection_does_not_confirm_delivery_without_probes_on_a_slow_link() {
     assert_no_state_remains(InitialConnections::Exactly(2), false, LINK_DELAY, &STALL_DELAYS_MS);
 }
 
 /// Guards the same where several connections to each of two servers stand.
 #[test]
-fn an_answer_after_several_connections_fell_silent_is_no_delivery() {
+fn a_response_after_several_connections_stalled_does_not_confirm_delivery() {
     assert_no_state_remains(InitialConnections::Several, true, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
 /// Guards an attempt that could use the only connection that stands: another one stands beside it when it is written.
 #[test]
-fn an_attempt_on_the_only_connection_has_another_beside_it() {
+fn an_attempt_on_the_only_connection_is_written_beside_a_second_one() {
     for probes in [true, false] {
         assert_no_state_remains(InitialConnections::Exactly(1), probes, Duration::ZERO, &[0]);
     }
@@ -171,7 +171,7 @@
 
 /// Guards the first attempt of a process, for which two connections are opened.
 #[test]
-fn the_first_attempt_at_a_server_has_another_connection_beside_it() {
+fn the_first_attempt_at_a_server_opens_a_second_connection() {
     for probes in [true, false] {
         assert_no_state_remains(InitialConnections::Exactly(0), probes, Duration::ZERO, &[0]);
     }
--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -107,7 +107,7 @@
 
 /// Guards against a planted fault: a gateway that drains answers nothing that comes later than 0.7 s after SIGTERM.
 #[test]
-fn a_drain_that_answers_nothing_that_comes_late_is_found() {
+fn a_drain_that_leaves_late_requests_unanswered_is_found() {
     let sent_at = |at: Micros| {
         record(at, "n0", Event::Sent { request: REQUEST.into(), deadline: 9.0, repeatable: true })
     };
@@ -182,7 +182,7 @@
 
 /// Guards against a planted fault: a decode attempt that was written on a silent connection is believed to have arrived.
 #[test]
-fn a_delivery_that_is_believed_is_found() {
+fn an_unconfirmed_delivery_taken_as_delivered_is_found() {
     let unconfirmed = vec![
         sent(true),
         delivered(10),
--- a/fault-tests/tests/links.rs
+++ b/fault-tests/tests/links.rs
@@ -18,7 +18,7 @@
 
 /// Guards the rig against an orderly end in place of a reset, which would prove that the engine has ended the connection.
 #[test]
-fn a_reset_of_a_link_shows_as_one() {
+fn a_link_reset_resets_its_connections() {
     block_on(async {
         let deployment = started(DeploymentSpec::new(1, 1, 1)).await;
         let link = &deployment.links[&(0, PREFILL_SERVER)];
@@ -36,7 +36,7 @@
 /// Guards the rig against what no machine does: where a process is gone, its address refuses, and accepts again once it is back;
 /// a way that is cut refuses nothing.
 #[test]
-fn a_link_refuses_while_the_process_of_its_engine_is_gone() {
+fn a_link_refuses_connections_while_its_engine_is_down() {
     block_on(async {
         let spec = DeploymentSpec::new(1, 1, 1);
         let mut deployment = started(spec).await;
--- a/fault-tests/tests/recorded_times.rs
+++ b/fault-tests/tests/recorded_times.rs
@@ -57,7 +57,7 @@
 
 /// Guards gateways from being charged with an unplanned kill whose end was noted late (soak seeds 9590 and 9801).
 #[test]
-fn what_ends_with_a_kill_is_excused_however_late_the_process_was_waited_for() {
+fn a_request_lost_to_a_kill_is_excused_however_late_the_process_was_reaped() {
     let mut records = vec![begun(900, 800), sent(900), unanswered(KILLED_AT + 1)];
     records.extend(killed(KILLED_AT + 500));
     assert_eq!(broken_invariants(records), []);
@@ -65,7 +65,7 @@
 
 /// Guards the judge: a connection that is closed before the kill was not closed by it.
 #[test]
-fn what_ends_before_a_kill_is_not_excused_by_it() {
+fn a_connection_closed_before_a_kill_is_not_excused_by_it() {
     let mut records = vec![begun(700, 600), sent(700), unanswered(KILLED_AT - 1)];
     records.extend(killed(KILLED_AT + 5));
     assert_eq!(broken_invariants(records), [Invariant::Answered]);
@@ -74,7 +74,7 @@
 /// Guards a gateway that ends a stream shortly before it is killed from being charged with the kill's cut (soak seed 9590), and
 /// the judge: a stream that was taken late and that the kill cuts is found.
 #[test]
-fn a_stream_is_cut_by_a_kill_only_from_its_signal_on() {
+fn a_cut_stream_is_attributed_to_a_kill_only_from_its_signal_on() {
     let cut = |at| record(at, Event::Answered { request: REQUEST.into(), status: 200, complete: false });
     let mut ended_before = vec![begun(500, 400), sent(500), cut(KILLED_AT - 79)];
     ended_before.extend(killed(KILLED_AT + 2));
@@ -118,7 +118,7 @@
 
 /// Guards gateways from being held up for longer than the platform allows, because the runtime was late to let them go on.
 #[test]
-fn a_paused_gateway_goes_on_in_time_while_the_runtime_stands_still() {
+fn a_paused_gateway_is_continued_in_time_while_the_runtime_is_blocked() {
     let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
@@ -140,7 +140,7 @@
 
 /// Guards a run's account of itself: a runtime that stands still shows in it, with its time.
 #[test]
-fn a_runtime_that_stands_still_shows_as_late() {
+fn a_blocked_runtime_is_reported_as_late() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let lateness = runtime.expect("a runtime").block_on(async {
         let watch = LatenessMonitor::start();
@@ -155,7 +155,7 @@
 
 /// Guards the report of a break: it names the lateness of that time, and of no other.
 #[test]
-fn late_ticks_are_found_by_the_time_for_which_something_stood_still() {
+fn late_samples_are_found_by_the_period_of_their_delay() {
     let sample =
         LatenessSample { source: LatenessSource::Thread, at: 500 * MILLISECOND, late_by: 100 * MILLISECOND };
     let mut lateness = Lateness::default();
@@ -170,7 +170,7 @@
 /// Guards the report's word on each break: whether a gateway has counted one about the same request, not about one whose name
 /// only begins with it.
 #[test]
-fn a_break_that_no_gateway_counted_is_said_to_be_so() {
+fn the_report_shows_whether_a_gateway_counted_a_violation() {
     let violation = |request: &str| Violation {
         invariant: Invariant::Answered,
         request: request.into(),
@@ -195,7 +195,7 @@
 /// Guards a run's account of its gateways: a process that could have run and had no processor shows as waiting for one, by its
 /// name, until it has ended.
 #[test]
-fn a_process_without_a_processor_shows_as_waiting() {
+fn a_process_without_a_processor_is_reported_as_waiting() {
     let mut busy_processes: Vec<_> = (0..BUSY_PROCESSES).map(|_| busy_process()).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let lateness = runtime.expect("a runtime").block_on(async {
--- a/fault-tests/tests/resets.rs
+++ b/fault-tests/tests/resets.rs
@@ -117,18 +117,18 @@
 }
 
 #[test]
-fn a_request_is_not_rejected_while_its_server_stands_still_through_a_reset() {
+fn a_request_is_not_rejected_while_its_server_is_paused_through_a_reset() {
     block_on(assert_not_rejected_while_the_server_is_paused(true));
 }
 
 #[test]
-fn a_request_is_not_rejected_while_its_server_stands_still_where_probes_are_off() {
+fn a_request_is_not_rejected_while_its_server_is_paused_without_probes() {
     block_on(assert_not_rejected_while_the_server_is_paused(false));
 }
 
 /// Guards requests against the cost of a reset: a server that is well is asked once, and the request is answered.
 #[test]
-fn a_reset_of_a_server_that_is_well_costs_one_question() {
+fn a_reset_of_a_healthy_server_costs_one_more_attempt() {
     block_on(async {
         let (class, repeatable) = AT_MOST_ONCE;
         let deployment = warmed_up(2, true, CancelledPrefills::Dropped).await;
@@ -147,7 +147,7 @@
 
 /// Guards the same for a server whose process dies: the refusal shows it.
 #[test]
-fn a_request_is_answered_elsewhere_when_its_prefill_server_dies() {
+fn a_request_is_retried_elsewhere_when_its_prefill_server_is_killed() {
     block_on(async {
         let (class, repeatable) = AT_MOST_ONCE;
         let mut deployment = warmed_up(2, true, CancelledPrefills::Dropped).await;
--- a/fault-tests/tests/single_shot.rs
+++ b/fault-tests/tests/single_shot.rs
@@ -11,7 +11,7 @@
 /// Guards what a rejection says (the operators' rule `duplicate`): prefills are cut right before it, links hold closes back,
 /// and gateways end beside them.
 #[test]
-fn a_rejection_is_true_although_links_hold_back_the_closes_of_cut_prefills() {
+fn a_rejection_is_accurate_while_links_delay_the_closes_of_cancelled_prefills() {
     let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let gateway = program.with_file_name("glenrail");
     let options = Options { seed: SEEDS.start, seeds: SEEDS.end - SEEDS.start, gateway };
--- a/fault-tests/tests/unresponsive_decode_servers.rs
+++ b/fault-tests/tests/unresponsive_decode_servers.rs
@@ -235,7 +235,7 @@
 
 /// Guards the judge: it finds a state that nobody takes and nobody lets go.
 #[test]
-fn the_judge_finds_a_state_that_nobody_releases() {
+fn the_invariant_check_finds_a_state_that_is_never_released() {
     block_on(async {
         let deployment = warmed_up(DeploymentSpec::new(1, 1, 2)).await;
         let leased = glenrail_fault_tests::record::Event::StateLeased { request: "left".into() };
