--- a/fault-tests/src/attempt_observer.rs
+++ b/fault-tests/src/attempt_observer.rs
@@ -1,18 +1,18 @@
-//! What a link sees of the requests that pass on one connection from a gateway to an engine.
+//! Observer of the requests that a link proxies on one connection from a gateway to an engine.
 
 use crate::record::{Event, Records};
 
 const MAX_HEADERS: usize = 64;
 
-/// Where the framing of what a gateway sends stands.
+/// Part of a request that the next byte from the gateway belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Head,
-    /// So many bytes of the body are still to come.
+    /// The body, of which this many bytes are still missing.
     Body(usize),
 }
 
-/// An attempt whose head has passed.
+/// Attempt whose head has been received.
 #[derive(Clone, Debug)]
 struct Attempt {
     request: String,
@@ -20,17 +20,17 @@
     response_began: bool,
 }
 
-/// Reads requests as they pass, and records those that carry a request's id.
+/// Parses the requests on a connection and records the attempts, which are the requests with a `req-id`.
 pub struct AttemptObserver {
     records: Records,
     link: String,
     connection: u64,
     framing: Framing,
     head: Vec<u8>,
-    /// When the first byte of the head under way passed.
+    /// When the first byte of the incomplete head was received.
     head_began_at: Option<u64>,
     attempt: Option<Attempt>,
-    /// Called when the last byte of an attempt has been seen, before it is passed on.
+    /// Called when the last byte of an attempt has been received, before it is forwarded.
     on_attempt: Box<dyn Fn() + Send>,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// These bytes pass from the gateway.
+    /// Processes bytes that were received from the gateway.
     pub fn on_request(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match self.framing {
@@ -95,7 +95,7 @@
         &bytes[skipped..]
     }
 
-    /// So much of a body is left.
+    /// Sets how many bytes of the body are missing; at 0 an attempt is recorded as written.
     fn set_remaining_body(&mut self, remaining: usize) {
         self.framing = if remaining > 0 { Framing::Body(remaining) } else { Framing::Head };
         let Some(Attempt { request, announced_deadline: announced, .. }) =
@@ -107,7 +107,7 @@
         (self.on_attempt)();
     }
 
-    /// Bytes of an answer are given to the gateway.
+    /// Records the start of the response, when its first bytes are forwarded to the gateway.
     pub fn on_response(&mut self) {
         let Some(attempt) = self.attempt.as_mut().filter(|attempt| !attempt.response_began) else { return };
         attempt.response_began = true;
@@ -120,7 +120,7 @@
     }
 }
 
-/// The gateway has closed the connection, or it was reset.
+/// Records the end of the connection: the gateway has closed it, or it was reset.
 impl Drop for AttemptObserver {
     fn drop(&mut self) {
         if let Some(Attempt { request, .. }) = self.attempt.take() {
--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the gateways: each sends one request on a connection of its own and records what becomes of it.
+//! Clients of the gateways that send one request per connection and record its outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,31 +15,31 @@
 use crate::persistent_connection::{ClientResponse, PersistentConnection};
 use crate::record::{Event, Record, Records};
 
-/// A client waits so much longer than its deadline for an answer that only comes late.
+/// Time beyond its deadline for which a client waits for a late response.
 pub const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// Whoever asks for readiness waits so long for an answer.
+/// Timeout of a readiness request.
 const READY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 const REQUEST_PATH: &str = "/v1/chat/completions";
 const REQUEST_BODY: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
 
-/// One request of a client.
+/// Request of a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     pub id: String,
     pub class: String,
     pub session: u64,
     pub deadline: Duration,
-    /// Whether its class may be repeated.
+    /// Whether requests of its class may be repeated.
     pub repeatable: bool,
-    /// It sends its first byte so long after it has connected.
+    /// Delay between the connection and the first byte of the request.
     pub first_byte_after: Duration,
-    /// It closes its connection after so long, whatever has come by then.
+    /// Time after which the client closes its connection unless the whole response has arrived; `None` for a client that waits.
     pub disconnects_after: Option<Duration>,
 }
 
 impl ClientRequest {
-    /// A request that waits for its answer.
+    /// Returns a request that is sent at once and whose client waits for the response.
     pub fn new(id: impl Into<String>, class: &str, deadline: Duration, repeatable: bool) -> ClientRequest {
         let (id, class) = (id.into(), class.to_string());
         let first_byte_after = Duration::ZERO;
@@ -65,7 +65,7 @@
         ]
     }
 
-    /// The request as its bytes.
+    /// Returns the HTTP request as text.
     pub fn to_http(&self) -> String {
         let headers: String =
             self.headers().iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
@@ -75,7 +75,7 @@
         )
     }
 
-    /// The record of its first byte on this connection to a gateway.
+    /// Returns the record of the first byte, written on this connection to a gateway.
     pub fn begun_record(&self, gateway: &str, connection: &PersistentConnection, at: Micros) -> Record {
         let event = Event::RequestBegun {
             request: self.id.clone(),
@@ -85,7 +85,7 @@
         Record { at, source: gateway.to_string(), event }
     }
 
-    /// The record of its last byte.
+    /// Returns the record of the last byte.
     pub fn sent_record(&self, gateway: &str, at: Micros) -> Record {
         let (request, deadline) = (self.id.clone(), self.deadline.as_secs_f64());
         let event = Event::Sent { request, deadline, repeatable: self.repeatable };
@@ -93,7 +93,7 @@
     }
 }
 
-/// Sends a request, and records what becomes of it; `gateway` names the one asked. Gives the answer's status.
+/// Sends a request to the gateway called `gateway` and records its outcome. Returns the status of the response.
 pub async fn send_request(
     gateway: &str, address: SocketAddr, client_request: ClientRequest, records: &Records,
 ) -> Option<u16> {
@@ -103,7 +103,7 @@
     let text = client_request.to_http();
     let progress = connection.write(text.as_bytes(), 1, Duration::ZERO).await;
     let Some(sent_at) = progress.written_at(text.len()) else {
-        // The gateway ended the connection before it was written on.
+        // The gateway closed the connection before the request was written.
         records.add(gateway, Event::ClosedUnread { request });
         return None;
     };
@@ -129,7 +129,7 @@
     }
 }
 
-/// What a gateway answers whoever asks whether it is ready, within a second; `None` where it answers nothing.
+/// Returns the status of a gateway's readiness response, or `None` without a response within a second.
 pub async fn ready_status(address: SocketAddr) -> Option<u16> {
     let response = async {
         let mut sender = connect(address).await?;
@@ -143,7 +143,7 @@
     let socket = TcpStream::connect(address).await.ok()?;
     let _ = socket.set_nodelay(true);
     let (sender, connection) = http1::handshake(TokioIo::new(socket)).await.ok()?;
-    // It ends with its sender.
+    // The task ends when the sender is dropped.
     tokio::spawn(connection);
     Some(sender)
 }
--- a/fault-tests/src/crowd.rs
+++ b/fault-tests/src/crowd.rs
@@ -1,7 +1,7 @@
-//! A crowd of idle clients that fill a gateway's connection table, and one well-behaved client among them.
+//! Test of a gateway's connection table: many idle clients fill it beside one well-behaved client.
 //!
-//! The idle clients connect, say nothing, and come back some time after they were evicted. The well-behaved client opens a
-//! connection for each request, waits as long as a slow network would, sends, and waits for its answer.
+//! The idle clients connect, send nothing, and reconnect some time after they were evicted. The well-behaved client opens a
+//! connection for each request, delays its first byte as a slow network would, sends the request, and waits for its response.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,45 +19,45 @@
 use crate::deployment::{Deployment, DeploymentError, DeploymentSpec};
 
 const DEADLINE: Duration = Duration::from_secs(9);
-/// The idle clients have filled the table by then.
+/// Time in which the idle clients fill the table.
 const FILL_TIME: Duration = Duration::from_millis(1_000);
 const PREFILL_SERVERS: usize = 2;
 const DECODE_SERVERS: usize = 2;
 
-/// How the clients of a crowd behave.
+/// Options of the `crowd` command.
 #[derive(Clone, Debug, Args)]
 pub struct Options {
-    /// The gateway's limit of descriptors.
+    /// The gateway's limit of file descriptors.
     #[arg(long, default_value_t = 64)]
     pub sockets: usize,
-    /// Clients that connect and say nothing.
+    /// Number of clients that connect and send nothing.
     #[arg(long, default_value_t = 80)]
     pub idle_clients: usize,
-    /// An idle client comes back so long after it was evicted (ms).
+    /// Time after which an evicted idle client reconnects (ms).
     #[arg(long, default_value_t = 20)]
     pub back_after: u64,
-    /// The well-behaved client sends its first byte so long after it has connected (ms).
+    /// Delay between a connection of the well-behaved client and its first byte (ms).
     #[arg(long, default_value_t = 0)]
     pub first_byte_after: u64,
-    /// Requests of the well-behaved client, one after the other.
+    /// Number of requests that the well-behaved client sends, one after the other.
     #[arg(long, default_value_t = 150)]
     pub requests: usize,
-    /// The gateway's program.
+    /// Path of the gateway's binary.
     #[arg(long, default_value = "target/release/glenrail")]
     pub gateway: PathBuf,
 }
 
-/// What became of the requests.
+/// Outcomes of the requests.
 #[derive(Debug)]
 pub struct Report {
-    /// Answers by status; 0 where the connection was closed with none.
+    /// Number of requests by status; 0 counts requests without a response.
     pub statuses: BTreeMap<u16, usize>,
-    /// What the gateway's log says of connections that it closed.
+    /// Lines of the gateway's log that mention connections.
     pub log: Vec<String>,
 }
 
 impl Report {
-    /// Requests whose connection was closed with no answer.
+    /// Returns the number of requests without a response.
     pub fn unanswered(&self) -> usize {
         self.statuses.get(&0).copied().unwrap_or(0)
     }
@@ -65,12 +65,12 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "statuses {:?}, {} closed with no answer", self.statuses, self.unanswered())?;
+        writeln!(f, "statuses {:?}, {} without a response", self.statuses, self.unanswered())?;
         self.log.iter().try_for_each(|line| writeln!(f, "  log: {line}"))
     }
 }
 
-/// Plays one crowd.
+/// Runs the test once.
 pub async fn run(options: &Options, program: &Path) -> Result<Report, DeploymentError> {
     let mut spec = DeploymentSpec::new(1, PREFILL_SERVERS, DECODE_SERVERS);
     spec.max_descriptors = options.sockets;
@@ -93,11 +93,11 @@
     Ok(Report { statuses, log })
 }
 
-/// Connects, sends nothing, and connects again once the connection has ended.
+/// Connects without sending, and reconnects `reconnect_delay` after each end of the connection.
 pub async fn run_idle_client(address: SocketAddr, reconnect_delay: Duration) {
     loop {
         if let Ok(mut socket) = TcpStream::connect(address).await {
-            // It reads until the gateway ends the connection, in order or not.
+            // Returns when the gateway closes or resets the connection.
             let _ = socket.read(&mut [0]).await;
         }
         sleep(reconnect_delay).await;
--- a/fault-tests/src/deployment.rs
+++ b/fault-tests/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of processes on loopback: gateways, stand-in engines, and a link between each two of them.
+//! Deployment of processes on loopback: gateways, stand-in engines, and a link from each gateway to each engine.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -28,27 +28,27 @@
 use crate::process::{reserved_address, Process};
 use crate::record::{Event, Record, Records};
 
-/// A process that is not up by then is a fault of the trial's own.
+/// Time within which a process has to accept connections; exceeding it is an error of the run, not of the gateway.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
-/// A gateway that is not ready by then has broken the platform's rule.
+/// Time within which the platform requires a restarted gateway to be ready.
 const GATEWAY_READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause before an engine that does not listen yet is tried again.
+/// Pause between connection attempts to an engine that does not listen yet.
 const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// The name of a gateway's configuration file.
+/// Name of a gateway's configuration file in its folder.
 const CONFIG_FILE: &str = "config.json";
 
-/// A running engine.
+/// Engine and its current process.
 #[derive(Debug)]
 pub struct EngineProcess {
     pub spec: EngineSpec,
     pub address: SocketAddr,
     pub process: Process,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of the last restart, in Unix milliseconds; 0 if it was not restarted.
     pub started_unix_ms: u64,
     pub draining: bool,
 }
 
-/// A running gateway.
+/// Gateway and its current process.
 #[derive(Debug)]
 pub struct GatewayProcess {
     pub name: String,
@@ -60,24 +60,24 @@
     pub log: GatewayLog,
 }
 
-/// What a gateway's configuration file holds.
+/// Content of a gateway's configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigFile {
     Valid,
     Malformed,
 }
 
-/// A deployment that runs; its processes end with it.
+/// Running deployment, whose processes are killed when it is dropped.
 pub struct Deployment {
     pub spec: DeploymentSpec,
     pub engines: Vec<EngineProcess>,
     pub gateways: Vec<GatewayProcess>,
-    /// By gateway and engine.
+    /// Keyed by the indexes of gateway and engine.
     pub links: BTreeMap<(usize, usize), Link>,
     pub records: Records,
-    /// How late the run is by itself.
+    /// Measures the scheduling delays of the run itself.
     pub lateness: LatenessMonitor,
-    /// Keep the addresses of its processes for them.
+    /// Sockets that reserve the addresses of the processes.
     reservations: Vec<Socket>,
     folder: TempDir,
     program: PathBuf,
@@ -86,12 +86,13 @@
 }
 
 impl Deployment {
-    /// Starts all processes and waits until they are up. `program` is this crate's own program, `gateway_program` the gateway's.
+    /// Starts all processes and waits until they accept connections. `program` is the path of this crate's binary,
+    /// `gateway_program` that of the gateway's.
     pub async fn start(
         spec: DeploymentSpec, program: &Path, gateway_program: &Path,
     ) -> Result<Deployment, DeploymentError> {
         let folder = tempfile::tempdir()
-            .map_err(|error| DeploymentError::Start { component: "a folder".into(), error })?;
+            .map_err(|error| DeploymentError::Start { component: "temporary folder".into(), error })?;
         let mut deployment = Deployment {
             spec: spec.clone(),
             engines: Vec::new(),
@@ -124,11 +125,11 @@
         Ok(deployment)
     }
 
-    /// An address for one of the processes.
+    /// Reserves an address for a process for as long as the deployment exists.
     fn reserve_address(&mut self) -> Result<SocketAddr, DeploymentError> {
         let reserved = reserved_address();
-        let (socket, address) =
-            reserved.map_err(|error| DeploymentError::Start { component: "an address".into(), error })?;
+        let (socket, address) = reserved
+            .map_err(|error| DeploymentError::Start { component: "address reservation".into(), error })?;
         self.reservations.push(socket);
         Ok(address)
     }
@@ -157,7 +158,7 @@
             tokio::spawn(async move {
                 let mut lines = BufReader::new(stdout).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
-                    // A killed engine may leave half a line.
+                    // A killed engine may leave an incomplete line.
                     if let Ok(record) = serde_json::from_str::<Record>(&line) {
                         records.push(record);
                     }
@@ -184,7 +185,7 @@
         Ok(())
     }
 
-    /// Discovery's list for one gateway, which reaches each engine by a link of its own.
+    /// Returns the endpoint list for one gateway, in which each engine has the address of its link to that gateway.
     fn endpoint_list(&self, gateway: usize) -> Value {
         let host = |(index, engine): (usize, &EngineProcess)| {
             let kind = if engine.spec.role == Role::Prefill { "prompt-side" } else { "answer-side" };
@@ -196,7 +197,7 @@
         json!({"seq": self.list_version, "whole": true, "hosts": hosts})
     }
 
-    /// Tells every gateway how the engines stand.
+    /// Publishes the current state of the engines to all gateways.
     pub fn publish(&mut self) {
         self.list_version += 1;
         for (index, gateway) in self.gateways.iter().enumerate() {
@@ -230,7 +231,7 @@
         wait_until(&name, || std::net::TcpStream::connect(address).is_ok()).await
     }
 
-    /// Starts a gateway's process, whose log goes on here.
+    /// Spawns a gateway's process, whose lines are appended to `log`.
     fn spawn_gateway(&self, name: &str, folder: &Path, log: &GatewayLog) -> Result<Process, DeploymentError> {
         let mut command = Command::new(&self.gateway_program);
         command
@@ -248,7 +249,7 @@
         Ok(process)
     }
 
-    /// Starts a process, and notes how long that took.
+    /// Spawns a process and records how long that took.
     fn spawn(&self, command: &mut Command, name: &str) -> Result<Process, DeploymentError> {
         let requested_at = clock::now();
         let process = Process::start(command, name)?;
@@ -256,7 +257,7 @@
         Ok(process)
     }
 
-    /// Writes a gateway's configuration file, which it reads at its start and at SIGHUP.
+    /// Writes a gateway's configuration file, which it reads at its start and on SIGHUP.
     pub fn write_config(&self, gateway: usize, file: ConfigFile) -> Result<(), DeploymentError> {
         let gateway = &self.gateways[gateway];
         let text = match file {
@@ -267,7 +268,7 @@
         written.map_err(|error| DeploymentError::Start { component: gateway.name.clone(), error })
     }
 
-    /// Waits for a gateway's process to be gone, killed if it still runs, and records its end.
+    /// Records the end of a gateway's process, after killing it if it still runs.
     pub async fn end_gateway(&mut self, gateway: usize) -> Result<(), DeploymentError> {
         let gateway = &mut self.gateways[gateway];
         let killed = !gateway.process.has_ended();
@@ -280,7 +281,7 @@
         Ok(())
     }
 
-    /// Starts the process of a gateway that has ended, at its address.
+    /// Starts a new process at the address of a gateway whose process has ended.
     pub fn respawn_gateway(&mut self, gateway: usize) -> Result<(), DeploymentError> {
         self.write_config(gateway, ConfigFile::Valid)?;
         let GatewayProcess { name, folder, log, .. } = &self.gateways[gateway];
@@ -289,7 +290,7 @@
         Ok(())
     }
 
-    /// Kills an engine: its connections are reset, and its machine refuses new ones.
+    /// Kills an engine. Its links reset their connections and refuse new ones, as the machine of a terminated process does.
     pub async fn kill_engine(&mut self, index: usize) -> Result<(), DeploymentError> {
         let component = self.engines[index].spec.name.clone();
         let engine = &mut self.engines[index];
@@ -304,7 +305,7 @@
         killed.map_err(|error| DeploymentError::Start { component, error })
     }
 
-    /// Has the links to an engine accept connections again once its process does.
+    /// Makes the links to an engine accept connections again once its process does.
     fn reopen_links_when_up(&self, index: usize) {
         let address = self.engines[index].address;
         let links: Vec<Link> = self.links_to(index).cloned().collect();
@@ -316,7 +317,7 @@
         });
     }
 
-    /// Kills an engine and starts it anew at its address, empty.
+    /// Kills an engine and restarts it at its address, without its states.
     pub async fn restart_engine(&mut self, index: usize) -> Result<(), DeploymentError> {
         self.kill_engine(index).await?;
         let engine = &self.engines[index];
@@ -330,7 +331,7 @@
         Ok(())
     }
 
-    /// What a reader held is gone with it.
+    /// Deletes the states that a terminated engine held.
     fn discard_states(&self, engine_name: &str) {
         let Ok(states) = fs::read_dir(self.states_folder()) else { return };
         for state in states.flatten() {
@@ -342,18 +343,18 @@
         }
     }
 
-    /// Every gateway's link to this engine.
+    /// Returns the links of all gateways to this engine.
     pub fn links_to(&self, engine: usize) -> impl Iterator<Item = &Link> {
         self.links.iter().filter(move |(key, _)| key.1 == engine).map(|(_, link)| link)
     }
 
-    /// Sends one request to a gateway and waits for its end.
+    /// Sends one request to a gateway, and returns the status of the response, if there is one.
     pub async fn send(&self, gateway: usize, request: ClientRequest) -> Option<u16> {
         let gateway = &self.gateways[gateway];
         client::send_request(&gateway.name, gateway.address, request, &self.records).await
     }
 
-    /// What the gateways' logs say between two moments.
+    /// Returns the lines of the gateways' logs received from `from` until `until`.
     pub fn log_between(&self, from: Micros, until: Micros) -> Vec<String> {
         let gateway_lines = |gateway: &GatewayProcess| {
             let lines = gateway.log.lines_between(from, until).into_iter();
@@ -362,7 +363,7 @@
         self.gateways.iter().flat_map(gateway_lines).collect()
     }
 
-    /// What the gateways' logs say of a request, or of anything with these words.
+    /// Returns the lines of the gateways' logs that contain `text`, such as the name of a request.
     pub fn log_lines(&self, text: &str) -> Vec<String> {
         let gateway_lines = |gateway: &GatewayProcess| {
             let lines = gateway.log.lines_containing(text).into_iter();
@@ -385,7 +386,7 @@
     fs::write(folder.join(CONFIG_FILE), text)
 }
 
-/// Waits until a gateway says that it is ready.
+/// Waits until a gateway reports that it is ready.
 pub async fn wait_until_ready(address: SocketAddr) -> Result<(), DeploymentError> {
     let ready = async {
         while client::ready_status(address).await != Some(200) {
--- a/fault-tests/src/deployment_error.rs
+++ b/fault-tests/src/deployment_error.rs
@@ -1,14 +1,14 @@
-//! Why a deployment, or one of its processes, does not start.
+//! Errors in starting a deployment or one of its processes.
 
 use std::io;
 
-/// Why a deployment does not start.
+/// Error in starting or controlling the processes of a deployment.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
     #[error(
-        "{component}: {error}; the gateway is built with `cargo build` first, the folder has to be writable"
+        "{component}: {error}; build the gateway with `cargo build` first and check that the temporary folder is writable"
     )]
     Start { component: String, error: io::Error },
-    #[error("{0} said nothing in time; its log has the reason")]
+    #[error("{0} did not become ready in time; see its log for the reason")]
     NotReady(String),
 }
--- a/fault-tests/src/deployment_spec.rs
+++ b/fault-tests/src/deployment_spec.rs
@@ -1,4 +1,4 @@
-//! What a deployment consists of, and the settings that its gateways get.
+//! Specification of a deployment, and the settings that its gateways receive.
 
 use std::time::Duration;
 
@@ -6,39 +6,40 @@
 
 use crate::engine::Role;
 
-/// Usual objective of each class for a first token.
+/// Default time to first token that each class aims for.
 const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(2_500);
-/// A gateway's usual limit of descriptors.
+/// Default limit of file descriptors of a gateway.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1_024;
 
-/// One engine of a deployment.
+/// Specification of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
     pub name: String,
     pub role: Role,
-    /// The least and the most time (ms) that a read, or a writer's first token, takes.
+    /// Minimum and maximum time of a prefill, or of a decode server until its first token, in milliseconds.
     pub service_time_ms: (u64, u64),
-    /// It ends a prefill that has begun, also once its connection has ended.
+    /// Whether a prefill that has begun is completed even after its connection has ended.
     pub finishes_prefills: bool,
 }
 
-/// What a deployment has.
+/// Specification of a deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentSpec {
     pub gateways: usize,
     pub engines: Vec<EngineSpec>,
     pub lease_limit: Duration,
     pub deadline: Duration,
-    /// What each class aims at for a first token.
+    /// Time to first token that each class aims for.
     pub latency_objective: Duration,
-    /// Whether engines may be probed.
+    /// Whether the gateways may probe engines.
     pub probes: bool,
-    /// Each gateway's limit of descriptors.
+    /// Limit of file descriptors of each gateway.
     pub max_descriptors: usize,
 }
 
 impl DeploymentSpec {
-    /// So many of each, with the incident's settings: 500 ms for what is held, deadlines of 9 s.
+    /// Returns a deployment of these sizes with the settings of the incident of states held for unresponsive decode servers:
+    /// a lease limit of 500 ms and deadlines of 9 s.
     pub fn new(gateways: usize, prefill_servers: usize, decode_servers: usize) -> DeploymentSpec {
         let engines_of = |prefix: &'static str, role, count| {
             (0..count).map(move |n| EngineSpec {
@@ -63,14 +64,14 @@
         }
     }
 
-    /// With writers whose first token takes this long (ms).
+    /// Sets the time until the first token of all decode servers, in milliseconds.
     pub fn with_decode_time(mut self, min_ms: u64, max_ms: u64) -> DeploymentSpec {
         let decode_engines = self.engines.iter_mut().filter(|e| e.role == Role::Decode);
         decode_engines.for_each(|engine| engine.service_time_ms = (min_ms, max_ms));
         self
     }
 
-    /// The settings of its gateways.
+    /// Returns the settings of the gateways.
     pub fn settings(&self) -> Value {
         let deadline = self.deadline.as_secs_f64() * 1000.0;
         let objective = self.latency_objective.as_secs_f64() * 1000.0;
--- a/fault-tests/src/discovery.rs
+++ b/fault-tests/src/discovery.rs
@@ -1,4 +1,5 @@
-//! A stand-in for discovery's agent beside one gateway: it tells the whole list, and holds a watch until there is a newer one.
+//! Stand-in for the discovery agent beside one gateway: it returns the whole endpoint list, and holds a watch request until a
+//! newer list is published.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// An agent that answers for as long as the trial runs.
+/// Discovery agent that serves until the runtime of the test stops.
 #[derive(Clone, Debug)]
 pub struct DiscoveryAgent {
     pub address: SocketAddr,
@@ -42,12 +43,12 @@
         Ok(agent)
     }
 
-    /// Has this list from now on.
+    /// Replaces the endpoint list.
     pub fn publish(&self, list: Value) {
         self.list.send_replace(list);
     }
 
-    /// Has the agent say nothing from now on, or answer again.
+    /// Sets whether the agent withholds its responses.
     pub fn set_down(&self, down: bool) {
         self.down.send_replace(down);
     }
@@ -75,7 +76,7 @@
             _ if from.is_none() => self.list.borrow().clone(),
             _ => json!({"seq": from, "whole": false, "hosts": []}),
         };
-        // An error would be the agent's end.
+        // The channel does not close while this agent exists.
         let _ = self.down.subscribe().wait_for(|down| !down).await;
         Response::new(Full::new(Bytes::from(response_list.to_string())))
     }
--- a/fault-tests/src/engine.rs
+++ b/fault-tests/src/engine.rs
@@ -1,7 +1,7 @@
-//! A stand-in engine, run as a process of its own: a reader holds states, a writer fetches them and answers. What it
-//! does goes to standard output, one [`Record`] a line.
+//! Stand-in engine, run as a separate process: a prefill server holds states, a decode server claims them and streams a
+//! response. It writes its events to standard output, one [`Record`] per line.
 //!
-//! States are files of a folder that all engines of a trial share, so that whoever removes a file has taken the state.
+//! States are files in a folder that all engines of a run share; the engine that removes a file has claimed the state.
 
 use std::convert::Infallible;
 use std::fs;
@@ -28,20 +28,21 @@
 use crate::clock;
 use crate::record::{Event, Record, Stage, WorkEnd};
 
-/// Events of one answer, and the pause between two.
+/// Number of events in a streamed response, and the pause after each.
 const STREAM_EVENTS: usize = 6;
 const EVENT_PAUSE: Duration = Duration::from_millis(25);
+/// Time for the runtime to process the close of a connection before the work on it ends.
 const CLOSE_DETECTION_TIME: Duration = Duration::from_millis(3);
 const LEASES_PATH: &str = "/kv/leases/";
 
-/// What an engine does with prompts.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Role {
     Prefill,
     Decode,
 }
 
-/// How an engine is started.
+/// Options of the `engine` command.
 #[derive(Clone, Debug, Args)]
 pub struct Options {
     #[arg(long)]
@@ -50,15 +51,16 @@
     pub role: Role,
     #[arg(long)]
     pub listen: SocketAddr,
-    /// The folder of the states, shared by all engines.
+    /// Folder of the states, shared by all engines.
     #[arg(long)]
     pub states: PathBuf,
-    /// The least and the most time that a read, or the wait for a writer's first token, takes (ms).
+    /// Minimum time of a prefill, or of a decode server until its first token (ms).
     #[arg(long, default_value_t = 20)]
     pub least: u64,
+    /// Maximum of the same time (ms).
     #[arg(long, default_value_t = 60)]
     pub most: u64,
-    /// A prefill that has begun is ended, also once its connection has.
+    /// Whether a prefill that has begun is completed even after its connection has ended.
     #[arg(long)]
     pub finishes_prefills: bool,
 }
@@ -74,7 +76,7 @@
         let record = Record { at: clock::now(), source: self.options.name.clone(), event };
         let Ok(line) = serde_json::to_string(&record) else { return };
         let mut out = io::stdout().lock();
-        // Whoever reads it may have ended first.
+        // The process that reads the records may have exited first.
         let _ = writeln!(out, "{line}").and_then(|()| out.flush());
     }
 
@@ -86,7 +88,7 @@
         let range = self.options.least..=self.options.most.max(self.options.least);
         let time = rand::rng().random_range(range);
         sleep(Duration::from_millis(time)).await;
-        // A connection that was closed meanwhile is seen first, also by a process that stood still.
+        // A close during the work is processed before the work ends, even after the process was paused.
         sleep(CLOSE_DETECTION_TIME).await;
     }
 
@@ -116,7 +118,7 @@
     }
 
     fn release(&self, id: &str) -> EngineResponse {
-        // Nothing may be held any more; that is no fault.
+        // The state may have been claimed or released before, which is no error.
         let _ = fs::remove_file(self.state_path(id));
         self.record(Event::Released { request: id.into() });
         fixed_response(StatusCode::NO_CONTENT, "")
@@ -150,7 +152,7 @@
     }
 }
 
-/// An attempt under way; its end is recorded when it is dropped, however that comes.
+/// Attempt in progress, whose end is recorded when this is dropped.
 struct Work {
     engine: Arc<Engine>,
     request: String,
@@ -164,7 +166,7 @@
         Work { engine, request: id.into(), stage, end: WorkEnd::Dropped }
     }
 
-    /// What its end is to be recorded as.
+    /// Sets how the end of the attempt is recorded; [`WorkEnd::Dropped`] by default.
     fn set_end(&mut self, end: WorkEnd) {
         self.end = end;
     }
@@ -191,7 +193,7 @@
     response
 }
 
-/// An answer's events, one after the other, for as long as somebody reads them.
+/// Returns a response that streams its events until the client closes the connection.
 fn stream_response(mut work: Work) -> EngineResponse {
     let (sender, receiver) = mpsc::channel::<Bytes>(1);
     tokio::spawn(async move {
@@ -222,14 +224,14 @@
     })
 }
 
-/// Serves until the process is ended.
+/// Serves requests until the process is terminated.
 pub async fn run(options: Options) -> io::Result<()> {
     fs::create_dir_all(&options.states)?;
     let listener = TcpListener::bind(options.listen).await?;
     let engine = Arc::new(Engine { options });
     loop {
         let (socket, _) = listener.accept().await?;
-        // Small writes are not held back.
+        // Without this, small writes may be delayed.
         let _ = socket.set_nodelay(true);
         let engine = engine.clone();
         tokio::spawn(async move {
@@ -237,7 +239,7 @@
                 let engine = engine.clone();
                 async move { Ok::<_, Infallible>(engine.respond(request).await) }
             });
-            // A connection that breaks ends its work; nobody else has to know.
+            // An error on a connection ends its attempts, which record that themselves.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(socket), service).await;
         });
     }
--- a/fault-tests/src/faults.rs
+++ b/fault-tests/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a soak run draws: each begins, lasts a while, and ends; several may be under way at once.
+//! Faults that the soak test injects. Each has a start, a duration and an end, and several can be active at once.
 
 use std::thread;
 use std::time::Duration;
@@ -13,41 +13,41 @@
 use crate::network::{Condition, Link};
 use crate::record::{Event, Records};
 
-/// The platform allows a gateway to be held up for so long.
+/// Maximum time for which the platform allows a gateway to be paused.
 const GATEWAY_PAUSE: Duration = Duration::from_millis(150);
-/// The least and the most time that a fault lasts (ms).
+/// Duration of a fault.
 const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 200..=3_000;
-/// Share of the engines of a role that fall silent together, at most.
+/// Maximum share of the engines of a role that one fault blackholes.
 const MAX_ROLE_SHARE: f64 = 0.8;
-/// The least and the most that a link delays (ms).
+/// Delay of a link.
 const LINK_DELAY_MS: std::ops::RangeInclusive<u64> = 10..=120;
 
-/// One fault, with whom it hits.
+/// Fault and what it affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The ways to these engines are silent; those that stood are reset at the end if `resets`.
+    /// All links to these engines are blackholed; their connections are reset at the end if `resets` is set.
     Blackholed { engines: Vec<usize>, resets: bool },
-    /// As [`Fault::Blackholed`], and no new connection comes up.
+    /// Like [`Fault::Blackholed`], and no new connection is established.
     Unconnectable { engines: Vec<usize> },
-    /// One gateway's way to an engine is silent.
+    /// One gateway's link to an engine is blackholed.
     BlackholedLink { gateway: usize, engine: usize },
-    /// The connections that stand now are silent for good; new ones are well.
+    /// The open connections to an engine are permanently stalled; new ones work.
     StalledConnections { engine: usize },
-    /// The connections that stand now are reset.
+    /// The open connections to an engine are reset.
     Reset { engine: usize },
-    /// What passes to and from an engine is late.
+    /// Bytes to and from an engine are delayed.
     Delayed { engine: usize, delay: Duration },
-    /// An engine's process stands still.
+    /// An engine's process is paused.
     EnginePaused { engine: usize },
-    /// An engine is killed and comes back empty.
+    /// An engine is killed and restarted without its states.
     Restarted { engine: usize },
-    /// An engine drains.
+    /// An engine is listed as draining.
     Drained { engine: usize },
-    /// A gateway's process is held up for a moment.
+    /// A gateway's process is paused.
     GatewayPaused { gateway: usize },
 }
 
-/// A fault with its time.
+/// Fault with its duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     pub fault: Fault,
@@ -55,7 +55,7 @@
 }
 
 impl ScheduledFault {
-    /// Draws one for this deployment.
+    /// Returns a random fault for this deployment.
     pub fn random(deployment: &Deployment, random: &mut StdRng) -> ScheduledFault {
         let random_duration = Duration::from_millis(random.random_range(FAULT_DURATION_MS));
         let engine = random.random_range(0..deployment.engines.len());
@@ -78,7 +78,7 @@
         ScheduledFault { fault, duration: random_duration }
     }
 
-    /// Has it begin.
+    /// Starts the fault.
     pub async fn begin(&self, deployment: &mut Deployment) -> Result<(), DeploymentError> {
         match &self.fault {
             Fault::Blackholed { engines, .. } => set_condition(deployment, engines, Condition::Blackholed),
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Has it end.
+    /// Ends the fault, unless it ends without action.
     pub fn end(&self, deployment: &mut Deployment) {
         match &self.fault {
             Fault::Blackholed { engines, resets } => {
@@ -132,8 +132,8 @@
     }
 }
 
-/// Has a gateway's process stand still for so long. The platform bounds how long a gateway is held up, so its end waits for
-/// nobody, and for no timer of a runtime that may itself be late.
+/// Pauses a gateway's process for this long. The platform bounds how long a gateway is paused, so the end of the pause depends
+/// on neither the lock on the deployment nor a timer of the runtime, which may be late.
 fn pause_gateway(gateway: &GatewayProcess, duration: Duration, records: &Records) {
     let (name, process, records) = (gateway.name.clone(), gateway.process.signal_target(), records.clone());
     thread::spawn(move || {
@@ -145,6 +145,7 @@
     });
 }
 
+/// Applies `action` to the links of all gateways to this engine.
 fn each(deployment: &Deployment, engine: usize, action: impl Fn(&Link)) {
     deployment.links_to(engine).for_each(action);
 }
@@ -153,7 +154,7 @@
     engines.iter().for_each(|engine| each(deployment, *engine, |link| link.set(condition)));
 }
 
-/// Some engines of one role, of which the others stay well.
+/// Returns random engines of one random role, at most [`MAX_ROLE_SHARE`] of them but at least one.
 fn random_engines_of_one_role(deployment: &Deployment, random: &mut StdRng) -> Vec<usize> {
     let role = if random.random_bool(0.5) { Role::Prefill } else { Role::Decode };
     let of_role = deployment.engines.iter().enumerate().filter(|(_, engine)| engine.spec.role == role);
--- a/fault-tests/src/front.rs
+++ b/fault-tests/src/front.rs
@@ -1,4 +1,4 @@
-//! The front that spreads clients' connections among the gateways that it admits.
+//! Front that distributes clients' connections over the gateways that are admitted to it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,22 +7,22 @@
 use rand::seq::IndexedRandom;
 use tokio::sync::watch;
 
-/// One gateway as the front knows it.
+/// Gateway behind the front.
 #[derive(Debug)]
 pub struct FrontedGateway {
     pub name: String,
     pub address: SocketAddr,
     admitted: AtomicBool,
-    /// How often it was told to end.
+    /// Number of times that the gateway was sent SIGTERM by a planned restart.
     terminations: watch::Sender<u64>,
 }
 
-/// All gateways.
+/// Front with all gateways of a deployment.
 #[derive(Debug)]
 pub struct Front(Vec<FrontedGateway>);
 
 impl Front {
-    /// A front that admits all of these.
+    /// Returns a front that admits all `gateways`, given by name and address.
     pub fn new(gateways: impl IntoIterator<Item = (String, SocketAddr)>) -> Front {
         let fronted = |(name, address)| FrontedGateway {
             name,
@@ -33,7 +33,7 @@
         Front(gateways.into_iter().map(fronted).collect())
     }
 
-    /// A gateway that is admitted, at random; any where none is.
+    /// Returns a random admitted gateway, or any gateway if none is admitted.
     pub fn choose(&self, random: &mut StdRng) -> &FrontedGateway {
         let admitted: Vec<&FrontedGateway> =
             self.0.iter().filter(|gateway| gateway.admitted.load(Ordering::Relaxed)).collect();
@@ -41,22 +41,22 @@
         chosen.or_else(|| self.0.choose(random)).expect("a front has gateways")
     }
 
-    /// Sends new connections to this gateway, or none.
+    /// Sets whether new connections go to this gateway.
     pub fn set_admitted(&self, gateway: usize, admitted: bool) {
         self.0[gateway].admitted.store(admitted, Ordering::Relaxed);
     }
 
-    /// Says that a gateway is told to end now.
+    /// Counts a SIGTERM that has been sent to a gateway, and notifies the clients that wait for it.
     pub fn note_termination(&self, gateway: usize) {
         self.0[gateway].terminations.send_modify(|count| *count += 1);
     }
 }
 
 impl FrontedGateway {
-    /// Waits until the gateway is told to end.
+    /// Waits until the gateway is next sent SIGTERM by a planned restart.
     pub async fn wait_for_termination(&self) {
         let mut terminations = self.terminations.subscribe();
-        // An error would be the front's end, and with it the client's.
+        // The channel closes only when the front is dropped, and clients hold it.
         let _ = terminations.changed().await;
     }
 }
--- a/fault-tests/src/gateway_log.rs
+++ b/fault-tests/src/gateway_log.rs
@@ -1,4 +1,4 @@
-//! What the processes of one gateway write to standard error, with the time at which each line came.
+//! Lines that the processes of one gateway write to standard error, with their arrival times.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,22 +7,22 @@
 
 use crate::clock::{self, Micros};
 
-/// Lines of a gateway's log that are kept.
+/// Maximum number of lines stored per gateway; later lines are dropped.
 const MAX_STORED_LINES: usize = 20_000;
 
-/// One line.
+/// One line, with the time at which it was received.
 #[derive(Clone, Debug)]
 struct LogLine {
     at: Micros,
     text: String,
 }
 
-/// The log of one gateway, across its restarts.
+/// Log of one gateway across its restarts.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayLog(Arc<Mutex<Vec<LogLine>>>);
 
 impl GatewayLog {
-    /// Reads what a process writes, until it ends.
+    /// Stores the lines that a process writes, until it closes its output.
     pub fn follow(&self, output: ChildStderr) {
         let log = self.clone();
         tokio::spawn(async move {
@@ -40,13 +40,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lines that hold these words.
+    /// Returns the lines that contain `text`.
     pub fn lines_containing(&self, text: &str) -> Vec<String> {
         let lines = self.lines();
         lines.iter().filter(|line| line.text.contains(text)).map(|line| line.text.clone()).collect()
     }
 
-    /// Lines that came between two moments, each with its time.
+    /// Returns the lines received from `from` until `until`, each with its time.
     pub fn lines_between(&self, from: Micros, until: Micros) -> Vec<String> {
         let lines = self.lines();
         let in_period = lines.iter().filter(|line| (from..=until).contains(&line.at));
--- a/fault-tests/src/invariants.rs
+++ b/fault-tests/src/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules of the platform as invariants over the records of a trial.
+//! The platform's rules as invariants, checked over the records of a run.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,43 +8,44 @@
 use crate::process_ends::{ProcessEnd, ProcessEnds};
 use crate::record::{Event, Record, Stage};
 
-/// The platform allows what is held so much more than the settings do.
+/// Time that the platform allows a leased state beyond the lease limit in the settings.
 const LEASE_SLACK: Micros = 350 * MILLISECOND;
-/// A deadline told to an engine may be so much above what is left to the client (s).
+/// Tolerance of a deadline announced to an engine over the client's remaining time, in seconds.
 const DEADLINE_SLACK_S: f64 = 0.15;
-/// A client's leaving counts after so long.
+/// Time after a client's disconnection within which an attempt may still begin.
 const DISCONNECT_SLACK: Micros = 100 * MILLISECOND;
-/// A final answer may be so late.
+/// Tolerance of a response over the deadline.
 const ANSWER_SLACK: Micros = 500 * MILLISECOND;
-/// The end of a connection is seen on a link so much later than the first byte on the next may be.
+/// Maximum delay with which a link observes the end of a connection, relative to the first byte of the next attempt.
 const CLOSE_SLACK: Micros = 100 * MILLISECOND;
-/// An engine's end of its work is recorded so much later than the end of its connection, at most.
+/// Maximum delay between the end of a connection and the record of the end of the engine's work on it.
 const WORK_END_SLACK: Micros = 10 * MILLISECOND;
-/// A connection on which a request has begun is not closed for another client's within this time.
+/// Time after the first byte of a request within which its connection is not closed in favor of another client's.
 const BEGUN_REQUEST_GRACE: Micros = 120 * MILLISECOND;
-/// Answers that say that trying again is harmless.
+/// Statuses of responses that declare a retry to be safe.
 const REJECTION_STATUSES: [u16; 2] = [429, 503];
 
-/// What has to hold for each request.
+/// Property that has to hold for each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// While no attempt has arrived and is out, what is held is taken or let go in time.
+    /// A leased state is claimed or released in time, not counting periods with a delivered attempt in flight.
     LeaseEndsInTime,
-    /// No two attempts are out at once.
+    /// No two attempts are in flight at the same time.
     OneAttempt,
-    /// No attempt begins once its client has left.
+    /// No attempt begins after its client has disconnected.
     NotAfterClientLeft,
-    /// An engine is told at most the time that is left to the client.
+    /// The deadline announced to an engine is at most the client's remaining time.
     DeadlineAnnounced,
-    /// A request that was read gets its answer, in time.
+    /// A request that the gateway has read is answered in time.
     Answered,
-    /// What must not be repeated has its effect at most once.
+    /// A non-repeatable request is executed at most once.
     AtMostOnce,
-    /// What is refused, so called harmless to send again, has had no effect, and no attempt of it, reads too, still runs.
+    /// A rejected non-repeatable request, which may be sent again, was not executed and has no attempt in progress, prefills
+    /// included.
     RejectionIsTrue,
 }
 
-/// An invariant that did not hold.
+/// Breach of an invariant by a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub invariant: Invariant,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Judges all requests of a trial that ended at `end`, with this limit for what is held.
+/// Returns the violations in the records of a run that ended at `end` with this lease limit, sorted by time.
 pub fn check_invariants(records: &[Record], lease_limit: Duration, end: Micros) -> Vec<Violation> {
     let mut by_request: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
     for record in records {
@@ -67,7 +68,7 @@
     }
     let limit = lease_limit.as_micros() as Micros + LEASE_SLACK;
     let process_ends = ProcessEnds::of(records);
-    // What concerns a gateway has no request.
+    // Events of gateways have an empty request.
     by_request.remove("");
     let mut violations = Vec::new();
     for (request, records) in by_request {
@@ -85,7 +86,7 @@
     violations
 }
 
-/// The records of one request.
+/// Records of one request, with the end of the run and the ends of the gateways' processes.
 struct RequestHistory<'a> {
     request: &'a str,
     records: Vec<&'a Record>,
@@ -93,13 +94,13 @@
     process_ends: &'a ProcessEnds,
 }
 
-/// An attempt as its link saw it.
+/// Attempt as recorded by its link.
 #[derive(Clone, Copy, Debug)]
 struct Attempt<'a> {
     link: &'a str,
     connection: u64,
     began: Micros,
-    /// When its answer began to come, or its connection was closed.
+    /// When its response began, or its connection was closed; `None` if neither was recorded.
     ended: Option<Micros>,
 }
 
@@ -125,12 +126,12 @@
         })
     }
 
-    /// The end of the gateway process that got the request, if it has ended.
+    /// Returns the end of the gateway process that received the request, if it has ended.
     fn process_end(&self) -> Option<ProcessEnd> {
         self.process_ends.end_for_request(&self.records)
     }
 
-    /// Until when somebody can have let go of what is held: a gateway that was killed lets go of nothing.
+    /// Returns the time until which the state can have been released: a killed gateway releases nothing.
     fn release_possible_until(&self) -> Micros {
         let killed_at = self.process_end().and_then(|end| end.killed_at());
         killed_at.map_or(self.end, |killed_at| killed_at.min(self.end))
@@ -160,7 +161,7 @@
         attempts
     }
 
-    /// When each attempt arrived at a running engine, and when it ceased to be out.
+    /// Returns for each delivered attempt when it arrived at a running engine, and when it was no longer in flight.
     fn deliveries(&self) -> Vec<(Micros, Micros)> {
         let mut attempts = self.attempts();
         let mut delivery_periods = Vec::new();
@@ -198,7 +199,7 @@
         self.too_long_unclaimed(&delivery_periods, since?, self.release_possible_until(), limit)
     }
 
-    /// The longest time between these two moments in which nothing was out, where that is too long.
+    /// Returns a violation if no attempt was in flight for longer than `limit` at a time from `from` until `until`.
     fn too_long_unclaimed(
         &self, delivery_periods: &[(Micros, Micros)], from: Micros, until: Micros, limit: Micros,
     ) -> Option<Violation> {
@@ -210,7 +211,8 @@
         for (begins, ends) in in_flight {
             let unclaimed = begins.saturating_sub(idle_since);
             if unclaimed > limit {
-                let detail = format!("held for {} ms with no attempt out", unclaimed / MILLISECOND);
+                let detail =
+                    format!("state leased for {} ms with no attempt in flight", unclaimed / MILLISECOND);
                 return Some(self.violation(Invariant::LeaseEndsInTime, idle_since + limit, detail));
             }
             idle_since = idle_since.max(ends);
@@ -222,7 +224,8 @@
         let attempts = self.attempts();
         attempts.windows(2).find_map(|pair| {
             let ended = pair[0].ended.unwrap_or(self.end);
-            let detail = || format!("begun on {} while one is open on {}", pair[1].link, pair[0].link);
+            let detail =
+                || format!("attempt begun on {} while another is open on {}", pair[1].link, pair[0].link);
             (ended > pair[1].began + CLOSE_SLACK)
                 .then(|| self.violation(Invariant::OneAttempt, pair[1].began, detail()))
         })
@@ -232,8 +235,11 @@
         let disconnected_at =
             self.records.iter().find(|r| matches!(r.event, Event::ClientDisconnected { .. }))?.at;
         let late = self.attempts().into_iter().find(|a| a.began > disconnected_at + DISCONNECT_SLACK)?;
-        let detail =
-            format!("begun on {} {} ms after", late.link, (late.began - disconnected_at) / MILLISECOND);
+        let detail = format!(
+            "attempt begun on {} {} ms after the client disconnected",
+            late.link,
+            (late.began - disconnected_at) / MILLISECOND
+        );
         Some(self.violation(Invariant::NotAfterClientLeft, late.began, detail))
     }
 
@@ -244,7 +250,8 @@
                 return None;
             };
             let remaining = deadline - (record.at.saturating_sub(sent)) as f64 / 1e6;
-            let detail = || format!("told {announced:.3} s on {}, left are {remaining:.3} s", record.source);
+            let detail =
+                || format!("announced {announced:.3} s on {} with {remaining:.3} s remaining", record.source);
             (announced > remaining + DEADLINE_SLACK_S)
                 .then(|| self.violation(Invariant::DeadlineAnnounced, record.at, detail()))
         })
@@ -253,7 +260,7 @@
     fn answered_in_time(&self) -> Option<Violation> {
         let (sent, deadline, _) = self.sent()?;
         let due = sent + (deadline * 1e6) as Micros + ANSWER_SLACK;
-        // What its process has left unanswered stays so.
+        // A request that is unanswered when its process ends stays unanswered.
         let expected_by = self.process_end().map_or(due, |process| due.min(process.ended_at + ANSWER_SLACK));
         let end = self.records.iter().find(|r| {
             matches!(
@@ -264,7 +271,7 @@
                     | Event::ClosedUnread { .. }
             )
         });
-        // What was written behind another request came before it counts as sent.
+        // A pipelined request was written before the time at which it counts as sent.
         let is_pipelined = self.records.iter().any(|r| matches!(r.event, Event::Pipelined { .. }));
         let lost_to_kill = |seen_at| {
             let process_end = self.process_end();
@@ -274,12 +281,12 @@
         };
         match end.map(|record| (&record.event, record.at)) {
             Some((Event::Unanswered { .. }, at)) if !lost_to_kill(at) => {
-                Some(self.violation(Invariant::Answered, at, "its connection was closed unanswered".into()))
+                Some(self.violation(Invariant::Answered, at, "connection closed without a response".into()))
             }
             Some((Event::Answered { status: 200, complete: false, .. }, at))
                 if self.is_cut_by_kill(at) && !lost_to_kill(at) =>
             {
-                Some(self.violation(Invariant::Answered, at, "taken late, and cut off by the kill".into()))
+                Some(self.violation(Invariant::Answered, at, "accepted late and cut off by the kill".into()))
             }
             Some((Event::Answered { status, .. }, at)) if *status != 200 && at > due => {
                 Some(self.violation(Invariant::Answered, at, format!("{status} too late")))
@@ -291,24 +298,26 @@
         }
     }
 
-    /// What a gateway leaves unread it cannot have forwarded.
+    /// A gateway cannot have forwarded a request that it has not read.
     fn closed_unread_is_accurate(&self) -> Option<Violation> {
         let closed_unread = self.records.iter().find(|r| matches!(r.event, Event::ClosedUnread { .. }))?;
         let forwarded = self
             .attempts()
             .into_iter()
             .find(|attempt| attempt.gateway() == closed_unread.source && attempt.began < closed_unread.at)?;
-        let detail =
-            format!("its connection was closed as if it were unread, and it had begun on {}", forwarded.link);
+        let detail = format!(
+            "connection closed with the request unread, but an attempt had begun on {}",
+            forwarded.link
+        );
         Some(self.violation(Invariant::Answered, closed_unread.at, detail))
     }
 
-    /// Whether the gateway was killed about when its client saw this.
+    /// Returns whether the kill of the gateway caused what its client observed at `seen_at`.
     fn is_cut_by_kill(&self, seen_at: Micros) -> bool {
         self.process_end().is_some_and(|end| end.is_caused_by_kill(seen_at, CLOSE_SLACK))
     }
 
-    /// A connection on which a request has begun is not ended over what was read of it before its time, unless its process ends.
+    /// The connection of a partly read request is not closed before the grace period has passed, unless its process is ending.
     fn begun_request_is_not_cut_early(&self) -> Option<Violation> {
         let first_time_of = |predicate: fn(&Event) -> bool| {
             self.records.iter().find(|record| predicate(&record.event)).map(|r| r.at)
@@ -319,7 +328,10 @@
         if ended >= began + BEGUN_REQUEST_GRACE || process_was_ending {
             return None;
         }
-        let detail = format!("closed {} us after its first byte, with some of it read", ended - began);
+        let detail = format!(
+            "connection closed {} us after the first byte of the request, which was partly read",
+            ended - began
+        );
         Some(self.violation(Invariant::Answered, ended, detail))
     }
 
@@ -331,7 +343,7 @@
             return None;
         }
         if let Some(second) = claims.get(1) {
-            let detail = format!("run again at {}", second.source);
+            let detail = format!("executed again at {}", second.source);
             return Some(self.violation(Invariant::AtMostOnce, second.at, detail));
         }
         let rejected = self.records.iter().find(|r| match r.event {
@@ -339,15 +351,18 @@
             _ => false,
         })?;
         let detail = match claims.first() {
-            Some(claim) => format!("refused, and run at {}", claim.source),
+            Some(claim) => format!("rejected, but executed at {}", claim.source),
             None => {
-                format!("refused, and still at {}", self.server_at_work_after(rejected.at + WORK_END_SLACK)?)
+                format!(
+                    "rejected, but still in progress at {}",
+                    self.server_at_work_after(rejected.at + WORK_END_SLACK)?
+                )
             }
         };
         Some(self.violation(Invariant::RejectionIsTrue, rejected.at, detail))
     }
 
-    /// An engine that worked on an attempt then, or began to later.
+    /// Returns an engine that was working on an attempt after `at`, or began to later.
     fn server_at_work_after(&self, at: Micros) -> Option<&'a str> {
         let delivered = self.records.iter().filter(|record| matches!(record.event, Event::Delivered { .. }));
         let still_runs = |delivery: &&&'a Record| {
@@ -361,7 +376,7 @@
     }
 }
 
-/// How many attempts of a stage engines took for a request.
+/// Returns the number of attempts of a stage that engines received for a request.
 pub fn attempts_delivered(records: &[Record], request: &str, stage: Stage) -> usize {
     let is_delivery = |record: &&Record| {
         record.event.request() == request
--- a/fault-tests/src/lateness.rs
+++ b/fault-tests/src/lateness.rs
@@ -1,9 +1,10 @@
-//! How late a run is by itself: how long its threads stood still, its timers were late and its gateways had no processor.
+//! Scheduling delays of a run: delays of a thread, of the runtime's timers, of gateways that wait for a processor, and of
+//! process starts. They bound the accuracy of the recorded times.
 //!
-//! What a run records is only as exact as this. Two clocks tick through each run, one on a thread of its own, which shows
-//! the machine's lateness, and one on the runtime of clients, links and kills, which shows that runtime's too. The thread
-//! also asks how long each gateway waited for a processor while it could have run, which tells a gateway that stood still by
-//! itself from one that the machine left standing.
+//! Two periodic ticks run during each run: one on a separate thread, which measures the delay of the machine, and one on the
+//! runtime of the clients, links and kills, which adds the delay of that runtime. The thread also samples how long each gateway
+//! waited for a processor while it was runnable, which distinguishes a gateway that blocked from one that the machine did not
+//! schedule.
 
 use std::fmt;
 use std::fs;
@@ -16,52 +17,52 @@
 
 use crate::clock::{self, Micros, MILLISECOND};
 
-/// How often either clock ticks.
+/// Interval of both ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// Ticks of the thread between two looks at the gateways.
+/// Ticks of the thread between two samples of the gateways.
 const TICKS_PER_SAMPLE: u64 = 10;
-/// Lateness from which on a tick is kept with its time.
+/// Minimum lateness of a sample that is stored with its time.
 const NOTABLE_LATENESS: Micros = 10 * MILLISECOND;
 
-/// What was late.
+/// What a sample of lateness was measured on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LatenessSource {
-    /// A thread that only sleeps.
+    /// Thread that only sleeps and samples the gateways.
     Thread,
-    /// A timer of the runtime.
+    /// Timer of the runtime.
     Timer,
-    /// A gateway of this name, which could have run and had no processor.
+    /// Gateway of this name, which was runnable and had no processor.
     Gateway(String),
-    /// The start of a process of this name; until it has begun it holds copies of the run's sockets.
+    /// Start of a process of this name, which holds duplicates of the run's sockets until it has started.
     Start(String),
 }
 
-/// Something that came late.
+/// Sample of lateness.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LatenessSample {
     pub source: LatenessSource,
-    /// When it came, or was looked at.
+    /// When it was measured.
     pub at: Micros,
     pub late_by: Micros,
 }
 
-/// How late a run was.
+/// Scheduling delays of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Lateness {
-    /// The longest that a thread stood still, beyond its sleep.
+    /// Maximum time that the thread slept beyond its interval.
     pub thread_stall: Micros,
-    /// The most that a timer was late.
+    /// Maximum lateness of the timer.
     pub timer_lateness: Micros,
-    /// The longest that a gateway waited for a processor between two looks.
+    /// Maximum time that a gateway waited for a processor between two samples.
     pub gateway_wait: Micros,
-    /// The longest that a process took to begin.
+    /// Maximum time to start a process.
     pub process_start: Micros,
-    /// All ticks that were notably late, in order.
+    /// All samples of at least `NOTABLE_LATENESS`, in the order of their times.
     pub late_samples: Vec<LatenessSample>,
 }
 
 impl Lateness {
-    /// Notes a tick that came then, so much later than it was due.
+    /// Adds a sample.
     pub fn note(&mut self, sample: LatenessSample) {
         let worst = match sample.source {
             LatenessSource::Thread => &mut self.thread_stall,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Notably late ticks whose lateness falls between two moments.
+    /// Returns the stored samples whose delay overlaps the period from `from` until `until`.
     pub fn between(&self, from: Micros, until: Micros) -> Vec<LatenessSample> {
         let overlaps =
             |sample: &&LatenessSample| sample.at >= from && sample.at.saturating_sub(sample.late_by) <= until;
@@ -87,12 +88,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (late_by, at) = (self.late_by / MILLISECOND, self.at);
         match &self.source {
-            LatenessSource::Thread => write!(f, "a thread stood still for {late_by} ms up to {at} us"),
-            LatenessSource::Timer => write!(f, "a timer was late for {late_by} ms up to {at} us"),
+            LatenessSource::Thread => write!(f, "the thread was delayed by {late_by} ms until {at} us"),
+            LatenessSource::Timer => write!(f, "the timer was {late_by} ms late at {at} us"),
             LatenessSource::Gateway(name) => {
-                write!(f, "{name} waited for a processor for {late_by} ms, seen at {at} us")
+                write!(f, "{name} waited {late_by} ms for a processor, sampled at {at} us")
             }
-            LatenessSource::Start(name) => write!(f, "{name} took {late_by} ms to begin, up to {at} us"),
+            LatenessSource::Start(name) => write!(f, "{name} took {late_by} ms to start, until {at} us"),
         }
     }
 }
@@ -101,8 +102,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "a thread stood still for {} ms at most, a timer was {} ms late at most, a gateway waited for a processor for \
-             {} ms at most, a process took {} ms to begin at most; {} times it was {} ms or more",
+            "thread at most {} ms, timer at most {} ms, wait of a gateway for a processor at most {} ms, start of a process at \
+             most {} ms; {} delays of {} ms or more",
             self.thread_stall / MILLISECOND,
             self.timer_lateness / MILLISECOND,
             self.gateway_wait / MILLISECOND,
@@ -113,7 +114,7 @@
     }
 }
 
-/// A gateway's process, and how long it had waited for a processor by the last look.
+/// Gateway's process, and its total wait for a processor at the last sample.
 #[derive(Debug)]
 struct WatchedGateway {
     name: String,
@@ -121,7 +122,7 @@
     total_wait: Micros,
 }
 
-/// Measures lateness until it is dropped.
+/// Monitor that measures the scheduling delays of a run until it is dropped.
 #[derive(Debug)]
 pub struct LatenessMonitor {
     lateness: Arc<Mutex<Lateness>>,
@@ -131,7 +132,7 @@
 }
 
 impl LatenessMonitor {
-    /// Starts both clocks; needs a tokio runtime.
+    /// Starts both ticks. Must be called within a Tokio runtime.
     pub fn start() -> LatenessMonitor {
         let lateness = Arc::<Mutex<Lateness>>::default();
         let gateways = Arc::<Mutex<Vec<WatchedGateway>>>::default();
@@ -149,20 +150,20 @@
         LatenessMonitor { lateness, gateways, is_stopped, timer }
     }
 
-    /// Looks at this process of a gateway, too, until it has ended.
+    /// Adds a process of a gateway, which is sampled until it has exited.
     pub fn watch_gateway(&self, name: &str, pid: u32) {
         let gateway = WatchedGateway { name: name.to_string(), pid, total_wait: 0 };
         lock(&self.gateways).push(gateway);
     }
 
-    /// Notes that a process has begun now whose start was asked for then.
+    /// Records that a process has started now whose start was requested at `requested_at`.
     pub fn note_start(&self, name: &str, requested_at: Micros) {
         let at = clock::now();
         let source = LatenessSource::Start(name.to_string());
         lock(&self.lateness).note(LatenessSample { source, at, late_by: at.saturating_sub(requested_at) });
     }
 
-    /// How late it has been so far.
+    /// Returns the delays so far.
     pub fn snapshot(&self) -> Lateness {
         lock(&self.lateness).clone()
     }
@@ -179,7 +180,7 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What the thread does until it is stopped.
+/// Runs the tick of the thread, and samples the gateways, until it is stopped.
 fn tick_and_sample(
     lateness: &Mutex<Lateness>, gateways: &Mutex<Vec<WatchedGateway>>, is_stopped: &AtomicBool,
 ) {
@@ -195,14 +196,14 @@
     }
 }
 
-/// Notes a tick that comes now, of a sleep that began then.
+/// Records the end of a tick whose sleep began at `began`.
 fn note_tick(lateness: &Mutex<Lateness>, source: LatenessSource, began: Micros) {
     let at = clock::now();
     let late_by = at.saturating_sub(began + TICK_INTERVAL.as_micros() as Micros);
     lock(lateness).note(LatenessSample { source, at, late_by });
 }
 
-/// Notes how long a gateway has waited for a processor since the last look; says whether its process is still there.
+/// Records how long a gateway has waited for a processor since the last sample. Returns whether its process still exists.
 fn sample_gateway(gateway: &mut WatchedGateway, lateness: &Mutex<Lateness>) -> bool {
     let Some(waited) = processor_wait(gateway.pid) else { return false };
     let late_by = waited.saturating_sub(gateway.total_wait);
@@ -212,9 +213,9 @@
     true
 }
 
-/// How long a process of one thread has waited for a processor while it could have run.
+/// Returns how long a single-threaded process has waited for a processor while it was runnable, in total.
 fn processor_wait(pid: u32) -> Option<Micros> {
-    // The kernel writes the time on a processor, the time of waiting for one, both in nanoseconds, and how often it ran.
+    // The fields are the time on a processor and the time of waiting for one, in nanoseconds, and the number of time slices.
     let schedstat = fs::read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
     let wait_ns: u64 = schedstat.split_whitespace().nth(1)?.parse().ok()?;
     Some(wait_ns / 1_000)
--- a/fault-tests/src/lib.rs
+++ b/fault-tests/src/lib.rs
@@ -1,14 +1,14 @@
-//! Fault tests: real gateways and stand-in engines as processes on loopback, with faults between them, judged by the
-//! platform's rules as invariants.
+//! Fault-injection tests of the gateway: real gateways and stand-in engines run as processes on loopback with faults between
+//! them, and the events that they record are checked against the platform's rules as invariants.
 //!
-//! - [`deployment`] starts the processes: the built gateway, and [`engine`]s, which are this crate's own program.
-//! - [`network`] holds the proxies between each gateway and each engine: they blackhole, refuse, reset and delay.
-//! - [`soak`] draws random, overlapping [`faults`] over a deployment under load.
-//! - [`single_shot`] cuts the prefills of requests that may not be repeated right before they are answered.
+//! - [`deployment`] starts the processes: the gateway's binary, and [`engine`]s, which are run by this crate's own binary.
+//! - [`network`] provides the proxies between each gateway and each engine, which blackhole, refuse, reset and delay.
+//! - [`soak`] injects random, overlapping [`faults`] into a deployment under load.
+//! - [`single_shot`] provokes the cancellation of prefills of non-repeatable requests right before their responses.
 //! - [`crowd`] fills a gateway's connection table with idle clients.
-//! - [`sessions`] are clients that keep their connections, spread by a [`front`]; [`restarts`] ends gateways and starts them.
-//! - [`lateness`] measures how late a run itself is; [`report`] holds what a run gave.
-//! - [`record`] holds what engines, links and clients saw; [`invariants`] finds the invariants that did not hold.
+//! - [`sessions`] runs clients with persistent connections behind a [`front`]; [`restarts`] stops and starts gateways.
+//! - [`lateness`] measures scheduling delays of a run; [`report`] holds and prints the results of a run.
+//! - [`record`] defines the events of engines, links and clients; [`invariants`] finds the invariants that they break.
 
 mod attempt_observer;
 pub mod client;
--- a/fault-tests/src/link_writer.rs
+++ b/fault-tests/src/link_writer.rs
@@ -1,20 +1,21 @@
-//! One side of a connection that a link carries, as the link writes to it.
+//! Write half of a connection that a link proxies.
 
 use std::io;
 
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// Writes to one side of a connection, and ends nothing by itself when it is dropped: a reset shows as no orderly end.
+/// Write half of one side of a proxied connection. Dropping it does not shut the connection down, so that no orderly end
+/// precedes a reset.
 pub struct LinkWriter(Option<OwnedWriteHalf>);
 
 impl LinkWriter {
-    /// Writes to this side.
+    /// Takes over the write half of a connection.
     pub fn new(half: OwnedWriteHalf) -> LinkWriter {
         LinkWriter(Some(half))
     }
 
-    /// Writes all of it.
+    /// Writes all of `bytes`.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         match &mut self.0 {
             Some(half) => half.write_all(bytes).await,
@@ -22,10 +23,10 @@
         }
     }
 
-    /// Ends the connection in order.
+    /// Shuts the write direction down in order.
     pub async fn end(&mut self) {
         if let Some(half) = &mut self.0 {
-            // The other side may have closed first.
+            // The peer may have closed the connection first.
             let _ = half.shutdown().await;
         }
     }
--- a/fault-tests/src/main.rs
+++ b/fault-tests/src/main.rs
@@ -1,5 +1,5 @@
-//! The program of the fault tests: `soak` plays random faults over real processes; `engine` is one stand-in engine, which
-//! a trial starts as a process of its own.
+//! Command-line program of the fault tests. `soak`, `single-shot` and `crowd` run tests on real processes; `engine` runs the
+//! stand-in engine, which the tests start as a separate process.
 
 use std::io;
 use std::process::ExitCode;
@@ -19,15 +19,15 @@
 enum Command {
     /// Runs one stand-in engine until it is killed.
     Engine(engine::Options),
-    /// Fills a gateway's connection table with idle clients, and succeeds if no request is closed with no answer.
+    /// Fills a gateway's connection table with idle clients, and fails if a request is closed without a response.
     Crowd(crowd::Options),
-    /// Plays seeds of requests that may not be repeated, and succeeds if every answer that allows sending them again is true.
+    /// Runs seeds of non-repeatable requests, and fails if a response permits a retry that is not safe.
     SingleShot(single_shot::Options),
-    /// Plays seeds of random, overlapping faults, and succeeds if every invariant held in each.
+    /// Runs seeds of random, overlapping faults, and fails if an invariant is broken in any of them.
     Soak(soak::Options),
 }
 
-/// Why a command ends with a failure.
+/// Error with which a command fails.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error("{0}")]
@@ -36,7 +36,7 @@
     Start(#[from] DeploymentError),
     #[error("invariants were broken in {0} seeds")]
     Broken(usize),
-    #[error("{0} requests were closed with no answer")]
+    #[error("{0} requests were closed without a response")]
     Unanswered(usize),
 }
 
--- a/fault-tests/src/network.rs
+++ b/fault-tests/src/network.rs
@@ -1,4 +1,5 @@
-//! The links between gateways and engines: TCP proxies on loopback that can fall silent, never come up, reset and delay.
+//! Links between gateways and engines: TCP proxies on loopback that can blackhole, reset and delay connections, and prevent
+//! them from being established.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -18,30 +19,30 @@
 use crate::process::reserved_address;
 use crate::record::Records;
 
-/// Connections that may wait to be accepted on a link that is well.
+/// Length of the accept queue of a link without a fault.
 const BACKLOG: i32 = 128;
-/// A dial that takes longer than this finds the queue full.
+/// Time after which a connection attempt shows that the accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
-/// Most connections with which a link's queue is filled so that no further one comes up.
+/// Maximum number of connections opened to fill a link's accept queue, so that no further one is established.
 const MAX_FILLER_CONNECTIONS: usize = 8;
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// How a link treats what passes.
+/// Treatment of all connections of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Condition {
     #[default]
     Open,
-    /// Connections stand and come up, and nothing passes either way.
+    /// Connections stay open and are established, but no bytes are forwarded in either direction.
     Blackholed,
-    /// As [`Condition::Blackholed`], and no further connection comes up.
+    /// Like [`Condition::Blackholed`], and no further connection is established.
     Unconnectable,
 }
 
-/// What becomes of a connection that is begun.
+/// Outcome of a connection attempt to a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectOutcome {
     Accepted,
-    /// It never comes up.
+    /// The connection is never established.
     Unconnectable,
     Refused,
 }
@@ -49,23 +50,23 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LinkState {
     condition: Condition,
-    /// Connections older than this one are silent for good.
+    /// Connections with a lower number are stalled permanently.
     stalled_below: u64,
-    /// Connections older than this one are reset.
+    /// Connections with a lower number are reset.
     reset_below: u64,
     delay: Duration,
-    /// The engine's process is gone.
+    /// Whether the engine's process has been terminated.
     engine_down: bool,
-    /// How often the listener was shut down.
+    /// Number of times that the listener was shut down.
     shutdowns: u64,
 }
 
 impl LinkState {
-    /// What becomes of a connection that is begun now.
+    /// Returns the outcome of a connection attempt in this state.
     fn connect_outcome(&self) -> ConnectOutcome {
         match self.condition {
             Condition::Unconnectable => ConnectOutcome::Unconnectable,
-            // Only a machine that can be reached refuses for a process that is gone.
+            // A connection is refused only if the machine of the terminated process can be reached.
             Condition::Open if self.engine_down => ConnectOutcome::Refused,
             Condition::Open | Condition::Blackholed => ConnectOutcome::Accepted,
         }
@@ -76,22 +77,22 @@
     }
 }
 
-/// One gateway's way to one engine.
+/// Proxy from one gateway to one engine.
 #[derive(Clone)]
 pub struct Link {
     pub name: String,
     pub address: SocketAddr,
     state: watch::Sender<LinkState>,
     listener: Arc<StdListener>,
-    /// Keeps the address while nothing listens at it.
+    /// Reserves the address while nothing listens on it.
     _reservation: Arc<Socket>,
     next_connection: Arc<Mutex<u64>>,
     fillers: Arc<Mutex<FillerConnections>>,
-    /// So long after the next attempt has come, what stands falls silent.
+    /// Time from the next attempt until the connections that are then open are stalled; `None` for no stall.
     stall_after_attempt: Arc<Mutex<Option<Duration>>>,
 }
 
-/// Connections of the link's own that fill its queue.
+/// Connections that the link opens to itself to fill its accept queue.
 #[derive(Default)]
 struct FillerConnections {
     open: Vec<StdStream>,
@@ -99,7 +100,7 @@
 }
 
 impl Link {
-    /// Opens a link to this engine; needs a tokio runtime.
+    /// Opens a link to the engine at this address. Must be called within a Tokio runtime.
     pub fn open(name: &str, engine: SocketAddr, records: Records) -> io::Result<Link> {
         let (reservation, address) = reserved_address()?;
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -121,12 +122,13 @@
         Ok(link)
     }
 
-    /// Has the link treat everything like this from now on.
+    /// Sets the treatment of all connections.
     pub fn set(&self, condition: Condition) {
         self.update(|state| state.condition = condition);
     }
 
-    /// The engine's process is gone: its connections are reset and new ones refused, unless the way to its machine is cut.
+    /// Marks the engine's process as terminated: its connections are reset and new ones are refused, unless the link is
+    /// blackholed or unconnectable.
     pub fn mark_engine_down(&self) {
         let is_open = self.state.borrow().condition == Condition::Open;
         self.update(|state| state.engine_down = true);
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The engine's process listens again.
+    /// Marks the engine's process as listening again.
     pub fn mark_engine_up(&self) {
         self.update(|state| state.engine_down = false);
     }
@@ -151,19 +153,20 @@
             ConnectOutcome::Unconnectable => self.fill_accept_queue(),
             ConnectOutcome::Refused => {
                 self.lock_fillers().open.clear();
-                // What waits to be accepted is reset.
+                // The kernel resets the connections in the accept queue.
                 let _ = SockRef::from(&*self.listener).shutdown(Shutdown::Both);
             }
         }
     }
 
-    /// Has every connection that stands now silent for good, with no error.
+    /// Permanently stops forwarding on all connections that are open now, without an error.
     pub fn stall_open_connections(&self) {
         let next = *self.next_connection.lock().unwrap_or_else(PoisonError::into_inner);
         self.state.send_modify(|state| state.stalled_below = next);
     }
 
-    /// Does the same so long after the next attempt has come; at no time after it, before the attempt is passed on.
+    /// Calls [`Link::stall_open_connections`] this long after the next attempt has been received; with a pause of 0, before
+    /// the attempt is forwarded.
     pub fn stall_after_next_attempt(&self, pause: Option<Duration>) {
         *self.stall_after_attempt.lock().unwrap_or_else(PoisonError::into_inner) = pause;
     }
@@ -182,19 +185,19 @@
         }
     }
 
-    /// Resets every connection that stands now.
+    /// Resets all connections that are open now.
     pub fn reset(&self) {
         let next = *self.next_connection.lock().unwrap_or_else(PoisonError::into_inner);
         self.state.send_modify(|state| state.reset_below = next);
     }
 
-    /// Whatever passes is late by so much.
+    /// Sets the delay of all forwarded bytes.
     pub fn set_delay(&self, delay: Duration) {
         self.state.send_modify(|state| state.delay = delay);
     }
 
     fn fill_accept_queue(&self) {
-        // The machine lets one more in than the queue is told to hold.
+        // The kernel accepts one connection more than the configured queue length.
         if SockRef::from(&*self.listener).listen(0).is_err() {
             return;
         }
@@ -207,7 +210,7 @@
     }
 
     fn restore_accept_queue(&self) {
-        // A link that cannot be listened on again shows as one that stays down.
+        // A failure leaves the link without connections, which shows in the run.
         let _ = SockRef::from(&*self.listener).listen(BACKLOG);
         self.lock_fillers().open.clear();
     }
@@ -226,7 +229,7 @@
             if previous == ConnectOutcome::Unconnectable {
                 reset_all(&self.listener);
             }
-            // A listener that was shut down stays closed to the runtime, also once it listens again.
+            // After a shutdown the runtime keeps reporting the listener as closed, even when it listens again.
             let Ok(listener) = self.listener.try_clone().and_then(TcpListener::from_std) else { return };
             let shutdowns = state.borrow().shutdowns;
             let is_accepting = |state: &LinkState| {
@@ -260,7 +263,8 @@
     }
 }
 
-/// Waits until connections are accepted; gives what became of them last before that, or nothing once the link is gone.
+/// Waits until connections are accepted, and returns the outcome of connection attempts before that, or `None` once the link
+/// has been dropped.
 async fn wait_until_accepting(state: &mut watch::Receiver<LinkState>) -> Option<ConnectOutcome> {
     let mut previous = ConnectOutcome::Accepted;
     loop {
@@ -272,7 +276,7 @@
     }
 }
 
-/// Resets what came up while nothing was accepted: a way that is back knows nothing of it.
+/// Resets the connections that were established while none was accepted: a restored path does not carry them.
 fn reset_all(listener: &StdListener) {
     while let Ok((socket, _)) = listener.accept() {
         let _ = SockRef::from(&socket).set_linger(Some(Duration::ZERO));
@@ -284,7 +288,7 @@
     gateway: TcpStream, engine: SocketAddr, state: watch::Receiver<LinkState>, connection: u64,
     attempt_observer: AttemptObserver,
 ) {
-    // Small writes are not held back; where that cannot be set they come later.
+    // Without this, small writes may be delayed.
     let _ = gateway.set_nodelay(true);
     let Ok(reset_handle) = SockRef::from(&gateway).try_clone() else { return };
     let (from_gateway, to_gateway) = gateway.into_split();
@@ -293,7 +297,7 @@
     let (sender, received) = mpsc::unbounded_channel();
     let proxied = ProxiedConnection { state, connection, observer: Mutex::new(Some(attempt_observer)) };
     let proxying = async {
-        // What a gateway sends is seen also while the way to the engine is silent.
+        // Bytes from the gateway are observed even while nothing is forwarded to the engine.
         let receives = async {
             receive(from_gateway, sender, |bytes| proxied.observe(|observer| observer.on_request(bytes)))
                 .await;
@@ -302,10 +306,10 @@
         let forwards = async {
             let was_blocked = !proxied.is_passable();
             match proxied.connect(engine).await {
-                // What waited on a silent way arrives together with its connection's end: an engine drops it.
+                // The engine drops blocked bytes that arrive together with the end of their connection.
                 Some(_) if was_blocked && received.is_closed() => {}
                 Some(upstream) => proxy_both_ways(upstream, to_gateway, received, &proxied).await,
-                // The engine refuses: so does the link.
+                // The engine refused the connection, so the link resets the gateway's.
                 None => _ = reset_handle.set_linger(Some(Duration::ZERO)),
             }
         };
@@ -319,7 +323,7 @@
     }
 }
 
-/// Passes bytes both ways between an engine and what a gateway sends.
+/// Forwards bytes in both directions between an engine and a gateway, whose bytes arrive in `received`.
 async fn proxy_both_ways(
     upstream: TcpStream, to_gateway: LinkWriter, received: mpsc::UnboundedReceiver<Vec<u8>>,
     proxied: &ProxiedConnection,
@@ -335,7 +339,7 @@
     );
 }
 
-/// Takes what comes at once, until its end, and shows it.
+/// Reads all bytes without delay until the end of the connection, and passes them to `observe` and `sender`.
 async fn receive(mut from: OwnedReadHalf, sender: mpsc::UnboundedSender<Vec<u8>>, observe: impl Fn(&[u8])) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(size @ 1..) = from.read(&mut buffer).await {
@@ -346,7 +350,7 @@
     }
 }
 
-/// Gives on what was taken, and its end, once the link lets it pass; says so each time.
+/// Forwards received bytes and the end of the connection when the link permits it. Calls `on_forward` before each write.
 async fn forward(
     mut received: mpsc::UnboundedReceiver<Vec<u8>>, mut to: LinkWriter, proxied: &ProxiedConnection,
     on_forward: impl Fn(),
@@ -354,7 +358,7 @@
     while let Some(bytes) = received.recv().await {
         let was_blocked = !proxied.is_passable();
         let Some(delay) = proxied.wait_until_passable().await else { return };
-        // What waited on a silent way arrives together with its connection's end: an engine drops it.
+        // The engine drops blocked bytes that arrive together with the end of their connection.
         if was_blocked && received.is_closed() {
             break;
         }
@@ -369,11 +373,11 @@
     }
 }
 
-/// What a link does with one of its connections.
+/// Connection that a link proxies.
 struct ProxiedConnection {
     state: watch::Receiver<LinkState>,
     connection: u64,
-    /// What is seen on it; gone once the gateway has closed it.
+    /// Observer of the attempts; `None` once the gateway has closed the connection.
     observer: Mutex<Option<AttemptObserver>>,
 }
 
@@ -392,7 +396,7 @@
         self.state.borrow().is_passable(self.connection)
     }
 
-    /// Until something may pass; gives how late it comes, or nothing once the link is gone.
+    /// Waits until bytes may be forwarded, and returns their delay, or `None` once the link has been dropped.
     async fn wait_until_passable(&self) -> Option<Duration> {
         let mut state = self.state.clone();
         let passable = state.wait_for(|state| state.is_passable(self.connection)).await;
--- a/fault-tests/src/persistent_connection.rs
+++ b/fault-tests/src/persistent_connection.rs
@@ -1,5 +1,5 @@
-//! A client's side of a kept connection: requests are written in one piece or in several, alone or several at once, and
-//! answers are read one after the other, each to its end.
+//! Client side of a persistent connection: requests are written in one or several pieces, alone or pipelined, and responses are
+//! read one after the other, each completely.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -17,59 +17,59 @@
 const READ_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 
-/// One answer as its client saw it.
+/// Response as received by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientResponse {
     pub status: u16,
-    /// Whether its body came to its end.
+    /// Whether the whole body was received.
     pub complete: bool,
-    /// Whether the gateway ends the connection after it.
+    /// Whether the connection cannot be used after it.
     pub closes_connection: bool,
 }
 
-/// How a connection ended on which a request had no answer.
+/// How a connection ended on which a request had no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The gateway ended it in order, and has not read the request.
+    /// Closed in order; the gateway has not read the request.
     Unread,
-    /// The gateway ended it in order, and has read some of the request.
+    /// Closed in order; the gateway has read a part of the request.
     PartlyRead,
-    /// The gateway ended it in order, and has read all of the request.
+    /// Closed in order; the gateway has read the whole request.
     Read,
-    /// It was reset, so that nothing can be told.
+    /// Reset, or the gateway's end no longer exists; how much the gateway has read is unknown.
     Reset,
-    /// The kernel did not say how its other end stands.
+    /// Closed in order; the kernel did not report the unread bytes.
     Unknown,
 }
 
-/// What was written at once, and when. It ends early where the connection ended before.
+/// Progress of a write in pieces, which is incomplete if the connection ended before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteProgress {
-    /// Before the first byte was.
+    /// Time before the first byte was written.
     pub began_at: Micros,
-    /// Bytes up to the end of each piece, and when that had been written.
+    /// Total bytes after each piece, and when the piece had been written.
     pieces: Vec<(usize, Micros)>,
 }
 
 impl WriteProgress {
-    /// How many bytes have been written.
+    /// Returns the number of bytes written.
     pub fn bytes(&self) -> usize {
         self.pieces.last().map_or(0, |(bytes, _)| *bytes)
     }
 
-    /// When so many bytes had been written, if they have been.
+    /// Returns when the first `bytes` bytes had been written, if they were.
     pub fn written_at(&self, bytes: usize) -> Option<Micros> {
         self.pieces.iter().find(|(written, _)| *written >= bytes).map(|(_, at)| *at)
     }
 }
 
-/// A connection to a gateway that is used for one request after the other.
+/// Connection to a gateway that carries one request after the other.
 pub struct PersistentConnection {
     socket: TcpStream,
     address: SocketAddr,
     client_address: SocketAddr,
     connected_at: Micros,
-    /// Read, and not yet part of an answer.
+    /// Bytes that were received and not yet consumed as part of a response.
     buffer: Vec<u8>,
 }
 
@@ -81,39 +81,39 @@
         Ok(PersistentConnection { socket, address, client_address, connected_at, buffer: Vec::new() })
     }
 
-    /// The client's own address, by which the gateway's log names the connection.
+    /// Returns the client's own address, by which the gateway's log identifies the connection.
     pub fn client_address(&self) -> SocketAddr {
         self.client_address
     }
 
-    /// When the connection stood.
+    /// Returns when the connection was established.
     pub fn connected_at(&self) -> Micros {
         self.connected_at
     }
 
-    /// A copy of its socket, such as a process has that is being started.
+    /// Returns a duplicate of the socket, such as a process holds while it is being started.
     pub fn clone_socket(&self) -> io::Result<Socket> {
         SockRef::from(&self.socket).try_clone()
     }
 
-    /// Leaves: the gateway sees the connection's end from now on.
+    /// Closes the connection so that the gateway observes its end at once.
     pub fn close(self) {
-        // Dropping it would not do: a process that is just being started holds a copy of each socket until it has begun. An
-        // error means that the gateway has ended the connection already.
+        // Dropping the socket is not enough: a process that is being started holds duplicates of all sockets until it executes
+        // its program. An error means that the gateway has already closed the connection.
         let _ = SockRef::from(&self.socket).shutdown(Shutdown::Both);
     }
 
-    /// Whether the gateway has ended the connection while it rested.
+    /// Returns whether the gateway has closed or reset the idle connection.
     pub fn has_ended(&self) -> bool {
-        // The socket itself is asked: what the runtime has noted of it may be late.
+        // Peeks at the socket itself, because the runtime may not have processed its events yet.
         match SockRef::from(&self.socket).peek(&mut [MaybeUninit::uninit()]) {
             Ok(peeked) => peeked == 0,
             Err(error) => error.kind() != io::ErrorKind::WouldBlock,
         }
     }
 
-    /// Writes these bytes in so many pieces, with pauses between them, until the gateway has ended the connection. An end that
-    /// crosses the last piece shows in reading.
+    /// Writes `bytes` in this many pieces with pauses between them, and stops once the gateway has closed the connection. A close
+    /// that crosses the last piece is detected when the response is read.
     pub async fn write(&mut self, bytes: &[u8], pieces: usize, pause: Duration) -> WriteProgress {
         let size = bytes.len().div_ceil(pieces.max(1)).max(1);
         let mut progress = WriteProgress { began_at: clock::now(), pieces: Vec::new() };
@@ -129,13 +129,13 @@
         progress
     }
 
-    /// Whether the gateway, which has ended the connection, has read some of these bytes, or may have.
+    /// Returns whether the gateway, which has closed the connection, may have read some of the `written` bytes.
     pub fn may_be_partly_read(&self, written: usize) -> bool {
         let unread = unread::unread_bytes_at(self.address, self.client_address);
         written > 0 && !matches!(unread, Ok(Some(unread)) if unread >= written as u64)
     }
 
-    /// Reads the next answer to its end; `written` is what has been written for requests without an answer, in bytes.
+    /// Reads the next response completely; `written` is the number of bytes written for requests that have no response yet.
     pub async fn read_response(&mut self, written: usize) -> Result<ClientResponse, ConnectionEnd> {
         let (status, closes_connection, is_chunked, mut remaining) = loop {
             if let Some(head) = self.take_head() {
@@ -151,7 +151,7 @@
         Ok(ClientResponse { status, complete, closes_connection: closes_connection || !complete })
     }
 
-    /// What the end of the connection says of a request with no answer.
+    /// Returns how the connection ended for a request without a response.
     fn classify_end(&self, reset: bool, written: usize) -> ConnectionEnd {
         if reset {
             return ConnectionEnd::Reset;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Reads more; an error says whether the connection was reset.
+    /// Reads more bytes into the buffer; the error is whether the connection was reset.
     async fn read_more(&mut self) -> Result<(), bool> {
         let mut bytes = [0; READ_BYTES];
         match self.socket.read(&mut bytes).await {
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Takes a complete head: its status, whether the connection ends, whether the body comes in chunks, and its length.
+    /// Consumes a complete head, and returns its status, whether the connection closes after it, whether the body is chunked, and
+    /// the length of the body.
     fn take_head(&mut self) -> Option<(u16, bool, bool, usize)> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -205,7 +206,7 @@
         true
     }
 
-    /// Reads chunks up to the last one; false where the body breaks off.
+    /// Reads all chunks; returns false if the body is malformed or incomplete.
     async fn read_chunked_body(&mut self) -> bool {
         loop {
             let chunk = match httparse::parse_chunk_size(&self.buffer) {
@@ -213,7 +214,7 @@
                 Ok(httparse::Status::Partial) => None,
                 Err(_) => return false,
             };
-            // A chunk is followed by a line's end, the last one too.
+            // Each chunk is followed by CRLF, including the last one.
             match chunk {
                 Some((head, size)) if self.buffer.len() >= head + size + 2 => {
                     self.buffer.drain(..head + size + 2);
--- a/fault-tests/src/process.rs
+++ b/fault-tests/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a deployment, and the address that it listens at.
+//! A child process of a deployment, and the reservation of the address that it listens on.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,27 +9,27 @@
 
 use crate::deployment_error::DeploymentError;
 
-/// A process of a deployment.
+/// Child process of a deployment, killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
-    /// The process as its parent has it.
+    /// Handle for the output pipes and the exit status.
     pub child: Child,
     signal_target: SignalTarget,
 }
 
-/// Sends signals to one process, from any task.
+/// Target for signals to one process, which any task can copy and use.
 #[derive(Clone, Copy, Debug)]
 pub struct SignalTarget(Pid);
 
 impl SignalTarget {
-    /// Signals the process, if it still runs.
+    /// Sends a signal; has no effect once the process has exited.
     pub fn signal(self, signal: Signal) {
         let _ = kill_process(self.0, signal);
     }
 }
 
 impl Process {
-    /// Starts the process; `what` names it where that fails.
+    /// Spawns the process; `component` names it in errors.
     pub fn start(command: &mut Command, component: &str) -> Result<Process, DeploymentError> {
         let spawned = command.kill_on_drop(true).spawn();
         let child =
@@ -39,29 +39,30 @@
         Ok(Process { child, signal_target: SignalTarget(pid) })
     }
 
-    /// Signals the process, if it still runs.
+    /// Sends a signal; has no effect once the process has exited.
     pub fn signal(&self, signal: Signal) {
         self.signal_target.signal(signal);
     }
 
-    /// For signals that must not wait for whoever holds the process.
+    /// Returns a target for signals that must not wait for exclusive access to the deployment.
     pub fn signal_target(&self) -> SignalTarget {
         self.signal_target
     }
 
-    /// Kills the process and waits until it is gone, and its listener with it.
+    /// Kills the process and waits for its exit, by which its listener is closed.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.child.kill().await
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has exited, or its status cannot be read.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 }
 
-/// Reserves an address for a process to listen at, also after a restart, for as long as the socket is kept: it is bound and
-/// does not listen, so the machine gives its port to no connection and to no listener that asks for any port.
+/// Reserves a loopback address for a listening process, across its restarts, for as long as the returned socket exists. The
+/// socket is bound but does not listen, so the kernel assigns its port neither to an outgoing connection nor to a listener
+/// that requests any free port.
 pub fn reserved_address() -> io::Result<(Socket, SocketAddr)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/fault-tests/src/process_ends.rs
+++ b/fault-tests/src/process_ends.rs
@@ -1,37 +1,39 @@
-//! The lives of each gateway's processes, from the records: when one was told to end, and how it ended.
+//! Ends of each gateway's processes, derived from the records: when a process was sent SIGTERM, and how it ended.
 
 use std::collections::BTreeMap;
 
 use crate::clock::{Micros, MILLISECOND};
 use crate::record::{Event, Record};
 
-/// What the kill finds unanswered is lost if it came later than this after SIGTERM.
+/// A request that was sent later than this after SIGTERM is not excused if the kill finds it unanswered.
 const LATE_REQUEST_AFTER: Micros = 700 * MILLISECOND;
-/// Where the kill's beginning was not noted: its end may be noted so much later than clients have seen it.
+/// Maximum delay between the effect of a kill at clients and the record of the process's end, where only the end of the kill
+/// was recorded.
 const KILL_RECORD_SLACK: Micros = 300 * MILLISECOND;
 
-/// A connection to a process that has been killed is noted for so long at most. No new process listens sooner.
+/// Maximum time after the end of a killed process at which a client records a connection to it. No new process listens
+/// sooner.
 const CONNECT_AFTER_KILL_SLACK: Micros = 10 * MILLISECOND;
 
-/// The end of one process.
+/// End of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessEnd {
-    /// When it was first told to end, if it was.
+    /// When it was first sent SIGTERM; `None` if it was not.
     pub terminated_at: Option<Micros>,
-    /// When it had been waited for.
+    /// When its exit had been waited for.
     pub ended_at: Micros,
-    /// Whether it was killed; else it ended by itself.
+    /// Whether it was killed; otherwise it exited.
     pub killed: bool,
-    /// When the kill was about to be sent, if that was noted.
+    /// When the kill was about to be sent; `None` if that was not recorded.
     kill_requested_at: Option<Micros>,
 }
 
-/// The ends of all gateways' processes, by name, in order.
+/// Ends of all gateways' processes, in chronological order by gateway.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessEnds(BTreeMap<String, Vec<ProcessEnd>>);
 
 impl ProcessEnds {
-    /// Reads them from records in the order of their times.
+    /// Collects the ends from records that are sorted by time.
     pub fn of(records: &[Record]) -> ProcessEnds {
         let mut process_ends = ProcessEnds::default();
         let mut terminated: BTreeMap<&str, Micros> = BTreeMap::new();
@@ -56,8 +58,8 @@
         process_ends
     }
 
-    /// The end of the process that got a request, by all records of it, if that process has ended: the one to which the
-    /// client's connection was made, whenever the request was written on it.
+    /// Returns the end of the process that received a request, given all records of the request, if that process has ended. It
+    /// is the process to which the client connected, independently of when the request was written.
     pub fn end_for_request(&self, request: &[&Record]) -> Option<ProcessEnd> {
         let connected = request.iter().find_map(|record| match record.event {
             Event::RequestBegun { connected_at, .. } => Some((&record.source, connected_at)),
@@ -68,7 +70,7 @@
         self.end_after(gateway, at)
     }
 
-    /// The end of the process that got what a client did at this time, if it has ended.
+    /// Returns the end of the process that ran at this time, if it has ended.
     fn end_after(&self, gateway: &str, at: Micros) -> Option<ProcessEnd> {
         let ends_after = |end: &ProcessEnd| {
             let slack = if end.killed { CONNECT_AFTER_KILL_SLACK } else { 0 };
@@ -79,13 +81,13 @@
 }
 
 impl ProcessEnd {
-    /// When the process was killed, if it was.
+    /// Returns when the process was killed, if it was.
     pub fn killed_at(&self) -> Option<Micros> {
         self.killed.then_some(self.kill_requested_at.unwrap_or(self.ended_at))
     }
 
-    /// Whether what a client saw then came from the kill. Where the kill's beginning was not noted, its end may be noted so much
-    /// later than clients have seen it.
+    /// Returns whether the kill caused what a client observed at `seen_at`. If only the end of the kill was recorded, that
+    /// record may be up to `record_slack` later than the observation.
     pub fn is_caused_by_kill(&self, seen_at: Micros, record_slack: Micros) -> bool {
         let is_after_kill = match self.kill_requested_at {
             Some(kill_requested_at) => seen_at >= kill_requested_at,
@@ -94,14 +96,14 @@
         self.killed && is_after_kill
     }
 
-    /// Whether the process had been told to end, or had ended, by then.
+    /// Returns whether the process had been sent SIGTERM, or was being killed or had ended, at this time.
     pub fn is_ending_by(&self, at: Micros) -> bool {
         let end_times = [self.terminated_at, self.kill_requested_at, Some(self.ended_at)];
         end_times.into_iter().flatten().any(|time| time <= at)
     }
 
-    /// Whether a request that was sent then and found no answer by the kill, which its client saw at `seen`, is lost by the
-    /// kill alone and not by the gateway: it came before a planned one, or nobody had planned it.
+    /// Returns whether the kill alone, and not the gateway, lost a request that was sent at `sent_at` and whose client observed
+    /// the loss at `seen_at`: the kill was unplanned, or the request was not sent late after SIGTERM.
     pub fn is_lost_to_kill(&self, sent_at: Micros, seen_at: Micros) -> bool {
         let caused_by_kill = self.is_caused_by_kill(seen_at, KILL_RECORD_SLACK);
         let is_late_request =
--- a/fault-tests/src/record.rs
+++ b/fault-tests/src/record.rs
@@ -1,4 +1,4 @@
-//! What a trial records: what engines did, what passed on the links to them, and what clients saw.
+//! Events that a run records: the work of engines, the attempts on the links to them, and the outcomes at clients.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,83 +7,83 @@
 
 use crate::clock::{self, Micros};
 
-/// What an attempt asks of its engine.
+/// Stage of a request that an attempt executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// To read the prompt and hold its state.
+    /// Processes the prompt and leases its state.
     Prefill,
-    /// To fetch the state and answer.
+    /// Claims the state and generates the response.
     Decode,
 }
 
-/// How an engine's work on an attempt ended.
+/// Outcome of an engine's work on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkEnd {
     Answered,
-    /// The state to be written from was gone.
+    /// Rejected, because the state of the prompt no longer exists.
     Rejected,
-    /// The gateway closed the connection.
+    /// Cancelled, because the gateway closed the connection.
     Dropped,
 }
 
-/// What happened.
+/// Recorded event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// The last byte of an attempt came to an engine that runs.
+    /// The last byte of an attempt arrived at a running engine.
     Delivered { request: String, stage: Stage },
-    /// A reader holds the state of a request from now on.
+    /// A prefill server has leased the state of a request.
     StateLeased { request: String },
-    /// A writer has fetched the state, and the request has its effect.
+    /// A decode server has claimed the state, with which the request counts as executed.
     StateClaimed { request: String },
-    /// An engine was told to let go of what is held for a request.
+    /// An engine received a release for the state of a request.
     Released { request: String },
-    /// The state is gone with its engine.
+    /// The state was lost when its engine was terminated.
     StateLost { request: String },
-    /// An engine's work on an attempt has ended.
+    /// An engine has ended its work on an attempt.
     Ended { request: String, stage: Stage, end: WorkEnd },
-    /// The first byte of an attempt passed from a gateway onto a link.
+    /// A link received the first byte of an attempt from a gateway.
     FirstByte { request: String, connection: u64 },
-    /// Its last byte did; `told` is the deadline that it named, in seconds.
+    /// A link received the last byte of an attempt, which announced this deadline in seconds, if any.
     Written { request: String, connection: u64, announced_deadline: Option<f64> },
-    /// The first bytes of its answer were given to the gateway.
+    /// A link forwarded the first bytes of the response to the gateway.
     Replied { request: String, connection: u64 },
-    /// The connection that carried it was closed by the gateway, or broke.
+    /// The gateway closed the connection of an attempt, or it was reset.
     Closed { request: String, connection: u64 },
-    /// A client wrote the first byte of a request, on a connection that stood by then; `client` is its end of it.
+    /// A client wrote the first byte of a request on a connection that was established at `connected_at` from `client`.
     RequestBegun { request: String, client: SocketAddr, connected_at: Micros },
-    /// A client wrote the last byte of its request; it waits so long for the first token, in seconds.
+    /// A client wrote the last byte of its request; `deadline` for the first token is in seconds.
     Sent { request: String, deadline: f64, repeatable: bool },
-    /// A client closed its connection with no answer.
+    /// A client closed its connection before it had a response.
     ClientDisconnected { request: String },
-    /// A client got its final answer: a status and whether the body came to its end.
+    /// A client received a response with this status; `complete` tells whether the body is.
     Answered { request: String, status: u16, complete: bool },
-    /// The gateway closed a client's connection with no answer.
+    /// The gateway closed a client's connection without a response.
     Unanswered { request: String },
-    /// The gateway closed a client's connection before the whole request was written on it, and has read some of it.
+    /// The gateway closed a client's connection before the whole request was written, and may have read some of it.
     #[serde(rename = "ended_in_part")]
     ClosedPartlyRead { request: String },
-    /// The gateway closed a client's connection in order and has not read the request: its client sends it again elsewhere.
+    /// The gateway closed a client's connection in order without reading the request, which can safely be sent elsewhere.
     #[serde(rename = "not_taken")]
     ClosedUnread { request: String },
-    /// The request was written behind another one, before that one was answered; it counts as sent once it has been.
+    /// A request was written behind another one; it counts as sent once that one has a response.
     Pipelined { request: String },
-    /// A gateway was told to end (SIGTERM or SIGINT).
+    /// A gateway is sent SIGTERM for a planned end.
     GatewayTerminated,
-    /// A gateway's process was stopped.
+    /// A gateway's process is paused (SIGSTOP).
     GatewayPaused,
-    /// It was continued.
+    /// A gateway's process was continued (SIGCONT).
     GatewayContinued,
     /// A gateway's process is about to be killed.
     GatewayKilled,
-    /// A gateway's process has ended, by itself or killed, and was waited for.
+    /// A gateway's process has exited or was killed, and was waited for.
     GatewayEnded { killed: bool },
 }
 
 impl Event {
-    /// The request that this is about; nothing where it is about a gateway.
+    /// Returns the request that the event concerns; empty for events of gateways.
     pub fn request(&self) -> &str {
         match self {
             Event::Delivered { request, .. }
@@ -113,39 +113,39 @@
     }
 }
 
-/// One thing that happened, when and where.
+/// Event with its time and source.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     pub at: Micros,
-    /// An engine, a link (`gateway-engine`) or a gateway as its clients name it.
+    /// Name of an engine, of a link (`gateway-engine`), or of a gateway for the events of its clients and process.
     pub source: String,
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// All records of one trial, in the order in which they came in.
+/// All records of one run, in the order of their arrival.
 #[derive(Clone, Debug, Default)]
 pub struct Records(Arc<Mutex<Vec<Record>>>);
 
 impl Records {
-    /// Adds what happens now.
+    /// Adds an event with the current time.
     pub fn add(&self, source: &str, event: Event) {
         self.push(Record { at: clock::now(), source: source.to_string(), event });
     }
 
-    /// Adds what was recorded elsewhere.
+    /// Adds a record that already has its time.
     pub fn push(&self, record: Record) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(record);
     }
 
-    /// All of them so far, in the order of their times.
+    /// Returns all records so far, sorted by time.
     pub fn all(&self) -> Vec<Record> {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
         all.sort_by_key(|record| record.at);
         all
     }
 
-    /// How many records of one request fit.
+    /// Returns the number of records of a request whose events satisfy the predicate.
     pub fn count(&self, request: &str, predicate: impl Fn(&Event) -> bool) -> usize {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         all.iter().filter(|r| r.event.request() == request && predicate(&r.event)).count()
--- a/fault-tests/src/report.rs
+++ b/fault-tests/src/report.rs
@@ -1,4 +1,4 @@
-//! What a soak run of one seed gave, and how it is printed.
+//! Result of the soak test for one seed, and its printed form.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,30 +12,31 @@
 use crate::restarts::Restart;
 use crate::sessions::Outcomes;
 
-/// What the gateways' logs say in this time before the first violation is reported.
+/// Period before a violation for which the gateways' logs and the scheduling delays are reported.
 const LOG_WINDOW: Duration = Duration::from_millis(500);
 
-/// Nine in ten restarted gateways are ready within this time.
+/// Time within which nine in ten restarted gateways have to be ready.
 const READY_TARGET: Duration = Duration::from_secs(10);
+/// Minimum number of restarts for each one that misses [`READY_TARGET`].
 const RESTARTS_PER_SLOW_RESTART: usize = 10;
 
-/// What a run of one seed gave.
+/// Result of the soak test for one seed.
 #[derive(Debug, Default)]
 pub struct Report {
     pub seed: u64,
     pub faults: Vec<String>,
     pub requests: usize,
-    /// Answers by status; 0 where there was none.
+    /// Number of requests by status; 0 counts requests without a response.
     pub statuses: BTreeMap<u16, usize>,
-    /// How the requests on kept connections ended.
+    /// Outcomes of the requests on persistent connections.
     pub sessions: Outcomes,
     pub restarts: Vec<Restart>,
     pub violations: Vec<Violation>,
-    /// What is known of the first violation: records, log lines, and how late the run was then.
+    /// Evidence for the first violation: records, log lines, and scheduling delays of the run at that time.
     pub evidence: Vec<String>,
-    /// Invariants that the gateways' own logs say were broken.
+    /// Log lines in which gateways report a broken invariant.
     pub reported_violations: Vec<String>,
-    /// How late the run itself was.
+    /// Scheduling delays of the run itself.
     pub lateness: Lateness,
 }
 
@@ -46,13 +47,13 @@
         self.violations.is_empty() && self.reported_violations.is_empty() && meets_ready_target
     }
 
-    /// What was latest in the time before a violation of which the log is printed, too.
+    /// Returns the longest scheduling delay in the [`LOG_WINDOW`] before a violation.
     fn latest_before(&self, violation: &Violation) -> Option<LatenessSample> {
         let from = violation.at.saturating_sub(LOG_WINDOW.as_micros() as Micros);
         self.lateness.between(from, violation.at).into_iter().max_by_key(|sample| sample.late_by)
     }
 
-    /// Whether a gateway has counted a break of its own about this violation's request.
+    /// Returns whether a gateway has reported a broken invariant for the violation's request.
     pub fn is_counted(&self, violation: &Violation) -> bool {
         self.reported_violations.iter().any(|line| contains_word(line, &violation.request))
     }
@@ -62,7 +63,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "seed {}: {} requests, {} faults, statuses {:?}, {} violations, {} told by the gateways",
+            "seed {}: {} requests, {} faults, statuses {:?}, {} violations, {} reported by the gateways",
             self.seed,
             self.requests,
             self.faults.len(),
@@ -76,18 +77,18 @@
             let slowest = self.restarts.iter().map(|restart| restart.ready_after).max().unwrap_or_default();
             writeln!(
                 f,
-                "  {} restarts, {planned} planned, {series} with further signals, ready within {slowest:?}; kept \
-                 connections {:?}",
+                "  {} restarts, {planned} planned, {series} with further signals, ready within {slowest:?}; \
+                 persistent connections {:?}",
                 self.restarts.len(),
                 self.sessions
             )?;
         }
-        writeln!(f, "  the run itself: {}", self.lateness)?;
+        writeln!(f, "  scheduling delays: {}", self.lateness)?;
         if self.passed() {
             return Ok(());
         }
         self.restarts.iter().try_for_each(|restart| writeln!(f, "  restart: {restart:?}"))?;
-        self.faults.iter().try_for_each(|fault| writeln!(f, "  drawn: {fault}"))?;
+        self.faults.iter().try_for_each(|fault| writeln!(f, "  fault: {fault}"))?;
         for violation in &self.violations {
             let counted =
                 if self.is_counted(violation) { "counted by a gateway" } else { "counted by no gateway" };
@@ -98,16 +99,17 @@
             }
         }
         self.evidence.iter().try_for_each(|line| writeln!(f, "  log: {line}"))?;
-        self.reported_violations.iter().try_for_each(|line| writeln!(f, "  told: {line}"))
+        self.reported_violations.iter().try_for_each(|line| writeln!(f, "  reported: {line}"))
     }
 }
 
-/// What is known of a violation: the records of its request and of the gateways' ends, what the gateways' logs say of the
-/// request, of its client's connection and around that time, and how late the run was then.
+/// Returns the evidence for a violation: the records of its request and of the gateways' processes, the lines of the gateways'
+/// logs about the request, about its client's connection and from the `LOG_WINDOW` before the violation, and the scheduling
+/// delays of the run.
 pub fn collect_evidence(
     violation: &Violation, records: &[Record], deployment: &Deployment, lateness: &Lateness,
 ) -> Vec<String> {
-    // The ends of gateways are about no request.
+    // Events of gateways have an empty request.
     let concerns = |request: &str| request == violation.request || request.is_empty();
     let of_request = records.iter().filter(|record| concerns(record.event.request()));
     let record_lines = of_request.map(|record| serde_json::to_string(record).unwrap_or_default());
@@ -115,7 +117,7 @@
     let log_from = violation.at.saturating_sub(LOG_WINDOW.as_micros() as Micros);
     let from = begun_at.map_or(log_from, |record| record.at.min(log_from));
     let lateness_lines =
-        lateness.between(from, violation.at).into_iter().map(|sample| format!("the run itself: {sample}"));
+        lateness.between(from, violation.at).into_iter().map(|sample| format!("scheduling delay: {sample}"));
     record_lines
         .chain(deployment.log_lines(&violation.request))
         .chain(connection_log(&violation.request, records, deployment))
@@ -124,7 +126,7 @@
         .collect()
 }
 
-/// What the gateways' logs say of the connection on which a client wrote this request.
+/// Returns the lines of the gateways' logs about the connection on which a client wrote this request.
 fn connection_log(request: &str, records: &[Record], deployment: &Deployment) -> Vec<String> {
     let client = records.iter().find_map(|record| match &record.event {
         Event::RequestBegun { request: begun, client, .. } if begun == request => Some(client.to_string()),
@@ -134,7 +136,7 @@
     deployment.log_lines(&client).into_iter().filter(|line| contains_word(line, &client)).collect()
 }
 
-/// Whether a line has this name as a whole word; both `25f1-e` and `127.0.0.1:400` begin longer names.
+/// Returns whether the line contains the word as a whole: both `25f1-e` and `127.0.0.1:400` are prefixes of longer words.
 fn contains_word(line: &str, word: &str) -> bool {
     let is_word_character = |character: char| character.is_ascii_alphanumeric() || character == '-';
     line.match_indices(word).any(|(at, _)| {
--- a/fault-tests/src/restarts.rs
+++ b/fault-tests/src/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of gateways: planned ones (SIGTERM, then SIGKILL at the platform's earliest), kills, and series of signals.
+//! Restarts of gateways: planned ones (SIGTERM, then SIGKILL as early as the platform sends it), kills, and signal series.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,38 +13,38 @@
 use crate::front::Front;
 use crate::record::Event;
 
-/// The platform's kill comes so long after SIGTERM: the longest deadline, counted as 3 s where it is longer, and 0.7 s.
+/// Time from SIGTERM to the platform's SIGKILL: 0.7 s plus the longest deadline, which counts as at most 3 s.
 const KILL_DELAY: Duration = Duration::from_millis(3_700);
-/// New connections come for so long after SIGTERM (ms).
+/// Time after SIGTERM for which the gateway still receives new connections.
 const ADMITTED_AFTER_SIGTERM_MS: std::ops::Range<u64> = 200..400;
-/// The least and the most pause between two restarts (ms).
+/// Pause between two restarts.
 const RESTART_PAUSE_MS: std::ops::Range<u64> = 300..1_500;
-/// Share of the ends that are planned; the others are kills.
+/// Share of the restarts that are planned; the others are kills.
 const PLANNED_SHARE: f64 = 0.8;
-/// Share of the planned ends beside which further signals come, most of them, and when they come (ms).
+/// Share of the planned restarts with further signals, the maximum number of these, and their delays after SIGTERM.
 const SIGNAL_SERIES_SHARE: f64 = 0.6;
 const MAX_SIGNALS: usize = 4;
 const SERIES_SIGNAL_DELAY_MS: std::ops::Range<u64> = 0..2_000;
-/// Share of the restarts through which discovery is down.
+/// Share of the restarts during which discovery does not respond.
 const DISCOVERY_DOWN_SHARE: f64 = 0.2;
-/// How often a process that is told to end is looked at.
+/// Interval at which a process that was sent SIGTERM is polled for its exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// One restart.
+/// Restart of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Restart {
     pub gateway: usize,
-    /// When it began, from the run's start on.
+    /// Time from the start of the run to the start of the restart.
     pub at: Duration,
     pub planned: bool,
-    /// Signals beside the end, by their names.
+    /// Names of the further signals of a planned restart.
     pub series: Vec<&'static str>,
     pub discovery_down: bool,
-    /// How long the new process took until it was ready.
+    /// Time from the start of the new process until it was ready.
     pub ready_after: Duration,
 }
 
-/// A signal of a series.
+/// Further signal during a planned restart.
 #[derive(Clone, Copy, Debug)]
 enum SeriesSignal {
     Terminate,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Restarts one gateway after the other until then.
+/// Restarts random gateways, one at a time, until `until`.
 pub async fn run(
     deployment: Arc<RwLock<Deployment>>, front: Arc<Front>, seed: u64, until: Instant,
 ) -> Result<Vec<Restart>, DeploymentError> {
@@ -131,7 +131,8 @@
     Ok(restart)
 }
 
-/// Tells a gateway to end, with a series of signals perhaps, and waits until it has or the kill is due.
+/// Sends a gateway SIGTERM, possibly with a series of further signals, and waits until it has exited or the kill is due.
+/// Returns the names of the further signals.
 async fn shut_down_as_planned(
     deployment: &RwLock<Deployment>, front: &Front, gateway: usize, random: &mut StdRng,
 ) -> Result<Vec<&'static str>, DeploymentError> {
@@ -167,7 +168,7 @@
         }
         let has_ended = deployment.write().await.gateways[gateway].process.has_ended();
         if has_ended || now >= terminated_at + KILL_DELAY {
-            // New connections are refused from the end on.
+            // Connections to the ended process are refused until the front withdraws it.
             sleep_until(withdrawn_at).await;
             return Ok(names);
         }
--- a/fault-tests/src/sessions.rs
+++ b/fault-tests/src/sessions.rs
@@ -1,5 +1,5 @@
-//! Clients that keep their connections: they rest between requests, up to beyond the gateway's idle time-out, write in one
-//! piece or in several, sometimes two requests at once, and go on until their gateway ends the connection.
+//! Clients with persistent connections. They pause between requests, also for longer than the gateway's idle timeout, write
+//! requests in one or several pieces, sometimes pipeline two of them, and use a connection until the gateway closes it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,31 +16,31 @@
 use crate::persistent_connection::{ClientResponse, ConnectionEnd, PersistentConnection};
 use crate::record::{Event, Records};
 
-/// Clients that run side by side.
+/// Number of concurrent clients.
 const CLIENTS: u64 = 24;
-/// Share of the rests that are none, and of those that come close to the gateway's idle time-out (2,500 ms).
+/// Shares of the requests without a pause before them, and with one close to the gateway's idle timeout (2,500 ms).
 const NO_PAUSE_SHARE: f64 = 0.4;
 const LONG_PAUSE_SHARE: f64 = 0.2;
-/// Rests, in milliseconds.
+/// Lengths of the other pauses, and of those close to the idle timeout.
 const SHORT_PAUSE_MS: std::ops::Range<u64> = 0..600;
 const LONG_PAUSE_MS: std::ops::Range<u64> = 2_300..2_700;
-/// Share of the clients that send beside the end of their gateway, and when after SIGTERM they do, in milliseconds: at once,
-/// about when resting connections are closed, and about when requests are rejected.
+/// Share of the pauses that a SIGTERM to the gateway cuts or extends to one of these delays after it: at once, about when idle
+/// connections are closed, and about when requests are rejected.
 const SEND_DURING_SHUTDOWN_SHARE: f64 = 0.7;
 const SHUTDOWN_SEND_DELAY_MS: [std::ops::Range<u64>; 3] = [0..10, 500..680, 640..800];
-/// Share of the requests that are written in several pieces, most pieces, and the pauses between them (ms).
+/// Share of the requests that are written in several pieces, the maximum number of pieces, and the pauses between them.
 const SPLIT_REQUEST_SHARE: f64 = 0.3;
 const MAX_PIECES: usize = 4;
 const PIECE_PAUSE_MS: std::ops::Range<u64> = 1..30;
-/// Share of the requests behind which a second one is written at once.
+/// Share of the requests that are pipelined with a second one.
 const PIPELINED_SHARE: f64 = 0.1;
-/// Pause of a client that could not connect.
+/// Pause after a failed connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How many requests ended in which way; by status, or by what their clients saw instead.
+/// Number of requests by status, or by how they ended at the client without one.
 pub type Outcomes = BTreeMap<String, usize>;
 
-/// Runs all clients until then.
+/// Runs all clients until `until`.
 pub async fn run(
     front: Arc<Front>, records: Records, deadline: Duration, seed: u64, until: Instant,
 ) -> Outcomes {
@@ -70,7 +70,7 @@
     records: Records,
 }
 
-/// What follows a request on its connection.
+/// What a client does after a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum NextStep {
     Continue,
@@ -101,7 +101,7 @@
         outcomes
     }
 
-    /// Rests between two requests, or until some moment after the gateway is told to end.
+    /// Pauses before a request, possibly only until a random delay after the gateway is sent SIGTERM.
     async fn pause_before_request(&mut self, gateway: &FrontedGateway) {
         let pause_ms = match self.random.random::<f64>() {
             draw if draw < NO_PAUSE_SHARE => return,
@@ -129,7 +129,7 @@
         request
     }
 
-    /// Sends a request, or two at once, and waits for the answers.
+    /// Sends a request, or two pipelined ones, and waits for the responses.
     async fn send(
         &mut self, gateway: &FrontedGateway, connection: &mut PersistentConnection, outcomes: &mut Outcomes,
     ) -> NextStep {
@@ -155,25 +155,25 @@
             if connection.may_be_partly_read(progress.bytes()) {
                 self.records.add(&gateway.name, Event::ClosedPartlyRead { request: first.id.clone() });
             }
-            *outcomes.entry("ended while it was written".into()).or_default() += 1;
+            *outcomes.entry("closed while being written".into()).or_default() += 1;
             return NextStep::Reconnect;
         };
         let next =
             self.await_response(gateway, connection, &first, sent_at, progress.bytes(), outcomes).await;
         let Some(second) = second else { return next };
         if next == NextStep::Reconnect {
-            *outcomes.entry("pipelined, not answered".into()).or_default() += 1;
+            *outcomes.entry("pipelined, without a response".into()).or_default() += 1;
             return next;
         }
         let pending_bytes = progress.bytes() - encoded[0].len();
         if pending_bytes < encoded[1].len() {
-            *outcomes.entry("ended while it was written".into()).or_default() += 1;
+            *outcomes.entry("closed while being written".into()).or_default() += 1;
             return NextStep::Reconnect;
         }
         self.await_response(gateway, connection, &second, clock::now(), pending_bytes, outcomes).await
     }
 
-    /// Waits for the answer of a request that has been written by then, and records what becomes of it.
+    /// Waits for the response to a request that was written by `sent_at`, and records the outcome.
     async fn await_response(
         &mut self, gateway: &FrontedGateway, connection: &mut PersistentConnection, request: &ClientRequest,
         sent_at: Micros, pending_bytes: usize, outcomes: &mut Outcomes,
@@ -185,7 +185,7 @@
         let (event, outcome, next) = match response {
             Ok(Ok(ClientResponse { status, complete, closes_connection })) => {
                 let next = if closes_connection { NextStep::Reconnect } else { NextStep::Continue };
-                let outcome = if complete { status.to_string() } else { format!("{status}, broken off") };
+                let outcome = if complete { status.to_string() } else { format!("{status}, incomplete") };
                 (Event::Answered { request: id, status, complete }, outcome, next)
             }
             Ok(Err(ConnectionEnd::Unread)) => {
@@ -202,11 +202,11 @@
             }
             Ok(Err(ConnectionEnd::Unknown)) => (
                 Event::Unanswered { request: id },
-                "closed, its socket not found out".into(),
+                "closed, unread bytes unknown".into(),
                 NextStep::Reconnect,
             ),
             Err(_) => {
-                *outcomes.entry("no answer".into()).or_default() += 1;
+                *outcomes.entry("no response".into()).or_default() += 1;
                 return NextStep::Reconnect;
             }
         };
--- a/fault-tests/src/single_shot.rs
+++ b/fault-tests/src/single_shot.rs
@@ -1,9 +1,9 @@
-//! Requests of a class that may not be repeated, whose prefills are cut right before an answer in place of a server's: each
-//! seed has gateways whose links hold bytes and closes back around the deadlines of their requests, some under SIGTERM.
+//! Test of non-repeatable requests whose prefills are cancelled right before the gateway responds itself. In each seed, links
+//! withhold bytes and closes around the deadlines of the requests, and some of the gateways are sent SIGTERM.
 //!
-//! An answer that says that sending again is harmless must be true: judged by [`Invariant::RejectionIsTrue`] and
-//! [`Invariant::AtMostOnce`]. What else the judge finds is reported beside it and decides nothing: links that hold everything
-//! back for up to 300 ms leave a release less time than a soak does.
+//! A response that declares a retry to be safe must be accurate, which [`Invariant::RejectionIsTrue`] and
+//! [`Invariant::AtMostOnce`] check. Other violations are reported but do not fail the test: links that withhold everything for
+//! up to 300 ms leave a release less time than in the soak test.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -27,70 +27,70 @@
 
 const GATEWAYS: usize = 4;
 const DECODE_SERVERS: usize = 3;
-/// So few that a request whose attempt is cancelled has tried all.
+/// One server, so that a request whose attempt was cancelled has tried all of them.
 const PREFILL_SERVERS: usize = 1;
-/// The least and the most time that a prefill takes (ms).
+/// Minimum and maximum time of a prefill.
 const PREFILL_TIME_MS: (u64, u64) = (2, 8);
-/// The least and the most time to a decode server's first token (ms).
+/// Minimum and maximum time until a decode server's first token.
 const DECODE_TIME_MS: (u64, u64) = (2, 8);
-/// An attempt that others overtake is cancelled at about this time, and its request is late by then.
+/// Time at which an attempt that others have overtaken is cancelled, and its request has missed its objective.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(100);
-/// Requests before each burst, while nothing disturbs.
+/// Number of requests before each burst, while there are no faults.
 const WARM_UP_REQUESTS: u32 = 12;
 const WARM_UP_PAUSE: Duration = Duration::from_millis(15);
 const WARM_UP_DEADLINE: Duration = Duration::from_secs(1);
-/// Bursts of requests at each gateway, one after the other, and the requests of one.
+/// Number of consecutive bursts of requests to each gateway, and of requests in a burst.
 const BURSTS: usize = 2;
 const BURST_REQUESTS: std::ops::RangeInclusive<usize> = 10..=14;
-/// Requests of one session go to the same prefill server where they can.
+/// Number of sessions; the requests of a session prefer the same prefill server.
 const SESSIONS: u64 = 200;
-/// The requests of one burst are sent within this time (ms).
+/// Delay of a request within its burst.
 const SEND_DELAY_MS: std::ops::RangeInclusive<u64> = 0..=40;
-/// What clients wait for a first token (ms).
+/// Deadline for the first token.
 const DEADLINE_MS: std::ops::RangeInclusive<u64> = 150..=400;
-/// Links hold everything back from so long after the first request of a burst (ms), for so long, some of them.
+/// Start of the blackhole of a link after the start of a burst, its duration, and the share of the links that are blackholed.
 const BLACKHOLE_DELAY_MS: std::ops::RangeInclusive<u64> = 30..=250;
 const BLACKHOLE_DURATION_MS: std::ops::RangeInclusive<u64> = 5..=300;
 const BLACKHOLED_LINK_SHARE: f64 = 0.5;
-/// While the requests of a burst are sent and the first attempts are cancelled, each link delays what passes, or does not, in
-/// turns of this length (ms), so that some attempts overtake others.
+/// While the requests of a burst are sent and the first attempts are cancelled, each link alternates between random delays and
+/// none in turns of this length, so that some attempts overtake others.
 const DELAY_TURN_MS: std::ops::RangeInclusive<u64> = 5..=20;
 const LINK_DELAY_MS: std::ops::RangeInclusive<u64> = 150..=300;
 const DELAYED_TURN_SHARE: f64 = 0.5;
 const DELAY_PHASE: Duration = Duration::from_millis(250);
-/// Share of the gateways that are told to end in one of their bursts, so long after its first request (ms).
+/// Share of the gateways that are sent SIGTERM in one of their bursts, and the time from the start of the burst to it.
 const TERMINATED_SHARE: f64 = 0.5;
 const SIGTERM_DELAY_MS: std::ops::RangeInclusive<u64> = 30..=350;
-/// What was held back has arrived and ended by then.
+/// Time after the bursts within which withheld bytes arrive and their work ends.
 const SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// How the seeds are played.
+/// Options of the `single-shot` command.
 #[derive(Clone, Debug, Args)]
 pub struct Options {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds, one after the other.
+    /// Number of seeds, run one after the other.
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// The gateway's program.
+    /// Path of the gateway's binary.
     #[arg(long, default_value = "target/release/glenrail")]
     pub gateway: PathBuf,
 }
 
-/// What one seed gave.
+/// Result of one seed.
 #[derive(Debug)]
 pub struct Report {
     pub seed: u64,
-    /// Answers by status; 0 where there was none.
+    /// Number of requests by status; 0 counts requests without a response.
     pub statuses: BTreeMap<u16, usize>,
-    /// Gateways that were told to end.
+    /// Number of gateways that were sent SIGTERM.
     pub terminated: usize,
-    /// Breaks of the two rules that this run is about.
+    /// Violations of the two invariants that this test checks.
     pub violations: Vec<Violation>,
-    /// Other breaks by their rule.
+    /// Number of other violations by invariant.
     pub others: BTreeMap<String, usize>,
-    /// What was seen of the first violation's request, and what the gateways' logs say of it.
+    /// Records and lines of the gateways' logs about the request of the first violation.
     pub trace: Vec<String>,
 }
 
@@ -104,7 +104,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "seed {}: statuses {:?}, {} gateways terminated, {} violations, of other rules {:?}",
+            "seed {}: statuses {:?}, {} gateways terminated, {} violations, of other invariants {:?}",
             self.seed,
             self.statuses,
             self.terminated,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub async fn run(options: &Options, seed: u64, program: &Path) -> Result<Report, DeploymentError> {
     let mut spec = DeploymentSpec::new(GATEWAYS, PREFILL_SERVERS, DECODE_SERVERS)
         .with_decode_time(DECODE_TIME_MS.0, DECODE_TIME_MS.1);
@@ -133,7 +133,7 @@
     let mut statuses = BTreeMap::new();
     let mut terminated = 0;
     while let Some(outcome) = gateway_tasks.join_next().await {
-        // A task of this run that panics is a fault of its own.
+        // A task that panicked contributes no statuses.
         let outcome = outcome.unwrap_or_default();
         outcome
             .statuses
@@ -160,7 +160,7 @@
     Report { seed, statuses, terminated, violations, others, trace }
 }
 
-/// What was seen of a request and of the gateways' ends, and the lines of the gateways' logs about it.
+/// Returns the records of a request and of the gateways' processes, and the lines of the gateways' logs about the request.
 fn trace(records: &[Record], request: &str, deployment: &Deployment) -> Vec<String> {
     let concerns = |of: &str| of == request || of.is_empty();
     let record_lines = records.iter().filter(|record| concerns(record.event.request()));
@@ -168,7 +168,7 @@
     record_lines.chain(deployment.log_lines(request)).collect()
 }
 
-/// Where in a gateway's bursts SIGTERM comes.
+/// Burst of a gateway in which it is sent SIGTERM; `None` if it is not.
 #[derive(Clone, Copy, Debug)]
 struct TerminationPlan {
     terminated_in: Option<usize>,
@@ -182,14 +182,14 @@
     }
 }
 
-/// What became of the requests at one gateway.
+/// Outcomes of the requests to one gateway.
 #[derive(Debug, Default)]
 struct Outcome {
     statuses: Vec<Option<u16>>,
     terminated: bool,
 }
 
-/// The bursts at one gateway.
+/// Bursts of requests to one gateway.
 struct GatewayBursts {
     gateway: String,
     address: std::net::SocketAddr,
@@ -228,7 +228,7 @@
         outcome
     }
 
-    /// Lets the gateway learn how quick its servers are, from one request shortly after the other.
+    /// Sends requests in short succession, from which the gateway learns the speed of its servers.
     async fn warm_up(&self, burst: usize) {
         let mut requests = JoinSet::new();
         for number in 0..WARM_UP_REQUESTS {
@@ -242,7 +242,7 @@
         requests.join_all().await;
     }
 
-    /// Sends some requests at about the same time; meanwhile links hold back, and the gateway is told to end if `terminates`.
+    /// Sends one burst of requests while the links are disturbed, and sends the gateway SIGTERM if `terminates` is set.
     async fn burst(&mut self, burst: usize, terminates: bool) -> Vec<Option<u16>> {
         self.warm_up(burst).await;
         let disturbances = self.disturb_links();
@@ -264,7 +264,7 @@
         Duration::from_millis(self.random.random_range(within_ms))
     }
 
-    /// Has links delay what passes, and hold everything back for a while.
+    /// Delays the links in turns, and blackholes some of them for a while.
     fn disturb_links(&mut self) -> impl Future<Output = ()> + Send + use<> {
         let mut link_tasks = JoinSet::new();
         for link in self.links.clone() {
@@ -283,7 +283,7 @@
         async move { while link_tasks.join_next().await.is_some() {} }
     }
 
-    /// Tells the gateway to end, some time into the burst.
+    /// Sends the gateway SIGTERM after a random time if `terminates` is set.
     fn terminate_during_burst(&mut self, terminates: bool) -> impl Future<Output = ()> + Send + use<> {
         let after = self.random_time(SIGTERM_DELAY_MS);
         let (name, process, records) = (self.gateway.clone(), self.process, self.records.clone());
@@ -298,7 +298,7 @@
     }
 }
 
-/// Has a link delay what passes in some turns, and not in others.
+/// Delays a link in random turns until the delay phase ends.
 async fn delay_in_turns(link: Link, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let until = Instant::now() + DELAY_PHASE;
--- a/fault-tests/src/soak.rs
+++ b/fault-tests/src/soak.rs
@@ -1,4 +1,4 @@
-//! A soak run: a deployment under load while random faults overlap, judged by the invariants.
+//! Soak test: a deployment under load with random, overlapping faults, checked against the invariants.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -23,33 +23,33 @@
 use crate::sessions::Outcomes;
 use crate::{clock, crowd, restarts, sessions};
 
-/// Clients wait so long for a first token, at most.
+/// Maximum deadline of clients for the first token.
 const MAX_DEADLINE: Duration = Duration::from_secs(4);
-/// After the last request everything has ended by then.
+/// Time after the last request within which all work ends.
 const SETTLE_TIME: Duration = Duration::from_millis(5_500);
-/// The least and the most pause between two faults (ms).
+/// Pause between the starts of two faults.
 const FAULT_PAUSE_MS: std::ops::RangeInclusive<u64> = 100..=700;
-/// Share of the clients that leave before their answer.
+/// Share of the clients that may disconnect before their response.
 const DISCONNECT_SHARE: f64 = 0.1;
-/// A client that leaves does so within so many milliseconds.
+/// Maximum time until such a client disconnects.
 const MAX_DISCONNECT_DELAY_MS: u64 = 600;
 
-/// Descriptors of each gateway, and idle clients before each, where there is a crowd; they come back so long after they were
-/// evicted.
+/// File descriptor limit of each gateway in runs with `--crowd`, idle clients per gateway, and the delay with which evicted
+/// idle clients reconnect.
 const CROWD_MAX_DESCRIPTORS: usize = 256;
 const CROWD_CLIENTS_PER_GATEWAY: usize = 150;
 const CROWD_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// How a soak run is started.
+/// Options of the `soak` command.
 #[derive(Clone, Debug, Args)]
 pub struct Options {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds, one after the other.
+    /// Number of seeds, run one after the other.
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// How long faults are drawn (s).
+    /// Time for which faults are injected (s).
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
     #[arg(long, default_value_t = 4)]
@@ -58,24 +58,24 @@
     pub readers: usize,
     #[arg(long, default_value_t = 11)]
     pub writers: usize,
-    /// Requests a second, at all gateways together.
+    /// Requests per second to all gateways together.
     #[arg(long, default_value_t = 60.0)]
     pub rate: f64,
-    /// Engines may not be probed.
+    /// Forbid the gateways to probe engines.
     #[arg(long)]
     pub no_probes: bool,
-    /// Gateways are restarted, beside clients that keep their connections.
+    /// Restart gateways, and add clients with persistent connections.
     #[arg(long)]
     pub restarts: bool,
-    /// Idle clients fill the gateways' connection tables.
+    /// Fill the gateways' connection tables with idle clients.
     #[arg(long)]
     pub crowd: bool,
-    /// The gateway's program.
+    /// Path of the gateway's binary.
     #[arg(long, default_value = "target/release/glenrail")]
     pub gateway: PathBuf,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub async fn run(options: &Options, seed: u64, program: &Path) -> Result<Report, DeploymentError> {
     let mut spec = DeploymentSpec::new(options.gateways, options.readers, options.writers);
     spec.deadline = MAX_DEADLINE;
@@ -126,7 +126,7 @@
     })
 }
 
-/// Runs clients that keep their connections beside restarts, where there are any.
+/// Runs clients with persistent connections beside restarts, if the options include them.
 async fn sessions_and_restarts(
     options: &Options, deployment: &Arc<RwLock<Deployment>>, front: &Arc<Front>, records: &Records,
     seed: u64, until: Instant,
@@ -140,7 +140,7 @@
     Ok((sessions, restarts?))
 }
 
-/// Draws faults until then, and ends each after its time.
+/// Injects random faults until `until`, ends each after its duration, and returns their descriptions.
 async fn inject_faults(
     deployment: Arc<RwLock<Deployment>>, seed: u64, until: Instant,
 ) -> Result<Vec<String>, DeploymentError> {
@@ -169,7 +169,7 @@
     Ok(drawn_faults)
 }
 
-/// Sends requests until then, and gives their answers by status.
+/// Sends requests until `until`, and returns their number by status; 0 counts requests without a response.
 async fn generate_load(
     front: Arc<Front>, records: Records, rate: f64, seed: u64, until: Instant,
 ) -> std::collections::BTreeMap<u16, usize> {
@@ -177,7 +177,7 @@
     let mut in_flight = JoinSet::new();
     let mut number = 0u64;
     while Instant::now() < until {
-        // Exponential pauses, as independent clients make them.
+        // Exponentially distributed pauses, as between the requests of independent clients.
         let pause = -(1.0 - random.random::<f64>()).ln() / rate;
         sleep(Duration::from_secs_f64(pause)).await;
         number += 1;
--- a/fault-tests/src/unread.rs
+++ b/fault-tests/src/unread.rs
@@ -1,13 +1,13 @@
-//! Bytes that a process on this machine has not read from one of its connections.
+//! Bytes that a process on this machine has received on a connection and not yet read.
 
 use std::io;
 use std::net::SocketAddr;
 
 use glenrail_socket_diagnosis::connection_at;
 
-/// Unread bytes at the end `local` of the connection from `remote`; `None` where that end is gone.
+/// Returns the unread bytes at the end `local` of its connection with `remote`, or `None` if that end no longer exists.
 ///
-/// Never waits: the kernel answers within the call that asks.
+/// Does not wait for I/O: the kernel responds within the system call.
 pub fn unread_bytes_at(local: SocketAddr, remote: SocketAddr) -> io::Result<Option<u64>> {
     let connection = connection_at(local, remote)?;
     Ok(connection.map(|connection| connection.unread_bytes))
