--- a/fault-tests/src/deployment_spec.rs
+++ b/fault-tests/src/deployment_spec.rs
@@ -38,8 +38,8 @@
 }
 
 impl DeploymentSpec {
-    /// Returns a deployment of these sizes with the settings of the incident of states held for unresponsive decode servers:
-    /// a lease limit of 500 ms and deadlines of 9 s.
+    /// Returns a deployment of these sizes with the settings of the incident that `tests/unresponsive_decode_servers.rs`
+    /// reproduces: a lease limit of 500 ms and deadlines of 9 s.
     pub fn new(gateways: usize, prefill_servers: usize, decode_servers: usize) -> DeploymentSpec {
         let engines_of = |prefix: &'static str, role, count| {
             (0..count).map(move |n| EngineSpec {
--- a/fault-tests/src/network.rs
+++ b/fault-tests/src/network.rs
@@ -21,7 +21,7 @@
 
 /// Length of the accept queue of a link without a fault.
 const BACKLOG: i32 = 128;
-/// Time after which a connection attempt shows that the accept queue is full.
+/// Timeout of a connection attempt, which expires if the accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 /// Maximum number of connections opened to fill a link's accept queue, so that no further one is established.
 const MAX_FILLER_CONNECTIONS: usize = 8;
@@ -283,7 +283,7 @@
     }
 }
 
-/// Carries one connection until either side ends it, or it is reset.
+/// Proxies one connection until either side closes it, or it is reset.
 async fn proxy(
     gateway: TcpStream, engine: SocketAddr, state: watch::Receiver<LinkState>, connection: u64,
     attempt_observer: AttemptObserver,
--- a/fault-tests/tests/common/mod.rs
+++ b/fault-tests/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What tests with real processes share: the programs, a runtime, a deployment whose connections stand, and the invariants.
+//! Helpers of the tests with real processes: paths of the binaries, a runtime, deployments with and without open connections,
+//! and the check of the invariants.
 #![allow(dead_code)]
 
 use std::future::Future;
@@ -11,24 +12,24 @@
 use glenrail_fault_tests::invariants::check_invariants;
 
 pub const DECODE_SERVERS: [usize; 2] = [1, 2];
-/// Enough requests that each decode server has connections that stand.
+/// Number of concurrent requests after which each decode server has open connections.
 pub const WARM_UP_REQUESTS: usize = 8;
-/// What is leased has been released by then, or it is late: 500 ms, and 350 ms more.
+/// Delay before the invariants are checked. It exceeds the time within which leases have to end: 500 ms plus 350 ms.
 pub const CHECK_DELAY: Duration = Duration::from_millis(1_500);
 pub const DEADLINE: Duration = Duration::from_secs(9);
-/// Classes, and whether their requests may be repeated.
+/// Classes, each with whether its requests may be repeated.
 pub const CLASSES: [(&str, bool); 2] = [("item-query", true), ("order-chat", false)];
 
 pub fn fault_tests_program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"))
 }
 
-/// The gateway lies beside this crate's program; a test of the whole workspace builds both.
+/// Returns the path of the gateway's binary, which is beside this crate's. A test run of the whole workspace builds both.
 pub fn gateway_program() -> PathBuf {
     let path = fault_tests_program().with_file_name("glenrail");
     assert!(
         path.exists(),
-        "{} is not built: run the tests of the workspace, or cargo build -p glenrail",
+        "{} does not exist: run the tests of the whole workspace, or `cargo build -p glenrail` first",
         path.display()
     );
     path
@@ -39,12 +40,12 @@
     runtime.expect("a runtime").block_on(scenario)
 }
 
-/// A deployment that has just started: no connection stands.
+/// Returns a deployment that has just started and has no open connections.
 pub async fn started(spec: DeploymentSpec) -> Deployment {
-    Deployment::start(spec, fault_tests_program(), &gateway_program()).await.expect("it starts")
+    Deployment::start(spec, fault_tests_program(), &gateway_program()).await.expect("the deployment starts")
 }
 
-/// A deployment with connections that stand.
+/// Returns a deployment with open connections.
 pub async fn warmed_up(spec: DeploymentSpec) -> Deployment {
     let deployment = started(spec).await;
     let warm_up = (0..WARM_UP_REQUESTS)
--- a/fault-tests/tests/delivery_confirmation.rs
+++ b/fault-tests/tests/delivery_confirmation.rs
@@ -1,5 +1,6 @@
-//! Decode attempts whose connections fall silent around the write, while newer connections to the same server work: an answer on
-//! a newer one delivers nothing. This is docs/incidents/2026-12-answers-elsewhere-for-delivery.md.
+//! Decode attempts whose connections stall around the write, while newer connections to the same server work: a response on a
+//! newer connection does not confirm that the attempt was delivered. This is the incident of
+//! docs/incidents/2026-12-answers-elsewhere-for-delivery.md.
 
 mod common;
 
@@ -13,25 +14,25 @@
 use glenrail_fault_tests::record::{Event, Record, Stage};
 use tokio::time::timeout;
 
-/// How long after the write of an attempt the connections that stand fall silent (ms); at 0 before the attempt is passed on.
+/// Delays between the write of an attempt and the stall of the open connections; at 0 they stall before the attempt is forwarded.
 const STALL_DELAYS_MS: [u64; 5] = [0, 1, 5, 20, 60];
 const LINK_DELAY: Duration = Duration::from_millis(20);
-/// A first token takes longer than the wait for a delivery to be confirmed.
+/// Time until the first token, which exceeds the time that the gateway waits for the confirmation of a delivery.
 const DECODE_TIME_MS: u64 = 300;
-/// Times that requests are sent so that so many connections to a decode server stand as are sent together, and no more.
+/// Number of rounds of concurrent requests after which as many connections to a decode server are open as a round has requests.
 const WARM_UP_ROUNDS: usize = 3;
-/// Deployments that run side by side.
+/// Number of deployments that run concurrently.
 const CONCURRENT_DEPLOYMENTS: usize = 2;
 
-/// One group of deployments at a time.
+/// Held while a group of deployments runs.
 static RUNNING: Mutex<()> = Mutex::new(());
 
-/// Which connections stand when the attempt is written.
+/// Connections to the decode servers that are open when the attempt is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InitialConnections {
-    /// As many as the warm-up has left, of two servers.
+    /// Those that the warm-up has opened to two servers.
     Several,
-    /// So many, of one server.
+    /// This many, to one server.
     Exactly(usize),
 }
 
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Plays it for one class: the violations, and a line of the table of windows.
+    /// Runs the scenario for one class, and returns the violations and a line that describes the run.
     async fn run(self, class: &str, repeatable: bool) -> (Vec<String>, String) {
         let deployment = self.deployment().await;
         let decode_links = || (1..deployment.engines.len()).flat_map(|server| deployment.links_to(server));
@@ -80,16 +81,16 @@
         tokio::time::sleep(CHECK_DELAY.saturating_sub(elapsed)).await;
         let unclaimed_ms = longest_unclaimed_ms(&deployment.records.all(), class);
         let line = format!(
-            "{self:?} {class}: held {unclaimed_ms} ms, client {status:?} after {} ms",
+            "{self:?} {class}: unclaimed for {unclaimed_ms} ms, client status {status:?} after {} ms",
             elapsed.as_millis()
         );
-        // The requests before are only there for their connections.
+        // The warm-up requests only open connections, so their violations are ignored.
         let violations = violations(&deployment).into_iter().filter(|text| text.contains(class));
         (violations.collect(), line)
     }
 }
 
-/// The longest time (ms) in which a state of the request was held with no attempt delivered that was to claim it.
+/// Returns the longest time (ms) for which a state of the request was leased without a delivered decode attempt.
 fn longest_unclaimed_ms(records: &[Record], request: &str) -> u64 {
     let (mut longest, mut since) = (0, None);
     for record in records.iter().filter(|record| record.event.request() == request) {
@@ -108,7 +109,7 @@
     longest.max(at_end) / 1_000
 }
 
-/// Plays all stalls for both classes.
+/// Runs the scenario with each stall delay for both classes, and asserts that no invariant is broken.
 fn assert_no_state_remains(
     initial_connections: InitialConnections, probes: bool, delay: Duration, stall_delays_ms: &[u64],
 ) {
@@ -131,37 +132,37 @@
     });
 }
 
-/// Guards soak seeds 9664, 9684, 9565 and 9713: two connections stand, and both fall silent.
+/// Guards against the violations of soak seeds 9664, 9684, 9565 and 9713: two connections are open, and both stall.
 #[test]
 fn a_response_on_a_newer_connection_does_not_confirm_delivery() {
     assert_no_state_remains(InitialConnections::Exactly(2), true, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
-/// Guards the same behind a slow link.
+/// Guards against the same on a slow link.
 #[test]
 fn a_response_on_a_newer_connection_does_not_confirm_delivery_on_a_slow_link() {
     assert_no_state_remains(InitialConnections::Exactly(2), true, LINK_DELAY, &STALL_DELAYS_MS);
 }
 
-/// Guards the same where servers may not be probed.
+/// Guards against the same where the gateway may not probe servers.
 #[test]
 fn a_response_on_a_newer_connection_does_not_confirm_delivery_without_probes() {
     assert_no_state_remains(InitialConnections::Exactly(2), false, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
-/// Guards the same where servers may not be probed and the link is slow.
+/// Guards against the same where the gateway may not probe servers and the link is slow.
 #[test]
 fn a_response_on_a_newer_connection_does_not_confirm_delivery_without_probes_on_a_slow_link() {
     assert_no_state_remains(InitialConnections::Exactly(2), false, LINK_DELAY, &STALL_DELAYS_MS);
 }
 
-/// Guards the same where several connections to each of two servers stand.
+/// Guards against the same with several open connections to each of two servers.
 #[test]
 fn a_response_after_several_connections_stalled_does_not_confirm_delivery() {
     assert_no_state_remains(InitialConnections::Several, true, Duration::ZERO, &STALL_DELAYS_MS);
 }
 
-/// Guards an attempt that could use the only connection that stands: another one stands beside it when it is written.
+/// Guards against an attempt on the only open connection: a second one has to be open when the attempt is written.
 #[test]
 fn an_attempt_on_the_only_connection_is_written_beside_a_second_one() {
     for probes in [true, false] {
@@ -169,7 +170,7 @@
     }
 }
 
-/// Guards the first attempt of a process, for which two connections are opened.
+/// Guards against the same for the first attempt of a process, for which two connections have to be opened.
 #[test]
 fn the_first_attempt_at_a_server_opens_a_second_connection() {
     for probes in [true, false] {
--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The judge finds what it is there to find, in records made for it.
+//! Checks of the invariants on constructed records: violations are found, and correct behavior is not reported.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const LEASE_LIMIT: Duration = Duration::from_millis(500);
 const REQUEST: &str = "order";
-/// When the request is refused, and the end of the trial (ms).
+/// When the request is rejected, and the end of the run (ms).
 const REJECTED_AT: Micros = 300;
 const END: Micros = 5_000;
 
@@ -39,8 +39,8 @@
     violations.into_iter().map(|violation| violation.invariant).collect()
 }
 
-/// Guards the judge's wording of a refusal: while a read of the request still runs at an engine, or begins there later, the
-/// refusal is not true; once the engine has dropped it, it is.
+/// Guards the check of rejections: a rejection is inaccurate while a prefill of the request is in progress at an engine or begins
+/// there later, and accurate once the engine has cancelled it.
 #[test]
 fn a_refusal_beside_a_read_that_still_runs_is_found() {
     let still_runs = vec![sent(false), delivered(100), rejection(), ended(REJECTED_AT + 100)];
@@ -81,11 +81,11 @@
     record(at, "n0", Event::GatewayEnded { killed })
 }
 
-/// When SIGTERM comes, and the platform's kill (ms).
+/// When SIGTERM is sent, and when the platform kills the process (ms).
 const TERMINATED_AT: Micros = 100;
 const KILLED_AT: Micros = TERMINATED_AT + 3_700;
 
-/// Guards against a planted fault: a gateway that drains closes its connections at once, with requests on them.
+/// Guards against missing a planted fault: a draining gateway closes its connections at once, with requests on them.
 #[test]
 fn a_drain_that_closes_at_once_is_found() {
     let read_before = vec![sent(true), terminated(TERMINATED_AT), unanswered(TERMINATED_AT + 1)];
@@ -97,7 +97,7 @@
     let long_before_the_kill =
         vec![sent(true), terminated(TERMINATED_AT), unanswered(TERMINATED_AT + 1), process_killed.clone()];
     assert_eq!(broken_invariants(long_before_the_kill), [Invariant::Answered]);
-    // What came before SIGTERM and is unanswered at the kill is the kill's.
+    // A request that was sent before SIGTERM and is unanswered at the kill is lost to the kill.
     let mut waits_longer = sent(true);
     waits_longer.event = Event::Sent { request: REQUEST.into(), deadline: 9.0, repeatable: true };
     let lost_to_the_kill =
@@ -105,7 +105,8 @@
     assert_eq!(broken_invariants(lost_to_the_kill), []);
 }
 
-/// Guards against a planted fault: a gateway that drains answers nothing that comes later than 0.7 s after SIGTERM.
+/// Guards against missing a planted fault: a draining gateway leaves requests unanswered that arrive later than 0.7 s after
+/// SIGTERM.
 #[test]
 fn a_drain_that_leaves_late_requests_unanswered_is_found() {
     let sent_at = |at: Micros| {
@@ -122,7 +123,7 @@
     assert_eq!(broken_invariants(closed_before), [Invariant::Answered]);
 }
 
-/// Guards against a planted fault: a connection with an open request is evicted for another client's.
+/// Guards against missing a planted fault: a connection with an open request is evicted in favor of another client's.
 #[test]
 fn an_eviction_of_an_open_request_is_found() {
     let while_it_is_at_a_server = vec![
@@ -137,7 +138,11 @@
     let before_it_is_sent = vec![sent(true), unanswered(20)];
     assert_eq!(broken_invariants(before_it_is_sent), [Invariant::Answered]);
     let unread = vec![sent(true), record(20, "n0", Event::ClosedUnread { request: REQUEST.into() })];
-    assert_eq!(broken_invariants(unread), [], "an end that crosses a request is no eviction of it");
+    assert_eq!(
+        broken_invariants(unread),
+        [],
+        "a close that crosses a request is not an eviction of the request"
+    );
     let forwarded_as_unread = vec![
         sent(true),
         first_byte(10, "n0-r0", 7),
@@ -147,12 +152,12 @@
     assert_eq!(
         broken_invariants(forwarded_as_unread),
         [Invariant::Answered],
-        "it was read: an attempt was begun"
+        "the request was read, because an attempt was begun"
     );
 }
 
-/// Guards against a planted fault: a reset of a server's connection is taken for the end of its work. The request goes on to a
-/// second server and is rejected while the first one, which stood still, goes on; and its state stays.
+/// Guards against missing a planted fault: a reset of a server's connection is taken for the end of its work. The request is
+/// retried and rejected while the first server, which was paused, continues, and the state that it leases remains.
 #[test]
 fn a_reset_taken_for_the_end_of_the_work_is_found() {
     let rejected = vec![
@@ -180,7 +185,7 @@
     assert_eq!(broken_invariants(released_again), []);
 }
 
-/// Guards against a planted fault: a decode attempt that was written on a silent connection is believed to have arrived.
+/// Guards against missing a planted fault: a decode attempt that was written on a stalled connection is taken as delivered.
 #[test]
 fn an_unconfirmed_delivery_taken_as_delivered_is_found() {
     let unconfirmed = vec![
@@ -208,7 +213,7 @@
     assert_eq!(broken_invariants(arrived_in_time), []);
 }
 
-/// Guards against a planted fault: a believed delivery that arrives late after all, once its request has gone on elsewhere.
+/// Guards against missing a planted fault: an unconfirmed attempt arrives late, after its request was retried elsewhere.
 #[test]
 fn a_second_run_of_what_may_not_be_repeated_is_found() {
     let twice = vec![sent(false), leased(40), claimed(60, "w0"), leased(80), claimed(100, "w1")];
@@ -217,11 +222,11 @@
     assert_eq!(broken_invariants([twice, vec![answered]].concat()), [Invariant::AtMostOnce]);
 }
 
-/// Guards slow writers: a gateway that ends a connection over the first bytes of a request before their time is found; one that
-/// waits for them, and one that is told to end, is not.
+/// Guards clients that write slowly: a gateway that closes the connection of a partly received request within the grace period is
+/// found, while one that waits or was sent SIGTERM is not.
 #[test]
 fn a_begun_request_that_is_cut_before_its_time_is_found() {
-    let client = "127.0.0.1:4000".parse().expect("an address");
+    let client = "127.0.0.1:4000".parse().expect("the address is valid");
     let begun =
         || record(100, "n0", Event::RequestBegun { request: REQUEST.into(), client, connected_at: 0 });
     let cut = |at| record(at, "n0", Event::ClosedPartlyRead { request: REQUEST.into() });
--- a/fault-tests/tests/paused_gateway.rs
+++ b/fault-tests/tests/paused_gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway whose process stands still for as long as the platform allows: what it finds in one wake-up.
+//! Gateway whose process is paused for as long as the platform allows, and then processes several events in one wake-up.
 
 use std::path::Path;
 use std::time::Duration;
@@ -14,24 +14,24 @@
 const UNCONNECTABLE_SERVER: usize = 0;
 const DEADLINE: Duration = Duration::from_secs(9);
 const REQUESTS: u64 = 12;
-/// A connection is given up after 250 ms; clients leave before that, and the gateway stands still over both.
+/// The gateway abandons a connection attempt after 250 ms. Clients disconnect before that, and it is paused during both.
 const CLIENT_DISCONNECT_DELAY: Duration = Duration::from_millis(200);
 const PAUSE_DELAY: Duration = Duration::from_millis(190);
 const PAUSE_DURATION: Duration = Duration::from_millis(150);
 
-/// Guards engines from retries for clients that have left: the connection's time-out and the clients' leaving are found in the same
-/// wake-up, and the retry could be written at once, on an idle connection.
+/// Guards against retries for clients that have disconnected. The gateway finds the timeout of the connection attempt and the
+/// disconnections in the same wake-up, when it could write the retry at once on an idle connection.
 #[test]
 fn a_client_that_left_during_a_pause_is_seen_before_a_retry_is_written() {
     let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("the runtime is built").block_on(async {
         let spec = DeploymentSpec::new(1, 2, 2);
         let started = Deployment::start(spec, program, &program.with_file_name("glenrail")).await;
-        let deployment = started.expect("it starts");
+        let deployment = started.expect("the deployment starts");
         let warm_up = (0..REQUESTS).map(|n| deployment.send(0, request(&format!("warm{n}"), n)));
         futures_util::future::join_all(warm_up).await;
-        // Answers are read a moment before their connections are idle.
+        // Connections become idle shortly after their responses have been read.
         sleep(Duration::from_millis(200)).await;
         for link in deployment.links_to(UNCONNECTABLE_SERVER) {
             Link::reset(link);
--- a/fault-tests/tests/recorded_times.rs
+++ b/fault-tests/tests/recorded_times.rs
@@ -1,4 +1,4 @@
-//! The times that a trial records: of a gateway's kill, of a request's first and last byte, and of its own lateness.
+//! Times that a run records: of a gateway's kill, of a request's first and last byte, and of its own scheduling delays.
 
 use std::path::Path;
 use std::process::{Child, Command};
@@ -16,15 +16,15 @@
 const LEASE_LIMIT: Duration = Duration::from_millis(500);
 const REQUEST: &str = "order";
 const GATEWAY: &str = "n0";
-/// When the gateway's process is killed, and the end of the trial (ms).
+/// When the gateway's process is killed, and the end of the run (ms).
 const KILLED_AT: Micros = 1_000;
 const END: Micros = 9_000;
-/// How long the platform allows a gateway to be held up.
+/// Maximum time for which the platform allows a gateway to be paused.
 const GATEWAY_PAUSE: Duration = Duration::from_millis(150);
-/// Processes that share one processor, and for how long.
+/// Number of processes that share one processor, and for how long.
 const BUSY_PROCESSES: usize = 4;
 const BUSY_TIME: Duration = Duration::from_millis(500);
-/// Longer than a tick of any clock here.
+/// Time that exceeds the interval of every periodic tick.
 const STALL: Duration = Duration::from_millis(60);
 
 fn record(at: Micros, event: Event) -> Record {
@@ -32,7 +32,7 @@
 }
 
 fn begun(at: Micros, connected_at: Micros) -> Record {
-    let client = "127.0.0.1:40000".parse().expect("an address");
+    let client = "127.0.0.1:40000".parse().expect("the address is valid");
     let connected_at = connected_at * MILLISECOND;
     record(at, Event::RequestBegun { request: REQUEST.into(), client, connected_at })
 }
@@ -55,7 +55,7 @@
     violations.into_iter().map(|violation| violation.invariant).collect()
 }
 
-/// Guards gateways from being charged with an unplanned kill whose end was noted late (soak seeds 9590 and 9801).
+/// Guards against blaming a gateway for an unplanned kill whose end was recorded late (soak seeds 9590 and 9801).
 #[test]
 fn a_request_lost_to_a_kill_is_excused_however_late_the_process_was_reaped() {
     let mut records = vec![begun(900, 800), sent(900), unanswered(KILLED_AT + 1)];
@@ -63,7 +63,7 @@
     assert_eq!(broken_invariants(records), []);
 }
 
-/// Guards the judge: a connection that is closed before the kill was not closed by it.
+/// Guards against excusing a connection that was closed before the kill.
 #[test]
 fn a_connection_closed_before_a_kill_is_not_excused_by_it() {
     let mut records = vec![begun(700, 600), sent(700), unanswered(KILLED_AT - 1)];
@@ -71,8 +71,8 @@
     assert_eq!(broken_invariants(records), [Invariant::Answered]);
 }
 
-/// Guards a gateway that ends a stream shortly before it is killed from being charged with the kill's cut (soak seed 9590), and
-/// the judge: a stream that was taken late and that the kill cuts is found.
+/// Guards against blaming a gateway for a stream that was cut shortly before the kill (soak seed 9590), and against missing a
+/// stream that was accepted late and cut by the kill.
 #[test]
 fn a_cut_stream_is_attributed_to_a_kill_only_from_its_signal_on() {
     let cut = |at| record(at, Event::Answered { request: REQUEST.into(), status: 200, complete: false });
@@ -85,8 +85,8 @@
     assert_eq!(broken_invariants(accepted_late), [Invariant::Answered]);
 }
 
-/// Guards a process from being charged with a request that was written on a connection to the process before it (soak seed
-/// 9688): its first byte went before the kill, its last after it.
+/// Guards against blaming a process for a request that was written on a connection to its killed predecessor (soak seed 9688),
+/// with the first byte before the kill and the last one after it.
 #[test]
 fn a_request_belongs_to_the_process_to_which_its_connection_was_made() {
     let mut to_the_killed_process =
@@ -100,33 +100,33 @@
     assert_eq!(broken_invariants(to_the_next), [Invariant::Answered]);
 }
 
-/// Guards the two times of a kill: before its signal, and after its wait.
+/// Guards the order of the records of a kill: one before the signal, one after the exit was waited for.
 #[test]
 fn a_kill_is_recorded_before_its_signal_and_after_its_wait() {
     let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("the runtime is built").block_on(async {
         let spec = DeploymentSpec::new(1, 1, 1);
         let started = Deployment::start(spec, program, &program.with_file_name("glenrail")).await;
-        let mut deployment = started.expect("it starts");
-        deployment.end_gateway(0).await.expect("it ends");
+        let mut deployment = started.expect("the deployment starts");
+        deployment.end_gateway(0).await.expect("the gateway ends");
         let of_gateway = deployment.records.all().into_iter().filter(|record| record.source == GATEWAY);
         let events: Vec<Event> = of_gateway.map(|record| record.event).collect();
         assert_eq!(events, [Event::GatewayKilled, Event::GatewayEnded { killed: true }]);
     });
 }
 
-/// Guards gateways from being held up for longer than the platform allows, because the runtime was late to let them go on.
+/// Guards against gateways that stay paused for longer than the platform allows because a blocked runtime continues them late.
 #[test]
 fn a_paused_gateway_is_continued_in_time_while_the_runtime_is_blocked() {
     let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("the runtime is built").block_on(async {
         let spec = DeploymentSpec::new(1, 1, 1);
         let started = Deployment::start(spec, program, &program.with_file_name("glenrail")).await;
-        let mut deployment = started.expect("it starts");
+        let mut deployment = started.expect("the deployment starts");
         let pause = ScheduledFault { fault: Fault::GatewayPaused { gateway: 0 }, duration: GATEWAY_PAUSE };
-        pause.begin(&mut deployment).await.expect("it begins");
+        pause.begin(&mut deployment).await.expect("the fault begins");
         thread::sleep(GATEWAY_PAUSE * 4);
         let of_gateway = deployment.records.all().into_iter().filter(|record| record.source == GATEWAY);
         let times: Vec<(Event, Micros)> = of_gateway.map(|record| (record.event, record.at)).collect();
@@ -138,11 +138,11 @@
     });
 }
 
-/// Guards a run's account of itself: a runtime that stands still shows in it, with its time.
+/// Guards against a blocked runtime that the measured scheduling delays do not show.
 #[test]
 fn a_blocked_runtime_is_reported_as_late() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let lateness = runtime.expect("a runtime").block_on(async {
+    let lateness = runtime.expect("the runtime is built").block_on(async {
         let watch = LatenessMonitor::start();
         tokio::time::sleep(STALL).await;
         thread::sleep(STALL);
@@ -153,7 +153,7 @@
     assert!(lateness.late_samples.iter().any(|sample| sample.source == LatenessSource::Timer), "{lateness}");
 }
 
-/// Guards the report of a break: it names the lateness of that time, and of no other.
+/// Guards the report of a violation, which has to show the scheduling delays of that period and no others.
 #[test]
 fn late_samples_are_found_by_the_period_of_their_delay() {
     let sample =
@@ -167,8 +167,8 @@
     assert_eq!(lateness.between(501 * MILLISECOND, 900 * MILLISECOND), []);
 }
 
-/// Guards the report's word on each break: whether a gateway has counted one about the same request, not about one whose name
-/// only begins with it.
+/// Guards the report's statement whether a gateway has reported a violation of the same request, which is not the case for a
+/// request whose name only starts with the same characters.
 #[test]
 fn the_report_shows_whether_a_gateway_counted_a_violation() {
     let violation = |request: &str| Violation {
@@ -192,31 +192,31 @@
     assert!(text.contains("request 25f1-e at 0 us: no answer in time (counted by no gateway)"), "{text}");
 }
 
-/// Guards a run's account of its gateways: a process that could have run and had no processor shows as waiting for one, by its
-/// name, until it has ended.
+/// Guards against gateways that wait for a processor without being reported: a runnable process without a processor has to appear
+/// under its name until it has exited.
 #[test]
 fn a_process_without_a_processor_is_reported_as_waiting() {
     let mut busy_processes: Vec<_> = (0..BUSY_PROCESSES).map(|_| busy_process()).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let lateness = runtime.expect("a runtime").block_on(async {
+    let lateness = runtime.expect("the runtime is built").block_on(async {
         let watch = LatenessMonitor::start();
         busy_processes.iter().for_each(|process| watch.watch_gateway(GATEWAY, process.id()));
         tokio::time::sleep(BUSY_TIME).await;
         watch.snapshot()
     });
     for process in &mut busy_processes {
-        process.kill().expect("it runs");
-        process.wait().expect("it was started here");
+        process.kill().expect("the process can be killed");
+        process.wait().expect("the process can be waited for");
     }
     let waited =
         lateness.late_samples.iter().any(|sample| sample.source == LatenessSource::Gateway(GATEWAY.into()));
     assert!(waited && lateness.gateway_wait > 0, "{lateness}");
 }
 
-/// A process that could run for some seconds, on one processor with all others of its kind; it ends by itself.
+/// Starts a process that is busy for some seconds on the same processor as the others, and then exits.
 fn busy_process() -> Child {
     let command = Command::new("taskset")
         .args(["-c", "0", "sh", "-c", "n=0; while [ $n -lt 3000000 ]; do n=$((n+1)); done"])
         .spawn();
-    command.expect("the machine has taskset")
+    command.expect("taskset is installed")
 }
--- a/fault-tests/tests/resets.rs
+++ b/fault-tests/tests/resets.rs
@@ -1,5 +1,5 @@
-//! Connections that are reset while a prefill runs, behind the built gateway: a server that stands still through the reset and
-//! goes on. This is the incident of docs/incidents/2026-12-resets-taken-for-an-end.md.
+//! Resets of connections while a prefill is in progress at a server that is paused through the reset and continues afterwards.
+//! This is the incident of docs/incidents/2026-12-resets-taken-for-an-end.md.
 
 mod common;
 
@@ -15,28 +15,29 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-/// Enough requests that each server has connections that stand.
+/// Number of requests after which each server has open connections.
 const WARM_UP_REQUESTS: usize = 4;
 const DEADLINE: Duration = Duration::from_secs(9);
-/// The prefill that is cut takes so long (ms).
+/// Time of the prefill during which the connection is reset.
 const PREFILL_TIME_MS: u64 = 400;
-/// What is held has been let go by then, or it is late: 500 ms, and 350 ms more.
+/// Delay before the invariants are checked. It exceeds the time within which leases have to end: 500 ms plus 350 ms.
 const CHECK_DELAY: Duration = Duration::from_millis(1_500);
-/// A class whose requests may not be repeated.
+/// Class whose requests may not be repeated.
 const AT_MOST_ONCE: (&str, bool) = ("order-chat", false);
-/// A change of the endpoint list has arrived by then.
+/// Time within which a change of the endpoint list reaches the gateway.
 const LIST_PROPAGATION_TIME: Duration = Duration::from_millis(150);
-/// The server stands still for so long after the reset: longer than the router waits for a server before it rejects.
+/// Time for which the server stays paused after the reset. It exceeds the time that the router waits for a server before it
+/// rejects a request.
 const SERVER_PAUSE: Duration = Duration::from_millis(4_000);
 
-/// What becomes of a prefill whose connection has ended.
+/// What an engine does with a prefill whose connection has ended.
 #[derive(Clone, Copy, PartialEq)]
 enum CancelledPrefills {
     Dropped,
     Finished,
 }
 
-/// One gateway, these prefill servers and two decode servers, with connections that stand.
+/// Returns a deployment of one gateway, this many prefill servers and two decode servers, with open connections.
 async fn warmed_up(
     prefill_servers: usize, probes: bool, cancelled_prefills: CancelledPrefills,
 ) -> Deployment {
@@ -47,7 +48,7 @@
         engine.finishes_prefills = cancelled_prefills == CancelledPrefills::Finished;
     }
     let deployment = started(spec).await;
-    // One after the other: beside each other they would be rejected as too slow.
+    // The requests are sent one after the other, because concurrent ones would be rejected as too slow.
     for n in 0..WARM_UP_REQUESTS {
         let request = ClientRequest::new(format!("warm{n}"), "item-query", DEADLINE, true);
         assert_eq!(deployment.send(0, request).await, Some(200), "{:?}", deployment.log_lines(""));
@@ -60,7 +61,7 @@
     violations.iter().map(ToString::to_string).collect()
 }
 
-/// The engine that a request's first prefill arrived at, once it has.
+/// Waits for the first prefill of a request to arrive at an engine, and returns the index of the engine.
 async fn prefill_server_of(deployment: &Deployment, request: &str) -> usize {
     loop {
         let records = deployment.records.all();
@@ -73,14 +74,14 @@
             return engines
                 .map(|engine| &engine.spec.name)
                 .position(|name| *name == delivered.source)
-                .expect("it");
+                .expect("an engine of the deployment recorded the event");
         }
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Plays the crossing: a prefill arrives, its server stands still and begins to drain, the connections to it are reset, and it goes
-/// on later. Gives the client's status.
+/// Sends a request, and once its prefill has arrived pauses and drains the server, resets the connections to it, and continues
+/// it later. Returns the status that the client received.
 async fn reset_during_pause(deployment: &mut Deployment, request: ClientRequest) -> Option<u16> {
     let request_id = request.id.clone();
     let (gateway, records) = (deployment.gateways[0].address, deployment.records.clone());
@@ -88,20 +89,21 @@
     let sent = tokio::spawn(async move { send_request(&name, gateway, request, &records).await });
     let server = prefill_server_of(deployment, &request_id).await;
     deployment.engines[server].process.signal(Signal::STOP);
-    // No server is left for another attempt, so the router rejects.
+    // No other server remains for another attempt, so the router rejects the request.
     deployment.engines[server].draining = true;
     deployment.publish();
     sleep(LIST_PROPAGATION_TIME).await;
     deployment.links_to(server).for_each(Link::reset);
     sleep(SERVER_PAUSE).await;
     deployment.engines[server].process.signal(Signal::CONT);
-    let status = sent.await.expect("its end");
+    let status = sent.await.expect("the client task does not panic");
     sleep(CHECK_DELAY).await;
     status
 }
 
-/// Guards what a 503 says (soak seed 9724): a server that stands still through a reset goes on with its prefill, so a request that
-/// may not be repeated is not called harmless to send again, and no state stays.
+/// Guards against a 503 for a request that may still be executed (soak seed 9724). A server that is paused through a reset
+/// continues its prefill afterwards, so a non-repeatable request must not be declared safe to send again, and no state may
+/// remain.
 async fn assert_not_rejected_while_the_server_is_paused(probes: bool) {
     let (class, repeatable) = AT_MOST_ONCE;
     let mut deployment = warmed_up(1, probes, CancelledPrefills::Finished).await;
@@ -111,7 +113,7 @@
     let records = deployment.records.all();
     let leased =
         |record: &Record| matches!(&record.event, Event::StateLeased { request } if request == class);
-    assert!(records.iter().any(leased), "the server has gone on: {log:?}");
+    assert!(records.iter().any(leased), "the server continued the prefill: {log:?}");
     assert_eq!(violations(&deployment), [""; 0], "{log:?}");
     assert_eq!(status, Some(502), "{log:?}");
 }
@@ -126,7 +128,7 @@
     block_on(assert_not_rejected_while_the_server_is_paused(false));
 }
 
-/// Guards requests against the cost of a reset: a server that is well is asked once, and the request is answered.
+/// Guards against failed requests after a reset at a healthy server: the request is answered after one more prefill attempt.
 #[test]
 fn a_reset_of_a_healthy_server_costs_one_more_attempt() {
     block_on(async {
@@ -145,7 +147,7 @@
     });
 }
 
-/// Guards the same for a server whose process dies: the refusal shows it.
+/// Guards against the same for a server whose process is killed, which the gateway learns from refused connections.
 #[test]
 fn a_request_is_retried_elsewhere_when_its_prefill_server_is_killed() {
     block_on(async {
@@ -156,8 +158,13 @@
         let name = deployment.gateways[0].name.clone();
         let sent = tokio::spawn(async move { send_request(&name, gateway, request, &records).await });
         let server = prefill_server_of(&deployment, class).await;
-        deployment.kill_engine(server).await.expect("it is killed");
-        assert_eq!(sent.await.expect("its end"), Some(200), "{:?}", deployment.log_lines(class));
+        deployment.kill_engine(server).await.expect("the engine is killed");
+        assert_eq!(
+            sent.await.expect("the client task does not panic"),
+            Some(200),
+            "{:?}",
+            deployment.log_lines(class)
+        );
         sleep(CHECK_DELAY).await;
         assert_eq!(violations(&deployment), [""; 0]);
     });
--- a/fault-tests/tests/soak.rs
+++ b/fault-tests/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak run in the test suite: random, overlapping faults over two dozen processes, judged by the invariants. The
-//! command `glenrail-fault-tests soak` plays longer ones on more seeds.
+//! Short soak tests: random, overlapping faults on two dozen processes, checked against the invariants. The command
+//! `glenrail-fault-tests soak` runs longer ones with more seeds.
 
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
@@ -9,10 +9,10 @@
 const SEED: u64 = 20;
 const RESTARTS_SEED: u64 = 9_713;
 
-/// One run at a time: each has two dozen processes.
+/// Held during a run, because each run has two dozen processes.
 static RUNNING: Mutex<()> = Mutex::new(());
 
-/// Plays one seed for 6 s, with restarts and a crowd or without either.
+/// Runs one seed for 6 s, with both restarts and a crowd of idle clients, or with neither.
 fn play(seed: u64, restarts_and_crowd: bool) -> Report {
     let _running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
     let program = Path::new(env!("CARGO_BIN_EXE_glenrail-fault-tests"));
@@ -30,7 +30,10 @@
         gateway: program.with_file_name("glenrail"),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
-    runtime.expect("a runtime").block_on(run(&options, seed, program)).expect("it starts")
+    runtime
+        .expect("the runtime is built")
+        .block_on(run(&options, seed, program))
+        .expect("the deployment starts")
 }
 
 #[test]
@@ -40,7 +43,7 @@
     assert!(report.passed(), "{report}");
 }
 
-/// Guards planned ends and kills, kept connections, series of signals and a full connection table, together.
+/// Guards the combination of planned restarts, kills, persistent connections, signal series and a full connection table.
 #[test]
 fn a_short_soak_with_restarts_and_a_crowd_breaks_no_invariant() {
     let report = play(RESTARTS_SEED, true);
--- a/fault-tests/tests/unresponsive_decode_servers.rs
+++ b/fault-tests/tests/unresponsive_decode_servers.rs
@@ -1,5 +1,5 @@
-//! Decode servers that take a request's bytes and do not respond, behind the built gateway: state that is leased for a request
-//! is claimed or released in time all the same. This is the incident of docs/incidents/2026-12-held-states-at-silent-writers.md.
+//! Decode servers that accept the bytes of a request and do not respond: the state that is leased for the request still has to be
+//! claimed or released in time. This is the incident of docs/incidents/2026-12-held-states-at-silent-writers.md.
 
 mod common;
 
@@ -17,7 +17,7 @@
 
 const PREFILL_SERVER: usize = 0;
 
-/// Sends one request of each class at once, and gives what the invariants say some time later.
+/// Sends one request of each class concurrently, and returns the violations of invariants some time later.
 async fn violations_after_one_request_per_class(deployment: &Deployment) -> Vec<String> {
     let requests = CLASSES.map(|(class, repeatable)| ClientRequest::new(class, class, DEADLINE, repeatable));
     let responses = futures_util::future::join_all(requests.map(|request| deployment.send(0, request)));
@@ -28,7 +28,7 @@
     violations(deployment)
 }
 
-/// Guards the incident's rule: connections to both writers stand, take bytes and are silent.
+/// Guards against the incident: the connections to both decode servers are open, accept bytes and carry no response.
 #[test]
 fn leases_end_in_time_while_all_links_to_decode_servers_are_blackholed() {
     block_on(async {
@@ -40,7 +40,7 @@
     });
 }
 
-/// Guards the same where the deployment lets no engine be probed.
+/// Guards against the same where the gateway may not probe engines.
 #[test]
 fn leases_end_in_time_where_probes_are_off() {
     block_on(async {
@@ -54,7 +54,7 @@
     });
 }
 
-/// Guards the same where the writers' processes stand still: the machine takes the bytes for them.
+/// Guards against the same where the decode servers' processes are paused, and the kernel accepts the bytes for them.
 #[test]
 fn leases_end_in_time_while_all_decode_servers_are_paused() {
     block_on(async {
@@ -66,7 +66,7 @@
     });
 }
 
-/// Guards the requests themselves: one silent writer costs none of them its answer, of either class.
+/// Guards against requests of either class that fail because one of the decode servers does not respond.
 #[test]
 fn requests_are_answered_by_the_healthy_decode_server() {
     block_on(async {
@@ -83,8 +83,8 @@
     });
 }
 
-/// Guards against a mend that takes slow writers for silent ones: what takes 1.5 s to its first token is read once and written
-/// once.
+/// Guards against slow decode servers being treated as unresponsive: a request whose first token takes 1.5 s gets one prefill and
+/// one decode attempt.
 #[test]
 fn a_slow_decode_server_keeps_its_requests() {
     block_on(async {
@@ -102,8 +102,8 @@
     });
 }
 
-/// Guards requests whose writers are well, and of whose connections none is: they stand and are silent. No state is left, and
-/// requests are answered again as soon as new connections are used.
+/// Guards against leaked states and an outage where decode servers are healthy and all open connections to them are stalled: no
+/// state remains, and requests are answered as soon as new connections are used.
 #[test]
 fn stalled_connections_leave_no_state_and_no_outage() {
     block_on(async {
@@ -125,7 +125,7 @@
     });
 }
 
-/// Guards the same where no engine may be probed: the servers are well, and answer on other connections than the silent ones.
+/// Guards against the same where the gateway may not probe engines: the servers are healthy and respond on new connections.
 #[test]
 fn stalled_connections_leave_no_state_where_probes_are_off() {
     block_on(async {
@@ -139,14 +139,16 @@
     });
 }
 
-/// Guards the first requests of a process where no engine may be probed: its links to the decode servers come up and pass nothing.
+/// Guards against leaked states of the first requests of a process where the gateway may not probe engines: connections to the
+/// decode servers are established and carry nothing.
 #[test]
 fn first_requests_leave_no_state_at_blackholed_links_where_probes_are_off() {
     block_on(async {
         let mut spec = DeploymentSpec::new(1, 1, 2);
         spec.probes = false;
-        let deployment =
-            Deployment::start(spec, fault_tests_program(), &gateway_program()).await.expect("it starts");
+        let deployment = Deployment::start(spec, fault_tests_program(), &gateway_program())
+            .await
+            .expect("the deployment starts");
         for server in DECODE_SERVERS {
             deployment.links_to(server).for_each(|link| link.set(Condition::Blackholed));
         }
@@ -154,8 +156,8 @@
     });
 }
 
-/// Guards slow writers from the sign that stands for the probe: what takes 1.5 s to its first token is read once and written
-/// once.
+/// Guards against slow decode servers being treated as unresponsive by the check that replaces the probe: a request whose first
+/// token takes 1.5 s gets one prefill and one decode attempt.
 #[test]
 fn a_slow_decode_server_keeps_its_requests_where_probes_are_off() {
     block_on(async {
@@ -173,8 +175,8 @@
     });
 }
 
-/// Guards what a read may leave that was given up on a way that had fallen silent: its server does not see the close, reads on
-/// to the end and holds the state, after the release.
+/// Guards against a leaked state of a prefill that is cancelled on a blackholed link: its server does not receive the close,
+/// completes the prefill, and leases the state after the release.
 #[test]
 fn a_prefill_cancelled_on_a_blackholed_link_leaves_no_state() {
     block_on(async {
@@ -195,15 +197,15 @@
             assert_eq!(
                 attempts_delivered(&records, class, Stage::Prefill),
                 1,
-                "{class}: the read had arrived"
+                "{class}: the prefill had arrived"
             );
         }
         assert_eq!(violations(&deployment), [""; 0]);
     });
 }
 
-/// Guards against an answer on another connection as proof of a close: the server gets a read late and never its close, while
-/// it answers on new connections; the read ends after that, and its state is let go in time.
+/// Guards against taking a response on another connection as proof that a close was received. The server receives a prefill late
+/// and never its close, while it responds on new connections. The prefill ends after that, and its state is released in time.
 #[test]
 fn a_prefill_that_ends_after_its_server_answered_elsewhere_leaves_no_state() {
     block_on(async {
@@ -226,14 +228,14 @@
             assert_eq!(
                 attempts_delivered(&records, class, Stage::Prefill),
                 1,
-                "{class}: the read had arrived"
+                "{class}: the prefill had arrived"
             );
             assert_eq!(violations(&deployment), [""; 0]);
         }
     });
 }
 
-/// Guards the judge: it finds a state that nobody takes and nobody lets go.
+/// Guards the check itself: it finds a state that is neither claimed nor released.
 #[test]
 fn the_invariant_check_finds_a_state_that_is_never_released() {
     block_on(async {
