--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -131,12 +131,12 @@
 
 /// Returns the status of a gateway's readiness response, or `None` without a response within a second.
 pub async fn ready_status(address: SocketAddr) -> Option<u16> {
-    let response = async {
+    let readiness = async {
         let mut sender = connect(address).await?;
         let request = Request::get("/ready").header("host", "api.internal").body(Full::default()).ok()?;
         Some(sender.send_request(request).await.ok()?.status().as_u16())
     };
-    timeout(READY_RESPONSE_TIMEOUT, response).await.ok().flatten()
+    timeout(READY_RESPONSE_TIMEOUT, readiness).await.ok().flatten()
 }
 
 async fn connect(address: SocketAddr) -> Option<http1::SendRequest<Full<Bytes>>> {
--- a/fault-tests/src/deployment.rs
+++ b/fault-tests/src/deployment.rs
@@ -152,7 +152,7 @@
             command.arg("--finishes-prefills");
         }
         command.arg("--states").arg(self.states_folder()).stdout(Stdio::piped());
-        let mut process = self.spawn(&mut command, &spec.name)?;
+        let mut process = self.spawn_process(&mut command, &spec.name)?;
         let records = self.records.clone();
         if let Some(stdout) = process.child.stdout.take() {
             tokio::spawn(async move {
@@ -239,7 +239,7 @@
             .env("EDGE_CONFIG", folder.join(CONFIG_FILE))
             .env("TMPDIR", folder)
             .stderr(Stdio::piped());
-        let mut process = self.spawn(&mut command, name)?;
+        let mut process = self.spawn_process(&mut command, name)?;
         if let Some(id) = process.child.id() {
             self.lateness.watch_gateway(name, id);
         }
@@ -250,7 +250,7 @@
     }
 
     /// Spawns a process and records how long that took.
-    fn spawn(&self, command: &mut Command, name: &str) -> Result<Process, DeploymentError> {
+    fn spawn_process(&self, command: &mut Command, name: &str) -> Result<Process, DeploymentError> {
         let requested_at = clock::now();
         let process = Process::start(command, name)?;
         self.lateness.note_start(name, requested_at);
--- a/fault-tests/src/invariants.rs
+++ b/fault-tests/src/invariants.rs
@@ -246,13 +246,11 @@
     fn deadline_announced(&self) -> Option<Violation> {
         let (sent, deadline, _) = self.sent()?;
         self.records.iter().find_map(|record| {
-            let Event::Written { announced_deadline: Some(announced), .. } = record.event else {
-                return None;
-            };
+            let Event::Written { announced_deadline: Some(stated), .. } = record.event else { return None };
             let remaining = deadline - (record.at.saturating_sub(sent)) as f64 / 1e6;
             let detail =
-                || format!("announced {announced:.3} s on {} with {remaining:.3} s remaining", record.source);
-            (announced > remaining + DEADLINE_SLACK_S)
+                || format!("announced {stated:.3} s on {} with {remaining:.3} s remaining", record.source);
+            (stated > remaining + DEADLINE_SLACK_S)
                 .then(|| self.violation(Invariant::DeadlineAnnounced, record.at, detail()))
         })
     }
