--- a/fault-tests/src/faults.rs
+++ b/fault-tests/src/faults.rs
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Ends the fault, unless it ends without action.
+    /// Ends the fault; has no effect on faults that end without action.
     pub fn end(&self, deployment: &mut Deployment) {
         match &self.fault {
             Fault::Blackholed { engines, resets } => {
--- a/fault-tests/src/front.rs
+++ b/fault-tests/src/front.rs
@@ -1,4 +1,4 @@
-//! Front that distributes clients' connections over the gateways that are admitted to it.
+//! Front that distributes clients' connections over the gateways that it admits.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/fault-tests/src/record.rs
+++ b/fault-tests/src/record.rs
@@ -58,7 +58,7 @@
     Sent { request: String, deadline: f64, repeatable: bool },
     /// A client closed its connection before it had a response.
     ClientDisconnected { request: String },
-    /// A client received a response with this status; `complete` tells whether the body is.
+    /// A client received a response with this status; `complete` is whether it received the whole body.
     Answered { request: String, status: u16, complete: bool },
     /// The gateway closed a client's connection without a response.
     Unanswered { request: String },
--- a/fault-tests/tests/resets.rs
+++ b/fault-tests/tests/resets.rs
@@ -128,7 +128,7 @@
     block_on(assert_not_rejected_while_the_server_is_paused(false));
 }
 
-/// Guards against failed requests after a reset at a healthy server: the request is answered after one more prefill attempt.
+/// Guards against a reset at a healthy server that fails the request or costs more than one additional prefill attempt.
 #[test]
 fn a_reset_of_a_healthy_server_costs_one_more_attempt() {
     block_on(async {
