--- a/fault-tests/tests/invariants.rs
+++ b/fault-tests/tests/invariants.rs
@@ -42,7 +42,7 @@
 /// Guards the check of rejections: a rejection is inaccurate while a prefill of the request is in progress at an engine or begins
 /// there later, and accurate once the engine has cancelled it.
 #[test]
-fn a_refusal_beside_a_read_that_still_runs_is_found() {
+fn a_rejection_during_a_prefill_in_progress_is_found() {
     let still_runs = vec![sent(false), delivered(100), rejection(), ended(REJECTED_AT + 100)];
     assert_eq!(broken_invariants(still_runs), [Invariant::RejectionIsTrue]);
     let begins_later = vec![sent(false), rejection(), delivered(REJECTED_AT + 50), ended(REJECTED_AT + 100)];
