--- a/fault-tests/src/client.rs
+++ b/fault-tests/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the gateways: each sends one request on a connection of its own and records what becomes of it.
+//! Clients of the gateways that send one request per connection and record its outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,34 +12,34 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock::Micros;
-use crate::kept_connection::{Answer, KeptConnection};
+use crate::persistent_connection::{ClientResponse, PersistentConnection};
 use crate::record::{Event, Record, Records};
 
-/// A client waits so much longer than its deadline for an answer that only comes late.
-pub const GRACE: Duration = Duration::from_secs(5);
+/// Time beyond its deadline for which a client waits for a late response.
+pub const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// Whoever asks for readiness waits so long for an answer.
-const READY_TIMEOUT: Duration = Duration::from_secs(1);
-const PATH: &str = "/v1/chat/completions";
-const BODY: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
+/// Timeout of a readiness request.
+const READY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+const REQUEST_PATH: &str = "/v1/chat/completions";
+const REQUEST_BODY: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
 
-/// One request of a client.
+/// Request of a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     pub id: String,
     pub class: String,
     pub session: u64,
     pub deadline: Duration,
-    /// Whether its class may be repeated.
+    /// Whether requests of its class may be repeated.
     pub repeatable: bool,
-    /// It sends its first byte so long after it has connected.
+    /// Delay between the connection and the first byte of the request.
     pub first_byte_after: Duration,
-    /// It closes its connection after so long, whatever has come by then.
+    /// Time after which the client closes its connection unless the whole response has arrived; `None` for a client that waits.
     pub disconnects_after: Option<Duration>,
 }
 
 impl ClientRequest {
-    /// A request that waits for its answer.
+    /// Returns a request that is sent at once and whose client waits for the response.
     pub fn new(id: impl Into<String>, class: &str, deadline: Duration, repeatable: bool) -> ClientRequest {
         let (id, class) = (id.into(), class.to_string());
         let first_byte_after = Duration::ZERO;
@@ -65,15 +65,18 @@
         ]
     }
 
-    /// The request as its bytes.
-    pub fn text(&self) -> String {
+    /// Returns the HTTP request as text.
+    pub fn to_http(&self) -> String {
         let headers: String =
             self.headers().iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
-        format!("POST {PATH} HTTP/1.1\r\n{headers}content-length: {}\r\n\r\n{BODY}", BODY.len())
+        format!(
+            "POST {REQUEST_PATH} HTTP/1.1\r\n{headers}content-length: {}\r\n\r\n{REQUEST_BODY}",
+            REQUEST_BODY.len()
+        )
     }
 
-    /// The record of its first byte on this connection to a gateway.
-    pub fn begun(&self, gateway: &str, connection: &KeptConnection, at: Micros) -> Record {
+    /// Returns the record of the first byte, written on this connection to a gateway.
+    pub fn begun_record(&self, gateway: &str, connection: &PersistentConnection, at: Micros) -> Record {
         let event = Event::RequestBegun {
             request: self.id.clone(),
             client: connection.client_address(),
@@ -82,35 +85,35 @@
         Record { at, source: gateway.to_string(), event }
     }
 
-    /// The record of its last byte.
-    pub fn sent(&self, gateway: &str, at: Micros) -> Record {
+    /// Returns the record of the last byte.
+    pub fn sent_record(&self, gateway: &str, at: Micros) -> Record {
         let (request, deadline) = (self.id.clone(), self.deadline.as_secs_f64());
         let event = Event::Sent { request, deadline, repeatable: self.repeatable };
         Record { at, source: gateway.to_string(), event }
     }
 }
 
-/// Sends a request, and records what becomes of it; `gateway` names the one asked. Gives the answer's status.
+/// Sends a request to the gateway called `gateway` and records its outcome. Returns the status of the response.
 pub async fn send_request(
-    gateway: &str, address: SocketAddr, ask: ClientRequest, records: &Records,
+    gateway: &str, address: SocketAddr, client_request: ClientRequest, records: &Records,
 ) -> Option<u16> {
-    let request = ask.id.clone();
-    let mut connection = KeptConnection::open(address).await.ok()?;
-    sleep(ask.first_byte_after).await;
-    let text = ask.text();
-    let written = connection.write(text.as_bytes(), 1, Duration::ZERO).await;
-    let Some(sent_at) = written.when(text.len()) else {
-        // The gateway ended the connection before it was written on.
-        records.add(gateway, Event::NotTaken { request });
+    let request = client_request.id.clone();
+    let mut connection = PersistentConnection::open(address).await.ok()?;
+    sleep(client_request.first_byte_after).await;
+    let text = client_request.to_http();
+    let progress = connection.write(text.as_bytes(), 1, Duration::ZERO).await;
+    let Some(sent_at) = progress.written_at(text.len()) else {
+        // The gateway closed the connection before the request was written.
+        records.add(gateway, Event::ClosedUnread { request });
         return None;
     };
-    records.push(ask.begun(gateway, &connection, written.began));
-    records.push(ask.sent(gateway, sent_at));
-    let waits = ask.disconnects_after.unwrap_or(ask.deadline + GRACE);
-    let answer = timeout(waits, connection.answer(text.len())).await;
+    records.push(client_request.begun_record(gateway, &connection, progress.began_at));
+    records.push(client_request.sent_record(gateway, sent_at));
+    let wait = client_request.disconnects_after.unwrap_or(client_request.deadline + ANSWER_GRACE);
+    let response = timeout(wait, connection.read_response(text.len())).await;
     connection.close();
-    match answer {
-        Ok(Ok(Answer { status, complete, .. })) => {
+    match response {
+        Ok(Ok(ClientResponse { status, complete, .. })) => {
             records.add(gateway, Event::Answered { request, status, complete });
             Some(status)
         }
@@ -118,7 +121,7 @@
             records.add(gateway, Event::Unanswered { request });
             None
         }
-        Err(_) if ask.disconnects_after.is_some() => {
+        Err(_) if client_request.disconnects_after.is_some() => {
             records.add(gateway, Event::ClientDisconnected { request });
             None
         }
@@ -126,21 +129,21 @@
     }
 }
 
-/// What a gateway answers whoever asks whether it is ready, within a second; `None` where it answers nothing.
+/// Returns the status of a gateway's readiness response, or `None` without a response within a second.
 pub async fn ready_status(address: SocketAddr) -> Option<u16> {
-    let asked = async {
+    let readiness = async {
         let mut sender = connect(address).await?;
         let request = Request::get("/ready").header("host", "api.internal").body(Full::default()).ok()?;
         Some(sender.send_request(request).await.ok()?.status().as_u16())
     };
-    timeout(READY_TIMEOUT, asked).await.ok().flatten()
+    timeout(READY_RESPONSE_TIMEOUT, readiness).await.ok().flatten()
 }
 
 async fn connect(address: SocketAddr) -> Option<http1::SendRequest<Full<Bytes>>> {
     let socket = TcpStream::connect(address).await.ok()?;
     let _ = socket.set_nodelay(true);
     let (sender, connection) = http1::handshake(TokioIo::new(socket)).await.ok()?;
-    // It ends with its sender.
+    // The task ends when the sender is dropped.
     tokio::spawn(connection);
     Some(sender)
 }
--- a/fault-tests/src/deployment_spec.rs
+++ b/fault-tests/src/deployment_spec.rs
@@ -1,4 +1,4 @@
-//! What a deployment consists of, and the settings that its gateways get.
+//! Specification of a deployment, and the settings that its gateways receive.
 
 use std::time::Duration;
 
@@ -6,41 +6,42 @@
 
 use crate::engine::Role;
 
-/// Usual objective of each class for a first token.
-const LATENCY_OBJECTIVE: Duration = Duration::from_millis(2_500);
-/// A gateway's usual limit of descriptors.
-const SOCKETS: usize = 1_024;
+/// Default time to first token that each class aims for.
+const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(2_500);
+/// Default limit of file descriptors of a gateway.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1_024;
 
-/// One engine of a deployment.
+/// Specification of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
     pub name: String,
     pub role: Role,
-    /// The least and the most time (ms) that a read, or a writer's first token, takes.
+    /// Minimum and maximum time of a prefill, or of a decode server until its first token, in milliseconds.
     pub service_time_ms: (u64, u64),
-    /// It ends a prefill that has begun, also once its connection has ended.
+    /// Whether a prefill that has begun is completed even after its connection has ended.
     pub finishes_prefills: bool,
 }
 
-/// What a deployment has.
+/// Specification of a deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentSpec {
     pub gateways: usize,
     pub engines: Vec<EngineSpec>,
     pub lease_limit: Duration,
     pub deadline: Duration,
-    /// What each class aims at for a first token.
+    /// Time to first token that each class aims for.
     pub latency_objective: Duration,
-    /// Whether engines may be probed.
+    /// Whether the gateways may probe engines.
     pub probes: bool,
-    /// Each gateway's limit of descriptors.
-    pub sockets: usize,
+    /// Limit of file descriptors of each gateway.
+    pub max_descriptors: usize,
 }
 
 impl DeploymentSpec {
-    /// So many of each, with the incident's settings: 500 ms for what is held, deadlines of 9 s.
-    pub fn new(gateways: usize, readers: usize, writers: usize) -> DeploymentSpec {
-        let of = |prefix: &'static str, role, count| {
+    /// Returns a deployment of these sizes with the settings of the incident that `tests/unresponsive_decode_servers.rs`
+    /// reproduces: a lease limit of 500 ms and deadlines of 9 s.
+    pub fn new(gateways: usize, prefill_servers: usize, decode_servers: usize) -> DeploymentSpec {
+        let engines_of = |prefix: &'static str, role, count| {
             (0..count).map(move |n| EngineSpec {
                 name: format!("{prefix}{n}"),
                 role,
@@ -48,27 +49,29 @@
                 finishes_prefills: false,
             })
         };
-        let engines = of("r", Role::Prefill, readers).chain(of("w", Role::Decode, writers)).collect();
-        let (pin_limit, deadline) = (Duration::from_millis(500), Duration::from_secs(9));
+        let engines = engines_of("r", Role::Prefill, prefill_servers)
+            .chain(engines_of("w", Role::Decode, decode_servers))
+            .collect();
+        let (limit, deadline) = (Duration::from_millis(500), Duration::from_secs(9));
         DeploymentSpec {
             gateways,
             engines,
-            lease_limit: pin_limit,
+            lease_limit: limit,
             deadline,
-            latency_objective: LATENCY_OBJECTIVE,
+            latency_objective: DEFAULT_LATENCY_OBJECTIVE,
             probes: true,
-            sockets: SOCKETS,
+            max_descriptors: DEFAULT_MAX_DESCRIPTORS,
         }
     }
 
-    /// With writers whose first token takes this long (ms).
-    pub fn with_decode_time(mut self, least: u64, most: u64) -> DeploymentSpec {
-        let writers = self.engines.iter_mut().filter(|e| e.role == Role::Decode);
-        writers.for_each(|engine| engine.service_time_ms = (least, most));
+    /// Sets the time until the first token of all decode servers, in milliseconds.
+    pub fn with_decode_time(mut self, min_ms: u64, max_ms: u64) -> DeploymentSpec {
+        let decode_engines = self.engines.iter_mut().filter(|e| e.role == Role::Decode);
+        decode_engines.for_each(|engine| engine.service_time_ms = (min_ms, max_ms));
         self
     }
 
-    /// The settings of its gateways.
+    /// Returns the settings of the gateways.
     pub fn settings(&self) -> Value {
         let deadline = self.deadline.as_secs_f64() * 1000.0;
         let objective = self.latency_objective.as_secs_f64() * 1000.0;
--- a/fault-tests/src/discovery.rs
+++ b/fault-tests/src/discovery.rs
@@ -1,4 +1,5 @@
-//! A stand-in for discovery's agent beside one gateway: it tells the whole list, and holds a watch until there is a newer one.
+//! Stand-in for the discovery agent beside one gateway: it returns the whole endpoint list, and holds a watch request until a
+//! newer list is published.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// An agent that answers for as long as the trial runs.
+/// Discovery agent that serves until the runtime of the test stops.
 #[derive(Clone, Debug)]
 pub struct DiscoveryAgent {
     pub address: SocketAddr,
@@ -42,12 +43,12 @@
         Ok(agent)
     }
 
-    /// Has this list from now on.
+    /// Replaces the endpoint list.
     pub fn publish(&self, list: Value) {
         self.list.send_replace(list);
     }
 
-    /// Has the agent say nothing from now on, or answer again.
+    /// Sets whether the agent withholds its responses.
     pub fn set_down(&self, down: bool) {
         self.down.send_replace(down);
     }
@@ -56,26 +57,27 @@
         let _ = socket.set_nodelay(true);
         let service = service_fn(move |request| {
             let agent = self.clone();
-            async move { Ok::<_, Infallible>(agent.answer(request).await) }
+            async move { Ok::<_, Infallible>(agent.respond(request).await) }
         });
         let _ = http1::Builder::new().serve_connection(TokioIo::new(socket), service).await;
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let asked = |name: &str| -> Option<u64> {
+    async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        let query_number = |name: &str| -> Option<u64> {
             let query = request.uri().query().unwrap_or("");
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
         };
-        let (from, hold) = (asked("from"), Duration::from_millis(asked("hold_ms").unwrap_or(0)));
+        let (from, hold) =
+            (query_number("from"), Duration::from_millis(query_number("hold_ms").unwrap_or(0)));
         let mut list = self.list.subscribe();
         let newer = list.wait_for(|list| from.is_none_or(|from| list["seq"].as_u64() > Some(from)));
-        let told = match timeout(hold, newer).await {
+        let response_list = match timeout(hold, newer).await {
             Ok(Ok(list)) => list.clone(),
             _ if from.is_none() => self.list.borrow().clone(),
             _ => json!({"seq": from, "whole": false, "hosts": []}),
         };
-        // An error would be the agent's end.
+        // The channel does not close while this agent exists.
         let _ = self.down.subscribe().wait_for(|down| !down).await;
-        Response::new(Full::new(Bytes::from(told.to_string())))
+        Response::new(Full::new(Bytes::from(response_list.to_string())))
     }
 }
--- a/fault-tests/src/engine.rs
+++ b/fault-tests/src/engine.rs
@@ -1,7 +1,7 @@
-//! A stand-in engine, run as a process of its own: a reader holds states, a writer fetches them and answers. What it
-//! does goes to standard output, one [`Record`] a line.
+//! Stand-in engine, run as a separate process: a prefill server holds states, a decode server claims them and streams a
+//! response. It writes its events to standard output, one [`Record`] per line.
 //!
-//! States are files of a folder that all engines of a trial share, so that whoever removes a file has taken the state.
+//! States are files in a folder that all engines of a run share; the engine that removes a file has claimed the state.
 
 use std::convert::Infallible;
 use std::fs;
@@ -28,20 +28,21 @@
 use crate::clock;
 use crate::record::{Event, Record, Stage, WorkEnd};
 
-/// Events of one answer, and the pause between two.
-const EVENTS: usize = 6;
+/// Number of events in a streamed response, and the pause after each.
+const STREAM_EVENTS: usize = 6;
 const EVENT_PAUSE: Duration = Duration::from_millis(25);
-const SEES_CLOSE: Duration = Duration::from_millis(3);
-const LEASES: &str = "/kv/leases/";
+/// Time for the runtime to process the close of a connection before the work on it ends.
+const CLOSE_DETECTION_TIME: Duration = Duration::from_millis(3);
+const LEASES_PATH: &str = "/kv/leases/";
 
-/// What an engine does with prompts.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Role {
     Prefill,
     Decode,
 }
 
-/// How an engine is started.
+/// Options of the `engine` command.
 #[derive(Clone, Debug, Args)]
 pub struct Options {
     #[arg(long)]
@@ -50,20 +51,21 @@
     pub role: Role,
     #[arg(long)]
     pub listen: SocketAddr,
-    /// The folder of the states, shared by all engines.
+    /// Folder of the states, shared by all engines.
     #[arg(long)]
     pub states: PathBuf,
-    /// The least and the most time that a read, or the wait for a writer's first token, takes (ms).
+    /// Minimum time of a prefill, or of a decode server until its first token (ms).
     #[arg(long, default_value_t = 20)]
     pub least: u64,
+    /// Maximum of the same time (ms).
     #[arg(long, default_value_t = 60)]
     pub most: u64,
-    /// A prefill that has begun is ended, also once its connection has.
+    /// Whether a prefill that has begun is completed even after its connection has ended.
     #[arg(long)]
     pub finishes_prefills: bool,
 }
 
-type Answer = Response<BoxBody<Bytes, Infallible>>;
+type EngineResponse = Response<BoxBody<Bytes, Infallible>>;
 
 struct Engine {
     options: Options,
@@ -74,83 +76,83 @@
         let record = Record { at: clock::now(), source: self.options.name.clone(), event };
         let Ok(line) = serde_json::to_string(&record) else { return };
         let mut out = io::stdout().lock();
-        // Whoever reads it may have ended first.
+        // The process that reads the records may have exited first.
         let _ = writeln!(out, "{line}").and_then(|()| out.flush());
     }
 
-    fn state(&self, request: &str) -> PathBuf {
+    fn state_path(&self, request: &str) -> PathBuf {
         self.options.states.join(request)
     }
 
-    async fn works(&self) {
+    async fn simulate_work(&self) {
         let range = self.options.least..=self.options.most.max(self.options.least);
         let time = rand::rng().random_range(range);
         sleep(Duration::from_millis(time)).await;
-        // A connection that was closed meanwhile is seen first, also by a process that stood still.
-        sleep(SEES_CLOSE).await;
+        // A close during the work is processed before the work ends, even after the process was paused.
+        sleep(CLOSE_DETECTION_TIME).await;
     }
 
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> EngineResponse {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path();
         if body.collect().await.is_err() {
-            return brief(StatusCode::BAD_REQUEST, "");
+            return fixed_response(StatusCode::BAD_REQUEST, "");
         }
-        if let Some(id) = path.strip_prefix(LEASES) {
+        if let Some(id) = path.strip_prefix(LEASES_PATH) {
             return match parts.method {
                 Method::DELETE => self.release(id),
-                _ => brief(StatusCode::NOT_FOUND, ""),
+                _ => fixed_response(StatusCode::NOT_FOUND, ""),
             };
         }
         if matches!(path, "/status/load" | "/health") {
-            return brief(StatusCode::OK, "TEXT inflight=1, x0=0.1");
+            return fixed_response(StatusCode::OK, "TEXT inflight=1, x0=0.1");
         }
         let Some(id) = parts.headers.get("req-id").and_then(|id| id.to_str().ok()) else {
-            return brief(StatusCode::NOT_FOUND, "");
+            return fixed_response(StatusCode::NOT_FOUND, "");
         };
         match self.options.role {
-            Role::Prefill if self.options.finishes_prefills => self.read_to_the_end(id).await,
-            Role::Prefill => self.read(id).await,
-            Role::Decode => self.write(id).await,
+            Role::Prefill if self.options.finishes_prefills => self.prefill_to_completion(id).await,
+            Role::Prefill => self.prefill(id).await,
+            Role::Decode => self.decode(id).await,
         }
     }
 
-    fn release(&self, id: &str) -> Answer {
-        // Nothing may be held any more; that is no fault.
-        let _ = fs::remove_file(self.state(id));
+    fn release(&self, id: &str) -> EngineResponse {
+        // The state may have been claimed or released before, which is no error.
+        let _ = fs::remove_file(self.state_path(id));
         self.record(Event::Released { request: id.into() });
-        brief(StatusCode::NO_CONTENT, "")
+        fixed_response(StatusCode::NO_CONTENT, "")
     }
 
-    async fn read(self: Arc<Self>, id: &str) -> Answer {
+    async fn prefill(self: Arc<Self>, id: &str) -> EngineResponse {
         let mut work = Work::begin(self.clone(), id, Stage::Prefill);
-        self.works().await;
-        if fs::write(self.state(id), &self.options.name).is_ok() {
+        self.simulate_work().await;
+        if fs::write(self.state_path(id), &self.options.name).is_ok() {
             self.record(Event::StateLeased { request: id.into() });
         }
         work.set_end(WorkEnd::Answered);
-        brief(StatusCode::ACCEPTED, r#"{"cached_tokens":0}"#)
+        fixed_response(StatusCode::ACCEPTED, r#"{"cached_tokens":0}"#)
     }
 
-    async fn read_to_the_end(self: Arc<Self>, id: &str) -> Answer {
+    async fn prefill_to_completion(self: Arc<Self>, id: &str) -> EngineResponse {
         let id = id.to_string();
-        let read = tokio::spawn(async move { self.read(&id).await });
-        read.await.unwrap_or_else(|_| brief(StatusCode::INTERNAL_SERVER_ERROR, ""))
+        let prefill_task = tokio::spawn(async move { self.prefill(&id).await });
+        prefill_task.await.unwrap_or_else(|_| fixed_response(StatusCode::INTERNAL_SERVER_ERROR, ""))
     }
 
-    async fn write(self: Arc<Self>, id: &str) -> Answer {
+    async fn decode(self: Arc<Self>, id: &str) -> EngineResponse {
         let mut work = Work::begin(self.clone(), id, Stage::Decode);
-        self.works().await;
-        if fs::remove_file(self.state(id)).is_err() {
+        self.simulate_work().await;
+        if fs::remove_file(self.state_path(id)).is_err() {
             work.set_end(WorkEnd::Rejected);
-            return declined(StatusCode::GONE);
+            return declined_response(StatusCode::GONE);
         }
         self.record(Event::StateClaimed { request: id.into() });
-        stream(work)
+        stream_response(work)
     }
 }
 
-/// An attempt under way; its end is recorded when it is dropped, however that comes.
+/// Attempt in progress, whose end is recorded when this is dropped.
 struct Work {
     engine: Arc<Engine>,
     request: String,
@@ -164,38 +166,38 @@
         Work { engine, request: id.into(), stage, end: WorkEnd::Dropped }
     }
 
-    /// What its end is to be recorded as.
-    fn set_end(&mut self, how: WorkEnd) {
-        self.end = how;
+    /// Sets how the end of the attempt is recorded; [`WorkEnd::Dropped`] by default.
+    fn set_end(&mut self, end: WorkEnd) {
+        self.end = end;
     }
 }
 
 impl Drop for Work {
     fn drop(&mut self) {
-        let (request, stage, how) = (self.request.clone(), self.stage, self.end);
-        self.engine.record(Event::Ended { request, stage, end: how });
+        let (request, stage, outcome) = (self.request.clone(), self.stage, self.end);
+        self.engine.record(Event::Ended { request, stage, end: outcome });
     }
 }
 
-fn brief(status: StatusCode, body: &'static str) -> Answer {
-    let mut answer = Response::new(Full::new(Bytes::from_static(body.as_bytes())).boxed());
-    *answer.status_mut() = status;
+fn fixed_response(status: StatusCode, body: &'static str) -> EngineResponse {
+    let mut response = Response::new(Full::new(Bytes::from_static(body.as_bytes())).boxed());
+    *response.status_mut() = status;
     let load = http::HeaderValue::from_static("TEXT inflight=1, x0=0.1");
-    answer.headers_mut().insert("srv-load", load);
-    answer
+    response.headers_mut().insert("srv-load", load);
+    response
 }
 
-fn declined(status: StatusCode) -> Answer {
-    let mut answer = brief(status, "");
-    answer.headers_mut().insert("srv-declined", http::HeaderValue::from_static("1"));
-    answer
+fn declined_response(status: StatusCode) -> EngineResponse {
+    let mut response = fixed_response(status, "");
+    response.headers_mut().insert("srv-declined", http::HeaderValue::from_static("1"));
+    response
 }
 
-/// An answer's events, one after the other, for as long as somebody reads them.
-fn stream(mut work: Work) -> Answer {
+/// Returns a response that streams its events until the client closes the connection.
+fn stream_response(mut work: Work) -> EngineResponse {
     let (sender, receiver) = mpsc::channel::<Bytes>(1);
     tokio::spawn(async move {
-        for _ in 0..EVENTS {
+        for _ in 0..STREAM_EVENTS {
             let event = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
             if sender.send(Bytes::from_static(event.as_bytes())).await.is_err() {
                 return;
@@ -206,14 +208,14 @@
             work.set_end(WorkEnd::Answered);
         }
     });
-    let frames = futures_of(receiver);
-    let mut answer = Response::new(BodyExt::boxed(StreamBody::new(frames)));
-    let kind = http::HeaderValue::from_static("text/event-stream");
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, kind);
-    answer
+    let frames = frame_stream(receiver);
+    let mut response = Response::new(BodyExt::boxed(StreamBody::new(frames)));
+    let content_type = http::HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(http::header::CONTENT_TYPE, content_type);
+    response
 }
 
-fn futures_of(
+fn frame_stream(
     receiver: mpsc::Receiver<Bytes>,
 ) -> impl futures_util::Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync {
     futures_util::stream::unfold(receiver, |mut receiver| async move {
@@ -222,22 +224,22 @@
     })
 }
 
-/// Serves until the process is ended.
+/// Serves requests until the process is terminated.
 pub async fn run(options: Options) -> io::Result<()> {
     fs::create_dir_all(&options.states)?;
     let listener = TcpListener::bind(options.listen).await?;
     let engine = Arc::new(Engine { options });
     loop {
         let (socket, _) = listener.accept().await?;
-        // Small writes are not held back.
+        // Without this, small writes may be delayed.
         let _ = socket.set_nodelay(true);
         let engine = engine.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
                 let engine = engine.clone();
-                async move { Ok::<_, Infallible>(engine.answer(request).await) }
+                async move { Ok::<_, Infallible>(engine.respond(request).await) }
             });
-            // A connection that breaks ends its work; nobody else has to know.
+            // An error on a connection ends its attempts, which record that themselves.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(socket), service).await;
         });
     }
--- a/fault-tests/src/faults.rs
+++ b/fault-tests/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a soak run draws: each begins, lasts a while, and ends; several may be under way at once.
+//! Faults that the soak test injects. Each has a start, a duration and an end, and several can be active at once.
 
 use std::thread;
 use std::time::Duration;
@@ -13,41 +13,41 @@
 use crate::network::{Condition, Link};
 use crate::record::{Event, Records};
 
-/// The platform allows a gateway to be held up for so long.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// The least and the most time that a fault lasts (ms).
-const LASTS: std::ops::RangeInclusive<u64> = 200..=3_000;
-/// Share of the engines of a role that fall silent together, at most.
-const TOGETHER: f64 = 0.8;
-/// The least and the most that a link delays (ms).
-const DELAYS: std::ops::RangeInclusive<u64> = 10..=120;
+/// Maximum time for which the platform allows a gateway to be paused.
+const GATEWAY_PAUSE: Duration = Duration::from_millis(150);
+/// Duration of a fault.
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 200..=3_000;
+/// Maximum share of the engines of a role that one fault blackholes.
+const MAX_ROLE_SHARE: f64 = 0.8;
+/// Delay of a link.
+const LINK_DELAY_MS: std::ops::RangeInclusive<u64> = 10..=120;
 
-/// One fault, with whom it hits.
+/// Fault and what it affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The ways to these engines are silent; those that stood are reset at the end if `resets`.
+    /// All links to these engines are blackholed; their connections are reset at the end if `resets` is set.
     Blackholed { engines: Vec<usize>, resets: bool },
-    /// As [`Fault::Blackholed`], and no new connection comes up.
+    /// Like [`Fault::Blackholed`], and no new connection is established.
     Unconnectable { engines: Vec<usize> },
-    /// One gateway's way to an engine is silent.
+    /// One gateway's link to an engine is blackholed.
     BlackholedLink { gateway: usize, engine: usize },
-    /// The connections that stand now are silent for good; new ones are well.
+    /// The open connections to an engine are permanently stalled; new ones work.
     StalledConnections { engine: usize },
-    /// The connections that stand now are reset.
+    /// The open connections to an engine are reset.
     Reset { engine: usize },
-    /// What passes to and from an engine is late.
+    /// Bytes to and from an engine are delayed.
     Delayed { engine: usize, delay: Duration },
-    /// An engine's process stands still.
+    /// An engine's process is paused.
     EnginePaused { engine: usize },
-    /// An engine is killed and comes back empty.
+    /// An engine is killed and restarted without its states.
     Restarted { engine: usize },
-    /// An engine drains.
+    /// An engine is listed as draining.
     Drained { engine: usize },
-    /// A gateway's process is held up for a moment.
+    /// A gateway's process is paused.
     GatewayPaused { gateway: usize },
 }
 
-/// A fault with its time.
+/// Fault with its duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     pub fault: Fault,
@@ -55,39 +55,40 @@
 }
 
 impl ScheduledFault {
-    /// Draws one for this deployment.
+    /// Returns a random fault for this deployment.
     pub fn random(deployment: &Deployment, random: &mut StdRng) -> ScheduledFault {
-        let lasts = Duration::from_millis(random.random_range(LASTS));
+        let random_duration = Duration::from_millis(random.random_range(FAULT_DURATION_MS));
         let engine = random.random_range(0..deployment.engines.len());
         let gateway = random.random_range(0..deployment.gateways.len());
         let fault = match random.random_range(0..11) {
-            0 | 1 => {
-                Fault::Blackholed { engines: some_of_a_role(deployment, random), resets: random.random() }
-            }
-            2 => Fault::Unconnectable { engines: some_of_a_role(deployment, random) },
+            0 | 1 => Fault::Blackholed {
+                engines: random_engines_of_one_role(deployment, random),
+                resets: random.random(),
+            },
+            2 => Fault::Unconnectable { engines: random_engines_of_one_role(deployment, random) },
             3 => Fault::BlackholedLink { gateway, engine },
             4 => Fault::StalledConnections { engine },
             5 => Fault::Reset { engine },
-            6 => Fault::Delayed { engine, delay: Duration::from_millis(random.random_range(DELAYS)) },
+            6 => Fault::Delayed { engine, delay: Duration::from_millis(random.random_range(LINK_DELAY_MS)) },
             7 => Fault::EnginePaused { engine },
             8 => Fault::Restarted { engine },
             9 => Fault::Drained { engine },
-            _ => return ScheduledFault { fault: Fault::GatewayPaused { gateway }, duration: HELD_UP },
+            _ => return ScheduledFault { fault: Fault::GatewayPaused { gateway }, duration: GATEWAY_PAUSE },
         };
-        ScheduledFault { fault, duration: lasts }
+        ScheduledFault { fault, duration: random_duration }
     }
 
-    /// Has it begin.
+    /// Starts the fault.
     pub async fn begin(&self, deployment: &mut Deployment) -> Result<(), DeploymentError> {
         match &self.fault {
-            Fault::Blackholed { engines, .. } => set(deployment, engines, Condition::Blackholed),
-            Fault::Unconnectable { engines } => set(deployment, engines, Condition::Unconnectable),
+            Fault::Blackholed { engines, .. } => set_condition(deployment, engines, Condition::Blackholed),
+            Fault::Unconnectable { engines } => set_condition(deployment, engines, Condition::Unconnectable),
             Fault::BlackholedLink { gateway, engine } => {
                 deployment.links[&(*gateway, *engine)].set(Condition::Blackholed);
             }
             Fault::StalledConnections { engine } => each(deployment, *engine, Link::stall_open_connections),
             Fault::Reset { engine } => each(deployment, *engine, Link::reset),
-            Fault::Delayed { engine, delay } => each(deployment, *engine, |link| link.delay(*delay)),
+            Fault::Delayed { engine, delay } => each(deployment, *engine, |link| link.set_delay(*delay)),
             Fault::EnginePaused { engine } => deployment.engines[*engine].process.signal(Signal::STOP),
             Fault::Restarted { engine } => {
                 deployment.restart_engine(*engine).await?;
@@ -98,22 +99,22 @@
                 deployment.publish();
             }
             Fault::GatewayPaused { gateway } => {
-                pause(&deployment.gateways[*gateway], self.duration, &deployment.records);
+                pause_gateway(&deployment.gateways[*gateway], self.duration, &deployment.records);
             }
         }
         Ok(())
     }
 
-    /// Has it end.
+    /// Ends the fault; has no effect on faults that end without action.
     pub fn end(&self, deployment: &mut Deployment) {
         match &self.fault {
             Fault::Blackholed { engines, resets } => {
                 if *resets {
                     engines.iter().for_each(|engine| each(deployment, *engine, Link::reset));
                 }
-                set(deployment, engines, Condition::Open);
+                set_condition(deployment, engines, Condition::Open);
             }
-            Fault::Unconnectable { engines } => set(deployment, engines, Condition::Open),
+            Fault::Unconnectable { engines } => set_condition(deployment, engines, Condition::Open),
             Fault::BlackholedLink { gateway, engine } => {
                 deployment.links[&(*gateway, *engine)].set(Condition::Open);
             }
@@ -121,7 +122,7 @@
             | Fault::Reset { .. }
             | Fault::Restarted { .. }
             | Fault::GatewayPaused { .. } => {}
-            Fault::Delayed { engine, .. } => each(deployment, *engine, |link| link.delay(Duration::ZERO)),
+            Fault::Delayed { engine, .. } => each(deployment, *engine, |link| link.set_delay(Duration::ZERO)),
             Fault::EnginePaused { engine } => deployment.engines[*engine].process.signal(Signal::CONT),
             Fault::Drained { engine } => {
                 deployment.engines[*engine].draining = false;
@@ -131,9 +132,9 @@
     }
 }
 
-/// Has a gateway's process stand still for so long. The platform bounds how long a gateway is held up, so its end waits for
-/// nobody, and for no timer of a runtime that may itself be late.
-fn pause(gateway: &GatewayProcess, duration: Duration, records: &Records) {
+/// Pauses a gateway's process for this long. The platform bounds how long a gateway is paused, so the end of the pause depends
+/// on neither the lock on the deployment nor a timer of the runtime, which may be late.
+fn pause_gateway(gateway: &GatewayProcess, duration: Duration, records: &Records) {
     let (name, process, records) = (gateway.name.clone(), gateway.process.signal_target(), records.clone());
     thread::spawn(move || {
         records.add(&name, Event::GatewayPaused);
@@ -144,20 +145,21 @@
     });
 }
 
-fn each(deployment: &Deployment, engine: usize, what: impl Fn(&Link)) {
-    deployment.links_to(engine).for_each(what);
+/// Applies `action` to the links of all gateways to this engine.
+fn each(deployment: &Deployment, engine: usize, action: impl Fn(&Link)) {
+    deployment.links_to(engine).for_each(action);
 }
 
-fn set(deployment: &Deployment, engines: &[usize], condition: Condition) {
+fn set_condition(deployment: &Deployment, engines: &[usize], condition: Condition) {
     engines.iter().for_each(|engine| each(deployment, *engine, |link| link.set(condition)));
 }
 
-/// Some engines of one role, of which the others stay well.
-fn some_of_a_role(deployment: &Deployment, random: &mut StdRng) -> Vec<usize> {
+/// Returns random engines of one random role, at most [`MAX_ROLE_SHARE`] of them but at least one.
+fn random_engines_of_one_role(deployment: &Deployment, random: &mut StdRng) -> Vec<usize> {
     let role = if random.random_bool(0.5) { Role::Prefill } else { Role::Decode };
     let of_role = deployment.engines.iter().enumerate().filter(|(_, engine)| engine.spec.role == role);
     let all: Vec<usize> = of_role.map(|(index, _)| index).collect();
-    let most = ((all.len() as f64 * TOGETHER) as usize).max(1);
-    let count = random.random_range(1..=most);
+    let max_count = ((all.len() as f64 * MAX_ROLE_SHARE) as usize).max(1);
+    let count = random.random_range(1..=max_count);
     all.choose_multiple(random, count).copied().collect()
 }
--- a/fault-tests/src/soak.rs
+++ b/fault-tests/src/soak.rs
@@ -1,4 +1,4 @@
-//! A soak run: a deployment under load while random faults overlap, judged by the invariants.
+//! Soak test: a deployment under load with random, overlapping faults, checked against the invariants.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,41 +15,41 @@
 use crate::deployment::{Deployment, DeploymentError, DeploymentSpec};
 use crate::faults::ScheduledFault;
 use crate::front::Front;
-use crate::judge::judge;
+use crate::invariants::check_invariants;
 use crate::record::Records;
-use crate::report::evidence_of;
+use crate::report::collect_evidence;
 pub use crate::report::Report;
 use crate::restarts::Restart;
 use crate::sessions::Outcomes;
 use crate::{clock, crowd, restarts, sessions};
 
-/// Clients wait so long for a first token, at most.
-const DEADLINE: Duration = Duration::from_secs(4);
-/// After the last request everything has ended by then.
-const QUIET: Duration = Duration::from_millis(5_500);
-/// The least and the most pause between two faults (ms).
-const BETWEEN: std::ops::RangeInclusive<u64> = 100..=700;
-/// Share of the clients that leave before their answer.
-const LEAVE: f64 = 0.1;
-/// A client that leaves does so within so many milliseconds.
-const LEAVES_WITHIN: u64 = 600;
+/// Maximum deadline of clients for the first token.
+const MAX_DEADLINE: Duration = Duration::from_secs(4);
+/// Time after the last request within which all work ends.
+const SETTLE_TIME: Duration = Duration::from_millis(5_500);
+/// Pause between the starts of two faults.
+const FAULT_PAUSE_MS: std::ops::RangeInclusive<u64> = 100..=700;
+/// Share of the clients that may disconnect before their response.
+const DISCONNECT_SHARE: f64 = 0.1;
+/// Maximum time until such a client disconnects.
+const MAX_DISCONNECT_DELAY_MS: u64 = 600;
 
-/// Descriptors of each gateway, and idle clients before each, where there is a crowd; they come back so long after they were
-/// evicted.
-const CROWD_SOCKETS: usize = 256;
-const CROWD_CLIENTS: usize = 150;
-const CROWD_BACK_AFTER: Duration = Duration::from_millis(200);
+/// File descriptor limit of each gateway in runs with `--crowd`, idle clients per gateway, and the delay with which evicted
+/// idle clients reconnect.
+const CROWD_MAX_DESCRIPTORS: usize = 256;
+const CROWD_CLIENTS_PER_GATEWAY: usize = 150;
+const CROWD_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// How a soak run is started.
+/// Options of the `soak` command.
 #[derive(Clone, Debug, Args)]
 pub struct Options {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds, one after the other.
+    /// Number of seeds, run one after the other.
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// How long faults are drawn (s).
+    /// Time for which faults are injected (s).
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
     #[arg(long, default_value_t = 4)]
@@ -58,32 +58,32 @@
     pub readers: usize,
     #[arg(long, default_value_t = 11)]
     pub writers: usize,
-    /// Requests a second, at all gateways together.
+    /// Requests per second to all gateways together.
     #[arg(long, default_value_t = 60.0)]
     pub rate: f64,
-    /// Engines may not be probed.
+    /// Forbid the gateways to probe engines.
     #[arg(long)]
     pub no_probes: bool,
-    /// Gateways are restarted, beside clients that keep their connections.
+    /// Restart gateways, and add clients with persistent connections.
     #[arg(long)]
     pub restarts: bool,
-    /// Idle clients fill the gateways' connection tables.
+    /// Fill the gateways' connection tables with idle clients.
     #[arg(long)]
     pub crowd: bool,
-    /// The gateway's program.
+    /// Path of the gateway's binary.
     #[arg(long, default_value = "target/release/glenrail")]
     pub gateway: PathBuf,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub async fn run(options: &Options, seed: u64, program: &Path) -> Result<Report, DeploymentError> {
     let mut spec = DeploymentSpec::new(options.gateways, options.readers, options.writers);
-    spec.deadline = DEADLINE;
+    spec.deadline = MAX_DEADLINE;
     spec.probes = !options.no_probes;
     if options.crowd {
-        spec.sockets = CROWD_SOCKETS;
+        spec.max_descriptors = CROWD_MAX_DESCRIPTORS;
     }
-    let pin_limit = spec.lease_limit;
+    let lease_limit = spec.lease_limit;
     let deployment = Deployment::start(spec, program, &options.gateway).await?;
     let records = deployment.records.clone();
     let gateways: Vec<_> = deployment.gateways.iter().map(|g| (g.name.clone(), g.address)).collect();
@@ -92,40 +92,41 @@
     let front = Arc::new(Front::new(gateways.clone()));
     let mut crowd = JoinSet::new();
     if options.crowd {
-        for (_, address) in gateways.iter().cycle().take(CROWD_CLIENTS * gateways.len()) {
-            crowd.spawn(crowd::stay_idle(*address, CROWD_BACK_AFTER));
+        for (_, address) in gateways.iter().cycle().take(CROWD_CLIENTS_PER_GATEWAY * gateways.len()) {
+            crowd.spawn(crowd::run_idle_client(*address, CROWD_RECONNECT_DELAY));
         }
     }
-    let load = tokio::spawn(load(front.clone(), records.clone(), options.rate, seed, until));
-    let kept = sessions_and_restarts(options, &deployment, &front, &records, seed, until);
-    let (draws, kept) = tokio::join!(faults(deployment.clone(), seed, until), kept);
-    let (draws, (sessions, restarts)) = (draws?, kept?);
+    let load = tokio::spawn(generate_load(front.clone(), records.clone(), options.rate, seed, until));
+    let sessions_result = sessions_and_restarts(options, &deployment, &front, &records, seed, until);
+    let (drawn_faults, sessions_result) =
+        tokio::join!(inject_faults(deployment.clone(), seed, until), sessions_result);
+    let (drawn_faults, (sessions, restarts)) = (drawn_faults?, sessions_result?);
     let statuses = load.await.unwrap_or_default();
     drop(crowd);
-    sleep(QUIET).await;
-    let all = records.all();
-    let violations = judge(&all, pin_limit, clock::now());
+    sleep(SETTLE_TIME).await;
+    let all_records = records.all();
+    let violations = check_invariants(&all_records, lease_limit, clock::now());
     let deployment = deployment.read().await;
-    let lateness = deployment.lateness.so_far();
-    let told = deployment.log_lines("invariant broken");
+    let lateness = deployment.lateness.snapshot();
+    let reported = deployment.log_lines("invariant broken");
     let evidence = violations
         .first()
-        .map_or_else(Vec::new, |violation| evidence_of(violation, &all, &deployment, &lateness));
+        .map_or_else(Vec::new, |violation| collect_evidence(violation, &all_records, &deployment, &lateness));
     Ok(Report {
         seed,
-        faults: draws,
+        faults: drawn_faults,
         requests: statuses.values().sum(),
         statuses,
         sessions,
         restarts,
         violations,
         evidence,
-        reported_violations: told,
+        reported_violations: reported,
         lateness,
     })
 }
 
-/// Runs clients that keep their connections beside restarts, where there are any.
+/// Runs clients with persistent connections beside restarts, if the options include them.
 async fn sessions_and_restarts(
     options: &Options, deployment: &Arc<RwLock<Deployment>>, front: &Arc<Front>, records: &Records,
     seed: u64, until: Instant,
@@ -133,68 +134,69 @@
     if !options.restarts {
         return Ok(Default::default());
     }
-    let sessions = sessions::run(front.clone(), records.clone(), DEADLINE, seed, until);
+    let sessions = sessions::run(front.clone(), records.clone(), MAX_DEADLINE, seed, until);
     let restarts = restarts::run(deployment.clone(), front.clone(), seed, until);
     let (sessions, restarts) = tokio::join!(sessions, restarts);
     Ok((sessions, restarts?))
 }
 
-/// Draws faults until then, and ends each after its time.
-async fn faults(
+/// Injects random faults until `until`, ends each after its duration, and returns their descriptions.
+async fn inject_faults(
     deployment: Arc<RwLock<Deployment>>, seed: u64, until: Instant,
 ) -> Result<Vec<String>, DeploymentError> {
     let mut random = StdRng::seed_from_u64(seed);
     let began = Instant::now();
-    let (mut draws, mut ends) = (Vec::new(), JoinSet::new());
+    let (mut drawn_faults, mut fault_ends) = (Vec::new(), JoinSet::new());
     while Instant::now() < until {
-        sleep(Duration::from_millis(random.random_range(BETWEEN))).await;
-        let mut held = deployment.write().await;
-        let draw = ScheduledFault::random(&held, &mut random);
-        draw.begin(&mut held).await?;
-        drop(held);
-        draws.push(format!(
+        sleep(Duration::from_millis(random.random_range(FAULT_PAUSE_MS))).await;
+        let mut locked = deployment.write().await;
+        let scheduled = ScheduledFault::random(&locked, &mut random);
+        scheduled.begin(&mut locked).await?;
+        drop(locked);
+        drawn_faults.push(format!(
             "{:.3} s {:?} for {:?}",
             began.elapsed().as_secs_f64(),
-            draw.fault,
-            draw.duration
+            scheduled.fault,
+            scheduled.duration
         ));
         let deployment = deployment.clone();
-        ends.spawn(async move {
-            sleep(draw.duration).await;
-            draw.end(&mut *deployment.write().await);
+        fault_ends.spawn(async move {
+            sleep(scheduled.duration).await;
+            scheduled.end(&mut *deployment.write().await);
         });
     }
-    while ends.join_next().await.is_some() {}
-    Ok(draws)
+    while fault_ends.join_next().await.is_some() {}
+    Ok(drawn_faults)
 }
 
-/// Sends requests until then, and gives their answers by status.
-async fn load(
+/// Sends requests until `until`, and returns their number by status; 0 counts requests without a response.
+async fn generate_load(
     front: Arc<Front>, records: Records, rate: f64, seed: u64, until: Instant,
 ) -> std::collections::BTreeMap<u16, usize> {
     let mut random = StdRng::seed_from_u64(seed ^ 0x5eed);
-    let mut asked = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let mut number = 0u64;
     while Instant::now() < until {
-        // Exponential pauses, as independent clients make them.
+        // Exponentially distributed pauses, as between the requests of independent clients.
         let pause = -(1.0 - random.random::<f64>()).ln() / rate;
         sleep(Duration::from_secs_f64(pause)).await;
         number += 1;
         let repeatable = random.random_bool(0.5);
         let class = if repeatable { "item-query" } else { "order-chat" };
-        let deadline = DEADLINE.mul_f64(random.random_range(0.5..=1.0));
-        let mut ask = ClientRequest::new(format!("{seed:x}-{number:x}"), class, deadline, repeatable);
-        ask.session = random.random_range(0..200);
-        if random.random_bool(LEAVE) {
-            ask.disconnects_after = Some(Duration::from_millis(random.random_range(1..=LEAVES_WITHIN)));
+        let deadline = MAX_DEADLINE.mul_f64(random.random_range(0.5..=1.0));
+        let mut request = ClientRequest::new(format!("{seed:x}-{number:x}"), class, deadline, repeatable);
+        request.session = random.random_range(0..200);
+        if random.random_bool(DISCONNECT_SHARE) {
+            request.disconnects_after =
+                Some(Duration::from_millis(random.random_range(1..=MAX_DISCONNECT_DELAY_MS)));
         }
         let gateway = front.choose(&mut random);
         let (name, address) = (gateway.name.clone(), gateway.address);
         let records = records.clone();
-        asked.spawn(async move { client::send_request(&name, address, ask, &records).await });
+        in_flight.spawn(async move { client::send_request(&name, address, request, &records).await });
     }
     let mut statuses = std::collections::BTreeMap::new();
-    while let Some(status) = asked.join_next().await {
+    while let Some(status) = in_flight.join_next().await {
         *statuses.entry(status.ok().flatten().unwrap_or(0)).or_default() += 1;
     }
     statuses
