--- a/gateway/src/core/attempt.rs
+++ b/gateway/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! Runs one attempt: sends its call once and feeds the result to the request's state machine.
+//! Runs one attempt: makes its call, waits for the result and forwards a response stream to the client.
 
 use futures_util::stream::StreamExt;
 use glenrail_request_lifecycle::request::{AttemptState, Input, Reply as MachineReply, StreamEnd};
@@ -13,7 +13,8 @@
 use crate::upstream::{Call, CallError, Frame, Frames, Reply};
 
 impl<U: Upstream, R: DecisionPolicy> Core<U, R> {
-    /// Sends an attempt once and feeds its result to the request's state machine.
+    /// Sends an attempt once, unless its deadline has passed, and feeds its result to the request's state
+    /// machine.
     pub(super) async fn run_attempt(
         &self, id: u64, attempt: usize, call: Call, deadline: Instant, cancelled: oneshot::Receiver<()>,
     ) {
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Waits for the first event of a response, then forwards the response to the client if the state machine streams this
-    /// attempt.
+    /// Waits for the first event of a response and reports it to the state machine. Forwards the response to
+    /// the client if the attempt is then in the state [`AttemptState::Streaming`], and drops it otherwise.
     async fn forward_response(&self, id: u64, attempt: usize, head: ResponseHead, mut frames: Frames) {
         let Some(Ok(Frame::Data(first))) = frames.next().await else {
             return self.step(id, Input::Replied { attempt, reply: MachineReply::Reset });
@@ -76,7 +77,7 @@
         self.step(id, Input::StreamEnded { attempt, end });
     }
 
-    /// Returns the channel to the client if the state machine streams this attempt's response.
+    /// Returns the channel to the client if the attempt is in the state [`AttemptState::Streaming`].
     fn client_channel(&self, id: u64, attempt: usize) -> Option<mpsc::Sender<ResponsePart>> {
         let inner = self.inner.borrow();
         let request = inner.requests.get(&id)?;
@@ -99,7 +100,8 @@
     if cancel_token.is_written() {
         return Input::CancelCompleted { attempt };
     }
-    // An attempt cancelled while it was connecting was never in flight, so the time of its lease kept running.
+    // The attempt was cancelled before a byte was written, so it never claimed the lease. With `NotSent` the
+    // time of the unclaimed lease is not restarted.
     Input::Replied { attempt, reply: MachineReply::NotSent }
 }
 
--- a/gateway/src/core/clock.rs
+++ b/gateway/src/core/clock.rs
@@ -8,7 +8,7 @@
 /// Maximum result of [`duration`], in milliseconds: one hour.
 const MAX_DURATION: Millis = 3.6e6;
 
-/// Monotonic clock in milliseconds since the process started, with the wall-clock time of that start.
+/// Monotonic clock in milliseconds since its creation, with the wall-clock time of its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -31,7 +31,7 @@
         millis(instant.saturating_duration_since(self.start))
     }
 
-    /// Converts Unix milliseconds to this clock's time; negative for times before the process started.
+    /// Converts Unix milliseconds to this clock's time; negative for times before this clock started.
     pub fn of_unix(&self, unix_ms: f64) -> Millis {
         unix_ms - self.unix_ms
     }
--- a/gateway/src/core/close_confirmation.rs
+++ b/gateway/src/core/close_confirmation.rs
@@ -18,7 +18,7 @@
 
 /// An attempt whose connection the gateway closed or lost before the end of the server's work.
 struct InterruptedAttempt {
-    /// The request's id that clients and servers know.
+    /// The request id that servers receive.
     request: String,
     server: ServerId,
     token: CancelToken,
@@ -63,8 +63,8 @@
         })
     }
 
-    /// Waits a short time for all servers to notice that the request's attempts were interrupted, and reports those that have
-    /// to the state machine.
+    /// Waits a short time for servers to notice that the request's attempts were interrupted. Reports to the
+    /// state machine each prefill that a server has stopped working on.
     pub(super) async fn await_close_confirmations(&self, id: u64) {
         let unconfirmed = self.unconfirmed_closes(id);
         if unconfirmed.is_empty() {
--- a/gateway/src/core/effects.rs
+++ b/gateway/src/core/effects.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Requests a slot reservation for the request from a server.
+    /// Starts a task that calls a server to reserve a slot for the request and reports the result to the
+    /// state machine.
     fn request_slot(&self, id: u64, server: ServerId) {
         let mut inner = self.inner.borrow_mut();
         let Some(request) = inner.requests.get_mut(&id) else { return };
@@ -86,7 +87,7 @@
         let task = spawn_local(async move {
             let reserved = match reply.await {
                 Ok(Reply::SlotReserved(reserved)) => reserved,
-                // No byte of the call reached the server.
+                // The last byte of the call was never written, so the server has reserved nothing.
                 Err(CallError::ConnectFailed | CallError::NotSent) => Some(false),
                 _ => None,
             };
@@ -129,7 +130,8 @@
         let server = ServerId(request.machine.attempts()[attempt].server);
         let elapsed = request.calls[attempt].elapsed();
         request.record.first_token(attempt, inner.clock.now());
-        // The stream has claimed the lease; state that an interrupted prefill leaves later is unclaimed from now on.
+        // The stream has claimed the lease. An interrupted prefill may still leave state later; its unclaimed
+        // time counts from now.
         request.unclaimed_since = Instant::now();
         let (id, attempt) = (RequestId(id), attempt as u32);
         inner.events.push_back(Event::FirstToken { id, attempt, server, elapsed });
@@ -147,7 +149,8 @@
             let name = &request.payload.request_id;
             log!("request {name}: its delivery to server {:x} was not confirmed; cancelled", server.0);
         }
-        // A lease on state that an interrupted prefill may have left starts now.
+        // A delivered attempt has ended its claim on the lease, and a prefill that was written may have left
+        // state. In both cases the unclaimed time starts now.
         let may_have_left_state = state.stage == Stage::Prefill && call.cancel_token.is_written();
         if state.delivered || may_have_left_state {
             request.unclaimed_since = Instant::now();
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! The core: drives one [`Router`] and one [`lifecycle`](glenrail_request_lifecycle) state machine for each request,
-//! independent of any wire format.
+//! The core: drives one [`Router`], and a [`lifecycle`](glenrail_request_lifecycle) state machine for each
+//! request, independent of any wire format.
 //!
-//! [`Core`] owns the state of all requests, the queue of events for the router and the timers; it runs on one thread and
-//! on tokio's clock. Events go through a queue, so that executing an action never re-enters the router. The state machine
-//! of a request decides what the request may do at each point: the core starts calls, feeds their results to the machine
-//! and executes its effects.
+//! [`Core`] owns the state of all requests, the timers and the queue of events for the router; it runs on one
+//! thread and on tokio's clock. Events go through a queue, so that executing an action never re-enters the
+//! router. The state machine of a request decides what the request may do at each point: the core starts
+//! calls, feeds their results to the machine and executes its effects.
 
 #![deny(missing_docs)]
 
@@ -96,7 +96,7 @@
     /// Whether a caller further up the stack is handling the events.
     is_processing: bool,
     requests: HashMap<u64, RequestState>,
-    /// Requests that have not finished, by the id that servers receive.
+    /// The core's id of each request that has not finished, by the request id that servers receive.
     ids_by_name: HashMap<String, u64>,
     last_id: u64,
     timers: Timers,
@@ -153,7 +153,8 @@
         self.inner.borrow_mut().router.import_state(learned);
     }
 
-    /// Number of listed servers that receive no new requests at present, by a maintenance order or by the router's decision.
+    /// Number of listed servers that receive no new requests at present, because they are ejected or
+    /// draining.
     pub fn avoided_servers(&self) -> usize {
         let inner = self.inner.borrow();
         inner.servers.keys().filter(|id| inner.router.is_out_of_rotation(**id)).count()
@@ -221,12 +222,14 @@
         pending.sort_unstable_by_key(|(id, _)| *id);
         for (id, response) in pending {
             self.step(id, Input::Respond(response));
-            // The router releases the resources that it accounts to the request, as after a client's disconnection.
+            // Makes the router free the capacity that it counts for the request, as it does when a client
+            // disconnects.
             self.dispatch(Event::ClientDisconnected { id: RequestId(id) });
         }
     }
 
-    /// Whether no request, attempt or release is in flight.
+    /// Whether every request has finished. A request finishes only after its releases and the confirmations
+    /// of its closed connections.
     pub fn is_idle(&self) -> bool {
         self.inner.borrow().requests.is_empty()
     }
--- a/gateway/src/core/release.rs
+++ b/gateway/src/core/release.rs
@@ -42,7 +42,8 @@
         spawn_local(self.clone().run_release(release));
     }
 
-    /// Repeats the call until a server accepts the release or the time for retries has passed.
+    /// Repeats the release until a server accepts it or the time for retries has passed. After an
+    /// interruption, first waits a short time for close confirmations.
     async fn run_release(self, release: PendingRelease) {
         if release.after_interruption {
             self.await_close_confirmations(release.request).await;
--- a/gateway/src/core/request_record.rs
+++ b/gateway/src/core/request_record.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns the complete record of a request that has finished.
+    /// Returns the complete record of a request that has finished or only awaits close confirmations.
     pub fn finish(mut self, machine: &Machine, now: Millis) -> RequestRecord {
         self.client_answered(now);
         self.record.outcome = outcome(machine);
--- a/gateway/src/core/request_state.rs
+++ b/gateway/src/core/request_state.rs
@@ -64,15 +64,15 @@
     pub deadline: Instant,
     /// One call for each attempt of the state machine, in the same order.
     pub calls: Vec<AttemptCall>,
-    /// Start of the time in which no attempt has claimed the request's lease. An attempt ends that time only once its
-    /// delivery is confirmed.
+    /// When the request's lease became unclaimed; before there is a lease, when the request arrived. An
+    /// attempt claims the lease only once its delivery is confirmed.
     pub unclaimed_since: Instant,
     /// The task that requests a slot reservation; `None` while no such call is in flight.
     pub slot_request: Option<AbortHandle>,
     /// `Retry-After` of a rejection, set by the router.
     pub retry_after: Duration,
-    /// How long the request may be retried after the first attempt that may have run; `None` for a class without
-    /// idempotency keys.
+    /// Time for which the request may be retried, counted from when the router ordered the first attempt that
+    /// may have run; `None` for a class without idempotency keys.
     pub idempotency_window: Option<Duration>,
     /// Whether a retry is safe even if the request has already run.
     pub is_idempotent: bool,
--- a/gateway/src/core/routing.rs
+++ b/gateway/src/core/routing.rs
@@ -21,7 +21,8 @@
         self.process_events();
     }
 
-    /// Passes the queued events to the router in order. Returns at once if a caller further up the stack already does so.
+    /// Passes the queued events to the router and executes its actions, in order. Returns at once if a caller
+    /// further up the stack already does so.
     pub(super) fn process_events(&self) {
         if std::mem::replace(&mut self.inner.borrow_mut().is_processing, true) {
             return;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Lets the router handle the next event; returns false and ends the processing if the queue is empty.
+    /// Passes the next event to the router; returns false and ends the processing if the queue is empty.
     fn handle_next_event(&self, actions: &mut Vec<Action>) -> bool {
         let mut inner = self.inner.borrow_mut();
         let Some(event) = inner.events.pop_front() else {
@@ -130,7 +131,8 @@
         self.step(id, input);
     }
 
-    /// Feeds one input to a request's state machine, executes the effects and lets the router handle the resulting events.
+    /// Feeds one input to a request's state machine, executes its effects and passes the resulting events to
+    /// the router. An input that is not valid in the current state is only logged.
     pub(super) fn step(&self, id: u64, input: Input) {
         let mut effects = Vec::new();
         {
--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -66,8 +66,8 @@
     let (outcomes, released_after) = run_cancelled_decode(ScriptedReply::NoConnection);
     assert_eq!(outcomes, [AttemptStatus::Prefilled, AttemptStatus::NotSent]);
     assert!((455..=475).contains(&released_after.as_millis()), "{released_after:?}");
-    // A written decode was in flight: the full lease limit starts at its end, and the server has 25 ms to notice the
-    // cancellation.
+    // A decode whose delivery was confirmed has claimed the lease: the unclaimed time starts again at its
+    // end, and the server has 25 ms to notice the cancellation.
     let (outcomes, released_after) = run_cancelled_decode(ScriptedReply::NoReply);
     assert_eq!(outcomes, [AttemptStatus::Prefilled, AttemptStatus::Cancelled]);
     assert!((705..=745).contains(&released_after.as_millis()), "{released_after:?}");
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -51,10 +51,10 @@
     Error,
     Unprocessable,
     Fail(CallError),
-    /// The connection is reset.
+    /// The connection is reset, and the attempt's token records the reset.
     ConnectionReset,
     NoReply,
-    /// No connection can be opened.
+    /// The attempt never finishes connecting, so it is not written and gets no reply.
     NoConnection,
 }
 
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Returns the next scripted observation; the last one repeats.
+    /// Returns the next scripted observation, of which the last one repeats; an error if the servers are
+    /// unreachable.
     fn confirm_delivery(&self) -> Result<Reply, CallError> {
         if self.unreachable.get() {
             return Err(CallError::ConnectFailed);
--- a/gateway/src/core/tests/rejections.rs
+++ b/gateway/src/core/tests/rejections.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// The state of the attempts when the process answers pending requests.
+/// What happens to a request's attempts before the process answers pending requests.
 struct AttemptHistory {
     prefill: ScriptedReply,
     cancels_prefill_after: Option<Millis>,
--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -106,7 +106,8 @@
 }
 
 impl<U: Upstream> Replay<U> {
-    /// Causes one input of the state machine.
+    /// Makes the router, the client, a server or the clock act so that the core feeds this input to its state
+    /// machine.
     async fn feed(&mut self, input: Input) {
         let id = RequestId(1);
         match input {
@@ -197,7 +198,8 @@
             MachineReply::MalformedResponse => Err(CallError::MalformedResponse),
             MachineReply::NotSent => Err(CallError::NotSent),
         };
-        // An attempt that was not permitted made no call.
+        // Attempts that were not started made no call, so the number of the call may be lower than the
+        // attempt's.
         let call = self.started.iter().position(|started| *started == attempt).expect("it was sent");
         let answered = oneshot::channel().0;
         let sender = std::mem::replace(&mut self.servers.0.borrow_mut().attempts[call], answered);
--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -136,7 +136,8 @@
     });
 }
 
-/// Guards against the end of slow streams: a stream continues as long as events arrive, and ends once it is idle for too long.
+/// Guards slow streams: a stream continues as long as events arrive, and is ended only if it is idle for too
+/// long.
 #[test]
 fn a_slow_stream_continues_and_an_idle_one_is_ended() {
     run_paused(async {
@@ -193,9 +194,9 @@
     });
 }
 
-/// Guards an open request of another gateway against a duplicate that arrives here. A request that a server
-/// reports as unprocessable fails at once without a retry, and nothing that servers hold under its id is
-/// released.
+/// Guards an open request of another gateway against a duplicate that arrives here and that a server reports
+/// as unprocessable: the duplicate fails at once without a retry, and nothing that servers hold under its id
+/// is released.
 #[test]
 fn an_unprocessable_request_fails_and_releases_nothing() {
     run_paused(async {
--- a/gateway/src/core/tests/resets.rs
+++ b/gateway/src/core/tests/resets.rs
@@ -126,7 +126,8 @@
     });
 }
 
-/// Guards against a delayed release after a client disconnects during a query: the release does not wait for its result.
+/// Guards against a delayed release after a client disconnects during a query: the release does not wait for
+/// the result of the query.
 #[test]
 fn a_disconnect_during_the_query_is_handled_at_once() {
     run_paused(async {
--- a/gateway/src/core/timer_loop.rs
+++ b/gateway/src/core/timer_loop.rs
@@ -36,7 +36,7 @@
         let Some(request) = inner.requests.get_mut(&id) else { return };
         let at = match timer {
             Timer::Deadline => request.deadline + DEADLINE_TIMER_SLACK,
-            // Counts from the start of the lease, because no attempt delivered since then has claimed it.
+            // The limit counts from when the lease became unclaimed, which may be earlier than now.
             Timer::LeaseLimit => request.unclaimed_since + inner.lease_limit.mul_f64(MACHINE_RELEASE_SHARE),
         };
         let purpose = TimerPurpose::Request(id, timer);
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Starts the task that waits for the timers unless it is running. It ends when the core is dropped.
+    /// Starts the task that waits for the timers, unless that task is running. The task ends when the core is
+    /// dropped.
     fn ensure_timer_task(&self, inner: &mut Inner<R>) {
         if inner.timer_task.is_some() {
             return;
--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -1,7 +1,8 @@
-//! The core's timers: one queue for all requests. A request's timers are removed when the request finishes.
+//! The core's timers: one queue on tokio's clock for all requests. A request's timers are removed when the
+//! request finishes.
 //!
-//! One task for each timer would use about 600 bytes until the timer expires, long after its request has finished, so memory
-//! would grow with the request rate times the deadline. The core owns the queue; the clock is tokio's.
+//! One task for each timer would use about 600 bytes until the timer expires, long after its request has
+//! finished, so memory would grow with the request rate times the deadline.
 
 use std::task::{Context, Poll};
 
@@ -14,7 +15,7 @@
 /// Minimum peak length, in timers, for the queue to return unused memory.
 const COMPACT_MIN_PEAK: usize = 4_096;
 
-/// The owner of a timer, which decides what its expiry triggers.
+/// What a timer belongs to, and therefore what its expiry triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerPurpose {
     /// A timer that the router has set.
@@ -54,7 +55,8 @@
         key
     }
 
-    /// Removes a timer; does nothing if it has expired.
+    /// Removes a timer unless it has expired. Returns unused memory if the queue is now much shorter than at
+    /// its peak.
     pub fn disarm(&mut self, key: &Key) {
         self.queue.try_remove(key);
         if self.peak >= COMPACT_MIN_PEAK && self.queue.len() * COMPACT_RATIO < self.peak {
@@ -68,7 +70,8 @@
         self.queue.len()
     }
 
-    /// Polls for the next expired timer. Stays pending while the queue is empty, so that a timer armed later wakes the task.
+    /// Polls for the next expired timer. Stays pending while the queue is empty; arming a timer then wakes
+    /// the task.
     pub fn poll_expired(&mut self, context: &mut Context<'_>) -> Poll<(Key, TimerPurpose)> {
         match self.queue.poll_expired(context) {
             Poll::Ready(Some(expired)) => {
--- a/gateway/src/core/timing.rs
+++ b/gateway/src/core/timing.rs
@@ -31,7 +31,8 @@
 /// A request that the router fails within this time before its deadline, or later, is reported as past its deadline.
 pub(super) const NEAR_DEADLINE_WINDOW: Duration = Duration::from_millis(20);
 
-/// Delay before a release that no server accepted is retried. The state stays on its server until then.
+/// Delay before a release that no server accepted is retried. It is short, because servers hold the state
+/// until one accepts the release.
 pub(super) const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// Minimum time for which a release is retried, in multiples of the lease limit; a later deadline of the request extends it.
