--- a/crates/request-lifecycle/src/client/tests.rs
+++ b/crates/request-lifecycle/src/client/tests.rs
@@ -1,4 +1,5 @@
-//! Property tests of what a connection's state guarantees before it is closed, for any sequence of inputs.
+//! Tests of what a connection's state guarantees before it is closed or handed over: an idle connection has
+//! no unfinished work.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/request-lifecycle/src/discovery_polling/mod.rs
+++ b/crates/request-lifecycle/src/discovery_polling/mod.rs
@@ -126,8 +126,9 @@
         let BackoffPolicy { answer_grace, full_list_timeout, .. } = self.policy;
         let (Poll::FullList { within } | Poll::Changes { within, .. }) = poll;
         match full_list_timeout {
-            // An agent that stops in the middle of a response is unresponsive. A long list may arrive in several
-            // parts.
+            // An agent that stops in the middle of a response is unresponsive, so the time between two parts
+            // is short. A long list may arrive in several parts, so the total is longer than the time for the
+            // first byte.
             Some(between_parts) => Limits { first_byte: within, between_parts, total: within + answer_grace },
             None => Limits { first_byte: within, between_parts: answer_grace, total: within },
         }
@@ -162,10 +163,11 @@
 
     /// Records that a poll failed after `poll_duration`, and returns the backoff before the next one.
     ///
-    /// The backoff is drawn between 0.5 and 1.5 times its mean. The failed poll, the backoff and the next response
-    /// together stay within the freshness limit, so that the list of a discovery service that becomes reachable
-    /// again is received in time. Only if so many gateways poll that discovery cannot answer all of them within
-    /// that limit does a gateway that is rejected repeatedly wait longer.
+    /// The backoff is drawn between 0.5 and 1.5 times its mean, and is raised to a longer `Retry-After`
+    /// within the same maximum. The failed poll, the backoff and the next response together stay within the
+    /// freshness limit, so that the list of a discovery service that becomes reachable again is received in
+    /// time. Only if so many gateways poll that discovery cannot answer all of them within that limit does a
+    /// gateway that is rejected repeatedly wait longer.
     pub fn poll_failed(&mut self, failure: PollFailure, poll_duration: Duration) -> Duration {
         let BackoffGrowth { initial_mean, doublings, max_mean } = self.growth(failure, poll_duration);
         self.failures = self.failures.saturating_add(1);
--- a/crates/request-lifecycle/src/discovery_polling/tests.rs
+++ b/crates/request-lifecycle/src/discovery_polling/tests.rs
@@ -42,8 +42,9 @@
     }
 }
 
-/// Guards the bounds of Retry-After: after repeated rejections it is followed up to a maximum backoff; after the
-/// first one, or with few gateways, it must not exceed the freshness limit.
+/// Guards the bounds of Retry-After: after repeated rejections it is followed up to a maximum backoff. After
+/// the first rejection, or with few gateways, the backoff must leave 1 s of the freshness limit for the
+/// response.
 #[test]
 fn retry_after_is_obeyed_up_to_a_maximum() {
     let throttled = |seconds| PollFailure::Throttled(Some(Duration::from_secs(seconds)));
@@ -121,7 +122,7 @@
 }
 
 /// Guards against a permanent overload: a hundred gateways that repeat rejected polls at once are never all
-/// answered. With polls spread over a round all are answered, with few polls more than gateways.
+/// answered. With polls spread over a round all are answered, with fewer than two polls for each gateway.
 #[test]
 fn gateways_that_start_together_are_all_answered() {
     let service = || Service { service_time: 60, down_until: 0, idle_from: 0 };
@@ -137,8 +138,8 @@
     assert_eq!(simulate_rollout(100, service(), without_rounds), None);
 }
 
-/// Guards the same with a slower service, which can answer only a fifth of the gateways in time if all poll at
-/// once, and not all that poll in one round.
+/// Guards against a permanent overload of a slower service, which can answer only a fifth of the gateways in
+/// time if all poll at once, and about half of them if they poll within one round.
 #[test]
 fn service_with_capacity_for_a_fifth_of_the_polls_answers_all_in_the_end() {
     let service = Service { service_time: 100, down_until: 0, idle_from: 0 };
@@ -156,7 +157,7 @@
     assert!(duration < 40_000 && polls < 500, "{duration} ms, {polls} polls");
 }
 
-/// Guards against needless delays: discovery has capacity for a few gateways at once.
+/// Guards against needless delays: two gateways are answered within 200 ms, each at its first poll.
 #[test]
 fn few_gateways_poll_nearly_at_once() {
     let service = Service { service_time: 60, down_until: 0, idle_from: 0 };
@@ -177,7 +178,7 @@
     }
 }
 
-/// The policy of push mode or that of polling.
+/// Generates the policy of push mode or that of polling by two gateways, without rounds.
 fn any_policy() -> impl Strategy<Value = BackoffPolicy> {
     prop_oneof![Just(BackoffPolicy::PUSHED), Just(BackoffPolicy { round: ZERO, ..policy_for_2_gateways() })]
 }
@@ -224,7 +225,7 @@
 proptest! {
     /// Guards the protocol's time limits. Where discovery is polled, a gateway is expected to have the list 6 s
     /// after a watch became unresponsive. In push mode it is expected to have it immediately, whether or not a
-    /// watch is open, so also in a new process and after an outage; a drain may have to be obeyed within 300 ms.
+    /// watch is open, so also in a new process and after an outage; a drain may have to be obeyed within 250 ms.
     #[test]
     fn change_is_received_in_time(
         change in 0u64..20_000, down in 0u64..20_000, length in 1u64..10_000, outage: bool,
@@ -339,7 +340,8 @@
         prop_assert!(longest <= Duration::from_secs(if moved { 4 } else { 6 }), "{longest:?}");
     }
 
-    /// Guards the same for more gateways than discovery can answer in that time, if a gateway is rejected only once.
+    /// Guards the freshness limit of 6 s with more gateways than discovery can answer in that time, if a
+    /// gateway is rejected only once.
     #[test]
     fn freshness_limit_holds_if_a_gateway_is_rejected_once(
         gateway_count in 17u32..400, known: bool, faults in any_faults(), position: prop::sample::Index,
--- a/crates/request-lifecycle/src/evidence/interrupted_work.rs
+++ b/crates/request-lifecycle/src/evidence/interrupted_work.rs
@@ -11,8 +11,8 @@
     #[default]
     MayRun,
     /// The connection was reset by the server or by a device in between. The server may not have received the
-    /// reset, and a suspended process continues its work later. A connection that is opened now shows which of
-    /// these is the case.
+    /// reset, and a suspended process continues its work later. A connection that is opened now can show
+    /// whether the process has terminated or is running.
     Reset,
     /// The server has stopped working on the attempt.
     Ended,
--- a/crates/request-lifecycle/src/evidence/tests.rs
+++ b/crates/request-lifecycle/src/evidence/tests.rs
@@ -71,7 +71,8 @@
     assert_eq!(Delivery::Unknown.after(Observation::TimeoutOnEarlierConnection), Delivery::Doubtful);
 }
 
-/// Guards the order of the four times that decide whether a call on another connection is evidence for an attempt.
+/// Guards the comparisons of the five times that decide whether a call on another connection is evidence
+/// about the delivery of an attempt.
 #[test]
 fn only_calls_sent_after_the_write_on_connections_opened_before_it_are_evidence() {
     let attempt = WrittenAttempt { connection_opened: 10, written: 20 };
--- a/crates/request-lifecycle/src/reachability/mod.rs
+++ b/crates/request-lifecycle/src/reachability/mod.rs
@@ -50,7 +50,8 @@
         self.waiting_since = None;
     }
 
-    /// Returns when the server last failed to respond in time; `None` if it never did or has responded since.
+    /// Returns the later of two times: when a call last failed, and when a call was sent that is now overdue.
+    /// `None` if there is neither or the server has responded since.
     fn suspected_since(&self, now: Millis) -> Option<Millis> {
         let overdue_since = self.waiting_since.filter(|since| now >= since + SUSPECT_AFTER_MS);
         let last_failure = self.last_query_lost.max(overdue_since)?;
--- a/crates/request-lifecycle/src/reachability/tests.rs
+++ b/crates/request-lifecycle/src/reachability/tests.rs
@@ -76,7 +76,8 @@
 }
 
 proptest! {
-    /// A single reachable server is enough, whichever it is: every server is called once, and in time.
+    /// A single reachable server is enough, whichever it is: the order contains every server once, and the
+    /// reachable one responds to the call of its round.
     #[test]
     fn one_server_that_answers_is_found(
         zones in prop::collection::vec(0u32..4, 1..24), reachable in 0usize..24, answer_time in 1u64..400,
@@ -95,7 +96,7 @@
         prop_assert_eq!(answered, Some(rounds * ROUND_INTERVAL_MS + answer_time));
     }
 
-    /// A release also ends in time if no server responds.
+    /// A release to which no server responds ends without a response, after at most one call for each server.
     #[test]
     fn release_ends_when_no_server_answers(servers in 0usize..60, limit in 1u64..2_000) {
         let (answered, called) = simulate_release((0..servers as u32).collect(), |_| None, limit);
--- a/crates/request-lifecycle/src/request/attempts.rs
+++ b/crates/request-lifecycle/src/request/attempts.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Checks the rules for a further attempt: one in flight at a time, none beyond the maximum, none for a closed
+    /// Checks the rules for a further attempt: one open at a time, none beyond the maximum, none for a closed
     /// request, and no repeated execution of a request that may have run unless it is idempotent.
     fn may_start_attempt(&self, stage: Stage) -> bool {
         let second = self.has_open_attempt() && !self.has_fault(Fault::SecondAttempt);
@@ -188,7 +188,8 @@
         self.end_attempt_with(attempt, status, reply.known_work(), effects);
     }
 
-    /// Handles the first event of an attempt: its response is forwarded to the client from now on.
+    /// Handles the first event of an attempt: its response is forwarded to the client from now on, or the
+    /// attempt is cancelled if the client no longer waits.
     fn begin_stream(&mut self, attempt: usize, effects: &mut Effects) {
         if self.response != ResponseState::Pending {
             // The client no longer waits. The attempt ends only once its call is dropped, so that nothing is released
@@ -201,8 +202,8 @@
         self.attempts[attempt].delivered = true;
         self.response = ResponseState::Streaming;
         self.may_have_executed = true;
-        // The decode server has fetched the KV state, and a slot of its own is used by the stream. A slot at another
-        // server must still be released.
+        // The decode server has fetched the KV state, and the stream uses a slot that was reserved at this
+        // server. A slot that was reserved at another server must still be released.
         let server = self.attempts[attempt].server;
         let slot_elsewhere = matches!(self.reservation, Reservation::Slot(holder) if holder != server);
         if !slot_elsewhere {
@@ -245,8 +246,9 @@
     ) {
         let stage = self.attempts[attempt].stage;
         let interrupted_by = status.interrupted_by().filter(|_| state != AttemptState::Streaming);
-        // The flag stays set until a release has been delayed for it, because a slot call may have been interrupted
-        // before. If the server's work is known to have ended, no delay is needed.
+        // The flag is never cleared here, because an interrupted slot call may have set it; the next release
+        // clears it and is delayed for it. If the server's work is known to have ended, the flag is not set,
+        // as no delay is needed.
         self.interrupted_since_release |= interrupted_by.is_some() && known != InterruptedWork::Ended;
         // A prefill may have completed just as its connection was interrupted. The KV state that it left must be
         // released before the request is sent again, or the next attempt would find it.
--- a/crates/request-lifecycle/src/request/mod.rs
+++ b/crates/request-lifecycle/src/request/mod.rs
@@ -1,15 +1,17 @@
 //! Lifecycle of one request: its attempts, the reservations that servers may hold for it, and its final response.
 //!
-//! The router issues commands ([`Input::Send`], [`Input::Cancel`], [`Input::Release`], ...); the engine, the front
-//! and the clock report events ([`Input::Replied`], [`Input::ClientDisconnected`], ...). The machine returns the
-//! actions to carry out ([`Effect`]). It validates both kinds of input: a command that would break a rule is not
-//! carried out, whatever the router or a plug-in expects, and a send of this kind ends with [`Status::NotSent`].
+//! The router issues commands ([`Input::Send`], [`Input::Cancel`], [`Input::Release`], ...); the engine, the
+//! front and the clock report events ([`Input::Replied`], [`Input::ClientDisconnected`], ...). The machine
+//! returns the actions to carry out ([`Effect`]). It validates both kinds of input: a command that would
+//! break a rule is not carried out, whatever the router or a plug-in expects. An attempt that is not sent for
+//! this reason ends with [`Status::NotSent`].
 //!
 //! The machine enforces these rules:
 //! - A client receives either one final response or one stream, never both.
 //! - At most one attempt is in flight at a time, and each attempt has exactly one outcome.
 //! - A request that may have run is not run again unless it is idempotent.
-//! - Reservations are released before the next attempt is sent, and never while an attempt may still need them.
+//! - A release that is due ends before the next attempt is sent, and no release starts while an attempt may
+//!   still need the reservations.
 //!
 //! [`Request`] owns all state of the request; the driver owns the clock, the sockets and the order of inputs. The
 //! machine finishes once no attempt, reservation or release of the request is left. The transition table is in
--- a/crates/request-lifecycle/src/request/reservations.rs
+++ b/crates/request-lifecycle/src/request/reservations.rs
@@ -7,9 +7,10 @@
 impl Request {
     /// Handles the router's command to release all reservations.
     ///
-    /// Nothing is done if nothing can be reserved: a needless call costs a server work, and could hit another request
-    /// with the same identifier. Nothing is done either if a release has started: it is still delayed and covers all
-    /// reservations, or [`Request::reserve`] has scheduled another one for those made since.
+    /// Nothing is done if no server can hold a reservation: a needless call costs a server work, and could
+    /// affect another request with the same identifier. Nothing is done either if a release has started: it
+    /// is still delayed and covers all reservations, or [`Request::reserve`] has scheduled another one for
+    /// those made since.
     pub(super) fn request_release(&mut self) {
         let has_started = matches!(self.release, Release::Waiting | Release::InProgress { .. });
         if self.has_reservation() && !has_started {
@@ -102,8 +103,9 @@
         }
     }
 
-    /// Records that servers may hold this reservation from now on. A recorded slot is kept, since it also covers KV
-    /// state.
+    /// Records that servers may hold this reservation from now on. A recorded slot is kept, since it also
+    /// covers KV state. A release in progress may not cover the reservation, so another release must follow
+    /// it.
     pub(super) fn reserve(&mut self, reservation: Reservation) {
         if !matches!(self.reservation, Reservation::Slot(_)) {
             self.reservation = reservation;
--- a/crates/request-lifecycle/src/request/timers.rs
+++ b/crates/request-lifecycle/src/request/timers.rs
@@ -48,7 +48,8 @@
         set_timer(&mut self.lease_armed, Timer::LeaseLimit, needs_lease_limit, effects);
     }
 
-    /// Returns whether the deadline timer stays armed: from the start until it expires or the response has begun.
+    /// Returns whether the deadline timer stays armed: until it expires, a response begins or is sent, or the
+    /// client disconnects.
     fn needs_deadline(&self) -> bool {
         let awaits_response = self.response == ResponseState::Pending || self.has_fault(Fault::LeavesTimer);
         self.deadline_armed && awaits_response && !self.has_fault(Fault::NoDeadline)
--- a/crates/request-lifecycle/src/sentinel/mod.rs
+++ b/crates/request-lifecycle/src/sentinel/mod.rs
@@ -1,4 +1,5 @@
-//! Sentinels: idle connections to the server of an attempt that a lease waits for, used to confirm its delivery.
+//! Sentinels: idle connections to the server of an attempt that is to claim a lease, used to confirm the
+//! delivery of the attempt.
 //!
 //! A failure that breaks connections without an error affects those that are open at that time. After the attempt
 //! was written, a call on the sentinel shows whether there was such a failure; the attempt's own connection cannot
@@ -8,7 +9,8 @@
 /// Sentinel policy of this version of the gateway.
 pub const SENTINEL_POLICY: SentinelPolicy = SentinelPolicy::OpenIfNone;
 
-/// Whether a connection is opened for the sole purpose of a sentinel. Each opened connection costs the server work.
+/// Whether a connection may be opened only to serve as a sentinel. Each opened connection costs the server
+/// work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SentinelPolicy {
     /// A connection is opened if no idle one is available as a sentinel.
--- a/crates/request-lifecycle/src/server/mod.rs
+++ b/crates/request-lifecycle/src/server/mod.rs
@@ -1,8 +1,9 @@
 //! Connection to a server: whether a request may be written to it, and what its end implies for the request.
 //!
-//! A connection carries one request at a time. The critical fact is whether the last byte of a request can have
-//! reached the server: until that byte is written the request cannot have run, afterwards it may have run.
-//! [`Connection`] owns the state; the driver owns the socket and the clock.
+//! A connection carries one request at a time. The critical fact is whether the last byte of a request can
+//! have reached the server: until that byte is written the request cannot have run, afterwards it may have
+//! run. A request whose response begins before its last byte is written may have run too. [`Connection`] owns
+//! the state; the driver owns the socket and the clock.
 
 mod planted_faults;
 
@@ -83,8 +84,8 @@
     None,
     /// Write the request.
     Write,
-    /// Send the same request on another connection. No byte of it was written on this one, which was reused from the
-    /// pool, so this is not a second attempt.
+    /// Send the same request on another connection. No byte of it was written on this one, which closed while
+    /// idle or had carried a request before, so this is not a second attempt.
     Replace,
     /// The request cannot have run.
     NeverRan,
@@ -179,7 +180,7 @@
         Some(row)
     }
 
-    /// Records what the input implies besides the stage. Called before the stage changes.
+    /// Updates the fields other than the stage. Called before the stage changes.
     fn record(&mut self, input: Input, effect: Effect) {
         match input {
             Input::Send { .. } if effect == Effect::Write => self.has_written = false,
@@ -218,7 +219,8 @@
         }
     }
 
-    /// Returns the effect for a connection that broke after the last byte of the request was written.
+    /// Returns the effect for a connection that broke after the last byte of the request was written, or
+    /// after the response began.
     fn on_broken_after_write(&self) -> Effect {
         if self.has_fault(Fault::CallsSentNeverRan) {
             Effect::NeverRan
