--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -187,7 +187,8 @@
     }
 }
 
-/// Returns the longest time between accepted releases, observed for this duration from the first accepted release on.
+/// Returns the longest time without an accepted release, observed for this duration from the first accepted
+/// release on.
 pub(super) async fn longest_release_gap(servers: &ScriptedServers, observed: Duration) -> Duration {
     wait_for_call(servers, CallKind::ReleaseAccepted).await;
     let (mut releases, mut last, mut longest) = (1, Instant::now(), Duration::ZERO);
--- a/gateway/src/core/tests/permissions.rs
+++ b/gateway/src/core/tests/permissions.rs
@@ -36,8 +36,8 @@
     assert_eq!(attempts_at_server_in_state(ServerState::Terminated), 0);
 }
 
-/// Returns the response, when the process is about to end, to a request of a class with idempotency keys that only the servers
-/// of one zone recognise. Its prefill succeeded and its decode got this reply.
+/// Returns the response that a request receives when the process is about to end. The request's idempotency
+/// key is recognised only by the servers of one zone; its prefill succeeded and its decode got this reply.
 fn response_at_shutdown(decode: ScriptedReply) -> Option<ResponsePart> {
     run_paused(async move {
         let servers = ScriptedServers::new(move |_, server| {
--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -257,8 +257,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// For any server behaviour and any time of a client's disconnection: one final response in time, no concurrent attempts,
-    /// no more attempts than allowed, no repeated at-most-once request that may have run, and nothing left in flight.
+    /// For any server behaviour and any time of a client's disconnection: a stream or a final response in
+    /// time, no concurrent attempts, no more attempts than allowed, no repeated execution of an at-most-once
+    /// request that may have run, and nothing left in flight.
     #[test]
     fn every_request_ends_once(steps in prop::collection::vec(scripted_step(), 8), class in 0u32..2,
         client_timeout in 50.0..4_000.0, disconnects_after in prop::option::of(0u64..2_000)) {
--- a/gateway/src/core/tests/stored.rs
+++ b/gateway/src/core/tests/stored.rs
@@ -114,7 +114,8 @@
     [Some(true), Some(false), None].into_iter().map(answered).chain([cancelled])
 }
 
-/// Attempts and requests that time out or are cancelled.
+/// Attempts that are unprocessable, not permitted, cancelled, timed out or undelivered, and a request that
+/// times out.
 fn timeouts_and_cancellations() -> Vec<Vec<Input>> {
     let undelivered = Input::CancelCompleted { attempt: 1 };
     let (lease_limit, deadline) =
