--- a/gateway/src/core/tests/requests.rs
+++ b/gateway/src/core/tests/requests.rs
@@ -136,7 +136,8 @@
     });
 }
 
-/// Guards against the end of slow streams: a stream continues as long as events arrive, and ends once it is idle for too long.
+/// Guards slow streams: a stream continues as long as events arrive, and is ended only if it is idle for too
+/// long.
 #[test]
 fn a_slow_stream_continues_and_an_idle_one_is_ended() {
     run_paused(async {
@@ -193,9 +194,9 @@
     });
 }
 
-/// Guards an open request of another gateway against a duplicate that arrives here. A request that a server
-/// reports as unprocessable fails at once without a retry, and nothing that servers hold under its id is
-/// released.
+/// Guards an open request of another gateway against a duplicate that arrives here and that a server reports
+/// as unprocessable: the duplicate fails at once without a retry, and nothing that servers hold under its id
+/// is released.
 #[test]
 fn an_unprocessable_request_fails_and_releases_nothing() {
     run_paused(async {
@@ -256,8 +257,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// For any server behaviour and any time of a client's disconnection: one final response in time, no concurrent attempts,
-    /// no more attempts than allowed, no repeated at-most-once request that may have run, and nothing left in flight.
+    /// For any server behaviour and any time of a client's disconnection: a stream or a final response in
+    /// time, no concurrent attempts, no more attempts than allowed, no repeated execution of an at-most-once
+    /// request that may have run, and nothing left in flight.
     #[test]
     fn every_request_ends_once(steps in prop::collection::vec(scripted_step(), 8), class in 0u32..2,
         client_timeout in 50.0..4_000.0, disconnects_after in prop::option::of(0u64..2_000)) {
