--- a/gateway/src/core/reset_inquiry.rs
+++ b/gateway/src/core/reset_inquiry.rs
@@ -55,7 +55,7 @@
             Ok(Reply::AfterReset(result)) => result,
             _ => ServerAfterReset::Silent,
         };
-        token.note(match result {
+        token.record_observation(match result {
             ServerAfterReset::Refuses => Observation::RefusedAfterReset,
             ServerAfterReset::Answers => {
                 sleep(CANCEL_PROPAGATION_DELAY).await;
--- a/gateway/src/core/tests/leases.rs
+++ b/gateway/src/core/tests/leases.rs
@@ -267,7 +267,11 @@
         drop(client);
         wait_for_call(&servers, CallKind::ReleaseAccepted).await;
         let before = servers.count(CallKind::Release);
-        servers.attempt_tokens.borrow().iter().for_each(|token| token.note(Observation::ServerClose));
+        servers
+            .attempt_tokens
+            .borrow()
+            .iter()
+            .for_each(|token| token.record_observation(Observation::ServerClose));
         wait_until_idle(&core).await;
         assert_eq!(servers.count(CallKind::Release), before + 1);
     });
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -112,7 +112,7 @@
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
         if !self.misses_closes.get() {
-            self.token.note(Observation::ServerClose);
+            self.token.record_observation(Observation::ServerClose);
         }
     }
 }
@@ -227,7 +227,7 @@
         ScriptedReply::Unprocessable => return Ok(Reply::Unprocessable { report: None }),
         ScriptedReply::Fail(error) => return Err(error),
         ScriptedReply::ConnectionReset => {
-            in_flight.token.note(Observation::Reset);
+            in_flight.token.record_observation(Observation::Reset);
             return Err(CallError::Reset);
         }
         ScriptedReply::NoReply | ScriptedReply::NoConnection => return std::future::pending().await,
--- a/gateway/src/core/tests/replay.rs
+++ b/gateway/src/core/tests/replay.rs
@@ -174,7 +174,7 @@
     /// Lets the server of an interrupted attempt close its connection.
     fn confirm_close(&self, attempt: usize) {
         let call = self.started.iter().position(|started| *started == attempt).expect("it was sent");
-        self.servers.0.borrow().tokens[call].note(Observation::ServerClose);
+        self.servers.0.borrow().tokens[call].record_observation(Observation::ServerClose);
     }
 
     async fn accept_release(&self) {
--- a/gateway/src/core/tests/resets.rs
+++ b/gateway/src/core/tests/resets.rs
@@ -116,7 +116,7 @@
         sleep(Duration::from_millis(100)).await;
         drop(client);
         sleep(Duration::from_millis(100)).await;
-        servers.attempt_tokens.borrow().iter().for_each(|token| token.note(Observation::Reset));
+        servers.attempt_tokens.borrow().iter().for_each(|token| token.record_observation(Observation::Reset));
         sleep(Duration::from_secs(3)).await;
         assert!(!core.is_idle(), "a reset alone does not end the prefill");
         assert!(servers.count(CallKind::InquiryAfterReset) > 0);
--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -58,7 +58,7 @@
         let head = ResponseHead { status: parts.status, headers: parts.headers };
         if head.status != StatusCode::OK {
             // The server's work on the attempt has ended, even if the rest of the response never arrives.
-            request.cancel_token.note(Observation::ResponseOnConnection);
+            request.cancel_token.record_observation(Observation::ResponseOnConnection);
         }
         if head.status == StatusCode::OK && mode == ResponseMode::Streamed {
             self.streamed_reply(server, head, body, connection).await
--- a/gateway/src/engine/closing.rs
+++ b/gateway/src/engine/closing.rs
@@ -55,10 +55,10 @@
         let server_close = async {
             while self.socket.readable().await.is_ok() {
                 match self.socket.try_read(&mut [0; READ_SIZE_BYTES]) {
-                    Ok(0) => return self.attempt.note(Observation::ServerClose),
+                    Ok(0) => return self.attempt.record_observation(Observation::ServerClose),
                     Ok(_) => {}
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                    Err(_) => return self.attempt.note(Observation::Reset),
+                    Err(_) => return self.attempt.record_observation(Observation::Reset),
                 }
             }
         };
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -156,7 +156,7 @@
             Effect::NeverRan => SendFailure::NeverRan,
             _ => {
                 if let Some(attempt) = &self.attempt {
-                    attempt.note(observation_from_error(&error));
+                    attempt.record_observation(observation_from_error(&error));
                 }
                 SendFailure::MayHaveRun(error)
             }
@@ -247,7 +247,7 @@
         let Some((attempt, slot)) = interrupted_attempt.zip(self.slot.take()) else { return };
         if !is_open {
             // The connection was reset, and the error has not been read yet.
-            return attempt.note(Observation::Reset);
+            return attempt.record_observation(Observation::Reset);
         }
         let socket = self.socket.socket.clone();
         // Sending fails only if the receiving task has ended with the engine; the connection is then closed at once.
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -113,7 +113,7 @@
     }
 
     /// Records an observation that shows whether the server still works on an interrupted attempt.
-    pub fn note(&self, observation: Observation) {
+    pub fn record_observation(&self, observation: Observation) {
         self.interrupted_work.send_modify(|known| *known = known.after(observation));
     }
 
--- a/gateway/tests/reset_inquiries.rs
+++ b/gateway/tests/reset_inquiries.rs
@@ -136,7 +136,7 @@
 fn what_was_seen_of_one_connection_is_forgotten_on_the_next() {
     let token = CancelToken::default();
     token.set_server_address("127.0.0.1:1");
-    token.note(Observation::ServerClose);
+    token.record_observation(Observation::ServerClose);
     assert!(token.has_work_ended());
     token.set_server_address("127.0.0.1:1");
     assert!(!token.has_work_ended());
