--- a/gateway/src/counted_socket.rs
+++ b/gateway/src/counted_socket.rs
@@ -38,7 +38,7 @@
 }
 
 /// Waits until the peer has closed its sending side, even if earlier bytes have not been read.
-pub async fn read_closed(socket: &TcpStream) {
+pub async fn wait_for_peer_close(socket: &TcpStream) {
     // This interest reports the peer's close too, but not normal data, and no peer sends urgent data.
     while socket.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
         yield_now().await;
@@ -66,7 +66,7 @@
     }
 
     /// Whether a read would block: no data, no close by the peer and no error is pending.
-    pub fn is_quiet(&self) -> bool {
+    pub fn read_would_block(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&*self.socket).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
@@ -85,7 +85,7 @@
     }
 
     /// Increments `count` once `bytes` more bytes have been passed to the kernel.
-    pub fn count_after(&self, bytes: u64, count: Rc<Cell<u64>>) {
+    pub fn increment_after(&self, bytes: u64, count: Rc<Cell<u64>>) {
         let pending = PendingCount { written: self.written() + bytes, count };
         self.pending_count.replace(Some(pending));
     }
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -187,7 +187,7 @@
 
     /// Increments `count` once the request that is sent next has been handed to the kernel completely.
     pub fn count_when_written(&self, request: &Request<Bytes>, count: Rc<Cell<u64>>) {
-        self.socket.count_after(encoded_length(request), count);
+        self.socket.increment_after(encoded_length(request), count);
     }
 
     /// Converts the connection for handover to the successor process; this process reads nothing more from it.
@@ -199,7 +199,7 @@
 
     /// Returns whether an idle connection can still be used. It cannot if it is closed or has received unsolicited bytes.
     pub fn is_usable(&mut self) -> bool {
-        let is_usable = self.socket.is_quiet() && self.sender.is_ready();
+        let is_usable = self.socket.read_would_block() && self.sender.is_ready();
         if !is_usable {
             apply_input(&mut self.machine, Input::Broken);
         }
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -160,7 +160,7 @@
     fn poll_gated(
         &mut self, write: impl FnOnce(Pin<&mut CountedSocket>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        self.gate.check(|| self.buffered.is_empty() && self.socket.is_quiet())?;
+        self.gate.check(|| self.buffered.is_empty() && self.socket.read_would_block())?;
         let written = write(Pin::new(&mut self.socket));
         if matches!(written, Poll::Ready(Ok(1..))) {
             self.gate.disarm();
--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -23,7 +23,7 @@
 use super::tracked_body::{Framing, TrackedBody};
 use super::unanswered::EndReason;
 use super::{response, ArrivedAt, Body, HttpService};
-use crate::counted_socket::{read_closed, unread_bytes, CountedSocket};
+use crate::counted_socket::{unread_bytes, wait_for_peer_close, CountedSocket};
 use crate::metrics::{RequestCounter, RequestOutcome};
 use crate::shutdown::Shutdown;
 use crate::upgrade::transferred::{ConnectionGuard, TransferredConnection, TransferredStream};
@@ -208,7 +208,7 @@
     entry: &TableEntry,
 ) -> ServingEnd {
     let mut must_end = pin!(shutdown.connection_must_end(Instant::now()));
-    let mut client_disconnected = pin!(read_closed(&socket.socket));
+    let mut client_disconnected = pin!(wait_for_peer_close(&socket.socket));
     let mut successor_updates = shutdown.successor_updates();
     let mut close_when_idle = false;
     let mut shutdown_started = false;
--- a/gateway/src/front/lingering_close.rs
+++ b/gateway/src/front/lingering_close.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::counted_socket::read_closed;
+use crate::counted_socket::wait_for_peer_close;
 
 /// Time limit for the client to close the connection after the gateway has ended its sending side.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -40,7 +40,7 @@
     let _ = SockRef::from(socket).shutdown(Shutdown::Write);
     let client_ends = async {
         if expected == Expected::Nothing && matches!(socket.peek(&mut [0]).await, Ok(1..)) {
-            read_closed(socket).await;
+            wait_for_peer_close(socket).await;
         }
         while dropped.get() < LINGER_MAX_BYTES
             && socket.readable().await.is_ok()
--- a/gateway/src/front/resumed_stream/mod.rs
+++ b/gateway/src/front/resumed_stream/mod.rs
@@ -3,7 +3,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use crate::counted_socket::read_closed;
+use crate::counted_socket::wait_for_peer_close;
 use crate::exchange::{ClientSide, ResponsePart, StreamRemainder};
 
 /// Last chunk of a chunked body.
@@ -28,7 +28,7 @@
             biased;
             part = response.next_part() => part,
             // What the client sends before it has its response stays unread.
-            () = read_closed(socket) => return StreamResult::ClientDisconnected,
+            () = wait_for_peer_close(socket) => return StreamResult::ClientDisconnected,
         };
         match part {
             Some(ResponsePart::Chunk(bytes)) => {
