--- a/gateway/src/fleet/driver.rs
+++ b/gateway/src/fleet/driver.rs
@@ -20,7 +20,7 @@
 use super::sockets::Sockets;
 use super::timer_queue::TimerQueue;
 use crate::log;
-use crate::log::Limit;
+use crate::log::RateLimit;
 
 /// Opens a stream to a member and runs an exchange over it, in a task of its own.
 pub(super) type OpenExchange = fn(&Rc<Driver>, MemberId, SocketAddr);
@@ -64,8 +64,8 @@
     /// Increases with each cell of another member that changes, and each change of a member.
     updates: watch::Sender<u64>,
     /// Rates of the log lines of rejected messages, by reason: one reason does not suppress another.
-    rejection_limits: [Limit; Rejection::REASONS.len()],
-    change_limit: Limit,
+    rejection_limits: [RateLimit; Rejection::REASONS.len()],
+    change_limit: RateLimit,
 }
 
 impl Driver {
@@ -86,8 +86,8 @@
             unsent: Cell::new(0),
             broken: Cell::new(0),
             updates: watch::Sender::new(0),
-            rejection_limits: [const { Limit::new() }; Rejection::REASONS.len()],
-            change_limit: Limit::new(),
+            rejection_limits: [const { RateLimit::new() }; Rejection::REASONS.len()],
+            change_limit: RateLimit::new(),
         }
     }
 
@@ -130,7 +130,7 @@
     fn log_change(&self, member: &Member, state: MemberState) {
         let Member { id, incarnation, address, .. } = member;
         let state = state_name(state);
-        log::line(
+        log::write_limited(
             &self.change_limit,
             format_args!("fleet: member {:016x}, life {}, at {address}: {state}", id.0, incarnation.0),
         );
@@ -160,7 +160,7 @@
 
     /// Logs a rejected message, at a limited rate for each reason.
     pub(super) fn log_rejection(&self, from: SocketAddr, rejection: Rejection) {
-        log::line(
+        log::write_limited(
             &self.rejection_limits[rejection.reason_index()],
             format_args!("fleet: what {from} sent was refused: {rejection}; {}", rejection.advice()),
         );
--- a/gateway/src/front/unanswered.rs
+++ b/gateway/src/front/unanswered.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 
 use crate::log;
-use crate::log::Limit;
+use crate::log::RateLimit;
 
 /// Why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,7 +108,7 @@
 thread_local! {
     static COUNTS: RefCell<Counts> = RefCell::default();
     /// One limit for each reason, so that many lines of one reason do not suppress those of others.
-    static LIMITS: [Limit; EndReason::ALL.len()] = const { [const { Limit::new() }; EndReason::ALL.len()] };
+    static LIMITS: [RateLimit; EndReason::ALL.len()] = const { [const { RateLimit::new() }; EndReason::ALL.len()] };
 }
 
 /// Counts and logs the end of a connection.
@@ -117,7 +117,7 @@
     COUNTS.with_borrow_mut(|counts| counts[reason][end.progress as usize] += 1);
     let client = end.client.map_or_else(|| "an unknown address".to_string(), |client| client.to_string());
     LIMITS.with(|limits| {
-        log::line(
+        log::write_limited(
             &limits[reason],
             format_args!(
                 "connection ended with a request unanswered: {}, client {client}, request {}, {} bytes read, \
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -12,20 +12,20 @@
 const PERIOD: Duration = Duration::from_secs(5);
 
 /// The rate limit of one call site.
-pub struct Limit {
+pub struct RateLimit {
     period_start: Cell<Option<Instant>>,
     /// Number of lines in the current period, including suppressed ones.
     lines: Cell<u32>,
 }
 
-impl Limit {
+impl RateLimit {
     /// Creates a limit that has counted no lines.
     pub const fn new() -> Self {
-        Limit { period_start: Cell::new(None), lines: Cell::new(0) }
+        RateLimit { period_start: Cell::new(None), lines: Cell::new(0) }
     }
 
     /// Counts a line. If the line may be written, returns the number of lines suppressed in the previous period.
-    pub fn pass(&self, now: Instant) -> Option<u32> {
+    pub fn admit(&self, now: Instant) -> Option<u32> {
         let mut suppressed = 0;
         if self.period_start.get().is_none_or(|start| now.duration_since(start) >= PERIOD) {
             suppressed = self.lines.replace(0).saturating_sub(LINES_PER_PERIOD);
@@ -36,15 +36,15 @@
     }
 }
 
-impl Default for Limit {
+impl Default for RateLimit {
     fn default() -> Self {
-        Limit::new()
+        RateLimit::new()
     }
 }
 
 /// Writes one line to standard error if its rate limit allows it.
-pub fn line(limit: &Limit, text: std::fmt::Arguments) {
-    if let Some(suppressed) = limit.pass(Instant::now()) {
+pub fn write_limited(limit: &RateLimit, text: std::fmt::Arguments) {
+    if let Some(suppressed) = limit.admit(Instant::now()) {
         write(suppressed, text);
     }
 }
@@ -59,8 +59,8 @@
 #[macro_export]
 macro_rules! log {
     ($($text:tt)*) => {{
-        thread_local! { static LIMIT: $crate::log::Limit = const { $crate::log::Limit::new() }; }
-        if let Some(suppressed) = LIMIT.with(|limit| limit.pass(std::time::Instant::now())) {
+        thread_local! { static LIMIT: $crate::log::RateLimit = const { $crate::log::RateLimit::new() }; }
+        if let Some(suppressed) = LIMIT.with(|limit| limit.admit(std::time::Instant::now())) {
             $crate::log::write(suppressed, format_args!($($text)*));
         }
     }};
