--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -207,7 +207,7 @@
     mut connection: Pin<&mut HttpConnection<S>>, socket: &CountedSocket, shutdown: &Shutdown,
     entry: &TableEntry,
 ) -> ServingEnd {
-    let mut must_end = pin!(shutdown.connection_must_end(Instant::now()));
+    let mut must_end = pin!(shutdown.wait_until_connection_must_end(Instant::now()));
     let mut client_disconnected = pin!(wait_for_peer_close(&socket.socket));
     let mut successor_updates = shutdown.successor_updates();
     let mut close_when_idle = false;
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -276,7 +276,7 @@
     };
     // Keeps the process from exiting until the connections are accepted that are queued when accepting ends.
     let _accepting = shutdown.guard();
-    let stop = shutdown.reached(Phase::Closing);
+    let stop = shutdown.wait_for_phase(Phase::Closing);
     tokio::pin!(stop);
     tokio::select! {
         () = &mut stop => return,
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -112,7 +112,7 @@
     }
 
     /// Waits for this phase or a later one.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         let mut phases = self.phase.subscribe();
         // An error would mean that the sender was dropped, but `self` owns it.
         let _ = phases.wait_for(|current| *current >= phase).await;
@@ -151,7 +151,7 @@
     }
 
     /// Waits until a connection accepted at `accepted_at` must close as soon as it has no open request.
-    pub async fn connection_must_end(&self, accepted_at: Instant) {
+    pub async fn wait_until_connection_must_end(&self, accepted_at: Instant) {
         tokio::select! {
             () = self.closing(accepted_at) => {}
             () = self.out_of_service_grace_elapsed(accepted_at) => {}
@@ -161,7 +161,7 @@
     /// Waits for [`Phase::Closing`] and for the time in which a connection may send its first request: a connection closed
     /// just before that request would count as refused.
     async fn closing(&self, accepted_at: Instant) {
-        self.reached(Phase::Closing).await;
+        self.wait_for_phase(Phase::Closing).await;
         sleep_until(accepted_at + FIRST_REQUEST_WAIT).await;
     }
 
--- a/gateway/src/upgrade/predecessor.rs
+++ b/gateway/src/upgrade/predecessor.rs
@@ -31,7 +31,7 @@
             // Nobody accepts any more. Without these copies the system refuses new connections, and a process that is
             // started now can listen. Only after a successor that died are they kept, for the next successor: what is
             // in their queue would be lost.
-            () = shutdown.reached(Phase::Closing), if !had_successor => return,
+            () = shutdown.wait_for_phase(Phase::Closing), if !had_successor => return,
         };
         had_successor = true;
         let _reserved = limits.reserve_half();
--- a/gateway/src/upgrade/successor.rs
+++ b/gateway/src/upgrade/successor.rs
@@ -82,7 +82,7 @@
             let cause = ended.err().map_or(String::new(), |error| format!(": {error}"));
             log!("upgrade: the predecessor has ended{cause}");
         }
-        () = shutdown.reached(Phase::Closing) => {}
+        () = shutdown.wait_for_phase(Phase::Closing) => {}
     }
     drop(half);
 }
--- a/gateway/tests/shutdown_under_load.rs
+++ b/gateway/tests/shutdown_under_load.rs
@@ -112,7 +112,7 @@
         let client = spawn_local({
             let (answer, address) = (answer.clone(), g.address);
             async move {
-                shutdown.reached(Phase::Closing).await;
+                shutdown.wait_for_phase(Phase::Closing).await;
                 let mut new = raw::queued(address, &request("new"));
                 // All timers of the end are due before the queue is looked at.
                 std::thread::sleep(Duration::from_millis(80));
