--- a/gateway/src/core/delivery.rs
+++ b/gateway/src/core/delivery.rs
@@ -58,7 +58,7 @@
     async fn observe_delivery(&self, server: ServerId, cancel_token: &CancelToken) -> Option<Observation> {
         let call = Call::ConfirmDelivery { server, cancel_token: cancel_token.clone() };
         match self.upstream.clone().oneshot(call).await {
-            Ok(Reply::Observed(observation)) => Some(observation),
+            Ok(Reply::DeliveryObserved(observation)) => Some(observation),
             _ => None,
         }
     }
--- a/gateway/src/core/reset_inquiry.rs
+++ b/gateway/src/core/reset_inquiry.rs
@@ -53,15 +53,15 @@
         let call = Call::InquireAfterReset { server, cancel_token: token.clone() };
         let result = match self.upstream.clone().oneshot(call).await {
             Ok(Reply::AfterReset(result)) => result,
-            _ => ServerAfterReset::Silent,
+            _ => ServerAfterReset::TimedOut,
         };
         token.record_observation(match result {
-            ServerAfterReset::Refuses => Observation::RefusedAfterReset,
-            ServerAfterReset::Answers => {
+            ServerAfterReset::ConnectionRefused => Observation::RefusedAfterReset,
+            ServerAfterReset::Responded => {
                 sleep(CANCEL_PROPAGATION_DELAY).await;
                 Observation::ResponseAfterReset
             }
-            ServerAfterReset::Silent => Observation::TimeoutAfterReset,
+            ServerAfterReset::TimedOut => Observation::TimeoutAfterReset,
         });
     }
 
--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -130,7 +130,7 @@
             unreachable: Rc::default(),
             delivery_observations: Rc::new(RefCell::new(vec![Observation::ResponseOnLaterConnection])),
             misses_closes: Rc::default(),
-            after_reset: Rc::new(Cell::new(ServerAfterReset::Silent)),
+            after_reset: Rc::new(Cell::new(ServerAfterReset::TimedOut)),
             attempt_tokens: Rc::default(),
         }
     }
@@ -185,7 +185,7 @@
         }
         let mut observations = self.delivery_observations.borrow_mut();
         let observation = if observations.len() > 1 { observations.remove(0) } else { observations[0] };
-        Ok(Reply::Observed(observation))
+        Ok(Reply::DeliveryObserved(observation))
     }
 
     fn begin_attempt(&self, token: &CancelToken) -> InFlight {
@@ -199,7 +199,7 @@
     async fn answer_inquiry(&self) -> ServerAfterReset {
         self.calls.borrow_mut().push((CallKind::InquiryAfterReset, 0));
         let found = self.after_reset.get();
-        if found == ServerAfterReset::Silent {
+        if found == ServerAfterReset::TimedOut {
             sleep(INQUIRY_TIMEOUT).await;
         }
         found
--- a/gateway/src/core/tests/replay/servers.rs
+++ b/gateway/src/core/tests/replay/servers.rs
@@ -68,7 +68,7 @@
                 replied.await.map(Reply::SlotReserved).map_err(|_| CallError::Reset)
             }
             Call::ConfirmDelivery { .. } if self.0.borrow().is_reachable => {
-                Ok(Reply::Observed(Observation::ResponseOnLaterConnection))
+                Ok(Reply::DeliveryObserved(Observation::ResponseOnLaterConnection))
             }
             Call::ConfirmDelivery { .. } => Err(CallError::ConnectFailed),
             _ => Ok(Reply::Done),
--- a/gateway/src/core/tests/resets.rs
+++ b/gateway/src/core/tests/resets.rs
@@ -43,9 +43,9 @@
 /// Guards against unsafe rejections (soak seed 9724): a server that is suspended during a reset may continue its prefill.
 #[test]
 fn a_request_whose_reset_prefill_may_still_run_is_not_rejected() {
-    let failed = response_after_reset(ServerAfterReset::Silent);
+    let failed = response_after_reset(ServerAfterReset::TimedOut);
     assert!(matches!(failed, Some(ResponsePart::Failed(Failure::Upstream))), "{failed:?}");
-    for known in [ServerAfterReset::Refuses, ServerAfterReset::Answers] {
+    for known in [ServerAfterReset::ConnectionRefused, ServerAfterReset::Responded] {
         let rejected = response_after_reset(known);
         assert!(matches!(rejected, Some(ResponsePart::Rejected(_))), "{known:?}: {rejected:?}");
     }
@@ -56,7 +56,7 @@
 #[test]
 fn the_state_of_a_reset_prefill_is_released_in_time_until_its_server_answers() {
     run_paused(async {
-        let servers = resetting_servers(ServerAfterReset::Silent);
+        let servers = resetting_servers(ServerAfterReset::TimedOut);
         let core = core_with_policy(&servers, RejectsAfterOutcome);
         let _client = core.submit(request(1, 10_000.0));
         let longest = longest_release_gap(&servers, Duration::from_secs(10)).await;
@@ -64,7 +64,7 @@
         assert!(!core.is_idle());
         let inquiries = servers.count(CallKind::InquiryAfterReset);
         assert!(inquiries <= 12, "{inquiries} queries in 10 s");
-        servers.after_reset.set(ServerAfterReset::Answers);
+        servers.after_reset.set(ServerAfterReset::Responded);
         let next_inquiry_delay = Duration::from_millis(2_500);
         sleep(next_inquiry_delay).await;
         assert!(core.is_idle(), "{:?}", servers.calls.borrow());
@@ -92,14 +92,14 @@
 /// the server responds. The release takes 40 ms in this test.
 #[test]
 fn a_retry_waits_for_one_query_after_a_reset() {
-    let (refused, queries) = retry_after_reset(ServerAfterReset::Refuses);
+    let (refused, queries) = retry_after_reset(ServerAfterReset::ConnectionRefused);
     assert!((40..=45).contains(&refused.as_millis()), "{refused:?}");
     assert_eq!(queries, 1);
-    let (answered, queries) = retry_after_reset(ServerAfterReset::Answers);
+    let (answered, queries) = retry_after_reset(ServerAfterReset::Responded);
     assert!((65..=70).contains(&answered.as_millis()), "{answered:?}");
     assert_eq!(queries, 1);
     // The timeout of the query, the propagation delay before the release, and the release.
-    let (silent, _) = retry_after_reset(ServerAfterReset::Silent);
+    let (silent, _) = retry_after_reset(ServerAfterReset::TimedOut);
     assert!((145..=150).contains(&silent.as_millis()), "{silent:?}");
 }
 
@@ -120,7 +120,7 @@
         sleep(Duration::from_secs(3)).await;
         assert!(!core.is_idle(), "a reset alone does not end the prefill");
         assert!(servers.count(CallKind::InquiryAfterReset) > 0);
-        servers.after_reset.set(ServerAfterReset::Refuses);
+        servers.after_reset.set(ServerAfterReset::ConnectionRefused);
         sleep(Duration::from_millis(2_500)).await;
         assert!(core.is_idle(), "{:?}", servers.calls.borrow());
     });
@@ -130,7 +130,7 @@
 #[test]
 fn a_disconnect_during_the_query_is_handled_at_once() {
     run_paused(async {
-        let servers = resetting_servers(ServerAfterReset::Silent);
+        let servers = resetting_servers(ServerAfterReset::TimedOut);
         let core = core(&servers);
         let client = core.submit(request(0, 10_000.0));
         wait_for_call(&servers, CallKind::InquiryAfterReset).await;
--- a/gateway/src/engine/connection_checks.rs
+++ b/gateway/src/engine/connection_checks.rs
@@ -143,7 +143,7 @@
         let attempt = cancel_token.written_attempt().ok_or(CallError::NotSent)?;
         loop {
             if self.find_check(server, CheckOutcome::Answered, &attempt).is_some() {
-                return Ok(Reply::Observed(Observation::ResponseOnEarlierConnection));
+                return Ok(Reply::DeliveryObserved(Observation::ResponseOnEarlierConnection));
             }
             if let Some(check) = self.find_check(server, CheckOutcome::Pending, &attempt) {
                 check.wait_for_outcome().await;
@@ -157,7 +157,7 @@
         self.verify_reachable(server).await?;
         // That call may have used a connection that was open at the write and has returned to the pool since.
         let is_confirmed = self.find_check(server, CheckOutcome::Answered, &attempt).is_some();
-        Ok(Reply::Observed(match overdue {
+        Ok(Reply::DeliveryObserved(match overdue {
             _ if is_confirmed => Observation::ResponseOnEarlierConnection,
             // A server that was only stalled answers late on all of its connections.
             Some(overdue) if overdue.clone().answers_late().await => Observation::ResponseOnEarlierConnection,
--- a/gateway/src/engine/reset_inquiry.rs
+++ b/gateway/src/engine/reset_inquiry.rs
@@ -51,7 +51,7 @@
     pub(super) async fn inquire_after_reset(
         &self, server: ServerId, attempt: &CancelToken,
     ) -> ServerAfterReset {
-        let Some(address) = attempt.server_address() else { return ServerAfterReset::Silent };
+        let Some(address) = attempt.server_address() else { return ServerAfterReset::TimedOut };
         let reset_before = Instant::now();
         let inquiry = self.0.reset_inquiries.entry(&address);
         let mut last = inquiry.lock().await;
@@ -67,14 +67,14 @@
     async fn inquire_on_new_connection(&self, server: ServerId, address: String) -> ServerAfterReset {
         // Open connections serve as evidence for other requests, so none is closed to free a slot for an inquiry.
         let Ok(slot) = self.0.connection_slots.clone().try_acquire_owned() else {
-            return ServerAfterReset::Silent;
+            return ServerAfterReset::TimedOut;
         };
         let answer =
             timeout_allowing_stalls(ANSWER_TIMEOUT, self.call_on_new_connection(server, address, slot)).await;
-        let result = answer.unwrap_or(ServerAfterReset::Silent);
+        let result = answer.unwrap_or(ServerAfterReset::TimedOut);
         match result {
-            ServerAfterReset::Answers => self.record_reachability(server, Reachability::answered),
-            ServerAfterReset::Refuses | ServerAfterReset::Silent => {
+            ServerAfterReset::Responded => self.record_reachability(server, Reachability::answered),
+            ServerAfterReset::ConnectionRefused | ServerAfterReset::TimedOut => {
                 self.record_reachability(server, Reachability::query_lost);
             }
         }
@@ -96,13 +96,13 @@
         };
         self.0.counts.borrow_mut().connections_opened.probe += 1;
         let check = if is_listed { self.check_call() } else { self.release_of_unused_id() };
-        let Ok((kind, check)) = check else { return ServerAfterReset::Silent };
+        let Ok((kind, check)) = check else { return ServerAfterReset::TimedOut };
         match self.send_check_call(server, &mut connection, kind, check).await {
             Ok(()) => {
                 self.add_idle(server, connection);
-                ServerAfterReset::Answers
+                ServerAfterReset::Responded
             }
-            Err(_) => ServerAfterReset::Silent,
+            Err(_) => ServerAfterReset::TimedOut,
         }
     }
 
@@ -114,7 +114,7 @@
 /// Returns what a failed connection attempt shows about the server.
 fn result_of_failed_connect(error: &io::Error) -> ServerAfterReset {
     match error.kind() {
-        io::ErrorKind::ConnectionRefused => ServerAfterReset::Refuses,
-        _ => ServerAfterReset::Silent,
+        io::ErrorKind::ConnectionRefused => ServerAfterReset::ConnectionRefused,
+        _ => ServerAfterReset::TimedOut,
     }
 }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -92,11 +92,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAfterReset {
     /// The connection was refused.
-    Refuses,
+    ConnectionRefused,
     /// The server answered the query.
-    Answers,
+    Responded,
     /// The server did not answer in time.
-    Silent,
+    TimedOut,
 }
 
 /// The stream of the frames of a response.
@@ -147,7 +147,7 @@
     /// The result of a query after a reset.
     AfterReset(ServerAfterReset),
     /// An observation that bears on an attempt's delivery.
-    Observed(Observation),
+    DeliveryObserved(Observation),
     /// The call was executed and returns nothing.
     Done,
 }
--- a/gateway/tests/delivery_confirmation.rs
+++ b/gateway/tests/delivery_confirmation.rs
@@ -79,7 +79,7 @@
 async fn confirm(engine: &Engine, cancel_token: &CancelToken) -> Option<Observation> {
     let call = Call::ConfirmDelivery { server: SERVER, cancel_token: cancel_token.clone() };
     match engine.clone().oneshot(call).await {
-        Ok(Reply::Observed(seen)) => Some(seen),
+        Ok(Reply::DeliveryObserved(seen)) => Some(seen),
         _ => None,
     }
 }
--- a/gateway/tests/reset_inquiries.rs
+++ b/gateway/tests/reset_inquiries.rs
@@ -54,7 +54,7 @@
         let engine = engine_of(&server, true);
         assert!(matches!(attempt(&engine, "{}").await, Ok(Reply::Prefilled { .. })));
         back_to_the_pool().await;
-        assert_eq!(ask(&engine, &server.address.to_string()).await, ServerAfterReset::Answers);
+        assert_eq!(ask(&engine, &server.address.to_string()).await, ServerAfterReset::Responded);
         assert_eq!(server.connections.get(), 2);
         assert!(matches!(attempt(&engine, "{}").await, Ok(Reply::Prefilled { .. })));
         assert_eq!(
@@ -70,10 +70,10 @@
     run(async {
         let server = answering().await;
         let address = server.address.to_string();
-        assert_eq!(ask(&engine_of(&server, false), &address).await, ServerAfterReset::Answers);
+        assert_eq!(ask(&engine_of(&server, false), &address).await, ServerAfterReset::Responded);
         let engine = engine_of(&server, true);
         engine.update_servers(true, &[], &[]);
-        assert_eq!(ask(&engine, &address).await, ServerAfterReset::Answers);
+        assert_eq!(ask(&engine, &address).await, ServerAfterReset::Responded);
         assert_eq!(methods(&server), ["DELETE", "DELETE"]);
     });
 }
@@ -85,7 +85,7 @@
         let (old, new) = (answering().await, answering().await);
         let engine = engine_of(&old, true);
         engine.update_servers(false, &[address(SERVER, &new, true)], &[]);
-        assert_eq!(ask(&engine, &old.address.to_string()).await, ServerAfterReset::Answers);
+        assert_eq!(ask(&engine, &old.address.to_string()).await, ServerAfterReset::Responded);
         assert_eq!((methods(&old), methods(&new)), (vec!["DELETE".to_string()], Vec::new()));
     });
 }
@@ -97,7 +97,7 @@
         let server = StandIn::start(|_, _| Act::Silence).await;
         server.scripts_checks.set(true);
         let (engine, begun) = (engine_of(&server, true), Instant::now());
-        assert_eq!(ask(&engine, &server.address.to_string()).await, ServerAfterReset::Silent);
+        assert_eq!(ask(&engine, &server.address.to_string()).await, ServerAfterReset::TimedOut);
         assert!(begun.elapsed() < Duration::from_millis(400), "{:?}", begun.elapsed());
     });
 }
@@ -115,7 +115,7 @@
         };
         let engine = engine_with(AGES, 8, true);
         engine.update_servers(true, &[listed], &[]);
-        assert_eq!(ask(&engine, &gone.to_string()).await, ServerAfterReset::Refuses);
+        assert_eq!(ask(&engine, &gone.to_string()).await, ServerAfterReset::ConnectionRefused);
     });
 }
 
@@ -126,7 +126,7 @@
         let server = answering().await;
         let (engine, address) = (engine_of(&server, true), server.address.to_string());
         let found = join_all((0..20).map(|_| ask(&engine, &address))).await;
-        assert_eq!(found, [ServerAfterReset::Answers; 20]);
+        assert_eq!(found, [ServerAfterReset::Responded; 20]);
         assert_eq!((server.count("GET"), server.connections.get()), (2, 2));
     });
 }
