--- a/gateway/src/core/admission.rs
+++ b/gateway/src/core/admission.rs
@@ -107,6 +107,6 @@
 
     fn create_record(&self, routing: &RoutingRequest, name: &str, arrived: Instant) -> RecordBuilder {
         let arrived = self.clock.at(arrived);
-        RecordBuilder::new(routing, name, &self.settings, arrived, self.clock.unix(arrived))
+        RecordBuilder::new(routing, name, &self.settings, arrived, self.clock.to_unix(arrived))
     }
 }
--- a/gateway/src/core/clock.rs
+++ b/gateway/src/core/clock.rs
@@ -32,12 +32,12 @@
     }
 
     /// Converts Unix milliseconds to this clock's time; negative for times before the process started.
-    pub fn of_unix(&self, unix_ms: f64) -> Millis {
+    pub fn from_unix(&self, unix_ms: f64) -> Millis {
         unix_ms - self.unix_ms
     }
 
     /// Converts this clock's time to Unix milliseconds.
-    pub fn unix(&self, time: Millis) -> Millis {
+    pub fn to_unix(&self, time: Millis) -> Millis {
         time + self.unix_ms
     }
 
--- a/gateway/src/daemon/counters.rs
+++ b/gateway/src/daemon/counters.rs
@@ -15,7 +15,7 @@
 
 /// Logs the counts of the platform's pool and of discovery for as long as the process runs.
 pub(super) async fn log_counts(pool: Pool, discovery: Rc<DiscoveryMetrics>, prices: Prices) {
-    let started_unix_ms = pool.clock.unix(pool.clock.now()).round();
+    let started_unix_ms = pool.clock.to_unix(pool.clock.now()).round();
     let mut logged = Counts::default();
     loop {
         sleep(LOG_INTERVAL).await;
--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -204,7 +204,7 @@
             kind: kind.unwrap_or(UNKNOWN_KIND),
             state: self.state(),
             weight: self.weight.unwrap_or(1.0),
-            started: (self.started_unix_ms > 0.0).then(|| clock.of_unix(self.started_unix_ms)),
+            started: (self.started_unix_ms > 0.0).then(|| clock.from_unix(self.started_unix_ms)),
         }
     }
 
--- a/gateway/tests/platform.rs
+++ b/gateway/tests/platform.rs
@@ -251,8 +251,8 @@
 fn a_start_is_told_on_the_modules_clock() {
     run(async {
         let clock = glenrail::core::Clock::new(Duration::from_secs(1_000));
-        assert!((clock.of_unix(1_002_500.0) - 2_500.0).abs() < 1e-6);
-        assert!(clock.of_unix(999_000.0) < 0.0);
+        assert!((clock.from_unix(1_002_500.0) - 2_500.0).abs() < 1e-6);
+        assert!(clock.from_unix(999_000.0) < 0.0);
         assert_eq!(duration(f64::NAN), Duration::ZERO);
     });
 }
