--- a/gateway/src/front/unanswered.rs
+++ b/gateway/src/front/unanswered.rs
@@ -108,7 +108,8 @@
 thread_local! {
     static COUNTS: RefCell<Counts> = RefCell::default();
     /// One limit for each reason, so that many lines of one reason do not suppress those of others.
-    static LIMITS: [RateLimit; EndReason::ALL.len()] = const { [const { RateLimit::new() }; EndReason::ALL.len()] };
+    static LIMITS: [RateLimit; EndReason::ALL.len()] =
+        const { [const { RateLimit::new() }; EndReason::ALL.len()] };
 }
 
 /// Counts and logs the end of a connection.
