--- a/gateway/src/core/forwarding.rs
+++ b/gateway/src/core/forwarding.rs
@@ -70,7 +70,7 @@
 }
 
 /// Continues a response that the predecessor process started. It belongs to no request of this process's router.
-pub fn resume(frames: Frames) -> ClientSide {
+pub fn resume_stream(frames: Frames) -> ClientSide {
     let (client, response) = exchange::response_channel();
     spawn_local(async move {
         forward_remaining(&response, frames).await;
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -45,7 +45,7 @@
 use crate::upstream::{Call, CallError, Reply};
 
 pub use clock::{duration, millis, Clock};
-pub use forwarding::resume;
+pub use forwarding::resume_stream;
 use request_state::RequestState;
 use timers::Timers;
 
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -63,7 +63,7 @@
         let frames = pool.engine.resume(remainder);
         let open_stream = pool.resumed.open();
         Box::pin(async move {
-            let result = write_remainder(socket, core::resume(frames)).await;
+            let result = write_remainder(socket, core::resume_stream(frames)).await;
             drop(open_stream);
             let (outcome, after_stream) = match result {
                 StreamResult::Complete => (Some(RequestOutcome::Fulfilled), AfterStream::KeepAlive),
