--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -22,7 +22,7 @@
 use crate::core::duration;
 use crate::discovery::{self, DiscoveryMetrics, EndpointList, SettingsNames};
 use crate::engine::{Engine, EngineLimits};
-use crate::front::platform::{Platform, PlatformNames};
+use crate::front::platform::{Platform, PlatformSettings};
 use crate::front::server::{self, FrontListener};
 use crate::log;
 use crate::maintenance::{Maintenance, OrderStore};
@@ -101,12 +101,12 @@
     Pool::new(platform.seed, platform.settings.clone(), limits, slots, budget)
 }
 
-fn names(platform: &config::Platform) -> PlatformNames {
+fn names(platform: &config::Platform) -> PlatformSettings {
     let deadlines = platform.settings.classes.iter().map(|class| class.deadline);
-    PlatformNames {
+    PlatformSettings {
         classes: platform.classes.iter().cloned().zip(deadlines).collect(),
         tenants: platform.tenants.clone(),
-        max_retry_after: PlatformNames::max_retry_after(&platform.settings.limits),
+        max_retry_after: PlatformSettings::max_retry_after(&platform.settings.limits),
     }
 }
 
@@ -193,7 +193,7 @@
     })
 }
 
-fn front(names: PlatformNames, pool: &Pool, context: &Context) -> Platform {
+fn front(names: PlatformSettings, pool: &Pool, context: &Context) -> Platform {
     let (core, shutdown) = (pool.core.clone(), context.shutdown.clone());
     // Of the gateway, so also where a successor serves.
     let ready = Rc::new(move || !shutdown.is_draining() && core.can_serve());
--- a/gateway/src/front/inference/mod.rs
+++ b/gateway/src/front/inference/mod.rs
@@ -49,7 +49,7 @@
 /// Pool that serves the requests of an endpoint.
 pub struct Target {
     /// Returns the pool's core behind the plug-in.
-    pub entry: Rc<dyn Fn() -> RequestService>,
+    pub service: Rc<dyn Fn() -> RequestService>,
     /// Returns whether the pool can serve requests.
     pub ready: Rc<dyn Fn() -> bool>,
     /// Class of the requests in that pool: its index in the settings and, for the platform's servers, its name.
@@ -157,7 +157,7 @@
         let body = body.map_err(|error| self.body_error(error))?;
         let fields = endpoint.body_reader()(&body)?;
         let request = self.exchange_request(target, parts, body, &fields, client_timeout, arrived);
-        let Ok(response_parts) = (target.entry)().oneshot(request).await;
+        let Ok(response_parts) = (target.service)().oneshot(request).await;
         respond(response_parts, arrived + client_timeout).await
     }
 
--- a/gateway/src/front/platform/fields.rs
+++ b/gateway/src/front/platform/fields.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, HeaderValue};
 use thiserror::Error;
 
-use super::{PlatformNames, MAX_BODY_BYTES};
+use super::{PlatformSettings, MAX_BODY_BYTES};
 
 /// Number of body bytes that count as one token, as the protocol defines it.
 const BYTES_PER_TOKEN: usize = 4;
@@ -66,7 +66,7 @@
 }
 
 /// Reads the fields from the headers; an error names the invalid header.
-pub(super) fn read_fields(headers: &HeaderMap, names: &PlatformNames) -> Result<Fields, FieldError> {
+pub(super) fn read_fields(headers: &HeaderMap, names: &PlatformSettings) -> Result<Fields, FieldError> {
     let request_id = request_id(headers)?;
     let class = class(headers, names)?;
     let tenant = tenant(headers, names)?;
@@ -115,13 +115,13 @@
 }
 
 /// Returns the index of the request's class.
-fn class(headers: &HeaderMap, names: &PlatformNames) -> Result<usize, FieldError> {
+fn class(headers: &HeaderMap, names: &PlatformSettings) -> Result<usize, FieldError> {
     let name = single_value(headers, "Req-Kind")?.ok_or(FieldError::Missing("Req-Kind"))?;
     names.classes.iter().position(|class| class.0 == name).ok_or(FieldError::UnknownClass)
 }
 
 /// Returns the index of the request's tenant; 0 if the request names none.
-fn tenant(headers: &HeaderMap, names: &PlatformNames) -> Result<usize, FieldError> {
+fn tenant(headers: &HeaderMap, names: &PlatformSettings) -> Result<usize, FieldError> {
     match single_value(headers, "Req-Owner")? {
         Some(owner) => {
             names.tenants.iter().position(|tenant| tenant == owner).ok_or(FieldError::UnknownTenant)
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -33,7 +33,7 @@
 const OVER_CAP_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Settings of the deployment that the front needs to read and reject requests.
-pub struct PlatformNames {
+pub struct PlatformSettings {
     /// Names and default deadlines of the classes, by index.
     pub classes: Vec<(String, Millis)>,
     /// Names of the tenants, by index.
@@ -42,7 +42,7 @@
     pub max_retry_after: Duration,
 }
 
-impl PlatformNames {
+impl PlatformSettings {
     /// Returns the maximum `Retry-After` that the settings allow; zero if they allow none.
     pub fn max_retry_after(limits: &Limits) -> Duration {
         if limits.retry_after {
@@ -56,7 +56,7 @@
 /// Front for the platform's protocol.
 #[derive(Clone)]
 pub struct Platform {
-    names: Rc<PlatformNames>,
+    names: Rc<PlatformSettings>,
     budget: Budget,
     core: Rc<dyn Fn() -> RequestService>,
     ready: Rc<dyn Fn() -> bool>,
@@ -67,7 +67,7 @@
 impl Platform {
     /// Creates a front that sends requests to `core`; `ready` decides the result of the readiness check.
     pub fn new(
-        names: PlatformNames, budget: Budget, core: Rc<dyn Fn() -> RequestService>,
+        names: PlatformSettings, budget: Budget, core: Rc<dyn Fn() -> RequestService>,
         ready: Rc<dyn Fn() -> bool>, shutdown: Shutdown, metrics: RequestMetrics,
     ) -> Self {
         Platform { names: Rc::new(names), budget, core, ready, shutdown, metrics }
--- a/gateway/src/front/platform/tests.rs
+++ b/gateway/src/front/platform/tests.rs
@@ -7,14 +7,14 @@
 use http::{HeaderMap, HeaderName, HeaderValue};
 
 use super::fields::{read_fields, FieldError, Fields};
-use super::{rejection, PlatformNames, DEFAULT_RETRY_AFTER, OVER_CAP_RETRY_AFTER};
+use super::{rejection, PlatformSettings, DEFAULT_RETRY_AFTER, OVER_CAP_RETRY_AFTER};
 
 /// Maximum deadline of a request in ms.
 const MAX_CLIENT_TIMEOUT: f64 = 60_000.0;
 
-fn names() -> PlatformNames {
+fn names() -> PlatformSettings {
     let classes = vec![("item-query".into(), 10_000.0), ("order-chat".into(), 12_000.0)];
-    PlatformNames { classes, tenants: vec![], max_retry_after: Duration::ZERO }
+    PlatformSettings { classes, tenants: vec![], max_retry_after: Duration::ZERO }
 }
 
 fn read(pairs: &[(&'static str, &'static str)]) -> Result<Fields, FieldError> {
@@ -78,7 +78,7 @@
 /// Guards classes and tenants with names that are not ASCII, which a header contains as UTF-8 bytes.
 #[test]
 fn names_that_are_not_ascii_are_found() {
-    let names = PlatformNames {
+    let names = PlatformSettings {
         classes: vec![("ostoskysely-äö".into(), 10_000.0)],
         tenants: vec!["ગુજરાત".into()],
         max_retry_after: Duration::ZERO,
@@ -102,7 +102,7 @@
         let settings = format!("{{\"policy-limits\": {limits}}}");
         let limits =
             glenrail_settings::parse_settings(&serde_json::from_str(&settings).expect("settings")).limits;
-        let rejection = rejection("", after.min(PlatformNames::max_retry_after(&limits)));
+        let rejection = rejection("", after.min(PlatformSettings::max_retry_after(&limits)));
         rejection.headers().get(RETRY_AFTER).map(|value| value.to_str().expect("text").to_string())
     };
     let (allowed, much) = (
--- a/gateway/src/pools/inference.rs
+++ b/gateway/src/pools/inference.rs
@@ -123,7 +123,7 @@
 
 fn target(pool: &Pool, plugin: &Option<Rc<Plugin>>, class: (u32, Option<String>)) -> Target {
     let core = pool.core.clone();
-    Target { entry: pool.request_service(plugin), ready: Rc::new(move || core.can_serve()), class }
+    Target { service: pool.request_service(plugin), ready: Rc::new(move || core.can_serve()), class }
 }
 
 /// Applies the servers of a file to its pool: first to the engine client, then to the router.
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -75,7 +75,7 @@
         let (core, shutdown) = (pool.core.clone(), shutdown.clone());
         move || !shutdown.is_draining() && core.can_serve()
     });
-    let names = platform::PlatformNames {
+    let names = platform::PlatformSettings {
         classes: vec![("item-query".into(), 10_000.0), ("order-chat".into(), 12_000.0)],
         tenants: vec![],
         max_retry_after: Duration::from_millis(500),
