--- a/gateway/src/core/tests/mod.rs
+++ b/gateway/src/core/tests/mod.rs
@@ -112,7 +112,7 @@
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
         if !self.misses_closes.get() {
-            self.token.note(Observation::ServerClose);
+            self.token.record_observation(Observation::ServerClose);
         }
     }
 }
@@ -130,7 +130,7 @@
             unreachable: Rc::default(),
             delivery_observations: Rc::new(RefCell::new(vec![Observation::ResponseOnLaterConnection])),
             misses_closes: Rc::default(),
-            after_reset: Rc::new(Cell::new(ServerAfterReset::Silent)),
+            after_reset: Rc::new(Cell::new(ServerAfterReset::TimedOut)),
             attempt_tokens: Rc::default(),
         }
     }
@@ -186,7 +186,7 @@
         }
         let mut observations = self.delivery_observations.borrow_mut();
         let observation = if observations.len() > 1 { observations.remove(0) } else { observations[0] };
-        Ok(Reply::Observed(observation))
+        Ok(Reply::DeliveryObserved(observation))
     }
 
     fn begin_attempt(&self, token: &CancelToken) -> InFlight {
@@ -200,7 +200,7 @@
     async fn answer_inquiry(&self) -> ServerAfterReset {
         self.calls.borrow_mut().push((CallKind::InquiryAfterReset, 0));
         let found = self.after_reset.get();
-        if found == ServerAfterReset::Silent {
+        if found == ServerAfterReset::TimedOut {
             sleep(INQUIRY_TIMEOUT).await;
         }
         found
@@ -228,7 +228,7 @@
         ScriptedReply::Unprocessable => return Ok(Reply::Unprocessable { report: None }),
         ScriptedReply::Fail(error) => return Err(error),
         ScriptedReply::ConnectionReset => {
-            in_flight.token.note(Observation::Reset);
+            in_flight.token.record_observation(Observation::Reset);
             return Err(CallError::Reset);
         }
         ScriptedReply::NoReply | ScriptedReply::NoConnection => return std::future::pending().await,
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -63,7 +63,7 @@
         let frames = pool.engine.resume(remainder);
         let open_stream = pool.resumed.open();
         Box::pin(async move {
-            let result = write_remainder(socket, core::resume(frames)).await;
+            let result = write_remainder(socket, core::resume_stream(frames)).await;
             drop(open_stream);
             let (outcome, after_stream) = match result {
                 StreamResult::Complete => (Some(RequestOutcome::Fulfilled), AfterStream::KeepAlive),
@@ -276,7 +276,7 @@
     };
     // Keeps the process from exiting until the connections are accepted that are queued when accepting ends.
     let _accepting = shutdown.guard();
-    let stop = shutdown.reached(Phase::Closing);
+    let stop = shutdown.wait_for_phase(Phase::Closing);
     tokio::pin!(stop);
     tokio::select! {
         () = &mut stop => return,
