--- a/gateway/src/engine/attempt.rs
+++ b/gateway/src/engine/attempt.rs
@@ -26,8 +26,9 @@
 
 /// Time limit on the platform from the head of a response to its first event, or to the end of a short response.
 ///
-/// Platform engines write the head together with either, so a later response is malformed. Without the limit, a response
-/// that never ends would use up the entire deadline of its request.
+/// A platform server writes the head together with the first event or the short response, so one that arrives
+/// later is malformed. Without the limit, a response that never ends would use up the entire deadline of its
+/// request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How the response of an attempt is forwarded.
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Waits for data that must follow the head of a response within [`BODY_TIMEOUT`]. A public API and the body of a
-    /// document have no such limit.
+    /// Waits for data that must follow the head of a response within [`BODY_TIMEOUT`]. Public APIs and
+    /// buffered responses have no such limit.
     async fn within_body_timeout<T>(
         &self, mode: ResponseMode, awaited: impl Future<Output = T>,
     ) -> Result<T, CallError> {
--- a/gateway/src/engine/closing.rs
+++ b/gateway/src/engine/closing.rs
@@ -43,7 +43,8 @@
 }
 
 impl ClosingConnections {
-    /// Closes all of them immediately. Whether their servers notice the interruption then remains unknown.
+    /// Closes all of these connections; their tasks end when they are next scheduled. Whether their servers
+    /// notice the interruption then remains unknown.
     pub fn close_all(&self) {
         self.waiting.borrow_mut().abort_all();
     }
--- a/gateway/src/engine/connection.rs
+++ b/gateway/src/engine/connection.rs
@@ -226,11 +226,12 @@
     })
 }
 
-/// Closes the connection immediately, which cancels an attempt in progress.
+/// Closes the connection unless it was handed over. This cancels an attempt in progress.
 ///
-/// The socket is shut down here because the connection's task ends only when it is next scheduled, and the request's
-/// next attempt must not begin while this connection is open. If an attempt is interrupted, only the sending direction is
-/// shut down: the server's own close then shows that it has noticed.
+/// The socket is shut down here because the connection's task ends only when it is next scheduled, and the
+/// request's next attempt must not begin while this connection is open. If a written attempt is interrupted
+/// before its stream begins, only the sending direction is shut down: the server's own close then shows that
+/// it has noticed.
 impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
--- a/gateway/src/engine/connection_checks.rs
+++ b/gateway/src/engine/connection_checks.rs
@@ -29,7 +29,8 @@
 /// late on each of its connections.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Maximum number of recent checks stored per server. Attempts look them up within the lease limit.
+/// Maximum number of recent checks stored per server. Attempts need only those from within the time limit of
+/// a lease.
 const MAX_CHECKS: usize = 32;
 
 /// Time after which a pending call counts as timed out, even if its caller waits longer.
@@ -202,7 +203,8 @@
     ) {
         let mut checked = Some(checked);
         let answered = {
-            // The check counts as a probe here even if it is a release: a server that may not be probed gets neither.
+            // The conditions of a probe apply even if the check is a release: a server that is no longer
+            // listed at this address receives neither.
             let answer = self.send_check_call(server, &mut connection, RequestKind::Probe, request);
             tokio::pin!(answer);
             match timeout_allowing_stalls(ANSWER_TIMEOUT, &mut answer).await {
--- a/gateway/src/engine/control_calls.rs
+++ b/gateway/src/engine/control_calls.rs
@@ -1,4 +1,5 @@
-//! Short calls to servers (requests that are not attempts): probes and slot reservations.
+//! Short calls to servers, which are all requests other than attempts; here also probes and slot
+//! reservations.
 
 use std::time::Duration;
 
--- a/gateway/src/engine/events/mod.rs
+++ b/gateway/src/engine/events/mod.rs
@@ -13,7 +13,8 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct MalformedEvent;
 
-/// The bytes of a stream that have not been forwarded because their event is incomplete.
+/// The bytes of a stream that have not been forwarded, because their event is incomplete or no event with
+/// data has been completed yet.
 #[derive(Default)]
 pub struct EventBuffer {
     bytes: BytesMut,
@@ -44,7 +45,8 @@
         EventBuffer { has_begun: true, ..EventBuffer::default() }
     }
 
-    /// Appends bytes and returns the events that are now complete, if any.
+    /// Appends bytes and returns the events that are now complete, if any; none before the first event with
+    /// data.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Option<Bytes>, MalformedEvent> {
         self.bytes.extend_from_slice(bytes);
         while let Some(length) = self.bytes[self.examined..].iter().position(|byte| *byte == b'\n') {
--- a/gateway/src/engine/liveness.rs
+++ b/gateway/src/engine/liveness.rs
@@ -1,9 +1,10 @@
 //! Verification that a server responds now and that the network path to it works.
 //!
-//! An open connection may stop delivering without an error, so bytes that were handed to the kernel may never arrive. An
-//! attempt that a lease waits for is therefore written only to a connection that has just answered a probe. After the
-//! write, a connection that was already open by then is probed ([`connection_checks`](super::connection_checks)). Where
-//! servers may not be probed, the release of an unused id replaces the probe.
+//! An open connection may stop delivering without an error, so bytes that were handed to the kernel may never
+//! arrive. An attempt that claims a lease is therefore written only to a connection that has just answered a
+//! probe. After the write, a connection that was already open by then is probed
+//! ([`connection_checks`](super::connection_checks)). Where servers may not be probed, the release of an
+//! unused id replaces the probe.
 
 use std::time::Duration;
 
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -1,8 +1,9 @@
 //! Client of the servers: a tower service that sends attempts, probes and lease calls over its own pool of connections.
 //!
-//! Every call is written once. A connection that fails before its first byte was written is replaced; nothing else is
-//! ever sent again here, because the router decides about retries. [`Engine`] owns the table of servers and their idle
-//! connections. Time is measured by tokio's clock.
+//! Each request is written to a server at most once. If its connection fails before any byte of the request
+//! was written, another connection is used; otherwise the request is not sent again, because the router
+//! decides about retries. [`Engine`] owns the table of servers and their idle connections. Time is measured
+//! by tokio's clock.
 
 #![deny(missing_docs)]
 
@@ -120,8 +121,9 @@
         servers.update(changed, removed);
     }
 
-    /// Hands over every stream, present and future, to the successor process at the next position from which that can
-    /// continue it.
+    /// Requests the handover of all present and future streams to the successor process. A stream
+    /// with a chunked body is handed over at its next position between two chunks and two events, where the
+    /// successor can continue it.
     pub fn hand_over_streams(&self) {
         self.0.handing_over.send_replace(true);
     }
@@ -137,7 +139,7 @@
         self.0.attempts_written.get()
     }
 
-    /// Returns the counts of connections, checks and probes so far.
+    /// Returns the counts of connections to servers and of probes so far.
     pub fn counts(&self) -> Counts {
         self.0.counts.borrow().clone()
     }
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Records the result of a call in the reachability of its server.
+    /// Records in the reachability of a server that a call was sent, answered or lost.
     fn record_reachability(&self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
         self.0.servers.borrow_mut().record_reachability(server, event);
     }
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -50,8 +50,8 @@
         self.pop_usable(servers.get_mut(server)?).map(|(_, connection)| connection)
     }
 
-    /// Takes an idle connection for an attempt that a lease waits for. If there are two, the other one remains idle as
-    /// the sentinel.
+    /// Takes an idle connection for an attempt that claims a lease. If two are usable, the other one remains
+    /// idle as the sentinel.
     pub(super) fn take_idle_beside_sentinel(&self, server: ServerId) -> Option<Connection> {
         let mut servers = self.0.servers.borrow_mut();
         let record = servers.get_mut(server)?;
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Opens a sentinel if the policy requires one. Nothing waits for it, and it is opened only if a connection slot is
-    /// free.
+    /// Opens a sentinel if the policy requires one. No request waits for it, and it is opened only if a
+    /// connection slot is free.
     pub(super) fn open_sentinel(&self, server: ServerId) {
         let mut servers = self.0.servers.borrow_mut();
         let Some(record) = servers.get_mut(server) else { return };
@@ -184,7 +184,8 @@
         });
     }
 
-    /// Adds a connection that carries nothing to the pool.
+    /// Adds a connection without a request in progress to the pool, or closes it if it no longer matches the
+    /// server list.
     pub(super) fn add_idle(&self, server: ServerId, connection: Connection) {
         {
             let mut servers = self.0.servers.borrow_mut();
--- a/gateway/src/engine/requests.rs
+++ b/gateway/src/engine/requests.rs
@@ -15,7 +15,7 @@
 /// Header with the time for which the gateway still waits for the response, in seconds.
 const REMAINING_TIME: HeaderName = HeaderName::from_static("req-deadline");
 
-/// Value of the Host header unless the client sent one.
+/// Value of the Host header of short calls, and of attempts whose client sent none.
 const DEFAULT_HOST: &str = "api.internal";
 
 /// Headers that are not forwarded because they apply to one connection only or the gateway sets them.
@@ -30,8 +30,9 @@
     REQUEST_ID,
 ];
 
-/// Builds the request of an attempt: method, path, query, body and headers as received, without the headers in
-/// [`NOT_FORWARDED`]. The remaining time is added immediately before the write ([`set_remaining_time`]).
+/// Builds the request of an attempt: method, path, query, body and headers as received, without Keep-Alive
+/// and the headers in [`NOT_FORWARDED`]. Content-Length, the request id and a missing Host header are set
+/// here. The remaining time is added immediately before the write ([`set_remaining_time`]).
 pub(super) fn attempt_request(payload: &Payload) -> Request<Bytes> {
     let mut request = Request::new(payload.body.clone());
     *request.method_mut() = payload.method.clone();
--- a/gateway/src/engine/reset_inquiry.rs
+++ b/gateway/src/engine/reset_inquiry.rs
@@ -1,4 +1,5 @@
-//! Inquiries about a server after a reset: a new connection to it is refused, is answered, or times out.
+//! Inquiries about a server after a reset: a new connection is refused, the server answers a call on it, or
+//! neither.
 //!
 //! [`evidence`](glenrail_request_lifecycle::evidence) decides what each of the three proves. New connections and probes
 //! have a cost across the fleet, so each server gets one inquiry at a time, and its result is shared by all attempts
--- a/gateway/src/engine/response_fields.rs
+++ b/gateway/src/engine/response_fields.rs
@@ -16,7 +16,8 @@
 /// Header that marks a response as a rejection if its value is 1.
 const REJECTION_HEADER: &str = "srv-declined";
 
-/// Number of bytes at the end of a stream that contain its last events.
+/// Number of bytes kept from the end of a stream, to find the load report and the token counts in its last
+/// events.
 const TAIL_BYTES: usize = 2048;
 
 /// Returns whether the response states that the server did not run the request; `public_api` as in
--- a/gateway/src/engine/response_reader.rs
+++ b/gateway/src/engine/response_reader.rs
@@ -22,7 +22,8 @@
 /// Maximum number of headers in a response head.
 const MAX_HEADERS: usize = 100;
 
-/// Time limit from the first bytes of a response head to its end.
+/// Time limit from the first bytes of a response, including interim responses, to the end of its final head.
+/// It is enforced only while a head has been received in part.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The socket of a connection as hyper reads and writes it.
--- a/gateway/src/engine/send.rs
+++ b/gateway/src/engine/send.rs
@@ -1,4 +1,4 @@
-//! Sending of requests: each is written once, on an idle connection or a new one.
+//! Sending of requests: each is written at most once, on an idle connection or a new one.
 
 use glenrail_request_lifecycle::reachability::Reachability;
 use glenrail_router::ServerId;
@@ -18,7 +18,8 @@
 use crate::upstream::{CallError, ConnectionCheck};
 
 impl Engine {
-    /// Writes a request to a server once. Returns the response and the connection on which its body arrives.
+    /// Writes a request to a server at most once. Returns the response and the connection on which its body
+    /// arrives.
     pub(super) async fn send(
         &self, server: ServerId, request: &ServerRequest,
     ) -> Result<(Response<Incoming>, Connection), CallError> {
--- a/gateway/src/engine/server_request.rs
+++ b/gateway/src/engine/server_request.rs
@@ -12,8 +12,9 @@
 
 /// Margin by which the remaining time stated to a server is reduced.
 ///
-/// A request that arrives while this process is stalled gets its arrival time only when it is read, so the computed
-/// remaining time is too long by up to the stall. The platform tolerates no more than the longest stall.
+/// A request that arrives while this process is stalled gets its arrival time only when it is read, so the
+/// computed remaining time is too long by up to the stall. The platform tolerates an excess no larger than
+/// the longest stall.
 const STATED_TIME_MARGIN: Duration = Duration::from_millis(20);
 
 /// Purpose of a request to a server.
@@ -47,7 +48,7 @@
 }
 
 impl ServerRequest {
-    /// Creates a request other than an attempt. It has no deadline of its own and cannot be cancelled.
+    /// Creates a request other than an attempt. It has no deadlines and is never cancelled.
     pub fn new(kind: RequestKind, request: Request<Bytes>) -> Self {
         ServerRequest {
             kind,
@@ -61,8 +62,7 @@
 
     /// Returns the request as it is to be written now, with the remaining time in its header.
     ///
-    /// Returns `None` once one of its deadlines has passed: its own, that of the lease that waits for it, or the end of
-    /// the time in which it may be retried.
+    /// Returns `None` once `connect_deadline` or `deadline` has passed.
     pub fn prepare_write(&self) -> Option<Request<Bytes>> {
         let (mut request, now) = (self.request.clone(), Instant::now());
         let mut deadlines = [self.connect_deadline, self.deadline].into_iter().flatten();
--- a/gateway/src/engine/server_table.rs
+++ b/gateway/src/engine/server_table.rs
@@ -100,7 +100,7 @@
         self.created.elapsed().as_millis() as Millis
     }
 
-    /// Records the result of a call in the reachability of its server.
+    /// Records in the reachability of a server that a call was sent, answered or lost.
     pub fn record_reachability(&mut self, server: ServerId, event: impl FnOnce(&mut Reachability, Millis)) {
         let now = self.now();
         if let Some(record) = self.servers.get_mut(&server) {
