--- a/gateway/src/front/connection.rs
+++ b/gateway/src/front/connection.rs
@@ -118,7 +118,7 @@
         {
             response = with_connection_close(response);
         }
-        // The responses of both fronts and all rejections pass through here, so requests are counted in this
+        // The responses of all fronts and all rejections pass through here, so requests are counted in this
         // place: a full body at once, a stream by `TrackedBody` at its end.
         let counter = match (counter, response.body()) {
             (Some(counter), Body::Full(_)) => {
--- a/gateway/src/front/connection_state.rs
+++ b/gateway/src/front/connection_state.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Records that the response has been written completely.
+    /// Records that all of the response has been passed to hyper, or written if another process began it.
     pub fn response_finished(&self) {
         if self.stage() != Stage::HandedOver {
             self.end.note_answered();
--- a/gateway/src/front/connection_table.rs
+++ b/gateway/src/front/connection_table.rs
@@ -70,8 +70,8 @@
                 Input::TimedOut if closes => return CloseReason::TimedOut,
                 _ => {}
             }
-            // Bytes of a request have arrived since the connection was chosen. The request is served, and the
-            // connection is in the table again.
+            // Bytes of a request have arrived since the connection was chosen. The request is served, so
+            // the connection is inserted into the table again.
             self.table.connections.borrow_mut().insert(self.number, self.state.clone());
             yield_now().await;
         }
--- a/gateway/src/front/inference/error.rs
+++ b/gateway/src/front/inference/error.rs
@@ -48,7 +48,7 @@
         ApiError::new(StatusCode::PAYLOAD_TOO_LARGE, INVALID_REQUEST, message)
     }
 
-    /// The body did not arrive within the time limit.
+    /// The body did not arrive within the time limit, or paused for too long.
     pub fn body_too_slow() -> Self {
         ApiError::new(StatusCode::REQUEST_TIMEOUT, INVALID_REQUEST, "body too slow")
     }
@@ -60,12 +60,12 @@
         ApiError { retry_after: Some(retry_after), ..error }
     }
 
-    /// The client's timeout has expired.
+    /// The client's timeout has expired, or was about to expire when the request was rejected.
     pub fn deadline_exceeded() -> Self {
         ApiError::new(StatusCode::GATEWAY_TIMEOUT, "timeout_error", "no answer in time")
     }
 
-    /// No server returned a response.
+    /// No server returned a usable response.
     pub fn upstream_failed() -> Self {
         ApiError::new(StatusCode::BAD_GATEWAY, "upstream_error", "the servers did not answer")
     }
--- a/gateway/src/front/lingering_close.rs
+++ b/gateway/src/front/lingering_close.rs
@@ -15,7 +15,7 @@
 
 /// Time limit for the client to close the connection after the gateway has ended its sending side.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Maximum number of bytes that are read and dropped in that time.
+/// Maximum number of bytes that are read and dropped in that time, and again after it.
 const LINGER_MAX_BYTES: usize = 4 << 20;
 /// Maximum number of bytes that are dropped by one read.
 const LINGER_READ_BYTES: usize = 16 << 10;
@@ -26,13 +26,14 @@
     /// The rest of a request that had its response early. Some clients read the response only after they have
     /// sent the whole request.
     RestOfRequest,
-    /// Nothing that is served. A request that arrives now stays unread, and the client can send it again on another
-    /// connection.
+    /// Nothing that is served. A request that arrives now stays unread until the client closes the connection
+    /// or the wait ends, and the client can send it again on another connection.
     Nothing,
 }
 
-/// Ends the sending side, then waits until the client has closed the connection, a limit is reached, or `evicted`
-/// completes. Adds the number of bytes that it drops to `dropped`.
+/// Ends the sending side, then waits until the client has closed the connection, a limit is reached, or
+/// `evicted` completes, and drops the bytes that are unread by then. Adds the number of bytes that it drops
+/// to `dropped`.
 pub(super) async fn close(
     socket: &TcpStream, expected: Expected, dropped: &Cell<usize>, evicted: impl Future<Output = ()>,
 ) {
--- a/gateway/src/front/platform/mod.rs
+++ b/gateway/src/front/platform/mod.rs
@@ -84,7 +84,7 @@
             Ok(body) => body,
             Err(error) => return self.body_error_response(error),
         };
-        // The head arrived before requests are rejected, the last byte did not.
+        // The gateway may have begun to reject new requests while the body was being read.
         if self.shutdown.rejects_new_requests() {
             return self.rejection(DEFAULT_RETRY_AFTER);
         }
--- a/gateway/src/front/request_reader.rs
+++ b/gateway/src/front/request_reader.rs
@@ -53,8 +53,8 @@
 
 impl BodyFraming {
     /// Determines the framing. Ambiguous framing is a fault, because the next server could frame the body
-    /// differently and read a second request from it (request smuggling). hyper's service cannot check this:
-    /// hyper drops the length first.
+    /// differently and read a second request from it (request smuggling). The service behind hyper cannot
+    /// check this, because hyper drops the length before it passes the request on.
     fn of(headers: &[httparse::Header]) -> BodyFraming {
         let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
         let (lengths, encodings) = (named("content-length").count(), named("transfer-encoding").count());
@@ -156,7 +156,7 @@
         self.state.end.note_buffered(self.buffer.len() - self.passable);
     }
 
-    /// Reads a body directly into hyper's buffer, up to the end of the body.
+    /// Reads a body directly into hyper's buffer, up to the end of the body if its length is known.
     fn poll_body(&mut self, context: &mut Context<'_>, output: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let RemainingBody::Length(remaining) = &mut self.remaining_body else {
             let before = output.filled().len();
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -36,7 +36,8 @@
 /// Maximum number of connections over the cap that are open at the same time to reject their requests; further
 /// connections are closed without a response.
 pub const MAX_REJECTING_CONNECTIONS: usize = 24;
-/// One of this many connections over the cap may be an evicted connection that is being closed gracefully.
+/// Evicted connections that are being closed gracefully may be at most one in this many of
+/// [`MAX_REJECTING_CONNECTIONS`], or of the cap if that is lower.
 const LINGERING_DIVISOR: usize = 2;
 /// Pause after a failed accept, for example when no file descriptor is left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
@@ -54,8 +55,8 @@
 /// Continues a stream that another process began, on the socket of its client.
 pub type Resume = Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, AfterStream>>;
 
-/// Returns a function that continues streams through the given pool and counts their requests in `metrics` when
-/// they end.
+/// Returns a function that continues streams through the given pool. It counts a request in `metrics` when its
+/// stream is complete or was aborted by the server.
 pub fn resume(pool: &Pool, metrics: &RequestMetrics) -> Resume {
     let (pool, metrics) = (pool.clone(), metrics.clone());
     Rc::new(move |socket, TransferredStream { remainder, class }| {
--- a/gateway/src/front/tracked_body.rs
+++ b/gateway/src/front/tracked_body.rs
@@ -1,4 +1,5 @@
-//! Body of a response that notifies its connection when it has been written, and counts the request.
+//! Body of a response that notifies its connection when hyper drops it, complete or not, and counts the
+//! request.
 
 use std::io;
 use std::pin::Pin;
