--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -262,8 +262,8 @@
     })
 }
 
-/// Accepts and serves connections until shutdown reaches [`Phase::Closing`]. Connections that are still open
-/// then are served to their end by their own tasks.
+/// Accepts and serves connections until shutdown reaches [`Phase::Closing`] and, without a successor, those that
+/// are queued by then. Connections that are still open are served to their end by their own tasks.
 pub async fn serve(listener: impl Into<FrontListener>, front: impl Front, cap: usize, shutdown: Shutdown) {
     let FrontListener { number, listener, mut inbox, resume, mut open } = listener.into();
     let acceptor = Acceptor {
