--- a/gateway/src/front/accept_queue.rs
+++ b/gateway/src/front/accept_queue.rs
@@ -13,8 +13,8 @@
 /// Accepting ends after this time even if new connections keep arriving.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Takes connections until the queue is empty or [`DRAIN_TIMEOUT`] expires, each as soon as `vacancy` completes.
-/// A failed accept concerns only one connection, so the next one is accepted all the same.
+/// Takes connections until the queue is empty or [`DRAIN_TIMEOUT`] expires, each as soon as `vacancy`
+/// completes. A failed accept concerns only one connection, so the next one is accepted all the same.
 pub(super) async fn drain<T>(
     mut vacancy: impl AsyncFnMut(), mut accept: impl AsyncFnMut() -> io::Result<T>, mut start: impl FnMut(T),
 ) {
--- a/gateway/src/front/connection_state.rs
+++ b/gateway/src/front/connection_state.rs
@@ -167,7 +167,8 @@
     }
 
     /// Returns the time from which the connection may be evicted; `None` while an eviction could lose
-    /// something, because a request is open, a response is still being written, or the socket is not read yet.
+    /// something, because a request is open, a response is still being written, or the socket is not read
+    /// yet.
     pub(super) fn evictable_from(&self) -> Option<Instant> {
         if self.is_closing() {
             return Some(self.stage_since.get());
--- a/gateway/src/front/server.rs
+++ b/gateway/src/front/server.rs
@@ -55,8 +55,8 @@
 /// Continues a stream that another process began, on the socket of its client.
 pub type Resume = Rc<dyn for<'a> Fn(&'a mut TcpStream, TransferredStream) -> LocalBoxFuture<'a, AfterStream>>;
 
-/// Returns a function that continues streams through the given pool. It counts a request in `metrics` when its
-/// stream is complete or was aborted by the server.
+/// Returns a function that continues streams through the given pool. It counts a request in `metrics` when
+/// its stream is complete or was aborted by the server.
 pub fn resume(pool: &Pool, metrics: &RequestMetrics) -> Resume {
     let (pool, metrics) = (pool.clone(), metrics.clone());
     Rc::new(move |socket, TransferredStream { remainder, class }| {
@@ -262,8 +262,8 @@
     })
 }
 
-/// Accepts and serves connections until shutdown reaches [`Phase::Closing`] and, without a successor, those that
-/// are queued by then. Connections that are still open are served to their end by their own tasks.
+/// Accepts and serves connections until shutdown reaches [`Phase::Closing`] and, without a successor, those
+/// that are queued by then. Connections that are still open are served to their end by their own tasks.
 pub async fn serve(listener: impl Into<FrontListener>, front: impl Front, cap: usize, shutdown: Shutdown) {
     let FrontListener { number, listener, mut inbox, resume, mut open } = listener.into();
     let acceptor = Acceptor {
