--- a/gateway/src/front/connection_state.rs
+++ b/gateway/src/front/connection_state.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Records that the response has been written completely.
+    /// Records that all of the response has been passed to hyper, or written if another process began it.
     pub fn response_finished(&self) {
         if self.stage() != Stage::HandedOver {
             self.end.note_answered();
@@ -167,7 +167,8 @@
     }
 
     /// Returns the time from which the connection may be evicted; `None` while an eviction could lose
-    /// something, because a request is open or the socket is not read yet.
+    /// something, because a request is open, a response is still being written, or the socket is not read
+    /// yet.
     pub(super) fn evictable_from(&self) -> Option<Instant> {
         if self.is_closing() {
             return Some(self.stage_since.get());
