--- a/crates/overload/src/amplification.rs
+++ b/crates/overload/src/amplification.rs
@@ -41,9 +41,10 @@
         .max(PER_MILLE_SCALE)
 }
 
-/// Limits the further attempts of one member to a ratio of its first attempts. A sum over such members has
-/// the same ratio, so that the bound holds for the fleet without communication: attempts <= first attempts x
-/// (1 + ratio) + `max_saved` per member. The budget of the fleet bounds their number in addition.
+/// Limits the further attempts of one member to a ratio of its first attempts. The bound holds for the sum
+/// over all members too, without communication: over any period, attempts <= first attempts x (1 + ratio) +
+/// `max_saved` per member; since the start, without the last term. The fleet's budget also limits the number
+/// of further attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryRatioLimiter {
     ratio: PerMille,
@@ -73,7 +74,7 @@
         self.saved = (self.saved + u64::from(self.ratio)).min(self.max_saved);
     }
 
-    /// Returns whether a further attempt may follow; if so, it counts as made.
+    /// Returns whether a further attempt may follow; if so, subtracts it from the saved ones.
     pub fn try_retry(&mut self, now: Ms) -> bool {
         self.decay(now);
         let allowed = self.saved >= u64::from(PER_MILLE_SCALE);
--- a/crates/overload/src/budget/borrower.rs
+++ b/crates/overload/src/budget/borrower.rs
@@ -7,8 +7,8 @@
 use super::{MessageError, Units};
 use crate::{Incarnation, Member, Ms};
 
-/// Request for units of the receiver, which also reports what the sender still holds of them; it has given up
-/// the rest.
+/// Request for units of the receiver's share. It also reports which grant from the receiver the sender still
+/// holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Incarnation of the sender.
@@ -17,8 +17,8 @@
     pub sequence: u32,
     /// Units wanted in all; 0 gives back what was lent.
     pub wanted_units: Units,
-    /// Sequence number of the request whose grant is still held. No other grant for an earlier request is or
-    /// will be held.
+    /// Sequence number of the request whose grant is still held. The sender holds no other grant from the
+    /// receiver, and accepts none for earlier requests any more.
     pub held_request: Option<u32>,
 }
 
@@ -53,8 +53,8 @@
 /// Leases held, by lender.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Leases {
-    /// Requests of this incarnation to any lender, so that no sequence number is used twice after the state
-    /// of a lender was removed.
+    /// Sequence number of the newest request to any lender. It is common to all lenders, so that no number is
+    /// used twice after the state of a lender was removed.
     last_sequence: u32,
     lenders: BTreeMap<Member, LenderState>,
 }
--- a/crates/overload/src/budget/lender.rs
+++ b/crates/overload/src/budget/lender.rs
@@ -85,7 +85,7 @@
         Ok(None)
     }
 
-    /// Removes what has expired.
+    /// Removes expired leases, and records that have no lease and are past their retention.
     pub fn prune(&mut self, now: Ms) {
         for record in self.borrowers.values_mut() {
             record.leases.retain(|lease| lease.expires_at > now);
--- a/crates/overload/src/budget/machine.rs
+++ b/crates/overload/src/budget/machine.rs
@@ -35,8 +35,8 @@
 }
 
 /// State of one member for one budget. Methods treat a `now` before the latest one of a mutating call as that
-/// latest time, so that a clock that goes back counts as stopped. Only [`Budget::holds_share`] uses its `now`
-/// unchanged.
+/// latest time, so that a clock that goes back counts as stopped. Only [`Budget::holds_share`], and
+/// `discard_past` for the model checker, use their `now` unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub(super) config: BudgetConfig,
@@ -58,7 +58,8 @@
 
 impl Budget {
     /// Starts a new incarnation of a member. It has no record of what a former one lent and voted for: until
-    /// that has expired, it spends only the floor of its share, lends nothing, and casts no votes.
+    /// that has expired, it spends only the floor of its share and what it borrows, lends nothing, and casts
+    /// no votes.
     pub fn new(
         config: BudgetConfig, member: Member, incarnation: Incarnation, now: Ms,
     ) -> Result<Self, ConfigError> {
@@ -281,7 +282,7 @@
         self.config.lendable_share().saturating_mul(share_count)
     }
 
-    /// Returns what is left of `available` after the demand of this member itself.
+    /// Returns what is left of `available` after the part of this member's own demand that exceeds the floor.
     fn unused_after_demand(&mut self, now: Ms, available: Units) -> Units {
         available.saturating_sub(self.bucket.demanded_rate(now).saturating_sub(self.floor()))
     }
--- a/crates/overload/src/budget/plan.rs
+++ b/crates/overload/src/budget/plan.rs
@@ -98,8 +98,8 @@
             offer.units > 0 && !is_lender && !self.leases.is_pending(now, offer.lender, lease_duration)
         };
         let mut available: Vec<&LendingOffer> = offers.iter().filter(is_available).collect();
-        // Largest offers first; among equal ones each incarnation starts at another, so that members do not
-        // all use the same lender.
+        // Largest offers first. Each incarnation orders equal offers differently, so that members do not all
+        // use the same lender.
         available.sort_by_key(|offer| {
             (std::cmp::Reverse(offer.units), offer.lender ^ self.incarnation.rotate_left(32))
         });
--- a/crates/overload/src/budget/share_voting.rs
+++ b/crates/overload/src/budget/share_voting.rs
@@ -177,7 +177,7 @@
         self.share_held_until(owner) > now
     }
 
-    /// Votes on whether another member may hold a share.
+    /// Votes on whether `sender`, which may be this member itself, may hold the share of another member.
     pub(super) fn vote(&mut self, now: Ms, sender: Member, owner: Member) -> Result<(), MessageError> {
         let may_vote = self.config.owns_share
             && self.config.requires_witnesses()
@@ -217,7 +217,7 @@
             .filter(move |until| *until > now)
     }
 
-    /// Returns the earliest of these times; `now` if no share is held.
+    /// Returns the earliest time at which a share that is held now expires; `now` if no share is held.
     pub(super) fn earliest_share_expiry(&self, now: Ms) -> Ms {
         self.held_share_expiries(now).min().unwrap_or(now)
     }
--- a/crates/overload/src/budget/tests.rs
+++ b/crates/overload/src/budget/tests.rs
@@ -175,8 +175,8 @@
         prop_assert!(u128::from(fleet.spent) <= earned / 10_000 / 1_000_000_000 + 1);
     }
 
-    /// After the time of a lease without any message, each member has its own share again, whatever happened
-    /// before.
+    /// After a lease duration (with clock drift) without any message, each member has its own share again,
+    /// whatever happened before.
     #[test]
     fn own_shares_return_after_a_lease_without_messages(
         steps in prop::collection::vec(step(), 1..120), floor in 0u32..=1_000
@@ -230,7 +230,7 @@
     assert_eq!((a.spendable(now), b.spendable(now)), (17_500, 2_500));
     let permit = a.try_spend(now + 900).expect("tokens are saved up");
     assert!(permit.is_valid(now + 999) && !permit.is_valid(now + 8_000));
-    // Eight seconds later it has only its own share, and what it saved up of the other one is lost.
+    // Eight seconds later A has only its own share, and has lost what it saved up from the lease.
     assert_eq!((a.spendable(now + 8_000), b.spendable(now + 8_000)), (10_000, 10_000));
     let granted = (0..100).filter(|_| a.try_spend(now + 8_000).is_some()).count();
     assert_eq!(granted, 10);
@@ -247,7 +247,7 @@
     a.handle_message(now, 2, &grant, 0).unwrap();
     assert_eq!((a.spendable(now), b.spendable(now)), (17_500, 2_500));
     // The demand of the previous second still counts, so that nothing is given back yet. Once the lease is
-    // given back, the lender has it at once.
+    // given back, the lender may spend its units at once.
     let later_requests = a.due_lease_requests(now + 500 + 1_500 - 1_001, &[]);
     assert!(later_requests.iter().all(|(_, request)| request.wanted_units > 0));
     lend(&mut a, &mut b, now + 400, 7_500);
@@ -317,7 +317,8 @@
     }
     let spendable = round(&mut members, now, &[0, 1], &[2]);
     assert_eq!(spendable[0] + spendable[1], 30_000);
-    // It is back, and the successor gives the share up within a vote duration by the voters' clocks.
+    // The third member is back, and the successor gives the share up within a vote duration by the voters'
+    // clocks.
     members[2] = Budget::new(config, 2, 9, now).unwrap();
     for _ in 0..20 {
         now += 300;
--- a/crates/overload/src/budget/token_bucket.rs
+++ b/crates/overload/src/budget/token_bucket.rs
@@ -24,7 +24,7 @@
     }
 
     /// Adds the tokens of the time since the last refill, in which the rate was at least `min_rate`, and
-    /// limits them by the current `rate`.
+    /// limits the saved tokens to what the current `rate` yields in `burst_duration`.
     pub fn refill(&mut self, now: Ms, min_rate: Units, rate: Units, burst_duration: Ms) {
         let earned = now.saturating_sub(self.refilled_at).saturating_mul(u64::from(min_rate));
         // At any rate above zero, the bucket has room for at least one spend. Otherwise, a member with a very
@@ -44,7 +44,8 @@
         allowed
     }
 
-    /// Returns the rate that this member would spend if it could.
+    /// Returns the rate at which this member tried to spend: the higher one of this second and the
+    /// one before.
     pub fn demanded_rate(&mut self, now: Ms) -> Units {
         self.rotate_demand(now);
         self.demand[0].max(self.demand[1]).saturating_mul(1_000)
--- a/crates/overload/src/level/applied.rs
+++ b/crates/overload/src/level/applied.rs
@@ -5,7 +5,7 @@
 /// Maximum change of the applied level per second, in thousandths.
 pub const MAX_CHANGE_PER_SECOND: u64 = 300;
 /// Time (ms) after which members with the same reports apply the same level, whatever level they started
-/// from.
+/// from, if each calls [`AppliedLevel::step`] at least once per second.
 pub const SETTLING_TIME: Ms = 1_000 * PER_MILLE_SCALE as Ms / MAX_CHANGE_PER_SECOND + 1;
 /// Longest time (ms) that one step counts, so that the level does not jump after the process was suspended.
 const MAX_STEP: Ms = 1_000;
--- a/crates/overload/src/level/desired.rs
+++ b/crates/overload/src/level/desired.rs
@@ -28,8 +28,8 @@
         DesiredLevel { millionths: 0, updated_at: now }
     }
 
-    /// Updates the level for the time since the last step, under the largest of the roles' queue waits in
-    /// thousandths of their targets, and returns it.
+    /// Updates the level for the time since the last step and returns it. `pressure` is the largest of the
+    /// roles' queue waits, in thousandths of their targets.
     pub fn step(&mut self, now: Ms, pressure: PerMille) -> PerMille {
         let elapsed = now.saturating_sub(self.updated_at).min(MAX_STEP);
         self.updated_at = self.updated_at.max(now);
--- a/crates/overload/src/level/report.rs
+++ b/crates/overload/src/level/report.rs
@@ -90,7 +90,8 @@
 }
 
 impl MemberReport {
-    /// Checks the bounds of a report. Callers check every report that they decode.
+    /// Checks the numbers of entries, the desired level, and that no class occurs twice. Callers check every
+    /// report that they decode.
     pub fn check(&self) -> Result<(), ReportError> {
         let counts = [
             ("classes", self.classes.len(), MAX_CLASSES),
--- a/crates/overload/src/level/tests.rs
+++ b/crates/overload/src/level/tests.rs
@@ -33,8 +33,8 @@
 }
 
 proptest! {
-    /// The same reports give the same view in any order and after encoding, with a level within the desired
-    /// levels.
+    /// The same reports give the same view in any order and after encoding. Its level lies between the lowest
+    /// and the highest desired level.
     #[test]
     fn every_member_derives_the_same_view(
         reports in prop::collection::vec(received_report(), 0..30), rotation in 0usize..30
@@ -101,8 +101,8 @@
         }
     }
 
-    /// A false claim counts for at most the true traffic or the largest honest claim, and an honest claim is
-    /// only cut where it exceeds what the false one counts.
+    /// A false claim counts for at most the true traffic plus the allowance, or the largest honest claim. An
+    /// honest claim is reduced only if it still counts for at least as much as the false one.
     #[test]
     fn false_traffic_claim_gains_a_bounded_weight(
         true_traffic in prop::collection::vec(1_000u64..1_000_000, 3..20), factor in 1u64..50,
@@ -151,8 +151,8 @@
         };
         FleetView::from_reports(&honest.chain([false_claim]).collect::<Vec<_>>())
     };
-    // Its true traffic is a tenth. With the full claim it would have more than half of the weight, and the
-    // level would be 573.
+    // The true traffic of the false claimant is a tenth of the fleet's. With the full claim it would have
+    // more than half of the weight, and the level would be 573.
     assert_eq!(fleet(1).level, 190);
     assert!(fleet(10).level <= 265, "{}", fleet(10).level);
 }
--- a/crates/overload/src/level/traffic.rs
+++ b/crates/overload/src/level/traffic.rs
@@ -19,9 +19,9 @@
 
 /// Returns the attempts with which each claim counts, in the order given. If a majority of members observes
 /// the whole fleet by engine reports, one common cap limits the sum of all claims to the median of these
-/// observations plus an allowance for their lag. A false claim then counts for at most the member's true
-/// traffic or the largest honest claim, whichever is more. Otherwise the cap is a multiple of the median
-/// claim.
+/// observations plus an allowance for their lag. A single false claim then counts for at most the larger of
+/// the member's true traffic plus that allowance, and the largest honest claim. Otherwise the cap is a
+/// multiple of the median claim.
 pub fn capped_attempts(claims: &[TrafficClaim]) -> Vec<u64> {
     let mut observed: Vec<u64> = claims.iter().filter_map(|claim| claim.observed_fleet_attempts).collect();
     let mut sorted: Vec<u64> = claims.iter().map(|claim| claim.own_attempts).collect();
--- a/crates/overload/src/priority/admission.rs
+++ b/crates/overload/src/priority/admission.rs
@@ -60,7 +60,7 @@
 
     /// Decides on a request. A session that this gateway remembers is admitted unless everything is rejected.
     /// A later turn of any other session has a higher band and no lower rank than its first turn had, so that
-    /// no gateway rejects it at a level at which another one admitted the first turn.
+    /// no gateway rejects it at a cutoff at which another one admitted the first turn.
     pub fn decide(&mut self, now: Ms, request: &Request) -> Decision {
         let bypasses_cutoff = self.level < PER_MILLE_SCALE && self.served.contains(now, request.session);
         let session = request.session;
--- a/crates/overload/src/priority/band.rs
+++ b/crates/overload/src/priority/band.rs
@@ -2,12 +2,13 @@
 
 /// Bands for each doubling of the value per unit of work.
 const BANDS_PER_OCTAVE: u8 = 4;
-/// Number of octaves. They cover 1/65,536 of a unit of value per unit of work up to half of 65,536 units.
+/// Highest octave. Octaves 1 to 31 cover values per unit of work from 1/65,536 up to 32,768; lower values are
+/// in octave 0, and higher ones in octave 31.
 const OCTAVES: u32 = 31;
 /// Fixed-point representation of one unit of value per unit of work.
 const RATE_SCALE: u64 = 1 << 16;
 
-/// Whether a request may be sent again after an attempt that may have had its effect.
+/// Whether a request may be sent again after an attempt that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Idempotency {
     Idempotent,
@@ -25,8 +26,8 @@
         + u8::from(!over_share)
 }
 
-/// Returns the band of a later turn, which is one octave higher: the work done for the session so far counts
-/// as much value again.
+/// Returns the band of a later turn, which is one octave higher: its value counts double, because of the work
+/// already done for the session.
 pub(super) fn later_turn_band(band: u8) -> u8 {
     band.saturating_add(BANDS_PER_OCTAVE)
 }
--- a/crates/overload/src/priority/cutoff.rs
+++ b/crates/overload/src/priority/cutoff.rs
@@ -1,4 +1,4 @@
-//! Cutoff that a level makes in the priority order.
+//! Cutoff in the priority order, below which a level rejects requests.
 
 use crate::{PerMille, PER_MILLE_SCALE};
 
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Cutoff {
     band: u8,
-    /// Lowest rank that is admitted, or 65,536 if none is.
+    /// Lowest rank that is admitted in `band`, or 65,536 if none is.
     below_rank: u32,
 }
 
@@ -21,7 +21,8 @@
     pub const REJECT_ALL: Cutoff = Cutoff { band: u8::MAX, below_rank: RANK_COUNT as u32 };
 
     /// Returns the cutoff that rejects the share `level` of the work, lowest bands first. `work_by_band` has
-    /// each band once, lowest band first. If it has no work, all bands are cut alike, by rank.
+    /// each band once, lowest band first. If it has no work, that share of the ranks is rejected
+    /// in every band.
     pub fn for_level(level: PerMille, work_by_band: &[(u8, u64)]) -> Cutoff {
         if level == 0 {
             return Cutoff::ADMIT_ALL;
--- a/crates/overload/src/priority/served.rs
+++ b/crates/overload/src/priority/served.rs
@@ -6,8 +6,8 @@
 use crate::Ms;
 
 /// Two generations of sessions: the previous one is dropped when the current one is full or has reached its
-/// maximum age. A session is remembered for at least the next `generation_capacity` other sessions, if they
-/// come within `max_generation_age`, and never for longer than twice that age.
+/// maximum age. A session is remembered at least while the next `generation_capacity - 1` other sessions are
+/// added, if they come within `max_generation_age`, and always for less than three times that age.
 #[derive(Clone, Debug)]
 pub struct ServedSessions {
     generation_capacity: usize,
--- a/crates/overload/src/standalone.rs
+++ b/crates/overload/src/standalone.rs
@@ -71,8 +71,8 @@
         Budget::new(config, 0, 0, now)
     }
 
-    /// Replaces `weight` thousandths of the distribution by the observed one; each is scaled to a sum of one
-    /// million.
+    /// Replaces `weight` thousandths of the distribution by the observed one, or all of it if it is empty.
+    /// Both are scaled to a sum of one million. Does nothing if no work was observed.
     fn blend(&mut self, observed: &[(u8, u64)], weight: u64) {
         let total_work: u64 = observed.iter().map(|b| b.1).sum();
         if total_work == 0 {
