--- a/crates/grants/src/compiled/clauses.rs
+++ b/crates/grants/src/compiled/clauses.rs
@@ -7,8 +7,8 @@
 
 use super::models::ModelSet;
 
-/// Maximum number of clauses in the product of the siblings' differing lists, for one team. Pairs beyond it
-/// are left out, so the table then allows less than the rules do, never more.
+/// Maximum number of clauses in each product of two differing lists. Pairs beyond it are left out, so the
+/// table then allows less than the rules do, never more.
 pub const MAX_PRODUCT_CLAUSES: usize = 4_096;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/grants/src/compiled/mod.rs
+++ b/crates/grants/src/compiled/mod.rs
@@ -95,8 +95,8 @@
 
     /// Returns what happens to an open stream that this decision admitted, given the `current` decision of
     /// the same check; `None` while the call is still allowed. If a rule denies the call, that rule's policy
-    /// applies. If the grant or the lease has merely expired, the policy of the rule that admitted the stream
-    /// applies.
+    /// applies. In any other case (the grant was removed or has expired, or the lease has expired), the
+    /// policy of the rule that admitted the stream applies.
     pub fn open_stream_policy(&self, current: &Decision) -> Option<StreamPolicy> {
         match current {
             Decision { allowed: true, .. } => None,
--- a/crates/grants/src/compiled/rows.rs
+++ b/crates/grants/src/compiled/rows.rs
@@ -57,8 +57,8 @@
         Rows { row_by_team: Vec::with_capacity(plans.len()), rows: Vec::new(), width, blocks: Vec::new() };
     let mut row_ids: HashMap<RowPlan, u32> = HashMap::new();
     let mut block_ids: HashMap<[u32; BLOCK_CELLS], u32> = HashMap::new();
-    // Avoids building a block again. The key is the block's word, the default reason and the clauses that
-    // cover any of its cells: teams that differ only in their own rules share most blocks.
+    // Avoids building a block again. The key is the index of the block's word, the default reason and
+    // the clauses that cover any of its cells: teams that differ only in their own rules share most blocks.
     let mut block_by_clauses: HashMap<(usize, DecisionReason, OrderedClauses), u32> = HashMap::new();
     for plan in plans {
         if let Some(&row) = row_ids.get(&plan) {
--- a/crates/grants/src/document/check.rs
+++ b/crates/grants/src/document/check.rs
@@ -1,5 +1,5 @@
-//! Validation of documents beyond their syntax: names exist and are unique, there are no cycles, limits are
-//! kept.
+//! Validation of documents beyond their syntax: that names exist and are unique, that there are no cycles,
+//! and that limits are kept.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,10 +14,13 @@
 pub const MAX_ANCESTOR_GENERATIONS: usize = 64;
 /// Maximum number of teams, of groups, of rules, and of models together with their aliases.
 pub const MAX_ENTRIES: usize = 100_000;
-/// Maximum number of names in one list of a document.
+/// Maximum number of names in a list of parents or groups, or in a list of a rule. Aliases are limited by
+/// [`MAX_ENTRIES`] instead.
 pub const MAX_LIST_NAMES: usize = 10_000;
 
-/// Returns all faults of the document, in the order of the checks; an empty list if it is valid.
+/// Returns the faults of the document, in the order of the checks; an empty list if it is valid. Lists all
+/// faults, except that only the first team with too many generations and one cycle each of teams and of
+/// groups are reported.
 pub fn find_faults(document: &Document) -> Vec<(KeyPath, Fault)> {
     let mut found = Vec::new();
     check_counts(document, &mut found);
--- a/crates/grants/src/document/error.rs
+++ b/crates/grants/src/document/error.rs
@@ -7,7 +7,8 @@
 /// The reason why a document was rejected, with its position and key. A rejected document changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct DocumentError {
-    /// Position in the text; `None` if there is no text (a change of one team, entries from another member).
+    /// Position in the text; `None` if there is no text (a change of one team, entries from another member)
+    /// or the fault has no place in it (a text that is too long).
     pub position: Option<Position>,
     /// Empty if the error is not about one key.
     pub key: KeyPath,
--- a/crates/grants/src/document/mod.rs
+++ b/crates/grants/src/document/mod.rs
@@ -68,8 +68,8 @@
     pub aliases: Vec<String>,
     #[serde(default)]
     pub groups: Vec<String>,
-    /// A member that may be missing the newest rules refuses the model, unless its configuration says
-    /// otherwise ([`crate::revocation::StalePolicy`]).
+    /// Whether a member whose lease has expired, and which may therefore lack the newest rules, refuses the
+    /// model. Its configuration may say otherwise ([`crate::revocation::StalePolicy`]).
     #[serde(default)]
     pub restricted: bool,
 }
@@ -120,8 +120,8 @@
     /// End of the rule's validity (Unix ms, exclusive). `None`: no end.
     #[serde(default)]
     pub until: Option<u64>,
-    /// In a rule that denies: applies to the streams that the rule stops. In a rule that allows: applies to
-    /// the streams that the rule admitted, once no rule allows them.
+    /// What happens to open streams. In a rule that denies, it applies to the streams that the rule denies.
+    /// In a rule that allows, it applies to the streams that the rule admitted, once no rule allows them.
     #[serde(default)]
     pub streams: StreamPolicy,
 }
--- a/crates/grants/src/document/pattern.rs
+++ b/crates/grants/src/document/pattern.rs
@@ -18,7 +18,7 @@
         } else if pattern.get(pattern_pos) == Some(&name[name_pos]) {
             (pattern_pos, name_pos) = (pattern_pos + 1, name_pos + 1);
         } else if let Some((star_pos, match_end)) = last_star {
-            // Backtrack: the last star matches one more character.
+            // Backtrack: the last star matches one more byte.
             last_star = Some((star_pos, match_end + 1));
             (pattern_pos, name_pos) = (star_pos + 1, match_end + 1);
         } else {
--- a/crates/grants/src/document/position.rs
+++ b/crates/grants/src/document/position.rs
@@ -8,7 +8,8 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// A line and a column, both counted from 1. The column counts characters, not bytes.
+/// A line and a column, both counted from 1. The column counts characters, except for a malformed JSON text:
+/// there it is the column of the JSON parser, which counts bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
     pub line: usize,
@@ -22,7 +23,8 @@
 }
 
 impl Position {
-    /// Returns the position of a byte offset in the text; the end of the text for an offset beyond it.
+    /// Returns the position of a byte offset in the text; the end of the text for an offset beyond
+    /// it or inside a character.
     pub fn at_byte(text: &str, byte: usize) -> Position {
         let before = text.get(..byte.min(text.len())).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
--- a/crates/grants/src/document/read.rs
+++ b/crates/grants/src/document/read.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Parses JSON into a type. Checks the syntax and the types of values only.
+/// Parses JSON into a type. Checks only the length, the syntax and the types of values.
 fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, DocumentError> {
     check_length(text)?;
     let malformed = |key: KeyPath, error: serde_json::Error| DocumentError {
--- a/crates/grants/src/hierarchy.rs
+++ b/crates/grants/src/hierarchy.rs
@@ -1,7 +1,7 @@
 //! Topological order of items with parents. Each item is an index, and `parents[i]` holds the parents of item
 //! `i`.
 //!
-//! Items in a cycle, or below one, are left out of the order and never walked, so every function terminates.
+//! Items in a cycle, or below one, are left out of the order and never visited, so every function terminates.
 //! Used for teams and groups, by document validation and by the compiler.
 
 use std::collections::BTreeSet;
--- a/crates/grants/src/revocation/lease.rs
+++ b/crates/grants/src/revocation/lease.rs
@@ -1,4 +1,5 @@
-//! The lease as a request needs it: a check costs one comparison.
+//! The part of a lease that is needed to check a request: its expiry and the policy after it. A check costs
+//! one comparison.
 
 use crate::compiled::{Decision, DecisionReason};
 
--- a/crates/grants/src/revocation/lease_config.rs
+++ b/crates/grants/src/revocation/lease_config.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StalePolicy {
-    /// Refuses calls to restricted models and serves others by the last known grants.
+    /// Refuses calls to restricted models and serves other calls by the last known grants.
     #[default]
     RefuseRestricted,
     RefuseAll,
--- a/crates/grants/src/revocation/member.rs
+++ b/crates/grants/src/revocation/member.rs
@@ -155,7 +155,7 @@
     /// Handles a response, **after** the contents of its keys are merged, stored and enforced here. If the
     /// content of any key could not be read or stored, the caller must not pass the response: the member then
     /// becomes stale, and no other member relies on it. Returns false if the response has no effect: it is
-    /// late, a duplicate, or involves an earlier incarnation.
+    /// late, a duplicate, involves an earlier incarnation, or starts after changes that this member lacks.
     pub fn handle_response(&mut self, response: &SyncResponse<K>) -> bool {
         let same_voter_config = response.voter_config == self.voter_config.fingerprint();
         let is_voter = self.voter_config.is_voter(response.from);
--- a/crates/grants/src/sections.rs
+++ b/crates/grants/src/sections.rs
@@ -71,7 +71,8 @@
     }
 }
 
-/// All sections with their siblings. A list without siblings means the same as one empty sibling.
+/// All sections with their siblings. For `catalogue` and `shared`, a list without siblings means the same as
+/// one empty sibling; a team without siblings is not listed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sections {
     pub catalogue: Vec<Catalogue>,
@@ -121,8 +122,8 @@
         catalogue.chain(shared).chain(teams).collect()
     }
 
-    /// Joins the first sibling of each section into a document for an administrator to read. The document is
-    /// complete where no section is in conflict.
+    /// Joins the first sibling of each section into a document for an administrator to read; of a team, the
+    /// first one that is not a removal. The document is complete if no section is in conflict.
     pub fn to_document(&self) -> Document {
         let mut document = Document::default();
         if let Some(catalogue) = self.catalogue.first() {
--- a/crates/grants/src/versions/entry.rs
+++ b/crates/grants/src/versions/entry.rs
@@ -12,9 +12,9 @@
 /// read.
 pub const MAX_ENTRY_BYTES: usize = 4 << 20;
 
-/// A section as the replicated table carries it. The caller numbers the table's own versions of an entry,
-/// which increase each time an origin sends a key again. They do not decide which content replaces which; the
-/// content alone does.
+/// A section in the form in which the replicated table holds it. The table also has a version number for each
+/// entry, which the caller increases each time an origin sends a key again. That number does not decide which
+/// content replaces which: the version vectors in the value do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub key: Vec<u8>,
--- a/crates/grants/src/versions/error.rs
+++ b/crates/grants/src/versions/error.rs
@@ -5,7 +5,7 @@
 
 use super::version_vector::{Origin, Version};
 
-/// The reason why a change was rejected or a store was not restored. The replica is unchanged.
+/// The reason why a change was rejected or a store was not restored. No section of the replica is changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaError {
     /// The change is based on an outdated version. `key` is `None` if the change was to the document as a
--- a/crates/grants/src/versions/mod.rs
+++ b/crates/grants/src/versions/mod.rs
@@ -9,9 +9,10 @@
 //! version vectors include, and a change made on it, in its new incarnation, is in conflict with the changes
 //! that it did not include.
 //!
-//! The one requirement is that **a member never uses an incarnation twice**. A violation is detected
-//! ([`MergeOutcome::forked`], [`ReplicaError::IncarnationUsed`]) where the two versions meet, and both are
-//! kept.
+//! The one requirement is that **a member never uses an incarnation twice**. If two changes with the
+//! same dot meet while both are siblings, the violation is detected ([`MergeOutcome::forked`]) and both are
+//! kept; if one side has already replaced its change, the other one is dropped. A restart with an incarnation
+//! that is not above those in the store fails ([`ReplicaError::IncarnationUsed`]).
 
 mod entry;
 mod error;
--- a/crates/grants/src/versions/propose.rs
+++ b/crates/grants/src/versions/propose.rs
@@ -100,8 +100,9 @@
         copy.contents()
     }
 
-    /// Applies a proposal after it is written to disk. If another change was applied in between, both remain,
-    /// in conflict.
+    /// Applies a proposal after it is written to disk. If a change of the same section from another
+    /// member was merged in between, both remain as siblings, in conflict if their contents differ. If two
+    /// proposals for a section are made before either is applied, only the one made later remains.
     pub fn apply(&mut self, proposal: &Proposal) -> Vec<(SectionKey, MergeOutcome)> {
         let changes = proposal.changes.iter();
         changes.map(|(key, section, _)| (key.clone(), self.merge(key, section))).collect()
--- a/crates/grants/src/versions/replica.rs
+++ b/crates/grants/src/versions/replica.rs
@@ -16,7 +16,8 @@
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(super) origin: Origin,
-    /// Number of changes under this incarnation, including those that another process made under it.
+    /// Highest number used for a change under this incarnation, including proposals that were never applied
+    /// and changes that another process made under it.
     pub(super) count: u64,
     pub(super) sections: BTreeMap<SectionKey, VersionedSection>,
 }
@@ -28,8 +29,8 @@
     pub changed: bool,
     /// Whether the section is in conflict after the merge.
     pub in_conflict: bool,
-    /// The siblings that were here and were replaced by changes that include them. Each change is either
-    /// reported here once or is still a sibling.
+    /// The siblings of this replica that the merge replaced with changes that include them. Each change that
+    /// was a sibling here is either reported once or is still a sibling.
     pub replaced: Vec<Dot>,
     /// Dots with two contents, because an incarnation was used twice. Both contents are kept, in conflict.
     pub forked: Vec<Dot>,
--- a/crates/grants/src/versions/version_vector.rs
+++ b/crates/grants/src/versions/version_vector.rs
@@ -59,7 +59,8 @@
 }
 
 /// The version that a change is based on: a digest of the version vector of one section, or of all. Members
-/// with the same version have the same content. Written as 32 hex digits, also in JSON.
+/// with the same version have the same content, provided that no incarnation was used twice. Written as 32
+/// hex digits, also in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Version([u8; 16]);
