--- a/gateway/src/config/command.rs
+++ b/gateway/src/config/command.rs
@@ -1,32 +1,32 @@
-//! The command line.
+//! Parser of the command line.
 
 use std::path::PathBuf;
 
 use super::{error, ConfigError};
 
-/// What the command line asks for.
+/// Action requested on the command line.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Serve, with these files.
+    /// Run the gateway with these files.
     Serve(Files),
-    /// Convert this HAProxy configuration.
+    /// Convert the HAProxy configuration at this path into the second front's file.
     Import(PathBuf),
     /// Print [`USAGE`].
     Help,
 }
 
-/// Operators' files. A part whose file is not named is off.
+/// Files given by the operator. A feature whose file is `None` is disabled.
 #[derive(Debug, Default, PartialEq)]
 pub struct Files {
-    /// The second front's file.
+    /// Configuration of the second front (`--front`).
     pub front: Option<PathBuf>,
-    /// The plug-in's script.
+    /// Script of the plug-in (`--plugin`).
     pub plugin: Option<PathBuf>,
-    /// The fleet's file.
+    /// Configuration of the fleet membership (`--fleet`).
     pub fleet: Option<PathBuf>,
 }
 
-/// The text of `--help`.
+/// Text printed for `--help`.
 pub const USAGE: &str = "\
 usage: glenrail [--front FILE] [--plugin FILE] [--fleet FILE]
                                       serve: the platform's front where EDGE_CONFIG is set, the second front
@@ -34,7 +34,7 @@
        glenrail import-haproxy FILE   an HAProxy configuration as the second front's file
 ";
 
-/// Parses the command line without the program's name.
+/// Parses the command-line arguments, which must not include the program name.
 pub fn command(arguments: impl IntoIterator<Item = String>) -> Result<Command, ConfigError> {
     let mut arguments = arguments.into_iter();
     let mut files = Files::default();
--- a/gateway/src/config/command/tests.rs
+++ b/gateway/src/config/command/tests.rs
@@ -1,4 +1,4 @@
-//! How the command line is parsed.
+//! Tests of the command-line parser: accepted options, and the option that an error names.
 
 use super::{command, Command, Files};
 
--- a/gateway/src/config/front.rs
+++ b/gateway/src/config/front.rs
@@ -1,4 +1,4 @@
-//! The second front's file.
+//! Configuration file of the second front (TOML): its format, defaults and validation.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,55 +7,55 @@
 
 use super::{error, error_line, read, ConfigError};
 
-/// The second front's file. Field names are the file's keys unless renamed.
+/// Contents of the second front's file. Field names are the keys of the file, unless a `rename` gives another.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct InferenceFrontConfig {
     /// Address and port on which clients connect.
     pub listen: String,
-    /// Most connections of clients.
+    /// Maximum number of client connections.
     #[serde(default = "defaults::max_connections")]
     pub max_connections: usize,
-    /// Longest request body in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "defaults::max_body")]
     pub max_body: usize,
-    /// Deadline in milliseconds of a request that names none.
+    /// Deadline, in milliseconds, of a request that specifies none.
     #[serde(default = "defaults::deadline_ms")]
     pub deadline_ms: u64,
-    /// Longest deadline in milliseconds that a request may name.
+    /// Maximum deadline, in milliseconds, that a request may specify.
     #[serde(default = "defaults::max_deadline_ms")]
     pub max_deadline_ms: u64,
-    /// The platform's class that chat belongs to, where it goes to the platform's servers.
+    /// Platform request class of chat requests that are routed to the platform's servers.
     #[serde(default)]
     pub chat_class: Option<String>,
-    /// Servers for embeddings and rerank.
+    /// Pool for embeddings and rerank requests; `None` if this front does not serve them.
     #[serde(default)]
     pub embeddings: Option<PoolConfig>,
-    /// Servers for chat; the platform's own where this is left out.
+    /// Pool for chat requests; `None` routes them to the platform's servers, if there are any.
     #[serde(default)]
     pub chat: Option<PoolConfig>,
 }
 
-/// A pool of servers of one kind.
+/// A pool of servers for one part of the API.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PoolConfig {
-    /// Time in milliseconds for a connection to come up.
+    /// Connect timeout, in milliseconds.
     #[serde(default = "defaults::connect_ms")]
     pub connect_ms: u64,
-    /// Time in milliseconds after which an idle connection to a server is closed.
+    /// Time, in milliseconds, after which an idle connection to a server is closed.
     #[serde(default = "defaults::idle_ms")]
     pub idle_ms: u64,
-    /// Latency objective in milliseconds.
+    /// Latency objective of a request, in milliseconds.
     #[serde(rename = "aim_ms", default = "defaults::latency_objective_ms")]
     pub latency_objective_ms: u64,
-    /// Most attempts at one request.
+    /// Maximum number of attempts per request.
     #[serde(default = "defaults::max_attempts")]
     pub max_attempts: u32,
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may have been executed may be retried; `None` uses the default of the API's part.
     #[serde(default)]
     pub repeatable: Option<bool>,
-    /// The servers; at least one.
+    /// Servers of the pool; at least one.
     #[serde(default)]
     pub servers: Vec<ServerConfig>,
 }
@@ -64,15 +64,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServerConfig {
-    /// A name that no other server of the pool has.
+    /// Name of the server, unique in its pool.
     pub name: String,
-    /// Its address and port.
+    /// IP address and port to connect to.
     #[serde(rename = "dial")]
     pub address: String,
-    /// Its capacity compared with the others'.
+    /// Capacity relative to the other servers of the pool.
     #[serde(default = "defaults::weight")]
     pub weight: f64,
-    /// Whether it finishes what it has and gets no new work.
+    /// Whether the server is draining: it completes its open requests and receives no new ones.
     #[serde(default)]
     pub drain: bool,
 }
@@ -107,12 +107,12 @@
     }
 }
 
-/// Reads and checks the file.
+/// Reads and validates the file at `path`.
 pub fn front(path: &Path) -> Result<InferenceFrontConfig, ConfigError> {
     front_from(&read(path, &path.display().to_string())?)
 }
 
-/// Checks the file's text.
+/// Parses and validates the text of the file.
 pub fn front_from(text: &str) -> Result<InferenceFrontConfig, ConfigError> {
     let front = parse(text)?;
     if front.listen.parse::<SocketAddr>().is_err() {
--- a/gateway/src/config/front/tests.rs
+++ b/gateway/src/config/front/tests.rs
@@ -1,4 +1,4 @@
-//! How the second front's file is checked.
+//! Tests of the validation of the second front's file.
 
 use super::front_from;
 
--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,7 +1,8 @@
-//! Configuration: read, checked and given its defaults here and nowhere else.
+//! Configuration: the only place where settings are read, validated and given defaults.
 //!
-//! `command` is the command line, `platform` what the platform gives, `front` the second front's file and `one_stage` the
-//! router's settings for that file's pools. Nothing is stored here. Every error names the faulty key.
+//! `command` parses the command line, `platform` reads the platform's settings, `front` reads the second front's file,
+//! and `one_stage` builds the router settings of that file's pools. The module has no state. Every error names the
+//! faulty key.
 #![deny(missing_docs)]
 
 mod command;
@@ -16,13 +17,13 @@
 pub use self::one_stage::one_stage;
 pub use self::platform::{platform, Bounds, Platform};
 
-/// What is wrong, and at which key.
+/// Error in the configuration, with the key at which it was found.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("configuration: {key}: {what}")]
 pub struct ConfigError {
-    /// The faulty key, option, variable or line.
+    /// Key, command-line option, environment variable or line with the error.
     pub key: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub what: String,
 }
 
@@ -30,7 +31,7 @@
     Err(ConfigError { key: key.into(), what: what.into() })
 }
 
-/// The line, from 1, of a TOML text at which it could not be parsed.
+/// Returns the line, counted from 1, at which parsing of a TOML text failed.
 pub(crate) fn error_line(text: &str, error: &toml::de::Error) -> usize {
     let start = error.span().map_or(0, |span| span.start);
     text.bytes().take(start).filter(|byte| *byte == b'\n').count() + 1
--- a/gateway/src/config/one_stage.rs
+++ b/gateway/src/config/one_stage.rs
@@ -1,6 +1,6 @@
-//! The router's settings for a pool of the second front's file, whose servers all read and answer.
+//! Router settings for a pool of the second front's file, whose servers all do both prefill and decode.
 //!
-//! What the file does not say is as in the platform's deployments.
+//! Settings that the file lacks have the values of the platform's deployments.
 
 use glenrail_router::{
     Discovery, Idempotency, Limits, Millis, Prices, RequestClass, Role, Rules, ServerKind, Settings,
@@ -8,11 +8,11 @@
 
 use super::PoolConfig;
 
-/// Longest `Retry-After` that a rejected client is given.
+/// Maximum `Retry-After`, in milliseconds, sent to a rejected client.
 const MAX_RETRY_AFTER: Millis = 1_000.0;
 
-/// Settings with one class. `deadline` is the longest of any request; `default` applies where the file does not say
-/// whether a request that may have run may be sent again.
+/// Returns settings with a single request class. `deadline` is the maximum deadline of any request; `default` applies
+/// if the file does not specify whether a request that may have been executed may be retried.
 pub fn one_stage(pool: &PoolConfig, deadline: Millis, default: Idempotency) -> Settings {
     Settings {
         router_index: 0,
--- a/gateway/src/config/platform/bounds.rs
+++ b/gateway/src/config/platform/bounds.rs
@@ -1,45 +1,47 @@
-//! How the process's descriptors and memory are shared out.
+//! Partition of the process's file descriptors and memory among clients, servers and operators.
 
 use crate::admin::MAX_CONNECTIONS;
 use crate::front::server::MAX_REJECTING_CONNECTIONS;
 
-/// Descriptors of the process's own: standard streams, the runtime's, signals', listeners and their copies for a
-/// successor (17 are open with both fronts), the poll of discovery and the one after it, the fleet's, a file being read.
+/// File descriptors reserved for the process itself: standard streams, runtime, signals, listeners and their copies for
+/// a successor (17 in total with both fronts), two connections to discovery (of the current poll and the next), the
+/// sockets of the fleet, and a file being read.
 pub(super) const OWN_DESCRIPTORS: usize = 24;
-/// Each front has one more for a moment, between an accept and the close of the connection that is evicted for it.
+/// Number of fronts. Each briefly needs one more descriptor, between accepting a connection and closing the one evicted
+/// for it.
 const FRONTS: usize = 2;
-/// Descriptors of a process that is given no limit.
+/// Default limit on file descriptors.
 pub(super) const DEFAULT_SOCKETS: usize = 1024;
-/// Memory in mebibytes of a process that is given no limit.
+/// Default memory limit, in mebibytes.
 pub(super) const DEFAULT_MEMORY_MB: usize = 192;
-/// With less memory, in mebibytes, none is left for bodies.
+/// Minimum memory limit, in mebibytes. With less, none remains for request bodies.
 pub(super) const LEAST_MEMORY_MB: usize = 16;
-/// Request bodies may take the memory divided by this.
+/// Divisor of the memory limit that gives the share of request bodies.
 const BODIES_DIVISOR: usize = 4;
-/// The operators' front may take the descriptors divided by this, up to its own bound.
+/// Divisor of the usable descriptors that gives the share of the operators' front, up to that front's own maximum.
 const OPERATORS_DIVISOR: usize = 8;
 
-/// Descriptors and memory that the process may use, and how they are shared out.
+/// Limits on connections and memory, derived from the descriptors and memory that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Connections of clients, at all fronts together.
+    /// Maximum number of client connections, over all fronts.
     pub client_connections: usize,
-    /// Connections to servers.
+    /// Maximum number of connections to servers.
     pub server_connections: usize,
-    /// Connections of operators.
+    /// Maximum number of operators' connections.
     pub operators: usize,
-    /// Bytes of request bodies in memory at once.
+    /// Maximum total size of the request bodies in memory, in bytes.
     pub bodies: usize,
 }
 
 impl Bounds {
-    /// Whatever clients, servers and operators hold at once, connections that are being rejected included, the process
-    /// keeps its own descriptors.
+    /// Computes the limits so that the connections of clients, servers and operators together, including those being
+    /// rejected, never use the descriptors reserved for the process itself.
     pub fn new(sockets: usize, memory_mb: usize) -> Self {
         let usable = sockets.saturating_sub(OWN_DESCRIPTORS + FRONTS);
         let operators = (usable / OPERATORS_DIVISOR).clamp(1, MAX_CONNECTIONS);
         let usable = usable.saturating_sub(operators + operators.min(MAX_REJECTING_CONNECTIONS) + 1);
-        // A front rejects at once as many connections more as it has, up to its bound.
+        // Besides its connections, a front may have as many more in rejection, up to `MAX_REJECTING_CONNECTIONS`.
         let share = (usable.saturating_sub(FRONTS * MAX_REJECTING_CONNECTIONS) / 2).max(usable / 3).max(2);
         Bounds {
             client_connections: share,
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform gives a gateway: a JSON file, and variables of the environment for keys that the file leaves out.
+//! Configuration provided by the platform: a JSON file, and environment variables for keys that the file lacks.
 
 mod bounds;
 
@@ -15,36 +15,35 @@
 use super::{error, read, ConfigError};
 use crate::core::duration;
 
-/// With fewer descriptors none are left for servers beside the clients'.
+/// Minimum limit on file descriptors. With fewer, none remain for connections to servers.
 const LEAST_SOCKETS: f64 = 40.0;
-/// Beyond this a limit is a mistake.
+/// Maximum value of a limit. A larger one is rejected as a mistake.
 const MAX_LIMIT: f64 = 1e8;
-/// Milliseconds after which servers close idle connections, where the settings do not say: the soonest of all
-/// deployments.
+/// Default time, in milliseconds, after which servers close idle connections: the shortest of all deployments.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
-/// Base of a seed that is given as text.
+/// Radix of a seed given as a string.
 const SEED_RADIX: u32 = 16;
 
-/// What the platform gives a gateway.
+/// Validated configuration provided by the platform.
 #[derive(Debug)]
 pub struct Platform {
-    /// This gateway's name, the same after a restart.
+    /// Name of this gateway, unchanged by restarts; `None` if none is set.
     pub name: Option<String>,
-    /// Where clients connect.
+    /// Address of the platform's front, for clients.
     pub listen: SocketAddr,
-    /// Host and port of discovery.
+    /// Host and port of the discovery service.
     pub discovery: String,
-    /// Where operators connect; their front is off where it is left out.
+    /// Address of the operators' front; `None` disables that front.
     pub ops: Option<SocketAddr>,
-    /// A directory of this gateway's own, which a second process at the same address shares.
+    /// State directory of this gateway, shared with a second process at the same address.
     pub state: PathBuf,
-    /// Seed of the router's draws.
+    /// Seed of the router's random number generator.
     pub seed: u64,
-    /// Descriptors and memory.
+    /// Limits on connections and memory.
     pub bounds: Bounds,
-    /// The endpoint list at the start, in discovery's form.
+    /// Initial endpoint list, in the format of discovery; null if there is none.
     pub known: Value,
-    /// The deployment's settings in the router's terms.
+    /// Settings of the deployment, converted for the router.
     pub settings: Settings,
     /// Names of zones, in the order of the settings.
     pub zones: Vec<String>,
@@ -54,13 +53,13 @@
     pub tenants: Vec<String>,
     /// Names of request classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Time after which servers close idle connections.
+    /// Time after which servers close an idle connection.
     pub conn_idle: Duration,
-    /// What probes, connections and lists take off the deployment's result.
+    /// Costs of probes, handshakes and discovery responses that reduce the deployment's result.
     pub prices: Prices,
 }
 
-/// Reads the platform's part from the environment; `None` where there is none.
+/// Reads the platform's configuration from the file named by `EDGE_CONFIG`; `None` if the platform provides none.
 pub fn platform(variable: impl Fn(&str) -> Option<String>) -> Result<Option<Platform>, ConfigError> {
     let Some(path) = variable("EDGE_CONFIG") else {
         let stray = ["EDGE_LISTEN", "EDGE_DISCOVERY"].into_iter().any(|name| variable(name).is_some());
@@ -75,7 +74,7 @@
     from_json(&json, &variable).map(Some)
 }
 
-/// Checks the sections in this order, so the first faulty one is named.
+/// Validates the sections in this order, so that the error names the first faulty one.
 fn from_json(json: &Value, variable: &impl Fn(&str) -> Option<String>) -> Result<Platform, ConfigError> {
     let source = Source { json, variable };
     let listen = source.address("listen", "EDGE_LISTEN")?;
@@ -111,7 +110,7 @@
     })
 }
 
-/// The file, and the environment for keys that it leaves out.
+/// Source of values: the file, and the environment for keys that it lacks.
 struct Source<'a, V> {
     json: &'a Value,
     variable: &'a V,
@@ -203,7 +202,7 @@
     parent.join(format!("glenrail-{}", listen.to_string().replace(':', "-")))
 }
 
-/// The names in a list of the settings, whose items are names or objects with one.
+/// Returns the names in a list of the settings, whose items are names or objects with a name.
 fn names(raw_settings: &Value, key: &str) -> Vec<String> {
     let name = |item| glenrail_settings::entry_name(item).unwrap_or_default().to_string();
     glenrail_settings::list(raw_settings, key).iter().map(name).collect()
--- a/gateway/src/config/platform/tests.rs
+++ b/gateway/src/config/platform/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration, complete and faulty, and how descriptors are shared out.
+//! Tests of complete and faulty platform configurations, and of the partition of file descriptors.
 
 use std::time::Duration;
 
@@ -53,8 +53,9 @@
     assert!(platform(|_| None).expect("nothing set").is_none());
 }
 
-/// All that clients, servers and operators may hold at once, rejections included, leaves the process its own descriptors:
-/// for the poll of discovery, the operators' front and the listeners.
+/// Guards against descriptor exhaustion: the maximum numbers of client, server and operator connections, including
+/// those being rejected, leave the descriptors that the process needs for discovery, the operators' front and the
+/// listeners.
 #[test]
 fn connections_leave_the_process_its_own_descriptors() {
     for sockets in [40, 41, 48, 64, 96, 100, 128, 192, 256, 768, 1_024, 4_096] {
@@ -66,7 +67,7 @@
             let used = OWN_DESCRIPTORS + clients + bounds.server_connections + front(bounds.operators);
             assert!(used <= sockets, "{sockets}: {used} with {bounds:?}, {second} of the second front");
         }
-        // And little of what is there is left unused.
+        // The limits use most of the available descriptors.
         assert!(bounds.client_connections * 5 >= sockets - 40);
         assert_eq!(bounds.server_connections, bounds.client_connections);
     }
