--- a/gateway/src/daemon/counters.rs
+++ b/gateway/src/daemon/counters.rs
@@ -1,4 +1,4 @@
-//! The task that logs how many calls this process has made to servers and to discovery.
+//! Task that logs the counts of this process's calls to servers and to discovery.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::log;
 use crate::pools::Pool;
 
-/// Counts are logged this often, if they have changed.
+/// Interval at which the counts are logged, if they have changed.
 const LOG_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Logs the counts of the platform's pool and of discovery for as long as the process runs.
+/// Logs the counts of the platform's pool and of discovery periodically until the process exits.
 pub(super) async fn log_counts(pool: Pool, discovery: Rc<DiscoveryMetrics>, prices: Prices) {
     let started_unix_ms = pool.clock.unix(pool.clock.now()).round();
     let mut logged = Counts::default();
--- a/gateway/src/daemon/exit.rs
+++ b/gateway/src/daemon/exit.rs
@@ -1,4 +1,4 @@
-//! The planned end of the process, from SIGTERM to the last connection.
+//! Graceful shutdown of the process, from SIGTERM until the last connection has closed.
 
 use std::time::Duration;
 
@@ -9,25 +9,26 @@
 use crate::pools::Pool;
 use crate::shutdown::{Phase, Shutdown};
 
-/// Accepting goes on for this time after SIGTERM: connections still come for a while (0.4 s on the platform).
+/// Time after SIGTERM during which connections are still accepted: clients of the platform open new ones for 0.4 s.
 const DRAINING_TIME: Duration = Duration::from_millis(600);
-/// Steps in which releases in flight are waited for, and the time for the last accepts to be counted.
+/// Interval of the checks for releases in flight, and the time allowed for the last accepted connections to be counted.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts for a while yet, finishes what was admitted, and releases what is reserved at servers.
+/// Shuts down gracefully: accepts connections for a short time, completes the admitted requests, and waits for the
+/// releases of reservations at servers.
 ///
-/// Where a successor serves, streams in flight go over to it `stream_handover_delay` after the beginning.
+/// If there is a successor, streams in flight are handed over to it `stream_handover_delay` after the start.
 pub async fn leave(shutdown: &Shutdown, pools: &[Pool], stream_handover_delay: Duration) {
     log!("SIGTERM: draining");
     shutdown.enter(Phase::Draining);
-    // With a successor, connections come to that one.
+    // A successor accepts the new connections instead.
     if shutdown.has_successor() {
         spawn_local(hand_over_streams(shutdown.clone(), pools.to_vec(), stream_handover_delay));
     } else {
         sleep(DRAINING_TIME).await;
     }
     shutdown.enter(Phase::Closing);
-    // Accepting ends with what was in the system's queue; those connections are counted by then.
+    // Gives the fronts time to accept and count the connections that were already in the listen queue.
     sleep(SETTLE_INTERVAL).await;
     shutdown.drained().await;
     while pools.iter().any(|pool| !pool.core.is_idle()) {
@@ -48,7 +49,8 @@
     }
 }
 
-/// Answers what still waits for its first token, this long after SIGTERM: the platform's kill would lose it.
+/// Sends a response to each request that has no first token `delay` after SIGTERM. Otherwise the platform would kill
+/// the process before they are answered.
 pub(super) async fn answer_pending(pools: Vec<Pool>, delay: Duration) {
     sleep(delay).await;
     for pool in &pools {
--- a/gateway/src/daemon/handover.rs
+++ b/gateway/src/daemon/handover.rs
@@ -1,4 +1,4 @@
-//! Upgrades as the daemon runs them: takes over from a predecessor at the start, and waits for a successor after it.
+//! The daemon's side of upgrades: takes over from a predecessor at the start, then waits for a successor.
 
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -15,37 +15,38 @@
     self, ReservedHalf, RoutingStateTransfer, SharedLimits, TransferInbox, TransferInboxes, UpgradeLink,
 };
 
-/// A process that takes over looks this often whether it can serve.
+/// Interval at which a successor checks whether it is ready to serve.
 const READINESS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A process at the same address that hands over to this one.
+/// Predecessor process at the same address, which hands over to this one.
 struct Predecessor {
     link: UpgradeLink,
-    /// Its part of the limits.
+    /// Half of the limits, reserved for the predecessor.
     reserved: ReservedHalf,
 }
 
-/// What a front gets from a predecessor: its listener at once, connections as they become idle.
+/// A front's inheritance from a predecessor: the listener at the start, then connections as they become idle or with a
+/// stream in flight.
 pub(super) struct InheritedFront {
     pub(super) listener: Option<TcpListener>,
     pub(super) inbox: TransferInbox,
 }
 
-/// The fronts' inheritance.
+/// Inheritance of both fronts.
 pub(super) struct Inheritance {
     pub(super) platform: InheritedFront,
     pub(super) second: InheritedFront,
 }
 
-/// What a process needs before it accepts in place of its predecessor, and what goes from one to the next.
+/// Callbacks for a handover: the readiness check of a successor, and the export and import of routing state.
 pub(super) struct HandoverHooks {
-    /// Whether this process can do all that its predecessor could.
+    /// Returns whether this process is ready to replace its predecessor.
     pub(super) can_take_over: Rc<dyn Fn() -> bool>,
     pub(super) routing_state: RoutingStateTransfer,
 }
 
 impl Default for HandoverHooks {
-    /// Nothing to wait for, and nothing learned.
+    /// Ready at once, with no routing state to transfer.
     fn default() -> Self {
         HandoverHooks {
             can_take_over: Rc::new(|| true),
@@ -54,9 +55,9 @@
     }
 }
 
-/// This process's part in upgrades.
+/// Upgrade state of this process, as successor and as predecessor.
 pub(super) struct Handover {
-    /// Where processes at the same address meet; `None`: there are no upgrades.
+    /// State directory with the socket of the handover; `None` disables upgrades.
     state: Option<PathBuf>,
     limits: SharedLimits,
     inboxes: Rc<TransferInboxes>,
@@ -65,7 +66,7 @@
 }
 
 impl Handover {
-    /// Requests the listeners of a predecessor, if there is one, and leaves it half of the limits.
+    /// Requests the listeners of a predecessor, if there is one, and reserves half of the limits for it.
     pub(super) async fn request(state: Option<PathBuf>, limits: SharedLimits) -> (Handover, Inheritance) {
         let handover_state = match &state {
             Some(state) => upgrade::request_handover(state).await,
@@ -83,12 +84,12 @@
             platform: InheritedFront { listener: platform_listener, inbox: platform_inbox },
             second: InheritedFront { listener: second_listener, inbox: second_inbox },
         };
-        // After a predecessor, this process accepts only once it can do all that the other could.
+        // With a predecessor, this process accepts connections only once `HandoverHooks::can_take_over` returns true.
         let accepting = watch::Sender::new(predecessor.is_none());
         (Handover { state, limits, inboxes, predecessor, accepting }, inheritance)
     }
 
-    /// Whether this process accepts connections yet, and the change of that.
+    /// Returns a receiver of whether this process accepts connections, notified when that changes.
     pub(super) fn accepting(&self) -> watch::Receiver<bool> {
         self.accepting.subscribe()
     }
@@ -97,10 +98,12 @@
         self.predecessor.is_some()
     }
 
-    /// Takes over from the predecessor as soon as possible, then waits for successors.
+    /// Spawns the task that takes over from the predecessor as soon as this process is ready, then waits for
+    /// successors.
     ///
-    /// Without a state directory there are no upgrades. The copies of the listeners are closed then: they would keep the
-    /// sockets listening after the fronts have stopped accepting. What is returned keeps the fronts' inboxes open.
+    /// Without a state directory, upgrades are disabled and `self` is returned, to keep the fronts' inboxes open. The
+    /// copies of the listeners are closed in this case: they would keep the sockets listening after the fronts stop
+    /// accepting.
     pub(super) fn start(
         self, copies: ListenerCopies, hooks: HandoverHooks, shutdown: &Shutdown,
     ) -> Option<Handover> {
--- a/gateway/src/daemon/inference.rs
+++ b/gateway/src/daemon/inference.rs
@@ -1,4 +1,4 @@
-//! The second front and its pools.
+//! Startup and reload of the second front and its pools.
 
 use std::path::PathBuf;
 
@@ -14,13 +14,14 @@
 use crate::pools::{InferencePools, PlatformChat};
 use crate::upgrade;
 
-/// The second front's file as it was read, and where it is read again.
+/// Parsed file of the second front, and the path from which it is reloaded.
 pub(super) struct FrontFile {
     pub(super) front: config::InferenceFrontConfig,
     pub(super) path: PathBuf,
 }
 
-/// Starts the second front. `platform`: the platform's servers, for chat. `max_connections`: of clients at this front.
+/// Starts the second front. `platform` is the platform's pool, for chat; `max_connections` limits the client
+/// connections of this front.
 pub(super) async fn start(
     file: FrontFile, platform: Option<PlatformChat>, inherited: InheritedFront, max_connections: usize,
     context: &Context, parts: &mut Parts,
@@ -32,7 +33,7 @@
     let (slots, budget, metrics) = (context.slots.clone(), context.budget.clone(), context.metrics.clone());
     let inference = InferencePools::new(&file, platform, &context.plugin, slots, budget, metrics)?;
     let own_pools = inference.pools();
-    // Any pool can go on with a stream that began in another: reading on needs none of its servers.
+    // Any pool can resume a stream of another one: a resumed stream needs no server of the pool.
     let resuming = own_pools.first().or(parts.pools.first());
     let front_listener = FrontListener {
         number: upgrade::SECOND,
--- a/gateway/src/daemon/listeners.rs
+++ b/gateway/src/daemon/listeners.rs
@@ -1,4 +1,4 @@
-//! The fronts' listening sockets: opened, or taken over from a predecessor, and copied for a successor.
+//! Listening sockets of the fronts: bound or inherited from a predecessor, and duplicated for a successor.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,16 +9,16 @@
 use super::error::DaemonError;
 use crate::log;
 
-/// Where a front listens.
+/// Listening address of a front.
 pub(super) struct ListenAddress<'a> {
     pub(super) address: &'a str,
-    /// The configuration's key, for errors.
+    /// Configuration key of the address, for error messages.
     pub(super) key: &'static str,
-    /// The front as the log names it.
+    /// Name of the front in log lines.
     pub(super) front: &'static str,
 }
 
-/// Listens at an address, or goes on with the predecessor's listener if that one is there already.
+/// Returns the predecessor's listener if it has the requested address, else binds a new one.
 pub(super) async fn listen(
     listen_address: ListenAddress<'_>, inherited: Option<std::net::TcpListener>,
 ) -> Result<TcpListener, DaemonError> {
@@ -32,7 +32,7 @@
     Ok(listener)
 }
 
-/// Whether a listener is there at this address. Port 0 stands for any port.
+/// Returns whether a listener is bound to this address. Port 0 matches any port.
 fn serves_address(listener: &std::net::TcpListener, address: &str) -> bool {
     let (Ok(actual), Ok(wanted)) = (listener.local_addr(), address.parse::<SocketAddr>()) else {
         return false;
@@ -40,7 +40,7 @@
     actual == wanted || wanted.port() == 0 && actual.ip() == wanted.ip()
 }
 
-/// Copies of the fronts' listeners with the fronts' numbers, for a successor.
+/// Duplicated listeners for a successor, each with the number of its front.
 #[derive(Default)]
 pub(super) struct ListenerCopies(Vec<(u8, OwnedFd)>);
 
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! The daemon: reads the configuration, assembles the parts and runs them on one thread until the process ends.
+//! The daemon: reads the configuration, starts the components and runs them on one thread until the process exits.
 //!
-//! `platform`, `inference` and the operators' front are the parts; `handover` is the process's part in upgrades, `exit` its
-//! end. `Context` is what the parts share; the state is in them. The clock is tokio's.
+//! The components are `platform`, `inference` and the operators' front, and own the state; `Context` has what
+//! they share. `handover` runs upgrades and `exit` the graceful shutdown. The clock is tokio's.
 #![deny(missing_docs)]
 
 mod counters;
@@ -44,7 +44,7 @@
 pub use self::error::DaemonError;
 pub use self::exit::leave;
 
-/// What the gateway is started with.
+/// Complete configuration that the gateway is started with.
 struct Configuration {
     platform: Option<config::Platform>,
     second: Option<FrontFile>,
@@ -52,20 +52,20 @@
     fleet: Option<(Start, Keyring)>,
 }
 
-/// What the parts share.
+/// Resources and state shared by the components.
 struct Context {
     slots: Arc<Semaphore>,
     budget: Budget,
     shutdown: Shutdown,
     metrics: RequestMetrics,
     plugin: Option<Rc<Plugin>>,
-    /// Whether this process accepts connections yet.
+    /// Whether this process accepts connections; false in a successor until it is ready.
     accepting: watch::Receiver<bool>,
-    /// Whether another process hands over to this one.
+    /// Whether a predecessor is handing over to this process.
     has_predecessor: bool,
 }
 
-/// What the parts add to as they start.
+/// Listeners, pools and reload callbacks, collected while the components start.
 #[derive(Default)]
 struct Parts {
     listeners: ListenerCopies,
@@ -73,7 +73,7 @@
     reloads: Reloads,
 }
 
-/// Serves until SIGTERM, and returns after the planned end.
+/// Runs the gateway until SIGTERM or SIGINT, and returns after the graceful shutdown.
 pub fn run(files: Files) -> Result<(), DaemonError> {
     let configuration = read(files)?;
     let runtime = Builder::new_current_thread().enable_all().build().map_err(DaemonError::Runtime)?;
@@ -94,7 +94,7 @@
     Ok(Configuration { platform, second, plugin: plugin.map(Rc::new), fleet })
 }
 
-/// The fleet's file, under what the platform says of this gateway.
+/// Reads the fleet's file, subject to the platform's settings for this gateway.
 fn read_fleet(file: &Path, platform: Option<&config::Platform>) -> Result<(Start, Keyring), FleetError> {
     let name = match platform {
         Some(platform) => platform.name.clone(),
@@ -107,7 +107,7 @@
     Start::read(file, name, platform.as_ref())
 }
 
-/// Starts the parts, one after another, and runs them until the planned end is over.
+/// Starts the components in order and runs them until the graceful shutdown is complete.
 async fn serve(configuration: Configuration) -> Result<(), DaemonError> {
     let Configuration { platform, second, plugin, fleet } = configuration;
     let bounds = platform.as_ref().map_or_else(Bounds::default, |platform| platform.bounds);
@@ -148,7 +148,7 @@
     Ok(())
 }
 
-/// The planned end, from SIGTERM on.
+/// Runs the graceful shutdown, starting at SIGTERM.
 async fn shut_down(
     shutdown: &Shutdown, pools: &[Pool], delays: &ShutdownDelays, member: Option<fleet::Handle>,
 ) {
@@ -156,13 +156,13 @@
         spawn_local(exit::answer_pending(pools.to_vec(), delay));
     }
     leave(shutdown, pools, delays.stream_handover).await;
-    // Last: until here this process serves, and the fleet must count on it.
+    // The member leaves last: until here this process serves, and the fleet must treat it as available.
     if let Some(member) = member {
         member.leave();
     }
 }
 
-/// The limits that count across an upgrade, unshared at first.
+/// Returns the limits that two processes share during an upgrade, initially all for this one.
 fn shared_limits(bounds: &Bounds) -> SharedLimits {
     SharedLimits {
         slots: Arc::new(Semaphore::new(bounds.server_connections)),
@@ -172,17 +172,19 @@
     }
 }
 
-/// Where processes at the same address meet. Only operators run a second one, so without their front there is none.
+/// Returns the state directory, in which processes at the same address find each other; `None` disables upgrades. Only
+/// operators start a second process, so upgrades need the operators' front.
 fn state_directory(platform: Option<&config::Platform>) -> Option<PathBuf> {
     let platform = platform.filter(|platform| platform.ops.is_some())?;
     Some(platform.state.clone())
 }
 
-/// Times from SIGTERM on, by the deadlines of the platform's classes.
+/// Delays after SIGTERM, derived from the deadlines of the platform's request classes.
 struct ShutdownDelays {
-    /// Until what still waits for its first token is answered. Only the platform kills.
+    /// Delay until requests without a first token are answered; `None` without a platform, which alone kills the
+    /// process.
     last_response: Option<Duration>,
-    /// Until streams in flight go over to a successor.
+    /// Delay until streams in flight are handed over to a successor.
     stream_handover: Duration,
 }
 
@@ -197,14 +199,15 @@
     }
 }
 
-/// How many clients may connect to each front.
+/// Maximum number of client connections of each front.
 struct ClientShares {
     platform: usize,
     second: usize,
 }
 
 impl ClientShares {
-    /// Both fronts share the descriptors: the second may use half, or all of them where it is alone.
+    /// Divides the client connections between the fronts: the second may use half of them, or all if it is the only
+    /// front.
     fn new(bounds: &Bounds, platform: Option<&config::Platform>, second: Option<&FrontFile>) -> Self {
         let fronts = if platform.is_some() { 2 } else { 1 };
         let share = bounds.client_connections / fronts;
@@ -213,7 +216,7 @@
     }
 }
 
-/// Counters of the platform's classes and of the second front's two.
+/// Returns the request counters of the platform's classes and of the second front's two classes.
 fn request_metrics(platform: Option<&config::Platform>, second: Option<&FrontFile>) -> RequestMetrics {
     let platform_classes = platform.iter().flat_map(|platform| platform.classes.iter().cloned());
     let second_classes = second.iter().flat_map(|_| [EMBEDDINGS, CHAT]).map(String::from);
@@ -230,7 +233,7 @@
     Ok(Some(member))
 }
 
-/// Operators are answered until the process ends, so their front has a shutdown of its own.
+/// Starts the operators' front. It serves until the process exits, so it has a `Shutdown` of its own.
 fn start_admin(
     admin: AdminPart, max_connections: usize, pools: &[Pool], member: Option<&fleet::Handle>,
     context: &Context,
--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's part of the gateway: its pool, discovery, maintenance and its front.
+//! Startup of the platform's components: its pool, discovery, maintenance and its front.
 
 use std::cell::Cell;
 use std::mem::replace;
@@ -30,29 +30,28 @@
 use crate::shutdown::Phase;
 use crate::upgrade::{self, RoutingStateTransfer};
 
-/// Servers close idle connections after their own time; this process closes them after this part of it, so that no
-/// request meets a connection that its server is closing.
+/// Fraction of the servers' idle timeout after which this process closes an idle connection, so that no request is
+/// sent on a connection that its server is closing.
 const IDLE_TIMEOUT_SHARE: f64 = 0.5;
-/// A process that takes over waits no longer than this for discovery's list; then it trusts the one that it was started
-/// with.
+/// Maximum time that a successor waits for the endpoint list of discovery. After that it uses its initial list.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What the other parts need of the platform's.
+/// Platform components that other components use.
 pub(super) struct PlatformPart {
     pub(super) chat: PlatformChat,
     pub(super) handover: HandoverHooks,
-    /// For the operators' front, where the configuration has one.
+    /// Components of the operators' front; `None` if that front is disabled.
     pub(super) admin: Option<AdminPart>,
 }
 
-/// What the operators' front acts on.
+/// Components that the operators' front uses.
 pub(super) struct AdminPart {
     pub(super) listener: TcpListener,
     pub(super) ready: Rc<dyn Fn() -> bool>,
     pub(super) maintenance: Rc<Maintenance<Engine>>,
 }
 
-/// Starts the platform's part. `max_connections`: of clients at its front.
+/// Starts the platform's components. `max_connections` limits the client connections of its front.
 pub(super) async fn start(
     platform: config::Platform, inherited: InheritedFront, max_connections: usize, context: &Context,
     parts: &mut Parts,
@@ -118,7 +117,7 @@
     }
 }
 
-/// Without a directory for them, orders are denied; all else works.
+/// Creates the maintenance overlay. If the order store cannot be opened, only maintenance orders are unavailable.
 fn maintenance(platform: &config::Platform, pool: &Pool) -> Maintenance<Engine> {
     let names = SettingsNames { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
     let orders = platform.ops.and_then(|_| {
@@ -127,7 +126,7 @@
     Maintenance::new(names, pool.clock, pool.engine.clone(), pool.core.clone(), orders)
 }
 
-/// Applies the list known at the start, and watches discovery. Returns whether a list has come since.
+/// Applies the initial list and starts the watch of discovery. The returned flag is set once discovery sends a list.
 fn start_discovery(
     platform: &config::Platform, pool: &Pool, maintenance: &Rc<Maintenance<Engine>>, context: &Context,
     parts: &mut Parts,
@@ -140,7 +139,7 @@
     if let Some(known) = &known {
         maintenance.apply_list(known, ListUpdate::Cached);
     }
-    // The list that a successor was started with may be old. It requests the full list, which comes at once.
+    // The initial list of a successor may be outdated, so it requests the full list, which is sent at once.
     let version = known.map(|list| list.version).filter(|_| !context.has_predecessor);
     let list_received = Rc::new(Cell::new(false));
     let metrics = Rc::new(DiscoveryMetrics::default());
@@ -155,7 +154,7 @@
     list_received
 }
 
-/// Of a new configuration, discovery's address takes effect at once; the rest from the next start on.
+/// Reloads the configuration. Only the address of discovery takes effect; other changes require a restart.
 fn reload(address: &watch::Sender<String>) {
     match config::platform(|name| std::env::var(name).ok()) {
         Ok(Some(new)) => {
@@ -166,7 +165,7 @@
     }
 }
 
-/// Listens for operators, and follows the orders that other processes of this gateway are given.
+/// Binds the operators' front and watches for maintenance orders given to other processes of this gateway.
 async fn start_maintenance(
     address: SocketAddr, pool: &Pool, maintenance: &Rc<Maintenance<Engine>>, context: &Context,
 ) -> Result<AdminPart, DaemonError> {
@@ -175,14 +174,15 @@
     let listener = listen(listen_address, None).await?;
     let (core, shutdown, accepting) =
         (pool.core.clone(), context.shutdown.clone(), context.accepting.clone());
-    // Of the process, also while clients are asked to leave.
+    // Readiness of this process: false as soon as it drains, also where a successor serves.
     let ready = move || *accepting.borrow() && shutdown.phase() == Phase::Serving && core.can_serve();
     let watched = maintenance.clone();
     spawn_local(async move { watched.watch_orders().await });
     Ok(AdminPart { listener, ready: Rc::new(ready), maintenance: maintenance.clone() })
 }
 
-/// Whether this process can do all that its predecessor could: serve, under the same orders, by a list that is not old.
+/// Returns the readiness check of a successor: it can serve, under the same maintenance orders as its predecessor, and
+/// has a current list or has waited [`DISCOVERY_TIMEOUT`] for it.
 fn can_take_over(
     pool: &Pool, maintenance: &Rc<Maintenance<Engine>>, list_received: Rc<Cell<bool>>,
 ) -> Rc<dyn Fn() -> bool> {
@@ -195,7 +195,7 @@
 
 fn front(names: PlatformNames, pool: &Pool, context: &Context) -> Platform {
     let (core, shutdown) = (pool.core.clone(), context.shutdown.clone());
-    // Of the gateway, so also where a successor serves.
+    // Readiness of the gateway, so it stays true while a successor serves.
     let ready = Rc::new(move || !shutdown.is_draining() && core.can_serve());
     Platform::new(
         names,
--- a/gateway/src/daemon/signals.rs
+++ b/gateway/src/daemon/signals.rs
@@ -1,25 +1,25 @@
-//! SIGTERM or SIGINT ends the process, SIGHUP has it read its configuration again.
+//! Signal handling: SIGTERM and SIGINT start the graceful shutdown, SIGHUP reloads the configuration.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use super::error::DaemonError;
 use crate::log;
 
-/// The signals, handled from the start on: one that comes before it is waited for is not lost.
+/// Signal handlers, installed at the start so that a signal received before it is awaited is not lost.
 pub(super) struct Signals {
     pub(super) end: EndSignals,
     pub(super) reload: Signal,
 }
 
-/// The signals that begin the planned end. While it goes on, further ones change nothing.
+/// Signals that start the graceful shutdown. Further ones during the shutdown have no effect.
 pub(super) struct EndSignals {
     terminate: Signal,
-    /// Whoever stops the program by hand expects the same.
+    /// SIGINT, for a program stopped with Ctrl-C; same effect as SIGTERM.
     interrupt: Signal,
 }
 
 impl EndSignals {
-    /// Waits for the first of them.
+    /// Waits for the first of these signals.
     pub(super) async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -37,7 +37,7 @@
     }
 }
 
-/// What each part of the gateway does at SIGHUP, in the order in which the parts started.
+/// Callbacks run at SIGHUP, in the order in which the components were started.
 #[derive(Default)]
 pub(super) struct Reloads(Vec<Box<dyn Fn()>>);
 
@@ -46,7 +46,7 @@
         self.0.push(Box::new(reload));
     }
 
-    /// Reloads at each signal for as long as the process runs. While it ends, this changes nothing that matters.
+    /// Runs the callbacks at each SIGHUP until the process exits. A reload during the shutdown is harmless.
     pub(super) async fn run(self, mut signal: Signal) {
         while signal.recv().await.is_some() {
             log!("SIGHUP: reloading the configuration");
