--- a/gateway/src/upgrade/mod.rs
+++ b/gateway/src/upgrade/mod.rs
@@ -1,9 +1,9 @@
 //! Upgrades without a restart: a second process at the same address takes over from the first.
 //!
-//! The predecessor hands its listening sockets to the successor, so that there is one accept queue throughout, then what
-//! its router has learned, then each client connection as soon as it is idle, or with its stream in flight. `protocol`
-//! has the messages, [`serve_as_predecessor`] and [`request_handover`] with [`serve_as_successor`] are the two sides.
-//! The state directory holds the Unix socket at which they meet; the clock is tokio's.
+//! The predecessor transfers its listening sockets first, so that both processes share one accept queue, then the
+//! routing state, then each client connection as soon as it is idle, or with its stream in flight. `protocol` defines
+//! the messages. [`serve_as_predecessor`] is one side; [`request_handover`] and [`serve_as_successor`] are the other.
+//! The processes connect over a Unix socket in the state directory. The clock is tokio's.
 #![deny(missing_docs)]
 
 mod predecessor;
@@ -25,18 +25,18 @@
 pub const PLATFORM: u8 = 0;
 /// Number of the second front in the messages.
 pub const SECOND: u8 = 1;
-/// How many fronts hand their sockets over.
+/// Number of fronts whose sockets are transferred.
 pub const FRONTS: usize = 2;
 
-/// Applies a state that was received.
+/// Callback that applies a received routing state.
 type ImportState = Rc<dyn Fn(&[u8])>;
 
-/// What the platform's router has learned, on its way from one process to the next. The bytes are opaque here.
+/// Export and import of the routing state: what the platform's router has learned. The bytes are opaque here.
 #[derive(Clone)]
 pub struct RoutingStateTransfer {
-    /// The state as the predecessor sends it.
+    /// Serializes the state in the predecessor.
     pub export: Rc<dyn Fn() -> Vec<u8>>,
-    /// Applies the state that the successor received.
+    /// Applies the received state in the successor.
     pub import: ImportState,
 }
 
--- a/gateway/src/upgrade/predecessor.rs
+++ b/gateway/src/upgrade/predecessor.rs
@@ -1,4 +1,4 @@
-//! The side of an upgrade that hands over: listeners first, then what the router has learned, then clients' connections.
+//! Predecessor side of an upgrade: sends the listeners, then the routing state, then the client connections.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -14,8 +14,8 @@
 use crate::log;
 use crate::shutdown::{Phase, Shutdown};
 
-/// Waits for successors, one after another, for as long as this process runs. `listeners`: copies of the fronts' listening
-/// sockets with the fronts' numbers.
+/// Waits for successors, one after another, until this process exits or stops accepting. `listeners` are duplicates of
+/// the listening sockets, each with the number of its front.
 pub async fn serve_as_predecessor(
     state: PathBuf, listeners: Vec<(u8, OwnedFd)>, inboxes: Rc<TransferInboxes>,
     routing_state: RoutingStateTransfer, shutdown: Shutdown, limits: SharedLimits,
@@ -28,9 +28,9 @@
                 Ok((stream, _)) => UpgradeLink::new(stream),
                 Err(e) => return log!("upgrade: not possible: {e}"),
             },
-            // Nobody accepts any more. Without these copies the system refuses new connections, and a process that is
-            // started now can listen. Only after a successor that died are they kept, for the next successor: what is
-            // in their queue would be lost.
+            // This process has stopped accepting. Closing the duplicates makes the system refuse new connections and
+            // lets a process started now bind the address. After a successor has terminated, they stay open for the
+            // next one: the connections in the accept queue would be lost otherwise.
             () = shutdown.reached(Phase::Closing), if !had_successor => return,
         };
         had_successor = true;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Hands over to one successor, and returns when that one has ended.
+/// Hands over to one successor, and returns once that process has terminated.
 async fn hand_over(
     link: &UpgradeLink, listeners: &[(u8, OwnedFd)], inboxes: &TransferInboxes,
     routing_state: &RoutingStateTransfer, shutdown: &Shutdown,
@@ -60,7 +60,7 @@
     shutdown.set_successor(Some(successor));
     send_connections(link, &mut connections, inboxes).await;
     shutdown.set_successor(None);
-    // Never sent, so they are still this process's.
+    // These connections were never sent, so this process still serves them.
     while let Ok(connection) = connections.try_recv() {
         return_to_front(inboxes, connection);
     }
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Sends connections as they come until the successor has ended.
+/// Sends the connections that the fronts queue, until the successor has terminated.
 async fn send_connections(
     link: &UpgradeLink, connections: &mut mpsc::UnboundedReceiver<TransferredConnection>,
     inboxes: &TransferInboxes,
@@ -77,7 +77,7 @@
         let connection = tokio::select! {
             biased;
             Some(connection) = connections.recv() => connection,
-            // The successor sends nothing more: this is its end.
+            // The successor sends no further messages, so this is the end of the link.
             _ = link.receive() => return,
         };
         if link.send_connection(&connection).await.is_err() {
--- a/gateway/src/upgrade/protocol.rs
+++ b/gateway/src/upgrade/protocol.rs
@@ -1,8 +1,8 @@
-//! The messages between predecessor and successor, and their bytes on the socket.
+//! Messages between predecessor and successor, and their encoding on the Unix socket.
 //!
-//! A message is one byte, its tag; to some tags the number of a front is added. Descriptors come along with the tag, and
-//! some messages go on with blocks of bytes, each behind its length in four bytes, least significant first. Older builds
-//! read and write the same bytes (`tests/fixtures/upgrade_messages.txt`).
+//! A message starts with a one-byte tag; some tags include the number of a front. Descriptors are sent as ancillary
+//! data of the tag. Some messages continue with blocks of bytes, each preceded by its length as a 4-byte little-endian
+//! integer. Older builds read and write the same bytes (`tests/fixtures/upgrade_messages.txt`).
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -17,32 +17,33 @@
 
 use super::transferred::TransferredConnection;
 
-/// From the predecessor: all listeners have been sent.
+/// Sent by the predecessor: all listeners have been sent.
 pub(super) const ALL_LISTENERS_SENT: u8 = 1;
-/// From the successor: it accepts from now on.
+/// Sent by the successor: it accepts connections from now on.
 pub(super) const SERVING: u8 = 2;
-/// From the predecessor, with one block: what the router has learned.
+/// Sent by the predecessor, followed by one block: the routing state.
 pub(super) const ROUTING_STATE: u8 = 3;
-/// From the predecessor, plus a front's number, with the front's listening socket.
+/// Sent by the predecessor, plus the number of a front: the listening socket of that front.
 pub(super) const LISTENER: u8 = 0x10;
-/// From the predecessor, plus a front's number, with a client's socket: an idle connection.
+/// Sent by the predecessor, plus the number of a front: the socket of an idle client connection.
 pub(super) const CONNECTION: u8 = 0x20;
-/// From the predecessor, plus a front's number, with a client's socket and its server's: a connection with a stream in
-/// flight. Two blocks follow: the bytes read ahead from the server, and the name of the class, empty if there is none.
+/// Sent by the predecessor, plus the number of a front: the sockets of a client and of its server, with a stream in
+/// flight. Two blocks follow: the bytes read ahead from the server, and the name of the request class, empty if there
+/// is none.
 pub(super) const STREAM: u8 = 0x30;
 
-/// Longest block of bytes that is accepted.
+/// Maximum size of a received block, in bytes.
 const MAX_BLOCK_BYTES: usize = 1 << 20;
-/// Size of a block's length.
+/// Size of the length prefix of a block, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A tag as it was received, with the descriptors that came along.
+/// A received tag with its descriptors.
 pub(super) struct Frame {
     pub(super) tag: u8,
     pub(super) descriptors: Vec<OwnedFd>,
 }
 
-/// The connection between the two processes.
+/// Connection between predecessor and successor.
 pub struct UpgradeLink(UnixStream);
 
 impl UpgradeLink {
@@ -64,7 +65,7 @@
             .await
     }
 
-    /// Sends a client's connection, and its stream if one is in flight.
+    /// Sends a client connection, with its stream if one is in flight.
     pub(super) async fn send_connection(&self, connection: &TransferredConnection) -> io::Result<()> {
         let client = connection.socket.as_fd();
         let Some(stream) = &connection.stream else {
@@ -87,7 +88,7 @@
         Ok(())
     }
 
-    /// The next message; `None` at the end of the connection.
+    /// Receives the next message; `None` at the end of the connection.
     pub(super) async fn receive(&self) -> io::Result<Option<Frame>> {
         self.0.async_io(Interest::READABLE, || self.try_receive()).await
     }
--- a/gateway/src/upgrade/shared_limits.rs
+++ b/gateway/src/upgrade/shared_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that two processes share while both run: each then has half.
+//! Limits that two processes share during an upgrade: while both run, each has half.
 
 use std::sync::Arc;
 
@@ -6,20 +6,20 @@
 
 use crate::budget::{Budget, Claim};
 
-/// Limits of the process that count across an upgrade.
+/// Limits of a process that it shares with the other one during an upgrade.
 #[derive(Clone)]
 pub struct SharedLimits {
-    /// Permits for connections to servers.
+    /// Semaphore with one permit for each connection to a server.
     pub slots: Arc<Semaphore>,
-    /// Number of these permits while one process runs.
+    /// Number of these permits while a single process runs.
     pub connections: usize,
-    /// Memory for request bodies.
+    /// Memory budget for request bodies.
     pub budget: Budget,
-    /// Size of that memory in bytes while one process runs.
+    /// Size of that budget, in bytes, while a single process runs.
     pub bodies: usize,
 }
 
-/// The half that the other process may use; returned when this is dropped.
+/// Half of the limits, reserved for the other process. Dropping it returns that half.
 pub struct ReservedHalf {
     slots: Arc<Semaphore>,
     reserved_slots: usize,
@@ -27,7 +27,8 @@
 }
 
 impl SharedLimits {
-    /// Leaves half to the other process. Permits and memory in use by then stay in use, so less may be reserved.
+    /// Reserves half of the limits for the other process. Permits and memory already in use are not reclaimed, so less
+    /// may be reserved.
     pub fn reserve_half(&self) -> ReservedHalf {
         let reserved_slots = self.slots.forget_permits(self.connections / 2);
         let bodies = self.budget.claim(self.bodies / 2);
--- a/gateway/src/upgrade/socket_path.rs
+++ b/gateway/src/upgrade/socket_path.rs
@@ -1,4 +1,4 @@
-//! The Unix socket in the state directory at which a successor finds its predecessor.
+//! Path of the Unix socket in the state directory over which a successor connects to its predecessor.
 
 use std::fs::{remove_file, rename, File};
 use std::io;
@@ -7,18 +7,19 @@
 
 use tokio::net::UnixListener;
 
-/// Name of the socket.
+/// File name of the socket in the state directory.
 pub(super) const SOCKET_NAME: &str = "handover";
-/// Longest path that is used as a socket's address, in bytes: the system's bound of 108, less a margin.
+/// Maximum length of a socket path, in bytes: the system's limit of 108, less a margin.
 const MAX_SOCKET_PATH: usize = 100;
 
-/// A path that fits into a socket's address. It is valid for as long as the directory is open.
+/// A path short enough for a socket address. It is valid as long as this value, which keeps the directory open.
 pub(super) struct SocketPath {
     pub(super) path: PathBuf,
     _directory: Option<File>,
 }
 
-/// The path of this file in the directory; one that is too long goes by way of a descriptor of the directory.
+/// Returns the path of this file in the directory. If it is too long, the path goes through a descriptor of the
+/// directory.
 pub(super) fn socket_path(directory: &Path, name: &str) -> io::Result<SocketPath> {
     let path = directory.join(name);
     if path.as_os_str().len() <= MAX_SOCKET_PATH {
@@ -29,7 +30,8 @@
     Ok(SocketPath { path, _directory: Some(open) })
 }
 
-/// Makes this process the one that hands over from now on, in place of any before: a rename replaces the socket at once.
+/// Makes this process the predecessor of the next successor. A rename atomically replaces the socket of an earlier
+/// process.
 pub(super) fn publish(state: &Path) -> io::Result<UnixListener> {
     let own_name = format!("{SOCKET_NAME}-{}", std::process::id());
     let address = socket_path(state, &own_name)?;
--- a/gateway/src/upgrade/successor.rs
+++ b/gateway/src/upgrade/successor.rs
@@ -1,4 +1,5 @@
-//! The side of an upgrade that takes over: listeners at the start, then clients' connections until the predecessor ends.
+//! Successor side of an upgrade: receives the listeners at the start, then client connections until the predecessor
+//! exits.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -19,25 +20,25 @@
 use crate::log;
 use crate::shutdown::{Phase, Shutdown};
 
-/// The predecessor must have sent its listeners by then, or is taken for dead.
+/// Maximum time for receiving the listeners. After that the predecessor is assumed to have failed.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What this process got from its predecessor before it serves.
+/// State received from the predecessor before this process serves.
 pub struct HandoverState {
-    /// Listening sockets by the fronts' numbers.
+    /// Listening sockets, indexed by the number of their front; `None` if the predecessor does not run that front.
     pub listeners: [Option<TcpListener>; FRONTS],
-    /// For [`serve_as_successor`].
+    /// Open link to the predecessor, for [`serve_as_successor`].
     pub link: UpgradeLink,
 }
 
-/// Requests the listeners of another process at this address; `None` where there is none that hands over.
+/// Requests the listeners of a predecessor at this address; `None` if there is none or the handover fails.
 pub async fn request_handover(state: &Path) -> Option<HandoverState> {
     match timeout(HANDOVER_TIMEOUT, receive_listeners(state)).await {
         Ok(Ok(handover)) => {
             log!("upgrade: taking over from the predecessor");
             Some(handover)
         }
-        // There was none, or the one that was has died.
+        // There has been no predecessor, or it has terminated and left its socket.
         Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => None,
         Ok(Err(e)) => {
             log!("upgrade: no handover from a predecessor: {e}");
@@ -70,9 +71,10 @@
     }
 }
 
-/// Says that this process serves, then receives the predecessor's connections until that one has ended.
+/// Notifies the predecessor that this process serves, then receives its connections until it terminates.
 ///
-/// Should this process get SIGTERM meanwhile, the link closes: the predecessor sees that, and accepts again.
+/// If this process receives SIGTERM in the meantime, it closes the link; the predecessor detects that and accepts
+/// again.
 pub async fn serve_as_successor(
     link: UpgradeLink, inboxes: Rc<TransferInboxes>, routing_state: RoutingStateTransfer, shutdown: Shutdown,
     half: ReservedHalf,
@@ -101,7 +103,7 @@
     Ok(())
 }
 
-/// Delivers the connection of this message to its front, with the stream whose blocks follow the message.
+/// Receives the connection of this message, with the blocks of its stream if it has one, and delivers it to its front.
 async fn receive_connection(link: &UpgradeLink, frame: Frame, inboxes: &TransferInboxes) -> io::Result<()> {
     let Frame { tag, descriptors } = frame;
     let blocks = match tag {
--- a/gateway/src/upgrade/tests.rs
+++ b/gateway/src/upgrade/tests.rs
@@ -1,4 +1,4 @@
-//! Where two processes find each other, and how they share the limits.
+//! Tests of the socket path of an upgrade and of the shared limits.
 
 mod wire_format;
 
@@ -11,8 +11,8 @@
 use super::{request_handover, SharedLimits};
 use crate::budget::Budget;
 
-/// An upgrade works wherever `$TMPDIR` lies: a path may be longer than a socket's address. A file that a dead process
-/// left, or none at all, means that there is no predecessor.
+/// Guards upgrades with a long `$TMPDIR`, whose path exceeds the length of a socket address. A missing socket, or one
+/// left by a terminated process, means that there is no predecessor.
 #[tokio::test]
 async fn a_long_path_works_and_a_stale_socket_is_no_predecessor() {
     let top = std::env::temp_dir().join(format!("glenrail-upgrade-{}", std::process::id()));
@@ -29,7 +29,7 @@
     std::fs::remove_dir_all(top).expect("removed");
 }
 
-/// The limits hold for both processes together: each has half while both run, and the one that is left has all.
+/// Guards the limits of both processes together: each has half while both run, and the remaining process has all.
 #[test]
 fn half_of_the_limits_is_reserved_while_both_processes_run() {
     let limits = SharedLimits {
--- a/gateway/src/upgrade/tests/wire_format.rs
+++ b/gateway/src/upgrade/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The messages that two processes exchange in an upgrade, compared with those that an earlier build sent: in an update
-//! the old build hands over to the new one.
+//! Compares the messages of an upgrade with those recorded from an earlier build: in an update, the predecessor is the
+//! old build and the successor the new one.
 
 use std::io::{IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -29,19 +29,19 @@
 };
 
 const MESSAGES: &str = include_str!("../../../tests/fixtures/upgrade_messages.txt");
-/// The name of the socket in the state directory.
+/// File name of the socket in the state directory.
 const SOCKET: &str = "handover";
-/// What the router has learned is opaque to the messages.
+/// Routing state, which is opaque to the protocol.
 const STATE: [u8; 16] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
 const READ_AHEAD: &[u8] = b"1a\r\nabc";
 const CLASS: &str = "interactive";
-/// A test that waits longer than this has failed.
+/// Maximum time that a test waits before it fails.
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// What goes with a client's connection that has a stream under way: bytes read ahead, and the class.
+/// Data sent with a client connection that has a stream in flight: the bytes read ahead, and the class.
 type Stream = (&'static [u8], Option<&'static str>);
 
-/// The recorded messages that hand a client's connection over, each with its front.
+/// Recorded messages that transfer a client connection, each with the number of its front.
 const CONNECTIONS: [(&str, u8, Option<Stream>); 5] = [
     ("connection at rest, first front", PLATFORM, None),
     ("connection at rest, second front", SECOND, None),
@@ -50,7 +50,7 @@
     ("stream, nothing read ahead, no class", PLATFORM, Some((b"", None))),
 ];
 
-/// The number of descriptors and the bytes of a recorded message.
+/// Returns the number of descriptors and the bytes of a recorded message.
 fn recorded(name: &str) -> (usize, Vec<u8>) {
     let fields = |line: &'static str| line.split(" | ").collect::<Vec<_>>();
     let fields = MESSAGES.lines().map(fields).find(|f| f[0] == name).expect("a recorded message");
@@ -58,7 +58,7 @@
     (fields[1].parse().expect("a number"), (0..fields[2].len()).step_by(2).map(byte).collect())
 }
 
-/// The other process of an upgrade, which knows the recorded messages only.
+/// Simulated other process of an upgrade, which handles only the recorded messages.
 struct Peer(blocking::UnixStream);
 
 impl Peer {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Waits for a process that asks to take over.
+    /// Waits for a process that requests the handover.
     fn accept(socket: &blocking::UnixListener) -> Peer {
         socket.set_nonblocking(true).expect("not blocking");
         let began = Instant::now();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Reads the first bytes that are there, and the descriptors that come along with them.
+    /// Reads the bytes available, and the descriptors sent with them.
     fn read(&self, bytes: &mut [u8]) -> (usize, Vec<OwnedFd>) {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -109,7 +109,7 @@
         (got.bytes, descriptors.collect())
     }
 
-    /// Reads a message, which must be the recorded one, and gives out its descriptors.
+    /// Reads a message, asserts that it is the recorded one, and returns its descriptors.
     fn expect(&self, name: &str) -> Vec<OwnedFd> {
         let (count, bytes) = recorded(name);
         let mut got = vec![0; bytes.len()];
@@ -138,7 +138,7 @@
         (&self.0).write_all(&bytes[1..]).expect("sent");
     }
 
-    /// Ends, and finds that nothing more was sent.
+    /// Closes the connection, and asserts that nothing more was sent.
     fn end(mut self) {
         self.0.shutdown(Close::Write).expect("closed");
         let mut rest = Vec::new();
@@ -147,7 +147,7 @@
     }
 }
 
-/// By its two addresses a connection is known again.
+/// The two addresses of a connection, which identify it.
 type Ends = (SocketAddr, SocketAddr);
 
 fn ends(socket: &TcpStream) -> Ends {
@@ -160,14 +160,14 @@
     (listener, address)
 }
 
-/// Both ends of a connection.
+/// Returns both ends of a new connection.
 fn connection() -> [TcpStream; 2] {
     let (listener, address) = listener();
     let near = TcpStream::connect(address).expect("a connection");
     [near, listener.accept().expect("a connection").0]
 }
 
-/// A state directory of one test's own.
+/// Creates a state directory for one test.
 fn state(name: &str) -> PathBuf {
     let state = std::env::temp_dir().join(format!("glenrail-wire-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&state);
@@ -180,12 +180,12 @@
     SharedLimits { slots, connections: 10, budget: Budget::new(100), bodies: 100 }
 }
 
-/// A client's connection and its server's for each of `CONNECTIONS`, with the far ends.
+/// Returns a client and a server connection, each with both ends, for each of `CONNECTIONS`.
 fn sockets() -> Vec<[[TcpStream; 2]; 2]> {
     CONNECTIONS.iter().map(|_| [connection(), connection()]).collect()
 }
 
-/// Transfers the connections once the other process has taken over.
+/// Transfers the connections once the successor has taken over.
 async fn transfer_connections(sockets: Vec<[TcpStream; 2]>, shutdown: &Shutdown) {
     let mut updates = shutdown.successor_updates();
     let successor = updates.wait_for(Option::is_some).await.expect("a successor").clone();
@@ -205,7 +205,7 @@
     }
 }
 
-/// What a second process receives, as recorded: the listeners, the learned state and the connections.
+/// Asserts that a successor receives the recorded messages: the listeners, the routing state and the connections.
 fn receive_all(peer: Peer, listeners: [SocketAddr; FRONTS], learned: &str, connections: &[[Ends; 2]]) {
     for (name, address) in ["listener, first front", "listener, second front"].into_iter().zip(listeners) {
         let got =
@@ -222,7 +222,7 @@
     peer.end();
 }
 
-/// Runs the first process of an upgrade against a peer that expects what is recorded.
+/// Runs a predecessor against a peer that expects the recorded messages.
 async fn first_process(name: &str, learned: &'static [u8], recorded: &'static str) {
     let (state, shutdown) = (state(name), Shutdown::default());
     let ((first, first_at), (second, second_at)) = (listener(), listener());
@@ -250,14 +250,14 @@
     std::fs::remove_dir_all(state).expect("removed");
 }
 
-/// Guards the second process, of an earlier build: a first process sends it the recorded messages and no others.
+/// Guards successors of an earlier build: the predecessor sends the recorded messages and no others.
 #[tokio::test]
 async fn the_first_process_sends_the_recorded_messages() {
     first_process("sent", &STATE, "learned state").await;
     first_process("sent-unlearned", &[], "no learned state").await;
 }
 
-/// Guards the first process's listeners, of an earlier build: the recorded messages hand each of them over.
+/// Guards predecessors of an earlier build: the recorded messages transfer each of their listeners.
 #[tokio::test]
 async fn the_second_process_reads_the_recorded_listeners() {
     let state = state("listeners");
@@ -279,14 +279,14 @@
     std::fs::remove_dir_all(state).expect("removed");
 }
 
-/// The link of a second process, and the first process at its other end.
+/// Returns the link of a successor, and the simulated predecessor at its other end.
 fn linked() -> (UpgradeLink, Peer) {
     let (ours, theirs) = blocking::UnixStream::pair().expect("a pair");
     ours.set_nonblocking(true).expect("not blocking");
     (UpgradeLink::new(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
 }
 
-/// What a connection that came in is, in the terms of `CONNECTIONS`.
+/// Received connection, in the form of an item of `CONNECTIONS`.
 type Arrived = (Ends, Option<(Ends, Vec<u8>, Option<String>)>);
 
 fn arrived(inbox: &mut TransferInbox) -> Arrived {
@@ -295,8 +295,8 @@
     (ends(&client), stream)
 }
 
-/// Guards clients that an earlier build hands over: the recorded messages are read as the values that they stand for,
-/// and answered as recorded.
+/// Guards client connections that an earlier build transfers: the recorded messages are decoded to their values and
+/// answered as recorded.
 #[tokio::test]
 async fn the_second_process_reads_the_recorded_messages() {
     let ((link, peer), sockets) = (linked(), sockets());
--- a/gateway/src/upgrade/transferred.rs
+++ b/gateway/src/upgrade/transferred.rs
@@ -1,7 +1,7 @@
-//! What a process transfers to its successor, and the count of the connections that it still waits for.
+//! Connections that a process transfers to its successor, and the count of its open connections.
 //!
-//! Fronts send idle connections into the [`Successor`] channel of `Shutdown`; the successor's fronts receive them from
-//! their [`TransferInbox`].
+//! Fronts send connections into the [`Successor`] channel of `Shutdown`; the successor's fronts receive them from their
+//! [`TransferInbox`].
 #![deny(missing_docs)]
 
 use std::cell::Cell;
@@ -13,37 +13,37 @@
 use super::FRONTS;
 use crate::exchange::StreamRemainder;
 
-/// A stream in flight: what goes on in the other process.
+/// A stream in flight, which the other process continues.
 pub struct TransferredStream {
-    /// The server's socket, and what was read from it ahead of the client.
+    /// Socket of the server, and the bytes read from it that have not been sent to the client.
     pub remainder: StreamRemainder,
-    /// The class that the request counts for at its end.
+    /// Request class under which the request is counted when it ends; `None` if it has none.
     pub class: Option<String>,
 }
 
-/// A client's connection on its way to the other process: idle, or with a stream in flight.
+/// A client connection being transferred: idle, or with a stream in flight.
 pub struct TransferredConnection {
-    /// Number of its front.
+    /// Number of the front that accepted the connection.
     pub front: u8,
-    /// The client's socket.
+    /// Socket of the client.
     pub socket: TcpStream,
-    /// The stream in flight, if any.
+    /// Stream in flight; `None` if the connection is idle.
     pub stream: Option<TransferredStream>,
-    /// The process does not end before the connection is sent.
+    /// Keeps the process running until the connection has been sent.
     pub guard: ConnectionGuard,
 }
 
-/// The way to a successor, for as long as there is one.
+/// Channel for connections to the successor; it exists as long as the successor does.
 pub type Successor = mpsc::UnboundedSender<TransferredConnection>;
 
-/// Where a front receives the connections that another process transfers.
+/// Channel from which a front receives the connections that its predecessor transfers.
 pub type TransferInbox = mpsc::UnboundedReceiver<(TcpStream, Option<TransferredStream>)>;
 
-/// The sending ends of the fronts' inboxes, by the fronts' numbers.
+/// Senders of the fronts' inboxes, indexed by the number of the front.
 pub struct TransferInboxes([mpsc::UnboundedSender<(TcpStream, Option<TransferredStream>)>; FRONTS]);
 
 impl TransferInboxes {
-    /// The inboxes of all fronts, and their receiving ends.
+    /// Creates the inboxes of all fronts, and returns them with their receivers.
     pub fn new() -> (Rc<Self>, [TransferInbox; FRONTS]) {
         let (platform_sender, platform_inbox) = mpsc::unbounded_channel();
         let (second_sender, second_inbox) = mpsc::unbounded_channel();
@@ -51,7 +51,7 @@
         (Rc::new(inboxes), [platform_inbox, second_inbox])
     }
 
-    /// Sends a connection to a front. Where that front does not run here, the connection is closed.
+    /// Sends a connection to a front. If this process does not run that front, the connection is closed.
     pub(super) fn deliver(&self, front: u8, socket: TcpStream, stream: Option<TransferredStream>) {
         if let Some(inbox) = self.0.get(usize::from(front)) {
             let _ = inbox.send((socket, stream));
@@ -59,7 +59,7 @@
     }
 }
 
-/// The connections that a process waits for before it ends.
+/// Count of the open connections, which a process waits for before it exits.
 #[derive(Clone, Default)]
 pub struct OpenConnections(Rc<OpenCount>);
 
@@ -69,7 +69,7 @@
     closed: Notify,
 }
 
-/// One open connection; dropped when it has closed or been transferred.
+/// Counts one open connection until it is dropped, when the connection has closed or been transferred.
 pub struct ConnectionGuard(OpenConnections);
 
 impl Drop for ConnectionGuard {
@@ -90,7 +90,7 @@
     /// Waits until no connection is open.
     pub async fn drained(&self) {
         loop {
-            // Before the count is read: a close in between wakes this one.
+            // Registered before the count is read, so that a connection closed in between wakes this task.
             let closed = self.0.closed.notified();
             if self.0.count.get() == 0 {
                 return;
