--- a/gateway/src/discovery/list.rs
+++ b/gateway/src/discovery/list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list as discovery writes it, and how it is applied to the router and the engine client.
+//! Format of discovery's endpoint list, and its conversion and application to the router and the engine client.
 //!
-//! Nothing is stored here: whoever reads a list passes it on. The caller's [`Clock`] turns Unix times into the router's.
+//! The module has no state; callers pass each list on. The caller's [`Clock`] converts Unix times to router times.
 #![deny(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -14,37 +14,38 @@
 use crate::engine::{Engine, ServerAddress};
 use crate::log;
 
-/// `health` of a server that accepts new work.
+/// `health` value of a server that accepts new requests.
 const HEALTH_SERVING: &str = "SERVING";
-/// `health` of a server that finishes its open requests only. Any other value means that the server has left.
+/// `health` value of a server that only completes its open requests. Any other value means that the server has
+/// terminated.
 const HEALTH_DRAINING: &str = "DRAINING";
-/// Kind of a server whose `class` the settings do not name: an index that no kind has.
+/// Index of the kind of a server whose `class` is not in the settings; no kind has this index.
 const UNKNOWN_KIND: u32 = u32::MAX;
 
-/// A version of the endpoint list, or the changes since an earlier version.
+/// A full endpoint list, or the changes since an earlier version.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct EndpointList {
-    /// The version, which the next poll names.
+    /// Version of the list, which the next poll sends.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether this is the full list; else it holds the changed lines only.
+    /// Whether this is the full list; otherwise it contains only the changed lines.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// The lines that can be used, in order, at most one for each server.
+    /// Usable lines in order, at most one for each server.
     #[serde(rename = "hosts", deserialize_with = "usable_lines")]
     pub endpoints: Vec<Endpoint>,
 }
 
 impl EndpointList {
-    /// Parses a list. Bytes that are not UTF-8 are replaced, so that they make only their own line unusable.
+    /// Parses a list. Bytes that are not UTF-8 are replaced, so that they affect only their own line.
     pub fn read(bytes: &[u8]) -> serde_json::Result<EndpointList> {
         serde_json::from_str(&String::from_utf8_lossy(bytes))
     }
 }
 
-/// Reads each line on its own: one that cannot be used must not cost the others. Of two lines for one server the later
-/// is used. Both cases are logged.
+/// Parses each line separately, so that an unusable line does not invalidate the others. If two lines have the same
+/// server, the later one is used. Both cases are logged.
 fn usable_lines<'de, D: Deserializer<'de>>(lines: D) -> Result<Vec<Endpoint>, D::Error> {
     let mut endpoints: Vec<Endpoint> = Vec::new();
     for line in Option::<Vec<Box<RawValue>>>::deserialize(lines)?.unwrap_or_default() {
@@ -65,11 +66,11 @@
     Ok(endpoints)
 }
 
-/// One line of the list: a server, where to reach it and what state it is in.
+/// A line of the list: a server, its address and its state.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Endpoint {
-    /// The server's name, the same at every gateway.
+    /// Name of the server, the same at every gateway.
     pub host: String,
     /// Address and port at which this gateway reaches the server.
     #[serde(rename = "dial")]
@@ -83,20 +84,20 @@
     health: String,
     #[serde(rename = "share")]
     weight: Option<f64>,
-    /// When the server started, in Unix milliseconds; 0 where it is not known.
+    /// Start time of the server, in Unix milliseconds; 0 if unknown.
     #[serde(rename = "born_ms")]
     pub started_unix_ms: f64,
 }
 
-/// The deployment's names of zones and kinds, in the order of the settings' indices.
+/// Names of the deployment's zones and server kinds, in the order of their indices in the settings.
 pub struct SettingsNames {
-    /// Names of zones.
+    /// Names of zones, by index.
     pub zones: Vec<String>,
-    /// Names of server kinds.
+    /// Names of server kinds, by index.
     pub kinds: Vec<String>,
 }
 
-/// The index that a field stands for: one of `names`, or a number, also written as text.
+/// Returns the index that a field denotes: that of a name in `names`, or a number, which may be a string.
 fn settings_index(field: &Value, names: &[String]) -> Option<u32> {
     match field {
         Value::String(text) => match names.iter().position(|name| name == text) {
@@ -107,7 +108,7 @@
     }
 }
 
-/// Why a line cannot be used.
+/// Reason why a line cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum UnusableLine {
     #[error("{0}")]
@@ -119,8 +120,8 @@
 }
 
 impl Endpoint {
-    /// Reads a line. A null field counts as left out, and a field with a fault makes the line unusable; but where such a
-    /// line says that its server is to get no new work, that much is used.
+    /// Parses a line. A null field is treated as missing, and a malformed field makes the line unusable. If such a
+    /// line still states that its server accepts no new requests, its name, address and health are used.
     fn read(line: &RawValue) -> Result<Endpoint, UnusableLine> {
         let fields: BTreeMap<String, Box<RawValue>> = serde_json::from_str(line.get())?;
         let mut readable = Map::new();
@@ -149,13 +150,13 @@
         endpoint.checked()
     }
 
-    /// Name, address and health of a line, without the rest.
+    /// Returns an endpoint with only the name, address and health of a line.
     fn minimal(fields: &Map<String, Value>) -> Endpoint {
         let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or("").to_string();
         Endpoint { host: text("host"), address: text("dial"), health: text("health"), ..Endpoint::default() }
     }
 
-    /// Whether the line says in so many words that its server drains or has left.
+    /// Whether the line states explicitly that its server is draining or has terminated.
     fn forbids_new_work(&self) -> bool {
         !self.health.is_empty() && self.state() != ServerState::Ready
     }
@@ -170,7 +171,7 @@
         Ok(self)
     }
 
-    /// Whether this line says that the server has left the list.
+    /// Whether this line states that the server has terminated.
     pub fn is_terminated(&self) -> bool {
         self.state() == ServerState::Terminated
     }
@@ -183,15 +184,15 @@
         }
     }
 
-    /// Marks a server that has not left as draining.
+    /// Marks the server as draining, unless it has terminated.
     pub fn mark_draining(&mut self) {
         if !self.is_terminated() {
             self.health = HEALTH_DRAINING.into();
         }
     }
 
-    /// The line in the router's terms. The server's id depends on its name and not on its address, so it is the same at
-    /// every gateway.
+    /// Converts the line to a router entry. The id of the server depends on its name, not on its address, so it is the
+    /// same at every gateway.
     fn router_entry(&self, names: &SettingsNames, clock: &Clock) -> ServerEntry {
         let kind = settings_index(&self.kind, &names.kinds);
         if kind.is_none() {
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Where the engine client reaches the server of this line.
+    /// Returns the address of this line's server for the engine client.
     fn engine_address(&self, entry: &ServerEntry) -> ServerAddress {
         ServerAddress {
             server: entry.server,
--- a/gateway/src/discovery/list/tests.rs
+++ b/gateway/src/discovery/list/tests.rs
@@ -1,4 +1,4 @@
-//! How lines of an endpoint list are read, and what they are in the router's terms.
+//! Tests of the parsing of endpoint lists and of the conversion of lines to router entries.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use super::{Endpoint, EndpointList, SettingsNames, UNKNOWN_KIND};
 use crate::core::Clock;
 
-/// An unusable line must not cost the others, whatever the white space between them, and a server stands in a list once.
+/// Guards the other lines of a list against an unusable one, with any white space between them, and against two entries
+/// for one server.
 #[test]
 fn an_unusable_line_leaves_the_others_usable() {
     let lines = [
@@ -43,7 +44,8 @@
 }
 
 proptest! {
-    /// Any list, indented or not, with one faulty line in it: all other lines are there.
+    /// Guards against losing valid lines: of any list with one faulty line, indented or not, all other lines are
+    /// parsed.
     #[test]
     fn one_faulty_line_is_left_out_alone(
         names in prop::collection::btree_set("s-[0-9a-f]{8}", 1..20), position: prop::sample::Index, indented: bool,
@@ -63,7 +65,7 @@
     }
 }
 
-/// All gateways must share a server's id: it follows from `host`, whatever address this gateway dials.
+/// Guards the ids that all gateways share: the id of a server depends only on `host`, not on the address used here.
 #[test]
 fn a_server_id_follows_from_its_host_and_names_from_the_settings() {
     let names = SettingsNames { zones: vec!["dc".into()], kinds: vec!["read".into(), "write".into()] };
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Service discovery: reads the endpoint list and watches it for changes.
+//! Service discovery: fetches the endpoint list and watches it for changes.
 //!
-//! `list` is the list's format and how a list is applied to the router and the engine client; `watch` is the loop of
-//! polls, over a connection of its own. The state machine that decides when to poll is
-//! `glenrail_request_lifecycle::discovery_polling`; the clock is tokio's.
+//! `list` parses a list and applies it to the router and the engine client; `watch` polls in a loop, over a connection
+//! of its own. The state machine that decides when to poll is `glenrail_request_lifecycle::discovery_polling`; the
+//! clock is tokio's.
 #![deny(missing_docs)]
 
 mod list;
--- a/gateway/src/discovery/watch/call.rs
+++ b/gateway/src/discovery/watch/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to discovery, on a connection that stays open for the next call where it may.
+//! A single HTTP call to discovery, over a connection that is kept open for the next call unless discovery closes it.
 
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
 use super::error::{status_failure, PollError};
 use crate::discovery::list::EndpointList;
 
-/// Longest list, in bytes; a longer one is taken for a broken one.
+/// Maximum size of a list, in bytes. A larger one is treated as malformed.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// A connection that does not come up within this part of the call's time is tried anew.
+/// Connect timeout. It is shorter than the call's time limit, so that a stalled connection attempt is retried early.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An open connection to discovery; closed when dropped.
@@ -39,21 +39,21 @@
         let socket = connecting.await.map_err(|_| PollError::ConnectTimeout)??;
         let (sender, connection) = handshake(TokioIo::new(socket)).await?;
         let driver = spawn_local(async move {
-            // The pending response gets the error too.
+            // The error is also returned by the pending request.
             let _ = connection.await;
         });
         Ok(Connection { sender, driver: driver.abort_handle() })
     }
 }
 
-/// What a poll brought.
+/// Result of a successful poll.
 pub(super) struct PolledList {
-    /// For the next call, unless discovery closes it.
+    /// Open connection for the next call; `None` if discovery closes it.
     pub(super) connection: Option<Connection>,
     pub(super) list: EndpointList,
 }
 
-/// Polls on the open connection or on a new one. `version` is that of the list known, if any.
+/// Polls over the open connection or a new one. `version` is the version of the current list, if there is one.
 pub(super) async fn call(
     open: Option<Connection>, address: &str, poll: Poll, version: Option<u64>, limits: Limits,
 ) -> Result<PolledList, PollError> {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Sends the request, and waits for the head of the response.
+/// Sends the request, and waits for the response head.
 async fn send(
     open: Option<Connection>, address: &str, request: http::Result<Request<Empty<Bytes>>>,
 ) -> Result<(Connection, Response<Incoming>), PollError> {
--- a/gateway/src/discovery/watch/error.rs
+++ b/gateway/src/discovery/watch/error.rs
@@ -1,4 +1,4 @@
-//! Why a poll of discovery brought no list, and how the schedule of polls counts it.
+//! Errors of a discovery poll, and their classification for the poll schedule.
 
 use std::error::Error;
 use std::io;
@@ -7,7 +7,7 @@
 use glenrail_request_lifecycle::discovery_polling::PollFailure;
 use http::{header, Response, StatusCode};
 
-/// Why a poll brought no list that could be used.
+/// Reason why a poll returned no usable list.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
     #[error("no connection in time")]
@@ -20,7 +20,8 @@
     TotalTimeout,
     #[error("status {status}")]
     Status { status: StatusCode, failure: PollFailure },
-    /// An agent that has been sent nothing yet: the list known is better.
+    /// The full list has no usable line, as from a discovery agent that has not received its data yet. The current
+    /// list is kept.
     #[error("a whole list with no line that can be used")]
     NoUsableLine,
     #[error(transparent)]
@@ -29,7 +30,7 @@
     Request(#[from] http::Error),
     #[error(transparent)]
     Connection(#[from] hyper::Error),
-    /// The body broke off, or is longer than a list may be.
+    /// The body was truncated, or exceeds the maximum size of a list.
     #[error(transparent)]
     Body(#[from] Box<dyn Error + Send + Sync>),
     #[error(transparent)]
@@ -37,7 +38,7 @@
 }
 
 impl PollError {
-    /// How the schedule counts this failure.
+    /// Returns the kind of failure for the poll schedule.
     pub(super) fn failure(&self) -> PollFailure {
         match self {
             PollError::Status { failure, .. } => *failure,
@@ -46,7 +47,8 @@
     }
 }
 
-/// How the schedule counts a response that is no success: a 429 or 503 throttles, with its `Retry-After` in seconds.
+/// Returns the kind of failure for a response without a success status: 429 and 503 throttle, with the `Retry-After` in
+/// seconds if there is one.
 pub(super) fn status_failure<B>(response: &Response<B>) -> PollFailure {
     if !matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
         return PollFailure::Lost;
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -1,7 +1,7 @@
-//! The watch of discovery: polls for the endpoint list, one after another, over a connection of its own.
+//! Watch of discovery: polls for the endpoint list sequentially, over a connection of its own.
 //!
-//! [`PollSchedule`] decides when to poll and how long a poll may take; this module owns the connection, the version known
-//! and the waits. The clock is tokio's.
+//! [`PollSchedule`] decides when to poll and how long a poll may take. This module owns the connection, the version of
+//! the current list and the timers. The clock is tokio's.
 #![deny(missing_docs)]
 
 mod call;
@@ -22,23 +22,24 @@
 use crate::core::duration;
 use crate::log;
 
-/// How long a response to the poll under way is still waited for once discovery's address has changed.
+/// Maximum wait for the response to the current poll after the address of discovery has changed.
 ///
-/// What the old address has written by then counts as delivered, so it must be applied. One turn of the reactor reads it.
+/// The old address regards what it has written by then as delivered, so that must be applied. One iteration of the
+/// event loop is enough to read it.
 const ADDRESS_CHANGE_GRACE: Duration = Duration::from_millis(20);
 
-/// Counts of the polls since the process began.
+/// Counters of the polls since the process started.
 #[derive(Debug, Default)]
 pub struct DiscoveryMetrics {
-    /// Polls that brought a list, or the news that nothing has changed.
+    /// Successful polls, including those that reported no change.
     pub answered: Cell<u64>,
-    /// Lines in those lists.
+    /// Usable lines in the lists of those polls.
     pub lines: Cell<u64>,
-    /// Polls that failed.
+    /// Failed polls.
     pub failed: Cell<u64>,
 }
 
-/// The schedule of this gateway's polls. Gateways must not share a seed, or they poll at the same moments.
+/// Returns the poll schedule of this gateway. Each gateway needs a different seed, or they all poll at the same time.
 pub fn poll_schedule(settings: &Settings, seed: u64) -> PollSchedule {
     let backoff = match settings.discovery {
         Discovery::Push => BackoffPolicy::PUSHED,
@@ -49,10 +50,10 @@
     PollSchedule::new(backoff, seed)
 }
 
-/// Watches for as long as the process runs, starting from `version` of the list if one is known.
+/// Watches discovery until the process exits, starting from `version` of the list if there is one.
 ///
-/// When the address changes, the poll or pause under way is given up, and the full list at the new address replaces what
-/// was known. `apply` is called with each list that says anything.
+/// When the address changes, the current poll or pause is cancelled, and the full list from the new address replaces
+/// the current one. `apply` is called with each full list and each list of changes that is not empty.
 pub async fn watch(
     mut address: watch::Receiver<String>, version: Option<u64>, schedule: PollSchedule,
     metrics: Rc<DiscoveryMetrics>, apply: impl Fn(&EndpointList, ListUpdate),
@@ -74,11 +75,11 @@
 }
 
 struct Watch<F> {
-    /// The address that the connection and the version belong to.
+    /// Address to which the connection and the version belong.
     address: String,
     address_updates: watch::Receiver<String>,
     connection: Option<Connection>,
-    /// Version of the list known.
+    /// Version of the current list; `None` if there is none.
     version: Option<u64>,
     schedule: PollSchedule,
     metrics: Rc<DiscoveryMetrics>,
@@ -86,7 +87,7 @@
 }
 
 impl<F: Fn(&EndpointList, ListUpdate)> Watch<F> {
-    /// A gateway that has a list can leave discovery to those that have none yet.
+    /// Delays the first poll of a gateway that has a list, to give priority to gateways that have none.
     async fn wait_for_first_poll(&mut self) {
         let delay = self.schedule.initial_delay();
         if self.version.is_some() && !delay.is_zero() {
@@ -94,11 +95,11 @@
         }
     }
 
-    /// Waits for this time, or until the address changes.
+    /// Waits for `time`, or until the address changes.
     async fn pause(&mut self, time: Duration) {
         tokio::select! {
             () = sleep(time) => {}
-            // Left as unseen, for `follow_address`.
+            // Marked as unseen again, for `follow_address`.
             Ok(()) = self.address_updates.changed() => self.address_updates.mark_changed(),
         }
     }
@@ -126,7 +127,7 @@
         self.schedule.address_changed();
     }
 
-    /// Calls discovery; `None` where its address changed before it answered.
+    /// Calls discovery; `None` if its address changed before the response was complete.
     async fn call(&mut self, poll: Poll) -> Option<Result<PolledList, PollError>> {
         let limits = self.schedule.limits(poll);
         let calling = call(self.connection.take(), &self.address, poll, self.version, limits);
@@ -165,7 +166,7 @@
         let backoff = self.schedule.poll_failed(error.failure(), started.elapsed());
         self.metrics.failed.set(self.metrics.failed.get() + 1);
         let failures = self.schedule.failures();
-        // Polls that fail at once would fill the log.
+        // Limits the log lines of polls that fail immediately.
         if failures.is_power_of_two() {
             log!("discovery: {error}; {failures} failed polls; next poll in {} ms", backoff.as_millis());
         }
@@ -173,7 +174,7 @@
     }
 }
 
-/// Whether this is the full list: so it says, or so it was polled for.
+/// Whether this is the full list, by its own flag or by the kind of poll.
 fn is_full(list: &EndpointList, poll: Poll) -> bool {
     list.is_full || matches!(poll, Poll::FullList { .. })
 }
--- a/gateway/src/discovery/watch/tests.rs
+++ b/gateway/src/discovery/watch/tests.rs
@@ -1,4 +1,4 @@
-//! When each gateway polls first, and how the status of a response is counted.
+//! Tests of the delay of the first poll and of the classification of response statuses.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use super::error::status_failure;
 use super::poll_schedule;
 
-/// Protects discovery from a hundred gateways that start together: each draws a delay of its own, and a gateway that is
-/// alone, or whose list is pushed, does not wait.
+/// Guards discovery against a burst of polls from 100 gateways that start together: each draws a random delay. The
+/// first poll is nearly immediate with few gateways, and immediate if discovery pushes its list.
 #[test]
 fn first_polls_are_spread_where_discovery_is_polled() {
     let settings = |v: serde_json::Value| glenrail_settings::parse_settings(&v);
