--- a/gateway/src/maintenance/mod.rs
+++ b/gateway/src/maintenance/mod.rs
@@ -1,8 +1,9 @@
 //! Maintenance mode: servers that operators have taken out of rotation.
 //!
-//! An overlay between discovery's list and those who read it: such a server is passed on as draining, whatever the list
-//! says, until operators put it back. The orders are on disk ([`OrderStore`]), where all processes of this gateway see
-//! them; this module owns the list as discovery gave it. Times are Unix times of the machine's clock.
+//! The module is an overlay between discovery and the router and engine client: such a server is passed on as draining,
+//! whatever its listed state, until operators put it back. The orders are stored on disk ([`OrderStore`]), shared by
+//! all processes of this gateway. This module owns the unmodified list of discovery. Times are Unix times of the
+//! system clock.
 #![deny(missing_docs)]
 
 mod orders;
@@ -21,21 +22,21 @@
 use crate::engine::Engine;
 use crate::log;
 
-/// Orders given to another process of this gateway take effect here within this time.
+/// Interval at which orders given to other processes of this gateway are applied.
 const SYNC_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest name of a server, in bytes, that an order is accepted for: its file's name must fit.
+/// Maximum length of a server name in an order, in bytes. The escaped name must fit into a file name.
 const MAX_SERVER_NAME: usize = 80;
 
-/// Why an order was not carried out.
+/// Reason why an order was not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum OrderError {
-    /// Discovery lists no such server, and no order stands for it.
+    /// The server is neither listed by discovery nor out of rotation by an order.
     #[error("no such engine")]
     UnknownServer,
-    /// The state directory could not be opened at the start, so no order can be stored.
+    /// The order store could not be opened at the start, so no order can be stored.
     #[error("the order cannot be kept: no place to keep orders")]
     NoStore,
-    /// The order could not be stored, so it was not carried out either.
+    /// The order could not be stored, so it was not applied.
     #[error("the order cannot be kept: {0}")]
     NotPersisted(#[from] io::Error),
 }
@@ -53,17 +54,17 @@
 
 impl Eq for OrderError {}
 
-/// What operators order for a server.
+/// Maintenance order for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Out of rotation: it finishes what it has and gets no new work. Idempotent.
+    /// Takes the server out of rotation: it completes its open requests and receives no new ones. Idempotent.
     Offline,
-    /// Back in rotation, whether or not it is listed at present. Idempotent while it is listed.
+    /// Returns the server to rotation, whether or not it is currently listed. Idempotent while it is listed.
     Online,
 }
 
 impl Order {
-    /// As it stands in the operators' calls and their answers.
+    /// Returns the name of the order in the requests and responses of the operators' interface.
     pub fn name(self) -> &'static str {
         match self {
             Order::Offline => "offline",
@@ -74,22 +75,22 @@
 
 #[derive(Default)]
 struct State {
-    /// What discovery lists at present, by the servers' names.
+    /// Servers that discovery currently lists, by name.
     listed: BTreeMap<String, Endpoint>,
-    /// Servers that are out of rotation, listed or not.
+    /// Names of the servers that are out of rotation, listed or not.
     offline: BTreeSet<String>,
-    /// When listed servers were put back, in Unix milliseconds.
+    /// Time at which each listed server was returned to rotation, in Unix milliseconds.
     returned_unix_ms: BTreeMap<String, f64>,
 }
 
 impl State {
-    /// The line of a server as it is passed on.
+    /// Returns the line of a server with the orders applied.
     fn overlaid(&self, endpoint: &Endpoint) -> Endpoint {
         let mut endpoint = endpoint.clone();
         if self.offline.contains(&endpoint.host) {
             endpoint.mark_draining();
         }
-        // Operators restart what they take out, so it counts as started at its return.
+        // Operators usually restart a server during maintenance, so its return is treated as its start.
         let returned = self.returned_unix_ms.get(&endpoint.host).copied().unwrap_or(0.0);
         endpoint.started_unix_ms = endpoint.started_unix_ms.max(returned);
         endpoint
@@ -110,7 +111,7 @@
         self.returned_unix_ms.retain(|server, _| listed.contains_key(server));
     }
 
-    /// Notes an order; false where the server was in that state already.
+    /// Records an order; returns false if the server was already in that state.
     fn record_order(&mut self, server: &str, order: Order) -> bool {
         let changed = match order {
             Order::Offline => self.offline.insert(server.into()),
@@ -124,7 +125,7 @@
     }
 }
 
-/// The overlay in front of one pool's router and engine client.
+/// Maintenance overlay in front of the router and engine client of one pool.
 pub struct Maintenance<U> {
     names: SettingsNames,
     clock: Clock,
@@ -135,7 +136,7 @@
 }
 
 impl<U: Upstream> Maintenance<U> {
-    /// Orders that stand in the store take effect from the first list on. Without a store, orders are refused.
+    /// Creates the overlay. Stored orders apply from the first list on. Without a store, new orders are rejected.
     pub fn new(
         names: SettingsNames, clock: Clock, engine: Engine, core: Core<U>, orders: Option<OrderStore>,
     ) -> Self {
@@ -149,7 +150,7 @@
         Maintenance { names, clock, engine, core, orders, state: RefCell::new(state) }
     }
 
-    /// Applies a list from discovery, or changes to it, under the orders that stand.
+    /// Applies a full list or changes from discovery, subject to the orders in effect.
     pub fn apply_list(&self, list: &EndpointList, scope: ListUpdate) {
         let overlaid = {
             let mut state = self.state.borrow_mut();
@@ -164,12 +165,12 @@
         discovery::apply_list(&list, scope, &self.names, &self.clock, &self.engine, &self.core);
     }
 
-    /// Number of servers that discovery lists.
+    /// Returns the number of servers that discovery currently lists.
     pub fn listed(&self) -> usize {
         self.state.borrow().listed.len()
     }
 
-    /// Carries an order out, once it is stored.
+    /// Stores an order, then applies it.
     pub fn order(&self, server: &str, order: Order) -> Result<(), OrderError> {
         self.sync_orders();
         if !self.is_known(server) || server.len() > MAX_SERVER_NAME {
@@ -205,7 +206,7 @@
         self.pass_on(overlaid.into_iter().collect(), ListUpdate::Delta);
     }
 
-    /// Applies orders that were given to another process.
+    /// Applies stored orders that were given to other processes of this gateway.
     pub fn sync_orders(&self) {
         let Some(orders) = &self.orders else { return };
         let stored = match orders.servers() {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Applies such orders for as long as the process runs.
+    /// Calls [`Maintenance::sync_orders`] periodically until the process exits.
     pub async fn watch_orders(&self) {
         loop {
             sleep(SYNC_INTERVAL).await;
--- a/gateway/src/maintenance/orders.rs
+++ b/gateway/src/maintenance/orders.rs
@@ -1,7 +1,7 @@
 //! Maintenance orders on disk: one empty file for each server that is out of rotation.
 //!
-//! A file is created or removed in one step, so processes that share the directory have nothing to merge. The names of
-//! the files are a stored form that older builds read (`tests/fixtures/orders`).
+//! Creating and removing a file is atomic, so processes that share the directory need no merging. The file names are a
+//! stored format that older builds read (`tests/fixtures/orders`).
 #![deny(missing_docs)]
 
 use std::collections::BTreeSet;
@@ -13,21 +13,21 @@
 
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 
-/// Directory of the orders, below the state directory.
+/// Subdirectory of the state directory that contains the orders.
 const DIRECTORY: &str = "offline";
-/// Nobody else may give orders there, nor take over.
+/// Mode of the created directories: other users must be able neither to give orders nor to take over in an upgrade.
 const DIRECTORY_MODE: u32 = 0o700;
-/// Besides letters and digits, these characters of a server's name stand as they are in its file's name.
+/// Characters to escape in file names: all but ASCII letters, digits, `-` and `_`.
 const UNESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
 
-/// The orders of one gateway, shared by its processes.
+/// Store of a gateway's orders, shared by its processes.
 #[derive(Clone, Debug)]
 pub struct OrderStore {
     directory: PathBuf,
 }
 
 impl OrderStore {
-    /// Opens the orders of this state directory, which is created if need be.
+    /// Opens the store in this state directory, and creates the directories if they do not exist.
     pub fn open(state: &Path) -> io::Result<Self> {
         let directory = state.join(DIRECTORY);
         DirBuilder::new().recursive(true).mode(DIRECTORY_MODE).create(&directory)?;
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Removes an order. One that does not stand is no error.
+    /// Removes an order. A missing order is not an error.
     pub(super) fn remove(&self, server: &str) -> io::Result<()> {
         match remove_file(self.file(server)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The servers that orders stand for. Files whose names no order can have are passed over.
+    /// Returns the servers with a stored order. Files whose names are not valid for an order are ignored.
     pub(super) fn servers(&self) -> io::Result<BTreeSet<String>> {
         let mut servers = BTreeSet::new();
         for entry in read_dir(&self.directory)? {
