--- a/gateway/src/pools/inference.rs
+++ b/gateway/src/pools/inference.rs
@@ -1,4 +1,4 @@
-//! The second front's pools: servers named in its file, or the platform's own for chat.
+//! Pools of the second front: servers from its file, or the platform's servers for chat.
 
 use std::cell::RefCell;
 use std::hash::{BuildHasher, RandomState};
@@ -18,37 +18,38 @@
 use crate::metrics::RequestMetrics;
 use crate::plugin::Plugin;
 
-/// Index of the one class that a pool from the file has.
+/// Index of the single request class of a pool from the file.
 const ONLY_CLASS: u32 = 0;
 
-/// Why the second front's pools cannot be set up.
+/// Reason why the pools of the second front cannot be created.
 #[derive(Debug, thiserror::Error)]
 pub enum PoolError {
-    /// `chat_class` must name one of the platform's classes, or be left out.
+    /// `chat_class` is not one of the platform's classes.
     #[error("configuration: chat_class: the platform has no such class")]
     UnknownChatClass,
 }
 
-/// The platform's own servers, for chat that comes over the second front.
+/// The platform's pool and request classes, for chat requests of the second front.
 pub struct PlatformChat {
-    /// Names of the classes and their deadlines, in the order of the settings.
+    /// Names and deadlines of the classes, in the order of the settings.
     pub names: Vec<(String, Millis)>,
-    /// The classes' settings, in the same order.
+    /// Settings of the classes, in the same order.
     pub classes: Vec<RequestClass>,
-    /// The platform's pool.
+    /// Pool of the platform's servers.
     pub pool: Pool,
 }
 
 /// The second front, and the pools that its file defines.
 pub struct InferencePools {
-    /// The front.
+    /// Request handler of the front, which uses the pools.
     pub front: Inference,
     embeddings: Option<FilePool>,
     chat: Option<FilePool>,
 }
 
 impl InferencePools {
-    /// Sets up the front and its pools. Chat goes to the file's servers, else to the platform's if there are any.
+    /// Creates the front and its pools. Chat requests use the file's pool, or else the platform's if there is a
+    /// platform.
     pub fn new(
         file: &config::InferenceFrontConfig, platform: Option<PlatformChat>, plugin: &Option<Rc<Plugin>>,
         slots: Arc<Semaphore>, budget: Budget, counters: RequestMetrics,
@@ -68,13 +69,13 @@
         Ok(InferencePools { front, embeddings, chat })
     }
 
-    /// The pools that the file defines, embeddings first.
+    /// Returns the pools that the file defines, embeddings first.
     pub fn pools(&self) -> Vec<Pool> {
         let file_pools = [&self.embeddings, &self.chat].into_iter().flatten();
         file_pools.map(|file_pool| file_pool.pool.clone()).collect()
     }
 
-    /// Applies the servers of a file that has changed. Its other settings apply from the next start on.
+    /// Applies the servers of a changed file. Changes to its other settings require a restart.
     pub fn reload(&self, file: &config::InferenceFrontConfig) {
         for (running, new) in [(&self.embeddings, &file.embeddings), (&self.chat, &file.chat)] {
             if let (Some(running), Some(new)) = (running, new) {
@@ -84,15 +85,16 @@
     }
 }
 
-/// A pool whose servers stand in the second front's file.
+/// A pool whose servers are defined in the second front's file.
 struct FilePool {
     pool: Pool,
-    /// The pool's section as it was last applied.
+    /// Section of the pool that was applied last.
     applied: RefCell<config::PoolConfig>,
 }
 
 impl FilePool {
-    /// `default`: whether a request that may have run may be sent again, where the file does not say.
+    /// Creates the pool. `default` applies if the file does not specify whether a request that may have been executed
+    /// may be retried.
     fn new(
         section: &config::PoolConfig, max_deadline_ms: u64, default: Idempotency, slots: Arc<Semaphore>,
         budget: Budget,
@@ -104,7 +106,7 @@
             idle_timeout: Duration::from_millis(section.idle_ms),
             public_api: true,
         };
-        // Gateways have no seed in this file, and must not all draw alike.
+        // The file has no seed, and gateways must not all make the same random choices.
         let seed = RandomState::new().hash_one("router");
         let pool = Pool::new(seed, settings, limits, slots, budget);
         apply_servers(&pool, section, None);
@@ -126,10 +128,10 @@
     Target { entry: pool.request_service(plugin), ready: Rc::new(move || core.can_serve()), class }
 }
 
-/// Applies the servers of a file to its pool: first to the engine client, then to the router.
+/// Applies the servers of a section to its pool: first to the engine client, then to the router.
 ///
-/// Servers of the first file count as warm. One that is new in a later file, or serves again after a drain, may have just
-/// started, so slow start applies to it.
+/// The servers of the initial file are treated as warm. A server that a later file adds, or returns from draining, may
+/// have just started, so slow start applies to it.
 fn apply_servers(pool: &Pool, section: &config::PoolConfig, before: Option<&config::PoolConfig>) {
     let addresses: Vec<ServerAddress> = section.servers.iter().map(server_address).collect();
     pool.engine.update_servers(true, &addresses, &[]);
@@ -163,7 +165,8 @@
     }
 }
 
-/// Chat over the platform's servers has the class that the file names, else the first that is not idempotent.
+/// Returns the target of chat requests on the platform's pool. Their class is the one that the file names, or else the
+/// first class that is not idempotent, or else the first.
 fn platform_target(
     platform: PlatformChat, class: Option<&str>, plugin: &Option<Rc<Plugin>>,
 ) -> Result<Target, PoolError> {
--- a/gateway/src/pools/mod.rs
+++ b/gateway/src/pools/mod.rs
@@ -1,7 +1,7 @@
-//! Pools of servers: each has a router and connections of its own.
+//! Pools of servers, each with its own router and connections.
 //!
-//! A [`Pool`] is a handle; its core and its engine client own their state. All pools run on the process's one thread and
-//! share its limits. The clock of a pool starts with it.
+//! A [`Pool`] is a handle: its core and its engine client own the state. All pools run on the single thread of the
+//! process and share its limits. The clock of a pool starts at its creation.
 #![deny(missing_docs)]
 
 mod inference;
@@ -21,24 +21,24 @@
 use crate::front::RequestService;
 use crate::plugin::Plugin;
 
-/// One pool of servers: a router of its own, and the connections to them.
+/// Handle to a pool of servers, with its router and connections.
 #[derive(Clone)]
 pub struct Pool {
-    /// Drives the router and the state machines of the requests.
+    /// Core that runs the router and the request state machines.
     pub core: Core<Engine>,
-    /// The connections to the servers.
+    /// Engine client with the connections to the servers.
     pub engine: Engine,
-    /// The router's clock.
+    /// Clock of the router.
     pub clock: Clock,
-    /// Streams that go on here and began in another process.
+    /// Number of open streams that were handed over by another process.
     pub resumed: ResumedStreams,
 }
 
-/// Number of streams in flight that another process began.
+/// Count of open streams that were handed over by another process.
 #[derive(Clone, Default)]
 pub struct ResumedStreams(Rc<Cell<usize>>);
 
-/// One such stream; dropped at its end.
+/// Counts one such stream until it is dropped at the end of the stream.
 pub struct OpenStream(ResumedStreams);
 
 impl ResumedStreams {
@@ -57,7 +57,7 @@
 }
 
 impl Pool {
-    /// A pool without servers. `slots` and `budget` are those of the process.
+    /// Creates a pool without servers. `slots` and `budget` are the limits of the process, shared by all pools.
     pub fn new(
         seed: u64, settings: Settings, limits: EngineLimits, slots: Arc<Semaphore>, budget: Budget,
     ) -> Self {
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Number of requests that were admitted and have not ended, here or in the process that began them.
+    /// Returns the number of open requests, including streams that were admitted by another process.
     pub fn open_requests(&self) -> usize {
         self.core.open_requests() + self.resumed.0.get()
     }
 
-    /// The pool as a front calls it, behind the plug-in.
+    /// Returns a factory of the service that a front calls: the core, wrapped in the plug-in if there is one.
     pub fn request_service(&self, plugin: &Option<Rc<Plugin>>) -> Rc<dyn Fn() -> RequestService> {
         let core = self.core.clone();
         let plugin = plugin.clone();
