--- a/gateway/src/haproxy.rs
+++ b/gateway/src/haproxy.rs
@@ -1,7 +1,7 @@
 //! `import-haproxy`: converts an HAProxy configuration into the second front's file.
 //!
-//! What has no counterpart is named with its line; nothing is left out without a note. Pure functions over the text,
-//! except for [`import`], which reads the file and prints.
+//! Each setting without a counterpart is reported with its line; nothing is omitted silently. All functions are pure,
+//! except for [`import`], which reads the file and prints the result.
 #![deny(missing_docs)]
 
 mod line;
@@ -16,33 +16,33 @@
 use self::line::Part;
 use self::reader::{Backend, Reader};
 
-/// The second front's file, and what did not go into it.
+/// Result of a conversion: the second front's file, and the lines that were not converted.
 #[derive(Debug)]
 pub struct Imported {
-    /// The second front's file.
+    /// Contents of the second front's file (TOML).
     pub text: String,
-    /// What was not converted, in the order of the lines.
+    /// Lines that were not converted, in order.
     pub left_out: Vec<LeftOut>,
 }
 
-/// A line, or a part of one, that was not converted.
+/// A line of the input that was not converted, or only in part.
 #[derive(Debug)]
 pub struct LeftOut {
-    /// Number of the line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Why it was not converted.
+    /// Reason why it was not converted.
     pub reason: LeftOutReason,
 }
 
-/// Why a file cannot be imported.
+/// Error of an import.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportError {
-    /// Name a file that this process may read.
+    /// The file cannot be read. The path must name a file that this process may read.
     #[error("{}: {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// Cause reported by the system.
         error: io::Error,
     },
     /// The file's contents cannot be converted.
@@ -50,24 +50,24 @@
     Convert(#[from] ConvertError),
 }
 
-/// Why a configuration cannot be converted.
+/// Error of a conversion.
 #[derive(Debug, thiserror::Error)]
 pub enum ConvertError {
-    /// The second front needs an address to listen on.
+    /// No usable `bind` line, so the second front has no address to listen on.
     #[error("no bind line that could be taken over")]
     NoBind,
-    /// The second front's defaults could not be made.
+    /// The defaults of the second front could not be created.
     #[error("{0}")]
     Defaults(#[from] toml::de::Error),
-    /// The second front's file could not be written.
+    /// The second front's file could not be serialized.
     #[error("{0}")]
     Write(#[from] toml::ser::Error),
-    /// What was converted is no file that the second front accepts.
+    /// The converted file is not valid for the second front.
     #[error("nothing that could be served comes out: {0}")]
     Unusable(config::ConfigError),
 }
 
-/// Reads a file, prints the second front's file and, to standard error, what was left out.
+/// Converts a file: prints the second front's file to standard output and the lines not converted to standard error.
 pub fn import(path: &Path) -> Result<(), ImportError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| ImportError::Unreadable { path: path.into(), error })?;
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// Converts a configuration's text.
+/// Converts the text of an HAProxy configuration.
 pub fn convert(text: &str) -> Result<Imported, ConvertError> {
     let mut reader = Reader::default();
     for (index, line) in text.lines().enumerate() {
@@ -91,12 +91,12 @@
     let mut left_out = reader.left_out;
     left_out.sort_by_cached_key(|left_out| (left_out.line, left_out.reason.to_string()));
     let text = file_text(&front, &left_out)?;
-    // What comes out must load; else say why it cannot.
+    // The converted file must load.
     front_from(&text).map_err(ConvertError::Unusable)?;
     Ok(Imported { text, left_out })
 }
 
-/// Names of the backends that serve the API's parts.
+/// Names of the backends chosen for the parts of the API; `None` if a part has no backend.
 #[derive(Default)]
 struct ChosenBackends {
     embeddings: Option<String>,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The second front's file: the defaults, and over them what the configuration says.
+/// Builds the second front's file: the defaults, overridden by the values of the HAProxy configuration.
 fn front(
     reader: &Reader, listen: &str, chosen: &ChosenBackends,
 ) -> Result<InferenceFrontConfig, ConvertError> {
--- a/gateway/src/haproxy/line.rs
+++ b/gateway/src/haproxy/line.rs
@@ -1,63 +1,63 @@
-//! Single words and values of an HAProxy configuration.
+//! Parsers for single words and values of an HAProxy configuration.
 
 use std::net::SocketAddr;
 
 use crate::config::ServerConfig;
 
-/// HAProxy's weight of a server that has none, which is 1.0 here.
+/// HAProxy weight that corresponds to a weight of 1.0 in the second front's file.
 const FULL_WEIGHT: f64 = 100.0;
 
-/// Why a line, or a part of one, was not converted.
+/// Reason why a line, or a part of one, was not converted.
 #[derive(Debug, thiserror::Error)]
 pub enum LeftOutReason {
     /// The second front has no such setting.
     #[error("{0:?} has no counterpart")]
     NoCounterpart(String),
-    /// These words of a line that was otherwise converted.
+    /// These words of a line have no counterpart; the rest of the line was converted.
     #[error("of this line, {0:?} has no counterpart; the rest was taken")]
     NoCounterpartInLine(String),
-    /// A setting before any section.
+    /// The setting precedes the first section.
     #[error("stands before the first section")]
     OutsideSections,
-    /// The second front listens on one address.
+    /// A further `bind` line: the second front listens on a single address.
     #[error("one address is served, that of line {first}")]
     SecondAddress {
-        /// The line of the address that was converted.
+        /// Line of the `bind` that was converted.
         first: usize,
     },
-    /// A `bind` without an IP address or port.
+    /// The `bind` line has no valid IP address and port.
     #[error("no address:port")]
     NoAddress,
-    /// A server whose address is a name, or lacks its port.
+    /// The address of the server is a host name, or lacks the port.
     #[error("a server needs an IP address and a port")]
     NoServerAddress,
-    /// A `maxconn` that is no limit.
+    /// The value of `maxconn` is not a positive number.
     #[error("no number above 0")]
     NoNumber,
-    /// A time-out in no unit that HAProxy has.
+    /// The value of the timeout is not a positive HAProxy time.
     #[error("{0:?} is no time")]
     NoTime(String),
-    /// A test of something else than paths of one part of the API.
+    /// The test of the `acl` is not for paths of a single part of the API.
     #[error("only tests of the API's paths")]
     UnknownTest,
-    /// A rule whose test is of something else, or combined.
+    /// The test of the rule is not for paths of a single part of the API, or combines several tests.
     #[error("only tests of the API's paths, one at a time")]
     UnknownRuleTest,
-    /// A rule names a backend that the file lacks.
+    /// The rule names a backend that is not in the file.
     #[error("there is no backend {0:?}")]
     NoBackend(String),
-    /// An earlier rule gave this part to another backend.
+    /// An earlier rule assigned this part of the API to another backend.
     #[error("{backend:?} has that part already, and a part has one backend")]
     PartServed {
-        /// The backend that serves it.
+        /// Backend assigned by the earlier rule.
         backend: String,
     },
-    /// No rule led to this backend.
+    /// No converted rule uses this backend.
     #[error("backend {0:?} is used by no rule that was taken")]
     UnusedBackend(String),
 }
 
-/// A part of the API that has servers of its own.
+/// A part of the API with a pool of its own.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Part {
     /// Embeddings and rerank.
@@ -66,7 +66,7 @@
     Chat,
 }
 
-/// Fails with the words of a line that are left after its known part.
+/// Returns an error if words remain after the known part of a line.
 pub(super) fn no_more(words: &[&str]) -> Result<(), LeftOutReason> {
     match words {
         [] => Ok(()),
@@ -74,7 +74,7 @@
     }
 }
 
-/// An IP address and port; one without an address stands for all of the machine's.
+/// Parses an IPv4 or IPv6 address with port. A missing address or `*` means all IPv4 addresses of the machine.
 pub(super) fn address(text: &str) -> Option<String> {
     let text = text.strip_prefix("ipv4@").unwrap_or(text);
     let address = match text.strip_prefix("*:").or(text.strip_prefix(':')) {
@@ -85,7 +85,7 @@
     Some(address)
 }
 
-/// A server, and those of its options that have no counterpart.
+/// Returns the server, and the options that have no counterpart.
 pub(super) fn server<'a>(name: &str, address: String, options: &[&'a str]) -> (ServerConfig, Vec<&'a str>) {
     let mut server = ServerConfig { name: name.to_string(), address, weight: 1.0, drain: false };
     let mut left_out = Vec::new();
@@ -93,7 +93,7 @@
     while let Some(option) = options.next() {
         match *option {
             "weight" => match options.next().map(|weight| (*weight, weight.parse::<u32>())) {
-                // No weight means no new work, which is what a drain is.
+                // HAProxy sends no new requests to a server of weight 0, which corresponds to draining.
                 Some((_, Ok(0))) => server.drain = true,
                 Some((_, Ok(weight))) => server.weight = f64::from(weight) / FULL_WEIGHT,
                 Some((text, Err(_))) => left_out.extend(["weight", text]),
@@ -106,7 +106,7 @@
     (server, left_out)
 }
 
-/// The part of the API that a test of the path selects: all its paths must be of one part.
+/// Returns the part of the API that a path test selects; `None` unless all paths belong to the same part.
 pub(super) fn tested_part(test: &str, paths: &[&str]) -> Option<Part> {
     if !matches!(test, "path" | "path_beg") {
         return None;
@@ -123,7 +123,7 @@
     }
 }
 
-/// The part that a backend without a test is for, by its name.
+/// Returns the part of the API for a backend without a path test, guessed from the name of the backend.
 pub(super) fn part_by_name(backend: &str) -> Part {
     if backend.contains("embed") || backend.contains("rerank") {
         Part::Embeddings
@@ -132,7 +132,7 @@
     }
 }
 
-/// An HAProxy time in milliseconds, which is its unit where none is given.
+/// Parses an HAProxy time into milliseconds, which is also the default unit. Returns `None` for 0 or an unknown unit.
 pub(super) fn milliseconds(text: &str) -> Option<u64> {
     let digits = text.trim_end_matches(|character: char| character.is_ascii_alphabetic());
     let number: u64 = digits.parse().ok().filter(|number| *number > 0)?;
--- a/gateway/src/haproxy/reader.rs
+++ b/gateway/src/haproxy/reader.rs
@@ -1,4 +1,4 @@
-//! Reads an HAProxy configuration line by line, and chooses the backends that serve the API's parts.
+//! Reads an HAProxy configuration line by line, and chooses a backend for each part of the API.
 
 use std::collections::BTreeMap;
 use std::mem::take;
@@ -7,7 +7,7 @@
 use super::{ChosenBackends, LeftOut};
 use crate::config::ServerConfig;
 
-/// What a `backend` or `listen` section says, or the `defaults` for them.
+/// Settings of a `backend` or `listen` section, or their defaults from `defaults`.
 #[derive(Default)]
 pub(super) struct Backend {
     line: usize,
@@ -16,7 +16,7 @@
     pub(super) server_ms: Option<u64>,
 }
 
-/// Sections that are understood.
+/// Kind of a supported section.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SectionKind {
     Global,
@@ -58,15 +58,15 @@
     address: String,
 }
 
-/// A rule that names a backend.
+/// Assignment of requests to a backend by `use_backend`, `default_backend` or a `listen` section.
 struct Rule {
     line: usize,
-    /// The part of the API that the rule's test selects; `None` for the rest.
+    /// Part of the API that the test of the rule selects; `None` for a rule without a test.
     part: Option<Part>,
     backend: String,
 }
 
-/// What has been read.
+/// State of the reader: everything read so far.
 #[derive(Default)]
 pub(super) struct Reader {
     section: Option<Section>,
@@ -76,13 +76,13 @@
     pub(super) defaults: Backend,
     pub(super) client_ms: Option<u64>,
     pub(super) backends: BTreeMap<String, Backend>,
-    /// Named tests of the path.
+    /// Named path tests (`acl`), each with the part of the API that it selects.
     acls: BTreeMap<String, Part>,
     rules: Vec<Rule>,
 }
 
 impl Reader {
-    /// Reads one line; `line` is its number.
+    /// Reads a line; `line` is its number.
     pub(super) fn read_line(&mut self, line: usize, text: &str) {
         let words: Vec<&str> = text.split('#').next().unwrap_or("").split_whitespace().collect();
         let Some((keyword, values)) = words.split_first() else { return };
@@ -152,7 +152,7 @@
         no_more(more)
     }
 
-    /// The lowest of all sections counts, as the second front has one limit.
+    /// Keeps the lowest `maxconn` of all sections, as the second front has a single limit.
     fn read_max_connections(&mut self, number: &str) -> Result<(), LeftOutReason> {
         let number: usize = number.parse().unwrap_or(0);
         if number == 0 {
@@ -177,7 +177,8 @@
         Ok(())
     }
 
-    /// The part that a rule's test selects: a test in braces, or the name of one.
+    /// Returns the part of the API that the test of a rule selects: an anonymous test in braces, or the name of an
+    /// `acl`.
     fn part_of_test(&self, test: &[&str]) -> Option<Part> {
         match test {
             ["{", test, paths @ .., "}"] => tested_part(test, paths),
@@ -186,16 +187,17 @@
         }
     }
 
-    /// The address of the one `bind` line that was converted.
+    /// Returns the address of the `bind` line that was converted.
     pub(super) fn listen_address(&self) -> Option<String> {
         self.bind.as_ref().map(|bind| bind.address.clone())
     }
 
-    /// Chooses a backend for each part of the API by the rules, and notes what is not chosen.
+    /// Chooses a backend for each part of the API by the rules, and records unusable rules and unused backends as left
+    /// out.
     pub(super) fn choose_backends(&mut self) -> ChosenBackends {
         let mut chosen = ChosenBackends::default();
         let mut rules = take(&mut self.rules);
-        // Rules with a test come before the rest, as they do in HAProxy.
+        // As in HAProxy, rules with a test take precedence over those without.
         rules.sort_by_key(|rule| rule.part.is_none());
         for rule in rules {
             let line = rule.line;
--- a/gateway/src/haproxy/tests.rs
+++ b/gateway/src/haproxy/tests.rs
@@ -1,4 +1,4 @@
-//! What is converted, and that what is left out is named.
+//! Tests of the conversion, and of the report of lines that are not converted.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -42,7 +42,7 @@
     assert_eq!(front.chat.expect("a pool").servers.len(), 1);
 }
 
-/// No line is dropped without a note.
+/// Guards against lines that are omitted silently.
 #[test]
 fn each_line_left_out_is_named() {
     let lines: Vec<usize> =
@@ -60,7 +60,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Whatever the text, there is no panic, and what comes out loads.
+    /// Guards against panics on malformed input and against converted files that do not load.
     #[test]
     fn any_text_is_converted_or_refused_without_a_panic(lines in prop::collection::vec(
         prop::sample::select(FILE.lines().collect::<Vec<_>>()), 0..30), noise in ".{0,40}") {
