--- a/gateway/src/fleet/config.rs
+++ b/gateway/src/fleet/config.rs
@@ -1,5 +1,5 @@
-//! The section `[fleet]` of the operators' file, read and checked. Settings that are left out have the defaults of
-//! `crates/fleet`. Plain data, read at the start and at each reload.
+//! Parser and validation of the `[fleet]` section of the operators' file, which is read at the start and at each
+//! reload. Missing settings have the defaults of `crates/fleet`.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,30 +20,31 @@
 /// a setting names the key.
 macro_rules! section {
     ($($figure:ident: $type:ty),* $(,)?) => {
-        /// The section as it is in the file. Times in milliseconds.
+        /// Contents of the section. Times are in milliseconds.
         #[derive(Clone, Debug, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct Section {
-            /// The fleet's name, which its members share as they do the key file.
+            /// Name of the fleet. All members share it, as they share the key file.
             #[serde(default = "default_name")]
             pub name: String,
-            /// This gateway's name, where the platform gives none.
+            /// Name of this gateway, used if neither the platform nor `EDGE_NAME` provides one.
             pub member: Option<String>,
-            /// For datagrams and, on the same port, streams.
+            /// Address to bind, for UDP datagrams and for TCP streams on the same port.
             pub bind: SocketAddr,
-            /// Address that the other members reach; by default the one that is bound.
+            /// Address at which other members reach this one; `None` means the bound address.
             pub advertise: Option<SocketAddr>,
-            /// Addresses where members may be found.
+            /// Addresses to contact to join the fleet, at which other members may run.
             #[serde(default)]
             pub seeds: Vec<SocketAddr>,
-            /// File with the keys.
+            /// Path of the file with the keys.
             pub key_file: PathBuf,
-            /// File that stores the last incarnation.
+            /// Path of the file that stores the last incarnation; `None` means a file in the state directory, if there
+            /// is one.
             pub life_file: Option<PathBuf>,
-            /// Time limit of a stream.
+            /// Maximum duration of a stream.
             #[serde(default = "default_exchange_time")]
             pub exchange_time: u64,
-            /// Limit of the streams that other members opened and that are in progress.
+            /// Maximum number of concurrent streams opened by other members.
             #[serde(default = "default_exchanges")]
             pub exchanges: usize,
             $(
@@ -53,7 +54,7 @@
         }
 
         impl Section {
-            /// The settings: those of the file, and the defaults of all others.
+            /// Returns the settings of the file, with defaults for missing ones.
             pub fn figures(&self) -> Settings {
                 let mut figures = Settings::default();
                 $(if let Some(figure) = self.$figure { figures.$figure = figure; })*
@@ -82,7 +83,7 @@
     4
 }
 
-/// Reads and checks the file.
+/// Reads and validates the file at `path`.
 pub fn read(path: &Path) -> Result<Section, FleetError> {
     let file = || path.to_path_buf();
     let text =
@@ -100,7 +101,7 @@
     Ok(section)
 }
 
-/// The error of a file that cannot be parsed, with its line.
+/// Returns the error for a file that cannot be parsed, with the line number.
 fn syntax_error(path: &Path, text: &str, error: &toml::de::Error) -> FleetError {
     let line = error_line(text, error);
     FleetError::Line { file: path.to_path_buf(), line, what: error.message().to_string() }
--- a/gateway/src/fleet/config/tests.rs
+++ b/gateway/src/fleet/config/tests.rs
@@ -26,7 +26,8 @@
     assert!(error_text("").contains("fleet"));
 }
 
-/// Guards the operators' page of keys: a figure there that is not the default would be taken for it.
+/// Guards the example file for operators: a value in it that differs from the default would be mistaken for the
+/// default.
 #[test]
 fn the_shipped_file_shows_every_setting_with_its_default() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/fleet.toml");
--- a/gateway/src/fleet/driver.rs
+++ b/gateway/src/fleet/driver.rs
@@ -1,8 +1,8 @@
 //! The driver of one incarnation of this member: passes inputs to [`Fleet`] and carries out its effects.
 //!
-//! [`Driver`] owns the state machine, the sockets, the clock and the pending timers. It is shared by the tasks of
-//! [`super::tasks`], which stand above it: the one effect that needs a task, opening a stream, is carried out by a
-//! function that they pass in.
+//! [`Driver`] owns the state machine, the sockets, the clock and the pending timers. The tasks of [`super::tasks`]
+//! share it. To avoid a cyclic dependency on them, the only effect that needs a task, opening a stream, is executed by
+//! a function that they pass in.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -22,17 +22,18 @@
 use crate::log;
 use crate::log::Limit;
 
-/// Opens a stream to a member and runs an exchange over it, in a task of its own.
+/// Opens a stream to a member and runs an exchange over it, in a separate task.
 pub(super) type OpenExchange = fn(&Rc<Driver>, MemberId, SocketAddr);
 
-/// Milliseconds on a clock that never goes back, and advances while the process is stopped and the machine sleeps: a
-/// suspicion that timed out elsewhere in that time must have timed out here too. The runtime's clock stops in a sleep.
+/// Returns the milliseconds of a monotonic clock that also advances while the process is stopped or the machine is
+/// suspended. A suspicion that timed out at other members in that time must time out here too; the runtime's clock
+/// does not advance during a suspend.
 fn boot_clock() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000
 }
 
-/// A member's state, as operators read it in logs and figures.
+/// Returns the name of a member's state in log lines and metrics.
 pub(super) fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
@@ -42,34 +43,34 @@
     }
 }
 
-/// One incarnation of this member on its sockets. Shared by its tasks; no borrow of it lasts over an `await`.
+/// Driver of one incarnation of this member. Its tasks share it, so no `RefCell` borrow is held across an `await`.
 pub struct Driver {
     fleet: RefCell<Fleet>,
-    /// Start, in milliseconds on [`boot_clock`].
+    /// Start time, in milliseconds of [`boot_clock`].
     started_at: u64,
     pub(super) timers: TimerQueue,
     pub(super) sockets: Sockets,
     open_exchange: OpenExchange,
-    /// Tasks of streams. They share the driver: one that outlived the incarnation would keep the port bound.
+    /// Tasks of streams. They share the driver, so a task that outlived the incarnation would keep the port bound.
     streams: RefCell<JoinSet<()>>,
-    /// Streams in progress that other members opened.
+    /// Number of current streams opened by other members.
     pub(super) incoming: Cell<usize>,
     pub(super) max_incoming: usize,
-    /// Time limit of a stream, in milliseconds.
+    /// Maximum duration of a stream, in milliseconds.
     pub(super) stream_timeout: u64,
-    /// Datagrams that the socket did not accept.
+    /// Number of datagrams that the socket did not accept.
     unsent: Cell<u64>,
-    /// Streams that broke off, opened by either side.
+    /// Number of failed streams, opened by either side.
     broken: Cell<u64>,
-    /// Increases with each cell of another member that changes, and each change of a member.
+    /// Version that increases with each changed cell of another member and each change of a member's state.
     updates: watch::Sender<u64>,
-    /// Rates of the log lines of rejected messages, by reason: one reason does not suppress another.
+    /// Rate limits of the log lines for rejected messages, one per reason so that one reason does not suppress another.
     rejection_limits: [Limit; Rejection::REASONS.len()],
     change_limit: Limit,
 }
 
 impl Driver {
-    /// A driver of `fleet`, which is not started yet.
+    /// Creates a driver of `fleet`, which must not have been started.
     pub(super) fn new(
         fleet: Fleet, sockets: Sockets, section: &Section, open_exchange: OpenExchange,
     ) -> Driver {
@@ -91,12 +92,12 @@
         }
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start of the driver.
     pub(super) fn now(&self) -> u64 {
         boot_clock().saturating_sub(self.started_at)
     }
 
-    /// Runs one step of the state machine and carries out its effects.
+    /// Runs one step of the state machine and executes its effects.
     pub(super) fn step<T>(self: &Rc<Self>, step: impl FnOnce(&mut Fleet, u64, &mut Vec<Effect>) -> T) -> T {
         let mut effects = Vec::new();
         let now = self.now();
@@ -136,19 +137,19 @@
         );
     }
 
-    /// Runs the exchange over a stream in a task of its own.
+    /// Runs the exchange of a stream in a separate task.
     pub(super) fn spawn_stream(&self, stream: impl Future<Output = ()> + 'static) {
         let mut streams = self.streams.borrow_mut();
         while streams.try_join_next().is_some() {}
         streams.spawn_local(stream);
     }
 
-    /// Ends the tasks of all streams.
+    /// Aborts the tasks of all streams.
     pub(super) fn abort_streams(&self) {
         self.streams.borrow_mut().abort_all();
     }
 
-    /// A datagram that the socket does not accept at once is lost, as it might be in transit: the protocol repeats it.
+    /// Sends a datagram, and drops it if the socket does not accept it at once. The protocol tolerates lost datagrams.
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
         if let Err(error) = self.sockets.sender.send_to(bytes, to) {
             self.unsent.set(self.unsent.get() + 1);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Logs a rejected message, at a limited rate for each reason.
+    /// Logs a rejected message, with a rate limit for each reason.
     pub(super) fn log_rejection(&self, from: SocketAddr, rejection: Rejection) {
         log::line(
             &self.rejection_limits[rejection.reason_index()],
@@ -171,7 +172,7 @@
         log!("fleet: {error}; {}", error.advice());
     }
 
-    /// Counts and logs a stream that broke off. What was merged before stays.
+    /// Counts and logs a failed stream. Data merged before the failure is kept.
     pub(super) fn stream_broke(&self, error: &WireError) {
         self.broken.set(self.broken.get() + 1);
         match error {
@@ -192,22 +193,22 @@
         self.fleet.borrow_mut().delete(self.now(), kind, key)
     }
 
-    /// Reads members and table.
+    /// Calls `inspect` with the state machine, to read members and table.
     pub fn inspect<T>(&self, inspect: impl FnOnce(&Fleet) -> T) -> T {
         inspect(&self.fleet.borrow())
     }
 
-    /// Changes whenever [`Driver::inspect`] may show something else.
+    /// Returns a receiver that is notified when the result of [`Driver::inspect`] may have changed.
     pub fn updates(&self) -> watch::Receiver<u64> {
         self.updates.subscribe()
     }
 
-    /// Datagrams that the socket did not accept.
+    /// Returns the number of datagrams that the socket did not accept.
     pub(super) fn unsent_datagrams(&self) -> u64 {
         self.unsent.get()
     }
 
-    /// Streams that broke off.
+    /// Returns the number of failed streams.
     pub(super) fn broken_streams(&self) -> u64 {
         self.broken.get()
     }
@@ -217,7 +218,7 @@
         self.fleet.borrow_mut().rotate_keys(keys);
     }
 
-    /// Announces to all other members, before it returns, that this one leaves. It sends and handles nothing after that.
+    /// Announces the leave to all other members before it returns. After that, this member sends and handles nothing.
     pub fn leave(self: &Rc<Self>) {
         self.step(glenrail_fleet::Fleet::leave);
     }
--- a/gateway/src/fleet/error.rs
+++ b/gateway/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the fleet's driver, and what an operator can do about each. The texts are read by operators.
+//! Errors of the fleet's driver, with advice for operators on each.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use glenrail_fleet::{ExchangeError, KeyError, SettingsError};
 
-/// Ends the start of the program; at SIGHUP, leaves everything as it was.
+/// Error of the configuration or the startup. At the start it ends the program; at SIGHUP the reload has no effect.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The file cannot be read.
@@ -22,9 +22,9 @@
     Line {
         /// The file.
         file: PathBuf,
-        /// Counted from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// What is wrong there.
+        /// Message of the parser.
         what: String,
     },
     /// A setting is out of its bounds.
@@ -35,7 +35,7 @@
         /// The cause.
         error: SettingsError,
     },
-    /// This gateway has no name.
+    /// This gateway has no name: neither `EDGE_NAME` nor the file provides one.
     #[error("{}: fleet.member: missing, as is EDGE_NAME", file.display())]
     NoName {
         /// The file.
@@ -100,31 +100,31 @@
     }
 }
 
-/// What is wrong with a key file. Never shows any of a key.
+/// Error of a key file. The messages never contain any part of a key.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(#[from] io::Error),
-    /// It is a directory, a pipe or the like.
+    /// The path is not a regular file, but a directory, a pipe or similar.
     #[error("is not a plain file")]
     NotAFile,
-    /// Its permissions admit others than its owner.
+    /// The permissions allow access by users other than the owner.
     #[error("others than its owner may use it (mode {mode:03o})")]
     TooPermissive {
-        /// Its permission bits.
+        /// Permission bits of the file.
         mode: u32,
     },
-    /// It is too long.
+    /// The file is too long.
     #[error("is over the bound of {most} bytes")]
     TooLong {
-        /// The bound.
+        /// Maximum length, in bytes.
         most: usize,
     },
-    /// It is not UTF-8.
+    /// The file is not UTF-8.
     #[error("is not text")]
     NotText,
-    /// Its text is faulty.
+    /// The keys in the file are malformed.
     #[error(transparent)]
     Key(#[from] KeyError),
 }
@@ -146,16 +146,16 @@
     }
 }
 
-/// What is wrong with the file that stores the last incarnation.
+/// Error of the file that stores the last incarnation.
 #[derive(Debug, thiserror::Error)]
 pub enum IncarnationError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("cannot be read: {0}")]
     Unreadable(io::Error),
-    /// It does not contain a number that has a successor.
+    /// The file does not contain an unsigned 64-bit number below its maximum.
     #[error("does not hold a number")]
     NotANumber,
-    /// It cannot be written.
+    /// The file cannot be written.
     #[error("cannot be written: {0}")]
     Unwritable(io::Error),
 }
@@ -174,7 +174,7 @@
     }
 }
 
-/// A failure of a socket or a stream. It is logged, and has no other consequence.
+/// Failure of a socket or a stream. It is logged, and does not stop the driver.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// A datagram cannot be sent.
@@ -191,7 +191,7 @@
     /// Streams cannot be accepted.
     #[error("cannot accept a stream: {0}")]
     Accept(io::Error),
-    /// A stream failed.
+    /// Connecting, reading or writing a stream failed.
     #[error("a stream with {with} broke: {error}")]
     Broken {
         /// The other side.
@@ -210,15 +210,15 @@
     TimedOut {
         /// The other side.
         with: SocketAddr,
-        /// The limit in milliseconds.
+        /// Limit, in milliseconds.
         most: u64,
     },
-    /// A stream was closed as too many are in progress.
+    /// An accepted stream was closed because the maximum number is in progress.
     #[error("a stream with {with} is not taken: {most} run already")]
     TooManyStreams {
         /// The other side.
         with: SocketAddr,
-        /// Streams that may run at once.
+        /// Maximum number of concurrent streams.
         most: usize,
     },
     /// The state machine aborted an exchange.
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -1,5 +1,5 @@
-//! Exchanges over streams, opened by this member or accepted from others. Their number and time are limited here;
-//! the state machine limits frames and bytes.
+//! Exchanges over streams, opened by this member or accepted from others. This module limits the number of accepted
+//! streams and the duration of all; the state machine limits frames and bytes.
 
 use std::future::Future;
 use std::io;
@@ -16,14 +16,14 @@
 use super::error::WireError;
 use super::sockets::RETRY_PAUSE;
 
-/// Most bytes of one read.
+/// Size of the read buffer of a stream, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Counts a stream that another member opened, while it is in progress.
+/// Counts a stream opened by another member, until it is dropped.
 struct IncomingStream(Rc<Driver>);
 
 impl IncomingStream {
-    /// `None` if as many as the limit are in progress.
+    /// Returns `None` if the maximum number of streams is in progress.
     fn new(driver: &Rc<Driver>) -> Option<IncomingStream> {
         let incoming = driver.incoming.get();
         if incoming >= driver.max_incoming {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Accepts streams until it is dropped. One over the limit is closed at once: a silent stream must not make members
-/// wait in the queue of the listener.
+/// Accepts streams until the future is dropped. Streams over the limit are closed at once, so that idle streams do not
+/// keep other members waiting in the listen queue.
 pub(super) async fn accept(driver: &Rc<Driver>) {
     loop {
         match driver.sockets.listener.accept().await {
@@ -65,7 +65,7 @@
     });
 }
 
-/// Opens a stream to a member and runs an exchange over it, in a task of its own.
+/// Opens a stream to a member and runs an exchange over it, in a separate task.
 pub(super) fn spawn_open(driver: &Rc<Driver>, with: MemberId, to: SocketAddr) {
     driver.spawn_stream(open(driver.clone(), with, to));
 }
@@ -74,7 +74,8 @@
     let opened = async {
         let broken = |error| WireError::Broken { with: to, error };
         let stream = TcpStream::connect(to).await.map_err(broken)?;
-        // After connecting: a frame that is delayed for long may fall below the replay window.
+        // The first frame is created after connecting: a frame that is delayed for long may fall below the replay
+        // window.
         let opened = driver.step(|fleet, _, _| fleet.open_exchange(with));
         let (exchange, first) = opened.map_err(|error| WireError::Exchange { with: to, error })?;
         run(&driver, stream, to, exchange, first).await
@@ -82,7 +83,7 @@
     limit_time(&driver, to, opened).await;
 }
 
-/// Runs `exchange` within the time limit, and reports a failure.
+/// Runs `exchange` within the time limit, and counts and logs a failure.
 async fn limit_time(
     driver: &Driver, with: SocketAddr, exchange: impl Future<Output = Result<(), WireError>>,
 ) {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Writes `first`, then passes what it reads to the state machine until the exchange is finished.
+/// Writes `first`, then passes the bytes read to the state machine until the exchange is finished.
 async fn run(
     driver: &Rc<Driver>, mut stream: TcpStream, with: SocketAddr, mut exchange: Exchange, first: Vec<u8>,
 ) -> Result<(), WireError> {
--- a/gateway/src/fleet/figures.rs
+++ b/gateway/src/fleet/figures.rs
@@ -1,4 +1,4 @@
-//! What operators read of the fleet, as JSON: members and counters. The keys are stable; see `docs/on-call.md`.
+//! Members and counters of the fleet as JSON, for operators. The keys are stable; see `docs/on-call.md`.
 
 use glenrail_fleet::{Member, MemberState, Rejection};
 use serde_json::{json, Value};
@@ -15,7 +15,7 @@
     })
 }
 
-/// This member, and all others that are known here.
+/// Returns this member and all other known members.
 pub(super) fn members(driver: &Driver) -> Value {
     driver.inspect(|fleet| {
         let others: Vec<_> = fleet.members().map(|(member, state)| member_row(member, state)).collect();
@@ -23,7 +23,7 @@
     })
 }
 
-/// Counters of this incarnation. `key_reads`: how often this process has read the key file.
+/// Returns the counters of this incarnation. `key_reads` is the number of successful reloads of the key file.
 pub(super) fn counters(driver: &Driver, key_reads: u64) -> Value {
     driver.inspect(|fleet| {
         let count = |expected| fleet.members().filter(|(_, state)| *state == expected).count();
--- a/gateway/src/fleet/incarnation.rs
+++ b/gateway/src/fleet/incarnation.rs
@@ -1,4 +1,5 @@
-//! The incarnation of this run: from the clock, and later than the last one that is stored. The file is this module's.
+//! Choice of a new incarnation: the clock, or the successor of the stored one if that is later. This module owns the
+//! file.
 
 use std::fs::{DirBuilder, File};
 use std::io::{self, Write};
@@ -10,13 +11,13 @@
 
 use super::error::IncarnationError;
 
-/// Milliseconds since 1970; 0 if the clock is before that.
+/// Returns the Unix time in milliseconds; 0 if the clock is before 1970.
 pub fn clock() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |duration| duration.as_millis() as u64)
 }
 
-/// An incarnation later than the one stored in `file`, where it is stored before it is used. Without that, the other
-/// members would reject all messages of this run if the clock went back over a restart.
+/// Returns an incarnation later than the one in `file`, after storing it there. Otherwise the other members would
+/// reject all messages of this run if the clock had gone back since the previous one.
 pub fn next(clock: u64, file: Option<&Path>) -> Result<Incarnation, IncarnationError> {
     let Some(file) = file else { return Ok(Incarnation(clock)) };
     let last = match std::fs::read_to_string(file) {
@@ -29,7 +30,7 @@
     Ok(Incarnation(incarnation))
 }
 
-/// Written to a temporary file and renamed, so that a crash never leaves an incomplete number.
+/// Writes a temporary file and renames it, so that a crash never leaves an incomplete number.
 fn store(incarnation: u64, file: &Path) -> io::Result<()> {
     if let Some(directory) = file.parent().filter(|parent| !parent.as_os_str().is_empty()) {
         DirBuilder::new().recursive(true).mode(0o700).create(directory)?;
--- a/gateway/src/fleet/keys.rs
+++ b/gateway/src/fleet/keys.rs
@@ -1,4 +1,4 @@
-//! The key file, which only its owner may use. Read at the start and at each reload.
+//! Reader of the key file, which only its owner may access. It is read at the start and at each reload.
 
 use std::fs::OpenOptions;
 use std::io::Read;
@@ -10,12 +10,12 @@
 
 use super::error::KeyFileError;
 
-/// Longest key file in bytes: two keys and a page of comments fit.
+/// Maximum size of a key file, in bytes; enough for two keys and a page of comments.
 const MAX_FILE_BYTES: usize = 8 * 1024;
-/// Permission bits of the group and of all others.
+/// Permission bits of the group and of other users.
 const GROUP_AND_OTHERS: u32 = 0o077;
 
-/// Reads the keys of the fleet named `fleet`. The file stays open from the checks to the reading, so that it cannot be
+/// Reads the keys of the fleet named `fleet`. The checks and the read use the same open file, so that it cannot be
 /// replaced between them.
 pub fn read(file: &Path, fleet: &str) -> Result<Keyring, KeyFileError> {
     // Opening a pipe without a writer would block.
--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! Runs `glenrail-fleet` on sockets and the clock. Nothing is decided here: datagrams, streams, timers and signals go
-//! into the state machine, and its effects are carried out. Off unless `--fleet FILE` is given; then nothing of this
-//! folder runs.
+//! Fleet membership: drives the state machine of `glenrail-fleet` with sockets and the clock. This module makes no
+//! protocol decisions: it passes datagrams, streams, timers and signals to the state machine and executes its effects.
+//! It is inactive unless `--fleet FILE` is given.
 //!
-//! - `config`, `keys`, `incarnation`, `start`: what is read before anything is opened.
-//! - [`Driver`]: one incarnation of this member on its `sockets`, with its `timer_queue`.
+//! - `config`, `keys`, `incarnation`, `start`: files that are read to start a member.
+//! - [`Driver`]: one incarnation of this member, with its `sockets` and `timer_queue`.
 //! - `tasks`: starts a driver and runs its three tasks `udp`, `timers` and `exchange`.
-//! - [`Handle`]: the incarnations of this process, one after another. At an upgrade, the process that took over has
-//!   the port and the membership; should it die, this one continues with a later incarnation.
+//! - [`Handle`]: the successive incarnations of this process. In an upgrade, the successor takes the port and the
+//!   membership; if it terminates, this process continues with a later incarnation.
 
 #![deny(missing_docs)]
 
@@ -40,26 +40,26 @@
 use crate::log;
 use crate::shutdown::Shutdown;
 
-/// Time between two attempts to bind the port, which another process of this gateway still has.
+/// Pause between attempts to bind the port while another process of this gateway has it.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// What outlives an incarnation.
+/// State that outlives an incarnation.
 struct Shared {
     start: Start,
     keys: RefCell<Keyring>,
     key_reads: Cell<u64>,
-    /// The driver and its tasks; `None` while another process has the port.
+    /// Driver and the handle of its tasks; `None` while another process has the port.
     current: RefCell<Option<(Rc<Driver>, AbortHandle)>>,
-    /// Set once this member has left: no further incarnation is started.
+    /// Whether this member has left, after which no further incarnation is started.
     has_left: Cell<bool>,
 }
 
-/// This process's membership of the fleet. Clones share it.
+/// Handle to this process's fleet membership, shared by its clones.
 #[derive(Clone)]
 pub struct Handle(Rc<Shared>);
 
-/// Runs the membership until the process ends. `after`: another process serves at this address and hands over, so the
-/// port is waited for; otherwise a port in use is an error.
+/// Starts the membership, which runs until the process exits. If `after` is set, a predecessor is handing over to this
+/// process, so a port in use is waited for; otherwise it is an error.
 pub fn start(
     (start, keys): (Start, Keyring), after: bool, shutdown: &Shutdown,
 ) -> Result<Handle, FleetError> {
@@ -81,8 +81,8 @@
 }
 
 impl Handle {
-    /// The current incarnation; `None` while another process has the port. To be called each time: a caller that retains
-    /// the driver keeps the port bound.
+    /// Returns the current incarnation; `None` while another process has the port. Callers must not retain the driver,
+    /// as that keeps the port bound.
     pub fn driver(&self) -> Option<Rc<Driver>> {
         self.0.current.borrow().as_ref().map(|(driver, _)| driver.clone())
     }
@@ -102,11 +102,13 @@
         }
     }
 
-    /// Only one process is the member at a time: releases the port to a successor, and binds it again if that one dies.
+    /// Ensures that only one process is the member: releases the port to a successor, and binds it again if the
+    /// successor terminates.
     async fn follow_port(self, shutdown: Shutdown) {
         let mut successor_updates = shutdown.successor_updates();
         while !self.0.has_left.get() {
-            // Before the match: its scrutinee lives as long as its arms, and a driver in it would keep the port bound.
+            // Evaluated before the match: a driver in the scrutinee would live through the arms and keep the port
+            // bound.
             let is_running = self.driver().is_some();
             match (shutdown.has_successor(), is_running) {
                 (true, true) => {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Reads the files again. Only the keys take effect; a faulty file changes nothing.
+    /// Reloads the files. Only changes to the keys take effect; a faulty file has no effect.
     pub fn reload(&self) {
         match self.0.start.reload_keys() {
             Ok(keys) => {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Leaves the fleet for good. The announcement is sent before this returns.
+    /// Leaves the fleet permanently. The announcement is sent before this returns.
     pub fn leave(&self) {
         self.0.has_left.set(true);
         if let Some(driver) = self.driver() {
@@ -151,12 +153,12 @@
         self.stop_driver();
     }
 
-    /// Counters for operators; `null` while another process has the port.
+    /// Returns the counters for operators; null while another process has the port.
     pub fn counters(&self) -> Value {
         self.driver().map_or(Value::Null, |driver| figures::counters(&driver, self.0.key_reads.get()))
     }
 
-    /// All members for operators; `null` while another process has the port.
+    /// Returns all members for operators; null while another process has the port.
     pub fn members(&self) -> Value {
         self.driver().map_or(Value::Null, |driver| figures::members(&driver))
     }
--- a/gateway/src/fleet/sockets.rs
+++ b/gateway/src/fleet/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a member: datagrams and streams on one port. Opened by [`super::tasks::start`] and owned by
+//! Sockets of a member, for datagrams and streams on the same port. Opened by [`super::tasks::start`] and owned by
 //! [`super::driver::Driver`].
 
 use std::io;
@@ -7,24 +7,25 @@
 
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Attempts to bind both where any port will do: a port that is free for datagrams may be taken for streams.
+/// Maximum number of attempts to bind both sockets to a port chosen by the system: a port that is free for UDP may be
+/// in use for TCP.
 const MAX_BIND_ATTEMPTS: usize = 16;
-/// Pause after a failure to receive or to accept, which may persist.
+/// Pause after a failure to receive or accept, as the cause may persist.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The sockets of a member, all at one address.
+/// Sockets of a member, all bound to the same address.
 pub(super) struct Sockets {
-    /// Receives datagrams.
+    /// Socket that receives datagrams.
     pub(super) receiver: UdpSocket,
-    /// The same socket without the runtime, which sends nothing before it has first polled a socket: greetings of the
-    /// start, and of a leave that follows at once, would be lost.
+    /// Duplicate of the same socket that bypasses the runtime. The runtime sends nothing before it has first polled a
+    /// socket, so the messages of the start, and of a leave right after it, would be lost.
     pub(super) sender: std::net::UdpSocket,
-    /// Accepts the streams of other members.
+    /// Listener for streams opened by other members.
     pub(super) listener: TcpListener,
 }
 
 impl Sockets {
-    /// Binds all of them to `address`.
+    /// Binds all sockets to `address`.
     pub(super) fn bind(address: SocketAddr) -> io::Result<Sockets> {
         let mut attempts = 0;
         loop {
@@ -44,19 +45,20 @@
         }
     }
 
-    /// The address that they are bound to.
+    /// Returns the bound address.
     pub(super) fn local_address(&self) -> io::Result<SocketAddr> {
         self.receiver.local_addr()
     }
 }
 
-/// Whether another port may be tried, because the system chose this one.
+/// Returns whether the bind can be retried with another port, because the system chose the port in use.
 fn is_port_conflict(error: &io::Error, requested: SocketAddr) -> bool {
     error.kind() == io::ErrorKind::AddrInUse && requested.port() == 0
 }
 
-/// Not by `TcpListener::bind` of tokio, which only asynchronous callers can use. The standard library sets
-/// `SO_REUSEADDR`, so a restart need not wait until streams of the earlier incarnation have timed out.
+/// Binds the listener with the standard library, as `TcpListener::bind` of tokio is asynchronous. The standard library
+/// sets `SO_REUSEADDR`, so a restart does not have to wait until the streams of the earlier incarnation have timed
+/// out.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
--- a/gateway/src/fleet/start.rs
+++ b/gateway/src/fleet/start.rs
@@ -1,5 +1,5 @@
-//! What a start of the fleet needs, read from the operators' file and the platform's settings. Read once; the keys again
-//! at each reload.
+//! Parameters for starting a member, from the operators' file and the platform's settings. They are read once; only the
+//! keys are read again at each reload.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,26 +10,27 @@
 use super::error::FleetError;
 use super::{incarnation, keys};
 
-/// The platform's settings for this gateway, where there is a platform.
+/// Settings of the platform that concern the fleet.
 pub struct Platform {
-    /// Whether they permit messages among gateways.
+    /// Whether the platform permits messages among gateways.
     pub peers: bool,
-    /// Directory for the state of this gateway.
+    /// State directory of this gateway.
     pub state: PathBuf,
 }
 
-/// A checked file, from which the member can be started.
+/// Validated parameters for starting the member.
 pub struct Start {
     pub(super) file: PathBuf,
     pub(super) section: Section,
-    /// This gateway's name.
+    /// Name of this gateway.
     pub(super) member: String,
     life_file: Option<PathBuf>,
 }
 
 impl Start {
-    /// Reads the file and the keys, and rejects what the platform's settings forbid. Opens no sockets. `name` is this
-    /// gateway's name by the platform or the environment; it takes precedence over the file's.
+    /// Reads the file and the keys, and returns an error if the platform forbids messages among gateways. Opens no
+    /// sockets. `name` is the name of this gateway from the platform or the environment; it takes precedence over that
+    /// in the file.
     pub fn read(
         file: &Path, name: Option<String>, platform: Option<&Platform>,
     ) -> Result<(Start, Keyring), FleetError> {
@@ -45,12 +46,12 @@
         Ok((Start { file: file.into(), section, member, life_file }, keys))
     }
 
-    /// Reads the keys again, for the fleet's name that the member was started with.
+    /// Reads the keys again, with the fleet name that the member was started with.
     pub(super) fn reload_keys(&self) -> Result<Keyring, FleetError> {
         read_keys(&config::read(&self.file)?, &self.section.name)
     }
 
-    /// The incarnation of a start at this moment, which is stored.
+    /// Returns the incarnation for a start at this time, after storing it.
     pub(super) fn next_incarnation(&self) -> Result<Incarnation, FleetError> {
         let file = self.life_file.as_deref();
         incarnation::next(incarnation::clock(), file).map_err(|error| FleetError::Incarnation {
@@ -59,7 +60,7 @@
         })
     }
 
-    /// The error of a bind that failed.
+    /// Returns the error for a failed bind.
     pub(super) fn cannot_bind(&self, error: io::Error) -> FleetError {
         FleetError::Bind { file: self.file.clone(), address: self.section.bind, error }
     }
--- a/gateway/src/fleet/tasks.rs
+++ b/gateway/src/fleet/tasks.rs
@@ -1,5 +1,5 @@
-//! Start and tasks of one incarnation of this member: opens the sockets, creates the [`Driver`], and runs its three
-//! tasks (datagrams, timers, streams).
+//! Startup of one incarnation of this member: binds the sockets, creates the [`Driver`], and runs its three tasks
+//! (datagrams, timers, streams).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
 use super::{exchange, timers, udp};
 use crate::log;
 
-/// Binds the sockets and greets the seeds.
+/// Binds the sockets and starts the member, which then contacts the seeds.
 pub(super) fn start(start: &Start, keys: Keyring) -> Result<Rc<Driver>, FleetError> {
     let section = &start.section;
     let sockets = Sockets::bind(section.bind).map_err(|error| start.cannot_bind(error))?;
     let bound = sockets.local_address().map_err(|error| start.cannot_bind(error))?;
     let address = section.advertise.unwrap_or(bound);
-    // Once the port is bound: the process before has the member's identity as long as it has the port.
+    // Chosen only once the port is bound: a predecessor is this member as long as it has the port.
     let incarnation = start.next_incarnation()?;
     let fleet = new_fleet(start, keys, incarnation, address)?;
     let id = fleet.local_member().id.0;
@@ -36,7 +36,7 @@
 fn new_fleet(
     start: &Start, keys: Keyring, incarnation: Incarnation, address: SocketAddr,
 ) -> Result<Fleet, FleetError> {
-    // Only spreads the choices of members: it need not be hard to guess.
+    // The seed only makes members choose differently, so it may be predictable.
     let seed = incarnation.0 ^ u64::from(std::process::id()) << 40;
     let seeds = start.section.seeds.clone();
     let settings = start.section.figures();
@@ -44,7 +44,7 @@
         .map_err(|error| FleetError::Figure { file: start.file.clone(), error })
 }
 
-/// Runs the tasks until it is dropped.
+/// Runs the tasks until the future is dropped.
 pub(super) async fn run(driver: Rc<Driver>) {
     tokio::join!(udp::receive(&driver), timers::run(&driver), exchange::accept(&driver));
 }
--- a/gateway/src/fleet/timer_queue.rs
+++ b/gateway/src/fleet/timer_queue.rs
@@ -1,14 +1,15 @@
-//! Pending timers of the member's state machine. Owned by [`super::driver::Driver`], whose clock the times are on.
+//! Queue of the pending timers of the member's state machine. Owned by [`super::driver::Driver`]; times are on its
+//! clock.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
 use tokio::sync::Notify;
 
-/// Timers in the order in which they are due.
+/// Pending timers, ordered by due time.
 #[derive(Default)]
 pub(super) struct TimerQueue {
-    /// Due time, in milliseconds since the driver's start, and token.
+    /// Due time, in milliseconds since the start of the driver, and token.
     due: RefCell<BTreeSet<(u64, u64)>>,
     earlier: Notify,
 }
@@ -31,12 +32,12 @@
         Some(token)
     }
 
-    /// When the next timer is due.
+    /// Returns the due time of the next timer; `None` if there is none.
     pub(super) fn next_due(&self) -> Option<u64> {
         self.due.borrow().first().map(|(due_at, _)| *due_at)
     }
 
-    /// Completes when a timer was added that is due before all others.
+    /// Completes when a timer has been added that is due before all others.
     pub(super) async fn earlier_added(&self) {
         self.earlier.notified().await;
     }
--- a/gateway/src/fleet/timers.rs
+++ b/gateway/src/fleet/timers.rs
@@ -1,4 +1,4 @@
-//! The task that fires the timers of the state machine: each token once, at its time or later.
+//! Task that fires the timers of the state machine, each once and never before its due time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use super::driver::Driver;
 
-/// Fires timers until it is dropped.
+/// Fires timers until the future is dropped.
 pub(super) async fn run(driver: &Rc<Driver>) {
     loop {
         let delay = driver.timers.next_due().map(|due_at| due_at.saturating_sub(driver.now()));
@@ -21,7 +21,7 @@
     }
 }
 
-/// Waits `delay` milliseconds; for ever if there is no timer.
+/// Waits `delay` milliseconds; never completes if there is no timer.
 async fn wait(delay: Option<u64>) {
     match delay {
         Some(delay) => sleep(Duration::from_millis(delay)).await,
--- a/gateway/src/fleet/udp.rs
+++ b/gateway/src/fleet/udp.rs
@@ -1,4 +1,4 @@
-//! The task that receives datagrams and passes them to the driver.
+//! Task that receives datagrams and passes them to the driver.
 
 use std::rc::Rc;
 
@@ -9,9 +9,9 @@
 use super::error::WireError;
 use super::sockets::RETRY_PAUSE;
 
-/// Receives until it is dropped.
+/// Receives datagrams until the future is dropped.
 pub(super) async fn receive(driver: &Rc<Driver>) {
-    // One byte more than a datagram may have: a longer one is truncated there, and rejected for its length.
+    // One byte more than the maximum: a longer datagram is truncated to this size and rejected for its length.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match driver.sockets.receiver.recv_from(&mut buffer).await {
