--- a/gateway/benches/core.rs
+++ b/gateway/benches/core.rs
@@ -1,4 +1,5 @@
-//! What one request costs the core from its arrival to its end (some eight events), beside so many open ones.
+//! Benchmarks of the core: the cost of a request from arrival to end (about eight events) with many other open
+//! requests, and the cost of a timer with many other pending timers.
 //!
 //!     cargo bench -p glenrail --bench core
 
@@ -18,7 +19,7 @@
     divan::main();
 }
 
-/// How long a request's client waits: longer than any run.
+/// Deadline of a request, in milliseconds; longer than any benchmark run.
 const PATIENCE: f64 = 3_000_000.0;
 
 async fn end(mut client: ClientSide) {
@@ -31,7 +32,8 @@
     }
 }
 
-/// Arming and giving up a timer beside so many armed ones: a task for each, as the core had it ...
+/// Arms and cancels a timer while `armed` others are pending, with one task per timer. The core used this design
+/// before.
 #[divan::bench(args = [10, 1_000, 10_000], sample_count = 100, sample_size = 100)]
 fn timer_as_a_task(bencher: Bencher, armed: u64) {
     let (runtime, local) = (runtime(), LocalSet::new());
@@ -48,7 +50,7 @@
     assert_eq!(tasks.len() as u64, armed);
 }
 
-/// ... and one queue for all, as it has it now.
+/// Arms and cancels a timer while `armed` others are pending, with one queue for all timers. The core uses this design.
 #[divan::bench(args = [10, 1_000, 10_000], sample_count = 100, sample_size = 100)]
 fn timer_in_a_queue(bencher: Bencher, armed: u64) {
     let (runtime, local) = (runtime(), LocalSet::new());
