--- a/gateway/benches/core.rs
+++ b/gateway/benches/core.rs
@@ -20,11 +20,11 @@
 }
 
 /// Deadline of a request, in milliseconds; longer than any benchmark run.
-const PATIENCE: f64 = 3_000_000.0;
+const DEADLINE_MS: f64 = 3_000_000.0;
 
 async fn end(mut client: ClientSide) {
-    while let Some(piece) = client.next_part().await {
-        match piece {
+    while let Some(part) = client.next_part().await {
+        match part {
             ResponsePart::Head(..) | ResponsePart::Chunk(_) => {}
             ResponsePart::End => return,
             other => panic!("{other:?}"),
@@ -77,19 +77,19 @@
 #[divan::bench(args = [10, 1_000, 10_000], sample_count = 200, sample_size = 20)]
 fn request_beside_open_ones(bencher: Bencher, open: u64) {
     let (runtime, local) = (runtime(), LocalSet::new());
-    let (core, hanging) = local.block_on(&runtime, async {
+    let (core, open_clients) = local.block_on(&runtime, async {
         let core = core(20, 1e9);
-        let hanging: Vec<ClientSide> =
-            (0..open).map(|n| core.submit(request(format!("h{n}"), n, PATIENCE))).collect();
+        let open_clients: Vec<ClientSide> =
+            (0..open).map(|n| core.submit(request(format!("h{n}"), n, DEADLINE_MS))).collect();
         tokio::time::sleep(Duration::from_millis(50)).await;
-        (core, hanging)
+        (core, open_clients)
     });
     let mut next = open;
     bencher.bench_local(|| {
         next += 1;
         local.block_on(&runtime, async {
-            end(core.submit(request(format!("r{next}"), next, PATIENCE))).await;
+            end(core.submit(request(format!("r{next}"), next, DEADLINE_MS))).await;
         });
     });
-    assert_eq!(core.open_requests(), hanging.len());
+    assert_eq!(core.open_requests(), open_clients.len());
 }
--- a/gateway/src/config/front.rs
+++ b/gateway/src/config/front.rs
@@ -109,16 +109,16 @@
 
 /// Reads and validates the file at `path`.
 pub fn front(path: &Path) -> Result<InferenceFrontConfig, ConfigError> {
-    front_from(&read(path, &path.display().to_string())?)
+    parse_front(&read(path, &path.display().to_string())?)
 }
 
 /// Parses and validates the text of the file.
-pub fn front_from(text: &str) -> Result<InferenceFrontConfig, ConfigError> {
+pub fn parse_front(text: &str) -> Result<InferenceFrontConfig, ConfigError> {
     let front = parse(text)?;
     if front.listen.parse::<SocketAddr>().is_err() {
         return error("listen", format!("{:?} is no address:port", front.listen));
     }
-    check_figures(&front)?;
+    check_limits(&front)?;
     for (name, pool) in [("embeddings", &front.embeddings), ("chat", &front.chat)] {
         if let Some(pool) = pool {
             check_pool(name, pool)?;
@@ -131,7 +131,7 @@
     toml::from_str(text).or_else(|e| error(format!("line {}", error_line(text, &e)), e.message()))
 }
 
-fn check_figures(front: &InferenceFrontConfig) -> Result<(), ConfigError> {
+fn check_limits(front: &InferenceFrontConfig) -> Result<(), ConfigError> {
     for (key, value) in [
         ("max_connections", front.max_connections as u64),
         ("max_body", front.max_body as u64),
--- a/gateway/src/config/front/tests.rs
+++ b/gateway/src/config/front/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of the validation of the second front's file.
 
-use super::front_from;
+use super::parse_front;
 
 #[test]
 fn a_faulty_key_or_line_of_the_file_is_named() {
     let good = "listen = '127.0.0.1:0'\n[embeddings]\nservers = [{ name = 'e', dial = '127.0.0.1:9' }]\n";
-    assert_eq!(front_from(good).expect("a file").max_body, 4 << 20);
+    assert_eq!(parse_front(good).expect("a file").max_body, 4 << 20);
     for (text, key) in [
         ("listen = 'x'", "listen"),
         ("listen = '127.0.0.1:0'\nmax_body = 0", "max_body"),
@@ -14,6 +14,6 @@
         ("listen = '127.0.0.1:0'\n[chat]\nservers = []", "chat.servers"),
         ("listen = '127.0.0.1:0'\n[chat]\nservers = [{ name = 'a', dial = 'b' }]", "chat.servers[0].dial"),
     ] {
-        assert_eq!(front_from(text).expect_err(text).key, key);
+        assert_eq!(parse_front(text).expect_err(text).key, key);
     }
 }
--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -13,8 +13,8 @@
 use std::path::Path;
 
 pub use self::command::{command, Command, Files, USAGE};
-pub use self::front::{front, front_from, InferenceFrontConfig, PoolConfig, ServerConfig};
-pub use self::one_stage::one_stage;
+pub use self::front::{front, parse_front, InferenceFrontConfig, PoolConfig, ServerConfig};
+pub use self::one_stage::mixed_pool_settings;
 pub use self::platform::{platform, Bounds, Platform};
 
 /// Error in the configuration, with the key at which it was found.
--- a/gateway/src/config/one_stage.rs
+++ b/gateway/src/config/one_stage.rs
@@ -13,7 +13,7 @@
 
 /// Returns settings with a single request class. `deadline` is the maximum deadline of any request; `default` applies
 /// if the file does not specify whether a request that may have been executed may be retried.
-pub fn one_stage(pool: &PoolConfig, deadline: Millis, default: Idempotency) -> Settings {
+pub fn mixed_pool_settings(pool: &PoolConfig, deadline: Millis, default: Idempotency) -> Settings {
     Settings {
         router_index: 0,
         router_count: 1,
--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -11,12 +11,12 @@
 use serde_json::Value;
 
 pub use self::bounds::Bounds;
-use self::bounds::{DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, LEAST_MEMORY_MB};
+use self::bounds::{DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, MIN_MEMORY_MB};
 use super::{error, read, ConfigError};
 use crate::core::duration;
 
 /// Minimum limit on file descriptors. With fewer, none remain for connections to servers.
-const LEAST_SOCKETS: f64 = 40.0;
+const MIN_SOCKETS: f64 = 40.0;
 /// Maximum value of a limit. A larger one is rejected as a mistake.
 const MAX_LIMIT: f64 = 1e8;
 /// Default time, in milliseconds, after which servers close idle connections: the shortest of all deployments.
@@ -78,7 +78,7 @@
 fn from_json(json: &Value, variable: &impl Fn(&str) -> Option<String>) -> Result<Platform, ConfigError> {
     let source = Source { json, variable };
     let listen = source.address("listen", "EDGE_LISTEN")?;
-    let ops = match source.has("ops", "EDGE_OPS") {
+    let ops = match source.is_set("ops", "EDGE_OPS") {
         true => Some(source.address("ops", "EDGE_OPS")?),
         false => None,
     };
@@ -87,7 +87,7 @@
     let raw_settings = settings_section(json)?;
     let settings = checked_settings(raw_settings)?;
     let discovery = discovery(&source)?;
-    let name = match source.has("name", "EDGE_NAME") {
+    let name = match source.is_set("name", "EDGE_NAME") {
         true => Some(source.text("name", "EDGE_NAME")?),
         false => None,
     };
@@ -117,7 +117,7 @@
 }
 
 impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
-    fn has(&self, key: &str, variable: &str) -> bool {
+    fn is_set(&self, key: &str, variable: &str) -> bool {
         self.json.get(key).is_some() || (self.variable)(variable).is_some()
     }
 
@@ -156,8 +156,8 @@
 }
 
 fn bounds(json: &Value) -> Result<Bounds, ConfigError> {
-    let sockets = limit(json, "sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)?;
-    let memory_mb = limit(json, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB as f64)?;
+    let sockets = limit(json, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)?;
+    let memory_mb = limit(json, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB as f64)?;
     Ok(Bounds::new(sockets, memory_mb))
 }
 
--- a/gateway/src/config/platform/tests.rs
+++ b/gateway/src/config/platform/tests.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 
-use super::bounds::OWN_DESCRIPTORS;
+use super::bounds::RESERVED_DESCRIPTORS;
 use super::{from_json, platform, Bounds};
 use crate::front::server::MAX_REJECTING_CONNECTIONS;
 
@@ -64,7 +64,7 @@
         for second in [0, 1, bounds.client_connections / 2] {
             let second_front = if second > 0 { front(second) } else { 0 };
             let clients = front(bounds.client_connections - second) + second_front;
-            let used = OWN_DESCRIPTORS + clients + bounds.server_connections + front(bounds.operators);
+            let used = RESERVED_DESCRIPTORS + clients + bounds.server_connections + front(bounds.operators);
             assert!(used <= sockets, "{sockets}: {used} with {bounds:?}, {second} of the second front");
         }
         // The limits use most of the available descriptors.
--- a/gateway/src/daemon/counters.rs
+++ b/gateway/src/daemon/counters.rs
@@ -21,9 +21,9 @@
         sleep(LOG_INTERVAL).await;
         let current = Counts {
             started_unix_ms,
-            discovery_responses: discovery.answered.get(),
+            discovery_responses: discovery.successful_polls.get(),
             discovery_lines: discovery.lines.get(),
-            discovery_failures: discovery.failed.get(),
+            discovery_failures: discovery.failed_polls.get(),
             prices,
             ..pool.engine.counts()
         };
--- a/gateway/src/daemon/exit.rs
+++ b/gateway/src/daemon/exit.rs
@@ -10,7 +10,7 @@
 use crate::shutdown::{Phase, Shutdown};
 
 /// Time after SIGTERM during which connections are still accepted: clients of the platform open new ones for 0.4 s.
-const DRAINING_TIME: Duration = Duration::from_millis(600);
+const DRAIN_DURATION: Duration = Duration::from_millis(600);
 /// Interval of the checks for releases in flight, and the time allowed for the last accepted connections to be counted.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -18,14 +18,14 @@
 /// releases of reservations at servers.
 ///
 /// If there is a successor, streams in flight are handed over to it `stream_handover_delay` after the start.
-pub async fn leave(shutdown: &Shutdown, pools: &[Pool], stream_handover_delay: Duration) {
+pub async fn graceful_shutdown(shutdown: &Shutdown, pools: &[Pool], stream_handover_delay: Duration) {
     log!("SIGTERM: draining");
     shutdown.enter(Phase::Draining);
     // A successor accepts the new connections instead.
     if shutdown.has_successor() {
         spawn_local(hand_over_streams(shutdown.clone(), pools.to_vec(), stream_handover_delay));
     } else {
-        sleep(DRAINING_TIME).await;
+        sleep(DRAIN_DURATION).await;
     }
     shutdown.enter(Phase::Closing);
     // Gives the fronts time to accept and count the connections that were already in the listen queue.
--- a/gateway/src/daemon/inference.rs
+++ b/gateway/src/daemon/inference.rs
@@ -7,7 +7,7 @@
 use super::error::DaemonError;
 use super::handover::InheritedFront;
 use super::listeners::{listen, ListenAddress};
-use super::{Context, Parts};
+use super::{Context, StartedComponents};
 use crate::config;
 use crate::front::server::{self, FrontListener};
 use crate::log;
@@ -24,7 +24,7 @@
 /// connections of this front.
 pub(super) async fn start(
     file: FrontFile, platform: Option<PlatformChat>, inherited: InheritedFront, max_connections: usize,
-    context: &Context, parts: &mut Parts,
+    context: &Context, parts: &mut StartedComponents,
 ) -> Result<(), DaemonError> {
     let FrontFile { front: file, path } = file;
     let listen_address = ListenAddress { address: &file.listen, key: "listen", front: "second" };
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -26,13 +26,13 @@
 use self::handover::{Handover, HandoverHooks};
 use self::inference::FrontFile;
 use self::listeners::ListenerCopies;
-use self::platform::AdminPart;
+use self::platform::AdminComponents;
 use self::signals::{Reloads, Signals};
 use crate::admin::{AdminContext, AdminFront};
 use crate::budget::Budget;
 use crate::config::{self, Bounds, Files};
 use crate::core::duration;
-use crate::fleet::{self, FleetError, Start};
+use crate::fleet::{self, FleetError, MemberConfig};
 use crate::front::inference::{CHAT, EMBEDDINGS};
 use crate::front::server;
 use crate::metrics::RequestMetrics;
@@ -42,14 +42,14 @@
 use crate::upgrade::SharedLimits;
 
 pub use self::error::DaemonError;
-pub use self::exit::leave;
+pub use self::exit::graceful_shutdown;
 
 /// Complete configuration that the gateway is started with.
 struct Configuration {
     platform: Option<config::Platform>,
     second: Option<FrontFile>,
     plugin: Option<Rc<Plugin>>,
-    fleet: Option<(Start, Keyring)>,
+    fleet: Option<(MemberConfig, Keyring)>,
 }
 
 /// Resources and state shared by the components.
@@ -67,7 +67,7 @@
 
 /// Listeners, pools and reload callbacks, collected while the components start.
 #[derive(Default)]
-struct Parts {
+struct StartedComponents {
     listeners: ListenerCopies,
     pools: Vec<Pool>,
     reloads: Reloads,
@@ -95,16 +95,18 @@
 }
 
 /// Reads the fleet's file, subject to the platform's settings for this gateway.
-fn read_fleet(file: &Path, platform: Option<&config::Platform>) -> Result<(Start, Keyring), FleetError> {
+fn read_fleet(
+    file: &Path, platform: Option<&config::Platform>,
+) -> Result<(MemberConfig, Keyring), FleetError> {
     let name = match platform {
         Some(platform) => platform.name.clone(),
         None => std::env::var("EDGE_NAME").ok(),
     };
-    let platform = platform.map(|platform| fleet::Platform {
-        peers: platform.settings.limits.gossip,
+    let platform = platform.map(|platform| fleet::PlatformSettings {
+        gossip_permitted: platform.settings.limits.gossip,
         state: platform.state.clone(),
     });
-    Start::read(file, name, platform.as_ref())
+    MemberConfig::read(file, name, platform.as_ref())
 }
 
 /// Starts the components in order and runs them until the graceful shutdown is complete.
@@ -125,8 +127,8 @@
         has_predecessor: handover.has_predecessor(),
     };
     let mut signals = Signals::new()?;
-    let clients = ClientShares::new(&bounds, platform.as_ref(), second.as_ref());
-    let mut parts = Parts::default();
+    let clients = ClientConnectionLimits::new(&bounds, platform.as_ref(), second.as_ref());
+    let mut parts = StartedComponents::default();
     let (mut chat, mut hooks, mut admin) = (None, HandoverHooks::default(), None);
     if let Some(platform) = platform {
         let part =
@@ -137,13 +139,13 @@
         inference::start(file, chat, inheritance.second, clients.second, &context, &mut parts).await?;
     }
     let member = start_fleet(fleet, &context, &mut parts)?;
-    let Parts { listeners, pools, reloads } = parts;
+    let StartedComponents { listeners, pools, reloads } = parts;
     if let Some(admin) = admin {
         start_admin(admin, bounds.operators, &pools, member.as_ref(), &context);
     }
     let _idle_handover = handover.start(listeners, hooks, &context.shutdown);
     spawn_local(reloads.run(signals.reload));
-    signals.end.received().await;
+    signals.termination.received().await;
     shut_down(&context.shutdown, &pools, &delays, member).await;
     Ok(())
 }
@@ -155,7 +157,7 @@
     if let Some(delay) = delays.last_response {
         spawn_local(exit::answer_pending(pools.to_vec(), delay));
     }
-    leave(shutdown, pools, delays.stream_handover).await;
+    graceful_shutdown(shutdown, pools, delays.stream_handover).await;
     // The member leaves last: until here this process serves, and the fleet must treat it as available.
     if let Some(member) = member {
         member.leave();
@@ -200,19 +202,19 @@
 }
 
 /// Maximum number of client connections of each front.
-struct ClientShares {
+struct ClientConnectionLimits {
     platform: usize,
     second: usize,
 }
 
-impl ClientShares {
+impl ClientConnectionLimits {
     /// Divides the client connections between the fronts: the second may use half of them, or all if it is the only
     /// front.
     fn new(bounds: &Bounds, platform: Option<&config::Platform>, second: Option<&FrontFile>) -> Self {
         let fronts = if platform.is_some() { 2 } else { 1 };
         let share = bounds.client_connections / fronts;
         let second = second.map_or(0, |file| file.front.max_connections.min(share));
-        ClientShares { platform: bounds.client_connections - second, second }
+        ClientConnectionLimits { platform: bounds.client_connections - second, second }
     }
 }
 
@@ -224,7 +226,7 @@
 }
 
 fn start_fleet(
-    fleet: Option<(Start, Keyring)>, context: &Context, parts: &mut Parts,
+    fleet: Option<(MemberConfig, Keyring)>, context: &Context, parts: &mut StartedComponents,
 ) -> Result<Option<fleet::Handle>, FleetError> {
     let Some(fleet) = fleet else { return Ok(None) };
     let member = fleet::start(fleet, context.has_predecessor, &context.shutdown)?;
@@ -235,10 +237,10 @@
 
 /// Starts the operators' front. It serves until the process exits, so it has a `Shutdown` of its own.
 fn start_admin(
-    admin: AdminPart, max_connections: usize, pools: &[Pool], member: Option<&fleet::Handle>,
+    admin: AdminComponents, max_connections: usize, pools: &[Pool], member: Option<&fleet::Handle>,
     context: &Context,
 ) {
-    let AdminPart { listener, ready, maintenance } = admin;
+    let AdminComponents { listener, ready, maintenance } = admin;
     let front = AdminFront::new(AdminContext {
         ready,
         metrics: context.metrics.clone(),
--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -17,7 +17,7 @@
 use super::error::DaemonError;
 use super::handover::{HandoverHooks, InheritedFront};
 use super::listeners::{listen, ListenAddress};
-use super::{Context, Parts};
+use super::{Context, StartedComponents};
 use crate::config;
 use crate::core::duration;
 use crate::discovery::{self, DiscoveryMetrics, EndpointList, SettingsNames};
@@ -37,15 +37,15 @@
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Platform components that other components use.
-pub(super) struct PlatformPart {
+pub(super) struct PlatformComponents {
     pub(super) chat: PlatformChat,
     pub(super) handover: HandoverHooks,
     /// Components of the operators' front; `None` if that front is disabled.
-    pub(super) admin: Option<AdminPart>,
+    pub(super) admin: Option<AdminComponents>,
 }
 
 /// Components that the operators' front uses.
-pub(super) struct AdminPart {
+pub(super) struct AdminComponents {
     pub(super) listener: TcpListener,
     pub(super) ready: Rc<dyn Fn() -> bool>,
     pub(super) maintenance: Rc<Maintenance<Engine>>,
@@ -54,8 +54,8 @@
 /// Starts the platform's components. `max_connections` limits the client connections of its front.
 pub(super) async fn start(
     platform: config::Platform, inherited: InheritedFront, max_connections: usize, context: &Context,
-    parts: &mut Parts,
-) -> Result<PlatformPart, DaemonError> {
+    parts: &mut StartedComponents,
+) -> Result<PlatformComponents, DaemonError> {
     let address = platform.listen.to_string();
     let listen_address = ListenAddress { address: &address, key: "listen", front: "platform" };
     let listener = listen(listen_address, inherited.listener).await?;
@@ -86,7 +86,7 @@
     };
     let front = front(names, &pool, context);
     spawn_local(server::serve(front_listener, front, max_connections, context.shutdown.clone()));
-    Ok(PlatformPart { chat, handover, admin })
+    Ok(PlatformComponents { chat, handover, admin })
 }
 
 fn pool(platform: &config::Platform, context: &Context) -> Pool {
@@ -129,7 +129,7 @@
 /// Applies the initial list and starts the watch of discovery. The returned flag is set once discovery sends a list.
 fn start_discovery(
     platform: &config::Platform, pool: &Pool, maintenance: &Rc<Maintenance<Engine>>, context: &Context,
-    parts: &mut Parts,
+    parts: &mut StartedComponents,
 ) -> Rc<Cell<bool>> {
     let schedule = discovery::poll_schedule(&platform.settings, platform.seed);
     let address = watch::Sender::new(platform.discovery.clone());
@@ -168,7 +168,7 @@
 /// Binds the operators' front and watches for maintenance orders given to other processes of this gateway.
 async fn start_maintenance(
     address: SocketAddr, pool: &Pool, maintenance: &Rc<Maintenance<Engine>>, context: &Context,
-) -> Result<AdminPart, DaemonError> {
+) -> Result<AdminComponents, DaemonError> {
     let address = address.to_string();
     let listen_address = ListenAddress { address: &address, key: "ops", front: "operators'" };
     let listener = listen(listen_address, None).await?;
@@ -178,7 +178,7 @@
     let ready = move || *accepting.borrow() && shutdown.phase() == Phase::Serving && core.can_serve();
     let watched = maintenance.clone();
     spawn_local(async move { watched.watch_orders().await });
-    Ok(AdminPart { listener, ready: Rc::new(ready), maintenance: maintenance.clone() })
+    Ok(AdminComponents { listener, ready: Rc::new(ready), maintenance: maintenance.clone() })
 }
 
 /// Returns the readiness check of a successor: it can serve, under the same maintenance orders as its predecessor, and
--- a/gateway/src/daemon/signals.rs
+++ b/gateway/src/daemon/signals.rs
@@ -7,18 +7,18 @@
 
 /// Signal handlers, installed at the start so that a signal received before it is awaited is not lost.
 pub(super) struct Signals {
-    pub(super) end: EndSignals,
+    pub(super) termination: ShutdownSignals,
     pub(super) reload: Signal,
 }
 
 /// Signals that start the graceful shutdown. Further ones during the shutdown have no effect.
-pub(super) struct EndSignals {
+pub(super) struct ShutdownSignals {
     terminate: Signal,
     /// SIGINT, for a program stopped with Ctrl-C; same effect as SIGTERM.
     interrupt: Signal,
 }
 
-impl EndSignals {
+impl ShutdownSignals {
     /// Waits for the first of these signals.
     pub(super) async fn received(&mut self) {
         tokio::select! {
@@ -33,7 +33,10 @@
         let handle = |kind| signal(kind).map_err(DaemonError::Signals);
         let terminate = handle(SignalKind::terminate())?;
         let interrupt = handle(SignalKind::interrupt())?;
-        Ok(Signals { end: EndSignals { terminate, interrupt }, reload: handle(SignalKind::hangup())? })
+        Ok(Signals {
+            termination: ShutdownSignals { terminate, interrupt },
+            reload: handle(SignalKind::hangup())?,
+        })
     }
 }
 
--- a/gateway/src/discovery/watch/mod.rs
+++ b/gateway/src/discovery/watch/mod.rs
@@ -32,11 +32,11 @@
 #[derive(Debug, Default)]
 pub struct DiscoveryMetrics {
     /// Successful polls, including those that reported no change.
-    pub answered: Cell<u64>,
+    pub successful_polls: Cell<u64>,
     /// Usable lines in the lists of those polls.
     pub lines: Cell<u64>,
     /// Failed polls.
-    pub failed: Cell<u64>,
+    pub failed_polls: Cell<u64>,
 }
 
 /// Returns the poll schedule of this gateway. Each gateway needs a different seed, or they all poll at the same time.
@@ -150,7 +150,7 @@
         }
         self.schedule.poll_succeeded();
         let lines = list.endpoints.len();
-        self.metrics.answered.set(self.metrics.answered.get() + 1);
+        self.metrics.successful_polls.set(self.metrics.successful_polls.get() + 1);
         self.metrics.lines.set(self.metrics.lines.get() + lines as u64);
         let is_full = is_full(&list, poll);
         if is_full || lines > 0 {
@@ -164,7 +164,7 @@
 
     async fn poll_failed(&mut self, error: &PollError, started: Instant) {
         let backoff = self.schedule.poll_failed(error.failure(), started.elapsed());
-        self.metrics.failed.set(self.metrics.failed.get() + 1);
+        self.metrics.failed_polls.set(self.metrics.failed_polls.get() + 1);
         let failures = self.schedule.failures();
         // Limits the log lines of polls that fail immediately.
         if failures.is_power_of_two() {
--- a/gateway/src/fleet/config.rs
+++ b/gateway/src/fleet/config.rs
@@ -19,7 +19,7 @@
 /// Defines the section with one optional key for each of the [`Settings`], under the same name, so that an error about
 /// a setting names the key.
 macro_rules! section {
-    ($($figure:ident: $type:ty),* $(,)?) => {
+    ($($setting:ident: $type:ty),* $(,)?) => {
         /// Contents of the section. Times are in milliseconds.
         #[derive(Clone, Debug, Deserialize)]
         #[serde(deny_unknown_fields)]
@@ -48,17 +48,17 @@
             #[serde(default = "default_exchanges")]
             pub exchanges: usize,
             $(
-                #[doc = concat!("See `Settings::", stringify!($figure), "`.")]
-                pub $figure: Option<$type>,
+                #[doc = concat!("See `Settings::", stringify!($setting), "`.")]
+                pub $setting: Option<$type>,
             )*
         }
 
         impl Section {
             /// Returns the settings of the file, with defaults for missing ones.
-            pub fn figures(&self) -> Settings {
-                let mut figures = Settings::default();
-                $(if let Some(figure) = self.$figure { figures.$figure = figure; })*
-                figures
+            pub fn settings(&self) -> Settings {
+                let mut settings = Settings::default();
+                $(if let Some(value) = self.$setting { settings.$setting = value; })*
+                settings
             }
         }
     };
@@ -89,13 +89,13 @@
     let text =
         std::fs::read_to_string(path).map_err(|error| FleetError::Unreadable { file: file(), error })?;
     let File { fleet: section } = toml::from_str(&text).map_err(|error| syntax_error(path, &text, &error))?;
-    let figure = |error| FleetError::Figure { file: file(), error };
-    section.figures().check().map_err(figure)?;
+    let settings_error = |error| FleetError::Figure { file: file(), error };
+    section.settings().check().map_err(settings_error)?;
     for (setting, value) in
         [("exchange_time", section.exchange_time), ("exchanges", section.exchanges as u64)]
     {
         if value == 0 {
-            return Err(figure(glenrail_fleet::SettingsError::TooSmall { setting, value, min: 1 }));
+            return Err(settings_error(glenrail_fleet::SettingsError::TooSmall { setting, value, min: 1 }));
         }
     }
     Ok(section)
--- a/gateway/src/fleet/config/tests.rs
+++ b/gateway/src/fleet/config/tests.rs
@@ -32,7 +32,7 @@
 fn the_shipped_file_shows_every_setting_with_its_default() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/fleet.toml");
     let section = read(Path::new(path)).expect("it loads");
-    assert_eq!(section.figures(), Settings::default());
+    assert_eq!(section.settings(), Settings::default());
     let text = std::fs::read_to_string(path).expect("text");
     let shown = |key: &str| {
         let shows = |line: &str| line.trim_start_matches("# ").starts_with(&format!("{key} = "));
--- a/gateway/src/fleet/driver.rs
+++ b/gateway/src/fleet/driver.rs
@@ -103,12 +103,12 @@
         let now = self.now();
         let value = step(&mut self.fleet.borrow_mut(), now, &mut effects);
         for effect in effects {
-            self.carry_out(now, effect);
+            self.execute(now, effect);
         }
         value
     }
 
-    fn carry_out(self: &Rc<Self>, now: u64, effect: Effect) {
+    fn execute(self: &Rc<Self>, now: u64, effect: Effect) {
         match effect {
             Effect::Send { to, bytes } => self.send(to, &bytes),
             Effect::Timer { delay_ms, token } => self.timers.add(now + delay_ms, token),
@@ -173,7 +173,7 @@
     }
 
     /// Counts and logs a failed stream. Data merged before the failure is kept.
-    pub(super) fn stream_broke(&self, error: &WireError) {
+    pub(super) fn record_stream_failure(&self, error: &WireError) {
         self.broken.set(self.broken.get() + 1);
         match error {
             WireError::Exchange { with, error: ExchangeError::Rejection(rejection) } => {
@@ -209,7 +209,7 @@
     }
 
     /// Returns the number of failed streams.
-    pub(super) fn broken_streams(&self) -> u64 {
+    pub(super) fn failed_streams(&self) -> u64 {
         self.broken.get()
     }
 
--- a/gateway/src/fleet/error.rs
+++ b/gateway/src/fleet/error.rs
@@ -116,10 +116,10 @@
         mode: u32,
     },
     /// The file is too long.
-    #[error("is over the bound of {most} bytes")]
+    #[error("is over the bound of {max_bytes} bytes")]
     TooLong {
         /// Maximum length, in bytes.
-        most: usize,
+        max_bytes: usize,
     },
     /// The file is not UTF-8.
     #[error("is not text")]
@@ -206,20 +206,20 @@
         with: SocketAddr,
     },
     /// A stream reached its time limit.
-    #[error("a stream with {with} took longer than {most} ms")]
+    #[error("a stream with {with} took longer than {limit_ms} ms")]
     TimedOut {
         /// The other side.
         with: SocketAddr,
         /// Limit, in milliseconds.
-        most: u64,
+        limit_ms: u64,
     },
     /// An accepted stream was closed because the maximum number is in progress.
-    #[error("a stream with {with} is not taken: {most} run already")]
+    #[error("a stream with {with} is not taken: {limit} run already")]
     TooManyStreams {
         /// The other side.
         with: SocketAddr,
         /// Maximum number of concurrent streams.
-        most: usize,
+        limit: usize,
     },
     /// The state machine aborted an exchange.
     #[error("a stream with {with}: {error}")]
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -47,7 +47,8 @@
         match driver.sockets.listener.accept().await {
             Ok((stream, with)) => match IncomingStream::new(driver) {
                 Some(incoming) => spawn_accepted(incoming, stream, with),
-                None => driver.stream_broke(&WireError::TooManyStreams { with, most: driver.max_incoming }),
+                None => driver
+                    .record_stream_failure(&WireError::TooManyStreams { with, limit: driver.max_incoming }),
             },
             Err(error) => {
                 driver.log_failure(&WireError::Accept(error));
@@ -87,10 +88,10 @@
 async fn limit_time(
     driver: &Driver, with: SocketAddr, exchange: impl Future<Output = Result<(), WireError>>,
 ) {
-    let most = driver.stream_timeout;
-    let result = timeout(Duration::from_millis(most), exchange).await;
-    if let Err(error) = result.unwrap_or(Err(WireError::TimedOut { with, most })) {
-        driver.stream_broke(&error);
+    let limit_ms = driver.stream_timeout;
+    let result = timeout(Duration::from_millis(limit_ms), exchange).await;
+    if let Err(error) = result.unwrap_or(Err(WireError::TimedOut { with, limit_ms })) {
+        driver.record_stream_failure(&error);
     }
 }
 
--- a/gateway/src/fleet/figures.rs
+++ b/gateway/src/fleet/figures.rs
@@ -45,7 +45,7 @@
             "by_second_key": counters.by_second_key,
             "key_reads": key_reads,
             "exchanges_asked": counters.exchanges_requested,
-            "exchanges_broken": driver.broken_streams(),
+            "exchanges_broken": driver.failed_streams(),
             "entries_over_bounds": counters.entries_over_bounds,
             "late_timers": counters.late_timers,
         })
--- a/gateway/src/fleet/incarnation.rs
+++ b/gateway/src/fleet/incarnation.rs
@@ -12,7 +12,7 @@
 use super::error::IncarnationError;
 
 /// Returns the Unix time in milliseconds; 0 if the clock is before 1970.
-pub fn clock() -> u64 {
+pub fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |duration| duration.as_millis() as u64)
 }
 
--- a/gateway/src/fleet/keys/tests.rs
+++ b/gateway/src/fleet/keys/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_file_that_others_may_use_is_refused_whatever_it_holds() {
+fn a_key_file_accessible_to_other_users_is_rejected() {
     let file = std::env::temp_dir().join(format!("glenrail-keys-{}", std::process::id()));
     let write = |text: &[u8], mode| {
         std::fs::write(&file, text).expect("a file");
@@ -22,7 +22,7 @@
     assert!(matches!(read(&file, "f"), Err(KeyFileError::NotText)));
     std::fs::remove_file(&file).expect("removed");
     write(&[b'#'; MAX_FILE_BYTES + 1], 0o600);
-    assert!(matches!(read(&file, "f"), Err(KeyFileError::TooLong { most: MAX_FILE_BYTES })));
+    assert!(matches!(read(&file, "f"), Err(KeyFileError::TooLong { max_bytes: MAX_FILE_BYTES })));
     std::fs::remove_file(&file).expect("removed");
     assert!(matches!(read(&file, "f"), Err(KeyFileError::Unreadable(_))));
     assert!(matches!(read(&std::env::temp_dir(), "f"), Err(KeyFileError::NotAFile)));
--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 
 pub use driver::Driver;
 pub use error::FleetError;
-pub use start::{Platform, Start};
+pub use start::{MemberConfig, PlatformSettings};
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -45,7 +45,7 @@
 
 /// State that outlives an incarnation.
 struct Shared {
-    start: Start,
+    start: MemberConfig,
     keys: RefCell<Keyring>,
     key_reads: Cell<u64>,
     /// Driver and the handle of its tasks; `None` while another process has the port.
@@ -58,10 +58,10 @@
 #[derive(Clone)]
 pub struct Handle(Rc<Shared>);
 
-/// Starts the membership, which runs until the process exits. If `after` is set, a predecessor is handing over to this
+/// Starts the membership, which runs until the process exits. If `has_predecessor` is set, another process is handing over to this
 /// process, so a port in use is waited for; otherwise it is an error.
 pub fn start(
-    (start, keys): (Start, Keyring), after: bool, shutdown: &Shutdown,
+    (start, keys): (MemberConfig, Keyring), has_predecessor: bool, shutdown: &Shutdown,
 ) -> Result<Handle, FleetError> {
     let handle = Handle(Rc::new(Shared {
         start,
@@ -71,12 +71,14 @@
         has_left: Cell::new(false),
     }));
     match handle.start_driver() {
-        Err(FleetError::Bind { error, .. }) if after && error.kind() == std::io::ErrorKind::AddrInUse => {
+        Err(FleetError::Bind { error, .. })
+            if has_predecessor && error.kind() == std::io::ErrorKind::AddrInUse =>
+        {
             log!("fleet: waits for the port of the process before");
         }
         started => started?,
     }
-    spawn_local(handle.clone().follow_port(shutdown.clone()));
+    spawn_local(handle.clone().track_port(shutdown.clone()));
     Ok(handle)
 }
 
@@ -104,7 +106,7 @@
 
     /// Ensures that only one process is the member: releases the port to a successor, and binds it again if the
     /// successor terminates.
-    async fn follow_port(self, shutdown: Shutdown) {
+    async fn track_port(self, shutdown: Shutdown) {
         let mut successor_updates = shutdown.successor_updates();
         while !self.0.has_left.get() {
             // Evaluated before the match: a driver in the scrutinee would live through the arms and keep the port
--- a/gateway/src/fleet/start.rs
+++ b/gateway/src/fleet/start.rs
@@ -11,15 +11,15 @@
 use super::{incarnation, keys};
 
 /// Settings of the platform that concern the fleet.
-pub struct Platform {
+pub struct PlatformSettings {
     /// Whether the platform permits messages among gateways.
-    pub peers: bool,
+    pub gossip_permitted: bool,
     /// State directory of this gateway.
     pub state: PathBuf,
 }
 
 /// Validated parameters for starting the member.
-pub struct Start {
+pub struct MemberConfig {
     pub(super) file: PathBuf,
     pub(super) section: Section,
     /// Name of this gateway.
@@ -27,15 +27,15 @@
     life_file: Option<PathBuf>,
 }
 
-impl Start {
+impl MemberConfig {
     /// Reads the file and the keys, and returns an error if the platform forbids messages among gateways. Opens no
     /// sockets. `name` is the name of this gateway from the platform or the environment; it takes precedence over that
     /// in the file.
     pub fn read(
-        file: &Path, name: Option<String>, platform: Option<&Platform>,
-    ) -> Result<(Start, Keyring), FleetError> {
+        file: &Path, name: Option<String>, platform: Option<&PlatformSettings>,
+    ) -> Result<(MemberConfig, Keyring), FleetError> {
         let section = config::read(file)?;
-        if platform.is_some_and(|platform| !platform.peers) {
+        if platform.is_some_and(|platform| !platform.gossip_permitted) {
             return Err(FleetError::Forbidden { file: file.into() });
         }
         let member = name.or(section.member.clone()).filter(|name| !name.is_empty());
@@ -43,7 +43,7 @@
         let keys = read_keys(&section, &section.name)?;
         let in_state = || platform.map(|platform| platform.state.join("life"));
         let life_file = section.life_file.clone().or_else(in_state);
-        Ok((Start { file: file.into(), section, member, life_file }, keys))
+        Ok((MemberConfig { file: file.into(), section, member, life_file }, keys))
     }
 
     /// Reads the keys again, with the fleet name that the member was started with.
@@ -54,7 +54,7 @@
     /// Returns the incarnation for a start at this time, after storing it.
     pub(super) fn next_incarnation(&self) -> Result<Incarnation, FleetError> {
         let file = self.life_file.as_deref();
-        incarnation::next(incarnation::clock(), file).map_err(|error| FleetError::Incarnation {
+        incarnation::next(incarnation::unix_time_ms(), file).map_err(|error| FleetError::Incarnation {
             file: file.map(Path::to_path_buf).unwrap_or_default(),
             error,
         })
--- a/gateway/src/fleet/tasks.rs
+++ b/gateway/src/fleet/tasks.rs
@@ -9,12 +9,12 @@
 use super::driver::Driver;
 use super::error::FleetError;
 use super::sockets::Sockets;
-use super::start::Start;
+use super::start::MemberConfig;
 use super::{exchange, timers, udp};
 use crate::log;
 
 /// Binds the sockets and starts the member, which then contacts the seeds.
-pub(super) fn start(start: &Start, keys: Keyring) -> Result<Rc<Driver>, FleetError> {
+pub(super) fn start(start: &MemberConfig, keys: Keyring) -> Result<Rc<Driver>, FleetError> {
     let section = &start.section;
     let sockets = Sockets::bind(section.bind).map_err(|error| start.cannot_bind(error))?;
     let bound = sockets.local_address().map_err(|error| start.cannot_bind(error))?;
@@ -34,12 +34,12 @@
 }
 
 fn new_fleet(
-    start: &Start, keys: Keyring, incarnation: Incarnation, address: SocketAddr,
+    start: &MemberConfig, keys: Keyring, incarnation: Incarnation, address: SocketAddr,
 ) -> Result<Fleet, FleetError> {
     // The seed only makes members choose differently, so it may be predictable.
     let seed = incarnation.0 ^ u64::from(std::process::id()) << 40;
     let seeds = start.section.seeds.clone();
-    let settings = start.section.figures();
+    let settings = start.section.settings();
     Fleet::new(&start.member, incarnation, address, seeds, keys, settings, seed)
         .map_err(|error| FleetError::Figure { file: start.file.clone(), error })
 }
--- a/gateway/src/haproxy.rs
+++ b/gateway/src/haproxy.rs
@@ -10,10 +10,10 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::config::{self, front_from, InferenceFrontConfig, PoolConfig};
+use crate::config::{self, parse_front, InferenceFrontConfig, PoolConfig};
 
-pub use self::line::LeftOutReason;
-use self::line::Part;
+use self::line::ApiPart;
+pub use self::line::SkipReason;
 use self::reader::{Backend, Reader};
 
 /// Result of a conversion: the second front's file, and the lines that were not converted.
@@ -22,16 +22,16 @@
     /// Contents of the second front's file (TOML).
     pub text: String,
     /// Lines that were not converted, in order.
-    pub left_out: Vec<LeftOut>,
+    pub left_out: Vec<SkippedLine>,
 }
 
 /// A line of the input that was not converted, or only in part.
 #[derive(Debug)]
-pub struct LeftOut {
+pub struct SkippedLine {
     /// Line number, starting at 1.
     pub line: usize,
     /// Reason why it was not converted.
-    pub reason: LeftOutReason,
+    pub reason: SkipReason,
 }
 
 /// Error of an import.
@@ -72,7 +72,7 @@
     let text = std::fs::read_to_string(path)
         .map_err(|error| ImportError::Unreadable { path: path.into(), error })?;
     let imported = convert(&text)?;
-    for LeftOut { line, reason } in &imported.left_out {
+    for SkippedLine { line, reason } in &imported.left_out {
         eprintln!("{}: line {line}: not taken over: {reason}", path.display());
     }
     print!("{}", imported.text);
@@ -92,7 +92,7 @@
     left_out.sort_by_cached_key(|left_out| (left_out.line, left_out.reason.to_string()));
     let text = file_text(&front, &left_out)?;
     // The converted file must load.
-    front_from(&text).map_err(ConvertError::Unusable)?;
+    parse_front(&text).map_err(ConvertError::Unusable)?;
     Ok(Imported { text, left_out })
 }
 
@@ -104,10 +104,10 @@
 }
 
 impl ChosenBackends {
-    fn part(&mut self, part: Part) -> &mut Option<String> {
+    fn part(&mut self, part: ApiPart) -> &mut Option<String> {
         match part {
-            Part::Embeddings => &mut self.embeddings,
-            Part::Chat => &mut self.chat,
+            ApiPart::Embeddings => &mut self.embeddings,
+            ApiPart::Chat => &mut self.chat,
         }
     }
 
@@ -140,9 +140,9 @@
     Some(pool)
 }
 
-fn file_text(front: &InferenceFrontConfig, left_out: &[LeftOut]) -> Result<String, ConvertError> {
+fn file_text(front: &InferenceFrontConfig, left_out: &[SkippedLine]) -> Result<String, ConvertError> {
     let mut text = String::from("# From an HAProxy configuration.\n");
-    for LeftOut { line, reason } in left_out {
+    for SkippedLine { line, reason } in left_out {
         text += &format!("# line {line} was not taken over: {reason}\n");
     }
     text += &toml::to_string(front)?;
--- a/gateway/src/haproxy/line.rs
+++ b/gateway/src/haproxy/line.rs
@@ -5,11 +5,11 @@
 use crate::config::ServerConfig;
 
 /// HAProxy weight that corresponds to a weight of 1.0 in the second front's file.
-const FULL_WEIGHT: f64 = 100.0;
+const REFERENCE_WEIGHT: f64 = 100.0;
 
 /// Reason why a line, or a part of one, was not converted.
 #[derive(Debug, thiserror::Error)]
-pub enum LeftOutReason {
+pub enum SkipReason {
     /// The second front has no such setting.
     #[error("{0:?} has no counterpart")]
     NoCounterpart(String),
@@ -59,7 +59,7 @@
 
 /// A part of the API with a pool of its own.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Part {
+pub(super) enum ApiPart {
     /// Embeddings and rerank.
     Embeddings,
     /// Chat completions.
@@ -67,10 +67,10 @@
 }
 
 /// Returns an error if words remain after the known part of a line.
-pub(super) fn no_more(words: &[&str]) -> Result<(), LeftOutReason> {
+pub(super) fn reject_remaining_words(words: &[&str]) -> Result<(), SkipReason> {
     match words {
         [] => Ok(()),
-        words => Err(LeftOutReason::NoCounterpartInLine(words.join(" "))),
+        words => Err(SkipReason::NoCounterpartInLine(words.join(" "))),
     }
 }
 
@@ -95,7 +95,7 @@
             "weight" => match options.next().map(|weight| (*weight, weight.parse::<u32>())) {
                 // HAProxy sends no new requests to a server of weight 0, which corresponds to draining.
                 Some((_, Ok(0))) => server.drain = true,
-                Some((_, Ok(weight))) => server.weight = f64::from(weight) / FULL_WEIGHT,
+                Some((_, Ok(weight))) => server.weight = f64::from(weight) / REFERENCE_WEIGHT,
                 Some((text, Err(_))) => left_out.extend(["weight", text]),
                 None => left_out.push("weight"),
             },
@@ -107,7 +107,7 @@
 }
 
 /// Returns the part of the API that a path test selects; `None` unless all paths belong to the same part.
-pub(super) fn tested_part(test: &str, paths: &[&str]) -> Option<Part> {
+pub(super) fn tested_part(test: &str, paths: &[&str]) -> Option<ApiPart> {
     if !matches!(test, "path" | "path_beg") {
         return None;
     }
@@ -115,20 +115,20 @@
     paths.iter().all(|path| part_of_path(path) == Some(first)).then_some(first)
 }
 
-fn part_of_path(path: &str) -> Option<Part> {
+fn part_of_path(path: &str) -> Option<ApiPart> {
     match path {
-        "/v1/embeddings" | "/v1/rerank" => Some(Part::Embeddings),
-        "/v1/chat" | "/v1/chat/" | "/v1/chat/completions" => Some(Part::Chat),
+        "/v1/embeddings" | "/v1/rerank" => Some(ApiPart::Embeddings),
+        "/v1/chat" | "/v1/chat/" | "/v1/chat/completions" => Some(ApiPart::Chat),
         _ => None,
     }
 }
 
 /// Returns the part of the API for a backend without a path test, guessed from the name of the backend.
-pub(super) fn part_by_name(backend: &str) -> Part {
+pub(super) fn part_by_name(backend: &str) -> ApiPart {
     if backend.contains("embed") || backend.contains("rerank") {
-        Part::Embeddings
+        ApiPart::Embeddings
     } else {
-        Part::Chat
+        ApiPart::Chat
     }
 }
 
--- a/gateway/src/haproxy/reader.rs
+++ b/gateway/src/haproxy/reader.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 use std::mem::take;
 
-use super::line::{address, milliseconds, no_more, part_by_name, server, tested_part, LeftOutReason, Part};
-use super::{ChosenBackends, LeftOut};
+use super::line::{
+    address, milliseconds, part_by_name, reject_remaining_words, server, tested_part, ApiPart, SkipReason,
+};
+use super::{ChosenBackends, SkippedLine};
 use crate::config::ServerConfig;
 
 /// Settings of a `backend` or `listen` section, or their defaults from `defaults`.
@@ -62,7 +64,7 @@
 struct Rule {
     line: usize,
     /// Part of the API that the test of the rule selects; `None` for a rule without a test.
-    part: Option<Part>,
+    part: Option<ApiPart>,
     backend: String,
 }
 
@@ -70,14 +72,14 @@
 #[derive(Default)]
 pub(super) struct Reader {
     section: Option<Section>,
-    pub(super) left_out: Vec<LeftOut>,
+    pub(super) left_out: Vec<SkippedLine>,
     bind: Option<Bind>,
     pub(super) max_connections: Option<usize>,
     pub(super) defaults: Backend,
     pub(super) client_ms: Option<u64>,
     pub(super) backends: BTreeMap<String, Backend>,
     /// Named path tests (`acl`), each with the part of the API that it selects.
-    acls: BTreeMap<String, Part>,
+    acls: BTreeMap<String, ApiPart>,
     rules: Vec<Rule>,
 }
 
@@ -91,7 +93,7 @@
             return self.begin_section(line, Section { kind, name });
         }
         if let Err(reason) = self.read_setting(line, &words) {
-            self.left_out.push(LeftOut { line, reason });
+            self.left_out.push(SkippedLine { line, reason });
         }
     }
 
@@ -109,8 +111,8 @@
         self.backends.entry(name.to_string()).or_default()
     }
 
-    fn read_setting(&mut self, line: usize, words: &[&str]) -> Result<(), LeftOutReason> {
-        let Some(section) = self.section.clone() else { return Err(LeftOutReason::OutsideSections) };
+    fn read_setting(&mut self, line: usize, words: &[&str]) -> Result<(), SkipReason> {
+        let Some(section) = self.section.clone() else { return Err(SkipReason::OutsideSections) };
         let kind = section.kind;
         match words {
             ["bind", listen, more @ ..] if kind.has_clients() => self.read_bind(line, listen, more),
@@ -120,7 +122,7 @@
                 self.read_timeout(&section, timer, time)
             }
             ["acl", name, test, paths @ ..] if kind.has_clients() => {
-                let part = tested_part(test, paths).ok_or(LeftOutReason::UnknownTest)?;
+                let part = tested_part(test, paths).ok_or(SkipReason::UnknownTest)?;
                 self.acls.insert(name.to_string(), part);
                 Ok(())
             }
@@ -129,41 +131,41 @@
                 Ok(())
             }
             ["use_backend", backend, "if", test @ ..] if kind.has_clients() => {
-                let part = self.part_of_test(test).ok_or(LeftOutReason::UnknownRuleTest)?;
+                let part = self.part_of_test(test).ok_or(SkipReason::UnknownRuleTest)?;
                 self.rules.push(Rule { line, part: Some(part), backend: backend.to_string() });
                 Ok(())
             }
             ["server", name, dial, options @ ..] if kind.has_servers() => {
-                let dial = address(dial).ok_or(LeftOutReason::NoServerAddress)?;
+                let dial = address(dial).ok_or(SkipReason::NoServerAddress)?;
                 let (server, left_out) = server(name, dial, options);
                 self.backend(&section.name).servers.push(server);
-                no_more(&left_out)
+                reject_remaining_words(&left_out)
             }
             _ => no_counterpart(words),
         }
     }
 
-    fn read_bind(&mut self, line: usize, listen: &str, more: &[&str]) -> Result<(), LeftOutReason> {
+    fn read_bind(&mut self, line: usize, listen: &str, more: &[&str]) -> Result<(), SkipReason> {
         if let Some(bind) = &self.bind {
-            return Err(LeftOutReason::SecondAddress { first: bind.line });
+            return Err(SkipReason::SecondAddress { first: bind.line });
         }
-        let address = address(listen).ok_or(LeftOutReason::NoAddress)?;
+        let address = address(listen).ok_or(SkipReason::NoAddress)?;
         self.bind = Some(Bind { line, address });
-        no_more(more)
+        reject_remaining_words(more)
     }
 
     /// Keeps the lowest `maxconn` of all sections, as the second front has a single limit.
-    fn read_max_connections(&mut self, number: &str) -> Result<(), LeftOutReason> {
+    fn read_max_connections(&mut self, number: &str) -> Result<(), SkipReason> {
         let number: usize = number.parse().unwrap_or(0);
         if number == 0 {
-            return Err(LeftOutReason::NoNumber);
+            return Err(SkipReason::NoNumber);
         }
         self.max_connections = Some(self.max_connections.map_or(number, |lowest| lowest.min(number)));
         Ok(())
     }
 
-    fn read_timeout(&mut self, section: &Section, timer: &str, time: &str) -> Result<(), LeftOutReason> {
-        let time_ms = milliseconds(time).ok_or_else(|| LeftOutReason::NoTime(time.to_string()))?;
+    fn read_timeout(&mut self, section: &Section, timer: &str, time: &str) -> Result<(), SkipReason> {
+        let time_ms = milliseconds(time).ok_or_else(|| SkipReason::NoTime(time.to_string()))?;
         let backend = match section.kind.has_servers() {
             true => self.backend(&section.name),
             false => &mut self.defaults,
@@ -179,7 +181,7 @@
 
     /// Returns the part of the API that the test of a rule selects: an anonymous test in braces, or the name of an
     /// `acl`.
-    fn part_of_test(&self, test: &[&str]) -> Option<Part> {
+    fn part_of_test(&self, test: &[&str]) -> Option<ApiPart> {
         match test {
             ["{", test, paths @ .., "}"] => tested_part(test, paths),
             [acl] => self.acls.get(*acl).copied(),
@@ -202,26 +204,26 @@
         for rule in rules {
             let line = rule.line;
             if let Err(reason) = self.follow_rule(rule, &mut chosen) {
-                self.left_out.push(LeftOut { line, reason });
+                self.left_out.push(SkippedLine { line, reason });
             }
         }
         for (name, backend) in &self.backends {
             if !chosen.contains(name) {
-                let reason = LeftOutReason::UnusedBackend(name.clone());
-                self.left_out.push(LeftOut { line: backend.line, reason });
+                let reason = SkipReason::UnusedBackend(name.clone());
+                self.left_out.push(SkippedLine { line: backend.line, reason });
             }
         }
         chosen
     }
 
-    fn follow_rule(&self, rule: Rule, chosen: &mut ChosenBackends) -> Result<(), LeftOutReason> {
+    fn follow_rule(&self, rule: Rule, chosen: &mut ChosenBackends) -> Result<(), SkipReason> {
         let Rule { part, backend, .. } = rule;
         if !self.backends.contains_key(&backend) {
-            return Err(LeftOutReason::NoBackend(backend));
+            return Err(SkipReason::NoBackend(backend));
         }
         let part = part.unwrap_or_else(|| part_by_name(&backend));
         match chosen.part(part) {
-            Some(other) if *other != backend => Err(LeftOutReason::PartServed { backend: other.clone() }),
+            Some(other) if *other != backend => Err(SkipReason::PartServed { backend: other.clone() }),
             slot => {
                 *slot = Some(backend);
                 Ok(())
@@ -230,6 +232,6 @@
     }
 }
 
-fn no_counterpart(words: &[&str]) -> Result<(), LeftOutReason> {
-    Err(LeftOutReason::NoCounterpart(words.join(" ")))
+fn no_counterpart(words: &[&str]) -> Result<(), SkipReason> {
+    Err(SkipReason::NoCounterpart(words.join(" ")))
 }
--- a/gateway/src/haproxy/tests.rs
+++ b/gateway/src/haproxy/tests.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 
 use super::convert;
-use crate::config::front_from;
+use crate::config::parse_front;
 
 const FILE: &str = "\
 global
@@ -33,7 +33,7 @@
 #[test]
 fn a_converted_file_loads() {
     let imported = convert(FILE).expect("a file");
-    let front = front_from(&imported.text).expect("it loads");
+    let front = parse_front(&imported.text).expect("it loads");
     assert_eq!((front.listen.as_str(), front.max_connections), ("127.0.0.1:8080", 300));
     assert_eq!((front.deadline_ms, front.max_deadline_ms), (20_000, 60_000));
     let embeddings = front.embeddings.expect("a pool");
@@ -65,7 +65,7 @@
     fn any_text_is_converted_or_refused_without_a_panic(lines in prop::collection::vec(
         prop::sample::select(FILE.lines().collect::<Vec<_>>()), 0..30), noise in ".{0,40}") {
         if let Ok(imported) = convert(&format!("{}\n{noise}", lines.join("\n"))) {
-            prop_assert!(front_from(&imported.text).is_ok());
+            prop_assert!(parse_front(&imported.text).is_ok());
         }
     }
 }
--- a/gateway/src/maintenance/mod.rs
+++ b/gateway/src/maintenance/mod.rs
@@ -25,7 +25,7 @@
 /// Interval at which orders given to other processes of this gateway are applied.
 const SYNC_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum length of a server name in an order, in bytes. The escaped name must fit into a file name.
-const MAX_SERVER_NAME: usize = 80;
+const MAX_SERVER_NAME_BYTES: usize = 80;
 
 /// Reason why an order was not applied.
 #[derive(Debug, thiserror::Error)]
@@ -157,10 +157,10 @@
             state.record_listed(list, scope);
             list.endpoints.iter().map(|endpoint| state.overlaid(endpoint)).collect()
         };
-        self.pass_on(overlaid, scope);
+        self.forward_list(overlaid, scope);
     }
 
-    fn pass_on(&self, endpoints: Vec<Endpoint>, scope: ListUpdate) {
+    fn forward_list(&self, endpoints: Vec<Endpoint>, scope: ListUpdate) {
         let list = EndpointList { endpoints, ..EndpointList::default() };
         discovery::apply_list(&list, scope, &self.names, &self.clock, &self.engine, &self.core);
     }
@@ -173,7 +173,7 @@
     /// Stores an order, then applies it.
     pub fn order(&self, server: &str, order: Order) -> Result<(), OrderError> {
         self.sync_orders();
-        if !self.is_known(server) || server.len() > MAX_SERVER_NAME {
+        if !self.is_known(server) || server.len() > MAX_SERVER_NAME_BYTES {
             return Err(OrderError::UnknownServer);
         }
         let orders = self.orders.as_ref().ok_or(OrderError::NoStore)?;
@@ -203,7 +203,7 @@
             Order::Online => "back in service by order",
         };
         log!("server {server} is {change}");
-        self.pass_on(overlaid.into_iter().collect(), ListUpdate::Delta);
+        self.forward_list(overlaid.into_iter().collect(), ListUpdate::Delta);
     }
 
     /// Applies stored orders that were given to other processes of this gateway.
--- a/gateway/src/maintenance/orders.rs
+++ b/gateway/src/maintenance/orders.rs
@@ -18,7 +18,7 @@
 /// Mode of the created directories: other users must be able neither to give orders nor to take over in an upgrade.
 const DIRECTORY_MODE: u32 = 0o700;
 /// Characters to escape in file names: all but ASCII letters, digits, `-` and `_`.
-const UNESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
+const ESCAPED_CHARACTERS: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
 
 /// Store of a gateway's orders, shared by its processes.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     }
 
     fn file(&self, server: &str) -> PathBuf {
-        self.directory.join(utf8_percent_encode(server, UNESCAPED).to_string())
+        self.directory.join(utf8_percent_encode(server, ESCAPED_CHARACTERS).to_string())
     }
 
     pub(super) fn add(&self, server: &str) -> io::Result<()> {
--- a/gateway/src/pools/inference.rs
+++ b/gateway/src/pools/inference.rs
@@ -99,7 +99,7 @@
         section: &config::PoolConfig, max_deadline_ms: u64, default: Idempotency, slots: Arc<Semaphore>,
         budget: Budget,
     ) -> Self {
-        let settings = config::one_stage(section, max_deadline_ms as Millis, default);
+        let settings = config::mixed_pool_settings(section, max_deadline_ms as Millis, default);
         let limits = EngineLimits {
             connect_timeout: Duration::from_millis(section.connect_ms),
             probes: false,
--- a/gateway/src/upgrade/socket_path.rs
+++ b/gateway/src/upgrade/socket_path.rs
@@ -10,7 +10,7 @@
 /// File name of the socket in the state directory.
 pub(super) const SOCKET_NAME: &str = "handover";
 /// Maximum length of a socket path, in bytes: the system's limit of 108, less a margin.
-const MAX_SOCKET_PATH: usize = 100;
+const MAX_SOCKET_PATH_BYTES: usize = 100;
 
 /// A path short enough for a socket address. It is valid as long as this value, which keeps the directory open.
 pub(super) struct SocketPath {
@@ -22,7 +22,7 @@
 /// directory.
 pub(super) fn socket_path(directory: &Path, name: &str) -> io::Result<SocketPath> {
     let path = directory.join(name);
-    if path.as_os_str().len() <= MAX_SOCKET_PATH {
+    if path.as_os_str().len() <= MAX_SOCKET_PATH_BYTES {
         return Ok(SocketPath { path, _directory: None });
     }
     let open = File::open(directory)?;
--- a/gateway/src/upgrade/tests.rs
+++ b/gateway/src/upgrade/tests.rs
@@ -18,14 +18,14 @@
     let top = std::env::temp_dir().join(format!("glenrail-upgrade-{}", std::process::id()));
     let state = top.join("x".repeat(120));
     std::fs::create_dir_all(&state).expect("a directory");
-    assert!(request_handover(&state).await.is_none(), "nobody was ever there");
+    assert!(request_handover(&state).await.is_none(), "no process has listened there");
     for _ in 0..2 {
         let listener = publish(&state).expect("a socket");
         let address = socket_path(&state, SOCKET_NAME).expect("a path");
         let (connected, accepted) = tokio::join!(UnixStream::connect(&address.path), listener.accept());
         assert!(connected.is_ok() && accepted.is_ok());
     }
-    assert!(request_handover(&state).await.is_none(), "it has died");
+    assert!(request_handover(&state).await.is_none(), "the process has terminated");
     std::fs::remove_dir_all(top).expect("removed");
 }
 
--- a/gateway/src/upgrade/tests/wire_format.rs
+++ b/gateway/src/upgrade/tests/wire_format.rs
@@ -32,17 +32,17 @@
 /// File name of the socket in the state directory.
 const SOCKET: &str = "handover";
 /// Routing state, which is opaque to the protocol.
-const STATE: [u8; 16] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
+const ROUTING_STATE: [u8; 16] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
 const READ_AHEAD: &[u8] = b"1a\r\nabc";
 const CLASS: &str = "interactive";
 /// Maximum time that a test waits before it fails.
-const LIMIT: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Data sent with a client connection that has a stream in flight: the bytes read ahead, and the class.
-type Stream = (&'static [u8], Option<&'static str>);
+type StreamData = (&'static [u8], Option<&'static str>);
 
 /// Recorded messages that transfer a client connection, each with the number of its front.
-const CONNECTIONS: [(&str, u8, Option<Stream>); 5] = [
+const CONNECTIONS: [(&str, u8, Option<StreamData>); 5] = [
     ("connection at rest, first front", PLATFORM, None),
     ("connection at rest, second front", SECOND, None),
     ("stream, first front", PLATFORM, Some((READ_AHEAD, Some(CLASS)))),
@@ -63,7 +63,7 @@
 
 impl Peer {
     fn new(stream: blocking::UnixStream) -> Peer {
-        stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
         Peer(stream)
     }
 
@@ -74,7 +74,7 @@
         loop {
             match blocking::UnixStream::connect(&address.path) {
                 Ok(stream) => return Peer::new(stream),
-                Err(e) => assert!(began.elapsed() < LIMIT, "nobody listens: {e}"),
+                Err(e) => assert!(began.elapsed() < TEST_TIMEOUT, "no process listens: {e}"),
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -90,7 +90,7 @@
                     stream.set_nonblocking(false).expect("blocking");
                     return Peer::new(stream);
                 }
-                Err(e) => assert!(began.elapsed() < LIMIT, "nobody asks: {e}"),
+                Err(e) => assert!(began.elapsed() < TEST_TIMEOUT, "no process connects: {e}"),
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -191,7 +191,7 @@
     let successor = updates.wait_for(Option::is_some).await.expect("a successor").clone();
     let successor = successor.expect("a successor");
     for ((_, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sockets) {
-        let transferred = |(read_ahead, class): Stream| TransferredStream {
+        let transferred = |(read_ahead, class): StreamData| TransferredStream {
             remainder: StreamRemainder { socket: server, read_ahead: read_ahead.to_vec() },
             class: class.map(String::from),
         };
@@ -206,7 +206,9 @@
 }
 
 /// Asserts that a successor receives the recorded messages: the listeners, the routing state and the connections.
-fn receive_all(peer: Peer, listeners: [SocketAddr; FRONTS], learned: &str, connections: &[[Ends; 2]]) {
+fn expect_recorded_messages(
+    peer: Peer, listeners: [SocketAddr; FRONTS], state_message: &str, connections: &[[Ends; 2]],
+) {
     for (name, address) in ["listener, first front", "listener, second front"].into_iter().zip(listeners) {
         let got =
             peer.expect(name).into_iter().map(|l| TcpListener::from(l).local_addr().expect("an address"));
@@ -214,7 +216,7 @@
     }
     peer.expect("all listeners sent");
     peer.send("serving", &[]);
-    peer.expect(learned);
+    peer.expect(state_message);
     for ((name, ..), sent) in CONNECTIONS.iter().zip(connections) {
         let got: Vec<Ends> = peer.expect(name).into_iter().map(|s| ends(&TcpStream::from(s))).collect();
         assert_eq!(got, sent[..got.len()], "{name}");
@@ -223,27 +225,28 @@
 }
 
 /// Runs a predecessor against a peer that expects the recorded messages.
-async fn first_process(name: &str, learned: &'static [u8], recorded: &'static str) {
+async fn run_predecessor(name: &str, state_bytes: &'static [u8], recorded: &'static str) {
     let (state, shutdown) = (state(name), Shutdown::default());
     let ((first, first_at), (second, second_at)) = (listener(), listener());
     let listeners = vec![(PLATFORM, OwnedFd::from(first)), (SECOND, OwnedFd::from(second))];
     let (inboxes, _inboxes) = TransferInboxes::new();
-    let learned = RoutingStateTransfer { export: Rc::new(|| learned.to_vec()), import: Rc::new(|_| {}) };
+    let routing_state =
+        RoutingStateTransfer { export: Rc::new(|| state_bytes.to_vec()), import: Rc::new(|_| {}) };
     let (near, _far): (Vec<_>, Vec<_>) =
         sockets().into_iter().map(|[[c, c_far], [s, s_far]]| ([c, s], [c_far, s_far])).unzip();
     let connections: Vec<[Ends; 2]> = near.iter().map(|pair| pair.each_ref().map(ends)).collect();
     let directory = state.clone();
     let peer = tokio::task::spawn_blocking(move || {
-        receive_all(Peer::connect(&directory), [first_at, second_at], recorded, &connections);
+        expect_recorded_messages(Peer::connect(&directory), [first_at, second_at], recorded, &connections);
     });
     let handing_over =
-        serve_as_predecessor(state.clone(), listeners, inboxes, learned, shutdown.clone(), limits());
+        serve_as_predecessor(state.clone(), listeners, inboxes, routing_state, shutdown.clone(), limits());
     let transferring = async {
         transfer_connections(near, &shutdown).await;
         std::future::pending::<()>().await;
     };
     tokio::select! {
-        () = handing_over => panic!("it hands over for as long as it runs"),
+        () = handing_over => panic!("the predecessor returned before the test ended"),
         () = transferring => {}
         checked = peer => checked.expect("all is as recorded"),
     }
@@ -252,14 +255,14 @@
 
 /// Guards successors of an earlier build: the predecessor sends the recorded messages and no others.
 #[tokio::test]
-async fn the_first_process_sends_the_recorded_messages() {
-    first_process("sent", &STATE, "learned state").await;
-    first_process("sent-unlearned", &[], "no learned state").await;
+async fn the_predecessor_sends_the_recorded_messages() {
+    run_predecessor("sent", &ROUTING_STATE, "learned state").await;
+    run_predecessor("sent-unlearned", &[], "no learned state").await;
 }
 
 /// Guards predecessors of an earlier build: the recorded messages transfer each of their listeners.
 #[tokio::test]
-async fn the_second_process_reads_the_recorded_listeners() {
+async fn the_successor_reads_the_recorded_listeners() {
     let state = state("listeners");
     let address = socket_path(&state, SOCKET).expect("a path");
     let socket = blocking::UnixListener::bind(&address.path).expect("a socket");
@@ -280,16 +283,16 @@
 }
 
 /// Returns the link of a successor, and the simulated predecessor at its other end.
-fn linked() -> (UpgradeLink, Peer) {
+fn successor_link() -> (UpgradeLink, Peer) {
     let (ours, theirs) = blocking::UnixStream::pair().expect("a pair");
     ours.set_nonblocking(true).expect("not blocking");
     (UpgradeLink::new(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
 }
 
 /// Received connection, in the form of an item of `CONNECTIONS`.
-type Arrived = (Ends, Option<(Ends, Vec<u8>, Option<String>)>);
+type ReceivedConnection = (Ends, Option<(Ends, Vec<u8>, Option<String>)>);
 
-fn arrived(inbox: &mut TransferInbox) -> Arrived {
+fn received_connection(inbox: &mut TransferInbox) -> ReceivedConnection {
     let (client, stream) = inbox.try_recv().expect("a connection");
     let stream = stream.map(|moved| (ends(&moved.remainder.socket), moved.remainder.read_ahead, moved.class));
     (ends(&client), stream)
@@ -298,8 +301,8 @@
 /// Guards client connections that an earlier build transfers: the recorded messages are decoded to their values and
 /// answered as recorded.
 #[tokio::test]
-async fn the_second_process_reads_the_recorded_messages() {
-    let ((link, peer), sockets) = (linked(), sockets());
+async fn the_successor_reads_the_recorded_messages() {
+    let ((link, peer), sockets) = (successor_link(), sockets());
     let sent: Vec<[Ends; 2]> = sockets.iter().map(|[[c, _], [s, _]]| [ends(c), ends(s)]).collect();
     let peer = tokio::task::spawn_blocking(move || {
         peer.expect("serving");
@@ -316,13 +319,13 @@
         let imported = imported.clone();
         Rc::new(move |bytes: &[u8]| imported.borrow_mut().push(bytes.to_vec()))
     };
-    let learned = RoutingStateTransfer { export: Rc::new(Vec::new), import };
-    serve_as_successor(link, inboxes, learned, Shutdown::default(), limits().reserve_half()).await;
+    let routing_state = RoutingStateTransfer { export: Rc::new(Vec::new), import };
+    serve_as_successor(link, inboxes, routing_state, Shutdown::default(), limits().reserve_half()).await;
     peer.await.expect("all is as recorded");
-    assert_eq!(*imported.borrow(), [STATE.to_vec(), Vec::new()]);
+    assert_eq!(*imported.borrow(), [ROUTING_STATE.to_vec(), Vec::new()]);
     for ((name, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sent) {
         let stream = stream.map(|(read_ahead, class)| (server, read_ahead.to_vec(), class.map(String::from)));
-        assert_eq!(arrived(&mut inbox[usize::from(front)]), (client, stream), "{name}");
+        assert_eq!(received_connection(&mut inbox[usize::from(front)]), (client, stream), "{name}");
     }
-    assert!(inbox.iter_mut().all(|inbox| inbox.try_recv().is_err()), "nothing else has come");
+    assert!(inbox.iter_mut().all(|inbox| inbox.try_recv().is_err()), "no further connection was received");
 }
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -292,7 +292,7 @@
         spawn_local(discovery::watch(address.subscribe(), None, calls(ASKED), tally.clone(), move |_, _| {
             seen.set(true);
         }));
-        until(|| tally.failed.get() == 1).await;
+        until(|| tally.failed_polls.get() == 1).await;
         let moved = Instant::now();
         address.send_replace(new.address.to_string());
         until(|| taken.get()).await;
--- a/gateway/tests/fleet_drivers.rs
+++ b/gateway/tests/fleet_drivers.rs
@@ -7,7 +7,7 @@
 
 use common::member::{directory, write_keys, Plan, KEYS};
 use common::{run, until};
-use glenrail::fleet::{start, Handle, Start};
+use glenrail::fleet::{start, Handle, MemberConfig};
 use glenrail::shutdown::Shutdown;
 use glenrail_fleet::Keyring;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -23,13 +23,13 @@
 
 fn read(
     directory: &Path, name: &str, bind: SocketAddr, seeds: Vec<SocketAddr>, more: &str,
-) -> (Start, Keyring) {
+) -> (MemberConfig, Keyring) {
     let keys = directory.join("keys");
     write_keys(&keys, &KEYS[..1], 0o600);
     let life = directory.join(format!("{name}.life"));
     let more = format!("{CADENCE}\nmember = '{name}'\nlife_file = {life:?}\n{more}");
     let file = Plan { bind, seeds, more: &more, ..Plan::new(directory, name, &keys) }.file();
-    Start::read(&file, None, None).expect("a file")
+    MemberConfig::read(&file, None, None).expect("a file")
 }
 
 /// A member at a free port.
--- a/gateway/tests/inference.rs
+++ b/gateway/tests/inference.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 use glenrail::budget::Budget;
-use glenrail::config::{front_from, InferenceFrontConfig};
+use glenrail::config::{parse_front, InferenceFrontConfig};
 use glenrail::engine::{EngineLimits, ServerAddress};
 use glenrail::front::server;
 use glenrail::metrics::RequestMetrics;
@@ -47,7 +47,7 @@
             text += &format!("[{name}]\n{}\n", pool(servers));
         }
     }
-    front_from(&text).expect("a file")
+    parse_front(&text).expect("a file")
 }
 
 async fn gateway(file: InferenceFrontConfig) -> Gateway {
@@ -244,7 +244,7 @@
              {{ name = 'steady', dial = '{}' }}]",
             steady.address
         );
-        let g = gateway(front_from(&text).expect("a file")).await;
+        let g = gateway(parse_front(&text).expect("a file")).await;
         let send = |n: usize| async move {
             for _ in 0..n {
                 assert_eq!(ask(g.address, post("/v1/embeddings", &[], EMBED)).await.status(), 200);
--- a/gateway/tests/on_call.rs
+++ b/gateway/tests/on_call.rs
@@ -32,12 +32,12 @@
             Bind { file: file(), address: at(), error: io() },
             Keys { file: file(), error: KeyFileError::NotAFile },
             Incarnation { file: file(), error: IncarnationError::NotANumber }),
-        all!(KeyFileError: Unreadable(io()), NotAFile, TooPermissive { mode: 0o644 }, TooLong { most: 1 }, NotText,
+        all!(KeyFileError: Unreadable(io()), NotAFile, TooPermissive { mode: 0o644 }, TooLong { max_bytes: 1 }, NotText,
             Key(KeyError::None)),
         all!(IncarnationError: Unreadable(io()), NotANumber, Unwritable(io())),
         all!(WireError: Send { to: at(), error: io() }, Receive(io()), Accept(io()),
-            Broken { with: at(), error: io() }, Closed { with: at() }, TimedOut { with: at(), most: 1 },
-            TooManyStreams { with: at(), most: 1 },
+            Broken { with: at(), error: io() }, Closed { with: at() }, TimedOut { with: at(), limit_ms: 1 },
+            TooManyStreams { with: at(), limit: 1 },
             Exchange { with: at(), error: ExchangeError::NotAMember { peer: MemberId(1) } }),
     ];
     // What is passed on has the advice of what it passes on, in rows of its own.
--- a/gateway/tests/platform.rs
+++ b/gateway/tests/platform.rs
@@ -8,7 +8,7 @@
 use common::gateway::*;
 use common::*;
 use glenrail::core::duration;
-use glenrail::daemon::leave;
+use glenrail::daemon::graceful_shutdown;
 use http::StatusCode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -215,7 +215,7 @@
             () = until(|| writer.count("POST") == 1) => {}
         }
         let pools = [g.pool.clone()];
-        let ended = leave(&g.shutdown, &pools, AGES);
+        let ended = graceful_shutdown(&g.shutdown, &pools, AGES);
         tokio::pin!(ended);
         assert!(poll_once(ended.as_mut()).is_pending());
         let late = async {
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -59,7 +59,7 @@
     let out = glenrail(&["import-haproxy", root("examples/haproxy.cfg").to_str().expect("text")], &[]);
     assert!(out.status.success());
     let text = String::from_utf8(out.stdout).expect("UTF-8");
-    assert_eq!(glenrail::config::front_from(&text).expect("it loads").max_connections, 300);
+    assert_eq!(glenrail::config::parse_front(&text).expect("it loads").max_connections, 300);
     let said = String::from_utf8_lossy(&out.stderr).to_string();
     assert!(said.contains("line 13") && said.contains("line 14"), "{said}");
     assert!(!glenrail(&["import-haproxy", "/nonexistent"], &[]).status.success());
--- a/gateway/tests/shutdown_under_load.rs
+++ b/gateway/tests/shutdown_under_load.rs
@@ -8,7 +8,7 @@
 
 use common::gateway::*;
 use common::*;
-use glenrail::daemon::leave;
+use glenrail::daemon::graceful_shutdown;
 use glenrail::shutdown::Phase;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -91,7 +91,7 @@
         let clients: Vec<_> = clients.collect();
         until(|| count.served.get() > 3 * CLIENTS).await;
         told.set(Some(Instant::now()));
-        leave(&g.shutdown, std::slice::from_ref(&g.pool), AGES).await;
+        graceful_shutdown(&g.shutdown, std::slice::from_ref(&g.pool), AGES).await;
         for client in clients {
             client.await.expect("a client that lost nothing");
         }
@@ -121,7 +121,7 @@
         });
         // The client waits before the end begins, so it is told of each phase first.
         tokio::task::yield_now().await;
-        leave(&g.shutdown, std::slice::from_ref(&g.pool), AGES).await;
+        graceful_shutdown(&g.shutdown, std::slice::from_ref(&g.pool), AGES).await;
         // So late it is refused, but it is answered.
         assert!(answer.borrow().starts_with("HTTP/1.1 503"), "{:?}", answer.borrow());
         client.await.expect("it was answered");
