--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,20 +1,20 @@
 //! Configuration: the only place where settings are read, validated and given defaults.
 //!
 //! `command` parses the command line, `platform` reads the platform's settings, `front` reads the second front's file,
-//! and `one_stage` builds the router settings of that file's pools. The module has no state. Every error names the
+//! and `mixed_pool` builds the router settings of that file's pools. The module has no state. Every error names the
 //! faulty key.
 #![deny(missing_docs)]
 
 mod command;
 mod front;
-mod one_stage;
+mod mixed_pool;
 mod platform;
 
 use std::path::Path;
 
 pub use self::command::{command, Command, Files, USAGE};
 pub use self::front::{front, parse_front, InferenceFrontConfig, PoolConfig, ServerConfig};
-pub use self::one_stage::mixed_pool_settings;
+pub use self::mixed_pool::mixed_pool_settings;
 pub use self::platform::{platform, Bounds, Platform};
 
 /// Error in the configuration, with the key at which it was found.
--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -14,11 +14,11 @@
 mod driver;
 pub mod error;
 mod exchange;
-mod figures;
 pub mod incarnation;
 pub mod keys;
 mod sockets;
 mod start;
+mod status;
 mod tasks;
 mod timer_queue;
 mod timers;
@@ -157,11 +157,11 @@
 
     /// Returns the counters for operators; null while another process has the port.
     pub fn counters(&self) -> Value {
-        self.driver().map_or(Value::Null, |driver| figures::counters(&driver, self.0.key_reads.get()))
+        self.driver().map_or(Value::Null, |driver| status::counters(&driver, self.0.key_reads.get()))
     }
 
     /// Returns all members for operators; null while another process has the port.
     pub fn members(&self) -> Value {
-        self.driver().map_or(Value::Null, |driver| figures::members(&driver))
+        self.driver().map_or(Value::Null, |driver| status::members(&driver))
     }
 }
