--- a/gateway/src/daemon/inference.rs
+++ b/gateway/src/daemon/inference.rs
@@ -24,17 +24,17 @@
 /// connections of this front.
 pub(super) async fn start(
     file: FrontFile, platform: Option<PlatformChat>, inherited: InheritedFront, max_connections: usize,
-    context: &Context, parts: &mut StartedComponents,
+    context: &Context, components: &mut StartedComponents,
 ) -> Result<(), DaemonError> {
     let FrontFile { front: file, path } = file;
     let listen_address = ListenAddress { address: &file.listen, key: "listen", front: "second" };
     let listener = listen(listen_address, inherited.listener).await?;
-    parts.listeners.add(upgrade::SECOND, &listener)?;
+    components.listeners.add(upgrade::SECOND, &listener)?;
     let (slots, budget, metrics) = (context.slots.clone(), context.budget.clone(), context.metrics.clone());
     let inference = InferencePools::new(&file, platform, &context.plugin, slots, budget, metrics)?;
     let own_pools = inference.pools();
     // Any pool can resume a stream of another one: a resumed stream needs no server of the pool.
-    let resuming = own_pools.first().or(parts.pools.first());
+    let resuming = own_pools.first().or(components.pools.first());
     let front_listener = FrontListener {
         number: upgrade::SECOND,
         listener,
@@ -42,10 +42,10 @@
         resume: resuming.map(|pool| server::resume(pool, &context.metrics)),
         open: context.accepting.clone(),
     };
-    parts.pools.extend(own_pools);
+    components.pools.extend(own_pools);
     let front = inference.front.clone();
     spawn_local(server::serve(front_listener, front, max_connections, context.shutdown.clone()));
-    parts.reloads.add(move || match config::front(&path) {
+    components.reloads.add(move || match config::front(&path) {
         Ok(file) => inference.reload(&file),
         Err(e) => log!("{e}; the servers are unchanged"),
     });
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -128,18 +128,19 @@
     };
     let mut signals = Signals::new()?;
     let clients = ClientConnectionLimits::new(&bounds, platform.as_ref(), second.as_ref());
-    let mut parts = StartedComponents::default();
+    let mut components = StartedComponents::default();
     let (mut chat, mut hooks, mut admin) = (None, HandoverHooks::default(), None);
     if let Some(platform) = platform {
         let part =
-            platform::start(platform, inheritance.platform, clients.platform, &context, &mut parts).await?;
+            platform::start(platform, inheritance.platform, clients.platform, &context, &mut components)
+                .await?;
         (chat, hooks, admin) = (Some(part.chat), part.handover, part.admin);
     }
     if let Some(file) = second {
-        inference::start(file, chat, inheritance.second, clients.second, &context, &mut parts).await?;
+        inference::start(file, chat, inheritance.second, clients.second, &context, &mut components).await?;
     }
-    let member = start_fleet(fleet, &context, &mut parts)?;
-    let StartedComponents { listeners, pools, reloads } = parts;
+    let member = start_fleet(fleet, &context, &mut components)?;
+    let StartedComponents { listeners, pools, reloads } = components;
     if let Some(admin) = admin {
         start_admin(admin, bounds.operators, &pools, member.as_ref(), &context);
     }
@@ -226,12 +227,12 @@
 }
 
 fn start_fleet(
-    fleet: Option<(MemberConfig, Keyring)>, context: &Context, parts: &mut StartedComponents,
+    fleet: Option<(MemberConfig, Keyring)>, context: &Context, components: &mut StartedComponents,
 ) -> Result<Option<fleet::Handle>, FleetError> {
     let Some(fleet) = fleet else { return Ok(None) };
     let member = fleet::start(fleet, context.has_predecessor, &context.shutdown)?;
     let reloading = member.clone();
-    parts.reloads.add(move || reloading.reload());
+    components.reloads.add(move || reloading.reload());
     Ok(Some(member))
 }
 
--- a/gateway/src/daemon/platform.rs
+++ b/gateway/src/daemon/platform.rs
@@ -54,16 +54,16 @@
 /// Starts the platform's components. `max_connections` limits the client connections of its front.
 pub(super) async fn start(
     platform: config::Platform, inherited: InheritedFront, max_connections: usize, context: &Context,
-    parts: &mut StartedComponents,
+    components: &mut StartedComponents,
 ) -> Result<PlatformComponents, DaemonError> {
     let address = platform.listen.to_string();
     let listen_address = ListenAddress { address: &address, key: "listen", front: "platform" };
     let listener = listen(listen_address, inherited.listener).await?;
-    parts.listeners.add(upgrade::PLATFORM, &listener)?;
+    components.listeners.add(upgrade::PLATFORM, &listener)?;
     let pool = pool(&platform, context);
-    parts.pools.push(pool.clone());
+    components.pools.push(pool.clone());
     let maintenance = Rc::new(maintenance(&platform, &pool));
-    let list_received = start_discovery(&platform, &pool, &maintenance, context, parts);
+    let list_received = start_discovery(&platform, &pool, &maintenance, context, components);
     let mut handover = HandoverHooks { routing_state: routing_state(&pool), ..HandoverHooks::default() };
     let mut admin = None;
     if let Some(address) = platform.ops {
@@ -129,12 +129,12 @@
 /// Applies the initial list and starts the watch of discovery. The returned flag is set once discovery sends a list.
 fn start_discovery(
     platform: &config::Platform, pool: &Pool, maintenance: &Rc<Maintenance<Engine>>, context: &Context,
-    parts: &mut StartedComponents,
+    components: &mut StartedComponents,
 ) -> Rc<Cell<bool>> {
     let schedule = discovery::poll_schedule(&platform.settings, platform.seed);
     let address = watch::Sender::new(platform.discovery.clone());
     let address_updates = address.subscribe();
-    parts.reloads.add(move || reload(&address));
+    components.reloads.add(move || reload(&address));
     let known = EndpointList::deserialize(&platform.known).ok();
     if let Some(known) = &known {
         maintenance.apply_list(known, ListUpdate::Cached);
--- a/gateway/src/fleet/config/tests.rs
+++ b/gateway/src/fleet/config/tests.rs
@@ -38,8 +38,9 @@
         let shows = |line: &str| line.trim_start_matches("# ").starts_with(&format!("{key} = "));
         assert!(text.lines().any(shows), "{key}");
     };
-    let figures = format!("{:?}", Settings::default());
-    let keys = figures.trim_start_matches("Settings { ").split(", ").filter_map(|f| f.split(':').next());
+    let settings_text = format!("{:?}", Settings::default());
+    let keys =
+        settings_text.trim_start_matches("Settings { ").split(", ").filter_map(|f| f.split(':').next());
     keys.for_each(shown);
     for key in ["name", "member", "bind", "advertise", "seeds", "key_file", "life_file"] {
         shown(key);
