--- a/gateway/src/config/platform/mod.rs
+++ b/gateway/src/config/platform/mod.rs
@@ -55,7 +55,7 @@
     pub classes: Vec<String>,
     /// Time after which servers close an idle connection.
     pub conn_idle: Duration,
-    /// Costs of probes, handshakes and discovery responses that reduce the deployment's result.
+    /// Costs that reduce the deployment's result: of probes, handshakes, discovery, cell transfers and waste.
     pub prices: Prices,
 }
 
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -1,7 +1,7 @@
 //! The daemon: reads the configuration, starts the components and runs them on one thread until the process exits.
 //!
-//! The components are `platform`, `inference` and the operators' front, and own the state; `Context` has what
-//! they share. `handover` runs upgrades and `exit` the graceful shutdown. The clock is tokio's.
+//! The components are `platform`, `inference` and the operators' front. They own the state; `Context` has what they
+//! share. `handover` runs upgrades and `exit` the graceful shutdown. The clock is tokio's.
 #![deny(missing_docs)]
 
 mod counters;
