--- a/gateway/src/fleet/mod.rs
+++ b/gateway/src/fleet/mod.rs
@@ -58,8 +58,8 @@
 #[derive(Clone)]
 pub struct Handle(Rc<Shared>);
 
-/// Starts the membership, which runs until the process exits. If `has_predecessor` is set, another process is handing over to this
-/// process, so a port in use is waited for; otherwise it is an error.
+/// Starts the membership, which runs until the process exits. If `has_predecessor` is set, another process is handing
+/// over to this one, so a port in use is waited for; otherwise it is an error.
 pub fn start(
     (start, keys): (MemberConfig, Keyring), has_predecessor: bool, shutdown: &Shutdown,
 ) -> Result<Handle, FleetError> {
