--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! The daemon: reads the configuration, assembles the parts and runs them on one thread until the process ends.
+//! The daemon: reads the configuration, starts the components and runs them on one thread until the process exits.
 //!
-//! `platform`, `inference` and the operators' front are the parts; `handover` is the process's part in upgrades, `exit` its
-//! end. `Context` is what the parts share; the state is in them. The clock is tokio's.
+//! The components are `platform`, `inference` and the operators' front. They own the state; `Context` has what they
+//! share. `handover` runs upgrades and `exit` the graceful shutdown. The clock is tokio's.
 #![deny(missing_docs)]
 
 mod counters;
@@ -26,13 +26,13 @@
 use self::handover::{Handover, HandoverHooks};
 use self::inference::FrontFile;
 use self::listeners::ListenerCopies;
-use self::platform::AdminPart;
+use self::platform::AdminComponents;
 use self::signals::{Reloads, Signals};
 use crate::admin::{AdminContext, AdminFront};
 use crate::budget::Budget;
 use crate::config::{self, Bounds, Files};
 use crate::core::duration;
-use crate::fleet::{self, FleetError, Start};
+use crate::fleet::{self, FleetError, MemberConfig};
 use crate::front::inference::{CHAT, EMBEDDINGS};
 use crate::front::server;
 use crate::metrics::RequestMetrics;
@@ -42,38 +42,38 @@
 use crate::upgrade::SharedLimits;
 
 pub use self::error::DaemonError;
-pub use self::exit::leave;
+pub use self::exit::graceful_shutdown;
 
-/// What the gateway is started with.
+/// Complete configuration that the gateway is started with.
 struct Configuration {
     platform: Option<config::Platform>,
     second: Option<FrontFile>,
     plugin: Option<Rc<Plugin>>,
-    fleet: Option<(Start, Keyring)>,
+    fleet: Option<(MemberConfig, Keyring)>,
 }
 
-/// What the parts share.
+/// Resources and state shared by the components.
 struct Context {
     slots: Arc<Semaphore>,
     budget: Budget,
     shutdown: Shutdown,
     metrics: RequestMetrics,
     plugin: Option<Rc<Plugin>>,
-    /// Whether this process accepts connections yet.
+    /// Whether this process accepts connections; false in a successor until it is ready.
     accepting: watch::Receiver<bool>,
-    /// Whether another process hands over to this one.
+    /// Whether a predecessor is handing over to this process.
     has_predecessor: bool,
 }
 
-/// What the parts add to as they start.
+/// Listeners, pools and reload callbacks, collected while the components start.
 #[derive(Default)]
-struct Parts {
+struct StartedComponents {
     listeners: ListenerCopies,
     pools: Vec<Pool>,
     reloads: Reloads,
 }
 
-/// Serves until SIGTERM, and returns after the planned end.
+/// Runs the gateway until SIGTERM or SIGINT, and returns after the graceful shutdown.
 pub fn run(files: Files) -> Result<(), DaemonError> {
     let configuration = read(files)?;
     let runtime = Builder::new_current_thread().enable_all().build().map_err(DaemonError::Runtime)?;
@@ -94,20 +94,22 @@
     Ok(Configuration { platform, second, plugin: plugin.map(Rc::new), fleet })
 }
 
-/// The fleet's file, under what the platform says of this gateway.
-fn read_fleet(file: &Path, platform: Option<&config::Platform>) -> Result<(Start, Keyring), FleetError> {
+/// Reads the fleet's file, subject to the platform's settings for this gateway.
+fn read_fleet(
+    file: &Path, platform: Option<&config::Platform>,
+) -> Result<(MemberConfig, Keyring), FleetError> {
     let name = match platform {
         Some(platform) => platform.name.clone(),
         None => std::env::var("EDGE_NAME").ok(),
     };
-    let platform = platform.map(|platform| fleet::Platform {
-        peers: platform.settings.limits.gossip,
+    let platform = platform.map(|platform| fleet::PlatformSettings {
+        gossip_permitted: platform.settings.limits.gossip,
         state: platform.state.clone(),
     });
-    Start::read(file, name, platform.as_ref())
+    MemberConfig::read(file, name, platform.as_ref())
 }
 
-/// Starts the parts, one after another, and runs them until the planned end is over.
+/// Starts the components in order and runs them until the graceful shutdown is complete.
 async fn serve(configuration: Configuration) -> Result<(), DaemonError> {
     let Configuration { platform, second, plugin, fleet } = configuration;
     let bounds = platform.as_ref().map_or_else(Bounds::default, |platform| platform.bounds);
@@ -125,44 +127,45 @@
         has_predecessor: handover.has_predecessor(),
     };
     let mut signals = Signals::new()?;
-    let clients = ClientShares::new(&bounds, platform.as_ref(), second.as_ref());
-    let mut parts = Parts::default();
+    let clients = ClientConnectionLimits::new(&bounds, platform.as_ref(), second.as_ref());
+    let mut components = StartedComponents::default();
     let (mut chat, mut hooks, mut admin) = (None, HandoverHooks::default(), None);
     if let Some(platform) = platform {
         let part =
-            platform::start(platform, inheritance.platform, clients.platform, &context, &mut parts).await?;
+            platform::start(platform, inheritance.platform, clients.platform, &context, &mut components)
+                .await?;
         (chat, hooks, admin) = (Some(part.chat), part.handover, part.admin);
     }
     if let Some(file) = second {
-        inference::start(file, chat, inheritance.second, clients.second, &context, &mut parts).await?;
+        inference::start(file, chat, inheritance.second, clients.second, &context, &mut components).await?;
     }
-    let member = start_fleet(fleet, &context, &mut parts)?;
-    let Parts { listeners, pools, reloads } = parts;
+    let member = start_fleet(fleet, &context, &mut components)?;
+    let StartedComponents { listeners, pools, reloads } = components;
     if let Some(admin) = admin {
         start_admin(admin, bounds.operators, &pools, member.as_ref(), &context);
     }
     let _idle_handover = handover.start(listeners, hooks, &context.shutdown);
     spawn_local(reloads.run(signals.reload));
-    signals.end.received().await;
+    signals.termination.received().await;
     shut_down(&context.shutdown, &pools, &delays, member).await;
     Ok(())
 }
 
-/// The planned end, from SIGTERM on.
+/// Runs the graceful shutdown, starting at SIGTERM.
 async fn shut_down(
     shutdown: &Shutdown, pools: &[Pool], delays: &ShutdownDelays, member: Option<fleet::Handle>,
 ) {
     if let Some(delay) = delays.last_response {
         spawn_local(exit::answer_pending(pools.to_vec(), delay));
     }
-    leave(shutdown, pools, delays.stream_handover).await;
-    // Last: until here this process serves, and the fleet must count on it.
+    graceful_shutdown(shutdown, pools, delays.stream_handover).await;
+    // The member leaves last: until here this process serves, and the fleet must treat it as available.
     if let Some(member) = member {
         member.leave();
     }
 }
 
-/// The limits that count across an upgrade, unshared at first.
+/// Returns the limits that two processes share during an upgrade, initially all for this one.
 fn shared_limits(bounds: &Bounds) -> SharedLimits {
     SharedLimits {
         slots: Arc::new(Semaphore::new(bounds.server_connections)),
@@ -172,17 +175,19 @@
     }
 }
 
-/// Where processes at the same address meet. Only operators run a second one, so without their front there is none.
+/// Returns the state directory, in which processes at the same address find each other; `None` disables upgrades. Only
+/// operators start a second process, so upgrades need the operators' front.
 fn state_directory(platform: Option<&config::Platform>) -> Option<PathBuf> {
     let platform = platform.filter(|platform| platform.ops.is_some())?;
     Some(platform.state.clone())
 }
 
-/// Times from SIGTERM on, by the deadlines of the platform's classes.
+/// Delays after SIGTERM, derived from the deadlines of the platform's request classes.
 struct ShutdownDelays {
-    /// Until what still waits for its first token is answered. Only the platform kills.
+    /// Delay until requests without a first token are answered; `None` without a platform, which alone kills the
+    /// process.
     last_response: Option<Duration>,
-    /// Until streams in flight go over to a successor.
+    /// Delay until streams in flight are handed over to a successor.
     stream_handover: Duration,
 }
 
@@ -197,23 +202,24 @@
     }
 }
 
-/// How many clients may connect to each front.
-struct ClientShares {
+/// Maximum number of client connections of each front.
+struct ClientConnectionLimits {
     platform: usize,
     second: usize,
 }
 
-impl ClientShares {
-    /// Both fronts share the descriptors: the second may use half, or all of them where it is alone.
+impl ClientConnectionLimits {
+    /// Divides the client connections between the fronts: the second may use half of them, or all if it is the only
+    /// front.
     fn new(bounds: &Bounds, platform: Option<&config::Platform>, second: Option<&FrontFile>) -> Self {
         let fronts = if platform.is_some() { 2 } else { 1 };
         let share = bounds.client_connections / fronts;
         let second = second.map_or(0, |file| file.front.max_connections.min(share));
-        ClientShares { platform: bounds.client_connections - second, second }
+        ClientConnectionLimits { platform: bounds.client_connections - second, second }
     }
 }
 
-/// Counters of the platform's classes and of the second front's two.
+/// Returns the request counters of the platform's classes and of the second front's two classes.
 fn request_metrics(platform: Option<&config::Platform>, second: Option<&FrontFile>) -> RequestMetrics {
     let platform_classes = platform.iter().flat_map(|platform| platform.classes.iter().cloned());
     let second_classes = second.iter().flat_map(|_| [EMBEDDINGS, CHAT]).map(String::from);
@@ -221,21 +227,21 @@
 }
 
 fn start_fleet(
-    fleet: Option<(Start, Keyring)>, context: &Context, parts: &mut Parts,
+    fleet: Option<(MemberConfig, Keyring)>, context: &Context, components: &mut StartedComponents,
 ) -> Result<Option<fleet::Handle>, FleetError> {
     let Some(fleet) = fleet else { return Ok(None) };
     let member = fleet::start(fleet, context.has_predecessor, &context.shutdown)?;
     let reloading = member.clone();
-    parts.reloads.add(move || reloading.reload());
+    components.reloads.add(move || reloading.reload());
     Ok(Some(member))
 }
 
-/// Operators are answered until the process ends, so their front has a shutdown of its own.
+/// Starts the operators' front. It serves until the process exits, so it has a `Shutdown` of its own.
 fn start_admin(
-    admin: AdminPart, max_connections: usize, pools: &[Pool], member: Option<&fleet::Handle>,
+    admin: AdminComponents, max_connections: usize, pools: &[Pool], member: Option<&fleet::Handle>,
     context: &Context,
 ) {
-    let AdminPart { listener, ready, maintenance } = admin;
+    let AdminComponents { listener, ready, maintenance } = admin;
     let front = AdminFront::new(AdminContext {
         ready,
         metrics: context.metrics.clone(),
--- a/gateway/src/fleet/config.rs
+++ b/gateway/src/fleet/config.rs
@@ -1,5 +1,5 @@
-//! The section `[fleet]` of the operators' file, read and checked. Settings that are left out have the defaults of
-//! `crates/fleet`. Plain data, read at the start and at each reload.
+//! Parser and validation of the `[fleet]` section of the operators' file, which is read at the start and at each
+//! reload. Missing settings have the defaults of `crates/fleet`.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,45 +19,46 @@
 /// Defines the section with one optional key for each of the [`Settings`], under the same name, so that an error about
 /// a setting names the key.
 macro_rules! section {
-    ($($figure:ident: $type:ty),* $(,)?) => {
-        /// The section as it is in the file. Times in milliseconds.
+    ($($setting:ident: $type:ty),* $(,)?) => {
+        /// Contents of the section. Times are in milliseconds.
         #[derive(Clone, Debug, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct Section {
-            /// The fleet's name, which its members share as they do the key file.
+            /// Name of the fleet. All members share it, as they share the key file.
             #[serde(default = "default_name")]
             pub name: String,
-            /// This gateway's name, where the platform gives none.
+            /// Name of this gateway, used if neither the platform nor `EDGE_NAME` provides one.
             pub member: Option<String>,
-            /// For datagrams and, on the same port, streams.
+            /// Address to bind, for UDP datagrams and for TCP streams on the same port.
             pub bind: SocketAddr,
-            /// Address that the other members reach; by default the one that is bound.
+            /// Address at which other members reach this one; `None` means the bound address.
             pub advertise: Option<SocketAddr>,
-            /// Addresses where members may be found.
+            /// Addresses to contact to join the fleet, at which other members may run.
             #[serde(default)]
             pub seeds: Vec<SocketAddr>,
-            /// File with the keys.
+            /// Path of the file with the keys.
             pub key_file: PathBuf,
-            /// File that stores the last incarnation.
+            /// Path of the file that stores the last incarnation; `None` means a file in the state directory, if there
+            /// is one.
             pub life_file: Option<PathBuf>,
-            /// Time limit of a stream.
+            /// Maximum duration of a stream.
             #[serde(default = "default_exchange_time")]
             pub exchange_time: u64,
-            /// Limit of the streams that other members opened and that are in progress.
+            /// Maximum number of concurrent streams opened by other members.
             #[serde(default = "default_exchanges")]
             pub exchanges: usize,
             $(
-                #[doc = concat!("See `Settings::", stringify!($figure), "`.")]
-                pub $figure: Option<$type>,
+                #[doc = concat!("See `Settings::", stringify!($setting), "`.")]
+                pub $setting: Option<$type>,
             )*
         }
 
         impl Section {
-            /// The settings: those of the file, and the defaults of all others.
-            pub fn figures(&self) -> Settings {
-                let mut figures = Settings::default();
-                $(if let Some(figure) = self.$figure { figures.$figure = figure; })*
-                figures
+            /// Returns the settings of the file, with defaults for missing ones.
+            pub fn settings(&self) -> Settings {
+                let mut settings = Settings::default();
+                $(if let Some(value) = self.$setting { settings.$setting = value; })*
+                settings
             }
         }
     };
@@ -82,25 +83,25 @@
     4
 }
 
-/// Reads and checks the file.
+/// Reads and validates the file at `path`.
 pub fn read(path: &Path) -> Result<Section, FleetError> {
     let file = || path.to_path_buf();
     let text =
         std::fs::read_to_string(path).map_err(|error| FleetError::Unreadable { file: file(), error })?;
     let File { fleet: section } = toml::from_str(&text).map_err(|error| syntax_error(path, &text, &error))?;
-    let figure = |error| FleetError::Figure { file: file(), error };
-    section.figures().check().map_err(figure)?;
+    let settings_error = |error| FleetError::Figure { file: file(), error };
+    section.settings().check().map_err(settings_error)?;
     for (setting, value) in
         [("exchange_time", section.exchange_time), ("exchanges", section.exchanges as u64)]
     {
         if value == 0 {
-            return Err(figure(glenrail_fleet::SettingsError::TooSmall { setting, value, min: 1 }));
+            return Err(settings_error(glenrail_fleet::SettingsError::TooSmall { setting, value, min: 1 }));
         }
     }
     Ok(section)
 }
 
-/// The error of a file that cannot be parsed, with its line.
+/// Returns the error for a file that cannot be parsed, with the line number.
 fn syntax_error(path: &Path, text: &str, error: &toml::de::Error) -> FleetError {
     let line = error_line(text, error);
     FleetError::Line { file: path.to_path_buf(), line, what: error.message().to_string() }
--- a/gateway/src/fleet/config/tests.rs
+++ b/gateway/src/fleet/config/tests.rs
@@ -26,19 +26,21 @@
     assert!(error_text("").contains("fleet"));
 }
 
-/// Guards the operators' page of keys: a figure there that is not the default would be taken for it.
+/// Guards the example file for operators: a value in it that differs from the default would be mistaken for the
+/// default.
 #[test]
 fn the_shipped_file_shows_every_setting_with_its_default() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/fleet.toml");
     let section = read(Path::new(path)).expect("it loads");
-    assert_eq!(section.figures(), Settings::default());
+    assert_eq!(section.settings(), Settings::default());
     let text = std::fs::read_to_string(path).expect("text");
     let shown = |key: &str| {
         let shows = |line: &str| line.trim_start_matches("# ").starts_with(&format!("{key} = "));
         assert!(text.lines().any(shows), "{key}");
     };
-    let figures = format!("{:?}", Settings::default());
-    let keys = figures.trim_start_matches("Settings { ").split(", ").filter_map(|f| f.split(':').next());
+    let settings_text = format!("{:?}", Settings::default());
+    let keys =
+        settings_text.trim_start_matches("Settings { ").split(", ").filter_map(|f| f.split(':').next());
     keys.for_each(shown);
     for key in ["name", "member", "bind", "advertise", "seeds", "key_file", "life_file"] {
         shown(key);
--- a/gateway/src/fleet/exchange.rs
+++ b/gateway/src/fleet/exchange.rs
@@ -1,5 +1,5 @@
-//! Exchanges over streams, opened by this member or accepted from others. Their number and time are limited here;
-//! the state machine limits frames and bytes.
+//! Exchanges over streams, opened by this member or accepted from others. This module limits the number of accepted
+//! streams and the duration of all; the state machine limits frames and bytes.
 
 use std::future::Future;
 use std::io;
@@ -16,14 +16,14 @@
 use super::error::WireError;
 use super::sockets::RETRY_PAUSE;
 
-/// Most bytes of one read.
+/// Size of the read buffer of a stream, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Counts a stream that another member opened, while it is in progress.
+/// Counts a stream opened by another member, until it is dropped.
 struct IncomingStream(Rc<Driver>);
 
 impl IncomingStream {
-    /// `None` if as many as the limit are in progress.
+    /// Returns `None` if the maximum number of streams is in progress.
     fn new(driver: &Rc<Driver>) -> Option<IncomingStream> {
         let incoming = driver.incoming.get();
         if incoming >= driver.max_incoming {
@@ -40,14 +40,15 @@
     }
 }
 
-/// Accepts streams until it is dropped. One over the limit is closed at once: a silent stream must not make members
-/// wait in the queue of the listener.
+/// Accepts streams until the future is dropped. Streams over the limit are closed at once, so that idle streams do not
+/// keep other members waiting in the listen queue.
 pub(super) async fn accept(driver: &Rc<Driver>) {
     loop {
         match driver.sockets.listener.accept().await {
             Ok((stream, with)) => match IncomingStream::new(driver) {
                 Some(incoming) => spawn_accepted(incoming, stream, with),
-                None => driver.stream_broke(&WireError::TooManyStreams { with, most: driver.max_incoming }),
+                None => driver
+                    .record_stream_failure(&WireError::TooManyStreams { with, limit: driver.max_incoming }),
             },
             Err(error) => {
                 driver.log_failure(&WireError::Accept(error));
@@ -65,7 +66,7 @@
     });
 }
 
-/// Opens a stream to a member and runs an exchange over it, in a task of its own.
+/// Opens a stream to a member and runs an exchange over it, in a separate task.
 pub(super) fn spawn_open(driver: &Rc<Driver>, with: MemberId, to: SocketAddr) {
     driver.spawn_stream(open(driver.clone(), with, to));
 }
@@ -74,7 +75,8 @@
     let opened = async {
         let broken = |error| WireError::Broken { with: to, error };
         let stream = TcpStream::connect(to).await.map_err(broken)?;
-        // After connecting: a frame that is delayed for long may fall below the replay window.
+        // The first frame is created after connecting: a frame that is delayed for long may fall below the replay
+        // window.
         let opened = driver.step(|fleet, _, _| fleet.open_exchange(with));
         let (exchange, first) = opened.map_err(|error| WireError::Exchange { with: to, error })?;
         run(&driver, stream, to, exchange, first).await
@@ -82,18 +84,18 @@
     limit_time(&driver, to, opened).await;
 }
 
-/// Runs `exchange` within the time limit, and reports a failure.
+/// Runs `exchange` within the time limit, and counts and logs a failure.
 async fn limit_time(
     driver: &Driver, with: SocketAddr, exchange: impl Future<Output = Result<(), WireError>>,
 ) {
-    let most = driver.stream_timeout;
-    let result = timeout(Duration::from_millis(most), exchange).await;
-    if let Err(error) = result.unwrap_or(Err(WireError::TimedOut { with, most })) {
-        driver.stream_broke(&error);
+    let limit_ms = driver.stream_timeout;
+    let result = timeout(Duration::from_millis(limit_ms), exchange).await;
+    if let Err(error) = result.unwrap_or(Err(WireError::TimedOut { with, limit_ms })) {
+        driver.record_stream_failure(&error);
     }
 }
 
-/// Writes `first`, then passes what it reads to the state machine until the exchange is finished.
+/// Writes `first`, then passes the bytes read to the state machine until the exchange is finished.
 async fn run(
     driver: &Rc<Driver>, mut stream: TcpStream, with: SocketAddr, mut exchange: Exchange, first: Vec<u8>,
 ) -> Result<(), WireError> {
--- a/gateway/src/fleet/start.rs
+++ b/gateway/src/fleet/start.rs
@@ -1,5 +1,5 @@
-//! What a start of the fleet needs, read from the operators' file and the platform's settings. Read once; the keys again
-//! at each reload.
+//! Parameters for starting a member, from the operators' file and the platform's settings. They are read once; only the
+//! keys are read again at each reload.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,31 +10,32 @@
 use super::error::FleetError;
 use super::{incarnation, keys};
 
-/// The platform's settings for this gateway, where there is a platform.
-pub struct Platform {
-    /// Whether they permit messages among gateways.
-    pub peers: bool,
-    /// Directory for the state of this gateway.
+/// Settings of the platform that concern the fleet.
+pub struct PlatformSettings {
+    /// Whether the platform permits messages among gateways.
+    pub gossip_permitted: bool,
+    /// State directory of this gateway.
     pub state: PathBuf,
 }
 
-/// A checked file, from which the member can be started.
-pub struct Start {
+/// Validated parameters for starting the member.
+pub struct MemberConfig {
     pub(super) file: PathBuf,
     pub(super) section: Section,
-    /// This gateway's name.
+    /// Name of this gateway.
     pub(super) member: String,
     life_file: Option<PathBuf>,
 }
 
-impl Start {
-    /// Reads the file and the keys, and rejects what the platform's settings forbid. Opens no sockets. `name` is this
-    /// gateway's name by the platform or the environment; it takes precedence over the file's.
+impl MemberConfig {
+    /// Reads the file and the keys, and returns an error if the platform forbids messages among gateways. Opens no
+    /// sockets. `name` is the name of this gateway from the platform or the environment; it takes precedence over that
+    /// in the file.
     pub fn read(
-        file: &Path, name: Option<String>, platform: Option<&Platform>,
-    ) -> Result<(Start, Keyring), FleetError> {
+        file: &Path, name: Option<String>, platform: Option<&PlatformSettings>,
+    ) -> Result<(MemberConfig, Keyring), FleetError> {
         let section = config::read(file)?;
-        if platform.is_some_and(|platform| !platform.peers) {
+        if platform.is_some_and(|platform| !platform.gossip_permitted) {
             return Err(FleetError::Forbidden { file: file.into() });
         }
         let member = name.or(section.member.clone()).filter(|name| !name.is_empty());
@@ -42,24 +43,24 @@
         let keys = read_keys(&section, &section.name)?;
         let in_state = || platform.map(|platform| platform.state.join("life"));
         let life_file = section.life_file.clone().or_else(in_state);
-        Ok((Start { file: file.into(), section, member, life_file }, keys))
+        Ok((MemberConfig { file: file.into(), section, member, life_file }, keys))
     }
 
-    /// Reads the keys again, for the fleet's name that the member was started with.
+    /// Reads the keys again, with the fleet name that the member was started with.
     pub(super) fn reload_keys(&self) -> Result<Keyring, FleetError> {
         read_keys(&config::read(&self.file)?, &self.section.name)
     }
 
-    /// The incarnation of a start at this moment, which is stored.
+    /// Returns the incarnation for a start at this time, after storing it.
     pub(super) fn next_incarnation(&self) -> Result<Incarnation, FleetError> {
         let file = self.life_file.as_deref();
-        incarnation::next(incarnation::clock(), file).map_err(|error| FleetError::Incarnation {
+        incarnation::next(incarnation::unix_time_ms(), file).map_err(|error| FleetError::Incarnation {
             file: file.map(Path::to_path_buf).unwrap_or_default(),
             error,
         })
     }
 
-    /// The error of a bind that failed.
+    /// Returns the error for a failed bind.
     pub(super) fn cannot_bind(&self, error: io::Error) -> FleetError {
         FleetError::Bind { file: self.file.clone(), address: self.section.bind, error }
     }
--- a/gateway/src/upgrade/tests/wire_format.rs
+++ b/gateway/src/upgrade/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The messages that two processes exchange in an upgrade, compared with those that an earlier build sent: in an update
-//! the old build hands over to the new one.
+//! Compares the messages of an upgrade with those recorded from an earlier build: in an update, the predecessor is the
+//! old build and the successor the new one.
 
 use std::io::{IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -29,20 +29,20 @@
 };
 
 const MESSAGES: &str = include_str!("../../../tests/fixtures/upgrade_messages.txt");
-/// The name of the socket in the state directory.
+/// File name of the socket in the state directory.
 const SOCKET: &str = "handover";
-/// What the router has learned is opaque to the messages.
-const STATE: [u8; 16] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
+/// Routing state, which is opaque to the protocol.
+const ROUTING_STATE: [u8; 16] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
 const READ_AHEAD: &[u8] = b"1a\r\nabc";
 const CLASS: &str = "interactive";
-/// A test that waits longer than this has failed.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Maximum time that a test waits before it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What goes with a client's connection that has a stream under way: bytes read ahead, and the class.
-type Stream = (&'static [u8], Option<&'static str>);
+/// Data sent with a client connection that has a stream in flight: the bytes read ahead, and the class.
+type StreamData = (&'static [u8], Option<&'static str>);
 
-/// The recorded messages that hand a client's connection over, each with its front.
-const CONNECTIONS: [(&str, u8, Option<Stream>); 5] = [
+/// Recorded messages that transfer a client connection, each with the number of its front.
+const CONNECTIONS: [(&str, u8, Option<StreamData>); 5] = [
     ("connection at rest, first front", PLATFORM, None),
     ("connection at rest, second front", SECOND, None),
     ("stream, first front", PLATFORM, Some((READ_AHEAD, Some(CLASS)))),
@@ -50,7 +50,7 @@
     ("stream, nothing read ahead, no class", PLATFORM, Some((b"", None))),
 ];
 
-/// The number of descriptors and the bytes of a recorded message.
+/// Returns the number of descriptors and the bytes of a recorded message.
 fn recorded(name: &str) -> (usize, Vec<u8>) {
     let fields = |line: &'static str| line.split(" | ").collect::<Vec<_>>();
     let fields = MESSAGES.lines().map(fields).find(|f| f[0] == name).expect("a recorded message");
@@ -58,12 +58,12 @@
     (fields[1].parse().expect("a number"), (0..fields[2].len()).step_by(2).map(byte).collect())
 }
 
-/// The other process of an upgrade, which knows the recorded messages only.
+/// Simulated other process of an upgrade, which handles only the recorded messages.
 struct Peer(blocking::UnixStream);
 
 impl Peer {
     fn new(stream: blocking::UnixStream) -> Peer {
-        stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
         Peer(stream)
     }
 
@@ -74,13 +74,13 @@
         loop {
             match blocking::UnixStream::connect(&address.path) {
                 Ok(stream) => return Peer::new(stream),
-                Err(e) => assert!(began.elapsed() < LIMIT, "nobody listens: {e}"),
+                Err(e) => assert!(began.elapsed() < TEST_TIMEOUT, "no process listens: {e}"),
             }
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Waits for a process that asks to take over.
+    /// Waits for a process that requests the handover.
     fn accept(socket: &blocking::UnixListener) -> Peer {
         socket.set_nonblocking(true).expect("not blocking");
         let began = Instant::now();
@@ -90,13 +90,13 @@
                     stream.set_nonblocking(false).expect("blocking");
                     return Peer::new(stream);
                 }
-                Err(e) => assert!(began.elapsed() < LIMIT, "nobody asks: {e}"),
+                Err(e) => assert!(began.elapsed() < TEST_TIMEOUT, "no process connects: {e}"),
             }
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Reads the first bytes that are there, and the descriptors that come along with them.
+    /// Reads the bytes available, and the descriptors sent with them.
     fn read(&self, bytes: &mut [u8]) -> (usize, Vec<OwnedFd>) {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -109,7 +109,7 @@
         (got.bytes, descriptors.collect())
     }
 
-    /// Reads a message, which must be the recorded one, and gives out its descriptors.
+    /// Reads a message, asserts that it is the recorded one, and returns its descriptors.
     fn expect(&self, name: &str) -> Vec<OwnedFd> {
         let (count, bytes) = recorded(name);
         let mut got = vec![0; bytes.len()];
@@ -138,7 +138,7 @@
         (&self.0).write_all(&bytes[1..]).expect("sent");
     }
 
-    /// Ends, and finds that nothing more was sent.
+    /// Closes the connection, and asserts that nothing more was sent.
     fn end(mut self) {
         self.0.shutdown(Close::Write).expect("closed");
         let mut rest = Vec::new();
@@ -147,7 +147,7 @@
     }
 }
 
-/// By its two addresses a connection is known again.
+/// The two addresses of a connection, which identify it.
 type Ends = (SocketAddr, SocketAddr);
 
 fn ends(socket: &TcpStream) -> Ends {
@@ -160,14 +160,14 @@
     (listener, address)
 }
 
-/// Both ends of a connection.
+/// Returns both ends of a new connection.
 fn connection() -> [TcpStream; 2] {
     let (listener, address) = listener();
     let near = TcpStream::connect(address).expect("a connection");
     [near, listener.accept().expect("a connection").0]
 }
 
-/// A state directory of one test's own.
+/// Creates a state directory for one test.
 fn state(name: &str) -> PathBuf {
     let state = std::env::temp_dir().join(format!("glenrail-wire-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&state);
@@ -180,18 +180,18 @@
     SharedLimits { slots, connections: 10, budget: Budget::new(100), bodies: 100 }
 }
 
-/// A client's connection and its server's for each of `CONNECTIONS`, with the far ends.
+/// Returns a client and a server connection, each with both ends, for each of `CONNECTIONS`.
 fn sockets() -> Vec<[[TcpStream; 2]; 2]> {
     CONNECTIONS.iter().map(|_| [connection(), connection()]).collect()
 }
 
-/// Transfers the connections once the other process has taken over.
+/// Transfers the connections once the successor has taken over.
 async fn transfer_connections(sockets: Vec<[TcpStream; 2]>, shutdown: &Shutdown) {
     let mut updates = shutdown.successor_updates();
     let successor = updates.wait_for(Option::is_some).await.expect("a successor").clone();
     let successor = successor.expect("a successor");
     for ((_, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sockets) {
-        let transferred = |(read_ahead, class): Stream| TransferredStream {
+        let transferred = |(read_ahead, class): StreamData| TransferredStream {
             remainder: StreamRemainder { socket: server, read_ahead: read_ahead.to_vec() },
             class: class.map(String::from),
         };
@@ -205,8 +205,10 @@
     }
 }
 
-/// What a second process receives, as recorded: the listeners, the learned state and the connections.
-fn receive_all(peer: Peer, listeners: [SocketAddr; FRONTS], learned: &str, connections: &[[Ends; 2]]) {
+/// Asserts that a successor receives the recorded messages: the listeners, the routing state and the connections.
+fn expect_recorded_messages(
+    peer: Peer, listeners: [SocketAddr; FRONTS], state_message: &str, connections: &[[Ends; 2]],
+) {
     for (name, address) in ["listener, first front", "listener, second front"].into_iter().zip(listeners) {
         let got =
             peer.expect(name).into_iter().map(|l| TcpListener::from(l).local_addr().expect("an address"));
@@ -214,7 +216,7 @@
     }
     peer.expect("all listeners sent");
     peer.send("serving", &[]);
-    peer.expect(learned);
+    peer.expect(state_message);
     for ((name, ..), sent) in CONNECTIONS.iter().zip(connections) {
         let got: Vec<Ends> = peer.expect(name).into_iter().map(|s| ends(&TcpStream::from(s))).collect();
         assert_eq!(got, sent[..got.len()], "{name}");
@@ -222,44 +224,45 @@
     peer.end();
 }
 
-/// Runs the first process of an upgrade against a peer that expects what is recorded.
-async fn first_process(name: &str, learned: &'static [u8], recorded: &'static str) {
+/// Runs a predecessor against a peer that expects the recorded messages.
+async fn run_predecessor(name: &str, state_bytes: &'static [u8], recorded: &'static str) {
     let (state, shutdown) = (state(name), Shutdown::default());
     let ((first, first_at), (second, second_at)) = (listener(), listener());
     let listeners = vec![(PLATFORM, OwnedFd::from(first)), (SECOND, OwnedFd::from(second))];
     let (inboxes, _inboxes) = TransferInboxes::new();
-    let learned = RoutingStateTransfer { export: Rc::new(|| learned.to_vec()), import: Rc::new(|_| {}) };
+    let routing_state =
+        RoutingStateTransfer { export: Rc::new(|| state_bytes.to_vec()), import: Rc::new(|_| {}) };
     let (near, _far): (Vec<_>, Vec<_>) =
         sockets().into_iter().map(|[[c, c_far], [s, s_far]]| ([c, s], [c_far, s_far])).unzip();
     let connections: Vec<[Ends; 2]> = near.iter().map(|pair| pair.each_ref().map(ends)).collect();
     let directory = state.clone();
     let peer = tokio::task::spawn_blocking(move || {
-        receive_all(Peer::connect(&directory), [first_at, second_at], recorded, &connections);
+        expect_recorded_messages(Peer::connect(&directory), [first_at, second_at], recorded, &connections);
     });
     let handing_over =
-        serve_as_predecessor(state.clone(), listeners, inboxes, learned, shutdown.clone(), limits());
+        serve_as_predecessor(state.clone(), listeners, inboxes, routing_state, shutdown.clone(), limits());
     let transferring = async {
         transfer_connections(near, &shutdown).await;
         std::future::pending::<()>().await;
     };
     tokio::select! {
-        () = handing_over => panic!("it hands over for as long as it runs"),
+        () = handing_over => panic!("the predecessor returned before the test ended"),
         () = transferring => {}
         checked = peer => checked.expect("all is as recorded"),
     }
     std::fs::remove_dir_all(state).expect("removed");
 }
 
-/// Guards the second process, of an earlier build: a first process sends it the recorded messages and no others.
+/// Guards successors of an earlier build: the predecessor sends the recorded messages and no others.
 #[tokio::test]
-async fn the_first_process_sends_the_recorded_messages() {
-    first_process("sent", &STATE, "learned state").await;
-    first_process("sent-unlearned", &[], "no learned state").await;
+async fn the_predecessor_sends_the_recorded_messages() {
+    run_predecessor("sent", &ROUTING_STATE, "learned state").await;
+    run_predecessor("sent-unlearned", &[], "no learned state").await;
 }
 
-/// Guards the first process's listeners, of an earlier build: the recorded messages hand each of them over.
+/// Guards predecessors of an earlier build: the recorded messages transfer each of their listeners.
 #[tokio::test]
-async fn the_second_process_reads_the_recorded_listeners() {
+async fn the_successor_reads_the_recorded_listeners() {
     let state = state("listeners");
     let address = socket_path(&state, SOCKET).expect("a path");
     let socket = blocking::UnixListener::bind(&address.path).expect("a socket");
@@ -279,27 +282,27 @@
     std::fs::remove_dir_all(state).expect("removed");
 }
 
-/// The link of a second process, and the first process at its other end.
-fn linked() -> (UpgradeLink, Peer) {
+/// Returns the link of a successor, and the simulated predecessor at its other end.
+fn successor_link() -> (UpgradeLink, Peer) {
     let (ours, theirs) = blocking::UnixStream::pair().expect("a pair");
     ours.set_nonblocking(true).expect("not blocking");
     (UpgradeLink::new(UnixStream::from_std(ours).expect("a socket")), Peer::new(theirs))
 }
 
-/// What a connection that came in is, in the terms of `CONNECTIONS`.
-type Arrived = (Ends, Option<(Ends, Vec<u8>, Option<String>)>);
+/// Received connection, in the form of an item of `CONNECTIONS`.
+type ReceivedConnection = (Ends, Option<(Ends, Vec<u8>, Option<String>)>);
 
-fn arrived(inbox: &mut TransferInbox) -> Arrived {
+fn received_connection(inbox: &mut TransferInbox) -> ReceivedConnection {
     let (client, stream) = inbox.try_recv().expect("a connection");
     let stream = stream.map(|moved| (ends(&moved.remainder.socket), moved.remainder.read_ahead, moved.class));
     (ends(&client), stream)
 }
 
-/// Guards clients that an earlier build hands over: the recorded messages are read as the values that they stand for,
-/// and answered as recorded.
+/// Guards client connections that an earlier build transfers: the recorded messages are decoded to their values and
+/// answered as recorded.
 #[tokio::test]
-async fn the_second_process_reads_the_recorded_messages() {
-    let ((link, peer), sockets) = (linked(), sockets());
+async fn the_successor_reads_the_recorded_messages() {
+    let ((link, peer), sockets) = (successor_link(), sockets());
     let sent: Vec<[Ends; 2]> = sockets.iter().map(|[[c, _], [s, _]]| [ends(c), ends(s)]).collect();
     let peer = tokio::task::spawn_blocking(move || {
         peer.expect("serving");
@@ -316,13 +319,13 @@
         let imported = imported.clone();
         Rc::new(move |bytes: &[u8]| imported.borrow_mut().push(bytes.to_vec()))
     };
-    let learned = RoutingStateTransfer { export: Rc::new(Vec::new), import };
-    serve_as_successor(link, inboxes, learned, Shutdown::default(), limits().reserve_half()).await;
+    let routing_state = RoutingStateTransfer { export: Rc::new(Vec::new), import };
+    serve_as_successor(link, inboxes, routing_state, Shutdown::default(), limits().reserve_half()).await;
     peer.await.expect("all is as recorded");
-    assert_eq!(*imported.borrow(), [STATE.to_vec(), Vec::new()]);
+    assert_eq!(*imported.borrow(), [ROUTING_STATE.to_vec(), Vec::new()]);
     for ((name, front, stream), [client, server]) in CONNECTIONS.into_iter().zip(sent) {
         let stream = stream.map(|(read_ahead, class)| (server, read_ahead.to_vec(), class.map(String::from)));
-        assert_eq!(arrived(&mut inbox[usize::from(front)]), (client, stream), "{name}");
+        assert_eq!(received_connection(&mut inbox[usize::from(front)]), (client, stream), "{name}");
     }
-    assert!(inbox.iter_mut().all(|inbox| inbox.try_recv().is_err()), "nothing else has come");
+    assert!(inbox.iter_mut().all(|inbox| inbox.try_recv().is_err()), "no further connection was received");
 }
