--- a/crates/cache-warming/src/assignments.rs
+++ b/crates/cache-warming/src/assignments.rs
@@ -2,12 +2,14 @@
 //!
 //! The member that opens a replacement assigns each prefix a primary and a backup, by rendezvous hashing
 //! among the live members that hold its text, and announces the assignment. No other member prefills the
-//! prefix, each of the two prefills it at most once, and a restarted member counts as another one. So a
-//! prefix is prefilled at most twice in a replacement, whichever members fail, pause or receive messages
-//! late.
+//! prefix, each of the two prefills it at most once, and a restarted member counts as another one. So one
+//! announcement leads to at most two prefills of a prefix, whichever members fail, pause or receive messages
+//! late. If two members announce the same replacement, both assignments may be used until the members have
+//! received both announcements (see [`Assignments::open`]).
 //!
-//! The backup starts only when the primary has given up, or when it has failed and the lease of its claim, if
-//! one was received, has certainly ended.
+//! The backup starts only when the primary has abandoned the prefill, or when the primary has failed and a
+//! wait is over: the lease plus the margin after its claim was received, or the margin alone after the
+//! assignment was received if no claim was.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/cache-warming/src/cutover/mod.rs
+++ b/crates/cache-warming/src/cutover/mod.rs
@@ -1,9 +1,9 @@
 //! Cutover of one node: its keys move to the replacement one slice at a time, each when the prefixes planned
 //! for it have been prefilled, or once the deadline has passed.
 //!
-//! A slice has one owner at any time. The old node serves until all slices have moved and the new node has
-//! served for a settling time; then the old node may drain. If the new node fails, all slices return to the
-//! old node in the same step.
+//! A slice has at most one owner at any time. The old node remains available until all slices have moved and
+//! the new node has served for a settling time; then the old node may drain. If the new node fails before
+//! that, all slices return to the old node in the same step.
 
 mod replacements;
 mod report;
@@ -27,7 +27,7 @@
     /// Share of a slice's planned saving that must be prefilled before the slice may move.
     pub min_prefilled_share: f64,
     /// Minimum time between moves of two slices (ms), so that the new node is not flooded with requests for
-    /// prefixes that were not prefilled.
+    /// prefixes that were not prefilled. It does not apply when the old node is lost and all slices move.
     pub move_interval: Ms,
     /// Time after the start (ms) from which slices move whether prefilled or not, still one per
     /// `move_interval`.
@@ -54,7 +54,8 @@
     /// No slice has moved yet.
     Warming,
     Moving,
-    /// All slices have moved; the old node is still available to take them back.
+    /// All slices have moved, but the settling time is not over. The slices return to the old node if the new
+    /// one fails; if the old node has failed too, the next one in the server order serves them.
     Settling,
     /// The settling time is over; the old node, if there is one, may drain.
     Done,
@@ -71,7 +72,7 @@
     Requested { tokens: u32, cached: u32 },
     /// A node has failed, or drains for another reason than this replacement.
     NodeLost(Node),
-    /// A later replacement takes over from this one.
+    /// A later replacement of the same old node, or of this new node, has started.
     Superseded,
     /// Nothing happened except that time has passed.
     Tick,
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Applies an input and returns the resulting transitions, each of which is a log line. After the end
-    /// there are none.
+    /// Applies an input and returns the resulting transitions, each of which is a log line. A finished
+    /// replacement returns none.
     pub fn step(&mut self, input: Input, now: Ms) -> Vec<Transition> {
         let mut transitions = Vec::new();
         if self.is_finished() {
@@ -286,8 +287,8 @@
         }
     }
 
-    /// Returns the share of requested tokens that should be cached at the new node for the slices that have
-    /// moved, judging by what was prefilled.
+    /// Returns the share of requested tokens that is expected to be cached at the new node for the slices
+    /// that have moved: the savings that were prefilled, divided by the tokens per second requested.
     fn expected_hit_ratio(&self) -> f64 {
         let moved = || self.slices.iter().filter(|slice| slice.moved);
         let (prefilled, owned): (f64, f64) =
--- a/crates/cache-warming/src/cutover/report.rs
+++ b/crates/cache-warming/src/cutover/report.rs
@@ -37,7 +37,7 @@
 /// Counters of one replacement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CutoverStats {
-    /// Planned prefixes.
+    /// Planned prefixes, except those whose grant was revoked before they were prefilled.
     pub planned: usize,
     /// Planned prefixes that have been prefilled.
     pub prefilled: usize,
@@ -45,7 +45,7 @@
     pub moved: usize,
     /// Slices in total.
     pub slices: usize,
-    /// Share of the requested prefix tokens that should be cached, for the slices that have moved.
+    /// Expected share of the requested prefix tokens that are cached, for the slices that have moved.
     pub expected_hit_ratio: f64,
     /// Prefix tokens requested at the new node.
     pub requested_tokens: u64,
--- a/crates/cache-warming/src/pace.rs
+++ b/crates/cache-warming/src/pace.rs
@@ -1,5 +1,6 @@
-//! Pacing of the prefills that warm a node. These yield to all other work: they stop at once when the fleet
-//! sheds load, when the node falls behind or drains, and when the reports on either are out of date.
+//! Pacing of the prefills that warm a node. They yield to all other work: they stop at once when the fleet
+//! sheds load, when the node falls behind, drains or is unavailable, and when the reports on the fleet or on
+//! the node are out of date.
 
 use thiserror::Error;
 
@@ -35,7 +36,7 @@
     pub level: u32,
     /// Wait for the first token at the node (ms).
     pub wait: Ms,
-    /// Age of the older of both reports (ms).
+    /// Age of the older of the two reports, on the fleet and on the node (ms).
     pub age: Ms,
     pub node_state: NodeState,
 }
@@ -70,7 +71,7 @@
 }
 
 impl PacingError {
-    /// Returns what an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             PacingError::Draining(_) => "Order `replace` with a node that is not draining.",
--- a/crates/cache-warming/src/plan/mod.rs
+++ b/crates/cache-warming/src/plan/mod.rs
@@ -66,8 +66,8 @@
 pub struct Plan {
     pub node: Node,
     pub prefills: Vec<PlannedPrefill>,
-    /// All counted prefixes that the node will own, chosen or not, each with the tokens per second requested
-    /// of it.
+    /// All counted and granted prefixes that the node will own, chosen or not, each with the tokens per
+    /// second of it that are expected to be requested at the node.
     pub owned: Vec<(PromptPrefix, f64)>,
 }
 
@@ -81,8 +81,8 @@
     }
 }
 
-/// Returns a plan for each target. Prefixes whose text no member holds, or whose team may not call the model,
-/// are not planned.
+/// Returns a plan for each target. A prefix is not planned if no member holds its text, if its team may not
+/// call the model, or if the target has cached all of it.
 pub fn plan(sketch: &Sketch, targets: &[Target], lookups: &Lookups) -> Vec<Plan> {
     let mut plans: Vec<Plan> =
         targets.iter().map(|t| Plan { node: t.node, prefills: Vec::new(), owned: Vec::new() }).collect();
--- a/crates/cache-warming/src/sketch.rs
+++ b/crates/cache-warming/src/sketch.rs
@@ -11,10 +11,11 @@
 
 /// Maximum number of nodes recorded as having prefilled a prefix; the most recent ones are kept.
 pub const MAX_PREFILL_NODES: usize = 4;
-/// Maximum number of members recorded as holding the text of a prefix.
+/// Maximum number of members recorded as holding the text of a prefix; those with the lowest identifiers are
+/// kept.
 pub const MAX_HOLDERS: usize = 8;
 
-/// What is known of a prefix.
+/// Statistics of one prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixStats {
     /// Length of the prefix in tokens.
@@ -72,7 +73,7 @@
         Sketch { capacity, half_life, as_of: now, total: 0.0, max_undercount: 0.0, prefixes: HashMap::new() }
     }
 
-    /// Records a request for a prefix and the node that prefilled it (`None`: unknown).
+    /// Records a request for a prefix of `tokens` tokens and the node that prefilled it (`None`: unknown).
     pub fn record_request(&mut self, prefix: PromptPrefix, tokens: u32, prefill_node: Option<Node>, now: Ms) {
         self.decay(now);
         self.total += f64::from(tokens);
@@ -123,12 +124,13 @@
         }
     }
 
-    /// Keeps only prefixes whose team may call their model. The remaining counts do not change.
+    /// Keeps only prefixes whose team may call their model. The remaining counts and the total do not change.
     pub fn retain(&mut self, granted: &dyn Fn(Team, Model) -> bool) {
         self.prefixes.retain(|b, _| granted(b.team, b.model));
     }
 
-    /// Returns what is known of a prefix. `None`: at most [`Sketch::max_undercount`] tokens were requested.
+    /// Returns the statistics of a prefix. `None`: at most [`Sketch::max_undercount`] tokens, decayed, were
+    /// requested, or [`Sketch::retain`] has removed the prefix.
     pub fn get(&self, prefix: &PromptPrefix) -> Option<&PrefixStats> {
         self.prefixes.get(prefix)
     }
@@ -180,8 +182,9 @@
         self.as_of = self.as_of.max(now);
     }
 
-    /// Keeps the `count` heaviest prefixes. The weight of the next one is subtracted from all, so that at
-    /// least `count + 1` counters lose this amount and the bound holds.
+    /// Keeps at most the `count` heaviest prefixes. The weight of the next one is subtracted from all, so
+    /// that at least `count + 1` counters lose this amount and the module's bound holds. Prefixes whose
+    /// weight does not stay above zero are removed.
     pub fn keep_heaviest(&mut self, count: usize) {
         if self.prefixes.len() <= count {
             return;
--- a/crates/cache-warming/src/sketch_codec.rs
+++ b/crates/cache-warming/src/sketch_codec.rs
@@ -71,8 +71,9 @@
     prefixes: Vec<EncodedPrefix>,
 }
 
-/// Encodes as many of the heaviest prefixes as fit into `room` bytes. What is left out raises the undercount
-/// of the encoded sketch.
+/// Encodes the heaviest prefixes in at most `room` bytes, lowering their number until they fit. Prefixes that
+/// are left out raise the undercount of the encoded sketch. A sketch without prefixes is returned even if it
+/// is larger than `room`.
 pub fn encode(sketch: &Sketch, room: usize, now: Ms) -> Vec<u8> {
     let mut reduced = sketch.clone();
     reduced.decay(now);
--- a/crates/cache-warming/src/types.rs
+++ b/crates/cache-warming/src/types.rs
@@ -1,5 +1,5 @@
-//! Identifiers shared by all modules. Each is a hash that the caller computes in the same way on every
-//! member.
+//! Identifiers shared by all modules. Except for [`Incarnation`], each is a hash that the caller computes in
+//! the same way on every member.
 
 use serde::{Deserialize, Serialize};
 
