--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -76,7 +76,8 @@
         found.map(|(value, version)| Ok((Self::value(&value)?, version))).transpose()
     }
 
-    /// Returns all entries whose key starts with `prefix`, in the order of their keys.
+    /// Returns all entries that have not expired and whose key starts with `prefix`, in the order of their
+    /// keys.
     pub fn scan(&self, view: &View, prefix: &K, now: u64) -> Result<Vec<(K::Owned, V)>>
     where
         K::Owned: Borrow<K>,
@@ -141,7 +142,8 @@
         self
     }
 
-    /// Has the whole batch rejected unless the key has this version, or is absent if the version is `None`.
+    /// Adds a condition: the whole batch is rejected unless the key has this version, or is absent if the
+    /// version is `None`. An expired value counts as present until compaction removes it.
     pub fn expect<K: Key + ?Sized, V: Serialize + DeserializeOwned>(
         mut self, keyspace: &Keyspace<K, V>, key: &K, version: Option<u64>,
     ) -> Self {
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -15,11 +15,11 @@
     /// Locks the folder for this process until the value is dropped. [`ErrorKind::WouldBlock`]: another
     /// process holds the lock.
     fn lock(&mut self) -> io::Result<()>;
-    /// Returns the names of all files, in no particular order.
+    /// Returns the names of all files except the lock file, in no particular order.
     fn list(&self) -> io::Result<Vec<String>>;
     /// Opens an existing file for reading and writing.
     fn open(&self, name: &str) -> io::Result<Self::File>;
-    /// Creates an empty file. A file of this name is an error.
+    /// Creates an empty file. It is an error if a file of this name exists.
     fn create(&self, name: &str) -> io::Result<Self::File>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -51,7 +51,7 @@
     pub first_sequence: u64,
     /// Last sequence number that a compacted file covers; 0 in other files.
     pub last_sequence: u64,
-    /// Whether the file replaces several files of the log, or holds a whole store.
+    /// Whether the file replaces one or several files of the log, or holds a whole store.
     pub compacted: bool,
     /// Whether its frames have a MAC.
     pub keyed: bool,
@@ -86,8 +86,8 @@
         if bytes.len() < HEADER_BYTES {
             return Err(HeaderError::Torn);
         }
-        // A header that was only partly written is torn. One with another magic number belongs to another
-        // program.
+        // A header whose checksum does not match is torn if its magic number is right or was never written
+        // (zero bytes). With any other magic number, the file belongs to another program.
         if crc32fast::hash(&bytes[..40]) != u32_at(bytes, 40) {
             return Err(if bytes[..8] == *MAGIC || bytes[..8] == [0; 8] {
                 HeaderError::Torn
@@ -161,9 +161,9 @@
 pub enum FrameError {
     /// There are no more bytes.
     End,
-    /// The bytes are no complete frame: torn or damaged.
+    /// The bytes are not a complete valid frame: it is torn or damaged.
     Invalid(&'static str),
-    /// The frame is complete, but was not written with this key.
+    /// The frame is complete and its checksum matches, but it was not written with this key.
     WrongMac,
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,6 @@
 //! A small embedded store: a log in segments on the disk, an index in memory, group commit on a separate
-//! thread, compaction beside reads and writes, and recovery that never returns a record that was not written.
+//! thread, compaction in steps between the groups, and recovery that never returns a record that was not
+//! written.
 //!
 //! Guarantees:
 //!
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -17,7 +17,7 @@
 /// Settings of a store.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Size from which a file of the log is sealed, in bytes. A single batch may make a file larger.
+    /// Size from which a file of the log is sealed, in bytes. The last group may make a file larger.
     pub segment_bytes: u64,
     /// Key that authenticates each batch, so that a file changed on purpose is distinguished from a torn one.
     pub mac_key: Option<MacKey>,
@@ -56,7 +56,7 @@
     /// Index when the run began. All of its entries are durable.
     index: Index,
     now: u64,
-    /// No file is older than the run, so that deletions need not be kept.
+    /// Whether no file is older than the run, so that deletions need not be kept.
     includes_oldest: bool,
     /// Keys whose deletion has been copied already.
     kept_deletions: HashSet<Box<[u8]>>,
@@ -257,7 +257,7 @@
     }
 
     /// Passes the staged batches to the operating system and shows them to readers. After
-    /// [`Error::DiskFull`] none of them was written.
+    /// [`Error::DiskFull`] none of them was written, and all of them are discarded.
     pub fn flush(&mut self) -> Result<()> {
         if let Some(e) = self.failure() {
             return Err(e);
@@ -503,7 +503,7 @@
         for number in &compaction.files[1..] {
             self.segments.remove(number);
             self.sources.remove(number);
-            // The new file covers this one. A recovery removes it if this call does not.
+            // The new file covers this old one, which a recovery removes if this call fails.
             let _ = self.disk.remove(&file_name(*number));
         }
         self.sources.insert(first, file.clone());
@@ -551,7 +551,7 @@
                     .ok_or_else(|| damaged("the changes of a batch cannot be decoded"))?;
                 return Ok((ops, frame.size as u64));
             }
-            // The frame may only be larger than the part that was read.
+            // The frame may be valid, but larger than the part that was read.
             Err(FrameError::Invalid(_)) if (bytes.len() as u64) < end - frame_offset => max_bytes *= 4,
             Err(FrameError::Invalid(what)) => return Err(damaged(what)),
             Err(_) => return Err(damaged("written with another key")),
--- a/crates/store/src/packed.rs
+++ b/crates/store/src/packed.rs
@@ -1,4 +1,4 @@
-//! Writer of a file that replaces several files of the log, or that holds a whole store.
+//! Writer of a file that replaces one or several files of the log, or that holds a whole store.
 
 use crate::disk::DiskFile;
 use crate::error::Result;
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -25,13 +25,14 @@
 /// When compaction runs, and how large a run may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompactionLimits {
-    /// Minimum share of dead bytes, in all files and in a run, for a compaction.
+    /// Minimum share of dead bytes, in all sealed files and in the run, for a compaction.
     pub min_dead_share: f64,
-    /// Maximum number of live bytes that one run copies, which is the extra space that it needs.
+    /// Maximum number of bytes that one run copies (live values and deletions that must be kept), which is
+    /// the extra space that it needs.
     pub max_copied_bytes: u64,
     /// Maximum number of files in a run.
     pub max_files: usize,
-    /// Minimum number of dead bytes in all files for a compaction.
+    /// Minimum number of dead bytes in all sealed files for a compaction.
     pub min_dead_bytes: u64,
 }
 
@@ -55,7 +56,7 @@
     }
 }
 
-/// Returns the first and the last file of the run that is to be merged now, if there is one.
+/// Returns the indices of the first and the last file of the run that is to be merged now, if there is one.
 pub fn choose(sealed: &[FileUsage], limits: &CompactionLimits) -> Option<(usize, usize)> {
     let (total, dead_bytes) = sealed.iter().fold((0, 0), |(a, d), f| (a + f.bytes, d + f.reclaimable(true)));
     if dead_bytes < limits.min_dead_bytes.max(1) || (dead_bytes as f64) < limits.min_dead_share * total as f64
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -14,18 +14,20 @@
 use crate::plan::FileUsage;
 use crate::view::{file_name, Entry, Index};
 
-/// What a recovery read, and what it cut or removed; without a repair, what it would have.
+/// What a recovery read, and what it cut or removed, or without a repair would have cut or removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
     pub files: usize,
     pub keys: usize,
     /// Bytes of all files, without a torn end.
     pub bytes: u64,
-    /// Sequence number of the last batch.
+    /// Sequence number of the last batch; 0 if there is none.
     pub last_sequence: u64,
-    /// Torn end of the newest file, which a repair cuts: file, offset, and bytes.
+    /// Torn end of the newest file, which a repair cuts: file, offset, and bytes. Offset 0 means that the
+    /// header is torn, and the repair removes the file.
     pub truncated: Option<(String, u64, u64)>,
-    /// Files that a compaction had replaced already or had not finished, which a repair removes.
+    /// Files that a compaction had replaced already, and temporary files that were not finished. A repair
+    /// removes both.
     pub removed_files: Vec<String>,
 }
 
@@ -43,7 +45,7 @@
     pub report: RecoveryReport,
 }
 
-/// Returns the bytes that a change counts for in its file.
+/// Returns the bytes that a change adds to the [`FileUsage`] of its file.
 pub(crate) fn accounted_bytes(key: &[u8], value: Option<&Vec<u8>>) -> u64 {
     (key.len() + value.map_or(0, Vec::len) + 24) as u64
 }
@@ -144,7 +146,7 @@
     usages: BTreeMap<u64, FileUsage>,
     /// Sequence number that must come next; `None`: any.
     next_sequence: Option<u64>,
-    /// Last sequence number that a compacted file covers.
+    /// Last sequence number that the compacted files read so far cover.
     covered_until: u64,
 }
 
@@ -185,7 +187,7 @@
                 sequence == next_sequence
             };
             if !in_order {
-                // A stale frame after the end was cut, which was never part of this log.
+                // The frame may be left over from batches that were cut earlier and are not part of this log.
                 if is_newest
                     && !header.compacted
                     && !is_synced_by_later_frame(&bytes[offset..], next_sequence, mac_key)
@@ -250,7 +252,8 @@
     })
 }
 
-/// Reads a store that no process has open, without changing it.
+/// Reads a store that no process has open, without changing its data. The lock file is created if it does not
+/// exist.
 pub fn check<D: Disk>(mut disk: D, mac_key: Option<&MacKey>) -> Result<RecoveryReport> {
     map_lock_error(disk.lock())?;
     Ok(recover(&disk, mac_key, false)?.report)
@@ -271,7 +274,7 @@
     pub bytes: u64,
 }
 
-/// What [`salvage`] wrote to the new folder, and what it could not read or find.
+/// Number of keys that [`salvage`] wrote to the new folder, and what it could not read or find.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SalvageReport {
     pub keys: usize,
@@ -280,7 +283,8 @@
     pub missing_batches: Vec<(u64, u64)>,
 }
 
-/// Writes everything that can be read of a damaged store to another folder, and reports what cannot.
+/// Writes the newest readable value of each key of a damaged store to another folder, which must be empty,
+/// and reports what cannot be read.
 pub fn salvage<D: Disk, E: Disk>(mut from: D, mut to: E, mac_key: Option<&MacKey>) -> Result<SalvageReport> {
     map_lock_error(from.lock())?;
     map_lock_error(to.lock())?;
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -15,9 +15,9 @@
 /// Fault that occurs at one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The machine stops: this call and all later ones fail.
+    /// The machine stops: this call and all later ones that change something fail.
     Crash,
-    /// The disk is full. Half of a write may have been done.
+    /// The disk is full. Half of a write is done.
     Full,
     Io,
 }
@@ -108,7 +108,7 @@
         self.state().short_reads = true;
     }
 
-    /// Returns the number of calls so far that changed something.
+    /// Returns the number of calls so far that change something, including one that failed by the fault.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -17,7 +17,7 @@
 /// When a write is acknowledged, and thus what it survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Durability {
-    /// Accepted in order; lost if the process ends.
+    /// Accepted in order; lost if the process ends before the group is written, or if that write fails.
     Buffered,
     /// Passed to the operating system; survives the end of the process.
     Flushed,
@@ -29,7 +29,7 @@
 const MAX_GROUP_BATCHES: usize = 1_024;
 /// Size from which a group accepts no more batches, in bytes.
 const MAX_GROUP_BYTES: usize = 1 << 20;
-/// Bytes that a step of compaction reads while no command waits, and at least after a group.
+/// Bytes that a step of compaction reads while no command waits; also the minimum for the step after a group.
 const COMPACTION_STEP_BYTES: u64 = 256 << 10;
 /// Bytes that compaction reads after a group for each byte of the group, if there is something to compact.
 const COMPACTION_READ_FACTOR: u64 = 4;
@@ -49,10 +49,11 @@
 /// Counters of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Accepted batches.
+    /// Accepted batches, including those whose group could not be written.
     pub batches: u64,
-    /// Groups in which the batches were written.
+    /// Groups of batches, including those that could not be written.
     pub groups: u64,
+    /// Groups that required a sync.
     pub syncs: u64,
     /// Bytes written for callers.
     pub written_bytes: u64,
@@ -137,9 +138,9 @@
         self.0.published.view.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Queues a batch and returns at once. The store's thread calls `done` with the version of the batch, so
-    /// `done` must not block. [`Error::QueueFull`]: too many writes are waiting, and the batch was not
-    /// accepted.
+    /// Queues a batch and returns at once. The store's thread calls `done` with the version of the batch or
+    /// the error, so `done` must not block. [`Error::QueueFull`]: too many writes are waiting, and the batch
+    /// was not accepted.
     pub fn submit(
         &self, batch: Batch, durability: Durability, done: impl FnOnce(Result<u64>) + Send + 'static,
     ) -> Result<()> {
@@ -150,14 +151,15 @@
         }
     }
 
-    /// Writes a batch and waits until it has this durability.
+    /// Writes a batch, waits until it has this durability, and returns its version.
     pub fn write(&self, batch: Batch, durability: Durability) -> Result<u64> {
         let (sender, receiver) = mpsc::sync_channel(1);
         self.submit(batch, durability, move |result| _ = sender.send(result))?;
         receiver.recv().unwrap_or(Err(Error::Closed))
     }
 
-    /// Writes a consistent copy to an empty folder, which can be opened as a store.
+    /// Writes a consistent copy without expired values to an empty folder, which can then be opened as a
+    /// store. The store's thread makes the copy, so writes wait until it is done.
     pub fn snapshot<E: Disk>(&self, to: E, now: u64) -> Result<()> {
         let (sender, receiver) = mpsc::sync_channel(1);
         let copy = move |view: &View| {
--- a/crates/store/src/view.rs
+++ b/crates/store/src/view.rs
@@ -1,4 +1,4 @@
-//! The index, and views of the store, which do not change while writers continue.
+//! The index, and views of the store. A view does not change while writers continue.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     pub slot: u32,
     pub version: u64,
     pub expires_at: Option<u64>,
-    /// Bytes that the change counts for in its file.
+    /// Bytes that the change adds to the [`crate::plan::FileUsage`] of its file.
     pub accounted_bytes: u32,
 }
 
