--- a/crates/fleet/src/fleet/effect.rs
+++ b/crates/fleet/src/fleet/effect.rs
@@ -28,7 +28,8 @@
         /// Its current state.
         state: MemberState,
     },
-    /// A cell of another member was added, updated or deleted. The table contains its current value.
+    /// A received cell of another member was added, updated or deleted (replaced by a tombstone). The table
+    /// contains its current value. Expiry and eviction of cells have no effect of their own.
     CellChanged {
         /// Id of the changed cell.
         id: CellId,
--- a/crates/fleet/src/fleet/exchange.rs
+++ b/crates/fleet/src/fleet/exchange.rs
@@ -41,7 +41,8 @@
     /// A frame was rejected.
     #[error("frame rejected: {0}")]
     Rejection(#[from] Rejection),
-    /// A frame that is not expected at this stage of the exchange, or that another member sealed.
+    /// A frame is not expected at this stage of the exchange, names no recipient, or was not sealed by the
+    /// peer.
     #[error("member {peer:?} sent a frame that is not expected at this stage of the exchange")]
     OutOfTurn {
         /// The member that sealed the frame.
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -53,7 +53,7 @@
     /// Order of the recipients of digests.
     digest_order: Cycle,
     counters: Counters,
-    /// Earliest time at which the next exchange may be opened, in milliseconds.
+    /// Earliest time at which the driver may be requested to open the next exchange, in milliseconds.
     next_exchange_at: u64,
     has_left: bool,
 }
--- a/crates/fleet/src/fleet/rounds.rs
+++ b/crates/fleet/src/fleet/rounds.rs
@@ -9,8 +9,8 @@
 use crate::wire::{cell_bytes, Body, CELLS_HEADER_BYTES, MAX_BODY_BYTES};
 use crate::Member;
 
-/// Age, in anti-entropy periods, from which a received cell is not gossiped further. An older cell was received by
-/// anti-entropy, which delivers it to the other members as well.
+/// Age, in anti-entropy periods, from which a received cell is not gossiped further. Such a cell was most
+/// likely received by anti-entropy, which delivers it to the other members as well.
 const MAX_GOSSIP_AGE_REPAIR_PERIODS: u64 = 5;
 
 /// Content of the next gossip datagram.
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -22,7 +22,7 @@
 /// State of another member in the view of this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// Responds to probes.
+    /// Active, and not suspected.
     Alive,
     /// A probe failed. Treated as active until the suspicion times out.
     Suspect,
@@ -188,7 +188,8 @@
         self.foca.leave_cluster(output).map_err(|_| MembershipError)
     }
 
-    /// Returns the members that changed since the last call, in the order of their ids.
+    /// Returns the members that changed since the last call, in the order of their ids. Members that were
+    /// forgotten are not returned.
     ///
     /// `announced_leave` returns whether an incarnation has announced its leave. A member that was never active here is
     /// not reported as failed or left.
@@ -204,7 +205,7 @@
                 foca::State::Alive => MemberState::Alive,
                 foca::State::Suspect => MemberState::Suspect,
                 foca::State::Down if announced_leave(member.id, member.incarnation) => MemberState::Left,
-                // The cell that announces the leave expires before the member is forgotten.
+                // The cell that announces the leave may expire before the member is forgotten.
                 foca::State::Down if self.has_left(&member) => MemberState::Left,
                 foca::State::Down => MemberState::Failed,
             };
--- a/crates/fleet/src/rejection.rs
+++ b/crates/fleet/src/rejection.rs
@@ -2,7 +2,11 @@
 
 use crate::{Incarnation, MemberId};
 
-/// Why a message was rejected. A rejected message changes nothing but the counter of its reason.
+/// Why a message was rejected. Each rejection increments the counter of its reason, and the content of the
+/// message is not applied.
+///
+/// A message that is rejected after its tag was verified may still change the replay windows, and
+/// [`Rejection::OwnName`] with a later incarnation causes [`crate::Effect::Superseded`].
 ///
 /// Operators' tools may match [`Rejection::REASONS`] and the texts about keys and incarnations: these keep the spelling
 /// of earlier builds.
@@ -41,7 +45,7 @@
         /// Counter of the message.
         counter: u64,
     },
-    /// The counter is below the replay window, so the message may be a replay.
+    /// The counter is below the replay window, so the message may be a replay, or is 0, which is never sent.
     #[error("possible replay: counter {counter} of member {from:?} is below the replay window")]
     Stale {
         /// Sender of the message.
@@ -170,7 +174,8 @@
     pub entries_over_bounds: u64,
     /// Anti-entropy exchanges that this member requested its driver to open.
     pub exchanges_requested: u64,
-    /// Timers that fired more than a probe period late because the process was stopped or starved of CPU time.
+    /// Timers that fired more than a probe period late, for example because the process was stopped or
+    /// starved of CPU time.
     pub late_timers: u64,
     /// Steps that the membership library rejected. The next probe corrects their effect.
     pub membership_errors: u64,
--- a/crates/fleet/src/seal/key.rs
+++ b/crates/fleet/src/seal/key.rs
@@ -91,8 +91,8 @@
         Keyring { first, second }
     }
 
-    /// Parses the text of a key file. Each line contains one key of 64 hexadecimal digits; the first key signs. A `#`
-    /// starts a comment. `fleet` is the fleet's name.
+    /// Parses the text of a key file. Each line contains at most one key of 64 hexadecimal digits; the first
+    /// key signs. A `#` starts a comment. `fleet` is the fleet's name.
     pub fn parse(text: &str, fleet: &str) -> Result<Keyring, KeyError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
--- a/crates/fleet/src/seal/mod.rs
+++ b/crates/fleet/src/seal/mod.rs
@@ -1,5 +1,6 @@
-//! Authentication of messages: a message is accepted only if it was sealed with the fleet's key, only once, and only by
-//! its recipient.
+//! Authentication of messages: a member accepts a message only if it was sealed with the fleet's key, is
+//! addressed to this member or names no recipient, and was not accepted here before. Replays are detected for
+//! as long as the sender's replay window is retained; see [`Sealer::new`].
 //!
 //! A sealed message consists of `version, channel, sender, its incarnation, counter, recipient, its incarnation, body,
 //! tag`; numbers are little-endian. The tag is the first 16 bytes of the keyed BLAKE3 hash of everything before it.
--- a/crates/fleet/src/table/bounds.rs
+++ b/crates/fleet/src/table/bounds.rs
@@ -16,7 +16,7 @@
     pub max_entries_per_origin: usize,
     /// Maximum weight of the cells of one origin; see [`Cell::weight`].
     pub max_bytes_per_origin: usize,
-    /// Maximum number of origins with cells.
+    /// Maximum number of known origins; this member is added even if it is reached.
     pub max_origins: usize,
     /// Maximum weight of all cells.
     pub max_total_bytes: usize,
--- a/crates/fleet/src/table/cell.rs
+++ b/crates/fleet/src/table/cell.rs
@@ -5,7 +5,8 @@
 
 use crate::{Incarnation, MemberId};
 
-/// Unit of a cell's age on the wire, in milliseconds. Ages are rounded up, so a cell never appears younger than it is.
+/// Unit of a cell's age on the wire, in milliseconds. Ages are rounded up, so that rounding never makes a
+/// cell appear younger.
 const AGE_UNIT_MS: u64 = 100;
 /// Part of a cell's weight that does not depend on its key and value, in bytes.
 pub(crate) const CELL_OVERHEAD_BYTES: usize = 64;
--- a/crates/fleet/src/table/digest.rs
+++ b/crates/fleet/src/table/digest.rs
@@ -19,7 +19,8 @@
     pub cells: u32,
     /// Highest version among the cells; 0 without cells.
     pub newest_version: u64,
-    /// Whether the lowest versions were dropped at a bound. Only versions above `newest_version` are then exchanged.
+    /// Whether the lowest versions were dropped at a bound. Two members then exchange only versions above the
+    /// lower one of their `newest_version`s.
     pub truncated: bool,
     /// XOR of the hashes of the cells.
     #[serde(with = "postcard::fixint::le")]
--- a/crates/fleet/src/table/mod.rs
+++ b/crates/fleet/src/table/mod.rs
@@ -143,8 +143,9 @@
         }
     }
 
-    /// Drops the oldest cell of the origin with the greatest weight, other than this member, until the total weight is
-    /// within its bound. An origin that floods the table thereby loses its own cells.
+    /// Drops cells until the total weight is within its bound: each time the cell with the lowest version of
+    /// the heaviest origin, this member excepted. An origin that floods the table thereby loses its own
+    /// cells.
     fn evict(&mut self) {
         while self.bytes > self.bounds.max_total_bytes {
             let others = self.origins.iter_mut().filter(|(id, _)| **id != self.local_id);
