--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -17,7 +17,8 @@
 /// When a write is acknowledged, and thus what it survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Durability {
-    /// Accepted in order; lost if the process ends before the group is written, or if that write fails.
+    /// Accepted in order, but not written yet; lost if the process ends before the write, if the write fails,
+    /// or if the machine crashes before a sync.
     Buffered,
     /// Passed to the operating system; survives the end of the process.
     Flushed,
